--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,8 @@
 fleet: .venv/.made  ## a whole fleet that stays up until Ctrl-C
 	.venv/bin/python -m plumpick.cli fleet
 
-test: .venv/.made  ## the linter and all tests
+test: .venv/.made  ## formatter, linter and all tests
+	.venv/bin/python -m ruff format --check .
 	.venv/bin/python -m ruff check .
 	.venv/bin/python -m pytest -q -n 6 --dist loadfile $(addprefix --ignore=,$(ALONE) $(TIERS))
 	.venv/bin/python -m pytest -q -n 2 --dist loadfile $(TIERS)
--- a/anisefront/bounds.py
+++ b/anisefront/bounds.py
@@ -58,8 +58,10 @@
     `Controller.on_arrival` puts "hopeless" on the agenda: by then it is sent on or refused, and that is
     before the aim (the deadline, where late answers have worth). Its time counts from the arrival and units
     are drawn later, so this is more than can be. On top come attempts that found no connection."""
-    longest_ms = max(kind.deadline_ms if kind.late_worth > 0 else min(kind.deadline_ms, kind.aim_ms)
-                     for kind in settings.classes)
+    longest_ms = max(
+        kind.deadline_ms if kind.late_worth > 0 else min(kind.deadline_ms, kind.aim_ms)
+        for kind in settings.classes
+    )
     return longest_ms / 1000 + DIAL_S * settings.max_attempts
 
 
@@ -70,9 +72,17 @@
     return min(settings.gateways, MOST_SPREAD if spread is None else spread)
 
 
-def beyond_quota(plan: Plan, settings: Settings, situation: Situation, window_s: float, *,
-                 spread: int | None = None, loss: float = 0.0, restarts: int = 1, far: int | None = None
-                 ) -> float:
+def beyond_quota(
+    plan: Plan,
+    settings: Settings,
+    situation: Situation,
+    window_s: float,
+    *,
+    spread: int | None = None,
+    loss: float = 0.0,
+    restarts: int = 1,
+    far: int | None = None,
+) -> float:
     """Units beyond the quota. `restarts`: of the home within the window; `far`: gateways of the set that are
     cut off from the home (all but one, by default); `loss`: share of messages lost, from 0 to 1."""
     count = spread_of(settings, spread)
@@ -112,12 +122,20 @@
     return own + plan.rate_per_s * (unsure_s + new)
 
 
-def together(plan: Plan, settings: Settings, window_s: float, *, spread: int | None = None, loss: float,
-             restarts: int, split: bool) -> float:
+def together(
+    plan: Plan,
+    settings: Settings,
+    window_s: float,
+    *,
+    spread: int | None = None,
+    loss: float,
+    restarts: int,
+    split: bool,
+) -> float:
     """Units beyond the quota where all of it comes at once: the sum of what each situation adds."""
+
     def of(situation: Situation) -> float:
-        return beyond_quota(plan, settings, situation, window_s, spread=spread, loss=loss,
-                            restarts=restarts)
+        return beyond_quota(plan, settings, situation, window_s, spread=spread, loss=loss, restarts=restarts)
 
     plain = of(Situation.SERVICE)
     kinds = [Situation.LOSS, Situation.ALL_HOMES] + [Situation.SPLIT] * split
@@ -138,17 +156,31 @@
     return max(0.0, CEILING_USE * drawn - allowed)
 
 
-def table(settings: Settings, *, spread: int | None = None, loss: float = 0.08, restarts: int = 1,
-          windows_s: tuple[float, ...] = WINDOWS_S) -> list[Bound]:
+def table(
+    settings: Settings,
+    *,
+    spread: int | None = None,
+    loss: float = 0.08,
+    restarts: int = 1,
+    windows_s: tuple[float, ...] = WINDOWS_S,
+) -> list[Bound]:
     """All bounds, for each plan, situation and window. Raises BoundsError."""
     rows = []
     for plan in settings.plans:
         for situation in Situation:
             for window_s in windows_s:
                 ceiling = (plan.ceiling_burst + plan.ceiling_per_s * window_s) if plan.ceiling_per_s else 0.0
-                rows.append(Bound(
-                    plan.name, situation, window_s, plan.burst + plan.rate_per_s * window_s,
-                    beyond_quota(plan, settings, situation, window_s, spread=spread, loss=loss,
-                                 restarts=restarts),
-                    ceiling, beyond_ceiling(plan, settings, window_s) if ceiling else 0.0))
+                rows.append(
+                    Bound(
+                        plan.name,
+                        situation,
+                        window_s,
+                        plan.burst + plan.rate_per_s * window_s,
+                        beyond_quota(
+                            plan, settings, situation, window_s, spread=spread, loss=loss, restarts=restarts
+                        ),
+                        ceiling,
+                        beyond_ceiling(plan, settings, window_s) if ceiling else 0.0,
+                    )
+                )
     return rows
--- a/anisefront/budgets/book.py
+++ b/anisefront/budgets/book.py
@@ -20,7 +20,15 @@
 from anisefront.budgets.holder import Askings, RateHolder, Share
 from anisefront.budgets.terms import Budget, ends_within
 from anisefront.budgets.words import (
-    Asked, Figures, Shares, Where, asking, figures, read, sharing, where,
+    Asked,
+    Figures,
+    Shares,
+    Where,
+    asking,
+    figures,
+    read,
+    sharing,
+    where,
 )
 from anisefront.duties import slot_of
 from anisefront.ownership.terms import Terms
@@ -74,14 +82,28 @@
     thought to have a slot. `_wanted` is an index by demand: budgets of which more than the floor was wanted
     of late, each until it has not been for `LINGER_TERMS`."""
 
-    def __init__(self, budgets: tuple[Budget, ...], number: int, gateways: int, terms: Terms,
-                 share_ms: float, chance: Random, now_ms: float) -> None:
+    def __init__(
+        self,
+        budgets: tuple[Budget, ...],
+        number: int,
+        gateways: int,
+        terms: Terms,
+        share_ms: float,
+        chance: Random,
+        now_ms: float,
+    ) -> None:
         self.number, self.gateways, self.terms, self.share_ms = number, gateways, terms, share_ms
         self._chance = chance
-        self.mine = {budget.name: _Mine(
-            place, slot_of(budget.name, terms.slots), budget,
-            RateHolder(budget, number, gateways, now_ms, share_ms, terms.drift), Askings())
-            for place, budget in enumerate(budgets)}
+        self.mine = {
+            budget.name: _Mine(
+                place,
+                slot_of(budget.name, terms.slots),
+                budget,
+                RateHolder(budget, number, gateways, now_ms, share_ms, terms.drift),
+                Askings(),
+            )
+            for place, budget in enumerate(budgets)
+        }
         self._names = [budget.name for budget in budgets]
         self._by_slot: dict[int, list[str]] = {}
         for name, mine in self.mine.items():
@@ -112,7 +134,7 @@
         """Whether a request that takes so many units of each of these budgets may go on; it has, then.
         `now_ms` is the moment of spending: a clock that goes on through a stall, looked at just now."""
         if len(wanted) == 1:  # most requests take from one, and its level is looked at once
-            (name, units), = wanted
+            ((name, units),) = wanted
             mine = self.mine[name]
             met = mine.holder.spend(now_ms, units)
             self._note(now_ms, mine, met)
@@ -167,8 +189,9 @@
         from_ms = max(now_ms, self._lent_ms.get(slot, now_ms)) if self._within else None
         for name in self._by_slot.get(slot, ()):
             self.mine[name].lower.clear()
-            self.dividers[name] = Divider(self.mine[name].own, self.gateways, now_ms, token,
-                                          self.share_ms, self.terms.drift, from_ms)
+            self.dividers[name] = Divider(
+                self.mine[name].own, self.gateways, now_ms, token, self.share_ms, self.terms.drift, from_ms
+            )
 
     def yields(self, slots: set[int]) -> None:
         """These are to be given back: nothing more is lent, and what is ends soon."""
@@ -176,8 +199,9 @@
 
     def lent(self, now_ms: float) -> frozenset[int]:
         """Slots under whose lease something is lent that counts on it: it may not be given back yet."""
-        return frozenset(slot for slot, until_ms in self._lent_ms.items()
-                         if self._within and now_ms < until_ms)
+        return frozenset(
+            slot for slot, until_ms in self._lent_ms.items() if self._within and now_ms < until_ms
+        )
 
     def lost(self, slot: int) -> None:
         """From now on we divide nothing of it."""
@@ -188,16 +212,26 @@
 
     # -- words
 
-    def heard(self, now_ms: float, sender: int, life: int, data: bytes, our_life: int,
-              holder_of: Callable[[int], int | None],
-              end_of: Callable[[int], float] = lambda _slot: math.inf) -> None:
+    def heard(
+        self,
+        now_ms: float,
+        sender: int,
+        life: int,
+        data: bytes,
+        our_life: int,
+        holder_of: Callable[[int], int | None],
+        end_of: Callable[[int], float] = lambda _slot: math.inf,
+    ) -> None:
         """A note has come. `holder_of` tells, at a voter, who has a slot; `end_of` when our lease on one that
         we have ends, by our clock."""
         said = read(data)
         if isinstance(said, Where):
             # Danger: a voter may know no more than that we had it once, and then each would ask itself.
-            if said.number != self.number and said.slot < self.terms.slots and (
-                    said.number < self.gateways and self._at.get(said.slot) != self.number):
+            if (
+                said.number != self.number
+                and said.slot < self.terms.slots
+                and (said.number < self.gateways and self._at.get(said.slot) != self.number)
+            ):
                 if self._at.get(said.slot) != said.number:
                     self._unanswered[said.slot] = 0
                     self._ask_ms = min(self._ask_ms, now_ms)
@@ -224,8 +258,9 @@
                     if mine.holder.budget != mine.own:
                         mine.holder.change(now_ms, mine.own)
                 elif mark != mine.holder.budget.mark or mine.told is None:
-                    self.to_send.append((sender, figures(Figures(
-                        place, mine.own.whole, mine.own.burst, True))))
+                    self.to_send.append(
+                        (sender, figures(Figures(place, mine.own.whole, mine.own.burst, True)))
+                    )
                 if share.burst < before / 2:  # what it was before is out until we say that we have this one
                     self._soon(now_ms)
 
@@ -243,13 +278,13 @@
                 mine.lower[sender] = said.whole, said.burst, mark, now_ms
                 self._lowest(now_ms, mine)
             goes_by = divider.budget
-            self.to_send.append((sender, figures(Figures(
-                mine.place, goes_by.whole, goes_by.burst, False))))
+            self.to_send.append((sender, figures(Figures(mine.place, goes_by.whole, goes_by.burst, False))))
         if (said.whole, said.burst) not in (mine.said, (own.whole, own.burst)):
             mine.said = said.whole, said.burst
             self.faults.append(
                 f"budget {name}: n{sender} has whole {said.whole:.6g}, burst {said.burst:.6g}, this "
-                f"gatekeeper {own.whole:.6g}, {own.burst:.6g}: the lower hold")
+                f"gatekeeper {own.whole:.6g}, {own.burst:.6g}: the lower hold"
+            )
 
     def _lowest(self, now_ms: float, mine: _Mine) -> None:
         """Divide the lowest that anybody has who asked of late."""
@@ -267,7 +302,8 @@
         """Other wholes and bursts from now on; raises ValueError where something else differs, and then
         nothing has changed. What is lent by the figures before is out until its end."""
         if [(one.name, one.kind, one.floor) for one in budgets] != [
-                (mine.own.name, mine.own.kind, mine.own.floor) for mine in self.mine.values()]:
+            (mine.own.name, mine.own.kind, mine.own.floor) for mine in self.mine.values()
+        ]:
             raise ValueError("budgets: other names or floors take effect at the next start of all")
         for budget, mine in zip(budgets, self.mine.values(), strict=True):
             if budget == mine.own:
@@ -279,8 +315,15 @@
             if budget.name in self._wanted:
                 self._soon(now_ms)
 
-    def _asked(self, now_ms: float, sender: int, life: int, rows: list[Asked],
-               holder_of: Callable[[int], int | None], end_of: Callable[[int], float]) -> None:
+    def _asked(
+        self,
+        now_ms: float,
+        sender: int,
+        life: int,
+        rows: list[Asked],
+        holder_of: Callable[[int], int | None],
+        end_of: Callable[[int], float],
+    ) -> None:
         shares: dict[int, list[tuple[int, Share, int]]] = {}  # by token
         others: set[int] = set()
         for row in rows:
@@ -302,8 +345,17 @@
                 elif lower is not None and lower[2] == row.mark:
                     mine.lower[sender] = (*lower[:3], now_ms)
                 self._lowest(now_ms, mine)
-            share = divider.ask(now_ms, sender, life, row.serial, row.demand, row.holding, row.has_serial,
-                                row.need, end_of(slot) if self._within else math.inf)
+            share = divider.ask(
+                now_ms,
+                sender,
+                life,
+                row.serial,
+                row.demand,
+                row.holding,
+                row.has_serial,
+                row.need,
+                end_of(slot) if self._within else math.inf,
+            )
             self._lent_ms[slot] = max(self._lent_ms.get(slot, -math.inf), divider.lent_until_ms)
             if share is not None:
                 shares.setdefault(divider.token, []).append((row.budget, share, divider.budget.mark))
@@ -337,15 +389,28 @@
             if mine.slot not in slots:
                 slots[mine.slot] = self._whom(mine.slot)
             holder = mine.holder
-            rows.setdefault(slots[mine.slot], []).append(Asked(
-                mine.place, mine.askings.ask(now_ms), holder.demand(now_ms), holder.holding(now_ms),
-                holder.serial, holder.need, mine.own.mark))
-            if mine.unmet and now_ms - self._told.get(name, -math.inf) > TOLD_TERMS * self.share_ms and (
-                    now_ms - mine.first_ms > self.share_ms):  # a start begins with nothing
+            rows.setdefault(slots[mine.slot], []).append(
+                Asked(
+                    mine.place,
+                    mine.askings.ask(now_ms),
+                    holder.demand(now_ms),
+                    holder.holding(now_ms),
+                    holder.serial,
+                    holder.need,
+                    mine.own.mark,
+                )
+            )
+            if (
+                mine.unmet
+                and now_ms - self._told.get(name, -math.inf) > TOLD_TERMS * self.share_ms
+                and (now_ms - mine.first_ms > self.share_ms)
+            ):  # a start begins with nothing
                 self._told[name] = now_ms
-                self.faults.append(f"budget {name}: {mine.unmet} requests turned back, nothing left of a "
-                                   f"share of {holder.holding(now_ms):.6g} and a floor of "
-                                   f"{holder.floor.rate_per_s:.6g} a second")
+                self.faults.append(
+                    f"budget {name}: {mine.unmet} requests turned back, nothing left of a "
+                    f"share of {holder.holding(now_ms):.6g} and a floor of "
+                    f"{holder.floor.rate_per_s:.6g} a second"
+                )
                 mine.unmet = 0
         for number, asked in rows.items():
             for note in asking(asked):
@@ -370,8 +435,16 @@
         """When `due` has something to do, or a slot can be given back."""
         if not self._closing:
             return self._ask_ms
-        return min([self._ask_ms, *(self._lent_ms.get(slot, math.inf) for slot in self._closing
-                                    if self._at.get(slot) == self.number)])
+        return min(
+            [
+                self._ask_ms,
+                *(
+                    self._lent_ms.get(slot, math.inf)
+                    for slot in self._closing
+                    if self._at.get(slot) == self.number
+                ),
+            ]
+        )
 
     # -- staff
 
@@ -381,11 +454,21 @@
         for name, mine in sorted(self.mine.items()):
             holder, divider = mine.holder, self.dividers.get(name)
             left_ms = holder.lent.until_ms - now_ms
-            rows.append(Row(name, holder.budget.whole, holder.floor.rate_per_s, holder.holding(now_ms),
-                            left_ms if left_ms > 0 else None, holder.has(now_ms), holder.demand(now_ms),
-                            mine.unmet, self._at.get(mine.slot),
-                            divider.token if divider is not None else holder.token,
-                            divider.out(now_ms) if divider is not None else None))
+            rows.append(
+                Row(
+                    name,
+                    holder.budget.whole,
+                    holder.floor.rate_per_s,
+                    holder.holding(now_ms),
+                    left_ms if left_ms > 0 else None,
+                    holder.has(now_ms),
+                    holder.demand(now_ms),
+                    mine.unmet,
+                    self._at.get(mine.slot),
+                    divider.token if divider is not None else holder.token,
+                    divider.out(now_ms) if divider is not None else None,
+                )
+            )
         return rows
 
     # -- an upgrade: one process after the other, one holder
@@ -395,10 +478,19 @@
         divides begins anew there, once what was lent here has ended."""
         self.dividers.clear()
         self.floors, self._ask_ms = True, math.inf  # no floor opens here any more
-        return {"lent": [[slot, until_ms] for slot, until_ms in self._lent_ms.items()], "holders": {
-            name: {"digest": self.terms.digest, "share_ms": self.share_ms, "token": f"{mine.holder.token:x}",
-                   "askings": mine.askings.estate(), "holder": mine.holder.estate(now_ms)}
-            for name, mine in self.mine.items()}}
+        return {
+            "lent": [[slot, until_ms] for slot, until_ms in self._lent_ms.items()],
+            "holders": {
+                name: {
+                    "digest": self.terms.digest,
+                    "share_ms": self.share_ms,
+                    "token": f"{mine.holder.token:x}",
+                    "askings": mine.askings.estate(),
+                    "holder": mine.holder.estate(now_ms),
+                }
+                for name, mine in self.mine.items()
+            },
+        }
 
     def inherit(self, now_ms: float, state: dict[str, Any]) -> None:
         """Go on from there. Raises ValueError, TypeError or KeyError where it cannot be: what was lent then
--- a/anisefront/budgets/bounds.py
+++ b/anisefront/budgets/bounds.py
@@ -44,9 +44,10 @@
     for window in WINDOWS_S:
         away = min(window, gap_s(terms, share_ms))
         for state, sure in (
-                ("in service, all want more", whole * window),
-                ("the divider dies", floors * away + whole * (window - away)),
-                ("no majority of voters", floors * window),
-                ("cut off alone", one * window)):
+            ("in service, all want more", whole * window),
+            ("the divider dies", floors * away + whole * (window - away)),
+            ("no majority of voters", floors * window),
+            ("cut off alone", one * window),
+        ):
             rows.append(BudgetBound(budget.name, state, window, budget.burst + budget.whole * window, sure))
     return rows
--- a/anisefront/budgets/divider.py
+++ b/anisefront/budgets/divider.py
@@ -55,8 +55,16 @@
 class Divider:
     """Table: one entry for each life of a gatekeeper that asked of late or has something out."""
 
-    def __init__(self, budget: Budget, gateways: int, now_ms: float, token: int, term_ms: float,
-                 drift: float, from_ms: float | None = None) -> None:
+    def __init__(
+        self,
+        budget: Budget,
+        gateways: int,
+        now_ms: float,
+        token: int,
+        term_ms: float,
+        drift: float,
+        from_ms: float | None = None,
+    ) -> None:
         """Of the owner of the duty, from when it became that. `from_ms`: by then all that was lent before has
         ended, where that is known; else a share's term from now."""
         self.budget, self.token = budget, token
@@ -88,8 +96,18 @@
             if now_ms - holder.asked_ms > QUIET_TERMS * self._keep_ms and holder.out(now_ms) == 0:
                 del self._holders[key]
 
-    def ask(self, now_ms: float, number: int, life: int, serial: int, demand: float, holding: float,
-            has_serial: int, need: float = 0.0, end_ms: float = math.inf) -> Share | None:
+    def ask(
+        self,
+        now_ms: float,
+        number: int,
+        life: int,
+        serial: int,
+        demand: float,
+        holding: float,
+        has_serial: int,
+        need: float = 0.0,
+        end_ms: float = math.inf,
+    ) -> Share | None:
         """The answer to an asking: a share, or None where it is an old one or the divider may not lend yet.
         `has_serial`: of the share that it has; what it was given before that is its no more. `need`: units
         that one request of its takes, of a rate. `end_ms`: of the lease under which this is lent; no share
@@ -132,8 +150,9 @@
         before = holder.burst(now_ms)
         # Danger: a part of the burst is not always the like part of the rate: who has one in turn has more of
         # it, and where the whole has just been raised parts by the figures before are out beside it.
-        free = max(0.0, self._burst - sum(
-            one.burst(now_ms) for one in self._holders.values() if one is not holder))
+        free = max(
+            0.0, self._burst - sum(one.burst(now_ms) for one in self._holders.values() if one is not holder)
+        )
         burst = min(free, self._burst * amount / self._lendable) if self._lendable > 0 else 0.0
         if burst < holder.need <= self._burst and holder.demand > 0:
             amount, burst = self._in_turn(now_ms, holder, before, free)
@@ -171,8 +190,9 @@
         if holder.waits_ms == math.inf:
             holder.waits_ms = now_ms
         others = [one for one in self._holders.values() if one is not holder]
-        earlier = sum(now_ms - one.asked_ms <= self._keep_ms / 2 and one.waits_ms < holder.waits_ms
-                      for one in others)
+        earlier = sum(
+            now_ms - one.asked_ms <= self._keep_ms / 2 and one.waits_ms < holder.waits_ms for one in others
+        )
         if before or min(free, self._pool.level) < holder.need * (1 + earlier):
             return 0.0, 0.0
         holder.waits_ms, holder.turn_ms = math.inf, now_ms
--- a/anisefront/budgets/holder.py
+++ b/anisefront/budgets/holder.py
@@ -61,8 +61,9 @@
 
     __slots__ = ("rate_per_s", "cap", "level", "until_ms", "_at_ms")
 
-    def __init__(self, now_ms: float, rate_per_s: float, cap: float, level: float = 0.0,
-                 until_ms: float = math.inf) -> None:
+    def __init__(
+        self, now_ms: float, rate_per_s: float, cap: float, level: float = 0.0, until_ms: float = math.inf
+    ) -> None:
         self.rate_per_s, self.cap, self.level = rate_per_s, cap, min(level, cap)
         self.until_ms, self._at_ms = until_ms, now_ms
 
@@ -82,14 +83,16 @@
 class RateHolder:
     """One gatekeeper's side of a rate."""
 
-    def __init__(self, budget: Budget, number: int, gateways: int, now_ms: float, term_ms: float,
-                 drift: float) -> None:
+    def __init__(
+        self, budget: Budget, number: int, gateways: int, now_ms: float, term_ms: float, drift: float
+    ) -> None:
         """`drift`: a clock that runs so much too fast fills no more than is due."""
         assert budget.kind is Kind.RATE
         self.budget, self.term_ms, self._slower = budget, term_ms, 1 / (1 + drift)
         self._number, self._gateways = number, gateways
-        self.floor = Bucket(now_ms, budget.floor_of(number, gateways) * self._slower,
-                            budget.floor_burst(gateways))
+        self.floor = Bucket(
+            now_ms, budget.floor_of(number, gateways) * self._slower, budget.floor_burst(gateways)
+        )
         self.lent = Bucket(now_ms, 0.0, 0.0, until_ms=now_ms)
         self.serial, self.token, self._amount = 0, 0, 0.0
         self._wanted, self._since_ms, self._demand, self._before = 0.0, now_ms, 0.0, 0.0
@@ -143,8 +146,12 @@
 
     def wants(self, now_ms: float) -> bool:
         """Whether more than the floor is wanted; as `demand`, at less cost while it is not."""
-        if now_ms - self._since_ms < DEMAND_MS and not self._demand and not self._before and (
-                self._wanted * 1000 <= self.floor.rate_per_s * DEMAND_MS):
+        if (
+            now_ms - self._since_ms < DEMAND_MS
+            and not self._demand
+            and not self._before
+            and (self._wanted * 1000 <= self.floor.rate_per_s * DEMAND_MS)
+        ):
             return False
         return self.demand(now_ms) > 0
 
@@ -165,8 +172,15 @@
         """What the next process of this gatekeeper goes on from; nothing is left here."""
         self.lent.fill(now_ms)
         self.floor.fill(now_ms)
-        state = [self.serial, self._amount, self.lent.cap, self.lent.level, self.lent.until_ms,
-                 self.floor.level, now_ms]
+        state = [
+            self.serial,
+            self._amount,
+            self.lent.cap,
+            self.lent.level,
+            self.lent.until_ms,
+            self.floor.level,
+            now_ms,
+        ]
         self.lent = Bucket(now_ms, 0.0, 0.0, until_ms=now_ms)
         self.floor = Bucket(now_ms, 0.0, 0.0)
         return state
@@ -190,8 +204,13 @@
         level = self.lent.has(now_ms)
         self.serial, self.token = share.serial, share.token
         self._amount = share.amount
-        self.lent = Bucket(now_ms, share.amount * self._slower, share.burst,
-                           min(share.burst, level + share.level), asked_ms + self.term_ms)
+        self.lent = Bucket(
+            now_ms,
+            share.amount * self._slower,
+            share.burst,
+            min(share.burst, level + share.level),
+            asked_ms + self.term_ms,
+        )
         return True
 
 
--- a/anisefront/budgets/matching.py
+++ b/anisefront/budgets/matching.py
@@ -23,7 +23,8 @@
     def fits(self, class_name: str, plan_name: str) -> bool:
         """Whatever the firm."""
         return (not self.classes or class_name in self.classes) and (
-            not self.plans or plan_name in self.plans)
+            not self.plans or plan_name in self.plans
+        )
 
 
 class Matching:
@@ -45,8 +46,11 @@
         known = self._known.get(key)
         if known is None:
             rules = [rule for rule in self._general if rule.fits(class_name, plan_name)]
-            known = self._known[key] = [(rule.name, 1.0) for rule in rules], any(
-                rule.by_units for rule in rules), rules
+            known = self._known[key] = (
+                [(rule.name, 1.0) for rule in rules],
+                any(rule.by_units for rule in rules),
+                rules,
+            )
         plain, by_units, rules = known
         of_firm = self._by_firm.get(firm)
         if of_firm is None and not by_units:
--- a/anisefront/budgets/words.py
+++ b/anisefront/budgets/words.py
@@ -67,17 +67,34 @@
 
 def asking(rows: list[Asked]) -> list[bytes]:
     """The notes that ask."""
-    return [bytes([ASK]) + b"".join(
-        _ASK_ROW.pack(one.budget, one.serial, min(one.demand, 3e38), one.holding, one.has_serial,
-                      min(one.need, 3e38), one.mark)
-        for one in rows[begin:begin + ASK_ROWS]) for begin in range(0, len(rows), ASK_ROWS)]
+    return [
+        bytes([ASK])
+        + b"".join(
+            _ASK_ROW.pack(
+                one.budget,
+                one.serial,
+                min(one.demand, 3e38),
+                one.holding,
+                one.has_serial,
+                min(one.need, 3e38),
+                one.mark,
+            )
+            for one in rows[begin : begin + ASK_ROWS]
+        )
+        for begin in range(0, len(rows), ASK_ROWS)
+    ]
 
 
 def sharing(life: int, token: int, rows: list[tuple[int, Share, int]]) -> list[bytes]:
     """The notes that answer."""
-    return [_SHARE_HEAD.pack(SHARE, life, token.to_bytes(16, "big")) + b"".join(
-        _SHARE_ROW.pack(budget, one.serial, one.amount, one.burst, one.level, mark)
-        for budget, one, mark in rows[begin:begin + SHARE_ROWS]) for begin in range(0, len(rows), SHARE_ROWS)]
+    return [
+        _SHARE_HEAD.pack(SHARE, life, token.to_bytes(16, "big"))
+        + b"".join(
+            _SHARE_ROW.pack(budget, one.serial, one.amount, one.burst, one.level, mark)
+            for budget, one, mark in rows[begin : begin + SHARE_ROWS]
+        )
+        for begin in range(0, len(rows), SHARE_ROWS)
+    ]
 
 
 def where(slot: int, number: int) -> bytes:
@@ -101,14 +118,22 @@
     if kind == ASK and (len(data) - 1) % _ASK_ROW.size == 0:
         asked = [Asked(*row) for row in _ASK_ROW.iter_unpack(data[1:])]
         return asked if all(_sound(one.demand, one.holding, one.need) for one in asked) else None
-    if kind == SHARE and len(data) >= _SHARE_HEAD.size and (
-            len(data) - _SHARE_HEAD.size) % _SHARE_ROW.size == 0:
+    if (
+        kind == SHARE
+        and len(data) >= _SHARE_HEAD.size
+        and (len(data) - _SHARE_HEAD.size) % _SHARE_ROW.size == 0
+    ):
         _, life, token = _SHARE_HEAD.unpack_from(data)
-        rows = list(_SHARE_ROW.iter_unpack(data[_SHARE_HEAD.size:]))
+        rows = list(_SHARE_ROW.iter_unpack(data[_SHARE_HEAD.size :]))
         if not all(_sound(*row[2:5]) for row in rows):
             return None
-        return Shares(life, [(budget, Share(serial, int.from_bytes(token, "big"), *parts), mark)
-                             for budget, serial, *parts, mark in rows])
+        return Shares(
+            life,
+            [
+                (budget, Share(serial, int.from_bytes(token, "big"), *parts), mark)
+                for budget, serial, *parts, mark in rows
+            ],
+        )
     return None
 
 
--- a/anisefront/configuration/delta.py
+++ b/anisefront/configuration/delta.py
@@ -70,7 +70,8 @@
     changes: dict[str, Any] = {
         "drop": [name for name in before if name not in after],
         "put": [row for name, row in after.items() if name in before and not _same(before[name], row)],
-        "new": []}
+        "new": [],
+    }
     last = None
     for name, row in after.items():
         if name not in before:
@@ -113,6 +114,7 @@
             row = behind.pop(last)
             last = row["name"]
             made[last] = row
+
     put(None)
     for name, row in rows.items():
         made[name] = row
--- a/anisefront/configuration/shelf.py
+++ b/anisefront/configuration/shelf.py
@@ -98,8 +98,11 @@
         return self._answers[key]
 
     def _made(self, newest: Content, base: Content | None) -> bytes:
-        head: dict[str, Any] = {"version": newest.version, "digest": newest.digest,
-                                "in_force_ms": newest.in_force_ms}
+        head: dict[str, Any] = {
+            "version": newest.version,
+            "digest": newest.digest,
+            "in_force_ms": newest.in_force_ms,
+        }
         whole = json.dumps({**head, "settings": newest.settings}, separators=(",", ":")).encode()
         if base is None:
             return whole
@@ -107,8 +110,9 @@
             changes = changes_between(base.settings, newest.settings)
         except DeltaError:
             return whole
-        text = canonical({**head, "base": base.version, "base_digest": base.digest,
-                          "changes": changes}).encode()
+        text = canonical(
+            {**head, "base": base.version, "base_digest": base.digest, "changes": changes}
+        ).encode()
         return text if len(text) < len(whole) else whole
 
     def _balancers(self) -> int:
@@ -121,12 +125,27 @@
 
     def status(self, now: float) -> dict[str, Any]:
         """All that `plumpick configuration status` tells of one service."""
-        return {"now_ms": now,
-                "versions": [[one.content.version, one.content.digest, one.content.in_force_ms, one.came_ms]
-                             for one in self.kept.values()],
-                "balancers": self._balancers(),
-                "watchers": [[one.name, one.number, one.in_force, one.digest, one.staged, one.refused,
-                              one.why, one.heard_ms] for one in self.watchers.values()]}
+        return {
+            "now_ms": now,
+            "versions": [
+                [one.content.version, one.content.digest, one.content.in_force_ms, one.came_ms]
+                for one in self.kept.values()
+            ],
+            "balancers": self._balancers(),
+            "watchers": [
+                [
+                    one.name,
+                    one.number,
+                    one.in_force,
+                    one.digest,
+                    one.staged,
+                    one.refused,
+                    one.why,
+                    one.heard_ms,
+                ]
+                for one in self.watchers.values()
+            ],
+        }
 
 
 def summary(states: list[dict[str, Any]]) -> tuple[list[str], bool]:
@@ -140,8 +159,9 @@
             known = versions.get(version)
             if known is not None and known[0] != its:
                 well = False
-                lines.append(f"version {version} has two contents, {known[0][:12]} and {its[:12]}: "
-                             "publish a newer one")
+                lines.append(
+                    f"version {version} has two contents, {known[0][:12]} and {its[:12]}: publish a newer one"
+                )
             versions[version] = (its, at_ms, min(came_ms, known[2]) if known else came_ms)
     heard: dict[str, list[Any]] = {}
     for state in states:
@@ -153,8 +173,11 @@
     newest = max(versions)
     its, at_ms, came_ms = versions[newest]
     due = now >= max(came_ms + TOLD_MS, at_ms + WAIT_MS + SPARE_MS)  # told with the next call
-    lines.insert(0, f"version {newest} {its[:12]}, published {(now - came_ms) / 1000:.1f} s ago, in force "
-                    f"{'since' if at_ms <= now else 'in'} {abs(now - at_ms) / 1000:.1f} s")
+    lines.insert(
+        0,
+        f"version {newest} {its[:12]}, published {(now - came_ms) / 1000:.1f} s ago, in force "
+        f"{'since' if at_ms <= now else 'in'} {abs(now - at_ms) / 1000:.1f} s",
+    )
     for place, state in enumerate(states):
         if newest not in {row[0] for row in state["versions"]}:
             well = False
@@ -171,8 +194,7 @@
             lines.append(f"{name} has version {version} with another content, {told[:12]}")
         elif due or refused == newest:
             well = False
-            lines.append(f"{name} lacks it: has version {version}"
-                         + (f", {staged} staged" if staged else ""))
+            lines.append(f"{name} lacks it: has version {version}" + (f", {staged} staged" if staged else ""))
         if refused:
             lines.append(f"{name} refused version {refused}: {why}")
         if now - heard_ms > LOST_MS:
--- a/anisefront/configuration/versions.py
+++ b/anisefront/configuration/versions.py
@@ -34,7 +34,7 @@
 
 def worst_ms(silent: int) -> float:
     """From a change to its being told, where so many addresses in turn are silent and the next is not."""
-    rounds = (2 * min(MOST_ROUND_MS, FIRST_ROUND_MS * 2.0 ** place) for place in range(silent))
+    rounds = (2 * min(MOST_ROUND_MS, FIRST_ROUND_MS * 2.0**place) for place in range(silent))
     return (WAIT_MS + SPARE_MS if silent else 0.0) + sum(rounds) + max(0, silent - 1) * ASK_MS
 
 
@@ -125,8 +125,15 @@
         return Offer(version, its, float(at_ms), shared(settings))
     if not isinstance(changes, dict):
         raise Unusable("neither settings nor changes")
-    return Offer(version, its, float(at_ms), None, changes, _whole_number(value.get("base"), 1),
-                 _digest(value.get("base_digest")))
+    return Offer(
+        version,
+        its,
+        float(at_ms),
+        None,
+        changes,
+        _whole_number(value.get("base"), 1),
+        _digest(value.get("base_digest")),
+    )
 
 
 def read(offer: Offer, base: Content) -> Content:
@@ -174,14 +181,22 @@
         after_ms = GAP_MS if self._had_news else 0.0
         if self.failures:
             round_ms = min(MOST_ROUND_MS, FIRST_ROUND_MS * 2.0 ** min(self.failures - 1, 30))
-            after_ms = ((self._place * round_ms - now) % round_ms
-                        + self._rng.random() * self._each * round_ms)
+            after_ms = (self._place * round_ms - now) % round_ms + self._rng.random() * self._each * round_ms
         wait_ms, within_ms = (WAIT_MS, WAIT_MS + SPARE_MS) if self._goes_on else (NOW_MS, ASK_MS)
         newest, refused = self.newest, max(self.refused, default=0)
-        return Call(self.address, after_ms, wait_ms, within_ms, newest.version,
-                    "" if self._want_whole else newest.digest, self.in_force.version, self.in_force.digest,
-                    self.staged.version if self.staged else 0, refused,
-                    self.refused[refused].why if refused else "")
+        return Call(
+            self.address,
+            after_ms,
+            wait_ms,
+            within_ms,
+            newest.version,
+            "" if self._want_whole else newest.digest,
+            self.in_force.version,
+            self.in_force.digest,
+            self.staged.version if self.staged else 0,
+            refused,
+            self.refused[refused].why if refused else "",
+        )
 
     def quiet(self, now: float, call: Call, took_ms: float) -> str:
         """The service has nothing new; returns what is wrong with that, which counts as a failure."""
@@ -218,7 +233,9 @@
         if offer.version in self.refused:
             return Wish.BEFORE
         if offer.settings is None and (offer.base, offer.base_digest) != (
-                self.newest.version, self.newest.digest):
+            self.newest.version,
+            self.newest.digest,
+        ):
             return Wish.WHOLE
         return Wish.READ
 
@@ -260,8 +277,9 @@
             self._refuse(content.version, content.digest, problem)
         else:
             self.in_force = content
-        if self.staged is not None and (self.staged is content
-                                        or self.staged.version <= self.in_force.version):
+        if self.staged is not None and (
+            self.staged is content or self.staged.version <= self.in_force.version
+        ):
             self.staged = None
 
     def outdone(self, content: Content) -> bool:
--- a/anisefront/control.py
+++ b/anisefront/control.py
@@ -19,17 +19,63 @@
 from anisefront.ceilings import slice_of
 from anisefront.draining import Draining
 from anisefront.interface import (
-    Action, Arrival, Call, Cancel, ClientGone, Doors, Estate, Event, Fail, Fleet, Heard, Inherit, Leave,
-    Order, Outcome, Plan, Reconfigure, Refuse, Repeat, RequestClass, Result, Resume, Said, Scope, Send,
-    Settings, Started, State, Subscribe, Tell, Wake,
+    Action,
+    Arrival,
+    Call,
+    Cancel,
+    ClientGone,
+    Doors,
+    Estate,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Inherit,
+    Leave,
+    Order,
+    Outcome,
+    Plan,
+    Reconfigure,
+    Refuse,
+    Repeat,
+    RequestClass,
+    Result,
+    Resume,
+    Said,
+    Scope,
+    Send,
+    Settings,
+    Started,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
 )
 from anisefront.messages import (
-    MAX_SIGHTINGS, Codec, Item, Kind, Sighting, by_tag, place_of, ratio_of, sighting, tag_of,
+    MAX_SIGHTINGS,
+    Codec,
+    Item,
+    Kind,
+    Sighting,
+    by_tag,
+    place_of,
+    ratio_of,
+    sighting,
+    tag_of,
 )
 from anisefront.stores import begin_with, is_full, old_store_name, spare, store_name
 from anisefront.upkeep import part_of, ping_ms
 from anisefront.state import (
-    Account, Ask, Attempt, Backend, Lateness, QuotaState, Request, ServersState, Store, WindowState,
+    Account,
+    Ask,
+    Attempt,
+    Backend,
+    Lateness,
+    QuotaState,
+    Request,
+    ServersState,
+    Store,
+    WindowState,
 )
 
 # Fuzzy shares (paper, Tables 6 and 7, absolute delay).
@@ -289,8 +335,11 @@
             idle = gone_s * 1000 > FORGET_MS and id(account) not in open_now and not account.out
             fills = plan.ceiling_per_s * account.slice * gone_s
             full = account.ceiling + fills >= plan.ceiling_burst * account.slice
-            if idle and account.own + plan.rate_per_s / account.spread * gone_s >= 0 and (
-                    full or plan.name not in self.plan_index):
+            if (
+                idle
+                and account.own + plan.rate_per_s / account.spread * gone_s >= 0
+                and (full or plan.name not in self.plan_index)
+            ):
                 del self.accounts[name]
         for key in part_of(self.stores, self.stores_left):
             if now - self.stores[key].at_ms > FORGET_MS and is_full(self.stores[key], now, HOME_CEILING):
@@ -357,8 +406,11 @@
         """A life sign, where nothing else was told of late, to the homes of our customers."""
         if self.settings.may_tell and not self.heir:
             gap_ms = ping_ms(self.settings)
-            wide = range(self.settings.gateways) if self.pings_all() else (
-                {account.home for account in self.accounts.values()})
+            wide = (
+                range(self.settings.gateways)
+                if self.pings_all()
+                else ({account.home for account in self.accounts.values()})
+            )
             for other in wide:
                 if other != self.settings.number and now - self.told_ms.get(other, -math.inf) >= gap_ms:
                     self.outbox.setdefault(other, [])
@@ -385,7 +437,8 @@
         self.plan_at(now + TELL_MS, "ask", request.arrival.id)
         # Of who asked for more than its quota when its home was heard, so many go on as its quota is of that.
         if now - account.told_ms < CREDIT_MS and self.rng.random() * account.told > (
-                request.plan.rate_per_s or math.inf):
+            request.plan.rate_per_s or math.inf
+        ):
             return False
         return account.own >= 0 and not (request.plan.max_out and account.out) and self.draw(now, request)
 
@@ -397,12 +450,19 @@
             self.serial = request.serial = self.serial % 0xFFFF + 1
             self.asking[request.serial] = request
         item = Item(
-            kind, account.tag, request.serial, request.arrival.units, account.asked * 1000 / DEMAND_MEMORY_MS,
-            self.class_index.get(request.kind.name, 0), place, account.spread)  # what goes back is of any
+            kind,
+            account.tag,
+            request.serial,
+            request.arrival.units,
+            account.asked * 1000 / DEMAND_MEMORY_MS,
+            self.class_index.get(request.kind.name, 0),
+            place,
+            account.spread,
+        )  # what goes back is of any
         self.say(now, account.home, item)
         if kind is Kind.SPENT and account.home in self.silent:
             late = now, item._replace(kind=Kind.LATE)
-            self.unheard[account.home] = [*self.unheard.get(account.home, ())[1 - UNHEARD_MOST:], late]
+            self.unheard[account.home] = [*self.unheard.get(account.home, ())[1 - UNHEARD_MOST :], late]
 
     def close(self, now: float, request: Request) -> None:
         """The request has ended: what it drew and did not use goes back, and its slot is free."""
@@ -439,7 +499,7 @@
         for other, items in posts:
             self.told_ms[other], self.told[other] = now, self.told.get(other, 0.0) + 1
             if len(items) > most:
-                self.outbox[other] = items[most:OUTBOX_MESSAGES * most]
+                self.outbox[other] = items[most : OUTBOX_MESSAGES * most]
         if self.outbox and now >= self.flush_ms:
             self.flush_ms = now + max(self.settings.tick_ms, min(map(gap, self.outbox)) / 2)
             self.plan_at(self.flush_ms, "flush", -1)
@@ -475,13 +535,18 @@
     def at_home(self, now: float, key: tuple[int, int, int], item: Item) -> None:
         plan, kind = self.settings.plans[item.plan_index], self.settings.classes[item.class_index]
         name = store_name(item)
-        store = self.stores.get(name) or self.stores.pop(old_store_name(item), None) or Store(
-            plan, plan.burst, now, kept=plan.burst, born_ms=now)
+        store = (
+            self.stores.get(name)
+            or self.stores.pop(old_store_name(item), None)
+            or Store(plan, plan.burst, now, kept=plan.burst, born_ms=now)
+        )
         self.stores[name] = store
         if not store.members and item.spread > 1:
             first = self.settings.number - place_of(item.tag, item.spread)
-            store.members = tuple({(first + place) % self.settings.gateways for place in range(item.spread)}
-                                  - {self.settings.number})
+            store.members = tuple(
+                {(first + place) % self.settings.gateways for place in range(item.spread)}
+                - {self.settings.number}
+            )
         queued = any(ask.key == key for ask in store.queue)
         asked = item.kind in (Kind.ASK, Kind.AGAIN)
         if asked:
@@ -541,8 +606,9 @@
         store.level = min(plan.burst, store.level + plan.rate_per_s * part * gone_s)
         ceiling_per_s = plan.ceiling_per_s * HOME_CEILING
         store.ceiling = min(plan.ceiling_burst * HOME_CEILING, store.ceiling + ceiling_per_s * gone_s)
-        store.queue = sorted((ask for ask in store.queue if ask.until_ms > now),
-                             key=lambda ask: (ask.worth, ask.came_ms))
+        store.queue = sorted(
+            (ask for ask in store.queue if ask.until_ms > now), key=lambda ask: (ask.worth, ask.came_ms)
+        )
         if plan.max_out:
             store.leases = {key: until for key, until in store.leases.items() if until > now}
         while store.queue:
@@ -629,15 +695,21 @@
 
     def forget(self) -> None:
         """Of servers that have gone nothing is kept, once nothing is out there: ids may be ever new."""
-        self.known = {name: backend for name, backend in self.known.items()
-                      if backend.entry.state is not State.GONE or backend.out}
+        self.known = {
+            name: backend
+            for name, backend in self.known.items()
+            if backend.entry.state is not State.GONE or backend.out
+        }
         self.by_tag = by_tag(self.known)
 
     def sort(self, now: float) -> None:
         """The servers that are ready, by warmth."""
         self.warm, self.cold, self.capacity = [], [], 0.0
-        ready = [(backend, self.warmth(now, backend)) for name, backend in self.known.items()
-                 if backend.entry.state is State.READY and name not in self.bans]
+        ready = [
+            (backend, self.warmth(now, backend))
+            for name, backend in self.known.items()
+            if backend.entry.state is State.READY and name not in self.bans
+        ]
         for backend, share in ready:
             (self.warm if share >= 1 else self.cold).append(backend)
             self.capacity += share
@@ -656,8 +728,12 @@
             self.sort(now)
         if any(backend.entry.state is State.GONE for backend in self.known.values()):
             self.forget()
-        self.suspects = [backend for backend in self.suspects if backend.entry.state is State.READY
-                         and max(self.failing(now, backend, name) for name in self.names) >= EJECT_FROM]
+        self.suspects = [
+            backend
+            for backend in self.suspects
+            if backend.entry.state is State.READY
+            and max(self.failing(now, backend, name) for name in self.names) >= EJECT_FROM
+        ]
         self.out_of.clear()
 
     def idle(self, now: float) -> float:
@@ -670,9 +746,14 @@
         part. Danger: our own network, or an overload, makes all look bad, and to put them out empties the
         list. So more than a part is nobody's verdict: then cost alone decides."""
         if name not in self.out_of:
-            worst = sorted(((self.failing(now, backend, name), place) for place, backend
-                            in enumerate(self.suspects) if backend in self.warm
-                            and sum(backend.seen.values()) >= EJECT_LEAST), reverse=True)
+            worst = sorted(
+                (
+                    (self.failing(now, backend, name), place)
+                    for place, backend in enumerate(self.suspects)
+                    if backend in self.warm and sum(backend.seen.values()) >= EJECT_LEAST
+                ),
+                reverse=True,
+            )
             worst = [row for row in worst if row[0] >= EJECT_FROM]
             calm = len(worst) <= EJECT_PANIC * len(self.warm)
             most = int(EJECT_MOST * len(self.warm)) if calm else 0
@@ -722,8 +803,11 @@
                 toss -= self.warmth(now, backend)
                 if toss < 0:
                     barred = backend in request.tried or group is not None and backend not in group
-                    if not barred and self.failing(now, backend, name) < COLD_FAILING and (
-                            self.may_warm(now, backend)):
+                    if (
+                        not barred
+                        and self.failing(now, backend, name) < COLD_FAILING
+                        and (self.may_warm(now, backend))
+                    ):
                         return backend
                     break
         # Who seldom sends to each compares few: its news is old or known to all, who would crowd the best.
@@ -796,7 +880,7 @@
                 backend.accused[-1] = now
             if name in self.names:  # it may have been dropped
                 seen = sighting(backend.entry.id, self.names[name], ratio)
-                self.sightings = [*self.sightings[1 - MAX_SIGHTINGS:], (now, seen)]
+                self.sightings = [*self.sightings[1 - MAX_SIGHTINGS :], (now, seen)]
 
     def hear(self, now: float, sender: int, sightings: tuple[Sighting, ...]) -> None:
         """What a peer saw weighs the less the more we see ourselves, or all would flee and crowd alike.
@@ -810,8 +894,9 @@
             backend.words[sender] = now
             ratio = ratio_of(seen)
             if ratio == math.inf:
-                backend.accused = {other: ms for other, ms in backend.accused.items()
-                                   if now - ms <= FAIL_MEMORY_MS}
+                backend.accused = {
+                    other: ms for other, ms in backend.accused.items() if now - ms <= FAIL_MEMORY_MS
+                }
                 backend.accused[sender] = now
                 if len(backend.accused) < 2:
                     continue
@@ -825,17 +910,34 @@
         self.settings, self.rng, self.codec = settings, random.Random(seed), Codec(settings)
         self.classes = {kind.name: kind for kind in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
-        self.window, self.servers = Window(settings.gateways), Servers(
-            settings, self.rng, {name: n for n, name in enumerate(self.classes)}, Bans(settings.warm_up_ms))
-        self.shares = {kind.name: FuzzyShare(kind.aim_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
-                       for kind in settings.classes}
+        self.window, self.servers = (
+            Window(settings.gateways),
+            Servers(
+                settings,
+                self.rng,
+                {name: n for n, name in enumerate(self.classes)},
+                Bans(settings.warm_up_ms),
+            ),
+        )
+        self.shares = {
+            kind.name: FuzzyShare(kind.aim_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
+            for kind in settings.classes
+        }
         self.waits: dict[str, list[float]] = {kind.name: [] for kind in settings.classes}
         self.usual = {kind.name: min(USUAL_START_MS, kind.aim_ms / 4) for kind in settings.classes}
-        self.quota = Quota(settings, self.rng, self.plan_at, self.on_answer, self.on_denied, ASK_START_MS,
-                           self.rng.randrange(1 << 16))
+        self.quota = Quota(
+            settings,
+            self.rng,
+            self.plan_at,
+            self.on_answer,
+            self.on_denied,
+            ASK_START_MS,
+            self.rng.randrange(1 << 16),
+        )
         # What the worthiest request inside its quota is worth.
-        self.top_rank = (max(kind.worth for kind in settings.classes)
-                         * max(plan.value for plan in settings.plans) or 1.0)
+        self.top_rank = (
+            max(kind.worth for kind in settings.classes) * max(plan.value for plan in settings.plans) or 1.0
+        )
         self.timely = {kind.name: 1.0 for kind in settings.classes}  # share of answers within their aim
         self.requests: dict[int, Request] = {}
         self.held: list[Request] = []
@@ -1022,8 +1124,12 @@
         if self.settings.second_copies and len(request.out) == 1:
             (number,) = request.out
             attempt = self.attempts[request.arrival.id, number]
-            if attempt.overdue_ms and attempt.chance < COPY_CHANCE and self.may_repeat(request) and not (
-                    self.window.free() + attempt.lost >= 1 and self.again(request, attempt.chance)):
+            if (
+                attempt.overdue_ms
+                and attempt.chance < COPY_CHANCE
+                and self.may_repeat(request)
+                and not (self.window.free() + attempt.lost >= 1 and self.again(request, attempt.chance))
+            ):
                 next_ms = min(next_ms, self.now + RETRY_AGAIN_MS)
         if next_ms < math.inf:
             self.plan_at(next_ms, "overdue", request.arrival.id)
@@ -1053,11 +1159,15 @@
         self.quota.forget(self.now, self.requests.values())
         reconfigure.forget(self)
         zones = {backend.entry.zone for backend in self.servers.known.values()}
-        self.late = {view: late for view, late in self.late.items() if len(view) == 1 or (
-            view[2] in self.servers.known if len(view) == 3 else view[1] in zones)}
+        self.late = {
+            view: late
+            for view, late in self.late.items()
+            if len(view) == 1 or (view[2] in self.servers.known if len(view) == 3 else view[1] in zones)
+        }
         if len(self.agenda) > AGENDA_SPARE + len(OF_REQUESTS) * len(self.requests):
-            self.agenda = [entry for entry in self.agenda
-                           if entry[2] not in OF_REQUESTS or entry[3] in self.requests]
+            self.agenda = [
+                entry for entry in self.agenda if entry[2] not in OF_REQUESTS or entry[3] in self.requests
+            ]
             heapq.heapify(self.agenda)
 
     def step_shares(self) -> None:
@@ -1103,8 +1213,11 @@
     def on_arrival(self, arrival: Arrival) -> None:
         # Compiled, each is looked at when it is read; plain, what is of a wrong type would go some way.
         words = arrival.customer, arrival.class_name, arrival.plan_name
-        if not (isinstance(arrival.id, int) and isinstance(arrival.is_repeat, bool)
-                and all(isinstance(word, str) for word in words)):
+        if not (
+            isinstance(arrival.id, int)
+            and isinstance(arrival.is_repeat, bool)
+            and all(isinstance(word, str) for word in words)
+        ):
             raise TypeError(f"an arrival with a part of a wrong type: {arrival!r}")
         kind, plan = self.classes.get(arrival.class_name), self.plans.get(arrival.plan_name)
         if kind is None or plan is None or not arrival.due_ms > self.now or arrival.id in self.requests:
@@ -1155,8 +1268,13 @@
         if not self.held or self.window.free() < 1:
             return
         cap = self.window.limit
-        self.held.sort(key=lambda request: (
-            not request.inside, -request.rank * self.timely[request.kind.name], -request.came_ms))
+        self.held.sort(
+            key=lambda request: (
+                not request.inside,
+                -request.rank * self.timely[request.kind.name],
+                -request.came_ms,
+            )
+        )
         if len(self.held) > self.window.free():
             total = max(1.0, sum(share.share for share in self.shares.values()))
             left = {name: own.share / total * cap for name, own in self.shares.items()}
@@ -1169,8 +1287,11 @@
                 (first if left[request.kind.name] >= 0 and request.inside else rest).append(request)
             self.held = first + rest
         busy = self.window.mean_out >= OVER_ROOM * cap
-        self.held = [request for request in self.held if self.window.free() < 1
-                     or busy and not request.inside or self.stays(request)]
+        self.held = [
+            request
+            for request in self.held
+            if self.window.free() < 1 or busy and not request.inside or self.stays(request)
+        ]
 
     def stays(self, request: Request) -> bool:
         """Send on what is held, if that can be; whether it is held still."""
@@ -1188,10 +1309,17 @@
             self.budget = min(RETRY_MOST, self.budget + RETRY_PART)
             request.held, request.toss_ms = False, 0.0
         self.servers.bans.sent(backend.entry.id)
-        self.actions.append(Send(number, backend.entry.id, max(1.0, request.arrival.due_ms - self.now),
-                                 self.repeat_left(request) if request.uncertain else math.inf))
+        self.actions.append(
+            Send(
+                number,
+                backend.entry.id,
+                max(1.0, request.arrival.due_ms - self.now),
+                self.repeat_left(request) if request.uncertain else math.inf,
+            )
+        )
         self.attempts[number, request.attempts] = Attempt(
-            backend, request.kind.name, self.now, request.kind.aim_ms)
+            backend, request.kind.name, self.now, request.kind.aim_ms
+        )
         request.out[request.attempts] = backend
         request.tried.append(backend)
         if not request.uncertain:
@@ -1211,10 +1339,13 @@
         if kind.repeat is Repeat.UNSAFE or self.repeat_left(request) <= 0:
             return []
         # The group as it was when the first went out; what started since then remembers nothing of it.
-        return [backend for backend in self.servers.warm + self.servers.cold
-                if backend.entry.started_ms <= request.anchor_ms
-                and (kind.scope is Scope.ALL or backend.entry.zone == same.zone)
-                and (kind.scope is not Scope.CELL or backend.entry.cell == same.cell)]
+        return [
+            backend
+            for backend in self.servers.warm + self.servers.cold
+            if backend.entry.started_ms <= request.anchor_ms
+            and (kind.scope is Scope.ALL or backend.entry.zone == same.zone)
+            and (kind.scope is not Scope.CELL or backend.entry.cell == same.cell)
+        ]
 
     def repeat_left(self, request: Request) -> float:
         """For how long from now a further attempt may still leave."""
@@ -1230,8 +1361,12 @@
     def may_repeat(self, request: Request) -> bool:
         """Whether a further attempt could still be in time, and rule 2 leaves it a server."""
         left = min(request.aim_ms, request.arrival.due_ms) - self.now
-        return (left >= self.answer_time(request.kind) and request.attempts < self.settings.max_attempts
-                and not request.once and self.allowed(request) != [])
+        return (
+            left >= self.answer_time(request.kind)
+            and request.attempts < self.settings.max_attempts
+            and not request.once
+            and self.allowed(request) != []
+        )
 
     def again(self, request: Request, chance: float = 1.0) -> bool:
         """A further attempt, where it can still be in time and the budget allows it. `chance`: that the one
--- a/anisefront/draining.py
+++ b/anisefront/draining.py
@@ -28,8 +28,12 @@
     UNHEARD = 4  # all close on which no request has come whole
 
 
-STAGES = ((0.0, Door.LEAVING), (IDLE_AFTER_MS, Door.IDLE), (LATE_AFTER_MS, Door.LATE),
-          (UNHEARD_AFTER_MS, Door.UNHEARD))
+STAGES = (
+    (0.0, Door.LEAVING),
+    (IDLE_AFTER_MS, Door.IDLE),
+    (LATE_AFTER_MS, Door.LATE),
+    (UNHEARD_AFTER_MS, Door.UNHEARD),
+)
 
 
 class Draining:
--- a/anisefront/duties.py
+++ b/anisefront/duties.py
@@ -182,7 +182,8 @@
             self._look(now_ms, unix_ms, self.work[name])
         for slot in sorted(self._yielding):
             if slot not in self.kept and not any(
-                    work.running is not None for work in self._by_slot.get(slot, ())):
+                work.running is not None for work in self._by_slot.get(slot, ())
+            ):
                 self._yielding.discard(slot)
                 self.actions.append(GiveBack(slot))
         actions, self.actions = self.actions, []
--- a/anisefront/estate.py
+++ b/anisefront/estate.py
@@ -70,8 +70,16 @@
     kind, tag, serial, units, asked_per_s, class_index, _, spread = row[1]
     if class_index not in places:
         return None
-    item = Item(Kind(kind), int(tag), int(serial), float(units), float(asked_per_s), places[class_index],
-                plan_place, int(spread))
+    item = Item(
+        Kind(kind),
+        int(tag),
+        int(serial),
+        float(units),
+        float(asked_per_s),
+        places[class_index],
+        plan_place,
+        int(spread),
+    )
     return Ask(_key(row[0]), item, float(row[2]), float(row[3]), float(row[4]))
 
 
@@ -89,35 +97,63 @@
             account.at_ms = max(account.at_ms, quota.changed_ms)
             renew(quota, account.at_ms, account, first, 0.0)
     # Of plans that were dropped some stores may not be full yet.
-    plans = [*control.plans.values(),
-             *{store.plan.name: store.plan for store in quota.parted.values()}.values()]
+    plans = [
+        *control.plans.values(),
+        *{store.plan.name: store.plan for store in quota.parted.values()}.values(),
+    ]
     at = {plan.name: place for place, plan in enumerate(plans)}
     stores = [*quota.stores.items(), *((key[0], store) for key, store in quota.parted.items())]
     banned, back = servers.bans.state()
     return {
-        "form": FORM, "number": control.settings.number, "gateways": control.settings.gateways,
-        "classes": list(control.classes), "plans": list(at),
+        "form": FORM,
+        "number": control.settings.number,
+        "gateways": control.settings.gateways,
+        "classes": list(control.classes),
+        "plans": list(at),
         "figures": {plan.name: _row(plan, _FIGURES) for plan in plans},
-        "bans": list(banned), "back": [list(row) for row in back],
+        "bans": list(banned),
+        "back": [list(row) for row in back],
         "draining": control.draining.since_ms,
         "accounts": [[list(name), _row(account, _ACCOUNT)] for name, account in quota.accounts.items()],
-        "stores": [[name, at[store.plan.name], _row(store, _STORE), list(store.members),
-                    [[who, ms] for who, ms in store.askers.items()],
-                    [[list(key), ms] for key, ms in store.done.items()],
-                    [list(key) for key in store.backs], [list(key) for key in store.spent],
-                    [[list(key), ms] for key, ms in store.leases.items()],
-                    [_ask_row(ask) for ask in store.queue]]
-                   for name, store in stores],
+        "stores": [
+            [
+                name,
+                at[store.plan.name],
+                _row(store, _STORE),
+                list(store.members),
+                [[who, ms] for who, ms in store.askers.items()],
+                [[list(key), ms] for key, ms in store.done.items()],
+                [list(key) for key in store.backs],
+                [list(key) for key in store.spent],
+                [[list(key), ms] for key, ms in store.leases.items()],
+                [_ask_row(ask) for ask in store.queue],
+            ]
+            for name, store in stores
+        ],
         "last_ms": [[other, ms] for other, ms in quota.last_ms.items()],
         "heard_ms": [[other, ms] for other, ms in quota.heard_ms.items()],
         "told_ms": [[other, ms] for other, ms in quota.told_ms.items()],
-        "silent": sorted(quota.silent), "rtt_ms": quota.rtt_ms,
-        "window": _row(control.window, _WINDOW), "budget": control.budget,
-        "usual": control.usual, "timely": control.timely,
+        "silent": sorted(quota.silent),
+        "rtt_ms": quota.rtt_ms,
+        "window": _row(control.window, _WINDOW),
+        "budget": control.budget,
+        "usual": control.usual,
+        "timely": control.timely,
         "shares": {name: share.share for name, share in control.shares.items()},
-        "servers": [[name, backend.entry.started_ms, _row(backend, _SERVER), backend.seen, backend.bad,
-                     backend.cold_ms] for name, backend in servers.known.items()],
-        "sends": servers.sends, "reference": servers.reference}
+        "servers": [
+            [
+                name,
+                backend.entry.started_ms,
+                _row(backend, _SERVER),
+                backend.seen,
+                backend.bad,
+                backend.cold_ms,
+            ]
+            for name, backend in servers.known.items()
+        ],
+        "sends": servers.sends,
+        "reference": servers.reference,
+    }
 
 
 def take_over(control: Controller, now: float, left: Mapping[str, Any]) -> None:
@@ -131,12 +167,15 @@
     plans = {plan.name: plan for plan in settings.plans}
     try:
         accounts, stores, parted, backends = {}, {}, {}, {}
-        figures = {name: Plan(name, **dict(zip(_FIGURES, row, strict=True)))
-                   for name, row in left.get("figures", {}).items()}
+        figures = {
+            name: Plan(name, **dict(zip(_FIGURES, row, strict=True)))
+            for name, row in left.get("figures", {}).items()
+        }
         old = left["form"] == OLD_FORM
         now_at = {kind.name: place for place, kind in enumerate(settings.classes)}
-        places = {place: now_at[name] for place, name in enumerate(() if old else left["classes"])
-                  if name in now_at}
+        places = {
+            place: now_at[name] for place, name in enumerate(() if old else left["classes"]) if name in now_at
+        }
         for name, row in left["accounts"]:
             customer, plan, spread, first = name
             if plan in plans:
@@ -179,8 +218,10 @@
                 backend.bad = {str(kind): float(count) for kind, count in bad.items()}
                 backend.cold_ms = [float(ms) for ms in cold_ms]
                 backends[name] = backend
-        numbers = {key: {int(other): float(ms) for other, ms in left[key]}
-                   for key in ("last_ms", "heard_ms", "told_ms")}
+        numbers = {
+            key: {int(other): float(ms) for other, ms in left[key]}
+            for key in ("last_ms", "heard_ms", "told_ms")
+        }
         silent, rtt_ms = {int(other) for other in left["silent"]}, float(left["rtt_ms"])
         usual = {str(name): float(ms) for name, ms in left["usual"].items() if name in control.usual}
         timely = {str(name): float(part) for name, part in left["timely"].items() if name in control.timely}
--- a/anisefront/interface.py
+++ b/anisefront/interface.py
@@ -78,8 +78,14 @@
     aim_stretch: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, aim_ms=self.aim_ms, deadline_ms=self.deadline_ms, worth=self.worth,
-                      late_worth=self.late_worth, window_ms=self.window_ms)
+        _refuse_below(
+            0,
+            aim_ms=self.aim_ms,
+            deadline_ms=self.deadline_ms,
+            worth=self.worth,
+            late_worth=self.late_worth,
+            window_ms=self.window_ms,
+        )
         if not isinstance(self.repeat, Repeat):
             raise ValueError(f"repeat: {self.repeat!r} is no kind of repeat")
 
@@ -100,10 +106,18 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _refuse_below(0, rate_per_s=self.rate_per_s, burst=self.burst, max_out=self.max_out,
-                      value=self.value, over_worth=self.over_worth, over_cost=self.over_cost,
-                      ceiling_per_s=self.ceiling_per_s, ceiling_burst=self.ceiling_burst,
-                      ceiling_slack=self.ceiling_slack)
+        _refuse_below(
+            0,
+            rate_per_s=self.rate_per_s,
+            burst=self.burst,
+            max_out=self.max_out,
+            value=self.value,
+            over_worth=self.over_worth,
+            over_cost=self.over_cost,
+            ceiling_per_s=self.ceiling_per_s,
+            ceiling_burst=self.ceiling_burst,
+            ceiling_slack=self.ceiling_slack,
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -142,9 +156,16 @@
         if not self.plans:
             raise ValueError("plans: there are none")
         _refuse_below(1, gateways=self.gateways, max_attempts=self.max_attempts)
-        _refuse_below(0, number=self.number, warm_up_ms=self.warm_up_ms, cold_from=self.cold_from,
-                      fall_multiple=self.fall_multiple, fall_window_ms=self.fall_window_ms,
-                      max_units=self.max_units, inbox_per_s=self.inbox_per_s)
+        _refuse_below(
+            0,
+            number=self.number,
+            warm_up_ms=self.warm_up_ms,
+            cold_from=self.cold_from,
+            fall_multiple=self.fall_multiple,
+            fall_window_ms=self.fall_window_ms,
+            max_units=self.max_units,
+            inbox_per_s=self.inbox_per_s,
+        )
         if self.number >= self.gateways:
             raise ValueError(f"number: {self.number} is not below gateways ({self.gateways})")
 
@@ -295,8 +316,22 @@
     """The process that took over has died; this one goes on."""
 
 
-Event = (Fleet | Arrival | Started | Outcome | ClientGone | Woken | Heard | Probed | Counted | Order
-         | Reconfigure | Leave | Inherit | Resume)
+Event = (
+    Fleet
+    | Arrival
+    | Started
+    | Outcome
+    | ClientGone
+    | Woken
+    | Heard
+    | Probed
+    | Counted
+    | Order
+    | Reconfigure
+    | Leave
+    | Inherit
+    | Resume
+)
 
 
 # ---- actions ------------------------------------------------------------------------------------
--- a/anisefront/messages.py
+++ b/anisefront/messages.py
@@ -141,15 +141,23 @@
     def encode(self, boot: int, room: float, items: list[Item], sightings: list[Sighting]) -> bytes:
         """The message; items and sightings beyond what it holds are left out. Raises ValueError where an
         index is none of the settings': packed all the same, it would be another class's."""
-        items, sightings = items[:self.max_items], sightings[:MAX_SIGHTINGS]
+        items, sightings = items[: self.max_items], sightings[:MAX_SIGHTINGS]
         parts = [self._head.pack(self.version, self.digest, boot & 0xFFFF, _clip(room * 64), len(items))]
         for item in items:
             if not (0 <= item.class_index < self.classes and 0 <= item.plan_index < self.plans):
                 raise ValueError(f"no index of class and plan: {item!r}")
             kind = item.kind << 4 | (item.spread if item.spread <= MAX_SPREAD else 0)
-            parts.append(self._item.pack(
-                kind, item.tag & _LOW, item.tag >> 32, item.serial & 0xFFFF, _clip(item.units * 16),
-                _clip(item.asked_per_s * 16), item.class_index * self.plans + item.plan_index))
+            parts.append(
+                self._item.pack(
+                    kind,
+                    item.tag & _LOW,
+                    item.tag >> 32,
+                    item.serial & 0xFFFF,
+                    _clip(item.units * 16),
+                    _clip(item.asked_per_s * 16),
+                    item.class_index * self.plans + item.plan_index,
+                )
+            )
         for seen in sightings:
             if not (0 <= seen.class_index < self.classes and 0 <= seen.grade < _GRADES):
                 raise ValueError(f"no index of a class, or no grade: {seen!r}")
@@ -166,17 +174,30 @@
             return None
         if len(data) < body or (len(data) - body) % self._sighting.size:
             return None
-        rows = list(self._item.iter_unpack(data[self._head.size:body]))
+        rows = list(self._item.iter_unpack(data[self._head.size : body]))
         seen = list(self._sighting.iter_unpack(data[body:]))
         if any(row[0] >> 4 not in _KINDS or row[6] >= self.classes * self.plans for row in rows):
             return None
         if any(packed >= self.classes * _GRADES for _, packed in seen):
             return None
-        return News(boot, room / 64, tuple(
-            Item(Kind(kind >> 4), high << 32 | low, serial, units / 16, asked / 16, index // self.plans,
-                 index % self.plans, kind & 15)
-            for kind, low, high, serial, units, asked, index in rows), tuple(
-            Sighting(server, packed // _GRADES, packed % _GRADES) for server, packed in seen))
+        return News(
+            boot,
+            room / 64,
+            tuple(
+                Item(
+                    Kind(kind >> 4),
+                    high << 32 | low,
+                    serial,
+                    units / 16,
+                    asked / 16,
+                    index // self.plans,
+                    index % self.plans,
+                    kind & 15,
+                )
+                for kind, low, high, serial, units, asked, index in rows
+            ),
+            tuple(Sighting(server, packed // _GRADES, packed % _GRADES) for server, packed in seen),
+        )
 
 
 _KINDS = frozenset(int(kind) for kind in Kind)
--- a/anisefront/ownership/caller.py
+++ b/anisefront/ownership/caller.py
@@ -75,16 +75,22 @@
 
     def order(self, now_ms: float, lease: int) -> list[int]:
         """All gatekeepers, whom to ask first first."""
-        return sorted(range(self._gateways), key=lambda number: (
-            not self._is_there(now_ms, number), rank(lease, number), number))
+        return sorted(
+            range(self._gateways),
+            key=lambda number: (not self._is_there(now_ms, number), rank(lease, number), number),
+        )
 
     def better(self, now_ms: float, lease: int, holder: int) -> bool:
         """Whether somebody settled here should have it rather than who has it."""
         if lease >= self._terms.slots:
             return False
         settled_ms, own = SETTLED * self._terms.term_ms, (rank(lease, holder), holder)
-        return any((rank(lease, number), number) < own and self._is_there(now_ms, number)
-                   and now_ms - one.since_ms > settled_ms for number, one in self.there.items())
+        return any(
+            (rank(lease, number), number) < own
+            and self._is_there(now_ms, number)
+            and now_ms - one.since_ms > settled_ms
+            for number, one in self.there.items()
+        )
 
     def due(self, now_ms: float, free: list[int]) -> dict[int, list[int]]:
         """Who is to be called now, and for which slots."""
@@ -105,8 +111,11 @@
                 calls.setdefault(number, []).append(lease)
             del calling.order[:count]
             calling.step += 1
-            calling.next_ms = now_ms + (STEP_MS if calling.order else min(
-                self._terms.term_ms / 2, AGAIN_MS * 2 ** min(calling.rounds, 8)))
+            calling.next_ms = now_ms + (
+                STEP_MS
+                if calling.order
+                else min(self._terms.term_ms / 2, AGAIN_MS * 2 ** min(calling.rounds, 8))
+            )
         return calls
 
     def next_ms(self) -> float:
--- a/anisefront/ownership/holder.py
+++ b/anisefront/ownership/holder.py
@@ -129,15 +129,21 @@
 
     def take(self, now_ms: float, leases: list[int], tries: int = 0) -> None:
         """Ask for those that are neither held nor asked for."""
-        wanted = [lease for lease in leases if lease not in self.held and lease not in self.open
-                  and 0 <= lease < self._terms.leases]
+        wanted = [
+            lease
+            for lease in leases
+            if lease not in self.held and lease not in self.open and 0 <= lease < self._terms.leases
+        ]
         if wanted:
             self._ask(now_ms, {lease: self.next_counter() for lease in wanted}, True, tries)
 
     def renew(self, now_ms: float) -> None:
         """Ask for what is held and due, all in one question."""
-        due = {lease: counter_of(held.token) for lease, held in self.held.items()
-               if lease not in self.open and now_ms >= held.asked_ms + self._terms.term_ms / 3}
+        due = {
+            lease: counter_of(held.token)
+            for lease, held in self.held.items()
+            if lease not in self.open and now_ms >= held.asked_ms + self._terms.term_ms / 3
+        }
         if due:
             self._ask(now_ms, due, False, 0)
 
@@ -175,8 +181,13 @@
                 if asking.taking and verdict is Verdict.BEHIND:
                     self._failed(now_ms, asking, lease)  # at once with a larger counter
                     continue
-                if asking.taking and verdict is Verdict.HELD and better and other != NOBODY and (
-                        rank(lease, other), other) < (rank(lease, self.number), self.number):
+                if (
+                    asking.taking
+                    and verdict is Verdict.HELD
+                    and better
+                    and other != NOBODY
+                    and (rank(lease, other), other) < (rank(lease, self.number), self.number)
+                ):
                     # Danger: two who were called at one time, each with its own vote, would wait for the
                     # other's. Who comes first in the order goes on asking, the other gives its votes back
                     # at once.
@@ -187,8 +198,11 @@
 
     def waits_for(self, asking: Asking, voter: int) -> dict[int, int]:
         """What that voter has not said yes to: it may, when asked again."""
-        return {lease: counter for lease, counter in asking.leases.items()
-                if voter not in asking.yes.get(lease, ())}
+        return {
+            lease: counter
+            for lease, counter in asking.leases.items()
+            if voter not in asking.yes.get(lease, ())
+        }
 
     def _until_ms(self, asking: Asking) -> float:
         """When an asking is given up."""
@@ -232,8 +246,13 @@
         if Verdict.BEHIND in verdicts and Verdict.HELD not in verdicts and asking.tries < TRIES:
             self.take(now_ms, [lease], asking.tries + 1)
             return
-        why = "another has it" if Verdict.HELD in verdicts else "voters are silent after their start" \
-            if Verdict.SILENT in verdicts else "its token is not large enough"
+        why = (
+            "another has it"
+            if Verdict.HELD in verdicts
+            else "voters are silent after their start"
+            if Verdict.SILENT in verdicts
+            else "its token is not large enough"
+        )
         self.changes.append(Refused(lease, why))
 
     def give(self, lease: int, why: str) -> None:
@@ -247,11 +266,15 @@
         """What is to be given back now. Danger: the word counts for all that was asked before it, so what is
         asked for anew is left out: its asking takes the place of the old one. And what was lent under a lease
         counts on its end: such a one is not given back, it ends by its time."""
-        return [lease for lease in self.to_give
-                if lease not in self.open and lease not in self.held and lease not in self.lent]
-
-    def outdo(self, now_ms: float, lease: int, counter: int,
-              why: str = "a receiver knows a larger token") -> None:
+        return [
+            lease
+            for lease in self.to_give
+            if lease not in self.open and lease not in self.held and lease not in self.lent
+        ]
+
+    def outdo(
+        self, now_ms: float, lease: int, counter: int, why: str = "a receiver knows a larger token"
+    ) -> None:
         """A larger token is about: what is held is taken anew, above that one."""
         self.learn(counter)
         held = self.held.get(lease)
--- a/anisefront/ownership/member.py
+++ b/anisefront/ownership/member.py
@@ -94,8 +94,17 @@
 class Member:
     """Tables: those of its parts; one entry a peer for what was said of its settings."""
 
-    def __init__(self, terms: Terms, number: int, gateways: int, life: int, chance: Random, now_ms: float,
-                 unix_ms: float, votes: bool = True) -> None:
+    def __init__(
+        self,
+        terms: Terms,
+        number: int,
+        gateways: int,
+        life: int,
+        chance: Random,
+        now_ms: float,
+        unix_ms: float,
+        votes: bool = True,
+    ) -> None:
         """`unix_ms`: a hint of where counters may begin; nothing rests on it. Not `votes`: only from
         `vote`."""
         self.terms, self.number, self.life = terms, number, life
@@ -156,8 +165,12 @@
         if word.digest != self.terms.digest:
             if event.sender not in self._others:
                 self._others.add(event.sender)
-                self._actions.append(Say(f"duties: the settings of gatekeeper {event.sender} are not ours; "
-                                         "its word counts for nothing here"))
+                self._actions.append(
+                    Say(
+                        f"duties: the settings of gatekeeper {event.sender} are not ours; "
+                        "its word counts for nothing here"
+                    )
+                )
             return
         self._others.discard(event.sender)
         self._word(now_ms, event.sender, word)
@@ -184,8 +197,11 @@
                 said = voter.ask(now_ms, lease, (sender, word.life), counter, word.serial)
                 if said is not None:
                     verdict, highest, holder = said
-                    better = caller.better(now_ms, lease, sender) if verdict is Verdict.YES else (
-                        verdict is Verdict.HELD and voter.is_fresh(now_ms, lease))
+                    better = (
+                        caller.better(now_ms, lease, sender)
+                        if verdict is Verdict.YES
+                        else (verdict is Verdict.HELD and voter.is_fresh(now_ms, lease))
+                    )
                     rows.append((lease, verdict, better, highest, holder))
             if rows:
                 self._send(now_ms, sender, Kind.ANSWER, word.serial, to_life=word.life, answered=tuple(rows))
@@ -196,10 +212,15 @@
             return
         changed = self.rates.answered(sender, Sample(word.life, asking.asked_ms, now_ms, word.clock))
         if changed is not None:
-            self._actions.append(Say(
-                f"duties: the clock of gatekeeper {sender} and ours run apart by more than "
-                f"{self.terms.drift:.1%} each: the promise of one owner is off" if changed else
-                f"duties: the clock of gatekeeper {sender} and ours run alike again", changed))
+            self._actions.append(
+                Say(
+                    f"duties: the clock of gatekeeper {sender} and ours run apart by more than "
+                    f"{self.terms.drift:.1%} each: the promise of one owner is off"
+                    if changed
+                    else f"duties: the clock of gatekeeper {sender} and ours run alike again",
+                    changed,
+                )
+            )
 
     # -- due
 
@@ -275,7 +296,7 @@
         for number in self.terms.voters:
             self._send(now_ms, number, Kind.GIVE, serial, asked=leases)
         if sent < GIVE_AGAIN:
-            self._gives.append((now_ms + RESEND_MS * 2 ** sent, serial, leases, sent + 1))
+            self._gives.append((now_ms + RESEND_MS * 2**sent, serial, leases, sent + 1))
 
     def _ask(self, now_ms: float, asking: Asking) -> None:
         for number in self.terms.voters:
@@ -288,11 +309,19 @@
         word = Word(Kind.NOTE, self.terms.digest, self.life, 0, int(now_ms), note=data)
         return Tell(receiver, encode(word))
 
-    def _send(self, now_ms: float, number: int, kind: Kind, serial: int, to_life: int = 0,
-              asked: tuple[tuple[int, int], ...] = (),
-              answered: tuple[tuple[int, Verdict, bool, int, int], ...] = ()) -> None:
-        word = Word(kind, self.terms.digest, self.life, serial, int(now_ms) & 0xFFFFFFFF, to_life, asked,
-                    answered)
+    def _send(
+        self,
+        now_ms: float,
+        number: int,
+        kind: Kind,
+        serial: int,
+        to_life: int = 0,
+        asked: tuple[tuple[int, int], ...] = (),
+        answered: tuple[tuple[int, Verdict, bool, int, int], ...] = (),
+    ) -> None:
+        word = Word(
+            kind, self.terms.digest, self.life, serial, int(now_ms) & 0xFFFFFFFF, to_life, asked, answered
+        )
         if number == self.number:
             self._word(now_ms, number, word)
         else:
@@ -311,17 +340,26 @@
         nothing: whatever becomes of the estate, it is never at two."""
         holder, voter = self.holder, self.voter
         state: dict[str, Any] = {
-            "life": self.life, "serial": holder.serial, "counter": holder.counter,
-            "digest": self.terms.digest, "turn": self.turn_wanted,
-            "held": [[lease, f"{held.token:x}", held.asked_ms, held.since_ms]
-                     for lease, held in holder.held.items()]}
+            "life": self.life,
+            "serial": holder.serial,
+            "counter": holder.counter,
+            "digest": self.terms.digest,
+            "turn": self.turn_wanted,
+            "held": [
+                [lease, f"{held.token:x}", held.asked_ms, held.since_ms]
+                for lease, held in holder.held.items()
+            ],
+        }
         if voter is not None:
             state["voter"] = {
                 "silent": voter.silent_until_ms,
-                "grants": [[lease, f"{grant.token:x}", grant.serial, grant.until_ms]
-                           for lease, grant in voter.grants.items()],
+                "grants": [
+                    [lease, f"{grant.token:x}", grant.serial, grant.until_ms]
+                    for lease, grant in voter.grants.items()
+                ],
                 "highest": [[lease, f"{token:x}"] for lease, token in voter.highest.items()],
-                "back": [[lease, *owner, serial] for lease, (owner, serial) in voter.given_back.items()]}
+                "back": [[lease, *owner, serial] for lease, (owner, serial) in voter.given_back.items()],
+            }
         self.closed = True
         return state
 
@@ -332,18 +370,24 @@
         try:
             if state["digest"] != self.terms.digest:
                 raise ValueError("its settings of duties are not ours")
-            held = {int(lease): Held(int(token, 16), float(asked), float(since))
-                    for lease, token, asked, since in state["held"]}
+            held = {
+                int(lease): Held(int(token, 16), float(asked), float(since))
+                for lease, token, asked, since in state["held"]
+            }
             life, serial = int(state["life"]), int(state["serial"]) + HAND_OVER_SERIALS
             counter, turn = int(state["counter"]), bool(state["turn"])
             rows = state.get("voter")
             if rows is not None:
                 silent = float(rows["silent"])
-                grants = {int(lease): Grant(int(token, 16), int(number), float(until))
-                          for lease, token, number, until in rows["grants"]}
+                grants = {
+                    int(lease): Grant(int(token, 16), int(number), float(until))
+                    for lease, token, number, until in rows["grants"]
+                }
                 highest = {int(lease): int(token, 16) for lease, token in rows["highest"]}
-                back = {int(lease): ((int(number), int(other)), int(given))
-                        for lease, number, other, given in rows["back"]}
+                back = {
+                    int(lease): ((int(number), int(other)), int(given))
+                    for lease, number, other, given in rows["back"]
+                }
         except (KeyError, TypeError, ValueError) as problem:
             raise ValueError(f"duties: what the process before left cannot be used: {problem}") from problem
         self.life = self.holder.life = life
@@ -353,4 +397,3 @@
             self.voter.silent_until_ms, self.voter.grants = silent, grants
             self.voter.highest, self.voter.given_back = highest, back
         self._want_turn(now_ms, turn)
-
--- a/anisefront/ownership/voter.py
+++ b/anisefront/ownership/voter.py
@@ -41,8 +41,9 @@
         self.highest: dict[int, int] = {}  # the largest token given in this life
         self.given_back: dict[int, tuple[Owner, int]] = {}  # the last one's, with the serial of its word
 
-    def ask(self, now_ms: float, lease: int, owner: Owner, counter: int,
-            serial: int) -> tuple[Verdict, int, int] | None:
+    def ask(
+        self, now_ms: float, lease: int, owner: Owner, counter: int, serial: int
+    ) -> tuple[Verdict, int, int] | None:
         """The verdict, the counter to be above, and the number of who has the lease. None: it is no asking of
         now, and there is nothing to say."""
         if not 0 <= lease < self._terms.leases or not 0 < counter < 1 << 48:
--- a/anisefront/ownership/words.py
+++ b/anisefront/ownership/words.py
@@ -57,12 +57,18 @@
 
 def encode(word: Word) -> bytes:
     """The message."""
-    parts = [_HEAD.pack(MAGIC, word.kind, word.digest, word.life, word.serial, word.clock & 0xFFFFFFFF,
-                        word.to_life)]
-    parts += [_ASKED.pack(lease, counter >> 32, counter & 0xFFFFFFFF)
-              for lease, counter in word.asked[:MOST_LEASES]]
-    parts += [_ANSWERED.pack(lease, verdict | better << 7, counter >> 32, counter & 0xFFFFFFFF, holder)
-              for lease, verdict, better, counter, holder in word.answered[:MOST_LEASES]]
+    parts = [
+        _HEAD.pack(
+            MAGIC, word.kind, word.digest, word.life, word.serial, word.clock & 0xFFFFFFFF, word.to_life
+        )
+    ]
+    parts += [
+        _ASKED.pack(lease, counter >> 32, counter & 0xFFFFFFFF) for lease, counter in word.asked[:MOST_LEASES]
+    ]
+    parts += [
+        _ANSWERED.pack(lease, verdict | better << 7, counter >> 32, counter & 0xFFFFFFFF, holder)
+        for lease, verdict, better, counter, holder in word.answered[:MOST_LEASES]
+    ]
     return b"".join([*parts, word.note])
 
 
@@ -72,7 +78,7 @@
         return None
     _, kind, digest, life, serial, clock, to_life = _HEAD.unpack_from(data)
     head = (Kind(kind), digest, life, serial, clock, to_life)
-    body = data[_HEAD.size:]
+    body = data[_HEAD.size :]
     if kind == Kind.NOTE:
         return Word(*head, note=body)
     if kind == Kind.ANSWER:
@@ -81,13 +87,18 @@
         rows = list(_ANSWERED.iter_unpack(body))
         if any(row[1] & 0x7F not in _VERDICTS for row in rows):
             return None
-        return Word(*head, answered=tuple(
-            (lease, Verdict(verdict & 0x7F), bool(verdict >> 7), high << 32 | low, holder)
-            for lease, verdict, high, low, holder in rows))
+        return Word(
+            *head,
+            answered=tuple(
+                (lease, Verdict(verdict & 0x7F), bool(verdict >> 7), high << 32 | low, holder)
+                for lease, verdict, high, low, holder in rows
+            ),
+        )
     if len(body) % _ASKED.size:
         return None
-    return Word(*head, asked=tuple((lease, high << 32 | low)
-                                   for lease, high, low in _ASKED.iter_unpack(body)))
+    return Word(
+        *head, asked=tuple((lease, high << 32 | low) for lease, high, low in _ASKED.iter_unpack(body))
+    )
 
 
 _KINDS = frozenset(int(kind) for kind in Kind)
--- a/anisefront/reconfigure.py
+++ b/anisefront/reconfigure.py
@@ -37,8 +37,13 @@
     from anisefront.control import Controller, Quota
 
 # What a gateway is, not what it does: it stays until a restart. With the keys of the configuration.
-FIXED = (("gateways", "balancers"), ("number", "myNumber"), ("zone", "locality"),
-         ("must_subscribe", "discovery"), ("may_tell", "limits.mayTell"))
+FIXED = (
+    ("gateways", "balancers"),
+    ("number", "myNumber"),
+    ("zone", "locality"),
+    ("must_subscribe", "discovery"),
+    ("may_tell", "limits.mayTell"),
+)
 WARMTH = ("warm_up_ms", "cold_from")
 
 
@@ -49,8 +54,9 @@
     for name, key in FIXED:
         if getattr(new, name) != getattr(old, name):
             return f"settings.{key}: {getattr(new, name)!r}; it is {getattr(old, name)!r} until a restart"
-    return (_wrong_names("classes", [kind.name for kind in new.classes], MAX_CLASSES)
-            or _wrong_names("packages", [plan.name for plan in new.plans], MAX_PLANS))
+    return _wrong_names("classes", [kind.name for kind in new.classes], MAX_CLASSES) or _wrong_names(
+        "packages", [plan.name for plan in new.plans], MAX_PLANS
+    )
 
 
 def _wrong_names(key: str, names: list[str], most: int) -> str:
@@ -73,8 +79,13 @@
         return wrong
     old, quota = control.settings, control.quota
     # A plan whose figures stay is the same object: by that accounts and stores know that nothing changed.
-    settings = replace(wanted, plans=tuple(
-        control.plans[plan.name] if control.plans.get(plan.name) == plan else plan for plan in wanted.plans))
+    settings = replace(
+        wanted,
+        plans=tuple(
+            control.plans[plan.name] if control.plans.get(plan.name) == plan else plan
+            for plan in wanted.plans
+        ),
+    )
     classes = {kind.name: kind for kind in settings.classes}
     plans = {plan.name: plan for plan in settings.plans}
     same_names = list(classes) == list(control.classes) and list(plans) == list(control.plans)
@@ -83,8 +94,9 @@
         _deny(control, now, classes, plans)
     if plans != control.plans:
         if not quota.heir:  # what fills until now, and who gets it, is by the old figures
-            for name in [name for name, store in quota.stores.items()
-                         if plans.get(store.plan.name) is not store.plan]:
+            for name in [
+                name for name, store in quota.stores.items() if plans.get(store.plan.name) is not store.plan
+            ]:
                 quota.serve(now, name)
         quota.changed_ms = now
     if not same_names:
@@ -93,8 +105,9 @@
     control.settings = quota.settings = control.servers.settings = settings
     control.codec, control.classes, control.plans = codec, classes, plans
     index(quota)
-    control.top_rank = (max([kind.worth for kind in settings.classes])
-                        * max([plan.value for plan in settings.plans]) or 1.0)
+    control.top_rank = (
+        max([kind.worth for kind in settings.classes]) * max([plan.value for plan in settings.plans]) or 1.0
+    )
     control.servers.names = quota.class_index
     _move_stores(control, now, plans)
     if any(getattr(settings, name) != getattr(old, name) for name in WARMTH):
@@ -107,6 +120,7 @@
 def index(quota: QuotaState) -> None:
     """Places by name: an index of records compares all their fields."""
     from anisefront.control import HOLD_PINGS  # that file imports this one
+
     quota.class_index = {kind.name: place for place, kind in enumerate(quota.settings.classes)}
     quota.plan_index = {plan.name: place for place, plan in enumerate(quota.settings.plans)}
     quota.top_worth = max([kind.worth for kind in quota.settings.classes]) or 1.0
@@ -155,14 +169,15 @@
     for gateway, items in quota.outbox.items():
         gone = [item for item in items if plan_to[item.plan_index] is None]
         for first in range(0, len(gone), control.codec.max_items):
-            control.tell(gateway, gone[first:first + control.codec.max_items], [])
+            control.tell(gateway, gone[first : first + control.codec.max_items], [])
     quota.outbox = {gateway: renamed(items) for gateway, items in quota.outbox.items()}
     quota.unheard = {
         gateway: [(ms, new) for ms, item in told for new in renamed([item])]
-        for gateway, told in quota.unheard.items()}
+        for gateway, told in quota.unheard.items()
+    }
     for store in quota.stores.values():  # of those whose plan goes nobody waits any more
         for ask in store.queue:
-            ask.item, = renamed([ask.item])
+            (ask.item,) = renamed([ask.item])
     servers, sightings = control.servers, []
     for ms, seen in servers.sightings:
         kind = class_to[seen.class_index]
@@ -179,8 +194,9 @@
     quota = control.quota
     at = quota.plan_index
     if not quota.parted and all(
-            plans.get(store.plan.name) is store.plan and name == moved(name, at[store.plan.name])
-            for name, store in quota.stores.items()):
+        plans.get(store.plan.name) is store.plan and name == moved(name, at[store.plan.name])
+        for name, store in quota.stores.items()
+    ):
         return
     stores, renamed = dict[int, Store](), dict[int, int]()
     changed: list[int] = []
@@ -222,6 +238,7 @@
     """Other figures for a store. For the time since it was filled last counts the lower of both; and a level
     above the new burst is cut."""
     from anisefront.control import DEMAND_MEMORY_MS, HOME_CEILING  # that file imports this one
+
     before, gone_s = store.plan, max(0.0, (now - store.at_ms) / 1000)
     rate, burst = min(before.rate_per_s, plan.rate_per_s), min(before.burst, plan.burst)
     fills = rate * gone_s * quota.part_here(now, store)
@@ -258,6 +275,7 @@
 def _learn_classes(control: Controller, classes: dict[str, RequestClass], same_names: bool) -> None:
     """What is known of a class stays; of a new one it begins as at a start."""
     from anisefront.control import ANSWER_PART, USUAL_START_MS, FuzzyShare, Late  # that file imports this one
+
     part, changed = 1 / len(classes), classes
     if same_names:
         pairs = zip(classes.values(), control.classes.values(), strict=True)
@@ -276,6 +294,7 @@
 def forget(control: Controller) -> None:
     """Dropped classes leave once nothing of them is open; stores of dropped plans once they are full."""
     from anisefront.control import HOME_CEILING  # that file imports this one
+
     if len(control.shares) > len(control.classes):
         open_now = {request.kind.name for request in control.requests.values()}
         open_now.update(attempt.class_name for attempt in control.attempts.values())
--- a/anisefront/settings.py
+++ b/anisefront/settings.py
@@ -81,19 +81,32 @@
     if window_ms < 0:
         raise SettingsError(f"{row.path}.dedupWindowMs: {window_ms!r} is below 0")
     return face.RequestClass(
-        name=row.text("name"), aim_ms=row.number("aimMs"), deadline_ms=row.above("deadlineMs"),
-        worth=row.number("worth", 1.0), repeat=_REPEATS[repeat], late_worth=row.number("lateWorth", 0.0),
-        scope=face.Scope(scope), window_ms=window_ms,
-        streamed=row.flag("streamed", False), aim_stretch=row.number("aimStretch", 0.0))
+        name=row.text("name"),
+        aim_ms=row.number("aimMs"),
+        deadline_ms=row.above("deadlineMs"),
+        worth=row.number("worth", 1.0),
+        repeat=_REPEATS[repeat],
+        late_worth=row.number("lateWorth", 0.0),
+        scope=face.Scope(scope),
+        window_ms=window_ms,
+        streamed=row.flag("streamed", False),
+        aim_stretch=row.number("aimStretch", 0.0),
+    )
 
 
 def _plan(row: Table) -> face.Plan:
     return face.Plan(
-        name=row.text("name"), rate_per_s=row.number("perSecond", 0.0), burst=row.number("storeSize", 0.0),
-        max_out=int(row.number("concurrency", 0.0)), value=row.number("valueFactor", 1.0),
-        over_worth=row.number("overWorth", 0.0), over_cost=row.number("overrunCost", 0.0),
-        ceiling_per_s=row.number("hardRate", 0.0), ceiling_burst=row.number("hardBurst", 0.0),
-        ceiling_slack=row.number("capSlack", 0.0))
+        name=row.text("name"),
+        rate_per_s=row.number("perSecond", 0.0),
+        burst=row.number("storeSize", 0.0),
+        max_out=int(row.number("concurrency", 0.0)),
+        value=row.number("valueFactor", 1.0),
+        over_worth=row.number("overWorth", 0.0),
+        over_cost=row.number("overrunCost", 0.0),
+        ceiling_per_s=row.number("hardRate", 0.0),
+        ceiling_burst=row.number("hardBurst", 0.0),
+        ceiling_slack=row.number("capSlack", 0.0),
+    )
 
 
 def _limited(path: str, rows: Sequence[Table], most: int) -> Sequence[Table]:
@@ -119,20 +132,29 @@
     classes = _limited(f"{path}.classes", top.rows("classes"), MAX_CLASSES)
     plans = _limited(f"{path}.packages", top.rows("packages"), MAX_PLANS)
     return face.Settings(
-        gateways=int(top.number("balancers")), number=int(top.number("myNumber")),
+        gateways=int(top.number("balancers")),
+        number=int(top.number("myNumber")),
         zone=top.text("locality", ""),
         classes=tuple(_request_class(row) for row in classes),
         plans=tuple(_plan(row) for row in plans),
-        warm_up_ms=rules.number("warmUpMs"), cold_from=rules.number("coldFrom"),
-        fall_multiple=rules.number("fallMultiple"), fall_window_ms=rules.number("tipAfterMs"),
+        warm_up_ms=rules.number("warmUpMs"),
+        cold_from=rules.number("coldFrom"),
+        fall_multiple=rules.number("fallMultiple"),
+        fall_window_ms=rules.number("tipAfterMs"),
         ask_within_ms=rules.number("askWithinMs", 10_000.0),
-        max_attempts=int(limits.number("maxAttempts")), tick_ms=top.number("tickMs", 1.0),
-        max_units=domain.number("maxUnits", 1.0), may_cancel=limits.flag("cancel", False),
-        may_tell=limits.flag("mayTell", False), may_probe=limits.flag("probing", False),
+        max_attempts=int(limits.number("maxAttempts")),
+        tick_ms=top.number("tickMs", 1.0),
+        max_units=domain.number("maxUnits", 1.0),
+        may_cancel=limits.flag("cancel", False),
+        may_tell=limits.flag("mayTell", False),
+        may_probe=limits.flag("probing", False),
         second_copies=limits.flag("secondCopies", False),
         must_subscribe=top.text("discovery", "automatic") == "subscribe",
         settles=domain.flag("postPaid", False),
         max_retry_after_ms=limits.number("maxRetryAfterMs", 0.0) if limits.flag("retryAfter", False) else 0.0,
-        inbox_per_s=domain.number("inboxPerS", 0.0), report_how=report.text("how", "none"),
-        report_fields=report.words("fields"), cross_zone_price=prices.number("crossZone", 0.0),
-        peer_price=prices.number("peer", 0.0))
+        inbox_per_s=domain.number("inboxPerS", 0.0),
+        report_how=report.text("how", "none"),
+        report_fields=report.words("fields"),
+        cross_zone_price=prices.number("crossZone", 0.0),
+        peer_price=prices.number("peer", 0.0),
+    )
--- a/anisefront/simhost.py
+++ b/anisefront/simhost.py
@@ -97,15 +97,38 @@
     "CONFIGURE": (("salt", _whole), ("info", _text)),
     "KILL": (),
     "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
-    "WORKER": (("worker", _word), ("zone", _text), ("sku", _text), ("pod", _whole), ("health", _state),
-               ("share", _number), ("onlineSinceMs", _number)),
-    "REQUEST": (("requestId", _natural), ("setFrom", _number), ("doors", _number), ("sizeUnits", _number),
-                ("dueMs", _number), ("stateBits", _whole), ("member", _word), ("category", _word),
-                ("gradeOfService", _word)),
+    "WORKER": (
+        ("worker", _word),
+        ("zone", _text),
+        ("sku", _text),
+        ("pod", _whole),
+        ("health", _state),
+        ("share", _number),
+        ("onlineSinceMs", _number),
+    ),
+    "REQUEST": (
+        ("requestId", _natural),
+        ("setFrom", _number),
+        ("doors", _number),
+        ("sizeUnits", _number),
+        ("dueMs", _number),
+        ("stateBits", _whole),
+        ("member", _word),
+        ("category", _word),
+        ("gradeOfService", _word),
+    ),
     "ACK_FIRST": (("requestId", _natural), ("worker", _word), ("rttMs", _number), ("roundNo", _natural)),
-    "VERDICT": (("requestId", _natural), ("roundNo", _natural), ("actual", _number), ("worker", _word),
-                ("rttMs", _number), ("result", _result), ("final", _flag), ("quotaUse", _whole),
-                ("load", _row)),
+    "VERDICT": (
+        ("requestId", _natural),
+        ("roundNo", _natural),
+        ("actual", _number),
+        ("worker", _word),
+        ("rttMs", _number),
+        ("result", _result),
+        ("final", _flag),
+        ("quotaUse", _whole),
+        ("load", _row),
+    ),
     "CLIENT_GONE": (("requestId", _natural),),
     "FIRED": (("name", _word),),
     "PONG": (("worker", _word), ("rttMs", _number), ("result", _result), ("load", _row)),
@@ -119,7 +142,7 @@
     """The values of one message."""
     fields = _FIELDS[name]
     if name in _LAST_IS_TEXT and len(parts) > len(fields):
-        parts = [*parts[:len(fields) - 1], "\t".join(parts[len(fields) - 1:])]
+        parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
         raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
     values = []
@@ -138,8 +161,9 @@
     """The module's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
-        return face.Arrival(number, customer, category, plan, due, units, int(first), int(spread),
-                            bool(bits & _REPEATED_BIT))
+        return face.Arrival(
+            number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
+        )
     if name == "VERDICT":
         number, attempt, actual, worker, took, result, final, used, load = values
         return face.Outcome(number, attempt, worker, took, result, final, actual, used, load)
@@ -268,8 +292,10 @@
             for fault in self._instances[number].faults:
                 raise fault
         except Exception as problem:
-            raise ModuleFault(f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
-                              f"{' '.join(str(problem).split())}") from problem
+            raise ModuleFault(
+                f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
+                f"{' '.join(str(problem).split())}"
+            ) from problem
         if actions:
             replies.append(f"FROM\t{number}")
             replies.extend(_reply(action) for action in actions)
@@ -286,6 +312,7 @@
         return 2
     except ModuleFault as fault:
         import traceback
+
         traceback.print_exception(fault.__cause__, file=sys.stderr)
         print(f"{fault}\nFINISHED", flush=True)
         return 1
--- a/anisefront/stores.py
+++ b/anisefront/stores.py
@@ -39,10 +39,16 @@
     """Whether nothing waits there, no slot is taken and it is full again by now: made anew it would hold no
     less. `ceiling_part`: the home's, of a ceiling."""
     plan, gone_s = store.plan, (now - store.at_ms) / 1000
-    return (not store.queue and (not plan.rate_per_s or store.level + plan.rate_per_s * gone_s >= plan.burst)
-            and (not plan.ceiling_per_s or store.ceiling + plan.ceiling_per_s * ceiling_part * gone_s
-                 >= plan.ceiling_burst * ceiling_part)
-            and all(until <= now for until in store.leases.values()) and store.wake_ms == math.inf)
+    return (
+        not store.queue
+        and (not plan.rate_per_s or store.level + plan.rate_per_s * gone_s >= plan.burst)
+        and (
+            not plan.ceiling_per_s
+            or store.ceiling + plan.ceiling_per_s * ceiling_part * gone_s >= plan.ceiling_burst * ceiling_part
+        )
+        and all(until <= now for until in store.leases.values())
+        and store.wake_ms == math.inf
+    )
 
 
 def begin_with(store: Store, asked_per_s: float) -> None:
--- a/anisefront/usage.py
+++ b/anisefront/usage.py
@@ -54,15 +54,21 @@
 
     def estate(self) -> dict[str, object]:
         """For the next process of this gatekeeper."""
-        return {"born": self.born_unix_ms,
-                "periods": [[period, [[plan, *row] for plan, row in rows.items()]]
-                            for period, rows in self.periods.items()]}
+        return {
+            "born": self.born_unix_ms,
+            "periods": [
+                [period, [[plan, *row] for plan, row in rows.items()]]
+                for period, rows in self.periods.items()
+            ],
+        }
 
     def inherit(self, state: dict[str, object]) -> None:
         """Go on from there; raises ValueError, TypeError or KeyError."""
         born = float(state["born"])  # type: ignore[arg-type]
-        periods = {int(period): {int(plan): [float(value) for value in row] for plan, *row in rows}
-                   for period, rows in state["periods"]}  # type: ignore[attr-defined]
+        periods = {
+            int(period): {int(plan): [float(value) for value in row] for plan, *row in rows}
+            for period, rows in state["periods"]
+        }  # type: ignore[attr-defined]
         if any(len(row) != 4 for rows in periods.values() for row in rows.values()):
             raise ValueError("a row of use is no row")
         self.born_unix_ms, self.periods = born, periods
@@ -77,10 +83,18 @@
     """The notes that tell it."""
     plans = sorted(rows)
     parts = max(1, math.ceil(len(plans) / ROWS))
-    return [_NOTE.pack(TOLD, tag, period, since_ms, part, parts) + b"".join(
-        _ROW.pack(plan, *(min(0xFFFFFFFF, int(value)) for value in rows[plan][:3]),
-                  min(0xFFFFFFFF, round(rows[plan][3] * 16)))
-        for plan in plans[part * ROWS:(part + 1) * ROWS]) for part in range(parts)]
+    return [
+        _NOTE.pack(TOLD, tag, period, since_ms, part, parts)
+        + b"".join(
+            _ROW.pack(
+                plan,
+                *(min(0xFFFFFFFF, int(value)) for value in rows[plan][:3]),
+                min(0xFFFFFFFF, round(rows[plan][3] * 16)),
+            )
+            for plan in plans[part * ROWS : (part + 1) * ROWS]
+        )
+        for part in range(parts)
+    ]
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,9 +117,18 @@
     kind, tag, period, since_ms, part, parts = _NOTE.unpack_from(data)
     if not part < parts:
         return None
-    return Said(kind, tag, period, since_ms, part, parts, {
-        plan: [served, refused, failed, units / 16]
-        for plan, served, refused, failed, units in _ROW.iter_unpack(data[_NOTE.size:])})
+    return Said(
+        kind,
+        tag,
+        period,
+        since_ms,
+        part,
+        parts,
+        {
+            plan: [served, refused, failed, units / 16]
+            for plan, served, refused, failed, units in _ROW.iter_unpack(data[_NOTE.size :])
+        },
+    )
 
 
 @dataclass(slots=True)
@@ -146,8 +169,11 @@
     def due(self, now_ms: float) -> list[int]:
         """Whom to ask now, few at a time."""
         whom: list[int] = []
-        waiting = sorted((one.next_ms, number) for number, one in self._asked.items()
-                         if not one.whole and one.tries < TRIES)
+        waiting = sorted(
+            (one.next_ms, number)
+            for number, one in self._asked.items()
+            if not one.whole and one.tries < TRIES
+        )
         for next_ms, number in waiting:
             if next_ms > now_ms or self._next_ms > now_ms:
                 break
--- a/anisefront/watching.py
+++ b/anisefront/watching.py
@@ -44,7 +44,7 @@
     fail; a shared service answers the next one."""
     if shared:
         return SHARED_WATCH_MS + SHARED_SPARE_MS + ROUND_MS + TURN_MS
-    waits = (min(MOST_WAIT_MS, FIRST_WAIT_MS * 2.0 ** place) for place in range(3))
+    waits = (min(MOST_WAIT_MS, FIRST_WAIT_MS * 2.0**place) for place in range(3))
     return WATCH_MS + WATCH_SPARE_MS + sum(wait + CALL_MS for wait in waits)
 
 
--- a/benchmarks/budgets/__main__.py
+++ b/benchmarks/budgets/__main__.py
@@ -23,14 +23,26 @@
 def summary(played: list[Outcome]) -> dict[str, Any]:
     """All trials together."""
     back = [value for one in played for value in one.back_s]
-    return {"trials": len(played), "broken": sum(bool(one.broken) for one in played),
-            "over": sum(len(one.over) for one in played), "late": sum(bool(one.late) for one in played),
-            "spent": sum(one.spent for one in played),
-            "used": {budget["name"]: round(sum(one.used.get(budget["name"], 0.0) for one in played)
-                                           / max(1, len(played)), 3) for budget in BUDGETS},
-            "back_s": {"count": len(back), "bound": round(BACK_S, 2), "p50": round(quantile(back, 0.5), 2),
-                       "p99": round(quantile(back, 0.99), 2),
-                       "max": round(max(back, default=float("nan")), 2)}}
+    return {
+        "trials": len(played),
+        "broken": sum(bool(one.broken) for one in played),
+        "over": sum(len(one.over) for one in played),
+        "late": sum(bool(one.late) for one in played),
+        "spent": sum(one.spent for one in played),
+        "used": {
+            budget["name"]: round(
+                sum(one.used.get(budget["name"], 0.0) for one in played) / max(1, len(played)), 3
+            )
+            for budget in BUDGETS
+        },
+        "back_s": {
+            "count": len(back),
+            "bound": round(BACK_S, 2),
+            "p50": round(quantile(back, 0.5), 2),
+            "p99": round(quantile(back, 0.99), 2),
+            "max": round(max(back, default=float("nan")), 2),
+        },
+    }
 
 
 def told(files: list[Path]) -> Iterator[Outcome]:
@@ -63,8 +75,11 @@
             given.keep.mkdir(parents=True, exist_ok=True)
             (given.keep / f"{one.seed}-{one.gatekeepers}.json").write_text(json.dumps(one.records))
         for line in one.broken:
-            print(f"seed {one.seed}, {one.gatekeepers} gatekeepers, {' '.join(one.cases)}: {line}",
-                  file=sys.stderr, flush=True)
+            print(
+                f"seed {one.seed}, {one.gatekeepers} gatekeepers, {' '.join(one.cases)}: {line}",
+                file=sys.stderr,
+                flush=True,
+            )
     whole = summary(played)
     if given.json:
         print(json.dumps(whole))
--- a/benchmarks/budgets/plants.py
+++ b/benchmarks/budgets/plants.py
@@ -20,6 +20,7 @@
 
     def asked(self: Any, *arguments: Any) -> Share | None:
         return ask(self, *arguments[:8])
+
     Divider.ask = asked  # type: ignore[method-assign]
 
 
@@ -82,6 +83,7 @@
         for name, (lent, floor) in rows.items():
             self.mine[name].holder.lent, self.mine[name].holder.floor = lent, floor
         return state
+
     Book.estate = kept  # type: ignore[method-assign]
 
 
@@ -116,10 +118,16 @@
     "hands-over-and-keeps": _hands_over_and_keeps,
     "keeps-the-old-whole": _divider(KeepsTheOldWhole),
 }
-CASE_OF = {"gives-before-the-end": "divider-leaves", "believes-a-late-share": "late-shares",
-           "returns-twice": "twice", "fills-over-a-stall": "holder-stops",
-           "hands-over-and-keeps": "upgrade", "forgets-what-was-out": "demand-moves",
-           "counts-the-floor-twice": "demand-moves", "keeps-the-old-whole": "figures"}
+CASE_OF = {
+    "gives-before-the-end": "divider-leaves",
+    "believes-a-late-share": "late-shares",
+    "returns-twice": "twice",
+    "fills-over-a-stall": "holder-stops",
+    "hands-over-and-keeps": "upgrade",
+    "forgets-what-was-out": "demand-moves",
+    "counts-the-floor-twice": "demand-moves",
+    "keeps-the-old-whole": "figures",
+}
 
 
 def plant(name: str) -> None:
--- a/benchmarks/budgets/trial.py
+++ b/benchmarks/budgets/trial.py
@@ -57,8 +57,12 @@
         return self.over + ([self.late] if self.late else [])
 
 
-def audit(rows: list[tuple[float, float]], whole: float, burst: float,
-          changes: Iterable[tuple[float, float, float]] = ()) -> list[tuple[float, float]]:
+def audit(
+    rows: list[tuple[float, float]],
+    whole: float,
+    burst: float,
+    changes: Iterable[tuple[float, float, float]] = (),
+) -> list[tuple[float, float]]:
     """Moments at which more had been spent than burst + whole x W allows in some window W that ends there,
     and by how much. `rows`: when (ms), and how many units; `changes`: from when on, another whole and burst.
     A bucket of the whole, full at first, is below nothing if and only if there is such a window (Cruz 1991,
@@ -90,12 +94,21 @@
         self.back_s: list[float] = []
         self.cases: dict[str, Callable[[], Awaitable[None]]] = {
             "divider-leaves": self.divider_leaves,
-            "divider-stops": self.divider_stops, "divider-dies": self.divider_dies,
-            "divider-dies-lending": self.divider_dies_lending, "three-dividers": self.three_dividers,
-            "late-shares": self.late_shares, "twice": self.twice,
-            "holder-stops": self.holder_stops, "split": self.split, "returns": self.returns,
-            "all-die": self.all_die, "upgrade": self.upgrade, "demand-moves": self.demand_moves,
-            "figures": self.figures, "storm": self.storm}
+            "divider-stops": self.divider_stops,
+            "divider-dies": self.divider_dies,
+            "divider-dies-lending": self.divider_dies_lending,
+            "three-dividers": self.three_dividers,
+            "late-shares": self.late_shares,
+            "twice": self.twice,
+            "holder-stops": self.holder_stops,
+            "split": self.split,
+            "returns": self.returns,
+            "all-die": self.all_die,
+            "upgrade": self.upgrade,
+            "demand-moves": self.demand_moves,
+            "figures": self.figures,
+            "storm": self.storm,
+        }
         self.changes: dict[str, list[tuple[float, float, float]]] = {one["name"]: [] for one in BUDGETS}
 
     # -- what is known
@@ -106,7 +119,8 @@
     async def divider(self, name: str = "exports") -> int:
         lease = slot_of(name, SLOTS)
         found = await self.tier.until(
-            lambda: [] if (number := self.tier.owner(lease)) is None else [number], 10, "a divider")
+            lambda: [] if (number := self.tier.owner(lease)) is None else [number], 10, "a divider"
+        )
         return int(found[0])
 
     async def well(self) -> None:
@@ -122,11 +136,15 @@
             now = machine_ms()
             for budget in tier.budgets:
                 name = budget["name"]
-                if name not in back and now - begin >= WINDOW_MS and sum(
-                        units for t, units in self.spent(name) if t > now - WINDOW_MS) >= (
-                            BACK[name] * budget["whole"] * WINDOW_MS / 1000):
+                if (
+                    name not in back
+                    and now - begin >= WINDOW_MS
+                    and sum(units for t, units in self.spent(name) if t > now - WINDOW_MS)
+                    >= (BACK[name] * budget["whole"] * WINDOW_MS / 1000)
+                ):
                     back.add(name)
             return len(back) == len(tier.budgets)
+
         try:
             await tier.until(all_back, BACK_S, "all spent again")
         except TooLate:
@@ -150,10 +168,12 @@
 
     def _late(self, by: Callable[[int], float]) -> None:
         """Shares come so many ms late, by who gets them."""
+
         def hook(_sender: int, receiver: int, data: bytes) -> float:
             word = decode(data)
             share = word is not None and word.kind is Kind.NOTE and word.note[:1] == bytes([words.SHARE])
             return by(receiver) if share else 0.0
+
         self.tier.relay.hook = hook
 
     # -- cases
@@ -189,13 +209,18 @@
     async def divider_dies_lending(self) -> None:
         """Once it has decided on a share and booked it, before or after the word goes out."""
         tier, number = self.tier, await self.divider()
-        gate, mark = tier.gates[number], Path(
-            f"{tier.ledger(number)}.{self.chance.choice(('before-share', 'after-share'))}")
+        gate, mark = (
+            tier.gates[number],
+            Path(f"{tier.ledger(number)}.{self.chance.choice(('before-share', 'after-share'))}"),
+        )
         process = gate.process
         mark.touch()
         try:
-            await tier.until(lambda: not mark.exists() or tier.owner(slot_of("exports", SLOTS)) != number,
-                             3.0, f"a share of n{number}")
+            await tier.until(
+                lambda: not mark.exists() or tier.owner(slot_of("exports", SLOTS)) != number,
+                3.0,
+                f"a share of n{number}",
+            )
         finally:
             died = not mark.exists()
             mark.unlink(missing_ok=True)
@@ -262,15 +287,17 @@
     async def all_die(self) -> None:
         """All at once, and back."""
         tier = self.tier
-        await asyncio.gather(*(tier.kill(number, self.chance.uniform(0, 1.0))
-                               for number in range(tier.gatekeepers)))
+        await asyncio.gather(
+            *(tier.kill(number, self.chance.uniform(0, 1.0)) for number in range(tier.gatekeepers))
+        )
 
     async def upgrade(self) -> None:
         """Of the divider, or of a holder, with most lent to it: both processes live for a while; sometimes
         the new one is killed in the middle, and the old one goes on."""
         tier = self.tier
-        number = await self.divider() if self.chance.random() < 0.5 else (
-            self.chance.randrange(tier.gatekeepers))
+        number = (
+            await self.divider() if self.chance.random() < 0.5 else (self.chance.randrange(tier.gatekeepers))
+        )
         self._all_at(number)
         await asyncio.sleep(1.5)
         gate = tier.gates[number]
@@ -288,8 +315,12 @@
                 await asyncio.sleep(1.0)
                 return
             try:
-                await tier.until(lambda: any(row[0] == "spent" and row[3] == new.pid for row in tier.look())
-                                 and machine_ms() - begin > 1000, 10, "the next process spends")
+                await tier.until(
+                    lambda: any(row[0] == "spent" and row[3] == new.pid for row in tier.look())
+                    and machine_ms() - begin > 1000,
+                    10,
+                    "the next process spends",
+                )
                 old.terminate()
                 await old.wait()
             finally:
@@ -315,8 +346,10 @@
         tier, chance = self.tier, self.chance
         for factor in (2.0, 0.5, 1.0):
             raised = factor != 0.5
-            budgets = [{**one, "whole": one["whole"] * factor, "burst": max(1.0, one["burst"] * factor)}
-                       for one in BUDGETS]
+            budgets = [
+                {**one, "whole": one["whole"] * factor, "burst": max(1.0, one["burst"] * factor)}
+                for one in BUDGETS
+            ]
             still = asyncio.create_task(tier.stand(chance.randrange(tier.gatekeepers), chance.uniform(0, 1)))
             begin = machine_ms()
             await tier.change(budgets, chance)
@@ -345,8 +378,9 @@
             elif kind == "split":
                 relay.sides = [{one for one in range(tier.gatekeepers) if chance.random() < 0.4}]
             elif kind == "demand":
-                tier.want(number, {name: rate * chance.choice((0, 0.2, 5)) for name, rate in
-                                   tier.demand.items()})
+                tier.want(
+                    number, {name: rate * chance.choice((0, 0.2, 5)) for name, rate in tier.demand.items()}
+                )
             else:
                 relay.loss, relay.twice = chance.choice((0.0, 0.1, 0.4)), chance.choice((0.0, 0.5))
                 relay.delay_ms = chance.choice(((0.3, 5.0), (0.3, 300.0), (0.3, 10_000.0)))
@@ -354,16 +388,23 @@
         await asyncio.gather(*work)
 
 
-async def play(seed: int, gatekeepers: int, plant: str = "", cases: int = 3,
-               only: list[str] | None = None) -> Outcome:
+async def play(
+    seed: int, gatekeepers: int, plant: str = "", cases: int = 3, only: list[str] | None = None
+) -> Outcome:
     """Play one trial: `cases` of them drawn (all where it is 0), or those of `only`."""
     chance = random.Random(f"{seed}/budgets")
     drift = chance.choice((0.0, 0.01))
-    tier = Tier(gatekeepers, seed, {
-        "voters": list(range(3)), "slots": SLOTS, "term_s": TERM_S, "drift": 0.01, "share_s": SHARE_S}, [],
+    tier = Tier(
+        gatekeepers,
+        seed,
+        {"voters": list(range(3)), "slots": SLOTS, "term_s": TERM_S, "drift": 0.01, "share_s": SHARE_S},
+        [],
         plant=f"budgets/{plant}" if plant else "",
-        rates=[1 + chance.choice((-1, 1)) * drift for _ in range(gatekeepers)], management=True,
-        budgets=BUDGETS, demand={one["name"]: 2 * one["whole"] for one in BUDGETS})
+        rates=[1 + chance.choice((-1, 1)) * drift for _ in range(gatekeepers)],
+        management=True,
+        budgets=BUDGETS,
+        demand={one["name"]: 2 * one["whole"] for one in BUDGETS},
+    )
     trial = Trial(tier, chance)
     names = only or list(trial.cases)
     if not only:
@@ -381,6 +422,7 @@
             if not plant:
                 raise
             outcome.late = outcome.late or str(problem)
+
     try:
         await tier.start()
         await well()
@@ -404,8 +446,9 @@
         over = trial.over(budget["name"])
         if over:
             t, most = max(over, key=lambda row: row[1])
-            outcome.over.append(f"{budget['name']}: {len(over)} moments over, most by {most:.3f} units at "
-                                f"{t:.1f}")
+            outcome.over.append(
+                f"{budget['name']}: {len(over)} moments over, most by {most:.3f} units at {t:.1f}"
+            )
     outcome.back_s = trial.back_s
     if outcome.broken:
         outcome.records = [{"marks": marks, "changes": trial.changes}, *tier.witnessed]
--- a/benchmarks/budgets/ways.py
+++ b/benchmarks/budgets/ways.py
@@ -72,6 +72,7 @@
             if self.up[receiver]:
                 self.taken[receiver] += 1
                 what()
+
         self.at(self.now + self.net.uniform(*DELAY_MS), deliver)
 
     def run_to(self, t: float) -> None:
@@ -88,8 +89,9 @@
 
     def __init__(self, world: World) -> None:
         self.world, budget = world, world.budget
-        self.buckets = [Bucket(0.0, budget.whole / world.count, budget.burst / world.count)
-                        for _ in range(world.count)]
+        self.buckets = [
+            Bucket(0.0, budget.whole / world.count, budget.burst / world.count) for _ in range(world.count)
+        ]
         self.born = [0] * world.count
 
     def step(self) -> None:
@@ -129,7 +131,8 @@
             mine, whole = self.came[number], self.came[number] + sum(self.heard[number].values())
             self.buckets[number].fill(world.now)
             self.buckets[number].rate_per_s = world.budget.whole * (
-                mine / whole if whole else 1 / world.count)
+                mine / whole if whole else 1 / world.count
+            )
             # To all, where the messages allow it; else to as many by chance.
             others = [one for one in range(world.count) if one != number]
             for other in others if len(others) <= 10 else world.net.sample(others, 10):
@@ -182,8 +185,15 @@
         self.vacant_ms = 0.0
 
     def _book(self, number: int) -> Book:
-        book = Book((self.world.budget,), number, self.world.count, self.terms, self.share_ms,
-                    random.Random(number), self.world.now)
+        book = Book(
+            (self.world.budget,),
+            number,
+            self.world.count,
+            self.terms,
+            self.share_ms,
+            random.Random(number),
+            self.world.now,
+        )
         book.open_floors(self.world.now)
         return book
 
@@ -195,15 +205,21 @@
                 self.books[number] = self._book(number)
         # A majority of the voters has to be there, and to hear the owner.
         voters = [one for one in self.terms.voters if world.up[one]]
-        cut = self.owner >= 0 and 2 * sum((one in world.side) == (self.owner in world.side) for one in voters
-                                          ) <= len(self.terms.voters)
+        cut = self.owner >= 0 and 2 * sum(
+            (one in world.side) == (self.owner in world.side) for one in voters
+        ) <= len(self.terms.voters)
         if self.owner >= 0 and (not world.up[self.owner] or cut):
             if world.up[self.owner]:
                 self.books[self.owner].lost(0)
             self.owner, self.vacant_ms = -1, world.now + self.term_ms
         if self.owner < 0 and world.now >= self.vacant_ms:
-            able = [one for one in range(world.count) if world.up[one] and 2 * sum(
-                (voter in world.side) == (one in world.side) for voter in voters) > len(self.terms.voters)]
+            able = [
+                one
+                for one in range(world.count)
+                if world.up[one]
+                and 2 * sum((voter in world.side) == (one in world.side) for voter in voters)
+                > len(self.terms.voters)
+            ]
             if able:
                 self.owner, self.token = able[0], self.token + 1
                 self.books[self.owner].gained(world.now, 0, self.token)
@@ -221,13 +237,15 @@
                 if receiver == number:
                     self._hear(number, life, receiver, note)
                 else:
-                    self.world.send(number, receiver, functools.partial(
-                        self._hear, number, life, receiver, note))
+                    self.world.send(
+                        number, receiver, functools.partial(self._hear, number, life, receiver, note)
+                    )
 
     def _hear(self, sender: int, life: int, receiver: int, note: bytes) -> None:
         knows = self.owner if receiver in self.terms.voters and self.owner >= 0 else None
-        self.books[receiver].heard(self.world.now, sender, life, note, self.lives[receiver],
-                                   lambda _slot: knows)
+        self.books[receiver].heard(
+            self.world.now, sender, life, note, self.lives[receiver], lambda _slot: knows
+        )
         self._carry(receiver)
 
     def spend(self, number: int) -> bool:
@@ -235,12 +253,20 @@
 
 
 WAYS: dict[str, Callable[[World], Any]] = {
-    "lent": Lent, "even": Even, "counter, closed": lambda world: Counter(world, False),
-    "counter, open": lambda world: Counter(world, True), "gossip": Gossip}
+    "lent": Lent,
+    "even": Even,
+    "counter, closed": lambda world: Counter(world, False),
+    "counter, open": lambda world: Counter(world, True),
+    "gossip": Gossip,
+}
 
 
-CONDITIONS = {"calm": "", "demand elsewhere every 5 s": "moves", "a death every 10 s": "deaths",
-              "a third cut off for 10 s": "split"}
+CONDITIONS = {
+    "calm": "",
+    "demand elsewhere every 5 s": "moves",
+    "a death every 10 s": "deaths",
+    "a third cut off for 10 s": "split",
+}
 
 
 def play(way: str, count: int, seed: int, budget: Budget, fault: str) -> dict[str, Any]:
@@ -272,10 +298,17 @@
                     level_ms, over = world.now, max(over, -level)
                 used, known, wanted = used + met * counted, known + could * counted, wanted + counted
                 wrongly += could and not met and counted
-    return {"way": way, "gatekeepers": count, "fault": fault, "over": round(over, 1),
-            "used": round(used / max(1, known), 3), "wrongly": round(wrongly / max(1, wanted), 3),
-            "delay_ms": one.delay_ms, "sent": round(world.sent / SECONDS / count, 1),
-            "busiest": round(max(world.taken) / SECONDS, 1)}
+    return {
+        "way": way,
+        "gatekeepers": count,
+        "fault": fault,
+        "over": round(over, 1),
+        "used": round(used / max(1, known), 3),
+        "wrongly": round(wrongly / max(1, wanted), 3),
+        "delay_ms": one.delay_ms,
+        "sent": round(world.sent / SECONDS / count, 1),
+        "busiest": round(max(world.taken) / SECONDS, 1),
+    }
 
 
 def main() -> int:
@@ -296,9 +329,12 @@
                 if given.json:
                     print(json.dumps(row), flush=True)
                     continue
-                print(f"{count:>4} {what:<26} {way:<16} over {row['over']:>8g}  used {row['used']:>6.3f}  "
-                      f"wrongly {row['wrongly']:>6.3f}  delay {row['delay_ms']:>5.1f} ms  "
-                      f"sent {row['sent']:>6g}  busiest {row['busiest']:>7g}", flush=True)
+                print(
+                    f"{count:>4} {what:<26} {way:<16} over {row['over']:>8g}  used {row['used']:>6.3f}  "
+                    f"wrongly {row['wrongly']:>6.3f}  delay {row['delay_ms']:>5.1f} ms  "
+                    f"sent {row['sent']:>6g}  busiest {row['busiest']:>7g}",
+                    flush=True,
+                )
     return 0
 
 
--- a/benchmarks/cold_workers.py
+++ b/benchmarks/cold_workers.py
@@ -18,7 +18,19 @@
 
 from anisefront.control import Controller
 from anisefront.interface import (
-    Arrival, Fleet, Outcome, Plan, Repeat, RequestClass, Result, Scope, Send, Server, Settings, State, Wake,
+    Arrival,
+    Fleet,
+    Outcome,
+    Plan,
+    Repeat,
+    RequestClass,
+    Result,
+    Scope,
+    Send,
+    Server,
+    Settings,
+    State,
+    Wake,
     Woken,
 )
 
@@ -26,9 +38,11 @@
 NOTICE_MS = (1200.0, 4800.0)  # after which a gateway hears of a start
 CORES, WORK_MS, LONGEST_LINE_MS = 2, 170.0, 1500.0
 WARM_UP_MS, COLD_FROM, MULTIPLE, WINDOW_MS = 13_000.0, 0.25, 2.5, 1000.0
-KINDS = (RequestClass("check", 750, 2000, 3, Repeat.SAFE),
-         RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-         RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE))
+KINDS = (
+    RequestClass("check", 750, 2000, 3, Repeat.SAFE),
+    RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
+    RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE),
+)
 
 
 def allowed(share: float) -> float:
@@ -59,8 +73,10 @@
         for n in range(count):
             at, zone = BEGIN_MS + SETTLE_MS + REPLACED_WITHIN_MS * n / count, self.zones[n % 3]
             self.gone[f"s{n}"] = self.born[f"n{n}"] = at
-            news = Fleet((Server(f"s{n}", zone, 0, State.GONE),
-                          Server(f"n{n}", zone, 0, State.READY, 1.0, at)), complete=False)
+            news = Fleet(
+                (Server(f"s{n}", zone, 0, State.GONE), Server(f"n{n}", zone, 0, State.READY, 1.0, at)),
+                complete=False,
+            )
             for number in range(gateways):
                 self.later(at + rng.uniform(*NOTICE_MS), number, news, every_life=True)
         for number in range(gateways):
@@ -69,10 +85,19 @@
 
     def gateway(self, number: int) -> Controller:
         own = Settings(
-            gateways=len(self.lives), number=number, zone=self.zones[number % 3], classes=KINDS,
-            plans=(Plan("plan"),), warm_up_ms=WARM_UP_MS, cold_from=COLD_FROM, fall_multiple=MULTIPLE,
-            fall_window_ms=WINDOW_MS, max_attempts=5, second_copies=True,
-            report_fields=("util", "latency_ms"))
+            gateways=len(self.lives),
+            number=number,
+            zone=self.zones[number % 3],
+            classes=KINDS,
+            plans=(Plan("plan"),),
+            warm_up_ms=WARM_UP_MS,
+            cold_from=COLD_FROM,
+            fall_multiple=MULTIPLE,
+            fall_window_ms=WINDOW_MS,
+            max_attempts=5,
+            second_copies=True,
+            report_fields=("util", "latency_ms"),
+        )
         control = Controller(own, self.rng.randrange(1 << 30))
         control.handle(self.now, [Fleet(tuple(self.known(number)))])
         return control
@@ -80,10 +105,15 @@
     def known(self, number: int) -> list[Server]:
         """What a gateway that starts now knows: all that is listed."""
         born = getattr(self, "born", {})
-        return [one for name, one in self.old.items() if name not in getattr(self, "gone", {})
-                or self.now < self.gone[name]] + [
+        return [
+            one
+            for name, one in self.old.items()
+            if name not in getattr(self, "gone", {}) or self.now < self.gone[name]
+        ] + [
             Server(name, self.zones[int(name[1:]) % 3], 0, State.READY, 1.0, at)
-            for name, at in born.items() if at <= self.now]
+            for name, at in born.items()
+            if at <= self.now
+        ]
 
     def later(self, at: float, number: int, event: Any, every_life: bool = False) -> None:
         self.serial += 1
@@ -106,8 +136,9 @@
                 next_ms += rng.expovariate(self.per_ms)
                 kind = rng.choice(KINDS)
                 number = rng.choices(range(len(self.gateways)), self.weights)[0]
-                event = Arrival(asked, f"c{asked % 500}", kind.name, "plan",
-                                self.now + kind.deadline_ms, 1, 0, 3)
+                event = Arrival(
+                    asked, f"c{asked % 500}", kind.name, "plan", self.now + kind.deadline_ms, 1, 0, 3
+                )
             for action in self.gateways[number].handle(self.now, [event]):
                 if isinstance(action, Send):
                     self.carry(number, action)
@@ -137,8 +168,11 @@
             else:
                 self.busy[name] = start + self.rng.expovariate(1 / WORK_MS) / CORES / share
                 result, took = Result.OK, self.busy[name] - now + 60.0
-        self.later(now + took, number, Outcome(send.id, attempt, name, took, result, result is Result.OK,
-                                               load=(0.5, 100.0)))
+        self.later(
+            now + took,
+            number,
+            Outcome(send.id, attempt, name, took, result, result is Result.OK, load=(0.5, 100.0)),
+        )
 
 
 def main() -> None:
@@ -150,8 +184,10 @@
         for load, replaced in ((0.45, 0.6), (0.75, 0.8)):
             tiers = [Tier(gateways, workers, seed, load, replaced) for seed in range(seeds)]
             worst = [tier.play() for tier in tiers]
-            print(f"{gateways} gateways, {workers} workers, load {load}, {replaced:.0%} replaced: worst part "
-                  f"{max(worst):.2f} of what is allowed, over {sum(tier.looked for tier in tiers)} sends")
+            print(
+                f"{gateways} gateways, {workers} workers, load {load}, {replaced:.0%} replaced: worst part "
+                f"{max(worst):.2f} of what is allowed, over {sum(tier.looked for tier in tiers)} sends"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/configuration/__main__.py
+++ b/benchmarks/configuration/__main__.py
@@ -22,12 +22,20 @@
 def summary(played: list[Outcome]) -> dict[str, Any]:
     """All trials together."""
     last = [value for one in played for value in one.last_ms]
-    return {"trials": len(played), "broken": sum(bool(one.broken) for one in played),
-            "versions": sum(one.versions for one in played), "bad_versions": sum(one.bad for one in played),
-            "put_in_force": sum(one.forced for one in played),
-            "most_calls_a_second": max((one.asked for one in played), default=0),
-            "last_in_force_ms": {"count": len(last), "p50": quantile(last, 0.5), "p99": quantile(last, 0.99),
-                                 "max": max(last, default=float("nan"))}}
+    return {
+        "trials": len(played),
+        "broken": sum(bool(one.broken) for one in played),
+        "versions": sum(one.versions for one in played),
+        "bad_versions": sum(one.bad for one in played),
+        "put_in_force": sum(one.forced for one in played),
+        "most_calls_a_second": max((one.asked for one in played), default=0),
+        "last_in_force_ms": {
+            "count": len(last),
+            "p50": quantile(last, 0.5),
+            "p99": quantile(last, 0.99),
+            "max": max(last, default=float("nan")),
+        },
+    }
 
 
 def main() -> int:
--- a/benchmarks/configuration/plants.py
+++ b/benchmarks/configuration/plants.py
@@ -29,6 +29,7 @@
             return problem
         self.staged = content
         return ""
+
     Versions.wish, Versions.take = any_is_news, take  # type: ignore[method-assign]
 
 
@@ -52,6 +53,7 @@
     def wishes(self: Any, offer: Offer) -> Wish:
         found = wish(self, offer)
         return Wish.READ if found is Wish.WHOLE else found
+
     Versions.wish = wishes  # type: ignore[method-assign]
     source.read = lambda offer, base: _unchecked(offer, base, False)
 
@@ -69,10 +71,16 @@
         made, wrong = checked(config, content)
         if not wrong:
             return made, wrong
-        good = {"balancers": config.settings.gateways, "packages": [], "rules": {}, "limits": {},
-                **{key: value for key, value in content.settings.items() if value}}
+        good = {
+            "balancers": config.settings.gateways,
+            "packages": [],
+            "rules": {},
+            "limits": {},
+            **{key: value for key, value in content.settings.items() if value},
+        }
         parts = replace(config.settings, tick_ms=float(good.get("tickMs", 1.0)) + 1.0)
         return replace(config, settings=parts), ""
+
     source.checked = lenient
 
 
@@ -83,6 +91,7 @@
     def takes(self: Any, now: float, content: Content, problem: str) -> str:
         object.__setattr__(content, "in_force_ms", 0.0)
         return take(self, now, content, problem)
+
     Versions.take = takes  # type: ignore[method-assign]
 
 
@@ -100,25 +109,40 @@
             self._heard(now)
             return ""
         return take(self, now, content, problem)
+
     Versions.take = takes  # type: ignore[method-assign]
 
 
 def _stays() -> None:
     """An address is asked for good, whatever becomes of it."""
+
     def move(self: Any) -> None:
         self._quiet, self._goes_on, self._had_news = 0, False, False
+
     Versions._move = move  # type: ignore[method-assign]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
-    "takes-an-older": _takes_an_older, "any-base": _any_base, "no-digest": _no_digest, "in-part": _in_part,
-    "at-receipt": _at_receipt, "forgets-refusals": _forgets_refusals, "keeps-the-staged": _keeps_the_staged,
+    "takes-an-older": _takes_an_older,
+    "any-base": _any_base,
+    "no-digest": _no_digest,
+    "in-part": _in_part,
+    "at-receipt": _at_receipt,
+    "forgets-refusals": _forgets_refusals,
+    "keeps-the-staged": _keeps_the_staged,
     "never-leaves": _stays,
 }
 # What a trial plays oftener to find it.
-CASE_OF = {"takes-an-older": "late", "any-base": "late", "no-digest": "altered", "in-part": "bad",
-           "at-receipt": "staged", "forgets-refusals": "bad", "keeps-the-staged": "staged",
-           "never-leaves": "dead"}
+CASE_OF = {
+    "takes-an-older": "late",
+    "any-base": "late",
+    "no-digest": "altered",
+    "in-part": "bad",
+    "at-receipt": "staged",
+    "forgets-refusals": "bad",
+    "keeps-the-staged": "staged",
+    "never-leaves": "dead",
+}
 
 
 def plant(name: str) -> None:
--- a/benchmarks/configuration/relay.py
+++ b/benchmarks/configuration/relay.py
@@ -106,10 +106,13 @@
 def altered(whole: bytes, chance: random.Random) -> bytes:
     """With one digit of the settings in it changed, still as JSON."""
     begin = max(whole.find(b'"settings":'), whole.find(b'"changes":'))
-    places = [found.start(1) for found in re.finditer(rb'"(?:worth|perSecond)":(\d)', whole)
-              if found.start() > begin]
+    places = [
+        found.start(1)
+        for found in re.finditer(rb'"(?:worth|perSecond)":(\d)', whole)
+        if found.start() > begin
+    ]
     if begin < 0 or not places:
         return whole
     place = chance.choice(places)
     digit = b"%d" % ((whole[place] - 48) % 9 + 1)
-    return whole[:place] + digit + whole[place + 1:]
+    return whole[:place] + digit + whole[place + 1 :]
--- a/benchmarks/configuration/size.py
+++ b/benchmarks/configuration/size.py
@@ -41,10 +41,14 @@
     """Settings of so many classes and plans."""
     value = settings_of(gatekeepers, 1, random.Random(1))
     row, plan = value["classes"][0], value["packages"][0]
-    value["classes"] = [{**row, "name": f"class-{number:05d}", "keyScope": "zone", "dedupWindowMs": 9000.0}
-                        for number in range(classes)]
-    value["packages"] = [{**plan, "name": f"plan-{number:02d}", "concurrency": 8, "valueFactor": 1.5}
-                         for number in range(plans)]
+    value["classes"] = [
+        {**row, "name": f"class-{number:05d}", "keyScope": "zone", "dedupWindowMs": 9000.0}
+        for number in range(classes)
+    ]
+    value["packages"] = [
+        {**plan, "name": f"plan-{number:02d}", "concurrency": 8, "valueFactor": 1.5}
+        for number in range(plans)
+    ]
     return value
 
 
@@ -57,7 +61,7 @@
     elif kind == "one class gone":
         del after["classes"][len(after["classes"]) // 2]
     elif kind == "a hundred figures":
-        for row in after["classes"][::max(1, len(after["classes"]) // 100)]:
+        for row in after["classes"][:: max(1, len(after["classes"]) // 100)]:
             row["aimMs"] = 123.0
     return after
 
@@ -71,9 +75,18 @@
     found = {"whole": len(json.dumps(document(1, value), separators=(",", ":")))}
     for kind in ("one figure", "one class more", "one class gone", "a hundred figures"):
         after = changed(value, kind)
-        found[kind] = len(canonical({
-            "version": 2, "digest": digest(after), "in_force_ms": unix_ms(), "base": 1,
-            "base_digest": digest(value), "changes": changes_between(value, after)}))
+        found[kind] = len(
+            canonical(
+                {
+                    "version": 2,
+                    "digest": digest(after),
+                    "in_force_ms": unix_ms(),
+                    "base": 1,
+                    "base_digest": digest(value),
+                    "changes": changes_between(value, after),
+                }
+            )
+        )
     return found
 
 
@@ -94,10 +107,18 @@
     base = config_from(Trial(1, 3, "", Path("."))._config(0), {})
     after = changed(value, "one figure")
     held = Content(1, digest(value), 0.0, value)
-    rows = {"whole": json.dumps(document(2, after)).encode(),
-            "change": json.dumps({**document(2, after), "settings": None, "base": 1,
-                                  "base_digest": held.digest,
-                                  "changes": changes_between(value, after)}).encode()}
+    rows = {
+        "whole": json.dumps(document(2, after)).encode(),
+        "change": json.dumps(
+            {
+                **document(2, after),
+                "settings": None,
+                "base": 1,
+                "base_digest": held.digest,
+                "changes": changes_between(value, after),
+            }
+        ).encode(),
+    }
     found = {}
     for name, data in rows.items():
         late: list[float] = []
@@ -107,6 +128,7 @@
                 begin = time.perf_counter()
                 await asyncio.sleep(TICK_S)
                 late.append((time.perf_counter() - begin - TICK_S) * 1000)
+
         await asyncio.sleep(0.1)
         task = asyncio.create_task(turn())
         await asyncio.sleep(0.2)
@@ -119,29 +141,44 @@
         await asyncio.sleep(0.02)
         task.cancel()
         assert not wrong, wrong
-        found[name] = {"read_ms": round(spent, 1), "late_p50_ms": round(quantile(late, 0.5), 2),
-                       "late_p99_ms": round(quantile(late, 0.99), 2), "late_max_ms": round(max(late), 2)}
+        found[name] = {
+            "read_ms": round(spent, 1),
+            "late_p50_ms": round(quantile(late, 0.5), 2),
+            "late_p99_ms": round(quantile(late, 0.99), 2),
+            "late_max_ms": round(max(late), 2),
+        }
     return found
 
 
 class Hollow:
     """A watcher: the daemon's own source, with nothing behind it."""
 
-    def __init__(self, number: int, count: int, address: tuple[str, int], config: Any, clock: Clock,
-                 timers: Timers, forced: list[tuple[int, float]]) -> None:
-        self.source = Source(config, (address,), 30_000.0, lambda _config: "", clock, timers,
-                             random.Random(number))
+    def __init__(
+        self,
+        number: int,
+        count: int,
+        address: tuple[str, int],
+        config: Any,
+        clock: Clock,
+        timers: Timers,
+        forced: list[tuple[int, float]],
+    ) -> None:
+        self.source = Source(
+            config, (address,), 30_000.0, lambda _config: "", clock, timers, random.Random(number)
+        )
         self.source.versions = Versions(number, count, 1, random.Random(number), clock.now())
         put = self.source.versions.put
 
         def puts(content: Content, problem: str) -> None:
             put(content, problem)
             forced.append((content.version, time.time() * 1000))
+
         self.source.versions.put = puts  # type: ignore[method-assign]
 
 
 def watchers(numbers: list[int], count: int, port: int, last: int, wire: Any) -> None:
     """A process of watchers: tells when each had each version, once all have the last."""
+
     async def all_of_them() -> list[tuple[int, float]]:
         base, forced = Trial(1, count, "", Path("."))._config(0), list[tuple[int, float]]()
         clock = Clock()
@@ -158,6 +195,7 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         return forced
+
     wire.send(asyncio.run(all_of_them()))
 
 
@@ -173,6 +211,7 @@
             data = await inner(most)
             self.bytes_in += len(data)
             return data
+
         reader.read = read  # type: ignore[method-assign]
         await super()._serve(reader, writer)
 
@@ -193,18 +232,22 @@
         wires.append(ours)
         processes.append(process)
     begin = time.monotonic()
-    while (sum(one.in_force == 1 for one in service.shelf.watchers.values()) < count
-           and time.monotonic() - begin < 90):
+    while (
+        sum(one.in_force == 1 for one in service.shelf.watchers.values()) < count
+        and time.monotonic() - begin < 90
+    ):
         await asyncio.sleep(0.05)
     listening = sum(one.in_force == 1 for one in service.shelf.watchers.values())
     whole_bytes = service.bytes_out
     await asyncio.sleep(5.0)
     calls, sent, got, cpu = service.calls, service.bytes_out, service.bytes_in, time.process_time()
     await asyncio.sleep(10.0)
-    rest = {"calls_a_second": round((service.calls - calls) / 10, 1),
-            "bytes_out_a_second": round((service.bytes_out - sent) / 10),
-            "bytes_in_a_second": round((service.bytes_in - got) / 10),
-            "cpu_share": round((time.process_time() - cpu) / 10, 4)}
+    rest = {
+        "calls_a_second": round((service.calls - calls) / 10, 1),
+        "bytes_out_a_second": round((service.bytes_out - sent) / 10),
+        "bytes_in_a_second": round((service.bytes_in - got) / 10),
+        "cpu_share": round((time.process_time() - cpu) / 10, 4),
+    }
     after = changed(value, "one figure")
     sent, cpu, t = service.bytes_out, time.process_time(), unix_ms()
     await asyncio.to_thread(ask, place, "PUT", PATH, document(2, after, t + later_ms))
@@ -216,13 +259,22 @@
         await asyncio.to_thread(process.join)
     times = [at - t for version, at in rows if version == 2]
     service.close()
-    return {"watchers": count, "heard": listening, "bytes_of_wholes": whole_bytes, "rest": rest,
-            "published_ms": round(put_ms, 1), "have_it": len(times), "in_force_in_ms": later_ms,
-            "told_and_in_force_ms": {"p50": round(quantile(times, 0.5), 1),
-                                     "p99": round(quantile(times, 0.99), 1),
-                                     "max": round(max(times, default=float("nan")), 1)},
-            "bytes": service.bytes_out - sent,
-            "service_cpu_s": round(time.process_time() - cpu, 3)}
+    return {
+        "watchers": count,
+        "heard": listening,
+        "bytes_of_wholes": whole_bytes,
+        "rest": rest,
+        "published_ms": round(put_ms, 1),
+        "have_it": len(times),
+        "in_force_in_ms": later_ms,
+        "told_and_in_force_ms": {
+            "p50": round(quantile(times, 0.5), 1),
+            "p99": round(quantile(times, 0.99), 1),
+            "max": round(max(times, default=float("nan")), 1),
+        },
+        "bytes": service.bytes_out - sent,
+        "service_cpu_s": round(time.process_time() - cpu, 3),
+    }
 
 
 async def rest_and_change(gatekeepers: int) -> dict[str, Any]:
@@ -232,8 +284,9 @@
         try:
             await trial.start()
             await trial.put(trial.make(trial._next(), 0.0))
-            await trial.until(lambda: sum(row[0] == "force" for row in trial.rows()) == gatekeepers, 20,
-                              "the first version")
+            await trial.until(
+                lambda: sum(row[0] == "force" for row in trial.rows()) == gatekeepers, 20, "the first version"
+            )
             plain = await _plain(trial)
             await asyncio.sleep(2.0)  # its start is over
             ticks, plain_s = [_cpu_s(gate.pid) for gate in trial.gates], _cpu_s(plain.pid)
@@ -252,16 +305,29 @@
                 value = trial.make(trial._next(), 0.0)
                 await trial.put(value)
                 number = trial.number
-                await trial.until(lambda number=number: sum(
-                    row[0] == "force" and row[4] == number for row in trial.rows()) == gatekeepers, 10, "all")
-                times += [row[1] - trial.published[number].t for row in trial.rows()
-                          if row[0] == "force" and row[4] == number]
-            return {"gatekeepers": gatekeepers, "calls_a_second_each": round(calls / REST_S / gatekeepers, 2),
-                    "answer_bytes_a_second_each": round(answered / REST_S / gatekeepers, 1),
-                    "cpu_share_each": round(sum(cpu) / REST_S / gatekeepers, 5),
-                    "cpu_share_without": round(plain_s / REST_S, 5),
-                    "publish_to_in_force_ms": {"p50": round(quantile(times, 0.5), 1),
-                                               "max": round(max(times), 1), "count": len(times)}}
+                await trial.until(
+                    lambda number=number: sum(row[0] == "force" and row[4] == number for row in trial.rows())
+                    == gatekeepers,
+                    10,
+                    "all",
+                )
+                times += [
+                    row[1] - trial.published[number].t
+                    for row in trial.rows()
+                    if row[0] == "force" and row[4] == number
+                ]
+            return {
+                "gatekeepers": gatekeepers,
+                "calls_a_second_each": round(calls / REST_S / gatekeepers, 2),
+                "answer_bytes_a_second_each": round(answered / REST_S / gatekeepers, 1),
+                "cpu_share_each": round(sum(cpu) / REST_S / gatekeepers, 5),
+                "cpu_share_without": round(plain_s / REST_S, 5),
+                "publish_to_in_force_ms": {
+                    "p50": round(quantile(times, 0.5), 1),
+                    "max": round(max(times), 1),
+                    "count": len(times),
+                },
+            }
         finally:
             await trial.close()
 
@@ -275,8 +341,13 @@
     path = trial.folder / "plain.json"
     path.write_text(json.dumps(trial._config(0)))
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "plumpick", cwd=ROOT, stderr=asyncio.subprocess.DEVNULL,
-        env={**os.environ, "BALANCER_CONFIG": str(path), "PLUMPICK_OPERATOR": ""})
+        sys.executable,
+        "-m",
+        "plumpick",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.DEVNULL,
+        env={**os.environ, "BALANCER_CONFIG": str(path), "PLUMPICK_OPERATOR": ""},
+    )
 
 
 def _cpu_s(pid: int) -> float:
@@ -293,8 +364,17 @@
     flags.add_argument("--later", type=float, default=0.0, metavar="S", help="the change is in force then")
     given = flags.parse_args()
     value = wide(given.classes, given.plans, 3)
-    print(json.dumps({"classes": given.classes, "plans": given.plans, "bytes": bytes_of(value),
-                      "held_mb": held_mb(value)}), flush=True)
+    print(
+        json.dumps(
+            {
+                "classes": given.classes,
+                "plans": given.plans,
+                "bytes": bytes_of(value),
+                "held_mb": held_mb(value),
+            }
+        ),
+        flush=True,
+    )
     print(json.dumps({"reading": asyncio.run(stalls(value))}), flush=True)
     for count in given.gatekeepers:
         print(json.dumps(asyncio.run(rest_and_change(count))), flush=True)
--- a/benchmarks/configuration/trial.py
+++ b/benchmarks/configuration/trial.py
@@ -48,15 +48,34 @@
 
 def settings_of(gatekeepers: int, mark: int, chance: random.Random) -> dict[str, Any]:
     """Good settings."""
-    classes = [{"name": f"c{number}", "aimMs": 5e3, "deadlineMs": 2e4, "worth": float(1 + mark % 9),
-                "repeat": "retryable"} for number in range(4)]
-    return {"balancers": gatekeepers, "tickMs": 4.0, "classes": classes,
-            "packages": [{"name": f"p{number}", "perSecond": float(chance.randrange(10, 99)),
-                          "storeSize": 50.0} for number in range(3)],
-            "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True, "dialTimeoutMs": 250.0,
-                       "connIdleMs": 30_000.0 + mark},
-            "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
-            "report": {"fields": ["util"], "how": "answers"}}
+    classes = [
+        {
+            "name": f"c{number}",
+            "aimMs": 5e3,
+            "deadlineMs": 2e4,
+            "worth": float(1 + mark % 9),
+            "repeat": "retryable",
+        }
+        for number in range(4)
+    ]
+    return {
+        "balancers": gatekeepers,
+        "tickMs": 4.0,
+        "classes": classes,
+        "packages": [
+            {"name": f"p{number}", "perSecond": float(chance.randrange(10, 99)), "storeSize": 50.0}
+            for number in range(3)
+        ],
+        "limits": {
+            "maxAttempts": 3,
+            "cancel": True,
+            "mayTell": True,
+            "dialTimeoutMs": 250.0,
+            "connIdleMs": 30_000.0 + mark,
+        },
+        "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
+        "report": {"fields": ["util"], "how": "answers"},
+    }
 
 
 def broken(settings: dict[str, Any], chance: random.Random) -> dict[str, Any]:
@@ -140,8 +159,9 @@
         self.names = [f"n{number}" for number in range(gatekeepers)]
         self.services: list[asyncio.subprocess.Process] = []
         self.ports = [free_port(), free_port()]
-        self.relays = [Relay(random.Random(f"{seed}/relay{place}"), port)
-                       for place, port in enumerate(self.ports)]
+        self.relays = [
+            Relay(random.Random(f"{seed}/relay{place}"), port) for place, port in enumerate(self.ports)
+        ]
         self.gates: list[asyncio.subprocess.Process] = []
         self.published: dict[int, Published] = {}
         self.settings = settings_of(gatekeepers, 0, self.chance)
@@ -153,31 +173,62 @@
     # -- processes
 
     def _config(self, number: int) -> dict[str, Any]:
-        return {"name": f"n{number}", "listen": f"{HOST}:{free_port()}", "discovery": f"{HOST}:9",
-                "seed": "8c1f30d27a5be964", "limits": {"sockets": 256},
-                "known": {"index": 1, "snapshot": True, "endpoints": [
-                    {"name": "w", "address": f"{HOST}:9", "zone": "a", "type": "m", "group": 0,
-                     "status": "ready", "weight": 1.0, "since_ms": 0}]},
-                "settings": {**settings_of(self.count, 0, random.Random(0)), "myNumber": number,
-                             "locality": "a"}}
+        return {
+            "name": f"n{number}",
+            "listen": f"{HOST}:{free_port()}",
+            "discovery": f"{HOST}:9",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"sockets": 256},
+            "known": {
+                "index": 1,
+                "snapshot": True,
+                "endpoints": [
+                    {
+                        "name": "w",
+                        "address": f"{HOST}:9",
+                        "zone": "a",
+                        "type": "m",
+                        "group": 0,
+                        "status": "ready",
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                ],
+            },
+            "settings": {**settings_of(self.count, 0, random.Random(0)), "myNumber": number, "locality": "a"},
+        }
 
     async def start(self) -> None:
         for relay in self.relays:
             await relay.start()
         for place in range(2):
             self.services.append(await self._service(place))
-        (self.folder / "operator.toml").write_text("[configuration]\naddresses = " + json.dumps(
-            [f"{HOST}:{relay.port}" for relay in self.relays]) + "\n")
+        (self.folder / "operator.toml").write_text(
+            "[configuration]\naddresses = "
+            + json.dumps([f"{HOST}:{relay.port}" for relay in self.relays])
+            + "\n"
+        )
         for number in range(self.count):
             (self.folder / f"n{number}.json").write_text(json.dumps(self._config(number)))
             self.gates.append(await self._gate(number))
-        await self.until(lambda: len({row[3] for row in self.rows() if row[0] == "asked"}) == self.count,
-                         START_S, "all ask")
+        await self.until(
+            lambda: len({row[3] for row in self.rows() if row[0] == "asked"}) == self.count,
+            START_S,
+            "all ask",
+        )
 
     async def _service(self, place: int) -> asyncio.subprocess.Process:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "plumpick.cli", "configuration", "serve", "--listen",
-            f"{HOST}:{self.ports[place]}", cwd=ROOT, stderr=asyncio.subprocess.DEVNULL)
+            sys.executable,
+            "-m",
+            "plumpick.cli",
+            "configuration",
+            "serve",
+            "--listen",
+            f"{HOST}:{self.ports[place]}",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.DEVNULL,
+        )
         end = time.monotonic() + START_S
         while time.monotonic() < end:
             try:
@@ -191,10 +242,19 @@
     async def _gate(self, number: int) -> asyncio.subprocess.Process:
         with open(self.folder / f"n{number}.log", "ab") as log:
             return await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "benchmarks.configuration.witness", cwd=ROOT, stderr=log,
-                env={**os.environ, "BALANCER_CONFIG": str(self.folder / f"n{number}.json"),
-                     "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"),
-                     "WITNESS_FILE": str(self.folder / f"n{number}.jsonl"), "WITNESS_PLANT": self.plant})
+                sys.executable,
+                "-m",
+                "benchmarks.configuration.witness",
+                cwd=ROOT,
+                stderr=log,
+                env={
+                    **os.environ,
+                    "BALANCER_CONFIG": str(self.folder / f"n{number}.json"),
+                    "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"),
+                    "WITNESS_FILE": str(self.folder / f"n{number}.jsonl"),
+                    "WITNESS_PLANT": self.plant,
+                },
+            )
 
     async def close(self) -> None:
         for task in self.tasks:
@@ -219,8 +279,9 @@
 
     def died(self) -> list[str]:
         """Gatekeepers that ended by themselves. Raises StartFailed where another process had their port."""
-        gone = [name for name, gate in zip(self.names, self.gates, strict=True)
-                if gate.returncode is not None]
+        gone = [
+            name for name, gate in zip(self.names, self.gates, strict=True) if gate.returncode is not None
+        ]
         for line in self.ends():
             if line.partition(":")[0] in gone and "ddress already in use" in line:
                 raise StartFailed(line)
@@ -252,14 +313,19 @@
         except SettingsError:
             mark = ""
         self.published[self.number] = Published(mark, now + later_ms, now)
-        return {"version": self.number, "digest": digest(settings), "in_force_ms": now + later_ms,
-                "settings": settings}
+        return {
+            "version": self.number,
+            "digest": digest(settings),
+            "in_force_ms": now + later_ms,
+            "settings": settings,
+        }
 
     async def put(self, value: dict[str, Any], places: tuple[int, ...] = (0, 1)) -> None:
         for place in places:
             try:
-                await asyncio.wait_for(asyncio.to_thread(
-                    ask, (HOST, self.ports[place]), "PUT", PATH, value), 3.0)
+                await asyncio.wait_for(
+                    asyncio.to_thread(ask, (HOST, self.ports[place]), "PUT", PATH, value), 3.0
+                )
             except (Failed, TimeoutError):
                 pass  # it is down, or stands still
 
@@ -285,8 +351,11 @@
         """One change or fault; most faults heal by themselves."""
         chance = self.chance
         self.events.append(f"{kind} at {unix_ms():.0f}, version {self.number}")
-        weather = Weather(drop=chance.choice((0, 0, 0.3)), double=chance.choice((0, 0.3)),
-                          delay_ms=chance.choice(((0, 2), (0, 2), (0, 400))))
+        weather = Weather(
+            drop=chance.choice((0, 0, 0.3)),
+            double=chance.choice((0, 0.3)),
+            delay_ms=chance.choice(((0, 2), (0, 2), (0, 400))),
+        )
         if kind == "late":
             weather.late = 0.6
         elif kind == "altered":
@@ -392,27 +461,36 @@
         def lack() -> set[str]:
             have = {row[2] for row in self.rows() if row[0] == "force" and row[4] == last}
             return {self.names[place] for place, gate in enumerate(self.gates) if gate.pid not in have}
+
         wanted = {self.names[still]} if still >= 0 else set()
         await self.until(lambda: lack() <= wanted, (begin + TOLD_MS - unix_ms()) / 1000, "")
-        wrong = [f"{name} lacks version {last} {TOLD_MS / 1000:g} s after it was published"
-                 for name in sorted(lack() - wanted)]
+        wrong = [
+            f"{name} lacks version {last} {TOLD_MS / 1000:g} s after it was published"
+            for name in sorted(lack() - wanted)
+        ]
         if still >= 0:
             await asyncio.sleep(max(0.0, begin + TOLD_MS + 2500 - unix_ms()) / 1000)
-            states = [(await asyncio.to_thread(ask, (HOST, self.ports[place]), "GET", f"{PATH}/status"))[1]
-                      for place in alive]
+            states = [
+                (await asyncio.to_thread(ask, (HOST, self.ports[place]), "GET", f"{PATH}/status"))[1]
+                for place in alive
+            ]
             lines, _ = summary(states)
             if not any(self.names[still] in line or f"by number: {still}" in line for line in lines):
                 wrong.append(f"status does not name {self.names[still]}: {lines}")
             self.gates[still].send_signal(signal.SIGCONT)
             if not await self.until(lambda: self.names[still] not in lack(), TOLD_MS / 1000, ""):
                 wrong.append(f"{self.names[still]} lacks version {last} after it went on")
-        times = [row[1] - begin for row in self.rows()
-                 if row[0] == "force" and row[4] == last and row[3] not in wanted]
+        times = [
+            row[1] - begin
+            for row in self.rows()
+            if row[0] == "force" and row[4] == last and row[3] not in wanted
+        ]
         return wrong, times
 
 
-async def play(seed: int, gatekeepers: int, plant: str = "", cases: int = 0,
-               only: list[str] | None = None) -> Outcome:
+async def play(
+    seed: int, gatekeepers: int, plant: str = "", cases: int = 0, only: list[str] | None = None
+) -> Outcome:
     """Play one trial; `cases`: so many kinds of steps alone are drawn (0: all), or those of `only`."""
     with tempfile.TemporaryDirectory(prefix="plumpick-") as name:
         trial = Trial(seed, gatekeepers, plant, Path(name))
--- a/benchmarks/configuration/witness.py
+++ b/benchmarks/configuration/witness.py
@@ -32,6 +32,7 @@
 
     if os.environ.get("WITNESS_PLANT"):
         from benchmarks.configuration.plants import plant
+
         plant(os.environ["WITNESS_PLANT"])
     file = os.open(os.environ["WITNESS_FILE"], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
@@ -60,6 +61,7 @@
     async def asks(self: Any, call: Any) -> bytes:
         write("asked", call.address)
         return await ask(self, call)
+
     Gatekeeper.reconfigure = reconfigure  # type: ignore[method-assign]
     Versions.take, Versions.put = takes, puts  # type: ignore[method-assign]
     Source._call = asks  # type: ignore[method-assign]
--- a/benchmarks/daemon_start.py
+++ b/benchmarks/daemon_start.py
@@ -24,8 +24,13 @@
     """Seconds, CPU seconds and peak memory in MB of one start."""
     began = time.perf_counter()
     environment = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
-    process = subprocess.Popen([sys.executable, "-m", "plumpick"], cwd=folder, env=environment,
-                               stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "plumpick"],
+        cwd=folder,
+        env=environment,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+    )
     _, status, usage = os.wait4(process.pid, 0)
     process.returncode = os.waitstatus_to_exitcode(status)
     if process.returncode != 2:
@@ -44,7 +49,8 @@
         rows["here"].append(start(HERE))
         rows["other"].append(start(given.other))
     here, other = (
-        [statistics.median(column) for column in zip(*rows[name][2:], strict=True)] for name in rows)
+        [statistics.median(column) for column in zip(*rows[name][2:], strict=True)] for name in rows
+    )
     for name, mine, theirs in zip(("seconds", "CPU seconds", "peak MB"), here, other, strict=True):
         print(f"{name:12} here {mine:8.3f}  other {theirs:8.3f}  ratio {mine / theirs:.3f}")
 
--- a/benchmarks/gray/rules.py
+++ b/benchmarks/gray/rules.py
@@ -209,5 +209,11 @@
         """Nothing is ever overdue."""
 
 
-RULES = {"plumpick": Controller, "before": Before, "fixed cap": Fixed, "AIMD": Aimd, "gradient": Gradient,
-         "ejection": Ejecting}
+RULES = {
+    "plumpick": Controller,
+    "before": Before,
+    "fixed cap": Fixed,
+    "AIMD": Aimd,
+    "gradient": Gradient,
+    "ejection": Ejecting,
+}
--- a/benchmarks/gray/run.py
+++ b/benchmarks/gray/run.py
@@ -27,9 +27,17 @@
 FAMILY += [Failure("late", "server"), Failure("late", "class")]
 FAMILY += [Failure(kind, where) for kind in ("unread", "fast-error") for where in ("server", "hall")]
 FAMILY += [Failure("release", "everywhere", 0.2)]  # what `hunt` found to cost most
-THIN = [Failure(), Failure("swallow", "everywhere", 0.05), Failure("swallow", "everywhere", 0.3),
-        Failure("swallow", "server", 0.3), Failure("half-speed", "server"), Failure("unread", "server"),
-        Failure("unread", "hall"), Failure("fast-error", "server"), Failure("liar", "hall")]
+THIN = [
+    Failure(),
+    Failure("swallow", "everywhere", 0.05),
+    Failure("swallow", "everywhere", 0.3),
+    Failure("swallow", "server", 0.3),
+    Failure("half-speed", "server"),
+    Failure("unread", "server"),
+    Failure("unread", "hall"),
+    Failure("fast-error", "server"),
+    Failure("liar", "hall"),
+]
 THIN_GATEWAYS, THIN_LOADS, THIN_SPREAD = (30, 100), (0.6, 0.8), 3
 
 
@@ -53,14 +61,20 @@
     flags.add_argument("--thin", action="store_true")
     given = flags.parse_args()
     counts = THIN_GATEWAYS if given.thin else (given.gateways,)
-    cases = [(rule, failure, load, gateways, given.servers, seed, THIN_SPREAD if given.thin else 1)
-             for gateways in counts for failure in (THIN if given.thin else FAMILY)
-             if given.only in str(failure) for load in (THIN_LOADS if given.thin else given.loads)
-             for seed in range(1, given.seeds + 1) for rule in given.rules]
+    cases = [
+        (rule, failure, load, gateways, given.servers, seed, THIN_SPREAD if given.thin else 1)
+        for gateways in counts
+        for failure in (THIN if given.thin else FAMILY)
+        if given.only in str(failure)
+        for load in (THIN_LOADS if given.thin else given.loads)
+        for seed in range(1, given.seeds + 1)
+        for rule in given.rules
+    ]
     with ProcessPoolExecutor(given.jobs) as pool:
         results = list(pool.map(one, cases, chunksize=2))
     table: defaultdict[tuple[str, ...], defaultdict[str, list[dict[str, float]]]] = defaultdict(
-        lambda: defaultdict(list))
+        lambda: defaultdict(list)
+    )
     for case, result in zip(cases, results, strict=True):
         key = (str(case[1]),) + ((f"{case[2]:g}",) if given.full else ())
         key += (f"{case[3]} gateways",) if given.thin else ()
@@ -78,13 +92,17 @@
     print("|" + " --- |" * 8)
     for rule in given.rules:
         mine = [result for by_rule in table.values() for result in by_rule[rule]]
-        behind = max(max(rows[other][place] for other in given.rules) - rows[rule][place]
-                     for place in range(len(rows[rule])))
-        print(f"| {rule} | {mean(rows[rule]):.3f} | {min(rows[rule]):.3f} | {behind:.3f} | "
-              f"{mean(result['wrong'] for result in mine):.4f} | "
-              f"{mean(result['waiting'] for result in mine):.2f} | "
-              f"{mean(result['further'] for result in mine):.3f} | "
-              f"{sum(result['broken'] for result in mine):.0f} |")
+        behind = max(
+            max(rows[other][place] for other in given.rules) - rows[rule][place]
+            for place in range(len(rows[rule]))
+        )
+        print(
+            f"| {rule} | {mean(rows[rule]):.3f} | {min(rows[rule]):.3f} | {behind:.3f} | "
+            f"{mean(result['wrong'] for result in mine):.4f} | "
+            f"{mean(result['waiting'] for result in mine):.2f} | "
+            f"{mean(result['further'] for result in mine):.3f} | "
+            f"{sum(result['broken'] for result in mine):.0f} |"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/gray/world.py
+++ b/benchmarks/gray/world.py
@@ -75,8 +75,12 @@
         """Whether an attempt of that class at that server is where it is."""
         if self.kind in ("liar", "release"):
             return False
-        return {"everywhere": True, "server": server == 0, "hall": hall == HALLS[0],
-                "class": name == "hours-debit"}[self.where]
+        return {
+            "everywhere": True,
+            "server": server == 0,
+            "hall": hall == HALLS[0],
+            "class": name == "hours-debit",
+        }[self.where]
 
     def __str__(self) -> str:
         part = f" {100 * self.share:g} %" if self.kind in ("swallow", "release") else ""
@@ -329,8 +333,11 @@
                     action = Tell(action.receiver, lie(world.codec, action.data))
                 for other in world.gateways:
                     if other is not self and action.receiver in (other.number, -1):
-                        clock.at(clock.now + world.rng.uniform(1.6, 39), other.notice,
-                                 Heard(self.number, action.data))
+                        clock.at(
+                            clock.now + world.rng.uniform(1.6, 39),
+                            other.notice,
+                            Heard(self.number, action.data),
+                        )
 
     def final(self, number: int, result: str) -> None:
         one = self.tries.get(number)
@@ -344,8 +351,11 @@
             one = self.tries[job.request]
             for machine in self.world.machines:
                 machine.cancelled(job)
-            self.notice(Outcome(job.request, job.number, "", self.world.clock.now - job.sent, result,
-                                bool(one.result)))
+            self.notice(
+                Outcome(
+                    job.request, job.number, "", self.world.clock.now - job.sent, result, bool(one.result)
+                )
+            )
 
     def timed_out(self, job: Job) -> None:
         self.drop(job, Result.TIMEOUT)
@@ -358,8 +368,17 @@
         one = self.tries[job.request]
         if result is Result.OK:
             self.final(job.request, "served")
-        self.notice(Outcome(job.request, job.number, "", self.world.clock.now - job.sent, result,
-                            bool(one.result), load=report))
+        self.notice(
+            Outcome(
+                job.request,
+                job.number,
+                "",
+                self.world.clock.now - job.sent,
+                result,
+                bool(one.result),
+                load=report,
+            )
+        )
 
     def came(self, number: int, one: Try) -> None:
         self.tries[number] = one
@@ -378,8 +397,16 @@
 class World:
     """A run: so many gateways with a rule each, so many servers, a load and a failure."""
 
-    def __init__(self, make: Callable[[Settings, int], Rule], failure: Failure, load: float, gateways: int,
-                 servers: int, seed: int, spread: int = 1) -> None:
+    def __init__(
+        self,
+        make: Callable[[Settings, int], Rule],
+        failure: Failure,
+        load: float,
+        gateways: int,
+        servers: int,
+        seed: int,
+        spread: int = 1,
+    ) -> None:
         """`spread`: so many gateways keep a customer's quota together; above 1 they have to talk."""
         self.failure, self.seed, self.clock, self.spread = failure, seed, Clock(), spread
         self.rng = random.Random(f"{seed}/world")
@@ -390,11 +417,24 @@
         self.gateways = []
         for number in range(gateways):
             settings = Settings(
-                gateways=gateways, number=number, zone=HALLS[number % 3], classes=CLASSES, plans=plans,
-                warm_up_ms=WARM_UP_MS, cold_from=COLD_FROM, fall_multiple=2.5, fall_window_ms=1000,
-                max_attempts=5, tick_ms=TICK_MS, may_tell=True, second_copies=True,
-                max_retry_after_ms=1000.0, inbox_per_s=60.0,
-                report_how="answers", report_fields=("util", "latency_ms"))
+                gateways=gateways,
+                number=number,
+                zone=HALLS[number % 3],
+                classes=CLASSES,
+                plans=plans,
+                warm_up_ms=WARM_UP_MS,
+                cold_from=COLD_FROM,
+                fall_multiple=2.5,
+                fall_window_ms=1000,
+                max_attempts=5,
+                tick_ms=TICK_MS,
+                may_tell=True,
+                second_copies=True,
+                max_retry_after_ms=1000.0,
+                inbox_per_s=60.0,
+                report_how="answers",
+                report_fields=("util", "latency_ms"),
+            )
             self.codec = Codec(settings)
             self.gateways.append(Gateway(self, number, make(settings, seed * 1000 + number)))
         capacity = sum(machine.speed for machine in self.machines) * CORES
@@ -424,8 +464,12 @@
 
     def tell_fleet(self) -> None:
         """Discovery tells every gateway the servers as they are."""
-        servers = tuple(Server(machine.name, machine.hall, machine.number // 3, machine.state,
-                               started_ms=machine.started_ms) for machine in self.machines)
+        servers = tuple(
+            Server(
+                machine.name, machine.hall, machine.number // 3, machine.state, started_ms=machine.started_ms
+            )
+            for machine in self.machines
+        )
         for gateway in self.gateways:
             gateway.notice(Fleet(servers))
 
@@ -456,9 +500,15 @@
         worth = {kind.name: kind.worth for kind in CLASSES}
         aims = {kind.name: kind.aim_ms for kind in CLASSES}
         offered = sum(worth[one.name] for one in tries)
-        good = sum(worth[one.name] for one in tries
-                   if one.result == "served" and one.answered - one.came <= aims[one.name])
-        return {"service": good / offered,
-                "wrong": sum(one.idle for one in tries) / len(tries),
-                "waiting": sum(machine.waited for machine in self.machines) / END_MS / len(self.machines),
-                "further": self.further / max(1, self.firsts), "broken": float(self.broken)}
+        good = sum(
+            worth[one.name]
+            for one in tries
+            if one.result == "served" and one.answered - one.came <= aims[one.name]
+        )
+        return {
+            "service": good / offered,
+            "wrong": sum(one.idle for one in tries) / len(tries),
+            "waiting": sum(machine.waited for machine in self.machines) / END_MS / len(self.machines),
+            "further": self.further / max(1, self.firsts),
+            "broken": float(self.broken),
+        }
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -40,7 +40,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 HOST = "127.0.0.1"
 GATE_CORE, STUB_CORES, PEER_CORES, CLIENT_CORES = "0", "1,2", "5,6", "3,4"
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: {\"util\":0.2,\"latency_ms\":20}\r\n\r\nok"
+ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Load: {"util":0.2,"latency_ms":20}\r\n\r\nok'
 WARM_S = 0.6
 BUDGET = """[fleet]
 voters = [0, 1, 2]
@@ -66,11 +66,16 @@
 
 PLAIN = Case("plain c16")
 CASES = (
-    PLAIN, replace(PLAIN, name="plain c1", clients=1), replace(PLAIN, name="plain c64", clients=64),
-    Case("home-here c16", plan="basico", firms=20), Case("home-peer c16", plan="basico", home=1, firms=20),
+    PLAIN,
+    replace(PLAIN, name="plain c1", clients=1),
+    replace(PLAIN, name="plain c64", clients=64),
+    Case("home-here c16", plan="basico", firms=20),
+    Case("home-peer c16", plan="basico", home=1, firms=20),
     Case("home-peer c1", clients=1, plan="basico", home=1, firms=20),
-    replace(PLAIN, name="plain w100", workers=100), replace(PLAIN, name="plain w1000", workers=1000),
-    replace(PLAIN, name="plain f1000", firms=1000), replace(PLAIN, name="plain f50000", firms=50_000),
+    replace(PLAIN, name="plain w100", workers=100),
+    replace(PLAIN, name="plain w1000", workers=1000),
+    replace(PLAIN, name="plain f1000", firms=1000),
+    replace(PLAIN, name="plain f50000", firms=50_000),
 )
 
 
@@ -115,7 +120,8 @@
 
     async def dial(self) -> None:
         _, back = await asyncio.get_running_loop().create_connection(
-            lambda: Back(self.transport), HOST, random.choice(self.targets))
+            lambda: Back(self.transport), HOST, random.choice(self.targets)
+        )
         self.other = back.transport
         self.other.write(self.waiting)
 
@@ -249,13 +255,21 @@
     def __init__(self, case: Case) -> None:
         self.case, self.serial, self.took, self.wrong = case, itertools.count(), list[float](), 0
         names = (f"{number:016x}" for number in itertools.count(1))
-        self.firms = itertools.cycle([firm.encode() for firm in itertools.islice(
-            (name for name in names if zlib.crc32(name.encode()) % 3 == case.home), case.firms)])
+        self.firms = itertools.cycle(
+            [
+                firm.encode()
+                for firm in itertools.islice(
+                    (name for name in names if zlib.crc32(name.encode()) % 3 == case.home), case.firms
+                )
+            ]
+        )
 
     def message(self) -> bytes:
-        return (b"GET /seat-check HTTP/1.1\r\nHost: a\r\nX-Request-Id: %016x\r\nX-Tier: %s\r\n"
-                b"X-Api-Key: %s\r\nX-Deadline-Ms: 2000\r\nX-Call-Terms: units=1,spread=3,first=0\r\n\r\n" % (
-                    next(self.serial), self.case.plan.encode(), next(self.firms)))
+        return (
+            b"GET /seat-check HTTP/1.1\r\nHost: a\r\nX-Request-Id: %016x\r\nX-Tier: %s\r\n"
+            b"X-Api-Key: %s\r\nX-Deadline-Ms: 2000\r\nX-Call-Terms: units=1,spread=3,first=0\r\n\r\n"
+            % (next(self.serial), self.case.plan.encode(), next(self.firms))
+        )
 
     def answered(self, head: bytes, took: float) -> None:
         self.took.append(took)
@@ -264,8 +278,9 @@
     async def run(self, port: int, pid: int, seconds: float) -> dict[str, float]:
         """The figures of one run."""
         loop = asyncio.get_running_loop()
-        made = [await loop.create_connection(lambda: Client(self), HOST, port)
-                for _ in range(self.case.clients)]
+        made = [
+            await loop.create_connection(lambda: Client(self), HOST, port) for _ in range(self.case.clients)
+        ]
         await asyncio.sleep(WARM_S)
         self.took.clear()
         self.wrong, cpu, began = 0, cpu_of(pid), time.perf_counter()
@@ -275,8 +290,14 @@
         for transport, _ in made:
             transport.abort()
         count = max(1, len(took))
-        return {"rate": len(took) / gone, "cpu_us": cpu / count * 1e6, "p50": took[count // 2] * 1000,
-                "p99": took[int(count * 0.99)] * 1000, "mb": peak_of(pid), "wrong": wrong}
+        return {
+            "rate": len(took) / gone,
+            "cpu_us": cpu / count * 1e6,
+            "p50": took[count // 2] * 1000,
+            "p99": took[int(count * 0.99)] * 1000,
+            "mb": peak_of(pid),
+            "wrong": wrong,
+        }
 
 
 def cpu_of(pid: int) -> float:
@@ -298,20 +319,35 @@
 def configuration(number: int, listen: int, peers: list[int], workers: list[int]) -> dict[str, Any]:
     """A gatekeeper's file. Its discovery answers nothing: it starts from the known list."""
     settings = {
-        "balancers": 3, "myNumber": number, "locality": "a", "tickMs": 4.0, "azs": ["a"],
-        "classes": [{"name": "seat-check", "aimMs": 750, "deadlineMs": 2000, "worth": 3,
-                     "repeat": "retryable"}],
+        "balancers": 3,
+        "myNumber": number,
+        "locality": "a",
+        "tickMs": 4.0,
+        "azs": ["a"],
+        "classes": [
+            {"name": "seat-check", "aimMs": 750, "deadlineMs": 2000, "worth": 3, "repeat": "retryable"}
+        ],
         "packages": [{"name": "free"}, {"name": "basico", "perSecond": 100_000, "storeSize": 30}],
         "rules": {"warmUpMs": 17_000, "coldFrom": 0.25, "fallMultiple": 2.5, "tipAfterMs": 1000},
         "limits": {"maxAttempts": 5, "mayTell": True, "cancel": True},
         "report": {"how": "answers", "fields": ["util", "latency_ms"]},
-        "domain": {"inboxPerS": 0}}
-    listed = [{"name": f"w{place}", "zone": "a", "group": place, "status": "ready",
-               "address": f"{HOST}:{port}"} for place, port in enumerate(workers)]
-    return {"name": f"n{number}", "listen": f"{HOST}:{listen}", "discovery": f"{HOST}:9", "seed": "7",
-            "limits": {"sockets": 4096}, "settings": settings, "known": {"index": 1, "snapshot": True,
-                                                                         "endpoints": listed},
-            "peers": [f"{HOST}:{port}" for port in peers], "peer_listen": f"{HOST}:{peers[number]}"}
+        "domain": {"inboxPerS": 0},
+    }
+    listed = [
+        {"name": f"w{place}", "zone": "a", "group": place, "status": "ready", "address": f"{HOST}:{port}"}
+        for place, port in enumerate(workers)
+    ]
+    return {
+        "name": f"n{number}",
+        "listen": f"{HOST}:{listen}",
+        "discovery": f"{HOST}:9",
+        "seed": "7",
+        "limits": {"sockets": 4096},
+        "settings": settings,
+        "known": {"index": 1, "snapshot": True, "endpoints": listed},
+        "peers": [f"{HOST}:{port}" for port in peers],
+        "peer_listen": f"{HOST}:{peers[number]}",
+    }
 
 
 class Processes(ExitStack):
@@ -324,16 +360,22 @@
 
     def role(self, cores: str, role: str, listen: list[int], targets: list[int]) -> subprocess.Popen[str]:
         """One of the roles of this file."""
-        process = self.start(cores, [sys.executable, "-m", "benchmarks.hot_path", "--role", role], cwd=ROOT,
-                             stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+        process = self.start(
+            cores,
+            [sys.executable, "-m", "benchmarks.hot_path", "--role", role],
+            cwd=ROOT,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+        )
         assert process.stdin is not None and process.stdout is not None
         process.stdin.write(json.dumps([listen, targets]) + "\n")
         process.stdin.flush()
         assert process.stdout.readline() == "up\n"
         return process
 
-    def gatekeepers(self, tree: Path, folder: Path, workers: list[int],
-                    operator: str = "") -> tuple[int, int]:
+    def gatekeepers(
+        self, tree: Path, folder: Path, workers: list[int], operator: str = ""
+    ) -> tuple[int, int]:
         """Three of them; the port and process of the first. `operator`: their operator's own file."""
         more = {}
         if operator:
@@ -344,9 +386,13 @@
         for number in (2, 1, 0):
             path = folder / f"{number}.json"
             path.write_text(json.dumps(configuration(number, listen[number], peers, workers)))
-            process = self.start(PEER_CORES if number else GATE_CORE, [sys.executable, "-m", "plumpick"],
-                                 cwd=tree, env={**os.environ, "BALANCER_CONFIG": str(path), **more},
-                                 stderr=subprocess.DEVNULL)
+            process = self.start(
+                PEER_CORES if number else GATE_CORE,
+                [sys.executable, "-m", "plumpick"],
+                cwd=tree,
+                env={**os.environ, "BALANCER_CONFIG": str(path), **more},
+                stderr=subprocess.DEVNULL,
+            )
             first = process.pid
         for port in listen:
             wait_up(port)
@@ -375,7 +421,7 @@
         processes.role(STUB_CORES, "stub", workers, [])
         port, pid = workers[0], 0
         if side in ("relay", "proxy"):
-            port, = ports(1)
+            (port,) = ports(1)
             pid = processes.role(GATE_CORE, side, [port], workers).pid
         elif side != "worker alone":
             port, pid = processes.gatekeepers(tree, Path(folder), workers, BUDGET if side == "budget" else "")
@@ -395,13 +441,18 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     if given.role:
         listen, targets = json.loads(sys.stdin.readline())
-        makers: dict[str, Any] = {"stub": Stub, "relay": lambda: Relay(targets),
-                                  "proxy": lambda: Proxy(targets)}
+        makers: dict[str, Any] = {
+            "stub": Stub,
+            "relay": lambda: Relay(targets),
+            "proxy": lambda: Proxy(targets),
+        }
         uvloop.run(serve(makers[given.role], listen))
         return
     pin(CLIENT_CORES)
-    print("| case | side | requests/s | CPU us | p50 ms | p99 ms | peak MB | CPU by proxy's | not 200 |\n"
-          "|" + " --- |" * 9)
+    print(
+        "| case | side | requests/s | CPU us | p50 ms | p99 ms | peak MB | CPU by proxy's | not 200 |\n"
+        "|" + " --- |" * 9
+    )
     for case in CASES:
         if not any(part in case.name for part in given.cases):
             continue
@@ -414,13 +465,18 @@
         for _ in range(given.runs):
             for side, tree in sides.items():
                 rows[side].append(measure(side, case, tree, given.seconds))
+
         def of(side: str, name: str, rows: Any = rows) -> float:
             return median(row[name] for row in rows[side])
+
         for side in sides:
             ratio = f"{of(side, 'cpu_us') / of('proxy', 'cpu_us'):.2f}" if "proxy" in rows else ""
-            print(f"| {case.name} | {side} | {of(side, 'rate'):.0f} | {of(side, 'cpu_us'):.0f} | "
-                  f"{of(side, 'p50'):.2f} | {of(side, 'p99'):.2f} | {of(side, 'mb'):.1f} | {ratio} | "
-                  f"{sum(row['wrong'] for row in rows[side]):.0f} |", flush=True)
+            print(
+                f"| {case.name} | {side} | {of(side, 'rate'):.0f} | {of(side, 'cpu_us'):.0f} | "
+                f"{of(side, 'p50'):.2f} | {of(side, 'p99'):.2f} | {of(side, 'mb'):.1f} | {ratio} | "
+                f"{sum(row['wrong'] for row in rows[side]):.0f} |",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/many_firms.py
+++ b/benchmarks/many_firms.py
@@ -18,7 +18,19 @@
 
 from anisefront.control import FORGET_MS, Controller
 from anisefront.interface import (
-    Arrival, Cancel, ClientGone, Fleet, Outcome, Plan, Result, Send, Server, Settings, State, Tell, Wake,
+    Arrival,
+    Cancel,
+    ClientGone,
+    Fleet,
+    Outcome,
+    Plan,
+    Result,
+    Send,
+    Server,
+    Settings,
+    State,
+    Tell,
+    Wake,
     Woken,
 )
 from benchmarks.gray.world import CLASSES, COLD_FROM, TICK_MS, WARM_UP_MS
@@ -30,9 +42,20 @@
 def play(firms: int, gateways: int, seconds: float, traced: bool) -> dict[str, float]:
     """One run; the figures by name. `traced`: bytes are counted, which takes several times as long."""
     settings = Settings(
-        gateways=gateways, number=0, zone="a", classes=CLASSES, plans=PLANS, warm_up_ms=WARM_UP_MS,
-        cold_from=COLD_FROM, fall_multiple=2.5, fall_window_ms=1000, max_attempts=5, tick_ms=TICK_MS,
-        may_tell=True, inbox_per_s=60)
+        gateways=gateways,
+        number=0,
+        zone="a",
+        classes=CLASSES,
+        plans=PLANS,
+        warm_up_ms=WARM_UP_MS,
+        cold_from=COLD_FROM,
+        fall_multiple=2.5,
+        fall_window_ms=1000,
+        max_attempts=5,
+        tick_ms=TICK_MS,
+        may_tell=True,
+        inbox_per_s=60,
+    )
     control, now, serial = Controller(settings, 1), 1000.0, 0
     if traced:
         tracemalloc.start()
@@ -46,8 +69,11 @@
         now += TICK_MS
         while serial < firms and now < end and serial < firms * (1 - (end - now) / (seconds * 1000)):
             kind, plan = CLASSES[serial % 3], PLANS[serial % 10 == 0]
-            events.append(Arrival(serial, f"firm-{serial}", kind.name, plan.name, now + kind.deadline_ms, 1.0,
-                                  0, gateways))
+            events.append(
+                Arrival(
+                    serial, f"firm-{serial}", kind.name, plan.name, now + kind.deadline_ms, 1.0, 0, gateways
+                )
+            )
             later.append((now + kind.deadline_ms, ClientGone(serial)))
             serial += 1
         events += [event for at, event in later if at <= now]
@@ -70,10 +96,14 @@
             kept = float(len(control.quota.accounts) + len(control.quota.stores))
             most = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return {"entries": kept, "bytes": most, "median turn, ms": 1000 * median(turns),
-            "longest turn, ms": 1000 * max(turns),
-            "messages a second to one peer": max(told.values()) / seconds,
-            "entries after a long quiet": float(len(control.quota.accounts) + len(control.quota.stores))}
+    return {
+        "entries": kept,
+        "bytes": most,
+        "median turn, ms": 1000 * median(turns),
+        "longest turn, ms": 1000 * max(turns),
+        "messages a second to one peer": max(told.values()) / seconds,
+        "entries after a long quiet": float(len(control.quota.accounts) + len(control.quota.stores)),
+    }
 
 
 def main() -> None:
