--- a/benchmarks/module_cpu.py
+++ b/benchmarks/module_cpu.py
@@ -41,14 +41,23 @@
 
     world = World(Timed, Failure(), given.load, given.gateways, given.servers, given.seed, given.gateways)
     service = world.play()["service"]
-    return {"s": spent[0], "calls": calls[0], "service": service,
-            "tries": sum(len(gateway.tries) for gateway in world.gateways)}
+    return {
+        "s": spent[0],
+        "calls": calls[0],
+        "service": service,
+        "tries": sum(len(gateway.tries) for gateway in world.gateways),
+    }
 
 
 def child(directory: str, words: list[str]) -> dict[str, float]:
     """The same in a process of its own, with that checkout's module."""
-    done = subprocess.run([sys.executable, "-m", "benchmarks.module_cpu", "--child", directory, *words],
-                          cwd=ROOT, check=True, capture_output=True, text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.module_cpu", "--child", directory, *words],
+        cwd=ROOT,
+        check=True,
+        capture_output=True,
+        text=True,
+    )
     result: dict[str, float] = json.loads(done.stdout)
     return result
 
@@ -68,20 +77,27 @@
         sys.path.insert(0, given.child)
         print(json.dumps(play(given)))
         return
-    words = [word for name in ("gateways", "servers", "load", "seed")
-             for word in (f"--{name}", str(getattr(given, name)))]
+    words = [
+        word
+        for name in ("gateways", "servers", "load", "seed")
+        for word in (f"--{name}", str(getattr(given, name)))
+    ]
     sides = [str(ROOT)] + [given.against] * bool(given.against)
     rows: list[list[dict[str, float]]] = [[child(side, words) for side in sides] for _ in range(given.runs)]
     print("| module | us a try | us a call | calls a try | service |\n| --- | --- | --- | --- | --- |")
-    for place, name in enumerate(["this", "against"][:len(sides)]):
+    for place, name in enumerate(["this", "against"][: len(sides)]):
         mine = [row[place] for row in rows]
-        print(f"| {name} | {median(one['s'] / one['tries'] for one in mine) * 1e6:.0f} | "
-              f"{median(one['s'] / one['calls'] for one in mine) * 1e6:.0f} | "
-              f"{mine[0]['calls'] / mine[0]['tries']:.2f} | {mine[0]['service']:.3f} |")
+        print(
+            f"| {name} | {median(one['s'] / one['tries'] for one in mine) * 1e6:.0f} | "
+            f"{median(one['s'] / one['calls'] for one in mine) * 1e6:.0f} | "
+            f"{mine[0]['calls'] / mine[0]['tries']:.2f} | {mine[0]['service']:.3f} |"
+        )
     if given.against:
         ratios = sorted(row[0]["s"] / row[0]["tries"] / (row[1]["s"] / row[1]["tries"]) for row in rows)
-        print(f"CPU a try, this / against, pair by pair: {ratios[0]:.3f} to {ratios[-1]:.3f}, "
-              f"median {median(ratios):.3f}")
+        print(
+            f"CPU a try, this / against, pair by pair: {ratios[0]:.3f} to {ratios[-1]:.3f}, "
+            f"median {median(ratios):.3f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/ownership/__main__.py
+++ b/benchmarks/ownership/__main__.py
@@ -15,20 +15,30 @@
 from benchmarks.ownership.trial import BOUND_TERMS, Outcome, run
 from benchmarks.trials import outcomes, parser, quantile
 
+
 def summary(played: list[Outcome]) -> dict[str, Any]:
     """All trials together."""
     resumed = [value for one in played for value in one.resumed]
-    total = {key: sum(getattr(one.judged, key) for one in played)
-             for key in ("taken", "fenced", "again", "owners")}
-    return {"trials": len(played), "broken": sum(bool(one.broken) for one in played),
-            "overlaps": sum(len(one.judged.overlaps) for one in played),
-            "out_of_order": sum(len(one.judged.out_of_order) for one in played),
-            "doubles": sum(len(one.judged.doubles) for one in played),
-            "late": sum(len(one.judged.late) for one in played),
-            "stalled": sum(bool(one.stalled) for one in played), **total,
-            "resumed": {"count": len(resumed), "bound_terms": BOUND_TERMS,
-                        "p50": round(quantile(resumed, 0.5), 3), "p99": round(quantile(resumed, 0.99), 3),
-                        "max": round(max(resumed, default=float("nan")), 3)}}
+    total = {
+        key: sum(getattr(one.judged, key) for one in played) for key in ("taken", "fenced", "again", "owners")
+    }
+    return {
+        "trials": len(played),
+        "broken": sum(bool(one.broken) for one in played),
+        "overlaps": sum(len(one.judged.overlaps) for one in played),
+        "out_of_order": sum(len(one.judged.out_of_order) for one in played),
+        "doubles": sum(len(one.judged.doubles) for one in played),
+        "late": sum(len(one.judged.late) for one in played),
+        "stalled": sum(bool(one.stalled) for one in played),
+        **total,
+        "resumed": {
+            "count": len(resumed),
+            "bound_terms": BOUND_TERMS,
+            "p50": round(quantile(resumed, 0.5), 3),
+            "p99": round(quantile(resumed, 0.99), 3),
+            "max": round(max(resumed, default=float("nan")), 3),
+        },
+    }
 
 
 def main() -> int:
@@ -43,8 +53,11 @@
     for one in outcomes(given, run, plant, given.without != "fences"):
         played.append(one)
         for line in one.broken[:3]:
-            print(f"seed {one.seed}, {one.gatekeepers} gatekeepers, {' '.join(one.cases)}: {line}",
-                  file=sys.stderr, flush=True)
+            print(
+                f"seed {one.seed}, {one.gatekeepers} gatekeepers, {' '.join(one.cases)}: {line}",
+                file=sys.stderr,
+                flush=True,
+            )
     whole = summary(played)
     if given.json:
         print(json.dumps(whole))
--- a/benchmarks/ownership/plants.py
+++ b/benchmarks/ownership/plants.py
@@ -26,6 +26,7 @@
 
     def may(self: Any, slot: int, token: int) -> bool:
         return slot in self.member.holder.held
+
     Runner.may = may  # type: ignore[method-assign]
 
 
@@ -47,9 +48,14 @@
     "looks-never": _looks_never,
     "never-outdoes": _never_outdoes,
 }
-CASE_OF = {"forgets-silence": "amnesia", "counts-from-answer": "slow-answers",
-           "believes-late-answers": "slow-answers", "believes-late-gives": "turns",
-           "looks-never": "stops-before-the-look", "never-outdoes": "all-die"}  # made for it
+CASE_OF = {
+    "forgets-silence": "amnesia",
+    "counts-from-answer": "slow-answers",
+    "believes-late-answers": "slow-answers",
+    "believes-late-gives": "turns",
+    "looks-never": "stops-before-the-look",
+    "never-outdoes": "all-die",
+}  # made for it
 WITHOUT: dict[str, Callable[[], None]] = {"quorum": _alone}
 
 
--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -52,11 +52,19 @@
         self.lease = slot_of(DUTIES[0], tier.fleet["slots"])  # whose owner the cases are about
         self.resumed: list[float] = []
         self.cases: dict[str, Callable[[], Awaitable[None]]] = {
-            "owner-dies": self.owner_dies, "amnesia": self.amnesia, "slow-answers": self.slow_answers,
-            "stops-before-the-look": self.stops_before, "stops-after-the-look": self.stops_after,
-            "all-die": self.all_die, "turns": self.turns, "three-stops": self.three_stops,
-            "moving-split": self.moving_split, "deaf": self.deaf, "receiver": self.receiver,
-            "storm": self.storm}
+            "owner-dies": self.owner_dies,
+            "amnesia": self.amnesia,
+            "slow-answers": self.slow_answers,
+            "stops-before-the-look": self.stops_before,
+            "stops-after-the-look": self.stops_after,
+            "all-die": self.all_die,
+            "turns": self.turns,
+            "three-stops": self.three_stops,
+            "moving-split": self.moving_split,
+            "deaf": self.deaf,
+            "receiver": self.receiver,
+            "storm": self.storm,
+        }
         self.long = {"receiver-gone": self.receiver_gone}  # too long to be drawn: by name alone
 
     async def well(self) -> None:
@@ -71,6 +79,7 @@
         def owner() -> list[int]:
             number = self.tier.owner(self.lease)
             return [] if number is None else [number]
+
         return int((await self.tier.until(owner, 10, "an owner"))[0])
 
     async def owner_dies(self) -> None:
@@ -80,9 +89,18 @@
         await asyncio.sleep(self.chance.uniform(0, self.term_s / 3))
         begin = machine_ms()
         death = asyncio.create_task(tier.kill(number, 0.3))
-        taken = await tier.until(lambda: next((
-            row[1] for row in tier.look()
-            if row[0] == "held" and row[4] == self.lease and row[6] > begin), None), 10, "a next owner")
+        taken = await tier.until(
+            lambda: next(
+                (
+                    row[1]
+                    for row in tier.look()
+                    if row[0] == "held" and row[4] == self.lease and row[6] > begin
+                ),
+                None,
+            ),
+            10,
+            "a next owner",
+        )
         self.resumed.append((taken - begin) / 1000 / self.term_s)
         await death
 
@@ -100,9 +118,16 @@
 
         def renewed() -> list[int]:  # by whoever has it then: it may pass to a better one meanwhile
             number = tier.owner(self.lease)
-            return [number] if number is not None and any(
-                row[0] == "held" and row[2] == number and row[4] == self.lease and row[1] > begin
-                for row in tier.look()) else []
+            return (
+                [number]
+                if number is not None
+                and any(
+                    row[0] == "held" and row[2] == number and row[4] == self.lease and row[1] > begin
+                    for row in tier.look()
+                )
+                else []
+            )
+
         number = (await tier.until(renewed, 10, "a renewal"))[0]
         tier.relay.sides = [{number}]
         others = [voter for voter in tier.fleet["voters"] if voter != number]
@@ -116,8 +141,14 @@
         for part in (0.3, 0.42, 0.42):
             number, passed = await self._owner(), dict[int, int]()  # the serial that came to each voter
 
-            def hook(sender: int, receiver: int, data: bytes, number: int = number, part: float = part,
-                     passed: dict[int, int] = passed) -> float | None:
+            def hook(
+                sender: int,
+                receiver: int,
+                data: bytes,
+                number: int = number,
+                part: float = part,
+                passed: dict[int, int] = passed,
+            ) -> float | None:
                 word = decode(data)
                 if receiver == number:
                     return part * self.term_s * 1000 if word is not None and word.kind is Kind.ANSWER else 0.0
@@ -129,6 +160,7 @@
                     return None
                 passed[receiver] = word.serial
                 return 0.0
+
             tier.relay.hook = hook
             await asyncio.sleep(self.term_s * 2)
             tier.relay.hook = lambda _sender, _receiver, _data: 0.0
@@ -148,8 +180,9 @@
     async def all_die(self) -> None:
         """All at once, and back."""
         tier = self.tier
-        await asyncio.gather(*(tier.kill(number, self.chance.uniform(0, 1.0))
-                               for number in range(tier.gatekeepers)))
+        await asyncio.gather(
+            *(tier.kill(number, self.chance.uniform(0, 1.0)) for number in range(tier.gatekeepers))
+        )
 
     async def _call(self, number: int, line: str) -> None:
         try:
@@ -169,6 +202,7 @@
             if sender == one and word is not None and word.kind is Kind.GIVE:
                 gives.append((receiver, data))
             return 0.0
+
         tier.relay.hook = hook
         for again in range(2):
             await self._call(one, "DRAIN FLEET")
@@ -248,19 +282,31 @@
         await asyncio.gather(*work)
 
 
-async def play(seed: int, gatekeepers: int, plant: str = "", fenced: bool = True, cases: int = 3,
-               only: list[str] | None = None) -> Outcome:
+async def play(
+    seed: int,
+    gatekeepers: int,
+    plant: str = "",
+    fenced: bool = True,
+    cases: int = 3,
+    only: list[str] | None = None,
+) -> Outcome:
     """Play one trial: `cases` of them drawn (all where it is 0), or those of `only`."""
     chance = random.Random(f"{seed}/trial")
     drift = chance.choice((0.0, 0.01))
     environment = {"WITNESS_HINT": "1"} if chance.random() < 0.5 or plant == "never-outdoes" else {}
     term_s = PLANT_TERM_S if plant else chance.choice(TERMS_S)
     voters = 5 if gatekeepers >= 5 and chance.random() < 0.5 else 3
-    tier = Tier(gatekeepers, seed, {
-        "voters": list(range(voters)), "slots": 4, "turns": 1, "term_s": term_s, "drift": 0.01}, [
-        {"name": name, "kind": "call", "period_s": PERIOD_S, "limit_s": 3.0} for name in DUTIES],
-        plant=plant, rates=[1 + chance.choice((-1, 1)) * drift for _ in range(gatekeepers)], fenced=fenced,
-        management=True, environment=environment)
+    tier = Tier(
+        gatekeepers,
+        seed,
+        {"voters": list(range(voters)), "slots": 4, "turns": 1, "term_s": term_s, "drift": 0.01},
+        [{"name": name, "kind": "call", "period_s": PERIOD_S, "limit_s": 3.0} for name in DUTIES],
+        plant=plant,
+        rates=[1 + chance.choice((-1, 1)) * drift for _ in range(gatekeepers)],
+        fenced=fenced,
+        management=True,
+        environment=environment,
+    )
     trial = Trial(tier, chance)
     names = only or list(trial.cases)
     if not only:
--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -44,6 +44,7 @@
             sent[process.number][1] += len(data)
             taken[action.receiver] += 1
         inner(process, action)
+
     rig.acts = acts
     plans = {}
     for process in rig.processes:
@@ -58,6 +59,7 @@
             actions = handle(now_ms, events)
             cpu[place] += time.process_time() - begin
             return actions
+
         process.member.handle = timed
     rig.run(SECONDS * 1000, judge=False)
     for place, plan in plans.items():  # each duty of its slots once in the minute
@@ -72,14 +74,21 @@
 
     def mean(values: list[float]) -> float:
         return round(sum(values) / len(values), 2) if values else 0.0
+
     row: dict[str, Any] = {"gatekeepers": gateways, "duties": number}
-    groups = {"others": [n for n in range(gateways) if n not in voters and n not in owners],
-              "owners": [n for n in owners if n is not None and n not in voters], "voters": sorted(voters)}
+    groups = {
+        "others": [n for n in range(gateways) if n not in voters and n not in owners],
+        "owners": [n for n in owners if n is not None and n not in voters],
+        "voters": sorted(voters),
+    }
     for name, group in groups.items():
-        row[name] = {"count": len(group), "sent_per_s": mean([sent[n][0] / SECONDS for n in group]),
-                     "bytes_per_s": mean([sent[n][1] / SECONDS for n in group]),
-                     "taken_per_s": mean([taken[n] / SECONDS for n in group]),
-                     "cpu_us_per_s": mean([cpu[n] / SECONDS * 1e6 for n in group])}
+        row[name] = {
+            "count": len(group),
+            "sent_per_s": mean([sent[n][0] / SECONDS for n in group]),
+            "bytes_per_s": mean([sent[n][1] / SECONDS for n in group]),
+            "taken_per_s": mean([taken[n] / SECONDS for n in group]),
+            "cpu_us_per_s": mean([cpu[n] / SECONDS * 1e6 for n in group]),
+        }
     row["voters"]["most_taken_per_s"] = round(max(taken[n] for n in voters) / SECONDS, 2)
     return row
 
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -58,12 +58,15 @@
         return False
 
     # The own bucket may hold its whole part of the burst, 1 / spread of it in sets of three and four.
-    return ({"OWN_PART": 1.0, "REST_CEILING": control.CEILING_USE, "HOME_CEILING": 0.0},
-            {"account": account, "request": request, "tell_home": lambda *_: None})
+    return (
+        {"OWN_PART": 1.0, "REST_CEILING": control.CEILING_USE, "HOME_CEILING": 0.0},
+        {"account": account, "request": request, "tell_home": lambda *_: None},
+    )
 
 
 def one_counter() -> tuple[Changes, Changes]:
     """As even_split."""
+
     def unanswered(self: Any, now: float, request: Request) -> bool:
         if request.answered:
             return False
@@ -98,8 +101,11 @@
 
 
 WAYS: dict[str, Callable[[], tuple[Changes, Changes]]] = {
-    "plumpick": lambda: ({}, {}), "even split": even_split, "one counter, open": one_counter,
-    "handed over, at best": handed_over}
+    "plumpick": lambda: ({}, {}),
+    "even split": even_split,
+    "one counter, open": one_counter,
+    "handed over, at best": handed_over,
+}
 
 
 @contextmanager
@@ -137,12 +143,19 @@
     with ProcessPoolExecutor(given.jobs) as pool:
         results = list(pool.map(one, [(name, seed) for name in given.ways for seed in seeds]))
     kinds = sorted(results[0][3])
-    print("| way | service | without failures | ratio | " + " | ".join(kinds) + " |\n|"
-          + " --- |" * (4 + len(kinds)))
+    print(
+        "| way | service | without failures | ratio | "
+        + " | ".join(kinds)
+        + " |\n|"
+        + " --- |" * (4 + len(kinds))
+    )
     for name in given.ways:
         mine = [result for result in results if result[0] == name]
-        cells = [f"{mean(beyond[kind] for *_, beyond in mine):.1f}, "
-                 f"at most {max(beyond[kind] for *_, beyond in mine):.1f}" for kind in kinds]
+        cells = [
+            f"{mean(beyond[kind] for *_, beyond in mine):.1f}, "
+            f"at most {max(beyond[kind] for *_, beyond in mine):.1f}"
+            for kind in kinds
+        ]
         service, calm = mean(one[1] for one in mine), mean(one[2] for one in mine)
         print(f"| {name} | {service:.3f} | {calm:.3f} | {service / calm:.3f} | " + " | ".join(cells) + " |")
 
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -46,8 +46,10 @@
         elif isinstance(record, Took) and record.id in self._asked:
             asked = self._asked.pop(record.id)
             terms = self._quotas[asked.plan]
-            for kind, rate, burst in (("quota", terms["rate"], terms["burst"]),
-                                      ("ceiling", terms["ceiling_rate"], terms["ceiling_burst"])):
+            for kind, rate, burst in (
+                ("quota", terms["rate"], terms["burst"]),
+                ("ceiling", terms["ceiling_rate"], terms["ceiling_burst"]),
+            ):
                 if not rate:
                     continue
                 level, at = self._levels.get((asked.firm, kind), (burst, record.t))
@@ -71,8 +73,14 @@
     """A case of what this is about."""
     rng = random.Random(f"splits {seed}")
     case = Case(seed, load=0.2, gatekeepers=rng.choice((3, 4)))
-    faults = [Fault("hot-firm", 2.5, 15.0, {"plan": rng.choice(("basico", "estandar", "amplio")),
-                                            "times": round(rng.uniform(3, 8), 2)})]
+    faults = [
+        Fault(
+            "hot-firm",
+            2.5,
+            15.0,
+            {"plan": rng.choice(("basico", "estandar", "amplio")), "times": round(rng.uniform(3, 8), 2)},
+        )
+    ]
     for kind in KINDS_HERE:
         for _ in range(rng.randint(0, 2)):
             for_s, with_ = KINDS[kind](rng, case)
@@ -95,12 +103,23 @@
     split = any(fault.kind == "split" for fault in case.faults)
     rows = []
     for plan in settings.plans:
-        rows.append(Row(
-            plan.name, round(windows.worst[plan.name, "quota"], 2),
-            together(plan, settings, case.seconds, spread=case.gatekeepers, restarts=restarts, split=split,
-                     loss=1 - (1 - loss) * (1 - world.fleet.scenario.peers.loss)),
-            round(windows.worst[plan.name, "ceiling"], 2),
-            beyond_ceiling(plan, settings, 1.0) if plan.ceiling_per_s else 0.0))
+        rows.append(
+            Row(
+                plan.name,
+                round(windows.worst[plan.name, "quota"], 2),
+                together(
+                    plan,
+                    settings,
+                    case.seconds,
+                    spread=case.gatekeepers,
+                    restarts=restarts,
+                    split=split,
+                    loss=1 - (1 - loss) * (1 - world.fleet.scenario.peers.loss),
+                ),
+                round(windows.worst[plan.name, "ceiling"], 2),
+                beyond_ceiling(plan, settings, 1.0) if plan.ceiling_per_s else 0.0,
+            )
+        )
     return result, rows
 
 
@@ -125,14 +144,18 @@
                 over += 1
                 print(f"seed {seed}: {result.rule}: {result.text}")
             for row in rows:
-                for kind, seen, bound in (("quota", row.quota, row.quota_bound),
-                                          ("ceiling", row.ceiling, row.ceiling_bound)):
+                for kind, seen, bound in (
+                    ("quota", row.quota, row.quota_bound),
+                    ("ceiling", row.ceiling, row.ceiling_bound),
+                ):
                     over += seen > bound
                     part = seen / bound if bound else 0.0
                     if part >= worst.get((row.plan, kind), (0.0, 0.0, -1.0, 0))[2]:
                         worst[row.plan, kind] = seen, bound, part, seed
-    print(f"{count} seeds, {over} over a bound\n| plan | of its | worst window | its bound | part | seed |\n"
-          "| --- | --- | --- | --- | --- | --- |")
+    print(
+        f"{count} seeds, {over} over a bound\n| plan | of its | worst window | its bound | part | seed |\n"
+        "| --- | --- | --- | --- | --- | --- |"
+    )
     for (plan, kind), (seen, bound, part, seed) in sorted(worst.items()):
         print(f"| {plan} | {kind} | {seen:.1f} units beyond | {bound:.1f} | {part:.2f} | {seed} |")
     return 1 if over else 0
--- a/benchmarks/reconfigure.py
+++ b/benchmarks/reconfigure.py
@@ -13,7 +13,16 @@
 
 from anisefront.control import Controller
 from anisefront.interface import (
-    Arrival, Fleet, Plan, Reconfigure, Repeat, RequestClass, Said, Server, Settings, State,
+    Arrival,
+    Fleet,
+    Plan,
+    Reconfigure,
+    Repeat,
+    RequestClass,
+    Said,
+    Server,
+    Settings,
+    State,
 )
 
 TIMES = 20
@@ -23,13 +32,28 @@
 def settings(classes, **more):
     """A tier of 550 with so many classes."""
     values = dict(
-        gateways=550, number=7, zone="z0", tick_ms=4.0,
-        classes=tuple(RequestClass(f"route-{n}", 500.0 + n % 100, 2000.0, 1.0 + n % 3, Repeat.SAFE)
-                      for n in range(classes)),
-        plans=tuple(Plan(f"plan-{n}", 8.0, 16.0, ceiling_per_s=16.0, ceiling_burst=32.0)
-                    for n in range(PLANS)),
-        warm_up_ms=8000, cold_from=0.25, fall_multiple=3, fall_window_ms=1500, max_attempts=4, max_units=4,
-        may_tell=True, second_copies=True, max_retry_after_ms=1000, inbox_per_s=60)
+        gateways=550,
+        number=7,
+        zone="z0",
+        tick_ms=4.0,
+        classes=tuple(
+            RequestClass(f"route-{n}", 500.0 + n % 100, 2000.0, 1.0 + n % 3, Repeat.SAFE)
+            for n in range(classes)
+        ),
+        plans=tuple(
+            Plan(f"plan-{n}", 8.0, 16.0, ceiling_per_s=16.0, ceiling_burst=32.0) for n in range(PLANS)
+        ),
+        warm_up_ms=8000,
+        cold_from=0.25,
+        fall_multiple=3,
+        fall_window_ms=1500,
+        max_attempts=4,
+        max_units=4,
+        may_tell=True,
+        second_copies=True,
+        max_retry_after_ms=1000,
+        inbox_per_s=60,
+    )
     values.update(more)
     return Settings(**values)
 
@@ -37,25 +61,42 @@
 def filled(classes, accounts, servers, stores=2000):
     """A module with so much in its tables; as many open requests as stores."""
     control = Controller(settings(classes), 1)
-    control.handle(0.0, [Fleet(tuple(
-        Server(f"worker-{n}", f"z{n % 5}", n % 16, State.READY) for n in range(servers)))])
+    control.handle(
+        0.0, [Fleet(tuple(Server(f"worker-{n}", f"z{n % 5}", n % 16, State.READY) for n in range(servers)))]
+    )
     for n in range(accounts):
         name = f"{n:016x}"
         arrival = Arrival(n, name, "route-0", f"plan-{n % PLANS}", 1e9, 1.0, n % 550, 3)
         control.quota.account(0.0, arrival, control.plans[arrival.plan_name])
     now = 4.0
     for n in range(stores):  # some that are open, and stores of those whose home this is
-        control.handle(now, [Arrival(10**6 + n, f"{n:016x}", f"route-{n % classes}", f"plan-{n % PLANS}",
-                                     now + 1900.0, 1.0, 7, 1)])
+        control.handle(
+            now,
+            [
+                Arrival(
+                    10**6 + n,
+                    f"{n:016x}",
+                    f"route-{n % classes}",
+                    f"plan-{n % PLANS}",
+                    now + 1900.0,
+                    1.0,
+                    7,
+                    1,
+                )
+            ],
+        )
     return control, now
 
 
 def main():
-    classes, accounts, servers = (int(word) for word in sys.argv[1:4]) if len(sys.argv) > 3 else (
-        11_000, 40_000, 5_900)
+    classes, accounts, servers = (
+        (int(word) for word in sys.argv[1:4]) if len(sys.argv) > 3 else (11_000, 40_000, 5_900)
+    )
     control, now = filled(classes, accounts, servers)
-    print(f"{classes} classes, {len(control.quota.accounts)} accounts, {servers} servers, "
-          f"{len(control.quota.stores)} stores, {len(control.requests)} open, {PLANS} plans")
+    print(
+        f"{classes} classes, {len(control.quota.accounts)} accounts, {servers} servers, "
+        f"{len(control.quota.stores)} stores, {len(control.requests)} open, {PLANS} plans"
+    )
     base = settings(classes)
     fresh = RequestClass("fresh", 700.0, 2000.0, 1.0, Repeat.SAFE)
     kinds = {
@@ -67,7 +108,8 @@
         "a class less": replace(base, classes=base.classes[:-1]),
         "a plan less, the first": replace(base, plans=base.plans[1:]),
         "all plans' figures": replace(base, plans=tuple(replace(plan, burst=20.0) for plan in base.plans)),
-        "the warm-up": replace(base, warm_up_ms=9000.0)}
+        "the warm-up": replace(base, warm_up_ms=9000.0),
+    }
     for name, other in kinds.items():
         took = []
         for step in range(TIMES):
@@ -75,9 +117,16 @@
                 events = []
             else:
                 wanted = other if step % 2 == 0 else base
-                events = [Reconfigure(1, replace(
-                    wanted, classes=tuple(replace(kind) for kind in wanted.classes),
-                    plans=tuple(replace(plan) for plan in wanted.plans)))]
+                events = [
+                    Reconfigure(
+                        1,
+                        replace(
+                            wanted,
+                            classes=tuple(replace(kind) for kind in wanted.classes),
+                            plans=tuple(replace(plan) for plan in wanted.plans),
+                        ),
+                    )
+                ]
             now += 0.001  # no period comes meanwhile
             began = time.perf_counter()
             actions = control.handle(now, events)
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -81,8 +81,15 @@
     if others:
         note += " other rules: " + ", ".join(f"{rule} {count}" for rule, count in others.items())
     lag = max((report["lag_ms"]["max"] for report in reports if "lag_ms" in report), default=0.0)
-    return (plant or "none", scenario, f"{right} of {len(reports)}", str(codes[3]),
-        str(sum(report["again"] for report in reports)), f"{lag:.0f}", note)
+    return (
+        plant or "none",
+        scenario,
+        f"{right} of {len(reports)}",
+        str(codes[3]),
+        str(sum(report["again"] for report in reports)),
+        f"{lag:.0f}",
+        note,
+    )
 
 
 def main() -> int:
--- a/benchmarks/rehearsal_scale.py
+++ b/benchmarks/rehearsal_scale.py
@@ -63,17 +63,26 @@
         path = Path(folder) / "scale.toml"
         path.write_text(SCENARIO.format(seconds=SECONDS, gatekeepers=gatekeepers, servers=servers, rate=rate))
         command = [sys.executable, "-m", "plumpick.cli", "rehearse", str(path), "--quiet", "--seed", "1"]
-        process = subprocess.Popen([*command, "--report", folder], cwd=ROOT, stdout=subprocess.DEVNULL,
-                                   stderr=subprocess.DEVNULL)
+        process = subprocess.Popen(
+            [*command, "--report", folder], cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
+        )
         _, status, usage = os.wait4(process.pid, 0)
         process.returncode = os.waitstatus_to_exitcode(status)
         report = json.loads((Path(folder) / "report.json").read_text())
         history = sum(1 for _ in (Path(folder) / "history.jsonl").open())
     counts, lag = report["service"]["counts"], report["lag_ms"]
     broken = [rule for rule, one in report["rules"].items() if one["verdict"] == "broken"]
-    return (f"{rate:g}", f"{counts['first_tries'] / SECONDS:.0f}", f"{lag['p99']:.1f}", f"{lag['max']:.0f}",
-            f"{history / SECONDS:.0f}", f"{usage.ru_utime + usage.ru_stime:.0f}",
-            f"{report['service']['whole']:.3f}", ", ".join(broken) or "held", str(report["exit_code"]))
+    return (
+        f"{rate:g}",
+        f"{counts['first_tries'] / SECONDS:.0f}",
+        f"{lag['p99']:.1f}",
+        f"{lag['max']:.0f}",
+        f"{history / SECONDS:.0f}",
+        f"{usage.ru_utime + usage.ru_stime:.0f}",
+        f"{report['service']['whole']:.3f}",
+        ", ".join(broken) or "held",
+        str(report["exit_code"]),
+    )
 
 
 def main() -> None:
@@ -84,8 +93,10 @@
     flags.add_argument("--servers", type=int, default=60)
     given = flags.parse_args()
     print(f"{given.gatekeepers} gatekeepers, {given.servers} servers, {os.cpu_count()} cores\n")
-    print("| asked, a second | first tries a second | lag p99, ms | lag most, ms | records a second | "
-          "CPU s, kit and gatekeepers | served | rules | exit code |")
+    print(
+        "| asked, a second | first tries a second | lag p99, ms | lag most, ms | records a second | "
+        "CPU s, kit and gatekeepers | served | rules | exit code |"
+    )
     print("|" + " --- |" * 9)
     for rate in given.rates:
         print("| " + " | ".join(play(rate, given.gatekeepers, given.servers)) + " |", flush=True)
--- a/benchmarks/scale/chart.py
+++ b/benchmarks/scale/chart.py
@@ -28,13 +28,18 @@
             if seen:
                 place.plot(*zip(*seen, strict=True), marker="o", color=colour, label=limit)
         place.axhline(1.0, color="black", linewidth=1.5)
-        place.set(xscale="log", yscale="log", xlabel=name, xticks=[row["value"] for row in mine],
-                  xticklabels=[f"{row['value']:g}" for row in mine])
+        place.set(
+            xscale="log",
+            yscale="log",
+            xlabel=name,
+            xticks=[row["value"] for row in mine],
+            xticklabels=[f"{row['value']:g}" for row in mine],
+        )
         place.minorticks_off()
         place.grid(alpha=0.3)
     for row in places:
         row[0].set_ylabel("of the limit")
-    for place in list(places.flat)[len(axes):]:
+    for place in list(places.flat)[len(axes) :]:
         place.axis("off")
     handles, labels = places.flat[0].get_legend_handles_labels()
     figure.legend(handles, labels, loc="lower center", ncols=6)
--- a/benchmarks/scale/commands.py
+++ b/benchmarks/scale/commands.py
@@ -26,14 +26,45 @@
 MOST_JOBS, MOST_LIMIT_S = 8, 3600.0
 REAL_FAULTS = ("calm", "kill", "stop", "tenths", "regions")  # of a real tier of ten
 REAL_MOST = 64  # gatekeepers: with their stand-ins far from 300 processes
-COLUMNS = ("words_come_per_s", "crowded_part", "control_bytes_per_s", "control_cpu_percent",
-           "changing_cpu_percent", "serve_us_per_try", "list_change_ms", "core_p99_ms", "added_p50_ms",
-           "added_p99_ms", "memory_mb", "told_ms", "cold_sum", "beyond_part", "served_inside_part")
-FAULT_COLUMNS = ("served_inside_part", "words_come_per_s", "crowded_part", "control_cpu_percent",
-                 "added_p50_ms", "added_p99_ms", "told_ms", "cold_sum", "beyond_units", "beyond_part")
-
-REAL_COLUMNS = ("served_inside_part", "words_come_per_s", "added_p50_ms", "added_p99_ms", "told_ms",
-                "memory_mb", "stand_ins_lag_p99_ms")
+COLUMNS = (
+    "words_come_per_s",
+    "crowded_part",
+    "control_bytes_per_s",
+    "control_cpu_percent",
+    "changing_cpu_percent",
+    "serve_us_per_try",
+    "list_change_ms",
+    "core_p99_ms",
+    "added_p50_ms",
+    "added_p99_ms",
+    "memory_mb",
+    "told_ms",
+    "cold_sum",
+    "beyond_part",
+    "served_inside_part",
+)
+FAULT_COLUMNS = (
+    "served_inside_part",
+    "words_come_per_s",
+    "crowded_part",
+    "control_cpu_percent",
+    "added_p50_ms",
+    "added_p99_ms",
+    "told_ms",
+    "cold_sum",
+    "beyond_units",
+    "beyond_part",
+)
+
+REAL_COLUMNS = (
+    "served_inside_part",
+    "words_come_per_s",
+    "added_p50_ms",
+    "added_p99_ms",
+    "told_ms",
+    "memory_mb",
+    "stand_ins_lag_p99_ms",
+)
 
 
 def names(text: str) -> list[str]:
@@ -55,32 +86,43 @@
     flags.add_argument("--real", default="3,10,40", help="sizes of real tiers, by comma; '' for none")
     flags.add_argument("--real-faults", default=",".join(REAL_FAULTS), help="by comma; '' for none")
     for field in fields(Point):
-        flags.add_argument(f"--{field.name}", type=type(field.default),
-                           help="play one point alone, all else as in the base line")
+        flags.add_argument(
+            f"--{field.name}",
+            type=type(field.default),
+            help="play one point alone, all else as in the base line",
+        )
     return flags
 
 
 def _checked(flags: Parser, given: argparse.Namespace) -> tuple[list[tuple[str, float, Point]], list[int]]:
     """The points with their axis and value, and the sizes of real tiers; ends the program where a flag
     cannot be served."""
-    own = {field.name: getattr(given, field.name) for field in fields(Point)
-           if getattr(given, field.name) is not None}
+    own = {
+        field.name: getattr(given, field.name)
+        for field in fields(Point)
+        if getattr(given, field.name) is not None
+    }
     try:
         if own:
             return [("one", 0.0, check(Point(**own)))], []
         rows = []
         for axis in names(given.axes):
             points = list(DIAGONAL) if axis == "diagonal" else of_axis(axis, Point())
-            rows += [(axis, float(getattr(point, "gatekeepers" if axis == "diagonal" else axis)),
-                      check(point)) for point in points]
+            rows += [
+                (axis, float(getattr(point, "gatekeepers" if axis == "diagonal" else axis)), check(point))
+                for point in points
+            ]
     except PointError as problem:
         flags.error(str(problem))
     for name, low, high in (("jobs", 1, MOST_JOBS), ("limit_s", 1, MOST_LIMIT_S), ("fault_seeds", 1, 100)):
         if not low <= getattr(given, name) <= high:
-            flags.error(f"--{name.replace('_', '-')}: {getattr(given, name):g} is not between {low} and "
-                        f"{high:g}")
-    for flag, chosen, known in (("--faults", given.faults, tuple(faults.FAULTS)),
-                                ("--real-faults", given.real_faults, REAL_FAULTS)):
+            flags.error(
+                f"--{name.replace('_', '-')}: {getattr(given, name):g} is not between {low} and {high:g}"
+            )
+    for flag, chosen, known in (
+        ("--faults", given.faults, tuple(faults.FAULTS)),
+        ("--real-faults", given.real_faults, REAL_FAULTS),
+    ):
         unknown = [name for name in names(chosen) if name not in known]
         if unknown:
             flags.error(f"{flag}: there is no fault {unknown[0]!r}; there are: {', '.join(known)}")
@@ -119,8 +161,9 @@
                 tell(key, self.done[key])
 
 
-def _one(until: float, call: Callable[..., Any], arguments: tuple[Any, ...], named: dict[str, Any]
-         ) -> dict[str, Any]:
+def _one(
+    until: float, call: Callable[..., Any], arguments: tuple[Any, ...], named: dict[str, Any]
+) -> dict[str, Any]:
     if time.monotonic() > until:
         return {"failed": "not run: --limit-s was over"}
     row: dict[str, Any] = call(*arguments, **named)
@@ -156,8 +199,12 @@
         flags.error(f"--resume: no result: {type(problem).__name__}: {problem}")
 
 
-def play(given: argparse.Namespace, points: list[tuple[str, float, Point]], sizes: list[int],
-         earlier: dict[str, Any]) -> tuple[dict[str, Any], bool]:
+def play(
+    given: argparse.Namespace,
+    points: list[tuple[str, float, Point]],
+    sizes: list[int],
+    earlier: dict[str, Any],
+) -> tuple[dict[str, Any], bool]:
     """Everything that was asked for, and whether all of it was played."""
     known = earlier["rows"]
     until = time.monotonic() + given.limit_s
@@ -174,21 +221,37 @@
     def tell(key: Any, row: dict[str, Any]) -> None:
         about = key if isinstance(key, Point) else f"fault {key[0]}, seed {key[1]}"
         print(f"{about}: {row.get('failed') or ('cut short' if row['cut'] else 'played')}", flush=True)
+
     begin = time.monotonic()
     work.done = {key: known[key] for key in work.todo if key in known}
     for key in work.done:
         del work.todo[key]
     work.run(tell)
-    rows = [work.done[point] | {"axis": axis, "value": value, "point": asdict(point)}
-            for axis, value, point in points]
+    rows = [
+        work.done[point] | {"axis": axis, "value": value, "point": asdict(point)}
+        for axis, value, point in points
+    ]
     result: dict[str, Any] = {
-        "seed": given.seed, "base": asdict(Point()), "limits": dict(LIMITS), "cores": os.cpu_count(),
-        "python": platform.python_version(), "services": "no mechanism: settings know one pool of workers",
-        "points": rows, "passed_at": passed_at([row for row in rows if "figures" in row]),
-        "faults": [{"fault": name, "seed": seed} | work.done[name, seed] for name in wanted
-                   for seed in range(given.seed, given.seed + given.fault_seeds)],
-        "told": [told.play(size, shared, given.seed) for size in (3, 40, 200, 550)
-                 for shared in (False, True)] if wanted else [], "real": []}
+        "seed": given.seed,
+        "base": asdict(Point()),
+        "limits": dict(LIMITS),
+        "cores": os.cpu_count(),
+        "python": platform.python_version(),
+        "services": "no mechanism: settings know one pool of workers",
+        "points": rows,
+        "passed_at": passed_at([row for row in rows if "figures" in row]),
+        "faults": [
+            {"fault": name, "seed": seed} | work.done[name, seed]
+            for name in wanted
+            for seed in range(given.seed, given.seed + given.fault_seeds)
+        ],
+        "told": [
+            told.play(size, shared, given.seed) for size in (3, 40, 200, 550) for shared in (False, True)
+        ]
+        if wanted
+        else [],
+        "real": [],
+    }
     for size in sizes:
         if ("real", size) in known:
             result["real"].append(known["real", size])
@@ -198,6 +261,7 @@
             continue
         from benchmarks.scale import real  # its stand-ins need the kit
         from plumpick.rehearsal.supervisor import StartFailed
+
         try:
             result["real"].append(real.compare(size, given.seed))
         except (StartFailed, OSError) as problem:
@@ -206,6 +270,7 @@
     for name in [] if one else names(given.real_faults):
         from benchmarks.scale import real
         from plumpick.rehearsal.supervisor import StartFailed
+
         if ("real fault", name) in known:
             result["real_faults"].append(known["real fault", name])
             continue
@@ -223,38 +288,98 @@
 
 def show(result: dict[str, Any]) -> None:
     """Print the tables."""
-    print(f"\nseed {result['seed']}, {result['cores']} cores, {result['wall_s']} s; "
-          f"base line {result['base']}")
+    print(
+        f"\nseed {result['seed']}, {result['cores']} cores, {result['wall_s']} s; base line {result['base']}"
+    )
     if result["points"]:
-        print("\n" + _table(["axis", "value", "", *COLUMNS], [
-            [row["axis"], f"{row['value']:g}", row.get("failed") or "cut short" * row["cut"],
-             *_short(row.get("figures", {}), COLUMNS)] for row in result["points"]]))
-        print("\n" + _table(["limit", "of", "first passed at"], [
-            [name, f"{limit:g}", ", ".join(f"{axis} {value:g}" for axis, value in
-                                           result["passed_at"].get(name, {}).items()) or "never"]
-            for name, limit in result["limits"].items()]))
+        print(
+            "\n"
+            + _table(
+                ["axis", "value", "", *COLUMNS],
+                [
+                    [
+                        row["axis"],
+                        f"{row['value']:g}",
+                        row.get("failed") or "cut short" * row["cut"],
+                        *_short(row.get("figures", {}), COLUMNS),
+                    ]
+                    for row in result["points"]
+                ],
+            )
+        )
+        print(
+            "\n"
+            + _table(
+                ["limit", "of", "first passed at"],
+                [
+                    [
+                        name,
+                        f"{limit:g}",
+                        ", ".join(
+                            f"{axis} {value:g}" for axis, value in result["passed_at"].get(name, {}).items()
+                        )
+                        or "never",
+                    ]
+                    for name, limit in result["limits"].items()
+                ],
+            )
+        )
     if result["faults"]:
-        print("\n" + _table(["fault", "seed", *FAULT_COLUMNS], [
-            [row["fault"], str(row["seed"]), *_short(row.get("figures", {}), FAULT_COLUMNS)]
-            for row in result["faults"]]))
+        print(
+            "\n"
+            + _table(
+                ["fault", "seed", *FAULT_COLUMNS],
+                [
+                    [row["fault"], str(row["seed"]), *_short(row.get("figures", {}), FAULT_COLUMNS)]
+                    for row in result["faults"]
+                ],
+            )
+        )
     if result["told"]:
-        print("\n" + _table(list(result["told"][0]), [[str(cell) for cell in row.values()]
-                                                     for row in result["told"]]))
+        print(
+            "\n"
+            + _table(
+                list(result["told"][0]), [[str(cell) for cell in row.values()] for row in result["told"]]
+            )
+        )
     for row in result["real"]:
         if row.get("failed"):
             print(f"\nreal tier of {row['gatekeepers']}: failed: {row['failed']}")
             continue
         print(f"\nreal tier of {row['gatekeepers']}, hollow / real (asked: within 10 %):")
-        print(_table(["figure", "real", "hollow", "ratio"], [
-            [name, f"{row['real'][name]:.4g}", f"{row['hollow'][name]:.4g}",
-             "-" if ratio is None else f"{ratio:.3f}" + " OFF" * (name in row["off"])]
-            for name, ratio in row["ratios"].items()]))
-        print(", ".join(f"{name} {value:.4g}" for name, value in row["real"].items()
-                        if name not in row["ratios"]))
+        print(
+            _table(
+                ["figure", "real", "hollow", "ratio"],
+                [
+                    [
+                        name,
+                        f"{row['real'][name]:.4g}",
+                        f"{row['hollow'][name]:.4g}",
+                        "-" if ratio is None else f"{ratio:.3f}" + " OFF" * (name in row["off"]),
+                    ]
+                    for name, ratio in row["ratios"].items()
+                ],
+            )
+        )
+        print(
+            ", ".join(
+                f"{name} {value:.4g}" for name, value in row["real"].items() if name not in row["ratios"]
+            )
+        )
     if result["real_faults"]:
-        print("\n" + _table(["fault, real tier of ten", *REAL_COLUMNS], [
-            [row["fault"], *([row["failed"]] if row.get("failed") else _short(row["figures"], REAL_COLUMNS))]
-            for row in result["real_faults"]]))
+        print(
+            "\n"
+            + _table(
+                ["fault, real tier of ten", *REAL_COLUMNS],
+                [
+                    [
+                        row["fault"],
+                        *([row["failed"]] if row.get("failed") else _short(row["figures"], REAL_COLUMNS)),
+                    ]
+                    for row in result["real_faults"]
+                ],
+            )
+        )
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -272,17 +397,21 @@
     print(f"seed {given.seed}", flush=True)
     if given.brief:
         from benchmarks.scale import brief
+
         return brief.main(given.seed)
     result, whole = play(given, points, sizes, earlier)
     show(result)
     if folder is not None:
+
         def finite(value: Any) -> Any:  # JSON has no infinity
             if isinstance(value, dict):
                 return {key: finite(one) for key, one in value.items()}
             if isinstance(value, list | tuple):
                 return [finite(one) for one in value]
             return None if isinstance(value, float) and not math.isfinite(value) else value
+
         (folder / "result.json").write_text(json.dumps(finite(result), indent=1) + "\n", encoding="utf-8")
         from benchmarks.scale import chart
+
         chart.draw(result, folder / "chart.png")
     return EXIT_HELD if whole else EXIT_BROKEN
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -48,8 +48,10 @@
 
 def stop(tier: Tier) -> None:
     """A tenth stands still (SIGSTOP) for 3 s."""
+
     def stand(gate: Any) -> None:
         gate.still_ms = tier.now + 3000.0
+
     for gate in some(tier, 0.1):
         tier.at(BEGIN + tier.rng.uniform(0, FOR_MS), stand, gate)
 
@@ -64,6 +66,7 @@
 
     def back() -> None:
         tier.change([replace(server, started_ms=tier.now) for server in servers])
+
     tier.at(BEGIN, gone)
     tier.at(BEGIN + FOR_MS, back)
     for number, gate in tier.gates.items():
@@ -80,6 +83,7 @@
 
     def join() -> None:
         tier.apart = lambda _sender, _receiver: False
+
     tier.at(BEGIN, part)
     tier.at(BEGIN + FOR_MS, join)
 
@@ -101,13 +105,26 @@
 
 
 FAULTS: Mapping[str, Fault] = {
-    "calm": Fault(calm), "kill": Fault(kill, restarts=1), "stop": Fault(stop),
-    "zone": Fault(zone, restarts=1), "regions": Fault(regions, split=True),
-    "tenths": Fault(tenths, restarts=1), "lost": Fault(lost), "late": Fault(late)}
-
-
-def play(name: str, seed: int, *, point: Point = POINT, seconds: float = SECONDS, limit_s: float = LIMIT_S,
-         make: Make = Controller) -> dict[str, Any]:
+    "calm": Fault(calm),
+    "kill": Fault(kill, restarts=1),
+    "stop": Fault(stop),
+    "zone": Fault(zone, restarts=1),
+    "regions": Fault(regions, split=True),
+    "tenths": Fault(tenths, restarts=1),
+    "lost": Fault(lost),
+    "late": Fault(late),
+}
+
+
+def play(
+    name: str,
+    seed: int,
+    *,
+    point: Point = POINT,
+    seconds: float = SECONDS,
+    limit_s: float = LIMIT_S,
+    make: Make = Controller,
+) -> dict[str, Any]:
     """A fault; its row of the result. Raises TierError."""
     until, fault = time.monotonic() + limit_s, FAULTS[name]
     tier = Tier(of_point(point, seed), seed, make=make)
@@ -117,5 +134,9 @@
     played = tier.run([(SETTLE, SETTLE_S), (COUNTED, seconds)], until)
     figures = figures_of(tier, played)
     figures["beyond_part"] = beyond_part(tier, sum(played.values()), fault.restarts, fault.split)
-    return row_of(figures, tier, played) | {"fault": name, "point": asdict(point), "seed": seed,
-                                            "cut": played.get(COUNTED, 0.0) < seconds}
+    return row_of(figures, tier, played) | {
+        "fault": name,
+        "point": asdict(point),
+        "seed": seed,
+        "cut": played.get(COUNTED, 0.0) < seconds,
+    }
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -22,9 +22,11 @@
 # Part of the load, quota against the least plan's, seconds of it in its burst, ceiling in quotas.
 PLANS = (("basico", 0.41, 1.0, 5.0, 0.0), ("estandar", 0.26, 2.6, 2.0, 0.0), ("amplio", 0.33, 10.0, 1.5, 2.0))
 LEAST_BURST = 2.0
-KINDS = (RequestClass("check", 750, 2000, 3, Repeat.SAFE),
-         RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-         RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE))
+KINDS = (
+    RequestClass("check", 750, 2000, 3, Repeat.SAFE),
+    RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
+    RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE),
+)
 
 
 @dataclass(slots=True)
@@ -73,8 +75,10 @@
 
 def classes(count: int) -> tuple[RequestClass, ...]:
     """So many, of three kinds in turn."""
-    return tuple(kind if n < len(KINDS) else replace(kind, name=f"{kind.name}-{n}")
-                 for n, kind in zip(range(count), itertools.cycle(KINDS), strict=False))
+    return tuple(
+        kind if n < len(KINDS) else replace(kind, name=f"{kind.name}-{n}")
+        for n, kind in zip(range(count), itertools.cycle(KINDS), strict=False)
+    )
 
 
 def of_point(point: Point, seed: int) -> Load:
@@ -92,40 +96,94 @@
     for name, _, times, burst_s, ceiling in PLANS:
         rate = rates[name] = quota * times
         burst = max(LEAST_BURST, rate * burst_s)
-        plans.append(Plan(name, rate, burst, over_cost=0.6, ceiling_per_s=ceiling * rate,
-                          ceiling_burst=ceiling * burst))
+        plans.append(
+            Plan(
+                name, rate, burst, over_cost=0.6, ceiling_per_s=ceiling * rate, ceiling_burst=ceiling * burst
+            )
+        )
     firms = []
     for number, (use, place) in enumerate(zip(uses, names, strict=True)):
         plan = PLANS[place][0]
-        firms.append(Firm(f"firm-{number}", plan, rates[plan] * use, use, point.spread,
-                          number * point.gatekeepers // point.firms, rng.random() < part.honour,
-                          _weights(rng, part, point.spread)))
+        firms.append(
+            Firm(
+                f"firm-{number}",
+                plan,
+                rates[plan] * use,
+                use,
+                point.spread,
+                number * point.gatekeepers // point.firms,
+                rng.random() < part.honour,
+                _weights(rng, part, point.spread),
+            )
+        )
     kinds = classes(point.classes)
     work_ms = min(MOST_WORK_MS, BUSY * CORES * point.workers * 1000 / total)
     common = Settings(
-        gateways=point.gatekeepers, number=0, zone="", classes=kinds, plans=tuple(plans),
-        warm_up_ms=WARM_UP_MS, cold_from=COLD_FROM, fall_multiple=MULTIPLE, fall_window_ms=WINDOW_MS,
-        max_attempts=5, tick_ms=4.0, may_tell=True, second_copies=True, max_retry_after_ms=1000.0,
-        inbox_per_s=peers.inbox_per_s, report_how="answers", report_fields=("util", "latency_ms"))
+        gateways=point.gatekeepers,
+        number=0,
+        zone="",
+        classes=kinds,
+        plans=tuple(plans),
+        warm_up_ms=WARM_UP_MS,
+        cold_from=COLD_FROM,
+        fall_multiple=MULTIPLE,
+        fall_window_ms=WINDOW_MS,
+        max_attempts=5,
+        tick_ms=4.0,
+        may_tell=True,
+        second_copies=True,
+        max_retry_after_ms=1000.0,
+        inbox_per_s=peers.inbox_per_s,
+        report_how="answers",
+        report_fields=("util", "latency_ms"),
+    )
     return Load(
-        point.gatekeepers, lambda number: replace(common, number=number, zone=f"z{number % ZONES}"), firms,
+        point.gatekeepers,
+        lambda number: replace(common, number=number, zone=f"z{number % ZONES}"),
+        firms,
         [(kind, 1 / point.classes, work_ms) for kind in kinds],
-        [Server(f"w{number}", f"z{number % ZONES}", number // 20, State.READY)
-         for number in range(point.workers)], CORES, part, peers, RosterPart())
+        [
+            Server(f"w{number}", f"z{number % ZONES}", number // 20, State.READY)
+            for number in range(point.workers)
+        ],
+        CORES,
+        part,
+        peers,
+        RosterPart(),
+    )
 
 
 def of_rehearsal(fleet: Fleet) -> Load:
     """The load of a rehearsal's fleet, which need not be started: the same firms, quotas and settings."""
     scenario: Scenario = fleet.scenario
     rng = random.Random(f"{fleet.around.seed}/weights")
-    settings = [settings_from(fleet.supervisor.settings_of(number))
-                for number in range(scenario.fleet.gatekeepers)]
+    settings = [
+        settings_from(fleet.supervisor.settings_of(number)) for number in range(scenario.fleet.gatekeepers)
+    ]
     kinds = {kind.name: kind for kind in settings[0].classes}
     return Load(
-        scenario.fleet.gatekeepers, settings.__getitem__,
-        [Firm(firm.name, firm.plan.name, firm.rate * firm.use, firm.use, firm.spread, firm.first,
-              firm.honours, _weights(rng, scenario.clients, firm.spread)) for firm in fleet.front.firms],
+        scenario.fleet.gatekeepers,
+        settings.__getitem__,
+        [
+            Firm(
+                firm.name,
+                firm.plan.name,
+                firm.rate * firm.use,
+                firm.use,
+                firm.spread,
+                firm.first,
+                firm.honours,
+                _weights(rng, scenario.clients, firm.spread),
+            )
+            for firm in fleet.front.firms
+        ],
         [(kinds[kind.name], kind.share, kind.work_ms) for kind in scenario.classes],
-        [Server(server.name, server.hall, fleet.groups[server.name], State.READY)
-         for server in fleet.servers.values()],
-        float(scenario.server.cores), scenario.clients, scenario.peers, scenario.roster)
+        [
+            Server(server.name, server.hall, fleet.groups[server.name], State.READY)
+            for server in fleet.servers.values()
+        ],
+        float(scenario.server.cores),
+        scenario.clients,
+        scenario.peers,
+        scenario.roster,
+    )
--- a/benchmarks/scale/points.py
+++ b/benchmarks/scale/points.py
@@ -27,11 +27,20 @@
 
 # The operators' services are no axis: the settings know one pool of workers and no route to another.
 AXES: Mapping[str, tuple[float, ...]] = {
-    "gatekeepers": (3, 40, 200, 550), "workers": (10, 200, 1000, 5900), "firms": (100, 4000, 40_000),
-    "classes": (3, 230, 11_000), "rate": (70, 273, 1000), "spread": (3, 20, 40)}
+    "gatekeepers": (3, 40, 200, 550),
+    "workers": (10, 200, 1000, 5900),
+    "firms": (100, 4000, 40_000),
+    "classes": (3, 230, 11_000),
+    "rate": (70, 273, 1000),
+    "spread": (3, 20, 40),
+}
 MOST = Point(1000, 20_000, 200_000, MAX_CLASSES, 2000.0, 255)  # beyond it a run would not end in its time
-DIAGONAL = (Point(3, 10, 100, 3, 70.0, 3), Point(40, 200, 4000, 3, 273.0, 20),
-            Point(200, 1000, 40_000, 230, 273.0, 20), Point(550, 5900, 40_000, 11_000, 273.0, 20))
+DIAGONAL = (
+    Point(3, 10, 100, 3, 70.0, 3),
+    Point(40, 200, 4000, 3, 273.0, 20),
+    Point(200, 1000, 40_000, 230, 273.0, 20),
+    Point(550, 5900, 40_000, 11_000, 273.0, 20),
+)
 # What each gatekeeper may take, by the operators; the figures are those of `figures.of`.
 LIMITS: Mapping[str, float] = {
     "words_come_per_s": 60.0,  # datagrams to one gatekeeper, of which its inbox takes so many
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -20,8 +20,19 @@
 from plumpick.rehearsal.fleet import Fleet
 from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Record, Replied, Told, Took
 from plumpick.rehearsal.scenario import (
-    AnyEvent, ClassPart, ClientPart, FleetPart, KillGatekeeper, LoadPart, PauseGatekeeper, PeerPart,
-    ReleaseServers, RestartGatekeeper, Scenario, SplitPeers, check,
+    AnyEvent,
+    ClassPart,
+    ClientPart,
+    FleetPart,
+    KillGatekeeper,
+    LoadPart,
+    PauseGatekeeper,
+    PeerPart,
+    ReleaseServers,
+    RestartGatekeeper,
+    Scenario,
+    SplitPeers,
+    check,
 )
 from plumpick.rehearsal.surroundings import Surroundings
 
@@ -29,24 +40,55 @@
 # Requests a second of all, inside quotas: what one loop of stand-ins carries with so many processes.
 RATES = {3: 210.0, 10: 300.0, 40: 300.0}
 SETTLE_S, SECONDS = 4.0, 10.0
-COMPARED = ("words_told_per_s", "words_come_per_s", "words_taken_per_s", "word_bytes", "words_per_try",
-            "attempts_per_served", "served_inside_part")
+COMPARED = (
+    "words_told_per_s",
+    "words_come_per_s",
+    "words_taken_per_s",
+    "word_bytes",
+    "words_per_try",
+    "attempts_per_served",
+    "served_inside_part",
+)
 WORK_MS = 30.0
 
 
-def scenario_of(gatekeepers: int, rate_per_s: float, seconds: float = SECONDS,
-                events: tuple[AnyEvent, ...] = (), loss: float = 0.03) -> Scenario:
+def scenario_of(
+    gatekeepers: int,
+    rate_per_s: float,
+    seconds: float = SECONDS,
+    events: tuple[AnyEvent, ...] = (),
+    loss: float = 0.03,
+) -> Scenario:
     """Calm clients and enough workers, so that it is control that is compared."""
-    kinds = [ClassPart(name=name, share=share, work_ms=WORK_MS, aim_ms=aim, deadline_ms=deadline, worth=worth,
-                       repeats=repeats, window_s=window_s)
-             for name, share, aim, deadline, worth, repeats, window_s in (
-                 ("seat-check", 0.35, 750, 2000, 3, "safe", 0.0),
-                 ("seat-checkout", 0.34, 2000, 7500, 3, "keyed", 15.0),
-                 ("hours-debit", 0.31, 2000, 7500, 2, "unsafe", 0.0))]
-    return check(Scenario(
-        title="scale", seconds=SETTLE_S + seconds, load=LoadPart(rate_per_s=rate_per_s), classes=kinds,
-        fleet=FleetPart(gatekeepers=gatekeepers, servers=max(12, gatekeepers), sockets=1024),
-        clients=ClientPart(spiky=0.0, shift_s=[1e6, 1e6]), peers=PeerPart(loss=loss), events=list(events)))
+    kinds = [
+        ClassPart(
+            name=name,
+            share=share,
+            work_ms=WORK_MS,
+            aim_ms=aim,
+            deadline_ms=deadline,
+            worth=worth,
+            repeats=repeats,
+            window_s=window_s,
+        )
+        for name, share, aim, deadline, worth, repeats, window_s in (
+            ("seat-check", 0.35, 750, 2000, 3, "safe", 0.0),
+            ("seat-checkout", 0.34, 2000, 7500, 3, "keyed", 15.0),
+            ("hours-debit", 0.31, 2000, 7500, 2, "unsafe", 0.0),
+        )
+    ]
+    return check(
+        Scenario(
+            title="scale",
+            seconds=SETTLE_S + seconds,
+            load=LoadPart(rate_per_s=rate_per_s),
+            classes=kinds,
+            fleet=FleetPart(gatekeepers=gatekeepers, servers=max(12, gatekeepers), sockets=1024),
+            clients=ClientPart(spiky=0.0, shift_s=[1e6, 1e6]),
+            peers=PeerPart(loss=loss),
+            events=list(events),
+        )
+    )
 
 
 class Watch:
@@ -98,13 +140,19 @@
 
         def part(top: str, bottom: str) -> float:
             return count[top] / count[bottom] if count[bottom] else 0.0
+
         found = {
-            "tries_per_s": count["tries"] / each, "words_told_per_s": count["told"] / each,
-            "words_come_per_s": count["come"] / each, "words_taken_per_s": count["taken"] / each,
-            "word_bytes": part("told_bytes", "told"), "words_per_try": part("told", "tries"),
+            "tries_per_s": count["tries"] / each,
+            "words_told_per_s": count["told"] / each,
+            "words_come_per_s": count["come"] / each,
+            "words_taken_per_s": count["taken"] / each,
+            "word_bytes": part("told_bytes", "told"),
+            "words_per_try": part("told", "tries"),
             "attempts_per_served": part("attempts", "served"),
             "served_inside_part": part("served_inside", "tries_inside"),
-            "added_p50_ms": quantile(self.added, 0.5), "added_p99_ms": quantile(self.added, 0.99)}
+            "added_p50_ms": quantile(self.added, 0.5),
+            "added_p99_ms": quantile(self.added, 0.99),
+        }
         return {name: round(value, 4) for name, value in found.items()}
 
 
@@ -131,6 +179,7 @@
 
         def look() -> None:
             costs.append(_cost([gate.pid for gate in fleet.supervisor.gates if gate.running()]))
+
         for ms in (SETTLE_S * 1000, (SETTLE_S + seconds) * 1000 - 50.0):
             fleet.around.later(ms, look)
         await fleet.play()
@@ -139,8 +188,11 @@
         await asyncio.shield(fleet.close())
     gatekeepers = scenario.fleet.gatekeepers
     found = watch.figures(gatekeepers, seconds)
-    found |= {"memory_mb": round(costs[1][1], 2), "stand_ins_lag_p99_ms": lag,
-              "told_ms": round(watch.told_ms, 2)}
+    found |= {
+        "memory_mb": round(costs[1][1], 2),
+        "stand_ins_lag_p99_ms": lag,
+        "told_ms": round(watch.told_ms, 2),
+    }
     if not scenario.events:  # a process that was begun anew has another past
         found["core_percent"] = round(100 * (costs[1][0] - costs[0][0]) / (seconds * gatekeepers), 3)
     return {"figures": found, "failed": fleet.failed}
@@ -162,12 +214,22 @@
     scenario = scenario_of(gatekeepers, rate or RATES.get(gatekeepers, 300.0), seconds)
     real = uvloop.run(_real(scenario, seed, seconds))
     hollow = _hollow(scenario, seed, seconds)
-    ratios = {name: round(hollow[name] / real["figures"][name], 4) if real["figures"][name] else None
-              for name in COMPARED}
+    ratios = {
+        name: round(hollow[name] / real["figures"][name], 4) if real["figures"][name] else None
+        for name in COMPARED
+    }
     off = [name for name, ratio in ratios.items() if ratio is None or abs(ratio - 1) > WITHIN]
-    return {"gatekeepers": gatekeepers, "seed": seed, "seconds": seconds,
-            "scenario": msgspec.to_builtins(scenario), "real": real["figures"], "failed": real["failed"],
-            "hollow": {name: hollow[name] for name in sorted(hollow)}, "ratios": ratios, "off": off}
+    return {
+        "gatekeepers": gatekeepers,
+        "seed": seed,
+        "seconds": seconds,
+        "scenario": msgspec.to_builtins(scenario),
+        "real": real["figures"],
+        "failed": real["failed"],
+        "hollow": {name: hollow[name] for name in sorted(hollow)},
+        "ratios": ratios,
+        "off": off,
+    }
 
 
 FAULTED = 10  # gatekeepers
@@ -177,11 +239,16 @@
 def events_of(name: str) -> list[AnyEvent]:
     """What goes wrong in a real tier of `FAULTED`; each beside the same day without it."""
     begin = SETTLE_S + 1.0
-    return [RELEASE, *{
-        "calm": [], "kill": [KillGatekeeper(at_s=begin + 2.0 * n, gatekeeper=n) for n in range(2)],
-        "stop": [PauseGatekeeper(at_s=begin + n, gatekeeper=n, for_s=3.0) for n in range(2)],
-        "tenths": [RestartGatekeeper(at_s=begin + 0.8 * n, gatekeeper=n) for n in range(FAULTED)],
-        "regions": [SplitPeers(at_s=begin, for_s=5.0, side=[0, 1, 2, 3, 4])]}[name]]
+    return [
+        RELEASE,
+        *{
+            "calm": [],
+            "kill": [KillGatekeeper(at_s=begin + 2.0 * n, gatekeeper=n) for n in range(2)],
+            "stop": [PauseGatekeeper(at_s=begin + n, gatekeeper=n, for_s=3.0) for n in range(2)],
+            "tenths": [RestartGatekeeper(at_s=begin + 0.8 * n, gatekeeper=n) for n in range(FAULTED)],
+            "regions": [SplitPeers(at_s=begin, for_s=5.0, side=[0, 1, 2, 3, 4])],
+        }[name],
+    ]
 
 
 def fault(name: str, seed: int, seconds: float = SECONDS) -> dict[str, Any]:
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -32,8 +32,10 @@
     def how(self, gatekeepers: int) -> str:
         if len(self.played) == gatekeepers:
             return "all"
-        return (f"{len(self.judged)} of {gatekeepers} counted, played with the {len(self.played)} "
-                "that hold the sets of their firms")
+        return (
+            f"{len(self.judged)} of {gatekeepers} counted, played with the {len(self.played)} "
+            "that hold the sets of their firms"
+        )
 
 
 def part_of(point: Point) -> Part:
@@ -61,8 +63,18 @@
 def beyond_part(tier: Tier, seconds: float, restarts: int = 0, split: bool = False) -> float:
     """The units beyond its quota in the worst window of a firm, against what bounds.py allows; the most."""
     spread = max((firm.spread for firm in tier.firms), default=1)
-    allowed = {name: together(plan, tier.load.settings_of(0), seconds, spread=spread, loss=tier.loss,
-                              restarts=restarts, split=split) for name, plan in tier.plans.items()}
+    allowed = {
+        name: together(
+            plan,
+            tier.load.settings_of(0),
+            seconds,
+            spread=spread,
+            loss=tier.loss,
+            restarts=restarts,
+            split=split,
+        )
+        for name, plan in tier.plans.items()
+    }
     plan_of = {firm.name: firm.plan for firm in tier.firms}
     return round(max((units / allowed[plan_of[name]] for name, units in tier.beyond.items()), default=0.0), 4)
 
@@ -80,12 +92,17 @@
 
     begun = sum(times for (_, what), times in tier.calls.items() if what == "begin")
     figures = {
-        "tries_per_s": each(count["tries"]), "words_told_per_s": each(count["told"]),
-        "words_come_per_s": each(count["come"]), "words_taken_per_s": each(count["taken"]),
-        "crowded_part": part("crowded", "come"), "word_bytes": part("told_bytes", "told"),
-        "word_bytes_most": count["largest"], "words_per_try": part("told", "tries"),
+        "tries_per_s": each(count["tries"]),
+        "words_told_per_s": each(count["told"]),
+        "words_come_per_s": each(count["come"]),
+        "words_taken_per_s": each(count["taken"]),
+        "crowded_part": part("crowded", "come"),
+        "word_bytes": part("told_bytes", "told"),
+        "word_bytes_most": count["largest"],
+        "words_per_try": part("told", "tries"),
         "control_bytes_per_s": each(count["told_bytes"] + count["come_bytes"]),
-        "attempts_per_served": part("attempts", "served"), "served_part": part("served", "tries"),
+        "attempts_per_served": part("attempts", "served"),
+        "served_part": part("served", "tries"),
         "served_inside_part": part("served_inside", "tries_inside"),
         "control_cpu_percent": 100 * each(cpu[COUNTED, "period"] + cpu[COUNTED, "words"]),
         "period_cpu_percent": 100 * each(cpu[COUNTED, "period"]),
@@ -93,8 +110,11 @@
         "serve_cpu_percent": 100 * each(cpu[COUNTED, "serve"]),
         "serve_us_per_try": 1e6 * cpu[COUNTED, "serve"] / count["tries"] if count["tries"] else 0.0,
         "whole_list_ms": 1000 * sum(s for (_, what), s in cpu.items() if what == "begin") / max(1, begun),
-        "beyond_units": max(tier.beyond.values(), default=0.0), "beyond_sum": sum(tier.beyond.values()),
-        "beyond_firms": len(tier.beyond), "cold_sends": tier.cold_sends}
+        "beyond_units": max(tier.beyond.values(), default=0.0),
+        "beyond_sum": sum(tier.beyond.values()),
+        "beyond_firms": len(tier.beyond),
+        "cold_sends": tier.cold_sends,
+    }
     if tier.cold_sends:  # else nothing was seen
         figures["cold_sum"] = tier.cold_sum
     for phase, prefix in ((COUNTED, ""), (CHANGING, "changing_")):
@@ -103,27 +123,40 @@
         waits, lags = tier.waits[phase], tier.lags[phase]
         added = [wait + lag for wait, lag in zip(waits, lags, strict=True)]
         for name, values in (("added", added), ("waited", waits), ("core", lags)):
-            figures |= {f"{prefix}{name}_p50_ms": quantile(values, 0.5),
-                        f"{prefix}{name}_p99_ms": quantile(values, 0.99)}
+            figures |= {
+                f"{prefix}{name}_p50_ms": quantile(values, 0.5),
+                f"{prefix}{name}_p99_ms": quantile(values, 0.99),
+            }
     if played.get(CHANGING):
-        figures["changing_cpu_percent"] = 100 * each(sum(
-            cpu[CHANGING, what] for what in ("period", "words", "list")), CHANGING)
+        figures["changing_cpu_percent"] = 100 * each(
+            sum(cpu[CHANGING, what] for what in ("period", "words", "list")), CHANGING
+        )
     if tier.told:
-        figures |= {"lacking": tier.lacking(), "told_ms": max(late_ms, default=0.0),
-                    "list_change_ms": quantile(tier.list_ms, 0.5),
-                    "list_change_most_ms": max(tier.list_ms, default=0.0)}
+        figures |= {
+            "lacking": tier.lacking(),
+            "told_ms": max(late_ms, default=0.0),
+            "list_change_ms": quantile(tier.list_ms, 0.5),
+            "list_change_most_ms": max(tier.list_ms, default=0.0),
+        }
     if memory_mb is not None:
         figures["memory_mb"] = memory_mb
     return {name: round(value, 4) for name, value in figures.items()}
 
 
-COUNTS = ("tries", "wants", "told", "told_bytes", "come", "taken", "crowded", "attempts", "served",
-           "refused")
+COUNTS = ("tries", "wants", "told", "told_bytes", "come", "taken", "crowded", "attempts", "served", "refused")
 
 
-def play(point: Point, seed: int, *, settle_s: float = SETTLE_S, counted_s: float = COUNTED_S,
-         changing_s: float = CHANGING_S, limit_s: float = LIMIT_S, jobs: int = 1, make: Make = Controller
-         ) -> dict[str, Any]:
+def play(
+    point: Point,
+    seed: int,
+    *,
+    settle_s: float = SETTLE_S,
+    counted_s: float = COUNTED_S,
+    changing_s: float = CHANGING_S,
+    limit_s: float = LIMIT_S,
+    jobs: int = 1,
+    make: Make = Controller,
+) -> dict[str, Any]:
     """A point; its row of the result. Raises TierError where it has no end or takes too much memory."""
     until, part = time.monotonic() + limit_s, part_of(point)
     load = of_point(point, seed)
@@ -142,14 +175,21 @@
         raise TierError(f"{now_mb:.0f} MB in each of {jobs} processes")
     figures = figures_of(tier, played, (now_mb - before) / len(part.played))
     figures["beyond_part"] = beyond_part(tier, sum(played.values()))
-    return row_of(figures, tier, played) | {"point": asdict(point), "seed": seed,
-                                            "sampled": part.how(point.gatekeepers),
-                                            "cut": len(played) < 3 or played[CHANGING] < changing_s}
+    return row_of(figures, tier, played) | {
+        "point": asdict(point),
+        "seed": seed,
+        "sampled": part.how(point.gatekeepers),
+        "cut": len(played) < 3 or played[CHANGING] < changing_s,
+    }
 
 
 def row_of(figures: dict[str, float], tier: Tier, played: dict[str, float]) -> dict[str, Any]:
     """Figures, what they make of their limits, and the counts behind them."""
-    return {"figures": figures, "seconds": {name: round(value, 3) for name, value in played.items()},
-            "ratios": {name: round(figures[name] / limit, 4) for name, limit in LIMITS.items()
-                       if name in figures},
-            "counts": {name: tier.counts[name] for name in COUNTS}}
+    return {
+        "figures": figures,
+        "seconds": {name: round(value, 3) for name, value in played.items()},
+        "ratios": {
+            name: round(figures[name] / limit, 4) for name, limit in LIMITS.items() if name in figures
+        },
+        "counts": {name: tier.counts[name] for name in COUNTS},
+    }
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -20,8 +20,24 @@
 from anisefront import aperture
 from anisefront.control import CLOCK_GRAIN_MS, PERIOD_MS, Controller
 from anisefront.interface import (
-    Action, Arrival, Cancel, Event, Fail, Fleet, Heard, Outcome, Refuse, Repeat, RequestClass, Result, Send,
-    Server, State, Tell, Wake, Woken,
+    Action,
+    Arrival,
+    Cancel,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Outcome,
+    Refuse,
+    Repeat,
+    RequestClass,
+    Result,
+    Send,
+    Server,
+    State,
+    Tell,
+    Wake,
+    Woken,
 )
 from benchmarks.cold_workers import COLD_FROM, WARM_UP_MS, WINDOW_MS, WORK_MS, allowed
 from benchmarks.scale.load import Firm, Load
@@ -93,8 +109,14 @@
 class Tier:
     """`numbers`: the gatekeepers that are played; of these `judged` are counted. `make` makes a module."""
 
-    def __init__(self, load: Load, seed: int, numbers: Iterable[int] = (), judged: Iterable[int] = (),
-                 make: Make = Controller) -> None:
+    def __init__(
+        self,
+        load: Load,
+        seed: int,
+        numbers: Iterable[int] = (),
+        judged: Iterable[int] = (),
+        make: Make = Controller,
+    ) -> None:
         numbers = list(numbers) or list(range(load.gateways))
         chosen = set(judged) or set(numbers)
         self.load, self.seed, self.make, self.rng = load, seed, make, random.Random(f"{seed}/tier")
@@ -102,8 +124,11 @@
         self.gates = {number: Gate(number, number in chosen) for number in numbers}
         self.judged = [gate for gate in self.gates.values() if gate.judged]
         # A firm whose set is not played in full would ask a home that is not there.
-        self.firms = [firm for firm in load.firms if all(
-            (firm.first + place) % load.gateways in self.gates for place in range(firm.spread))]
+        self.firms = [
+            firm
+            for firm in load.firms
+            if all((firm.first + place) % load.gateways in self.gates for place in range(firm.spread))
+        ]
         self.cumulated = list(itertools.accumulate(firm.asked_per_s for firm in self.firms))
         self.shares = list(itertools.accumulate(share for _, share, _ in load.kinds))
         self.plans = {plan.name: plan for plan in load.settings_of(numbers[0]).plans}
@@ -322,8 +347,17 @@
             return
         number = next(self.ids)
         self.open[number] = request = Open(want, gate, self.now, 0.0)
-        arrival = Arrival(number, firm.name, want.kind.name, firm.plan, self.now + wait_ms, 1.0, firm.first,
-                          firm.spread, want.turn > 0)
+        arrival = Arrival(
+            number,
+            firm.name,
+            want.kind.name,
+            firm.plan,
+            self.now + wait_ms,
+            1.0,
+            firm.first,
+            firm.spread,
+            want.turn > 0,
+        )
         request.lag_ms = self.turn(gate, gate.life, arrival, "serve")
 
     def again(self, want: Want, retry_ms: float) -> None:
@@ -331,7 +365,7 @@
         part = self.load.clients
         if want.turn >= part.retries:
             return
-        wait_ms = self.rng.uniform(*part.backoff_ms) * 2 ** want.turn
+        wait_ms = self.rng.uniform(*part.backoff_ms) * 2**want.turn
         want.turn += 1
         wait_ms = max(wait_ms, retry_ms) if want.firm.honours else wait_ms
         self.at(self.now + min(wait_ms, 5000.0), self.try_it, want)
@@ -436,8 +470,13 @@
         late = part.add_s if entries[0].state is State.READY else part.gone_s
         notice_ms = self.rng.uniform(*late) * 1000
         for gate in self.gates.values():
-            self.at(self.now + notice_ms + self.rng.uniform(*part.spread_ms), self.list_turn, gate,
-                    Fleet(tuple(entries), complete=False), told)
+            self.at(
+                self.now + notice_ms + self.rng.uniform(*part.spread_ms),
+                self.list_turn,
+                gate,
+                Fleet(tuple(entries), complete=False),
+                told,
+            )
 
     def list_turn(self, gate: Gate, fleet: Fleet, told: Told) -> None:
         """By then another life of it may run."""
@@ -452,8 +491,11 @@
         return sum(
             (known.entry.started_ms if (known := gate.control.servers.known.get(name)) else None)
             != server.started_ms
-            for gate in self.gates.values() if not gate.down
-            for name, server in self.list.items() if name not in self.gone)
+            for gate in self.gates.values()
+            if not gate.down
+            for name, server in self.list.items()
+            if name not in self.gone
+        )
 
     def near(self, numbers: Iterable[int]) -> list[str]:
         """The workers of which all gatekeepers that send to them are among these."""
--- a/benchmarks/scale/told.py
+++ b/benchmarks/scale/told.py
@@ -20,8 +20,9 @@
     late (ms) the last of all took in each change, with one call of 20 silent: the median and the most."""
     rng = random.Random(f"{seed}/told")
     sharers, listed = (gatekeepers, 1) if shared else (0, None)
-    watchings = [Watching(sharers, listed, random.Random(f"{seed}/{number}"), number)
-                 for number in range(gatekeepers)]
+    watchings = [
+        Watching(sharers, listed, random.Random(f"{seed}/{number}"), number) for number in range(gatekeepers)
+    ]
     changes = [SETTLE_MS + EACH_MS * place + rng.uniform(0, EACH_MS) for place in range(CHANGES)]
     end = changes[-1] + 3 * worst_ms(shared)
     queue: list[tuple[float, int, int, Any]] = []
@@ -65,6 +66,12 @@
         at(now, number, None)
     missed = sum(count < CHANGES for count in known)
     late.sort()
-    return {"gatekeepers": gatekeepers, "discovery": "shared" if shared else "agents",
-            "calls_per_s": round(calls / end * 1000, 1), "last_told_p50_ms": round(late[CHANGES // 2], 1),
-            "last_told_most_ms": round(late[-1], 1), "stated_worst_ms": worst_ms(shared), "missed": missed}
+    return {
+        "gatekeepers": gatekeepers,
+        "discovery": "shared" if shared else "agents",
+        "calls_per_s": round(calls / end * 1000, 1),
+        "last_told_p50_ms": round(late[CHANGES // 2], 1),
+        "last_told_most_ms": round(late[-1], 1),
+        "stated_worst_ms": worst_ms(shared),
+        "missed": missed,
+    }
--- a/benchmarks/scale/work.py
+++ b/benchmarks/scale/work.py
@@ -32,6 +32,7 @@
         elif event == "opcode":
             count += 1
         return trace
+
     before = sys.gettrace()
     sys.settrace(trace)
     try:
@@ -52,6 +53,7 @@
 
     def handle(events: list[Event], which: Any = None) -> tuple[int, list[Action]]:
         return steps(lambda: (which or control).handle(now, events))
+
     found: dict[str, float] = {}
     found["whole list"], _ = handle([Fleet(servers)])
     peer.handle(now, [Fleet(servers)])
@@ -67,8 +69,9 @@
     total = sent = 0
     for number in range(AT_ONCE):  # from here no period comes
         now += 1.0
-        arrival = Arrival(number, one.name, kind.name, one.plan, now + kind.deadline_ms, 1.0, one.first,
-                          one.spread)
+        arrival = Arrival(
+            number, one.name, kind.name, one.plan, now + kind.deadline_ms, 1.0, one.first, one.spread
+        )
         work, actions = handle([arrival])
         total += work
         for send in [action for action in actions if isinstance(action, Send)]:
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -39,15 +39,22 @@
 def other_hall() -> Swap:
     """A keyed request is sent again to another hall."""
     right = Controller.allowed
-    return [(Controller, "allowed", lambda self, request: None if request.kind.repeat is Repeat.KEYED
-             else right(self, request))]
+    return [
+        (
+            Controller,
+            "allowed",
+            lambda self, request: None if request.kind.repeat is Repeat.KEYED else right(self, request),
+        )
+    ]
 
 
 def refuses_all() -> Swap:
     """What may have run is refused, as if a retry were harmless."""
+
     def refuse(self: Controller, request: Any) -> None:
         self.actions.append(Refuse(request.arrival.id, 250.0))
         self.close(request)
+
     return [(Controller, "refuse_or_fail", refuse)]
 
 
@@ -57,6 +64,7 @@
 
     def fault(self: WorkerConnection, result: Result) -> None:
         right(self, Result.CONNECT_FAILED if result is Result.RESET else result)
+
     return [(WorkerConnection, "_fault", fault)]
 
 
@@ -65,9 +73,14 @@
     right = Gatekeeper.listed
 
     def listed(self: Gatekeeper, news: WorkerList) -> None:
-        entries = tuple(replace(one, server=replace(one.server, state=State.READY))
-                        if one.server.state is State.DRAINING else one for one in news.entries)
+        entries = tuple(
+            replace(one, server=replace(one.server, state=State.READY))
+            if one.server.state is State.DRAINING
+            else one
+            for one in news.entries
+        )
         right(self, replace(news, entries=entries))
+
     return [(Gatekeeper, "listed", listed)]
 
 
@@ -78,6 +91,7 @@
     def choose(self: Servers, now: float, request: Any, group: Any) -> Any:
         cold = [one for one in self.cold if group is None or one in group]
         return cold[0] if cold else right(self, now, request, group)
+
     return [(Servers, "choose", choose)]
 
 
@@ -98,6 +112,7 @@
             connection = None
         self.connection = connection
         right(self, result, *more, **others)
+
     return [(Attempt, "end", end)]
 
 
@@ -108,9 +123,11 @@
 
 def ignores_slices() -> Swap:
     """A gatekeeper on credit does not look at its slice of the ceiling."""
+
     def draw(self: Quota, now: float, request: Any) -> bool:
         request.paid = request.arrival.units
         return True
+
     return [(Quota, "unanswered", lambda self, now, request: draw(self, now, request))]
 
 
@@ -123,6 +140,7 @@
         count[0] += 1
         if count[0] % 100 == 0 and self.transport is not None:
             self.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+
     return [(ClientConnection, "answer", answer)]
 
 
@@ -142,13 +160,16 @@
     def close_if_idle(self: ClientConnection) -> None:
         if self.is_idle():  # and never looks whether something is unread
             self._finish()
+
     return [(Admission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
 
 
 def writes_after_the_end() -> Swap:
     """A connection that comes up late carries its attempt, though it has ended."""
-    def dialled(self: Workers, worker: Any, attempt: Attempt, connection: WorkerConnection,
-                dial: Any) -> None:
+
+    def dialled(
+        self: Workers, worker: Any, attempt: Attempt, connection: WorkerConnection, dial: Any
+    ) -> None:
         worker.dialling.remove(attempt)
         attempt.dial = None
         if dial.cancelled() or dial.exception() is not None:
@@ -164,6 +185,7 @@
         if attempt.dial is not None:  # a dial is never called off
             dial, attempt.dial = attempt.dial, None
             self.__dict__.setdefault("kept", []).append(dial)
+
     right = Workers.start
     return [(Workers, "_dialled", dialled), (Workers, "start", start)]
 
@@ -176,14 +198,18 @@
         def again() -> None:
             call()
             self._loop.call_soon(again)
+
         return right(self, when_ms, again)
+
     return [(Timers, "at", at)]
 
 
 def looks_no_more() -> Swap:
     """Between the choice and the first byte nobody looks whether the group still remembers the first."""
+
     def may_leave(self: Workers, worker: Any, attempt: Attempt) -> bool:
         return attempt.done is not None and self.serves(worker)
+
     return [(Workers, "_may_leave", may_leave)]
 
 
@@ -194,6 +220,7 @@
     def connection_lost(self: WorkerConnection, problem: Exception | None) -> None:
         self.eof_received()
         right(self, problem)
+
     return [(WorkerConnection, "connection_lost", connection_lost)]
 
 
@@ -204,8 +231,10 @@
 
 def sends_for_nobody() -> Swap:
     """A request whose client has gone goes on as if it were there."""
-    return [(Gatekeeper, "left", lambda self, request: None),
-            (ClientConnection, "has_gone", lambda self: False)]
+    return [
+        (Gatekeeper, "left", lambda self, request: None),
+        (ClientConnection, "has_gone", lambda self: False),
+    ]
 
 
 # Each with the rules that it may break first.
--- a/benchmarks/simulation/real_against_virtual.py
+++ b/benchmarks/simulation/real_against_virtual.py
@@ -34,8 +34,13 @@
 def simulated(name: str, seed: int) -> tuple[float, str]:
     """Service of the same in virtual time, and the rule that broke, if one did."""
     scenario = load(name)
-    case = replace(Case(seed), seconds=scenario.seconds, load=scenario.load.share,
-                   gatekeepers=scenario.fleet.gatekeepers, servers=scenario.fleet.servers)
+    case = replace(
+        Case(seed),
+        seconds=scenario.seconds,
+        load=scenario.load.share,
+        gatekeepers=scenario.fleet.gatekeepers,
+        servers=scenario.fleet.servers,
+    )
     before: Any = virtual.scenario_of
     virtual.scenario_of = lambda _case: scenario
     try:
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -24,7 +24,15 @@
 
 from plumpick import compiled
 from plumpick.capacity.slopes import (
-    COMPILED, EITHER, FILE, FORMS, LINEAR, PLAIN, POWER, SATURATING, best_fit,
+    COMPILED,
+    EITHER,
+    FILE,
+    FORMS,
+    LINEAR,
+    PLAIN,
+    POWER,
+    SATURATING,
+    best_fit,
 )
 
 ROUNDS, LONG_ROUNDS = 9, 5  # of a slope of CPU, whose points are their medians; of one whose rounds are long
@@ -61,100 +69,313 @@
 
 TASKS = (
     Task("idle_by_workers", "module with nothing to do", "workers", "ms CPU/s", WORKERS, "decisions", True),
-    Task("idle_by_classes", "module with nothing to do, 60 workers", "classes", "ms CPU/s", CLASSES,
-         "decisions", True, (LINEAR,)),
-    Task("idle_by_firms", "module with nothing to do, 200 workers, right after so many firms came", "firms",
-         "ms CPU/s", FIRMS, "decisions", True, (LINEAR,)),
-    Task("changed_entry", "one changed entry taken in, one call", "workers", "ms CPU", WORKERS, "decisions",
-         True),
-    Task("changed_together", "entries changed in one answer, 5,900 workers, one call", "entries", "ms CPU",
-         (1, 10, 100, 590, 1180), "decisions", True, (LINEAR,)),
+    Task(
+        "idle_by_classes",
+        "module with nothing to do, 60 workers",
+        "classes",
+        "ms CPU/s",
+        CLASSES,
+        "decisions",
+        True,
+        (LINEAR,),
+    ),
+    Task(
+        "idle_by_firms",
+        "module with nothing to do, 200 workers, right after so many firms came",
+        "firms",
+        "ms CPU/s",
+        FIRMS,
+        "decisions",
+        True,
+        (LINEAR,),
+    ),
+    Task(
+        "changed_entry",
+        "one changed entry taken in, one call",
+        "workers",
+        "ms CPU",
+        WORKERS,
+        "decisions",
+        True,
+    ),
+    Task(
+        "changed_together",
+        "entries changed in one answer, 5,900 workers, one call",
+        "entries",
+        "ms CPU",
+        (1, 10, 100, 590, 1180),
+        "decisions",
+        True,
+        (LINEAR,),
+    ),
     Task("whole_list", "the whole list taken in, one call", "workers", "ms CPU", WORKERS, "decisions", True),
     Task("list_parse", "the whole list read from JSON", "workers", "ms CPU", WORKERS, "decisions"),
     Task("list_bytes", "the whole list as JSON", "workers", "bytes", WORKERS, "decisions"),
-    Task("request_by_workers", "decisions of a request at 273 a second, sets of 3", "workers", "us CPU",
-         (500, 1000, 2000, 2950, 5900), "decisions", True, is_long=True),
-    Task("serving_by_rate", "decisions of requests, 1,000 workers, sets of 3", "requests a second",
-         "ms CPU/s", RATES, "decisions", True, is_long=True),
-    Task("heard_by_set", "a word taken in, 273 requests a second", "gatekeepers of a set", "us CPU",
-         (2, 3, 5, 8, 11, 20), "decisions", True, is_long=True),
+    Task(
+        "request_by_workers",
+        "decisions of a request at 273 a second, sets of 3",
+        "workers",
+        "us CPU",
+        (500, 1000, 2000, 2950, 5900),
+        "decisions",
+        True,
+        is_long=True,
+    ),
+    Task(
+        "serving_by_rate",
+        "decisions of requests, 1,000 workers, sets of 3",
+        "requests a second",
+        "ms CPU/s",
+        RATES,
+        "decisions",
+        True,
+        is_long=True,
+    ),
+    Task(
+        "heard_by_set",
+        "a word taken in, 273 requests a second",
+        "gatekeepers of a set",
+        "us CPU",
+        (2, 3, 5, 8, 11, 20),
+        "decisions",
+        True,
+        is_long=True,
+    ),
     Task("words_by_rate_3", "words told, sets of 3", "requests a second", "words/s", RATES, "decisions"),
     Task("words_by_rate_20", "words told, sets of 20", "requests a second", "words/s", RATES, "decisions"),
-    Task("words_by_set", "words told at 273 requests a second", "gatekeepers of a set", "words/s", SETS,
-         "decisions"),
-    Task("words_by_firms", "words told, sets of 3, 273 requests a second", "firms at a home",
-         "words/s", (2, 7, 22, 73, 218), "decisions"),
+    Task(
+        "words_by_set",
+        "words told at 273 requests a second",
+        "gatekeepers of a set",
+        "words/s",
+        SETS,
+        "decisions",
+    ),
+    Task(
+        "words_by_firms",
+        "words told, sets of 3, 273 requests a second",
+        "firms at a home",
+        "words/s",
+        (2, 7, 22, 73, 218),
+        "decisions",
+    ),
     Task("bytes_by_rate_3", "bytes told, sets of 3", "requests a second", "bytes/s", RATES, "decisions"),
     Task("bytes_by_rate_20", "bytes told, sets of 20", "requests a second", "bytes/s", RATES, "decisions"),
-    Task("bytes_by_set", "bytes told at 273 requests a second", "gatekeepers of a set", "bytes/s", SETS,
-         "decisions"),
+    Task(
+        "bytes_by_set",
+        "bytes told at 273 requests a second",
+        "gatekeepers of a set",
+        "bytes/s",
+        SETS,
+        "decisions",
+    ),
     Task("settings_parse_by_classes", "a configuration read", "classes", "ms CPU", CLASSES, "decisions"),
-    Task("settings_parse_by_plans", "a configuration read", "plans", "ms CPU", (2, 100, 1000, 4000),
-         "decisions"),
+    Task(
+        "settings_parse_by_plans",
+        "a configuration read",
+        "plans",
+        "ms CPU",
+        (2, 100, 1000, 4000),
+        "decisions",
+    ),
     Task("settings_bytes", "a configuration as JSON", "classes", "bytes", CLASSES, "decisions"),
-    Task("memory_by_workers", "entries of the module and of the list", "workers", "bytes", WORKERS,
-         "decisions", forms=(LINEAR,)),
-    Task("memory_by_firms", "an account and a store of each firm", "firms", "bytes", FIRMS, "decisions",
-         forms=(LINEAR,)),
-    Task("memory_by_classes", "the module", "classes", "bytes", CLASSES, "decisions",
-         forms=(LINEAR,)),
-    Task("memory_by_requests", "open requests", "requests", "bytes", (10, 50, 200, 800, 3200), "decisions",
-         forms=(LINEAR,)),
-    Task("memory_by_peers", "peers that told something", "peers", "bytes", (10, 40, 200, 549), "decisions",
-         forms=(LINEAR,)),
-    Task("divider_asking", "an asking answered by the divider of one budget, which all ask for",
-         "gatekeepers", "us CPU", GATEKEEPERS, "decisions"),
-    Task("memory_by_askers", "the same divider", "gatekeepers", "bytes", GATEKEEPERS, "decisions",
-         forms=(LINEAR,)),
+    Task(
+        "memory_by_workers",
+        "entries of the module and of the list",
+        "workers",
+        "bytes",
+        WORKERS,
+        "decisions",
+        forms=(LINEAR,),
+    ),
+    Task(
+        "memory_by_firms",
+        "an account and a store of each firm",
+        "firms",
+        "bytes",
+        FIRMS,
+        "decisions",
+        forms=(LINEAR,),
+    ),
+    Task("memory_by_classes", "the module", "classes", "bytes", CLASSES, "decisions", forms=(LINEAR,)),
+    Task(
+        "memory_by_requests",
+        "open requests",
+        "requests",
+        "bytes",
+        (10, 50, 200, 800, 3200),
+        "decisions",
+        forms=(LINEAR,),
+    ),
+    Task(
+        "memory_by_peers",
+        "peers that told something",
+        "peers",
+        "bytes",
+        (10, 40, 200, 549),
+        "decisions",
+        forms=(LINEAR,),
+    ),
+    Task(
+        "divider_asking",
+        "an asking answered by the divider of one budget, which all ask for",
+        "gatekeepers",
+        "us CPU",
+        GATEKEEPERS,
+        "decisions",
+    ),
+    Task(
+        "memory_by_askers",
+        "the same divider",
+        "gatekeepers",
+        "bytes",
+        GATEKEEPERS,
+        "decisions",
+        forms=(LINEAR,),
+    ),
     Task("estate_bytes", "what a process leaves to the next, as JSON", "firms", "bytes", FIRMS, "decisions"),
     Task("estate_ms", "that left, written, read and taken over", "firms", "ms CPU", FIRMS, "decisions", True),
-    Task("start_by_workers", "a process from its start to its first 200 at /up", "workers", "s", WORKERS,
-         "processes"),
+    Task(
+        "start_by_workers",
+        "a process from its start to its first 200 at /up",
+        "workers",
+        "s",
+        WORKERS,
+        "processes",
+    ),
     Task("resident_by_workers", "its resident memory then", "workers", "MB", WORKERS, "processes"),
     Task("descriptors_by_workers", "its descriptors then", "workers", "descriptors", WORKERS, "processes"),
-    Task("start_by_classes", "a process from its start to its first 200 at /up, 10 workers", "classes", "s",
-         CLASSES, "processes"),
-    Task("resident_by_classes", "its resident memory then, 10 workers", "classes", "MB", CLASSES,
-         "processes", forms=(LINEAR,)),
-    Task("calls_s", "runs of `plumpick call`, one after another", "calls", "s", (10, 40, 150, 550),
-         "processes"),
-    Task("voter_taken", "words of leases taken in by the busiest voter, 3 voters, 12 slots, 6 s terms",
-         "gatekeepers", "words/s", GATEKEEPERS, "processes"),
+    Task(
+        "start_by_classes",
+        "a process from its start to its first 200 at /up, 10 workers",
+        "classes",
+        "s",
+        CLASSES,
+        "processes",
+    ),
+    Task(
+        "resident_by_classes",
+        "its resident memory then, 10 workers",
+        "classes",
+        "MB",
+        CLASSES,
+        "processes",
+        forms=(LINEAR,),
+    ),
+    Task(
+        "calls_s", "runs of `plumpick call`, one after another", "calls", "s", (10, 40, 150, 550), "processes"
+    ),
+    Task(
+        "voter_taken",
+        "words of leases taken in by the busiest voter, 3 voters, 12 slots, 6 s terms",
+        "gatekeepers",
+        "words/s",
+        GATEKEEPERS,
+        "processes",
+    ),
     Task("voter_sent", "the same sent by a voter", "gatekeepers", "words/s", GATEKEEPERS, "processes"),
     Task("voter_bytes", "the same in bytes", "gatekeepers", "bytes/s", GATEKEEPERS, "processes"),
     Task("voter_cpu", "decisions of a voter", "gatekeepers", "ms CPU/s", GATEKEEPERS, "processes"),
-    Task("owner_taken", "words taken in by an owner of a slot, 10 duties", "gatekeepers", "words/s",
-         GATEKEEPERS, "processes"),
+    Task(
+        "owner_taken",
+        "words taken in by an owner of a slot, 10 duties",
+        "gatekeepers",
+        "words/s",
+        GATEKEEPERS,
+        "processes",
+    ),
     Task("owner_sent", "the same sent", "gatekeepers", "words/s", GATEKEEPERS, "processes"),
     Task("owner_bytes", "the same in bytes", "gatekeepers", "bytes/s", GATEKEEPERS, "processes"),
-    Task("owner_cpu", "decisions of an owner, 10 duties", "gatekeepers", "ms CPU/s", GATEKEEPERS,
-         "processes"),
-    Task("taken_over", "a class more taken over, 5,900 workers, 218 accounts, 73 stores and open requests",
-         "classes", "ms CPU", CLASSES, "versions", True),
-    Task("taken_over_by_stores", "the same, 3 classes", "stores and open requests", "ms CPU", FIRMS,
-         "versions", True, (LINEAR,)),
-    Task("plans_taken_over", "the burst of all 50 plans taken over, 5,900 workers, 73 stores", "classes",
-         "ms CPU", CLASSES, "versions", True),
-    Task("change_bytes", "a class more, as the answer of a service, 40 plans", "classes", "bytes", CLASSES,
-         "versions"),
-    Task("whole_bytes", "the whole, as the answer of a service, 40 plans", "classes", "bytes", CLASSES,
-         "versions"),
-    Task("change_read", "a class more read, made of its base and checked, 40 plans", "classes", "ms CPU",
-         CLASSES, "versions"),
+    Task(
+        "owner_cpu", "decisions of an owner, 10 duties", "gatekeepers", "ms CPU/s", GATEKEEPERS, "processes"
+    ),
+    Task(
+        "taken_over",
+        "a class more taken over, 5,900 workers, 218 accounts, 73 stores and open requests",
+        "classes",
+        "ms CPU",
+        CLASSES,
+        "versions",
+        True,
+    ),
+    Task(
+        "taken_over_by_stores",
+        "the same, 3 classes",
+        "stores and open requests",
+        "ms CPU",
+        FIRMS,
+        "versions",
+        True,
+        (LINEAR,),
+    ),
+    Task(
+        "plans_taken_over",
+        "the burst of all 50 plans taken over, 5,900 workers, 73 stores",
+        "classes",
+        "ms CPU",
+        CLASSES,
+        "versions",
+        True,
+    ),
+    Task(
+        "change_bytes",
+        "a class more, as the answer of a service, 40 plans",
+        "classes",
+        "bytes",
+        CLASSES,
+        "versions",
+    ),
+    Task(
+        "whole_bytes",
+        "the whole, as the answer of a service, 40 plans",
+        "classes",
+        "bytes",
+        CLASSES,
+        "versions",
+    ),
+    Task(
+        "change_read",
+        "a class more read, made of its base and checked, 40 plans",
+        "classes",
+        "ms CPU",
+        CLASSES,
+        "versions",
+    ),
     Task("rest_calls", "calls in rest at one service", "watchers", "calls/s", WATCHERS, "versions"),
     Task("rest_bytes", "bytes out and in, the same", "watchers", "bytes/s", WATCHERS, "versions"),
-    Task("rest_core", "the service in rest, one play", "watchers", "% of a core", WATCHERS, "versions",
-         forms=(POWER, SATURATING)),
-    Task("change_core", "the service for one change, one play", "watchers", "ms of a core", WATCHERS,
-         "versions"),
-    Task("change_told", "from publishing one change to the last that has it, one play", "watchers", "s",
-         WATCHERS, "versions"),
+    Task(
+        "rest_core",
+        "the service in rest, one play",
+        "watchers",
+        "% of a core",
+        WATCHERS,
+        "versions",
+        forms=(POWER, SATURATING),
+    ),
+    Task(
+        "change_core",
+        "the service for one change, one play",
+        "watchers",
+        "ms of a core",
+        WATCHERS,
+        "versions",
+    ),
+    Task(
+        "change_told",
+        "from publishing one change to the last that has it, one play",
+        "watchers",
+        "s",
+        WATCHERS,
+        "versions",
+    ),
 )
 
 
 def machine() -> str:
-    return f"{os.cpu_count()} cores {platform.machine()}, {platform.python_implementation()} " \
-           f"{platform.python_version()}, {platform.system()}"
+    return (
+        f"{os.cpu_count()} cores {platform.machine()}, {platform.python_implementation()} "
+        f"{platform.python_version()}, {platform.system()}"
+    )
 
 
 def one_round(task: Task) -> list[float]:
@@ -179,6 +400,7 @@
 
     Danger: a machine may have several speeds. Seen: a module with nothing to do took 4.4 or 8.4 ms a second,
     and this loop 0.61 or 1.04 ms with it, for minutes at a time and then the other."""
+
     def once() -> float:
         begin, total = time.process_time_ns(), 0
         rows = [(number, number * 3) for number in range(3000)]
@@ -186,6 +408,7 @@
             for first, second in rows:
                 total += first if second % 7 else 1
         return (time.process_time_ns() - begin) / 1e6
+
     return median(once() for _ in range(5))
 
 
@@ -195,8 +418,10 @@
         return [one_round(task)]
     words = [sys.executable, "-m", "benchmarks.slopes", "--round", task.name]
     words += ["--compiled", str(folder)] if folder else []
-    return [json.loads(subprocess.run(words, check=True, stdout=subprocess.PIPE, timeout=ROUND_S).stdout)
-            for _ in range(LONG_ROUNDS if task.is_long else ROUNDS)]
+    return [
+        json.loads(subprocess.run(words, check=True, stdout=subprocess.PIPE, timeout=ROUND_S).stdout)
+        for _ in range(LONG_ROUNDS if task.is_long else ROUNDS)
+    ]
 
 
 def measure(task: Task, decisions: str, folder: Path | None) -> dict[str, Any]:
@@ -206,11 +431,24 @@
     scatter = max((max(column) / min(column) for column in columns if min(column) > 0), default=1.0)
     form, a, b, off = best_fit([(float(x), float(y)) for x, y in points], task.forms)
     command = f"python -m benchmarks.slopes --only {task.name}" + (
-        " --compiled FOLDER" if decisions == COMPILED else "")
-    return {"name": task.name, "what": task.what, "x": task.x, "unit": task.unit, "decisions": decisions,
-            "form": form, "a": a, "b": b, "points": points, "residual": off, "scatter": scatter,
-            "command": command,
-            "date": time.strftime("%Y-%m-%d", time.gmtime()), "machine": machine()}
+        " --compiled FOLDER" if decisions == COMPILED else ""
+    )
+    return {
+        "name": task.name,
+        "what": task.what,
+        "x": task.x,
+        "unit": task.unit,
+        "decisions": decisions,
+        "form": form,
+        "a": a,
+        "b": b,
+        "points": points,
+        "residual": off,
+        "scatter": scatter,
+        "command": command,
+        "date": time.strftime("%Y-%m-%d", time.gmtime()),
+        "machine": machine(),
+    }
 
 
 def write(path: Path, rows: list[dict[str, Any]]) -> None:
@@ -225,8 +463,11 @@
 
 def main() -> int:
     """0: measured and written; 2: a wrong call."""
-    flags = argparse.ArgumentParser(prog="python -m benchmarks.slopes", description=__doc__,
-                                    formatter_class=argparse.RawDescriptionHelpFormatter)
+    flags = argparse.ArgumentParser(
+        prog="python -m benchmarks.slopes",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     flags.add_argument("--only", nargs="+", metavar="NAME", default=[])
     flags.add_argument("--compiled", type=Path, metavar="FOLDER")
     flags.add_argument("--out", type=Path, default=FILE)
@@ -254,10 +495,12 @@
         row = measure(task, decisions, given.compiled)
         write(given.out, [row])
         told_points = ", ".join(f"{x:g}: {y:.4g}" for x, y in row["points"])
-        print(f"{task.name} ({decisions}, {task.unit}) {told_points}; {row['form']}, a {row['a']:.4g}, "
-              f"b {row['b']:.4g}, off {100 * row['residual']:.1f} %, "
-              f"rounds apart {row['scatter']:.2f} times [{time.monotonic() - begin:.0f} s]",
-              flush=True)
+        print(
+            f"{task.name} ({decisions}, {task.unit}) {told_points}; {row['form']}, a {row['a']:.4g}, "
+            f"b {row['b']:.4g}, off {100 * row['residual']:.1f} %, "
+            f"rounds apart {row['scatter']:.2f} times [{time.monotonic() - begin:.0f} s]",
+            flush=True,
+        )
     return 0
 
 
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -20,7 +20,19 @@
 from anisefront.budgets.terms import Budget, Kind
 from anisefront.control import Controller
 from anisefront.interface import (
-    Arrival, Event, Fleet, Heard, Inherit, Leave, Outcome, Result, Send, Settings, State, Tell, Wake,
+    Arrival,
+    Event,
+    Fleet,
+    Heard,
+    Inherit,
+    Leave,
+    Outcome,
+    Result,
+    Send,
+    Settings,
+    State,
+    Tell,
+    Wake,
     Woken,
 )
 from benchmarks.slopes.fold import CLASSES, Fold, Load, servers, settings
@@ -103,7 +115,7 @@
     control, all_servers, times = module(workers), servers(workers), []
     for number in range(2 * REPEATS):
         state = State.READY if number % 2 else State.DRAINING
-        news = Fleet(tuple(replace(one, state=state) for one in all_servers[:int(entries)]), False)
+        news = Fleet(tuple(replace(one, state=state) for one in all_servers[: int(entries)]), False)
         times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [news]))
     return median(times)
 
@@ -115,8 +127,19 @@
 
 def listing(workers: int, port: int = 9000) -> dict[str, Any]:
     """Discovery's whole list, in its form."""
-    rows = [{"name": one.id, "address": f"127.0.0.1:{port}", "zone": one.zone, "type": "m",
-             "group": one.cell, "status": "ready", "weight": 1.0, "since_ms": 0} for one in servers(workers)]
+    rows = [
+        {
+            "name": one.id,
+            "address": f"127.0.0.1:{port}",
+            "zone": one.zone,
+            "type": "m",
+            "group": one.cell,
+            "status": "ready",
+            "weight": 1.0,
+            "since_ms": 0,
+        }
+        for one in servers(workers)
+    ]
     return {"index": 1, "snapshot": True, "endpoints": rows}
 
 
@@ -131,16 +154,31 @@
 
 def configuration(classes: int, plans: int) -> dict[str, Any]:
     """A gatekeeper's configuration in the platform's form."""
-    kinds = [{"name": f"route-{n}", "aimMs": 750, "deadlineMs": 2000, "worth": 3, "repeat": "retryable"}
-             for n in range(classes)]
-    packages = [{"name": f"plan-{n}", "perSecond": 8.0, "storeSize": 16.0, "concurrency": 0,
-                 "valueFactor": 1.0} for n in range(plans)]
+    kinds = [
+        {"name": f"route-{n}", "aimMs": 750, "deadlineMs": 2000, "worth": 3, "repeat": "retryable"}
+        for n in range(classes)
+    ]
+    packages = [
+        {"name": f"plan-{n}", "perSecond": 8.0, "storeSize": 16.0, "concurrency": 0, "valueFactor": 1.0}
+        for n in range(plans)
+    ]
     return {
-        "name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:9", "seed": "1",
-        "limits": {"sockets": 1024}, "known": {"index": 0, "endpoints": []}, "settings": {
-            "balancers": 3, "myNumber": 0, "locality": "a", "classes": kinds, "packages": packages,
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": "127.0.0.1:9",
+        "seed": "1",
+        "limits": {"sockets": 1024},
+        "known": {"index": 0, "endpoints": []},
+        "settings": {
+            "balancers": 3,
+            "myNumber": 0,
+            "locality": "a",
+            "classes": kinds,
+            "packages": packages,
             "rules": {"warmUpMs": 17000, "coldFrom": 0.25, "fallMultiple": 2.5, "tipAfterMs": 1000},
-            "limits": {"maxAttempts": 5, "cancel": True, "secondCopies": True}}}
+            "limits": {"maxAttempts": 5, "cancel": True, "secondCopies": True},
+        },
+    }
 
 
 def _settings_parse(classes: int, plans: int) -> float:
@@ -251,12 +289,14 @@
 
 def memory_by_requests(requests: float) -> float:
     """Open requests, each with one attempt out where the window lets it."""
+
     def build() -> Controller:
         control = module(1000)
         for number in range(int(requests)):
             arrival = Arrival(number, f"firm-{number % 100}", "check", "usual", BEGIN_MS + 2000, 0.001, 0, 1)
             control.handle(BEGIN_MS + 1, [arrival])
         return control
+
     return held_bytes(build)
 
 
@@ -266,8 +306,11 @@
     teller.handle(BEGIN_MS, [Fleet(servers(10))])
     for number in range(50):  # firms whose home is 0
         arrival = Arrival(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
-        words += [one.data for one in teller.handle(BEGIN_MS + 1 + 100 * number, [arrival])
-                  if isinstance(one, Tell) and one.receiver == 0]
+        words += [
+            one.data
+            for one in teller.handle(BEGIN_MS + 1 + 100 * number, [arrival])
+            if isinstance(one, Tell) and one.receiver == 0
+        ]
 
     def build() -> Controller:
         control = module(10)
@@ -275,6 +318,7 @@
             heard: Event = Heard(1 + number, words[number % len(words)])
             control.handle(BEGIN_MS + 1 + number * 0.01, [heard])
         return control
+
     return held_bytes(build)
 
 
@@ -319,10 +363,10 @@
 
 def estate_ms(firms: float) -> float:
     """To leave it, to write and read it as JSON, and to take it over."""
+
     def pass_over(control: Controller, heir: Controller) -> None:
         left = control.handle(BEGIN_MS + 10_000, [Leave()])
         state = next(action.state for action in left if hasattr(action, "state"))
         heir.handle(BEGIN_MS + 10_000, [Inherit(json.loads(json.dumps(state)))])
-    return median(cpu_ms(pass_over, _with_firms(int(firms)), module(200)) for _ in range(3))
-
 
+    return median(cpu_ms(pass_over, _with_firms(int(firms)), module(200)) for _ in range(3))
--- a/benchmarks/slopes/fold.py
+++ b/benchmarks/slopes/fold.py
@@ -19,8 +19,23 @@
 
 from anisefront.control import Controller
 from anisefront.interface import (
-    Arrival, Cancel, Fleet, Heard, Outcome, Plan, Repeat, RequestClass, Result, Scope, Send, Server, Settings,
-    State, Tell, Wake, Woken,
+    Arrival,
+    Cancel,
+    Fleet,
+    Heard,
+    Outcome,
+    Plan,
+    Repeat,
+    RequestClass,
+    Result,
+    Scope,
+    Send,
+    Server,
+    Settings,
+    State,
+    Tell,
+    Wake,
+    Woken,
 )
 
 CLASSES = (
@@ -33,13 +48,29 @@
 SETTLE_S = 4.0  # of modelled time before figures are taken
 
 
-def settings(gateways: int, classes: tuple[RequestClass, ...] = CLASSES,
-             plans: tuple[Plan, ...] = (Plan("usual", 8.0, 16.0),)) -> Settings:
+def settings(
+    gateways: int,
+    classes: tuple[RequestClass, ...] = CLASSES,
+    plans: tuple[Plan, ...] = (Plan("usual", 8.0, 16.0),),
+) -> Settings:
     """Of gatekeeper 0 of a tier."""
     return Settings(
-        gateways=gateways, number=0, zone="a", classes=classes, plans=plans, warm_up_ms=17_000.0,
-        cold_from=0.25, fall_multiple=2.5, fall_window_ms=1000.0, max_attempts=5, tick_ms=1.0,
-        may_tell=True, may_cancel=True, second_copies=True, inbox_per_s=60.0)
+        gateways=gateways,
+        number=0,
+        zone="a",
+        classes=classes,
+        plans=plans,
+        warm_up_ms=17_000.0,
+        cold_from=0.25,
+        fall_multiple=2.5,
+        fall_window_ms=1000.0,
+        max_attempts=5,
+        tick_ms=1.0,
+        may_tell=True,
+        may_cancel=True,
+        second_copies=True,
+        inbox_per_s=60.0,
+    )
 
 
 def servers(count: int) -> tuple[Server, ...]:
@@ -114,8 +145,16 @@
             member = (place - first) % load.kept
         turned = first + member - place  # by which the ring is turned back for it
         kind = CLASSES[self.serial % 3]
-        return Arrival(self.serial, f"firm-{firm}", kind.name, "usual", now + kind.deadline_ms, 1.0,
-                       (first - turned) % load.gateways, load.spread)
+        return Arrival(
+            self.serial,
+            f"firm-{firm}",
+            kind.name,
+            "usual",
+            now + kind.deadline_ms,
+            1.0,
+            (first - turned) % load.gateways,
+            load.spread,
+        )
 
     def turn(self, now: float, place: int, event: Any) -> None:
         load, module = self.load, self.modules[place]
@@ -133,8 +172,11 @@
             if isinstance(action, Send):
                 number = self.attempts[place, action.id]
                 self.attempts[place, action.id] += 1
-                self.put(now + ANSWER_MS, place,
-                         Outcome(action.id, number, action.server, ANSWER_MS, Result.OK, True))
+                self.put(
+                    now + ANSWER_MS,
+                    place,
+                    Outcome(action.id, number, action.server, ANSWER_MS, Result.OK, True),
+                )
                 self.counts["sends"] += self.on
             elif isinstance(action, Wake):
                 self.put(now + max(1.0, action.after_ms), place, Woken(action.name))
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -33,7 +33,9 @@
         super().__init__(daemon=True)
         body = json.dumps(listing(workers)).encode()
         self.answer = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
-            len(body), body)
+            len(body),
+            body,
+        )
         self.plug = socket.create_server((HOST, 0))
         self.port = self.plug.getsockname()[1]
         self.kept: list[socket.socket] = []
@@ -78,15 +80,23 @@
         self.agent.start()
         self.port, self.management = _free_port(), _free_port()
         value = configuration(classes, plans)
-        value.update(listen=f"{HOST}:{self.port}", discovery=f"{HOST}:{self.agent.port}",
-                     management=f"{HOST}:{self.management}")
+        value.update(
+            listen=f"{HOST}:{self.port}",
+            discovery=f"{HOST}:{self.agent.port}",
+            management=f"{HOST}:{self.management}",
+        )
         self.file = tempfile.NamedTemporaryFile("w", suffix=".json")
         json.dump(value, self.file)
         self.file.flush()
         environment = {**os.environ, "BALANCER_CONFIG": self.file.name}
         begin = time.monotonic()
-        self.process = subprocess.Popen([sys.executable, "-m", "plumpick"], cwd=ROOT, env=environment,
-                                        stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "plumpick"],
+            cwd=ROOT,
+            env=environment,
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+        )
         try:
             self._until_up(begin)
             self.start_s = time.monotonic() - begin
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -34,13 +34,17 @@
     times = []
     for number in range(REPEATS):
         wanted = base if number % 2 else other
-        fresh = replace(wanted, classes=tuple(replace(kind) for kind in wanted.classes),
-                        plans=tuple(replace(plan) for plan in wanted.plans))
+        fresh = replace(
+            wanted,
+            classes=tuple(replace(kind) for kind in wanted.classes),
+            plans=tuple(replace(plan) for plan in wanted.plans),
+        )
         said: list[Any] = []
         now += 0.001  # no period comes meanwhile
 
         def turn(now: float = now, fresh: Settings = fresh, said: list[Any] = said) -> None:
             said += control.handle(now, [Reconfigure(1, fresh)])
+
         times.append(cpu_ms(turn))
         if control.faults or [one.wrong for one in said if isinstance(one, Said)] != [""]:
             raise RuntimeError("the change was not taken over")
@@ -80,13 +84,21 @@
     value = wide(int(classes), PLANS, 3)
     after, config = changed(value, "one class more"), config_from(Trial(1, 3, "", Path("."))._config(0), {})
     held = Content(1, digest(value), 0.0, value)
-    data = canonical({**document(2, after), "settings": None, "base": 1, "base_digest": held.digest,
-                      "changes": changes_between(value, after)})
+    data = canonical(
+        {
+            **document(2, after),
+            "settings": None,
+            "base": 1,
+            "base_digest": held.digest,
+            "changes": changes_between(value, after),
+        }
+    )
 
     def read() -> None:
         _, _, wrong = _read(offer_from(json.loads(data)), held, config)
         if wrong:
             raise RuntimeError(wrong)
+
     return median(cpu_ms(read) for _ in range(REPEATS))
 
 
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -19,14 +19,27 @@
 from plumpick.rehearsal.records import Answered, Asked, Gate, read_history
 
 SCENARIO = Path(__file__).resolve().parents[1] / "plumpick/rehearsal/scenarios/standstills.toml"
-ROWS = ("standing, while it stood", "standing, after", "others, while one stood", "others, after",
-        "all else")
+ROWS = ("standing, while it stood", "standing, after", "others, while one stood", "others, after", "all else")
 
 
 def play(scenario: Path, seed: int, folder: Path) -> list[Any]:
     """The records of a rehearsal; its own verdict does not matter here."""
-    subprocess.run([sys.executable, "-m", "plumpick.cli", "rehearse", str(scenario), "--seed", str(seed),
-                    "--report", str(folder), "--quiet"], stdout=subprocess.DEVNULL, check=False)
+    subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "plumpick.cli",
+            "rehearse",
+            str(scenario),
+            "--seed",
+            str(seed),
+            "--report",
+            str(folder),
+            "--quiet",
+        ],
+        stdout=subprocess.DEVNULL,
+        check=False,
+    )
     with open(folder / "history.jsonl", encoding="utf-8") as lines:
         return list(read_history(lines))
 
@@ -80,7 +93,7 @@
     text = SCENARIO.read_text(encoding="utf-8")
     with tempfile.TemporaryDirectory() as folder:
         calm = Path(folder, "calm.toml")
-        calm.write_text(text[:text.index("[[events]]")], encoding="utf-8")
+        calm.write_text(text[: text.index("[[events]]")], encoding="utf-8")
         stood = play(SCENARIO, given.seed, Path(folder, "stood"))
         spans = stops(stood)
         if not spans:
@@ -91,15 +104,21 @@
         first = min(one.t for one in stood if isinstance(one, Asked))
         shift = min(one.t for one in quiet if isinstance(one, Asked)) - first
         here = rows(stood, spans, given.after * 1000)
-        there = rows(quiet, [(gate, begin + shift, end + shift) for gate, begin, end in spans],
-                     given.after * 1000)
+        there = rows(
+            quiet, [(gate, begin + shift, end + shift) for gate, begin, end in spans], given.after * 1000
+        )
     if given.json:
         print(json.dumps({"stood": here, "calm": there}))
         return 0
     print(f"{len(spans)} stalls; each figure: with them, and at the same moments with none")
     for name in ROWS:
-        print(f"{name:<26}" + "  ".join(f"{what} {here[name][what]:>5} {there[name][what]:>5}"
-                                        for what in ("tries", "none", "refused", "served", "other")))
+        print(
+            f"{name:<26}"
+            + "  ".join(
+                f"{what} {here[name][what]:>5} {there[name][what]:>5}"
+                for what in ("tries", "none", "refused", "served", "other")
+            )
+        )
     return 0
 
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -32,10 +32,19 @@
 def outcomes(given: argparse.Namespace, run: Callable[[tuple[Any, ...]], Any], *more: Any) -> Iterator[Any]:
     """What came of each, in the order of their seeds; `more` stands between the size and the cases."""
     with ProcessPoolExecutor(given.jobs) as pool:
-        yield from pool.map(run, [
-            (given.seed + place, given.gatekeepers or SIZES[place % len(SIZES)], *more, given.cases,
-             given.only)
-            for place in range(given.trials)])
+        yield from pool.map(
+            run,
+            [
+                (
+                    given.seed + place,
+                    given.gatekeepers or SIZES[place % len(SIZES)],
+                    *more,
+                    given.cases,
+                    given.only,
+                )
+                for place in range(given.trials)
+            ],
+        )
 
 
 def to_the_end(play: Callable[..., Coroutine[Any, Any, Any]], arguments: tuple[Any, ...]) -> Any:
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -36,13 +36,17 @@
 
 def settings() -> dict[str, Any]:
     """One class and one plan without quota: what is refused here is a matter of the upgrade alone."""
-    return {"balancers": 1, "myNumber": 0, "locality": "a", "tickMs": 4.0,
-            "classes": [{"name": "look", "aimMs": 1e3, "deadlineMs": 3e3, "worth": 1.0,
-                         "repeat": "retryable"}],
-            "packages": [{"name": "basic"}],
-            "limits": {"maxAttempts": 3, "cancel": True, "dialTimeoutMs": 250.0, "connIdleMs": 30000.0},
-            "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
-            "report": {"fields": [], "how": "none"}}
+    return {
+        "balancers": 1,
+        "myNumber": 0,
+        "locality": "a",
+        "tickMs": 4.0,
+        "classes": [{"name": "look", "aimMs": 1e3, "deadlineMs": 3e3, "worth": 1.0, "repeat": "retryable"}],
+        "packages": [{"name": "basic"}],
+        "limits": {"maxAttempts": 3, "cancel": True, "dialTimeoutMs": 250.0, "connIdleMs": 30000.0},
+        "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
+        "report": {"fields": [], "how": "none"},
+    }
 
 
 class Play:
@@ -51,8 +55,7 @@
     def __init__(self, folder: Path, shared: bool) -> None:
         self.folder, self.shared = folder, shared
         self.port, self.ids = free_port(), itertools.count(1)
-        self.counts = dict.fromkeys(
-            ("asked", "served", "refused", "lost", "turned back", "ran twice"), 0)
+        self.counts = dict.fromkeys(("asked", "served", "refused", "lost", "turned back", "ran twice"), 0)
         self.ran: dict[str, int] = {}
         self.over = False
         self.end_of_watches = asyncio.get_running_loop().create_task(asyncio.Event().wait())
@@ -76,10 +79,25 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 if b"since=" in head:
                     await asyncio.wait((self.end_of_watches,), timeout=4.0)
-                body = json.dumps({"index": 1, "snapshot": b"since=" not in head, "endpoints": [
-                    {"name": "w1", "address": f"{HOST}:{self.worker_port}", "zone": "a", "type": "m",
-                     "group": 0, "status": "ready", "weight": 1.0, "since_ms": 0}
-                ] * (b"since=" not in head)}).encode()
+                body = json.dumps(
+                    {
+                        "index": 1,
+                        "snapshot": b"since=" not in head,
+                        "endpoints": [
+                            {
+                                "name": "w1",
+                                "address": f"{HOST}:{self.worker_port}",
+                                "zone": "a",
+                                "type": "m",
+                                "group": 0,
+                                "status": "ready",
+                                "weight": 1.0,
+                                "since_ms": 0,
+                            }
+                        ]
+                        * (b"since=" not in head),
+                    }
+                ).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -89,14 +107,28 @@
         office, folder = free_port(), self.folder if self.shared else self.folder / str(number)
         folder.mkdir(exist_ok=True)
         path = self.folder / f"config-{number}.json"
-        path.write_text(json.dumps({
-            "name": "n0", "listen": f"{HOST}:{self.port}", "discovery": f"{HOST}:{self.roster_port}",
-            "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024, "memory_mb": 192},
-            "known": {"index": 0, "snapshot": True, "endpoints": []}, "settings": settings(),
-            "management": f"{HOST}:{office}"}))
+        path.write_text(
+            json.dumps(
+                {
+                    "name": "n0",
+                    "listen": f"{HOST}:{self.port}",
+                    "discovery": f"{HOST}:{self.roster_port}",
+                    "seed": "8c1f30d27a5be964",
+                    "limits": {"sockets": 1024, "memory_mb": 192},
+                    "known": {"index": 0, "snapshot": True, "endpoints": []},
+                    "settings": settings(),
+                    "management": f"{HOST}:{office}",
+                }
+            )
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "plumpick", cwd=ROOT, stderr=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(folder)})
+            sys.executable,
+            "-m",
+            "plumpick",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(folder)},
+        )
         async with asyncio.timeout(UP_S):
             while True:
                 try:
@@ -114,9 +146,11 @@
                 reader, writer = await asyncio.open_connection(HOST, self.port)
                 while not self.over:
                     name = f"{next(self.ids):016x}"
-                    writer.write(f"GET /look HTTP/1.1\r\nHost: h\r\nX-Request-Id: {name}\r\nX-Tier: basic\r\n"
-                                 "X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: 2000\r\n"
-                                 "X-Call-Terms: units=1,spread=1,first=0\r\n\r\n".encode())
+                    writer.write(
+                        f"GET /look HTTP/1.1\r\nHost: h\r\nX-Request-Id: {name}\r\nX-Tier: basic\r\n"
+                        "X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: 2000\r\n"
+                        "X-Call-Terms: units=1,spread=1,first=0\r\n\r\n".encode()
+                    )
                     counts["asked"] += 1
                     written = True
                     head = (await reader.readuntil(b"\r\n\r\n")).decode()
@@ -167,14 +201,18 @@
     flags.add_argument("--clients", type=int, default=16)
     flags.add_argument("--way", choices=("handover", "reuseport"), default="handover")
     given = flags.parse_args()
+
     async def play_it(folder: Path) -> Play:
         play = Play(folder, given.way == "handover")
         await play.play(given.times, given.clients)
         return play
+
     with tempfile.TemporaryDirectory(prefix="plumpick-") as folder:
         play = asyncio.run(play_it(Path(folder)))
-    print(f"{given.way}, {given.times} upgrades, {given.clients} clients: " + ", ".join(
-        f"{name} {count}" for name, count in play.counts.items()))
+    print(
+        f"{given.way}, {given.times} upgrades, {given.clients} clients: "
+        + ", ".join(f"{name} {count}" for name, count in play.counts.items())
+    )
     return int(any(play.counts[name] for name in ("lost", "turned back", "ran twice")))
 
 
--- a/plumpick/__main__.py
+++ b/plumpick/__main__.py
@@ -9,6 +9,7 @@
     """The exit code."""
     which = compiled.use()
     from plumpick import daemon  # only now: it imports the decisions
+
     return daemon.main(which)
 
 
--- a/plumpick/capacity/form.py
+++ b/plumpick/capacity/form.py
@@ -29,19 +29,43 @@
 
 # A tier beyond these is none that this program could be asked for: a slip of the pen.
 KEYS: dict[str, dict[str, Key]] = {
-    "tier": {"gatekeepers": Key(1, 10_000), "workers": Key(1, 100_000), "services": Key(1, 10_000),
-             "regions": Key(1, 100), "zones": Key(1, 1000), "rack_workers": Key(0, 10_000)},
-    "load": {"requests_per_s": Key(1, 1e8, False), "busiest_per_s": Key(1, 1e6, False),
-             "tenants": Key(1, 1e8), "set": Key(1, 10_000), "classes": Key(1, MAX_CLASSES),
-             "routes": Key(1, MAX_CLASSES), "plans": Key(1, MAX_PLANS), "answer_ms": Key(0, 60_000, False)},
-    "changes": {"configuration_per_day": Key(0, 1e6, False), "replaced_per_day": Key(0, 1e6, False),
-                "entries_a_replacement": Key(1, 10), "cut_off_s": Key(0, 86_400, False),
-                "restart_parts": Key(1, 1000)},
-    "limits": {"cpu_part": Key(1e-6, 1, False), "memory_mb": Key(1, 1e6, False),
-               "bytes_per_s": Key(1, 1e10, False), "words_taken_in_per_s": Key(1, 1e6, False),
-               "told_s": Key(0.001, 86_400, False), "added_ms": Key(0.001, 60_000, False),
-               "added_part": Key(1e-6, 1, False), "machines": Key(1, 1000),
-               "restarts_per_day": Key(1, 1e8, False), "descriptors": Key(16, 1e7)},
+    "tier": {
+        "gatekeepers": Key(1, 10_000),
+        "workers": Key(1, 100_000),
+        "services": Key(1, 10_000),
+        "regions": Key(1, 100),
+        "zones": Key(1, 1000),
+        "rack_workers": Key(0, 10_000),
+    },
+    "load": {
+        "requests_per_s": Key(1, 1e8, False),
+        "busiest_per_s": Key(1, 1e6, False),
+        "tenants": Key(1, 1e8),
+        "set": Key(1, 10_000),
+        "classes": Key(1, MAX_CLASSES),
+        "routes": Key(1, MAX_CLASSES),
+        "plans": Key(1, MAX_PLANS),
+        "answer_ms": Key(0, 60_000, False),
+    },
+    "changes": {
+        "configuration_per_day": Key(0, 1e6, False),
+        "replaced_per_day": Key(0, 1e6, False),
+        "entries_a_replacement": Key(1, 10),
+        "cut_off_s": Key(0, 86_400, False),
+        "restart_parts": Key(1, 1000),
+    },
+    "limits": {
+        "cpu_part": Key(1e-6, 1, False),
+        "memory_mb": Key(1, 1e6, False),
+        "bytes_per_s": Key(1, 1e10, False),
+        "words_taken_in_per_s": Key(1, 1e6, False),
+        "told_s": Key(0.001, 86_400, False),
+        "added_ms": Key(0.001, 60_000, False),
+        "added_part": Key(1e-6, 1, False),
+        "machines": Key(1, 1000),
+        "restarts_per_day": Key(1, 1e8, False),
+        "descriptors": Key(16, 1e7),
+    },
 }
 
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -83,33 +83,53 @@
     """What the program's own text says at these sizes."""
     gatekeepers = int(sizes["gatekeepers"])
     any_class = RequestClass("any", 1.0, 1.0, 1.0, Repeat.SAFE)
-    tier = Settings(gateways=gatekeepers, number=0, zone="", classes=(any_class,), plans=(Plan("any"),),
-                    warm_up_ms=0.0, cold_from=0.0, fall_multiple=0.0, fall_window_ms=0.0, max_attempts=1,
-                    inbox_per_s=sizes["words_taken_in_per_s"])
+    tier = Settings(
+        gateways=gatekeepers,
+        number=0,
+        zone="",
+        classes=(any_class,),
+        plans=(Plan("any"),),
+        warm_up_ms=0.0,
+        cold_from=0.0,
+        fall_multiple=0.0,
+        fall_window_ms=0.0,
+        max_attempts=1,
+        inbox_per_s=sizes["words_taken_in_per_s"],
+    )
     default = operator_from({"fleet": {"voters": [0]}}, gatekeepers).fleet
     if default is None:
         raise ModelError("the operator's file names no fleet")
-    others = (replace(tier, classes=(*tier.classes, replace(any_class, name="other"))),
-              replace(tier, plans=(*tier.plans, Plan("other"))))
+    others = (
+        replace(tier, classes=(*tier.classes, replace(any_class, name="other"))),
+        replace(tier, plans=(*tier.plans, Plan("other"))),
+    )
     return {
         "arc_workers": math.ceil(sizes["workers"] * aperture.share(sizes["workers"], gatekeepers)),
-        "worker_part": WORKER_PART, "classes_most": float(MAX_CLASSES),
+        "worker_part": WORKER_PART,
+        "classes_most": float(MAX_CLASSES),
         "home_lost_s": HOLD_PINGS * ping_ms(tier) / 1000,
-        "gather_each_ms": usage.ASK_EACH_MS, "gather_longest_s": usage.longest_ms(gatekeepers) / 1000,
-        "askings_per_s": INBOX_PER_S, "share_least_s": 2 * gatekeepers / INBOX_PER_S,
+        "gather_each_ms": usage.ASK_EACH_MS,
+        "gather_longest_s": usage.longest_ms(gatekeepers) / 1000,
+        "askings_per_s": INBOX_PER_S,
+        "share_least_s": 2 * gatekeepers / INBOX_PER_S,
         "share_most_s": SHARE_MOST_S,
         "share_bytes": float(len(sharing(0, 0, [(0, Share(0, 0, 0, 0, 0), 0)])[0])),
-        "slots": float(default.terms.slots), "term_s": default.terms.term_ms / 1000,
+        "slots": float(default.terms.slots),
+        "term_s": default.terms.term_ms / 1000,
         "share_default_s": default.share_ms / 1000,
-        "agent_watch_ms": watching.WATCH_MS, "agent_worst_s": watching.worst_ms(False) / 1000,
-        "shared_watch_ms": watching.SHARED_WATCH_MS, "shared_round_ms": watching.ROUND_MS,
+        "agent_watch_ms": watching.WATCH_MS,
+        "agent_worst_s": watching.worst_ms(False) / 1000,
+        "shared_watch_ms": watching.SHARED_WATCH_MS,
+        "shared_round_ms": watching.ROUND_MS,
         "shared_worst_s": watching.worst_ms(True) / 1000,
         "ending_s": ending_of([math.inf])[2],  # of classes with long deadlines
         # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
         "restarts_a_version": float(any(refusal(tier, other) for other in others)),
         "version_in_force_s": max(versions.worst_ms(1) / 1000, _publish_s()),
-        "version_worst_s": versions.worst_ms(SILENT) / 1000, "versions_kept": float(shelf.KEPT),
-        "connections_most": float(MOST_CONNECTIONS), "services_most": float(MOST_SERVICES),
+        "version_worst_s": versions.worst_ms(SILENT) / 1000,
+        "versions_kept": float(shelf.KEPT),
+        "connections_most": float(MOST_CONNECTIONS),
+        "services_most": float(MOST_SERVICES),
     }
 
 
@@ -181,12 +201,19 @@
 
 
 _OPERATORS: dict[Any, Callable[[float, float], float]] = {
-    ast.Add: lambda a, b: a + b, ast.Sub: lambda a, b: a - b, ast.Mult: lambda a, b: a * b,
-    ast.Div: lambda a, b: a / b}
-
-
-def line_of(row: Row, sizes: Mapping[str, float], slopes: Mapping[str, Slope],
-            mechanisms: Mapping[str, str] = MECHANISMS) -> Line:
+    ast.Add: lambda a, b: a + b,
+    ast.Sub: lambda a, b: a - b,
+    ast.Mult: lambda a, b: a * b,
+    ast.Div: lambda a, b: a / b,
+}
+
+
+def line_of(
+    row: Row,
+    sizes: Mapping[str, float],
+    slopes: Mapping[str, Slope],
+    mechanisms: Mapping[str, str] = MECHANISMS,
+) -> Line:
     """One row at these sizes. Raises ModelError."""
     reading = _Reading(sizes, {**constants(sizes), **sizes}, slopes)
     value = reading.value(row.formula)
@@ -195,13 +222,21 @@
         raise ModelError(f"{row.who}, {row.what}: a limit of {limit:g}")
     if row.mechanism not in mechanisms:
         raise ModelError(f"{row.mechanism}: no such mechanism")
-    return Line(row, value, limit, mechanisms[row.mechanism], tuple(sorted(reading.read)),
-                tuple(reading.outside), max((one.residual for one in reading.read.values()), default=0.0),
-                reading.put_together)
-
-
-def lines_of(sizes: Mapping[str, float], slopes: Mapping[str, Slope],
-             rows: tuple[Row, ...] = ROWS) -> list[Line]:
+    return Line(
+        row,
+        value,
+        limit,
+        mechanisms[row.mechanism],
+        tuple(sorted(reading.read)),
+        tuple(reading.outside),
+        max((one.residual for one in reading.read.values()), default=0.0),
+        reading.put_together,
+    )
+
+
+def lines_of(
+    sizes: Mapping[str, float], slopes: Mapping[str, Slope], rows: tuple[Row, ...] = ROWS
+) -> list[Line]:
     """All rows, what passes its limit by most first; those without a limit last."""
     lines = [line_of(row, sizes, slopes) for row in rows]
     return sorted(lines, key=lambda line: -1.0 if line.ratio is None else line.ratio, reverse=True)
--- a/plumpick/capacity/page.py
+++ b/plumpick/capacity/page.py
@@ -22,8 +22,10 @@
 
 def rows_table(lines: Sequence[Line]) -> str:
     """All rows."""
-    head = ["| role or event | figure | at this size | limit | ratio | carried by | range | worked out as |",
-            "| --- | --- | --- | --- | --- | --- | --- | --- |"]
+    head = [
+        "| role or event | figure | at this size | limit | ratio | carried by | range | worked out as |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
     return "\n".join(head + [_row(line) for line in lines])
 
 
@@ -34,21 +36,29 @@
     if line.ratio is not None and line.ratio > 1:
         ratio = f"**{ratio}**"
     carried = "**none**" if line.is_missing else f"`{line.mechanism}`"
-    return (f"| {row.who} | {row.figure}: {row.what} | {number(line.value)} {row.unit} | {limit} | {ratio} | "
-            f"{carried} | {line.range} | `{row.formula}` |")
+    return (
+        f"| {row.who} | {row.figure}: {row.what} | {number(line.value)} {row.unit} | {limit} | {ratio} | "
+        f"{carried} | {line.range} | `{row.formula}` |"
+    )
 
 
 def slopes_table(slopes: Sequence[Slope]) -> str:
     """What was measured."""
-    head = ["| slope | what | unit | by | points | curve | off | rounds apart | decisions | date |",
-            "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"]
-    return "\n".join(head + [
-        f"| `{one.name}` | {one.what} | {one.unit} | {one.x} | "
-        f"{'; '.join(f'{x:,.0f}: {number(y)}' for x, y in one.points)} | "
-        f"{one.form}: a {one.a:.4g}, b {one.b:.4g} | {100 * one.residual:.1f} % | "
-        f"{'one round' if one.scatter == 1 else f'{one.scatter:.2f} times'} | {one.decisions} | "
-        f"{one.date} |"
-        for one in slopes])
+    head = [
+        "| slope | what | unit | by | points | curve | off | rounds apart | decisions | date |",
+        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
+    ]
+    return "\n".join(
+        head
+        + [
+            f"| `{one.name}` | {one.what} | {one.unit} | {one.x} | "
+            f"{'; '.join(f'{x:,.0f}: {number(y)}' for x, y in one.points)} | "
+            f"{one.form}: a {one.a:.4g}, b {one.b:.4g} | {100 * one.residual:.1f} % | "
+            f"{'one round' if one.scatter == 1 else f'{one.scatter:.2f} times'} | {one.decisions} | "
+            f"{one.date} |"
+            for one in slopes
+        ]
+    )
 
 
 def missing_text(lines: list[Line]) -> str:
@@ -59,7 +69,8 @@
     return "\n".join(
         f"{place}. **{line.row.who}**, {line.row.what}: {number(line.value)} {line.row.unit} of "
         f"{number(line.limit or 0)}, {number(line.ratio or 0)} times"
-        for place, line in enumerate(rows, 1))
+        for place, line in enumerate(rows, 1)
+    )
 
 
 def pairs_table(lines: Sequence[Line]) -> str:
@@ -72,9 +83,16 @@
                 line = next(one for one in lines if one.row is row)
                 ratio = "" if line.ratio is None else f", {number(line.ratio)} times the limit"
                 found.setdefault((row.who, row.figure), ([], []))[place].append(
-                    f"{row.what.removeprefix(f'{way}: ')}: {number(line.value)} {row.unit}{ratio}")
-    return "\n".join(head + [f"| {who} | {figure} | {'; '.join(before)} | {'; '.join(after)} |"
-                             for (who, figure), (before, after) in found.items() if before and after])
+                    f"{row.what.removeprefix(f'{way}: ')}: {number(line.value)} {row.unit}{ratio}"
+                )
+    return "\n".join(
+        head
+        + [
+            f"| {who} | {figure} | {'; '.join(before)} | {'; '.join(after)} |"
+            for (who, figure), (before, after) in found.items()
+            if before and after
+        ]
+    )
 
 
 def gaps_table() -> str:
@@ -89,8 +107,13 @@
 
 def parts(lines: list[Line], slopes: Sequence[Slope]) -> dict[str, str]:
     """All generated parts of the page."""
-    return {ROWS_TABLE: rows_table(lines), SLOPES_TABLE: slopes_table(slopes), MISSING: missing_text(lines),
-            GAPS: gaps_table(), PAIRS: pairs_table(lines)}
+    return {
+        ROWS_TABLE: rows_table(lines),
+        SLOPES_TABLE: slopes_table(slopes),
+        MISSING: missing_text(lines),
+        GAPS: gaps_table(),
+        PAIRS: pairs_table(lines),
+    }
 
 
 def between(text: str, name: str) -> str:
@@ -98,7 +121,7 @@
     begin, end = BEGIN.format(name), END.format(name)
     if text.count(begin) != 1 or text.count(end) != 1 or text.index(begin) > text.index(end):
         raise ValueError(f"the marks of {name} do not stand once each, in order")
-    return text[text.index(begin) + len(begin):text.index(end)].strip("\n")
+    return text[text.index(begin) + len(begin) : text.index(end)].strip("\n")
 
 
 def with_parts(text: str, news: Mapping[str, str]) -> str:
@@ -113,6 +136,17 @@
 def as_dict(line: Line) -> dict[str, Any]:
     """A row for --json."""
     row = line.row
-    return {"who": row.who, "figure": row.figure, "what": row.what, "unit": row.unit, "value": line.value,
-            "limit": line.limit, "ratio": line.ratio, "mechanism": line.mechanism, "range": line.range,
-            "slopes": list(line.slopes), "formula": row.formula, "limit_formula": row.limit}
+    return {
+        "who": row.who,
+        "figure": row.figure,
+        "what": row.what,
+        "unit": row.unit,
+        "value": line.value,
+        "limit": line.limit,
+        "ratio": line.ratio,
+        "mechanism": line.mechanism,
+        "range": line.range,
+        "slopes": list(line.slopes),
+        "formula": row.formula,
+        "limit_formula": row.limit,
+    }
--- a/plumpick/capacity/slopes.py
+++ b/plumpick/capacity/slopes.py
@@ -16,8 +16,22 @@
 FORMS = (LINEAR, SORTED, POWER, SATURATING)
 LEAST_POINTS = 4
 COMPILED, PLAIN, EITHER = "compiled", "plain", "either"  # decisions under which a slope was measured
-KEYS = {"name", "what", "x", "unit", "decisions", "form", "a", "b", "points", "residual", "scatter",
-        "command", "date", "machine"}
+KEYS = {
+    "name",
+    "what",
+    "x",
+    "unit",
+    "decisions",
+    "form",
+    "a",
+    "b",
+    "points",
+    "residual",
+    "scatter",
+    "command",
+    "date",
+    "machine",
+}
 
 Point = tuple[float, float]
 
@@ -33,7 +47,7 @@
     if form == SORTED:
         return a + (b * x * math.log(x) if x > 0 else 0.0)
     if form == POWER:
-        return a * x ** b if x > 0 else 0.0
+        return a * x**b if x > 0 else 0.0
     return a * x / (b + x) if b + x else 0.0
 
 
@@ -54,11 +68,11 @@
             raise SlopesError(f"{form}: needs values above 0")
         return _line([(x, y, 1.0) for x, y in points])
     if form == LINEAR:
-        return _line([(x, y, 1 / y ** 2) for x, y in points])
+        return _line([(x, y, 1 / y**2) for x, y in points])
     if any(x <= 0 for x, _ in points):
         raise SlopesError(f"{form}: needs sizes above 0")
     if form == SORTED:
-        return _line([(x * math.log(x), y, 1 / y ** 2) for x, y in points])
+        return _line([(x * math.log(x), y, 1 / y**2) for x, y in points])
     if form == POWER:
         log_a, b = _line([(math.log(x), math.log(y), 1.0) for x, y in points])
         return math.exp(log_a), b
@@ -127,8 +141,9 @@
         if len(self.points) < LEAST_POINTS or len({x for x, _ in self.points}) != len(self.points):
             raise SlopesError(f"{self.name}: {LEAST_POINTS} points at different sizes are due")
         a, b = fit(self.form, self.points)
-        if not all(math.isclose(mine, told, rel_tol=1e-6, abs_tol=1e-12)
-                   for mine, told in ((a, self.a), (b, self.b))):
+        if not all(
+            math.isclose(mine, told, rel_tol=1e-6, abs_tol=1e-12) for mine, told in ((a, self.a), (b, self.b))
+        ):
             raise SlopesError(f"{self.name}: a and b are not those of its points")
         off = residual(self.form, a, b, self.points)
         if not math.isclose(off, self.residual, rel_tol=1e-6, abs_tol=1e-9):
--- a/plumpick/cli.py
+++ b/plumpick/cli.py
@@ -95,8 +95,11 @@
     explore = tools.add_parser("explore", help="play ownership through every order of events")
     explore.add_argument("--voters", type=int, choices=(2, 3), default=3)
     explore.add_argument("--depth", type=int, default=7, help="moves (7)")
-    explore.add_argument("--begin", default="held",
-                         help="what has passed before: nothing, held, given, renewed-late or taken-again")
+    explore.add_argument(
+        "--begin",
+        default="held",
+        help="what has passed before: nothing, held, given, renewed-late or taken-again",
+    )
     explore.add_argument("--states", type=int, default=3_000_000, help="end after so many")
     for name, number in (("restarts", 1), ("doubles", 1), ("effects", 2), ("gives", 1)):
         explore.add_argument(f"--{name}", type=int, default=number, help=f"in a history at most ({number})")
@@ -111,10 +114,20 @@
     simulate.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
     simulate.add_argument("--minutes", type=float, default=0.0, help="begin no seed after so long")
     simulate.add_argument("--seconds", type=float, default=30.0, help="virtual seconds of a seed")
-    simulate.add_argument("--duties", type=int, default=0, metavar="N",
-                          help="with so many duties of the fleet, judged by the promises of ownership")
-    simulate.add_argument("--budgets", type=int, default=0, choices=range(4),
-                          help="with so many budgets of the fleet, judged at each unit spent")
+    simulate.add_argument(
+        "--duties",
+        type=int,
+        default=0,
+        metavar="N",
+        help="with so many duties of the fleet, judged by the promises of ownership",
+    )
+    simulate.add_argument(
+        "--budgets",
+        type=int,
+        default=0,
+        choices=range(4),
+        help="with so many budgets of the fleet, judged at each unit spent",
+    )
     simulate.add_argument("--out", metavar="DIR", help="write the summary and failing cases there")
     simulate.add_argument(
         "--history", metavar="FILE", help="with --seed: write the records, for `plumpick audit`"
--- a/plumpick/compiled.py
+++ b/plumpick/compiled.py
@@ -19,9 +19,15 @@
 # The types of interface.py stay plain: what an event of a wrong type does has to happen inside the module. So
 # does clock.py, whose clock the simulation stands in for.
 DECISIONS = ("anisefront/messages.py", "anisefront/state.py", "anisefront/control.py")
-HOT = ("plumpick/gatekeeper.py", "plumpick/fronts/http/admission.py", "plumpick/fronts/http/connections.py",
-       "plumpick/fronts/http/forms.py", "plumpick/fronts/http/front.py", "plumpick/upstream/message.py",
-       "plumpick/upstream/workers.py")
+HOT = (
+    "plumpick/gatekeeper.py",
+    "plumpick/fronts/http/admission.py",
+    "plumpick/fronts/http/connections.py",
+    "plumpick/fronts/http/forms.py",
+    "plumpick/fronts/http/front.py",
+    "plumpick/upstream/message.py",
+    "plumpick/upstream/workers.py",
+)
 FILES = DECISIONS + HOT
 PACKAGES = ("fronts", "fronts.http", "upstream")  # of plumpick, that hold some of them
 TOOLS = {"capacity", "rehearsal", "simulation", "tools"}  # of plumpick, that the daemon does not import
--- a/plumpick/config.py
+++ b/plumpick/config.py
@@ -69,13 +69,20 @@
     status = row.text("status")
     if status not in STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
-    server = Server(row.text("name"), row.text("zone", ""), int(row.number("group", 0.0)), STATES[status],
-                    row.number("weight", 1.0), row.number("since_ms", 0.0))
+    server = Server(
+        row.text("name"),
+        row.text("zone", ""),
+        int(row.number("group", 0.0)),
+        STATES[status],
+        row.number("weight", 1.0),
+        row.number("since_ms", 0.0),
+    )
     return Entry(server, address_from(row.text("address"), f"{row.path}.address"))
 
 
-def worker_list_from(value: Any, path: str,
-                     skipped: Callable[[SettingsError], None] | None = None) -> WorkerList:
+def worker_list_from(
+    value: Any, path: str, skipped: Callable[[SettingsError], None] | None = None
+) -> WorkerList:
     """A list in discovery's form; raises SettingsError where it cannot be read.
 
     With `skipped`, an entry that cannot be read is told there and left out, which ends its worker's use."""
@@ -112,14 +119,20 @@
         name=top.text("name", environment.get("BALANCER_NAME")),
         listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
         discovery=address_from(
-            top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"),
-        seed=seed_number, sockets=int(top.table("limits", {}).number("sockets", 1024.0)), settings=own,
-        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0), idle_ms=limits.number("connIdleMs", 15_000.0),
+            top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
+        ),
+        seed=seed_number,
+        sockets=int(top.table("limits", {}).number("sockets", 1024.0)),
+        settings=own,
+        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
+        idle_ms=limits.number("connIdleMs", 15_000.0),
         known=worker_list_from(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
-        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None, peers=peers,
+        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None,
+        peers=peers,
         peers_all=address_from(peers_all, "config.peers_all") if peers_all else None,
         memory_mb=top.table("limits", {}).number("memory_mb", 192.0),
-        management=address_from(management, "config.management") if management else None)
+        management=address_from(management, "config.management") if management else None,
+    )
 
 
 def load(environment: Mapping[str, str]) -> Config:
--- a/plumpick/configuration/source.py
+++ b/plumpick/configuration/source.py
@@ -46,8 +46,12 @@
     news, limits = settings_from(whole, "settings"), Table(whole, "settings").table("limits")
     if config.peers and len(config.peers) != news.gateways:
         raise SettingsError(f"settings.balancers: {news.gateways}, and there are {len(config.peers)} peers")
-    return replace(config, settings=news, dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
-                   idle_ms=limits.number("connIdleMs", 15_000.0))
+    return replace(
+        config,
+        settings=news,
+        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
+        idle_ms=limits.number("connIdleMs", 15_000.0),
+    )
 
 
 def checked(config: Config, content: Content) -> tuple[Config | None, str]:
@@ -62,13 +66,21 @@
     """One gatekeeper's source of settings. `reconfigure` takes a configuration over, or says in one line what
     is wrong: then nothing has changed. `silent_ms`: a service silent for longer is worth a line."""
 
-    def __init__(self, config: Config, addresses: tuple[Address, ...], silent_ms: float,
-                 reconfigure: Callable[[Config], str], clock: Clock, timers: Timers,
-                 rng: random.Random) -> None:
+    def __init__(
+        self,
+        config: Config,
+        addresses: tuple[Address, ...],
+        silent_ms: float,
+        reconfigure: Callable[[Config], str],
+        clock: Clock,
+        timers: Timers,
+        rng: random.Random,
+    ) -> None:
         self._config, self._addresses, self._silent_ms = config, addresses, silent_ms
         self._reconfigure, self._clock, self._timers = reconfigure, clock, timers
-        self.versions = Versions(config.settings.number, config.settings.gateways, len(addresses), rng,
-                                 clock.now())
+        self.versions = Versions(
+            config.settings.number, config.settings.gateways, len(addresses), rng, clock.now()
+        )
         self._ready: dict[int, Config] = {}  # of the staged version alone
         self._timer: Timer | None = None
         self._reader: asyncio.StreamReader | None = None
@@ -116,8 +128,12 @@
         silent_ms = now() - versions.heard_ms
         if (silent_ms > self._silent_ms) != self._is_silent:
             self._is_silent = not self._is_silent
-            log.warning("configuration: %s", f"no service heard for {silent_ms / 1000:.0f} s; "
-                        f"version {versions.in_force.version} stays" if self._is_silent else "heard again")
+            log.warning(
+                "configuration: %s",
+                f"no service heard for {silent_ms / 1000:.0f} s; version {versions.in_force.version} stays"
+                if self._is_silent
+                else "heard again",
+            )
 
     def _report(self, problem: str) -> None:
         if problem != self._problem or self._clock.now() - self._problem_ms > REPORT_S * 1000:
@@ -126,10 +142,18 @@
 
     async def _call(self, call: plans.Call) -> bytes:
         """The body of the answer; nothing where there is no news. Raises CallFailed."""
-        words = {"since": call.since, "digest": call.digest, "name": self._config.name,
-                 "number": self._config.settings.number, "in_force": call.in_force,
-                 "have": call.in_force_digest, "staged": call.staged, "refused": call.refused,
-                 "why": call.why, "timeout_ms": f"{call.wait_ms:.0f}"}
+        words = {
+            "since": call.since,
+            "digest": call.digest,
+            "name": self._config.name,
+            "number": self._config.settings.number,
+            "in_force": call.in_force,
+            "have": call.in_force_digest,
+            "staged": call.staged,
+            "refused": call.refused,
+            "why": call.why,
+            "timeout_ms": f"{call.wait_ms:.0f}",
+        }
         try:
             async with asyncio.timeout(plans.ASK_MS / 1000):
                 await self._connect(call.address)
@@ -238,14 +262,19 @@
         held = self.versions.in_force
         if not held.version or len(json.dumps(held.settings)) > MOST_ESTATE:
             return None
-        return {"version": held.version, "digest": held.digest, "in_force_ms": held.in_force_ms,
-                "settings": held.settings}
+        return {
+            "version": held.version,
+            "digest": held.digest,
+            "in_force_ms": held.in_force_ms,
+            "settings": held.settings,
+        }
 
     async def inherit(self, value: Any) -> None:
         """What the process before had in force, unless as new a one is here."""
         try:
             content, config, wrong = await asyncio.to_thread(
-                lambda: _read(offer_from(value), Content(0, "", 0.0, {}), self._config))
+                lambda: _read(offer_from(value), Content(0, "", 0.0, {}), self._config)
+            )
         except Unusable as problem:
             log.warning("configuration: what the process before left cannot be used: %s", problem)
             return
@@ -292,5 +321,12 @@
 
 def source_of(config: Config, settings: Any, keeper: Any) -> Source:
     """The source that the operator's [configuration] names, for a gatekeeper."""
-    return Source(config, settings.addresses, settings.silent_ms, keeper.reconfigure, keeper.clock,
-                  keeper.timers, random.Random(config.seed ^ 0xC0F))
+    return Source(
+        config,
+        settings.addresses,
+        settings.silent_ms,
+        keeper.reconfigure,
+        keeper.clock,
+        keeper.timers,
+        random.Random(config.seed ^ 0xC0F),
+    )
--- a/plumpick/daemon.py
+++ b/plumpick/daemon.py
@@ -80,8 +80,9 @@
         return event.is_set() or self._asked.is_set()
 
 
-async def close_listener(loop: asyncio.AbstractEventLoop, server: Any, plug: socket.socket | None,
-                         front: HttpFront) -> None:
+async def close_listener(
+    loop: asyncio.AbstractEventLoop, server: Any, plug: socket.socket | None, front: HttpFront
+) -> None:
     """Listen no more. Danger: connections that the system has accepted for us and that we have not taken yet
     are reset with the listener, and requests on them are lost. So it is emptied first; what comes between the
     last look and the close is reset before its client has an answer to lose, and asks elsewhere."""
@@ -104,8 +105,9 @@
             one.close()
 
 
-async def reload(config: Config, discovery: Discovery, asked: asyncio.Event, system: System,
-                 part: Any) -> None:
+async def reload(
+    config: Config, discovery: Discovery, asked: asyncio.Event, system: System, part: Any
+) -> None:
     """Read the configuration anew whenever that is asked for, and the operator's own file. What can change in
     service is discovery's address, and the wholes and bursts of budgets; a file that cannot be used changes
     nothing."""
@@ -136,10 +138,12 @@
     """What a gatekeeper with operators has beside the rest: their listener, and the way to the next process
     and from the one before. What it is made of is imported only where there are operators."""
 
-    def __init__(self, config: Config, gatekeeper: Gatekeeper, front: HttpFront,
-                 loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(
+        self, config: Config, gatekeeper: Gatekeeper, front: HttpFront, loop: asyncio.AbstractEventLoop
+    ) -> None:
         from plumpick.fronts.management import ManagementFront
         from plumpick.handover.succession import HandoverContext, Predecessor
+
         self._config, self._gatekeeper, self._loop = config, gatekeeper, loop
         self._calls = ManagementFront(gatekeeper)
         gatekeeper.sweeps.append(self._calls.sweep)
@@ -157,6 +161,7 @@
         """Hear operators, and find out who runs already; the peers' socket is its, if somebody does."""
         from plumpick.fronts.management import listening
         from plumpick.handover.succession import Successor, path_in
+
         assert self._config.management is not None
         self._server = await listening(self._calls, self._config.management, self._loop)
         folder = os.environ.get("TMPDIR")
@@ -186,8 +191,9 @@
                 versions = self._context.versions
                 if versions is not None and state.get("configuration") is not None:
                     await versions.inherit(state["configuration"])  # what it left is of these settings
-                self._gatekeeper.inherit({key: value for key, value in state.items()
-                                          if key not in ("fleet", "configuration")})
+                self._gatekeeper.inherit(
+                    {key: value for key, value in state.items() if key not in ("fleet", "configuration")}
+                )
             self._gatekeeper.peers.listen()
             await context.listen(self._loop)
             successor.settle(context)
@@ -245,12 +251,15 @@
     return plug
 
 
-def part_in(settings: Any, config: Config, loop: asyncio.AbstractEventLoop, system: System,
-            gatekeeper: Gatekeeper) -> Any:
+def part_in(
+    settings: Any, config: Config, loop: asyncio.AbstractEventLoop, system: System, gatekeeper: Gatekeeper
+) -> Any:
     """The gatekeeper's part in what is done for the whole tier; imported only where the operator names it."""
     from plumpick.fleet.runner import Runner
-    part = Runner(config, settings, loop, system, gatekeeper.peers.tell,
-                  lambda name: gatekeeper.order(name, ""))
+
+    part = Runner(
+        config, settings, loop, system, gatekeeper.peers.tell, lambda name: gatekeeper.order(name, "")
+    )
     if settings.budgets:
         gatekeeper.controller.admits = part.admits
     return part
@@ -259,11 +268,13 @@
 def versions_of(settings: Any, config: Config, gatekeeper: Gatekeeper) -> Any:
     """The source of the gatekeeper's settings; imported only where the operator names one."""
     from plumpick.configuration.source import source_of
+
     return source_of(config, settings, gatekeeper)
 
 
-async def serve(config: Config, system: System | None = None, fleet: Any = None,
-                configuration: Any = None) -> None:
+async def serve(
+    config: Config, system: System | None = None, fleet: Any = None, configuration: Any = None
+) -> None:
     """Run one gatekeeper until SIGTERM, then finish what it has taken. `fleet`: the operator's settings of
     what is done for the whole tier; `configuration`: of where versions of the settings come from."""
     system = system or System()
@@ -274,8 +285,7 @@
     reload_asked = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, reload_asked.set)
     gatekeeper = Gatekeeper(config, loop, system=system)
-    front = HttpFront(gatekeeper, config.settings, config.sockets, system.has_ended,
-                      system.is_quiet)
+    front = HttpFront(gatekeeper, config.settings, config.sockets, system.has_ended, system.is_quiet)
     gatekeeper.add(front)
     part = part_in(fleet, config, loop, system, gatekeeper) if fleet is not None else None
     gatekeeper.fleet = part
@@ -289,19 +299,32 @@
         await plane.open()
     shared, known = config.settings.must_subscribe, config.known.entries
     sharers, rng = config.settings.gateways if shared else 0, random.Random(config.seed)
-    discovery = Discovery(config.discovery, gatekeeper.listed,
-                          lambda index: Watching(sharers, index, rng, config.settings.number),
-                          gatekeeper.clock.now, config.known.index if known else None)
-    tasks = [loop.create_task(discovery.run()),
-             loop.create_task(reload(config, discovery, reload_asked, system, part))]
+    discovery = Discovery(
+        config.discovery,
+        gatekeeper.listed,
+        lambda index: Watching(sharers, index, rng, config.settings.number),
+        gatekeeper.clock.now,
+        config.known.index if known else None,
+    )
+    tasks = [
+        loop.create_task(discovery.run()),
+        loop.create_task(reload(config, discovery, reload_asked, system, part)),
+    ]
     if versions is not None:
         tasks.append(loop.create_task(versions.run()))
     server: Any = None
     plug: socket.socket | None = None
     if plane is None:
         plug = system.listener(config.listen, BACKLOG)
-        server = await loop.create_server(front.connection, sock=plug, backlog=BACKLOG) if plug else (
-            await loop.create_server(front.connection, *config.listen, backlog=BACKLOG, reuse_address=True))
+        server = (
+            await loop.create_server(front.connection, sock=plug, backlog=BACKLOG)
+            if plug
+            else (
+                await loop.create_server(
+                    front.connection, *config.listen, backlog=BACKLOG, reuse_address=True
+                )
+            )
+        )
     # There a watch says nothing while nothing has changed.
     wait_s = FIRST_LIST_S if known else NO_LIST_S
     if not (shared and known) and not await stop.within(discovery.listed, wait_s):
@@ -328,8 +351,11 @@
         await plane.finish(stop.at_s + serve_s)
     gatekeeper.drain()
     gatekeeper.close_idle()
-    while gatekeeper.busy() and loop.time() < stop.at_s + TO_FINISH_S and not (
-            loop.time() > stop.at_s + gone_s and gatekeeper.has_answered()):
+    while (
+        gatekeeper.busy()
+        and loop.time() < stop.at_s + TO_FINISH_S
+        and not (loop.time() > stop.at_s + gone_s and gatekeeper.has_answered())
+    ):
         await asyncio.sleep(STEP_S)
     for task in tasks:
         task.cancel()
@@ -347,6 +373,7 @@
     if not path:
         return None
     from plumpick.operator import load as load_operator
+
     fleet = load_operator(path, config.settings.gateways).fleet
     if fleet is not None and config.settings.gateways > 1 and config.peer_listen is None:
         raise ConfigError(f"{path}: fleet: this gatekeeper has no peer_listen to hear the others at")
@@ -361,6 +388,7 @@
     if not path:
         return None
     from plumpick.operator import load as load_operator
+
     return load_operator(path, config.settings.gateways).configuration
 
 
@@ -383,4 +411,3 @@
         print(f"plumpick: {problem}", file=sys.stderr)
         return 1
     return 0
-
--- a/plumpick/discovery.py
+++ b/plumpick/discovery.py
@@ -62,8 +62,13 @@
 class Watch:
     """The watch at one address; `took` is given all that it was told."""
 
-    def __init__(self, address: Address, plan: Watching, now: Callable[[], float],
-                 took: Callable[[Watch, WorkerList], None]) -> None:
+    def __init__(
+        self,
+        address: Address,
+        plan: Watching,
+        now: Callable[[], float],
+        took: Callable[[Watch, WorkerList], None],
+    ) -> None:
         self.address, self._plan, self._now, self._took = address, plan, now, took
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
@@ -171,9 +176,14 @@
     `plan`: what is asked, and when, of an address of which we have that version of the list. `now`: a clock
     in ms that all gatekeepers share, which only a shared service needs."""
 
-    def __init__(self, address: Address, told: Callable[[WorkerList], None],
-                 plan: Callable[[int | None], Watching] = _agent, now: Callable[[], float] = lambda: 0.0,
-                 index: int | None = None) -> None:
+    def __init__(
+        self,
+        address: Address,
+        told: Callable[[WorkerList], None],
+        plan: Callable[[int | None], Watching] = _agent,
+        now: Callable[[], float] = lambda: 0.0,
+        index: int | None = None,
+    ) -> None:
         self._told, self._plan, self._now = told, plan, now
         self._serving = Watch(address, plan(index), now, self._take)  # the one that tells us
         self._coming: Watch | None = None  # the one that will, once it has told its whole list
--- a/plumpick/fleet/effects.py
+++ b/plumpick/fleet/effects.py
@@ -65,14 +65,17 @@
     if len(data) > MOST_BODY:
         raise Failed(f"its body has {len(data)} bytes; {MOST_BODY} is the most")
     host, port = receiver.address
-    return (f"POST {receiver.path} HTTP/1.1\r\nHost: {host}:{port}\r\nDuty: {duty}\r\nPeriod: {period}\r\n"
-            f"Idempotency-Key: {duty}/{period}\r\nFencing-Token: {token:x}\r\n"
-            "Content-Type: application/json\r\n"
-            f"Content-Length: {len(data)}\r\nConnection: close\r\n\r\n").encode() + data
+    return (
+        f"POST {receiver.path} HTTP/1.1\r\nHost: {host}:{port}\r\nDuty: {duty}\r\nPeriod: {period}\r\n"
+        f"Idempotency-Key: {duty}/{period}\r\nFencing-Token: {token:x}\r\n"
+        "Content-Type: application/json\r\n"
+        f"Content-Length: {len(data)}\r\nConnection: close\r\n\r\n"
+    ).encode() + data
 
 
-async def send(receiver: Receiver, duty: str, period: int, token: int, body: Any,
-               may: Callable[[], bool]) -> None:
+async def send(
+    receiver: Receiver, duty: str, period: int, token: int, body: Any, may: Callable[[], bool]
+) -> None:
     """Have the effect taken; returns once the receiver has said so. `may` looks at the clock: it is asked
     last, when all that is left is to write. Raises Outdone, Failed or Ended."""
     message = message_of(receiver, duty, period, token, body)
--- a/plumpick/fleet/runner.py
+++ b/plumpick/fleet/runner.py
@@ -25,7 +25,16 @@
 from anisefront.interface import Arrival
 from anisefront.ownership.holder import Gained, Lost, Refused, Yield
 from anisefront.ownership.member import (
-    Came, Event, Give, Leaving, Member, Note, Outdone, Say, Tell, WantTurn,
+    Came,
+    Event,
+    Give,
+    Leaving,
+    Member,
+    Note,
+    Outdone,
+    Say,
+    Tell,
+    WantTurn,
 )
 from anisefront.ownership.pace import Pace
 from plumpick.config import Config
@@ -45,16 +54,26 @@
 class Runner:
     """One process's part in what is done for the fleet."""
 
-    def __init__(self, config: Config, settings: FleetSettings, loop: asyncio.AbstractEventLoop,
-                 system: System, tell: Callable[[int, bytes], None], order: Callable[[str], str]) -> None:
+    def __init__(
+        self,
+        config: Config,
+        settings: FleetSettings,
+        loop: asyncio.AbstractEventLoop,
+        system: System,
+        tell: Callable[[int, bytes], None],
+        order: Callable[[str], str],
+    ) -> None:
         """`tell` sends a datagram to a gatekeeper; `order` is an operator's DRAIN or UNDRAIN."""
         self._config, self._settings, self._loop, self._system = config, settings, loop, system
         self._tell, self._order = tell, order
         self._chance = Random(config.seed ^ 0xD5)
         self._pace = Pace()
         self._receivers = {one.duty.name: one for one in settings.duties}
-        self._tallies = {one.duty.name: usage.Tally(one.duty.period_ms, system.unix_ms())
-                         for one in settings.duties if one.duty.kind == USE}
+        self._tallies = {
+            one.duty.name: usage.Tally(one.duty.period_ms, system.unix_ms())
+            for one in settings.duties
+            if one.duty.kind == USE
+        }
         self._tags = {zlib.crc32(name.encode()): name for name in self._tallies}
         self._plans = [plan.name for plan in config.settings.plans]
         self._duties = Duties(tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance)
@@ -77,13 +96,26 @@
     def open(self, state: dict[str, Any] | None = None) -> None:
         """Take part, from the state of the process before if there is one."""
         now = self._system.boottime()
-        self.member = Member(self._settings.terms, self._config.settings.number,
-                              self._config.settings.gateways, self._system.life(), self._chance, now,
-                              self._system.unix_ms(), votes=False)
+        self.member = Member(
+            self._settings.terms,
+            self._config.settings.number,
+            self._config.settings.gateways,
+            self._system.life(),
+            self._chance,
+            now,
+            self._system.unix_ms(),
+            votes=False,
+        )
         if self._settings.budgets:
-            self.book = Book(tuple(one.budget for one in self._settings.budgets),
-                             self._config.settings.number, self._config.settings.gateways,
-                             self._settings.terms, self._settings.share_ms, self._chance, now)
+            self.book = Book(
+                tuple(one.budget for one in self._settings.budgets),
+                self._config.settings.number,
+                self._config.settings.gateways,
+                self._settings.terms,
+                self._settings.share_ms,
+                self._chance,
+                now,
+            )
         if state is not None and self.book is not None:
             try:
                 self.book.inherit(now, state.get("budgets", {}))
@@ -101,8 +133,7 @@
                     if self.book is not None:
                         self.book.gained(now, lease, held.token)
                 self.turn_drained = bool(state["drained"])
-                log.info("duties: %d leases taken over from the process before",
-                         len(self.member.holder.held))
+                log.info("duties: %d leases taken over from the process before", len(self.member.holder.held))
             except (ValueError, KeyError, TypeError) as problem:
                 log.warning("duties: %s; this process begins anew", problem)
         self._step()
@@ -117,8 +148,10 @@
         self._guard = self._system.guard(self._config.peer_listen)
         if self._guard is None:
             if first:
-                log.warning("duties: another process of this number %s; this one waits until it has ended",
-                            "votes" if votes else "has the floors of its budgets")
+                log.warning(
+                    "duties: another process of this number %s; this one waits until it has ended",
+                    "votes" if votes else "has the floors of its budgets",
+                )
             self._guard_timer = self._loop.call_later(GUARD_S, self._try_guard)
             return
         member.vote(self._system.boottime())
@@ -146,8 +179,11 @@
     def hand_over(self) -> dict[str, Any]:
         """What the next process goes on from; this one has no part any more."""
         assert self.member is not None
-        state = {"leases": self.member.estate(), "drained": self.turn_drained,
-                 "use": {name: tally.estate() for name, tally in self._tallies.items()}}
+        state = {
+            "leases": self.member.estate(),
+            "drained": self.turn_drained,
+            "use": {name: tally.estate() for name, tally in self._tallies.items()},
+        }
         if self.book is not None:
             state["budgets"] = self.book.estate(self._system.boottime())
         self.close()
@@ -168,8 +204,9 @@
     def resume(self) -> None:
         """The next process has died: begin anew. What was handed over ends by its time."""
         self.passed_on = None
-        self._duties = Duties(tuple(one.duty for one in self._settings.duties), self._settings.terms.slots,
-                              self._chance)
+        self._duties = Duties(
+            tuple(one.duty for one in self._settings.duties), self._settings.terms.slots, self._chance
+        )
         self.open()
 
     # -- in
@@ -265,14 +302,19 @@
                     self._out(action.token)
                     return
                 names = [name for name, work in self._duties.work.items() if work.slot == action.lease]
-                log.info("duties: slot %d is ours, token %x: %s", action.lease, action.token,
-                         ", ".join(names[:8]) or "no duty")
+                log.info(
+                    "duties: slot %d is ours, token %x: %s",
+                    action.lease,
+                    action.token,
+                    ", ".join(names[:8]) or "no duty",
+                )
                 self._duties.gained(now, action.lease, action.token)
                 if self.book is not None:
                     self.book.gained(now, action.lease, action.token)
             case Lost():
-                log.info("duties: slot %d is no longer ours, token %x: %s", action.lease, action.token,
-                         action.why)
+                log.info(
+                    "duties: slot %d is no longer ours, token %x: %s", action.lease, action.token, action.why
+                )
                 if action.lease >= terms.slots:
                     self._back(action.why)
                 else:
@@ -294,15 +336,26 @@
         another takes effect at the next start. That is said."""
         old, new = self._settings, tuple(one.budget for one in settings.budgets)
         if (settings.terms, settings.duties, settings.share_ms, [one.rule for one in settings.budgets]) != (
-                old.terms, old.duties, old.share_ms, [one.rule for one in old.budgets]):
-            log.warning("duties: what else than wholes and bursts of budgets has changed in the operator's "
-                        "file takes effect at the next start")
+            old.terms,
+            old.duties,
+            old.share_ms,
+            [one.rule for one in old.budgets],
+        ):
+            log.warning(
+                "duties: what else than wholes and bursts of budgets has changed in the operator's "
+                "file takes effect at the next start"
+            )
         elif self.book is not None and new != tuple(one.budget for one in old.budgets):
             self.book.change(self._system.boottime(), new)
             self._settings = settings
-            log.info("duties: budgets have other figures: %s", ", ".join(
-                f"{one.name} whole {one.whole:g}, burst {one.burst:g}" for one in new
-                if one not in {row.budget for row in old.budgets})[:500])
+            log.info(
+                "duties: budgets have other figures: %s",
+                ", ".join(
+                    f"{one.name} whole {one.whole:g}, burst {one.burst:g}"
+                    for one in new
+                    if one not in {row.budget for row in old.budgets}
+                )[:500],
+            )
             self._step()
 
     def admits(self, arrival: Arrival) -> bool:
@@ -341,8 +394,11 @@
     def _holder_of(self, slot: int) -> int | None:
         """Who has a slot, where we vote on it."""
         member = self.member
-        grant = None if member is None or member.voter is None else (
-            member.voter.holder(self._system.boottime(), slot))
+        grant = (
+            None
+            if member is None or member.voter is None
+            else (member.voter.holder(self._system.boottime(), slot))
+        )
         return None if grant is None else grant.owner[0]
 
     def _end_of(self, slot: int) -> float:
@@ -397,9 +453,14 @@
         outdone: int | None = None
         try:
             body = await self._gather(settings, start) if settings.duty.kind == USE else {}
-            await effects.send(settings.receiver, name, start.period, start.token, {
-                "duty": name, "period": start.period, "gatekeeper": self._config.name, **body},
-                lambda: self.may(start.slot, start.token))
+            await effects.send(
+                settings.receiver,
+                name,
+                start.period,
+                start.token,
+                {"duty": name, "period": start.period, "gatekeeper": self._config.name, **body},
+                lambda: self.may(start.slot, start.token),
+            )
         except effects.Outdone as problem:
             outdone, wrong = problem.token, str(problem)
         except effects.Failed as problem:
@@ -443,12 +504,22 @@
         sums, gaps = gathering.result(settings.duty.period_ms)
         span_ms = settings.duty.period_ms
         return {
-            "from_ms": period * span_ms, "until_ms": (period + 1) * span_ms,
-            "plans": [{"plan": self._plans[plan] if plan < len(self._plans) else "other",
-                       "served": int(row[0]), "refused": int(row[1]), "failed": int(row[2]), "units": row[3]}
-                      for plan, row in sorted(sums.items())],
-            "gaps": [{"gatekeeper": number, "from_ms": begin, "until_ms": end}
-                     for number, begin, end in gaps]}
+            "from_ms": period * span_ms,
+            "until_ms": (period + 1) * span_ms,
+            "plans": [
+                {
+                    "plan": self._plans[plan] if plan < len(self._plans) else "other",
+                    "served": int(row[0]),
+                    "refused": int(row[1]),
+                    "failed": int(row[2]),
+                    "units": row[3],
+                }
+                for plan, row in sorted(sums.items())
+            ],
+            "gaps": [
+                {"gatekeeper": number, "from_ms": begin, "until_ms": end} for number, begin, end in gaps
+            ],
+        }
 
     def _told(self, name: str, tag: int, period: int) -> list[bytes]:
         return usage.telling(tag, period, *self._tallies[name].told(self._system.unix_ms(), period))
@@ -456,8 +527,9 @@
     def _note(self, now: float, note: Note) -> None:
         if note.data[:1] in SHARES:
             if self.book is not None and self.member is not None:
-                self.book.heard(now, note.sender, note.life, note.data, self.member.life, self._holder_of,
-                                self._end_of)
+                self.book.heard(
+                    now, note.sender, note.life, note.data, self.member.life, self._holder_of, self._end_of
+                )
             return
         said, member = usage.read(note.data), self.member
         name = self._tags.get(said.tag) if said is not None else None
@@ -479,14 +551,29 @@
         if book is None or self.member is None or self.member.closed:
             return True, "no budgets are named here" if book is None else "another process has the budgets"
         rows = book.rows(self._system.boottime())
-        return False, json.dumps({
-            "gatekeeper": self._config.name, "pages": max(1, math.ceil(len(rows) / PAGE)), "budgets": [
-                {"name": row.name, "whole": row.whole, "floor": round(row.floor, 6),
-                 "lent": round(row.lent, 6), "until_ms": row.until_ms and round(row.until_ms),
-                 "left": round(row.level, 3), "demand": round(row.demand, 3), "unmet": row.unmet,
-                 "divider": row.divider, "token": f"{row.token:x}",
-                 "out": None if row.out is None else round(row.out, 6)}
-                for row in rows[page * PAGE:(page + 1) * PAGE]]}, separators=(",", ":"))
+        return False, json.dumps(
+            {
+                "gatekeeper": self._config.name,
+                "pages": max(1, math.ceil(len(rows) / PAGE)),
+                "budgets": [
+                    {
+                        "name": row.name,
+                        "whole": row.whole,
+                        "floor": round(row.floor, 6),
+                        "lent": round(row.lent, 6),
+                        "until_ms": row.until_ms and round(row.until_ms),
+                        "left": round(row.level, 3),
+                        "demand": round(row.demand, 3),
+                        "unmet": row.unmet,
+                        "divider": row.divider,
+                        "token": f"{row.token:x}",
+                        "out": None if row.out is None else round(row.out, 6),
+                    }
+                    for row in rows[page * PAGE : (page + 1) * PAGE]
+                ],
+            },
+            separators=(",", ":"),
+        )
 
     def status(self, argument: str) -> tuple[bool, str]:
         """The answer to DUTIES [PAGE]: one line of JSON."""
@@ -497,28 +584,51 @@
         now, terms, holder = self._system.boottime(), self._settings.terms, member.holder
         names = sorted(self._duties.work)
         rows = []
-        for name in names[page * PAGE:(page + 1) * PAGE]:
+        for name in names[page * PAGE : (page + 1) * PAGE]:
             work = self._duties.work[name]
             last = work.last
-            rows.append([name, work.slot, work.running, None if last is None else
-                         [last.period, round(last.took_ms, 1), last.what[:60]]])
+            rows.append(
+                [
+                    name,
+                    work.slot,
+                    work.running,
+                    None if last is None else [last.period, round(last.took_ms, 1), last.what[:60]],
+                ]
+            )
         leases = []
         for lease in range(terms.leases if not page else 0):
             held = holder.held.get(lease)
             if held is not None:
-                leases.append([lease, self._config.settings.number, f"{held.token:x}",
-                               round(now - held.since_ms), round(holder.stop_ms(lease) - now), ""])
+                leases.append(
+                    [
+                        lease,
+                        self._config.settings.number,
+                        f"{held.token:x}",
+                        round(now - held.since_ms),
+                        round(holder.stop_ms(lease) - now),
+                        "",
+                    ]
+                )
                 continue
             grant = member.voter.holder(now, lease) if member.voter is not None else None
             if grant is not None:
-                leases.append([lease, grant.owner[0], f"{grant.token:x}", None,
-                               round(grant.until_ms - now), ""])
+                leases.append(
+                    [lease, grant.owner[0], f"{grant.token:x}", None, round(grant.until_ms - now), ""]
+                )
             else:
                 why = member.refusals.get(lease, "")
                 if member.voter is not None and now < member.voter.silent_until_ms:
                     why = "this voter is silent after its start"
                 leases.append([lease, None, "", None, None, why])
-        return False, json.dumps({
-            "gatekeeper": self._config.name, "voters": list(terms.voters), "votes": member.voter is not None,
-            "slots": terms.slots, "pages": max(1, math.ceil(len(names) / PAGE)), "leases": leases,
-            "duties": rows}, separators=(",", ":"))
+        return False, json.dumps(
+            {
+                "gatekeeper": self._config.name,
+                "voters": list(terms.voters),
+                "votes": member.voter is not None,
+                "slots": terms.slots,
+                "pages": max(1, math.ceil(len(names) / PAGE)),
+                "leases": leases,
+                "duties": rows,
+            },
+            separators=(",", ":"),
+        )
--- a/plumpick/fronts/http/admission.py
+++ b/plumpick/fronts/http/admission.py
@@ -158,8 +158,11 @@
                     table[client] += stood_ms
             return
         owed_ms = OWED_AT_END_MS if ending else OWED_MS
-        for client in [one for one, since in self._owing.items()
-                       if now - since > owed_ms and now - since > owed_ms + one.earned_ms()]:
+        for client in [
+            one
+            for one, since in self._owing.items()
+            if now - since > owed_ms and now - since > owed_ms + one.earned_ms()
+        ]:
             client.give_up()
         # Clients hold only so many connections: those that asked once and stay would keep the others out.
         spared_ms = SPARED_MS if len(self._idle) > self.idle_kept else IDLE_MS
@@ -170,7 +173,7 @@
             for client in quiet[:crowd]:
                 client.close_if_idle()
         idle = [one for one, since in self._idle.items() if now - since > spared_ms]
-        for client in idle[:len(self._idle) - self.idle_kept] if spared_ms == SPARED_MS else idle:
+        for client in idle[: len(self._idle) - self.idle_kept] if spared_ms == SPARED_MS else idle:
             client.close_if_idle()
         linger_ms, unread_ms = (LINGER_AT_END_MS, UNREAD_AT_END_MS) if ending else (LINGER_MS, UNREAD_MS)
         for client in [one for one, since in self._leaving.items() if now - since > linger_ms]:
--- a/plumpick/fronts/http/connections.py
+++ b/plumpick/fronts/http/connections.py
@@ -20,19 +20,54 @@
 PAUSE_MS, PAUSE_MOST_MS = 50.0, 1000.0  # after a bad request nothing is read for so long; doubles each time
 SLOWEST = 32.0  # bytes a millisecond that a body has to come with: half of what the slowest clients do
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict",
-           413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-           503: "Service Unavailable", 504: "Gateway Timeout"}
-_KNOWN = {b"x-request-id", b"x-tier", b"x-api-key", b"x-deadline-ms", b"x-call-terms", b"x-retry",
-          b"idempotency-key", b"content-type", b"content-length", b"transfer-encoding", b"expect"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+_KNOWN = {
+    b"x-request-id",
+    b"x-tier",
+    b"x-api-key",
+    b"x-deadline-ms",
+    b"x-call-terms",
+    b"x-retry",
+    b"idempotency-key",
+    b"content-type",
+    b"content-length",
+    b"transfer-encoding",
+    b"expect",
+}
 
 
 class Incoming:
     """One request as it is read, and until it is answered."""
 
-    __slots__ = ("url", "headers", "body", "head_size", "size", "in_head", "bad", "whole", "keep", "method",
-                 "old", "length", "stream", "came_ms", "received")
+    __slots__ = (
+        "url",
+        "headers",
+        "body",
+        "head_size",
+        "size",
+        "in_head",
+        "bad",
+        "whole",
+        "keep",
+        "method",
+        "old",
+        "length",
+        "stream",
+        "came_ms",
+        "received",
+    )
 
     def __init__(self) -> None:
         self.url = self.method = b""
@@ -190,8 +225,11 @@
             self._spoil(coming, coming.bad)
             return
         coming.length = -1 if b"transfer-encoding" in headers else int(length)
-        if headers.get(b"expect", b"").lower() == b"100-continue" and not coming.old and (
-                self.request is None and not self.waiting and self.transport is not None):
+        if (
+            headers.get(b"expect", b"").lower() == b"100-continue"
+            and not coming.old
+            and (self.request is None and not self.waiting and self.transport is not None)
+        ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         if coming.length > WHOLE_BODY:
             self._stream(coming)
@@ -240,8 +278,12 @@
         while not (self._is_open() or self.ending or self.paused):
             if not self.waiting:
                 coming = self.coming
-                if coming is None or coming.stream is not None or len(coming.body) <= WHOLE_BODY and (
-                        coming.length <= WHOLE_BODY or coming.in_head):
+                if (
+                    coming is None
+                    or coming.stream is not None
+                    or len(coming.body) <= WHOLE_BODY
+                    and (coming.length <= WHOLE_BODY or coming.in_head)
+                ):
                     break
                 if not self._stream(coming):  # its turn has come
                     break
@@ -362,10 +404,13 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Length: %s\r\n\r\n" % length
         else:
             head = b"HTTP/1.1 %d %s\r\nContent-Length: %s\r\n%s%s%s\r\n" % (
-                status, REASONS[status].encode(), length,
+                status,
+                REASONS[status].encode(),
+                length,
                 b"Content-Type: %s\r\n" % kind if kind else b"",
                 b"Retry-After: %.3f\r\n" % (retry_in_ms / 1000) if retry_in_ms else b"",
-                b"Connection: close\r\n" if close else self._stays())
+                b"Connection: close\r\n" if close else self._stays(),
+            )
         if cut:
             self.unreadable = True
             self._finish(head + body)
@@ -396,14 +441,23 @@
         if transport is None or transport.is_closing() or served is None:
             return
         self.chunks = length < 0 and not served.old
-        close = self.ending or self.core.draining or not served.keep or not served.whole or (
-            length < 0 and not self.chunks)
+        close = (
+            self.ending
+            or self.core.draining
+            or not served.keep
+            or not served.whole
+            or (length < 0 and not self.chunks)
+        )
         served.keep = not close
         head = b"HTTP/1.1 200 OK\r\n%s%s%s\r\n" % (
-            b"Content-Length: %d\r\n" % length if length >= 0 else
-            b"Transfer-Encoding: chunked\r\n" if self.chunks else b"",
+            b"Content-Length: %d\r\n" % length
+            if length >= 0
+            else b"Transfer-Encoding: chunked\r\n"
+            if self.chunks
+            else b"",
             b"Content-Type: %s\r\n" % kind if kind else b"",
-            b"Connection: close\r\n" if close else self._stays())
+            b"Connection: close\r\n" if close else self._stays(),
+        )
         transport.set_write_buffer_limits(high=mark)
         self.source = source
         transport.write(head)
@@ -429,8 +483,10 @@
 
     def refuse(self, status: int) -> None:
         """An error for what cannot be read, and the end of the connection."""
-        self._finish(b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-                     % (status, REASONS[status].encode()))
+        self._finish(
+            b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+            % (status, REASONS[status].encode())
+        )
 
     def _finish(self, data: bytes = b"") -> None:
         """The one way to close: write, end our side, and read on for a while what is dropped.
--- a/plumpick/fronts/http/forms.py
+++ b/plumpick/fronts/http/forms.py
@@ -48,7 +48,8 @@
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         # A customer's terms are the same every time; the cache is bounded, and what is odd raises.
         self._terms = functools.lru_cache(512)(
-            functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units))
+            functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units)
+        )
 
     def read(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool) -> Form:
         """The form of a request, its target as a path (`path_of`); raises BadRequest."""
@@ -78,8 +79,18 @@
         wait_ms = whole_number(header(headers, b"x-deadline-ms"), 1)
         units, spread, first = self._terms(header(headers, b"x-call-terms"))
         # Nobody is kept waiting for longer than the class allows, however long the client would.
-        return Form(request_id, customer.decode(), kind, plan, min(wait_ms, kind.deadline_ms), units, spread,
-                    first, headers.get(b"x-retry") == b"1", key)
+        return Form(
+            request_id,
+            customer.decode(),
+            kind,
+            plan,
+            min(wait_ms, kind.deadline_ms),
+            units,
+            spread,
+            first,
+            headers.get(b"x-retry") == b"1",
+            key,
+        )
 
 
 def path_of(target: bytes) -> bytes:
@@ -112,8 +123,11 @@
         raise BadRequest("X-Call-Terms cannot be read")
     if not _NUMBER.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= most_units:
         raise BadRequest("units are out of range")
-    return (float(terms[b"units"]), whole_number(terms[b"spread"], 1, gateways),
-            whole_number(terms[b"first"], 0, gateways - 1))
+    return (
+        float(terms[b"units"]),
+        whole_number(terms[b"spread"], 1, gateways),
+        whole_number(terms[b"first"], 0, gateways - 1),
+    )
 
 
 def header(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
--- a/plumpick/fronts/http/front.py
+++ b/plumpick/fronts/http/front.py
@@ -17,8 +17,14 @@
     """All HTTP connections of clients. `has_ended` looks whether a transport's other side has ended it,
     `is_quiet` whether nothing waits on it unread."""
 
-    def __init__(self, core: Core, settings: Settings, sockets: int, has_ended: Callable[[Any], bool],
-                 is_quiet: Callable[[Any], bool] = lambda _transport: True) -> None:
+    def __init__(
+        self,
+        core: Core,
+        settings: Settings,
+        sockets: int,
+        has_ended: Callable[[Any], bool],
+        is_quiet: Callable[[Any], bool] = lambda _transport: True,
+    ) -> None:
         self.core, self.has_ended, self.looks_quiet = core, has_ended, is_quiet
         self.admission = Admission(sockets, core.clock.now())
         self.forms = Forms(settings)
@@ -39,8 +45,9 @@
     def came(self, client: ClientConnection) -> None:
         now, spare = self.core.clock.now(), self.core.spare_descriptors()
         if not self.admission.came(client, now, spare) and not (
-                self.admission.drop_ended(now, lambda other: self.has_ended(other.transport))
-                and self.admission.came(client, now, spare)):
+            self.admission.drop_ended(now, lambda other: self.has_ended(other.transport))
+            and self.admission.came(client, now, spare)
+        ):
             client.drop()
         elif len(self.admission) > self.admission.place(spare) and not self._making_room:
             # Not at once: of those that came in one go, who has a request here is read first, and stays.
@@ -66,8 +73,10 @@
             coming.stream = self.core.stream(client, coming.length)
         body = bytes(coming.body) if coming.whole else b""
         try:
-            request = self.core.take(client, Ask(
-                *form, method, target, headers.get(b"content-type"), body, coming.came_ms, coming.stream))
+            request = self.core.take(
+                client,
+                Ask(*form, method, target, headers.get(b"content-type"), body, coming.came_ms, coming.stream),
+            )
         except InUse as problem:
             raise BadRequest(str(problem), 409) from problem
         self.admission.asked(client)
--- a/plumpick/fronts/management.py
+++ b/plumpick/fronts/management.py
@@ -17,8 +17,16 @@
 PATIENCE_MS = 5000.0  # for a whole line
 ROOM_AFTER_MS = 5.0  # so long after one too many came, the oldest go
 # And how many arguments each takes, at least and at most.
-CALLS = {b"READY": (0, 0), b"DISABLE": (1, 1), b"ENABLE": (1, 1), b"DRAIN": (0, 1), b"UNDRAIN": (0, 0),
-         b"DUTIES": (0, 1), b"BUDGETS": (0, 1), b"CONFIGURATION": (0, 0)}
+CALLS = {
+    b"READY": (0, 0),
+    b"DISABLE": (1, 1),
+    b"ENABLE": (1, 1),
+    b"DRAIN": (0, 1),
+    b"UNDRAIN": (0, 0),
+    b"DUTIES": (0, 1),
+    b"BUDGETS": (0, 1),
+    b"CONFIGURATION": (0, 0),
+}
 
 
 class Line:
@@ -30,7 +38,7 @@
     def take(self, data: bytes, ended: bool = False) -> bytes | None:
         """The whole line without its end, or None; raises ValueError where it is too long. A line that is
         ended by the end of the sending is whole too."""
-        self.text += data[:MAX_LINE + 1]
+        self.text += data[: MAX_LINE + 1]
         line, end, _ = self.text.partition(b"\n")
         if len(line) + len(end) > MAX_LINE:
             raise ValueError("the line is too long")
@@ -50,8 +58,10 @@
         raise ValueError("no such call; there are " + ", ".join(name.decode() for name in CALLS))
     least, most = CALLS[call]
     if not least <= len(line.split()) - 1 <= most:
-        raise ValueError(f"{call.decode()} takes {'one id' if least else 'one word at most' if most else ''}"
-                         f"{'' if most else 'nothing more'}")
+        raise ValueError(
+            f"{call.decode()} takes {'one id' if least else 'one word at most' if most else ''}"
+            f"{'' if most else 'nothing more'}"
+        )
     return call.decode(), arguments[0].decode() if arguments else ""
 
 
@@ -140,7 +150,7 @@
         goes last."""
         self._making_room = False
         waiting = [one for one in self.callers if not one.done] + [one for one in self.callers if one.done]
-        for caller in waiting[:max(0, len(waiting) - most)]:
+        for caller in waiting[: max(0, len(waiting) - most)]:
             self.left(caller)
             caller.drop()
 
