--- a/plumpick/gatekeeper.py
+++ b/plumpick/gatekeeper.py
@@ -15,15 +15,49 @@
 from anisefront.control import Controller
 from anisefront.draining import LATE_FOR_MS, Door
 from anisefront.interface import (
-    Action, Arrival, Call, Cancel, ClientGone, Doors, Estate, Event, Fail, Fleet, Heard, Inherit, Leave,
-    Order, Outcome, Probe, Reconfigure, Refuse, Result, Resume, Said, Send, Started, State, Subscribe, Tell,
-    Wake, Woken,
+    Action,
+    Arrival,
+    Call,
+    Cancel,
+    ClientGone,
+    Doors,
+    Estate,
+    Event,
+    Fail,
+    Fleet,
+    Heard,
+    Inherit,
+    Leave,
+    Order,
+    Outcome,
+    Probe,
+    Reconfigure,
+    Refuse,
+    Result,
+    Resume,
+    Said,
+    Send,
+    Started,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
+    Woken,
 )
 from anisefront.standing import Standing
 from plumpick.clock import Timer, Timers
 from plumpick.config import Config, WorkerList
 from plumpick.fronts.door import (
-    STILL_MS, SWEEP_MS, Ask, Asker, Front, InUse, Part, Sibling, Source, Versioned,
+    STILL_MS,
+    SWEEP_MS,
+    Ask,
+    Asker,
+    Front,
+    InUse,
+    Part,
+    Sibling,
+    Source,
+    Versioned,
 )
 from plumpick.peers import Peers
 from plumpick.system import System
@@ -52,8 +86,22 @@
 class Request:
     """An open request."""
 
-    __slots__ = ("id", "name", "asker", "head", "body", "sends", "guard", "stream", "is_head", "wait_ms",
-                 "passing", "plan", "units", "due_ms")
+    __slots__ = (
+        "id",
+        "name",
+        "asker",
+        "head",
+        "body",
+        "sends",
+        "guard",
+        "stream",
+        "is_head",
+        "wait_ms",
+        "passing",
+        "plan",
+        "units",
+        "due_ms",
+    )
 
     def __init__(self, number: int, name: bytes, asker: Asker, head: bytes, ask: Ask) -> None:
         self.id, self.name, self.asker, self.head, self.body = number, name, asker, head, ask.body
@@ -68,19 +116,30 @@
 class Gatekeeper:
     """One gatekeeper: the module, its open requests, and the ways to clients, workers and peers."""
 
-    def __init__(self, config: Config, loop: asyncio.AbstractEventLoop,
-                 controller: Any = None, system: System | None = None) -> None:
+    def __init__(
+        self,
+        config: Config,
+        loop: asyncio.AbstractEventLoop,
+        controller: Any = None,
+        system: System | None = None,
+    ) -> None:
         system = system or System()
         self.config, self.settings, self.loop = config, config.settings, loop
         self.clock = system.clock()
         self.timers = Timers(loop, self.clock)
         self.controller: Any = controller or Controller(config.settings, config.seed)  # tests have another
-        self.workers = Workers(loop, self.clock, self.timers, idle_ms=config.idle_ms,
-                               dial_timeout_ms=config.dial_timeout_ms,
-                               max_connections=int(config.sockets * WORKER_PART),
-                               report_fields=config.settings.report_fields, is_quiet=system.is_quiet,
-                               budget=Budget(int(config.memory_mb * 2**20 * STREAM_PART)),
-                               was_reset=system.was_reset)
+        self.workers = Workers(
+            loop,
+            self.clock,
+            self.timers,
+            idle_ms=config.idle_ms,
+            dial_timeout_ms=config.dial_timeout_ms,
+            max_connections=int(config.sockets * WORKER_PART),
+            report_fields=config.settings.report_fields,
+            is_quiet=system.is_quiet,
+            budget=Budget(int(config.memory_mb * 2**20 * STREAM_PART)),
+            was_reset=system.was_reset,
+        )
         self.peers = Peers(config, self.heard, system.datagrams)
         self._fronts: list[Front] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
@@ -110,9 +169,18 @@
         self._turn_ms = 0.0  # what time it was for the module when it decided last
         self._stood_ms = self._stood_until_ms = 0.0  # for how long; until when what is read may be so old
         self._carry: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel, Wake: self._wake,
-            Tell: self._tell, Probe: self._ignore, Subscribe: self._ignore, Said: self._say,
-            Doors: self._doors, Estate: self._keep_estate}
+            Send: self._send,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            Wake: self._wake,
+            Tell: self._tell,
+            Probe: self._ignore,
+            Subscribe: self._ignore,
+            Said: self._say,
+            Doors: self._doors,
+            Estate: self._keep_estate,
+        }
         self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
         self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
 
@@ -235,8 +303,10 @@
         """For how long requests may be open: of each class in force, and what is left to those that are open,
         which may be of older ones."""
         now = self.clock.now()
-        left = [request.due_ms - now if request.due_ms < math.inf else request.wait_ms
-                for request in self.open.values()]
+        left = [
+            request.due_ms - now if request.due_ms < math.inf else request.wait_ms
+            for request in self.open.values()
+        ]
         return [kind.deadline_ms for kind in self.settings.classes] + left
 
     def _say(self, action: Said) -> None:
@@ -345,8 +415,19 @@
         self.open[request.id] = request
         self._names.add(ask.id)
         # Of what goes on while it comes its time has not begun; the module has to send it soon all the same.
-        self.notice(Arrival(request.id, ask.customer, ask.kind.name, ask.plan, due_ms - MARGIN_MS,
-                            ask.units, ask.first, ask.spread, ask.is_repeat))
+        self.notice(
+            Arrival(
+                request.id,
+                ask.customer,
+                ask.kind.name,
+                ask.plan,
+                due_ms - MARGIN_MS,
+                ask.units,
+                ask.first,
+                ask.spread,
+                ask.is_repeat,
+            )
+        )
         return request
 
     def _guard(self, request: Request, due_ms: float) -> None:
@@ -444,8 +525,20 @@
             return
         # What is left counts from when the module looked; of a body that still comes it has not begun.
         due_ms = min(self._turn_ms + action.allow_ms, request.due_ms) if stream is None else request.due_ms
-        attempt = Attempt(request.id, number, action.server, request.head, request.body, action.allow_ms,
-                          due_ms, self._ended, stream, request.is_head, self._begins, self._flows)
+        attempt = Attempt(
+            request.id,
+            number,
+            action.server,
+            request.head,
+            request.body,
+            action.allow_ms,
+            due_ms,
+            self._ended,
+            stream,
+            request.is_head,
+            self._begins,
+            self._flows,
+        )
         attempt.until_ms = self._turn_ms + action.within_ms
         self.attempts[request.id, number] = attempt
         self.workers.start(attempt)
@@ -471,8 +564,9 @@
         request.asker.begin(length, kind, attempt.connection, self.workers.budget.mark())
         return request.asker
 
-    def _ended(self, attempt: Attempt, result: Result, body: bytes, kind: bytes,
-               load: tuple[float, ...]) -> None:
+    def _ended(
+        self, attempt: Attempt, result: Result, body: bytes, kind: bytes, load: tuple[float, ...]
+    ) -> None:
         """One attempt has its outcome. The first good one is the request's final answer."""
         del self.attempts[attempt.request_id, attempt.number]
         request, passed = self.open.get(attempt.request_id), attempt.first_ms > 0
@@ -482,8 +576,17 @@
             if not passed:
                 request.asker.answer(200, body, kind)
         took_ms = (attempt.first_ms if passed else self.clock.now()) - attempt.started_ms
-        self.notice(Outcome(attempt.request_id, attempt.number, attempt.worker, max(0.0, took_ms), result,
-                            request is None or result is Result.OK or passed, load=load))
+        self.notice(
+            Outcome(
+                attempt.request_id,
+                attempt.number,
+                attempt.worker,
+                max(0.0, took_ms),
+                result,
+                request is None or result is Result.OK or passed,
+                load=load,
+            )
+        )
 
     def _refuse(self, action: Refuse) -> None:
         request = self.open.get(action.id)
--- a/plumpick/handover/channel.py
+++ b/plumpick/handover/channel.py
@@ -25,8 +25,13 @@
     or has sent what cannot be read. A descriptor that is passed on is closed here, one that comes belongs to
     whom it is told."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, plug: socket.socket,
-                 heard: Callable[[str, Any, list[int]], None], ended: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        plug: socket.socket,
+        heard: Callable[[str, Any, list[int]], None],
+        ended: Callable[[], None],
+    ) -> None:
         self._loop, self._plug, self._heard, self._ended = loop, plug, heard, ended
         self._reader, self._waiting = Reader(), deque[tuple[bytes, list[int]]]()
         self._waits = 0
@@ -81,7 +86,7 @@
         descriptors = array.array("i")
         for level, kind, content in rights:
             if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
-                descriptors.frombytes(content[:len(content) - len(content) % size])
+                descriptors.frombytes(content[: len(content) - len(content) % size])
         self._loose += descriptors
         try:
             messages = self._reader.feed(data)
--- a/plumpick/handover/message.py
+++ b/plumpick/handover/message.py
@@ -50,8 +50,8 @@
                 raise Unreadable(f"a message of {length} bytes")
             if len(self._bytes) < _HEAD.size + length:
                 break
-            text = bytes(self._bytes[_HEAD.size:_HEAD.size + length])
-            del self._bytes[:_HEAD.size + length]
+            text = bytes(self._bytes[_HEAD.size : _HEAD.size + length])
+            del self._bytes[: _HEAD.size + length]
             messages.append(_message(text, check))
         return messages
 
--- a/plumpick/handover/succession.py
+++ b/plumpick/handover/succession.py
@@ -116,8 +116,9 @@
 class Predecessor:
     """The running process: waits for the next one. `changed` is told when it has handed over, or goes on."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, context: HandoverContext,
-                 changed: Callable[[bool], None]) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, context: HandoverContext, changed: Callable[[bool], None]
+    ) -> None:
         self._loop, self._context, self._changed = loop, context, changed
         self._plug: socket.socket | None = None
         self._path: Path | None = None
--- a/plumpick/operator.py
+++ b/plumpick/operator.py
@@ -124,8 +124,9 @@
 
 
 def _duty(value: Any, path: str, gateways: int) -> DutySettings:
-    keys = _Keys(value, path, {"name", "kind", "period_s", "limit_s", "catch_up", "receiver", "fenced",
-                               "repeatable"})
+    keys = _Keys(
+        value, path, {"name", "kind", "period_s", "limit_s", "catch_up", "receiver", "fenced", "repeatable"}
+    )
     name, kind = _name(keys), keys.get("kind", str)
     if kind not in (CALL, USE):
         raise ConfigError(f"{path}.kind: {kind!r} is none of {CALL}, {USE}")
@@ -139,8 +140,10 @@
     if not 0 <= catch_up <= 7:
         raise ConfigError(f"{path}.catch_up: {catch_up} is not from 0 to 7")
     if not keys.get("fenced", bool, False) and not keys.get("repeatable", bool, False):
-        raise ConfigError(f"{path}.fenced: a receiver without a fence takes what a late owner sends; "
-                          "name the duty repeatable if that does no harm")
+        raise ConfigError(
+            f"{path}.fenced: a receiver without a fence takes what a late owner sends; "
+            "name the duty repeatable if that does no harm"
+        )
     receiver = _receiver(keys.get("receiver", str), f"{path}.receiver")
     return DutySettings(Duty(name, kind, period, limit, catch_up, kind == USE), receiver)
 
@@ -158,14 +161,16 @@
     if counts not in (REQUESTS, UNITS):
         raise ConfigError(f"{path}.counts: {counts!r} is none of {REQUESTS}, {UNITS}")
     try:
-        budget = Budget(name, Kind.RATE, keys.get("whole", float), keys.get("burst", float),
-                        keys.get("floor", float, 0.3))
+        budget = Budget(
+            name, Kind.RATE, keys.get("whole", float), keys.get("burst", float), keys.get("floor", float, 0.3)
+        )
     except BudgetError as problem:
         raise ConfigError(f"{path}: {problem}") from problem
     if budget.burst < 1:
         raise ConfigError(f"{path}.burst: {budget.burst:g} is under 1: no request would ever go on")
-    return BudgetSettings(budget, Rule(name, counts == UNITS, *(
-        _names(keys, key) for key in ("classes", "plans", "firms"))))
+    return BudgetSettings(
+        budget, Rule(name, counts == UNITS, *(_names(keys, key) for key in ("classes", "plans", "firms")))
+    )
 
 
 def _once(rows: list[str], path: str) -> None:
@@ -178,8 +183,11 @@
 
 def _fleet(value: Any, gateways: int) -> FleetSettings:
     path = "fleet"
-    keys = _Keys(value, path, {"voters", "slots", "turns", "term_s", "drift", "longest_term_s", "duty",
-                               "budget", "share_s"})
+    keys = _Keys(
+        value,
+        path,
+        {"voters", "slots", "turns", "term_s", "drift", "longest_term_s", "duty", "budget", "share_s"},
+    )
     rows = keys.get("duty", list, [])
     if len(rows) > MOST_DUTIES:
         raise ConfigError(f"{path}.duty: {len(rows)} of them; {MOST_DUTIES} is the most")
@@ -193,18 +201,29 @@
     budgets = tuple(sorted(budgets, key=lambda one: one.budget.name))
     share_ms = keys.seconds("share_s", 0.2, SHARE_MOST_S, min(SHARE_MOST_S, max(2.0, gateways / 8)))
     if budgets and share_ms < 2 * 1000 * gateways / INBOX_PER_S:
-        raise ConfigError(f"{path}.share_s: {share_ms / 1000:g} is too short for {gateways} gatekeepers: all "
-                          f"ask one of them, which takes in {INBOX_PER_S:g} askings a second; at least "
-                          f"{2 * gateways / INBOX_PER_S:g}")
+        raise ConfigError(
+            f"{path}.share_s: {share_ms / 1000:g} is too short for {gateways} gatekeepers: all "
+            f"ask one of them, which takes in {INBOX_PER_S:g} askings a second; at least "
+            f"{2 * gateways / INBOX_PER_S:g}"
+        )
     voters = keys.get("voters", list)
     if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
         raise ConfigError(f"{path}.voters: {voters} are not all numbers from 0 to {gateways - 1}")
     try:
-        terms = Terms(tuple(voters), keys.get("slots", int, 12), keys.get("turns", int, 0),
-                      keys.seconds("term_s", 0.5, 600, 6.0), keys.get("drift", float, 0.01),
-                      keys.seconds("longest_term_s", 0.0, 600, 0.0),
-                      repr((sorted((one.duty.name, one.duty.kind, one.duty.period_ms) for one in duties),
-                            *([budgets_text(budgets), share_ms] if budgets else []))))
+        terms = Terms(
+            tuple(voters),
+            keys.get("slots", int, 12),
+            keys.get("turns", int, 0),
+            keys.seconds("term_s", 0.5, 600, 6.0),
+            keys.get("drift", float, 0.01),
+            keys.seconds("longest_term_s", 0.0, 600, 0.0),
+            repr(
+                (
+                    sorted((one.duty.name, one.duty.kind, one.duty.period_ms) for one in duties),
+                    *([budgets_text(budgets), share_ms] if budgets else []),
+                )
+            ),
+        )
     except TermsError as problem:
         raise ConfigError(f"{path}.{problem}") from problem
     return FleetSettings(terms, duties, budgets, share_ms)
@@ -236,8 +255,10 @@
     """The settings in a table of TOML, for a tier of so many gatekeepers; raises ConfigError."""
     keys = _Keys(value, "operator", {"fleet", "configuration"})
     fleet, configuration = keys.value.get("fleet"), keys.value.get("configuration")
-    return Operator(None if fleet is None else _fleet(fleet, gateways),
-                    None if configuration is None else _configuration(configuration))
+    return Operator(
+        None if fleet is None else _fleet(fleet, gateways),
+        None if configuration is None else _configuration(configuration),
+    )
 
 
 def load(path: str, gateways: int) -> Operator:
--- a/plumpick/peers.py
+++ b/plumpick/peers.py
@@ -20,11 +20,13 @@
 
     On a plain socket: the loop's own datagram transport takes several times as long for each message."""
 
-    def __init__(self, config: Config, heard: Callable[[int, bytes], None],
-                 datagrams: Callable[[], Any]) -> None:
+    def __init__(
+        self, config: Config, heard: Callable[[int, bytes], None], datagrams: Callable[[], Any]
+    ) -> None:
         self._config, self._heard, self._datagrams = config, heard, datagrams
-        self._numbers = {address: number for number, address in enumerate(config.peers)
-                         if number != config.settings.number}
+        self._numbers = {
+            address: number for number, address in enumerate(config.peers) if number != config.settings.number
+        }
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: Any = None
 
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -178,8 +178,10 @@
 
     def leaves(self, after_ms: float) -> None:
         """The gatekeeper was told to end: after so long no new connection comes to it."""
+
         def leave() -> None:
             self.leaving = True
+
         self.front.around.later(after_ms, leave)
 
     def usable(self) -> bool:
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -72,9 +72,7 @@
             self._tell(plug, data, "lost")
         else:
             for _ in range(1 + (self.twice > 0 and self._rng.random() < self.twice)):
-                self._around.later(
-                    more_ms + self._rng.uniform(*self.delay_ms), self._deliver, plug, data
-                )
+                self._around.later(more_ms + self._rng.uniform(*self.delay_ms), self._deliver, plug, data)
 
     def again(self, sender: int, receiver: int, data: bytes) -> None:
         """Deliver a datagram now that came before."""
--- a/plumpick/rehearsal/receiver.py
+++ b/plumpick/rehearsal/receiver.py
@@ -60,8 +60,13 @@
 class Receiver:
     """`dies_before`, `dies_after`, `late` are shares of the effects; `late_ms` how late an answer is then."""
 
-    def __init__(self, chance: random.Random, path: Path | None = None, fenced: bool = True,
-                 clock: Callable[[], float] = machine_ms) -> None:
+    def __init__(
+        self,
+        chance: random.Random,
+        path: Path | None = None,
+        fenced: bool = True,
+        clock: Callable[[], float] = machine_ms,
+    ) -> None:
         self._clock = clock
         self._chance, self._path, self._fenced = chance, path, fenced
         self._fence = Fence(path)
@@ -116,8 +121,11 @@
         if chance.random() < self.dies_after:
             caller.transport.abort()  # type: ignore[attr-defined]
             return
-        answer = answer_bytes(200) if fate != "fenced" else answer_bytes(
-            409, headers=f"Fencing-Token: {self._fence.highest(duty):x}\r\n")
+        answer = (
+            answer_bytes(200)
+            if fate != "fenced"
+            else answer_bytes(409, headers=f"Fencing-Token: {self._fence.highest(duty):x}\r\n")
+        )
         wait_s = self.late_ms / 1000 if chance.random() < self.late else 0.0
         asyncio.get_running_loop().call_later(wait_s, self._answer, caller, answer)
 
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -50,8 +50,10 @@
     async def start(self) -> None:
         """Start all; raises StartFailed or OSError."""
         self.around = Surroundings(asyncio.get_running_loop(), self.seed)
-        scenario = Scenario(fleet=FleetPart(gatekeepers=self.gatekeepers, servers=1),
-                            peers=PeerPart(delay_ms=[0.3, 5.0], loss=0.01))
+        scenario = Scenario(
+            fleet=FleetPart(gatekeepers=self.gatekeepers, servers=1),
+            peers=PeerPart(delay_ms=[0.3, 5.0], loss=0.01),
+        )
         self.folder = Supervisor.make_folder()
         self.chance = random.Random(f"{self.seed}/faults")
         self.receiver = Receiver(random.Random(f"{self.seed}/receiver"), self.folder / "fence", self.fenced)
@@ -63,8 +65,15 @@
         self.relay = Relay(self.around, scenario.peers, names, lambda _record: None)
         await self.relay.start()
         self.supervisor = Supervisor(
-            self.around, scenario, self.folder, agents, self.relay,
-            {plan.name: QUOTA for plan in scenario.plans}, lambda _record: None, lambda _gate: None)
+            self.around,
+            scenario,
+            self.folder,
+            agents,
+            self.relay,
+            {plan.name: QUOTA for plan in scenario.plans},
+            lambda _record: None,
+            lambda _gate: None,
+        )
         self.supervisor.module = "plumpick.rehearsal.witness"
         self.supervisor.environment_of = self._environment
         self.calls = [0 for _ in agents]
@@ -103,9 +112,12 @@
         if process is None or not gate.running():
             return
         self.supervisor.reload(gate)
-        await self.until(lambda: not gate.running() or any(
-            row[0] == "figures" and row[3] == process.pid and row[1] >= begin for row in self.look()),
-            10, f"{gate.name} has other figures")
+        await self.until(
+            lambda: not gate.running()
+            or any(row[0] == "figures" and row[3] == process.pid and row[1] >= begin for row in self.look()),
+            10,
+            f"{gate.name} has other figures",
+        )
 
     def _write_settings(self, number: int) -> None:
         fleet = {**self.fleet, **(self.fleet_of(number) if self.fleet_of is not None else {})}
@@ -119,10 +131,14 @@
 
     def _environment(self, gate: Gatekeeper) -> dict[str, str]:
         rate = self.rates[gate.number] if self.rates else 1.0
-        return {**self.environment, "PLUMPICK_OPERATOR": str(self.folder / f"operator-{gate.number}.toml"),
-                "WITNESS_FILE": str(self.ledger(gate.number)), "WITNESS_RATE": repr(rate),
-                "WITNESS_PLANT": self.plant,
-                **({"WITNESS_DEMAND": str(self.folder / f"demand-{gate.number}")} if self.demand else {})}
+        return {
+            **self.environment,
+            "PLUMPICK_OPERATOR": str(self.folder / f"operator-{gate.number}.toml"),
+            "WITNESS_FILE": str(self.ledger(gate.number)),
+            "WITNESS_RATE": repr(rate),
+            "WITNESS_PLANT": self.plant,
+            **({"WITNESS_DEMAND": str(self.folder / f"demand-{gate.number}")} if self.demand else {}),
+        }
 
     def _more(self, gate: Gatekeeper) -> dict[str, Any]:
         if not gate.starts:
@@ -151,8 +167,11 @@
 
     def owner(self, lease: int) -> int | None:
         """The number of who told last that it holds the lease, if that has not ended."""
-        last = max((row for row in self.look() if row[0] in ("held", "lost") and row[4] == lease),
-                   key=lambda row: row[1], default=None)
+        last = max(
+            (row for row in self.look() if row[0] in ("held", "lost") and row[4] == lease),
+            key=lambda row: row[1],
+            default=None,
+        )
         return None if last is None or last[0] == "lost" or last[7] < machine_ms() else last[2]
 
     async def until(self, true: Callable[[], Any], limit_s: float, what: str) -> Any:
@@ -167,9 +186,12 @@
     async def taken(self, duties: list[str], limit_s: float, since: float | None = None) -> None:
         """Wait until an effect of each of these duties has been taken after `since` (now)."""
         begin = machine_ms() if since is None else since
-        await self.until(lambda: set(duties) <= {one.duty for one in self.receiver.records
-                                                 if one.t > begin and one.fate == "taken"},
-                         limit_s, f"effects of {duties}")
+        await self.until(
+            lambda: set(duties)
+            <= {one.duty for one in self.receiver.records if one.t > begin and one.fate == "taken"},
+            limit_s,
+            f"effects of {duties}",
+        )
 
     async def stands_in_an_effect(self, lease: int, when: str, for_s: float) -> int | None:
         """Its owner stops itself in the midst of an effect, `before` or `after` its look at the clock, and
@@ -181,8 +203,9 @@
         process = gate.process
         mark.touch()
         try:
-            await self.until(lambda: not mark.exists() or self.owner(lease) != number, 3.0,
-                             f"an effect of n{number}")
+            await self.until(
+                lambda: not mark.exists() or self.owner(lease) != number, 3.0, f"an effect of n{number}"
+            )
         finally:
             stood = not mark.exists()
             mark.unlink(missing_ok=True)
@@ -244,9 +267,11 @@
 def judge(witnessed: list[list[Any]], received: list[Came]) -> Judged:
     """Promises 1, 2, 3 and 5. A lease counts from when its holder knew of it to its end by the machine's
     clock, or to when it was let go of; also after its process was killed."""
-    result = Judged(taken=sum(one.fate == "taken" for one in received),
-                    fenced=sum(one.fate == "fenced" for one in received),
-                    again=sum(one.fate == "again" for one in received))
+    result = Judged(
+        taken=sum(one.fate == "taken" for one in received),
+        fenced=sum(one.fate == "fenced" for one in received),
+        again=sum(one.fate == "again" for one in received),
+    )
     spans: dict[tuple[int, int], list[float]] = {}  # (lease, token): from, until
     ends: dict[int, tuple[float, float]] = {}  # token: from, until, of any lease
     order = sorted(witnessed, key=lambda row: row[1])
@@ -269,8 +294,10 @@
         last: tuple[float, float, int] | None = None
         for row in rows:
             if last is not None and row[0] < last[1]:
-                result.overlaps.append(f"lease {lease}: {last[2]:x} until {last[1]:.1f}, {row[2]:x} from "
-                                       f"{row[0]:.1f}: {last[1] - row[0]:.1f} ms")
+                result.overlaps.append(
+                    f"lease {lease}: {last[2]:x} until {last[1]:.1f}, {row[2]:x} from "
+                    f"{row[0]:.1f}: {last[1] - row[0]:.1f} ms"
+                )
             if last is None or row[1] > last[1]:
                 last = row
     for kind, t, _number, _pid, *parts in order:
@@ -282,8 +309,9 @@
         if one.fate == "fenced":
             continue
         if one.token < highest.get(one.duty, 0):
-            result.out_of_order.append(f"{one.duty} {one.period} under {one.token:x} after "
-                                       f"{highest[one.duty]:x}, {one.fate}")
+            result.out_of_order.append(
+                f"{one.duty} {one.period} under {one.token:x} after {highest[one.duty]:x}, {one.fate}"
+            )
         highest[one.duty] = max(highest.get(one.duty, 0), one.token)
         if one.fate == "taken":
             if (one.duty, one.period) in keys:
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -51,8 +51,11 @@
 
     def look(self, member: Any) -> None:
         """Write down what has changed of what it holds."""
-        held = {} if member.closed else {lease: (one.token, one.asked_ms)
-                                         for lease, one in member.holder.held.items()}
+        held = (
+            {}
+            if member.closed
+            else {lease: (one.token, one.asked_ms) for lease, one in member.holder.held.items()}
+        )
         for lease, (token, _) in list(self._held.items()):
             if lease not in held or held[lease][0] != token:
                 self.write("lost", lease, token)
@@ -60,8 +63,9 @@
         for lease, (token, asked_ms) in held.items():
             if self._held.get(lease) != (token, asked_ms):
                 self._held[lease] = token, asked_ms
-                self.write("held", lease, token, self.true(asked_ms),
-                           self.true(asked_ms + member.terms.term_ms))
+                self.write(
+                    "held", lease, token, self.true(asked_ms), self.true(asked_ms + member.terms.term_ms)
+                )
 
 
 def obey(when: str, number: signal.Signals) -> None:
@@ -75,6 +79,7 @@
 
 def clients_of(begin: Any) -> Any:
     """A part in the fleet's work that wants to spend by itself, as often as the file says."""
+
     def opened(part: Any, state: Any = None) -> None:
         begin(part, state)
         chance, wanted = random.Random(f"{os.getpid()}"), dict[str, float]()
@@ -89,7 +94,9 @@
                 for _ in range(int(rate * DEMAND_STEP_S + chance.random())):
                     part.spends([(name, 1.0)])
             part._loop.call_later(DEMAND_STEP_S, step)
+
         part._loop.call_soon(step)
+
     return opened
 
 
@@ -115,6 +122,7 @@
         def begins(self: Any, *arguments: Any, **more: Any) -> None:
             begin(self, *arguments, **more)
             self.holder.counter = first
+
         members.Member.__init__ = begins  # type: ignore[method-assign]
     ledger = Ledger(os.environ["WITNESS_FILE"], rate)
     inner, inherit, estate = members.Member.handle, members.Member.inherit, members.Member.estate
@@ -134,7 +142,10 @@
         return state
 
     members.Member.handle, members.Member.inherit, members.Member.estate = (  # type: ignore[method-assign]
-        handle, inherited, left)
+        handle,
+        inherited,
+        left,
+    )
     spend = book.Book.spend
 
     def spent(self: Any, now_ms: float, wanted: Any) -> bool:
@@ -143,20 +154,31 @@
             for name, units in wanted:
                 ledger.write("spent", name, units, ledger.true(now_ms))
         return met
+
     book.Book.spend = spent  # type: ignore[method-assign]
     lend, change = holder.RateHolder.lend, book.Book.change
 
     def lent(self: Any, now_ms: float, share: Any, asked_ms: Any) -> bool:
         taken = bool(lend(self, now_ms, share, asked_ms))
         if taken:
-            ledger.write("lent", self.budget.name, share.serial, f"{share.token:x}", share.amount,
-                         share.burst, share.level, ledger.true(self.lent.until_ms))
+            ledger.write(
+                "lent",
+                self.budget.name,
+                share.serial,
+                f"{share.token:x}",
+                share.amount,
+                share.burst,
+                share.level,
+                ledger.true(self.lent.until_ms),
+            )
         return taken
+
     holder.RateHolder.lend = lent  # type: ignore[method-assign]
 
     def changed(self: Any, now_ms: float, budgets: Any) -> None:
         change(self, now_ms, budgets)
         ledger.write("figures", [[one.name, one.whole, one.burst] for one in budgets])
+
     book.Book.change = changed  # type: ignore[method-assign]
     if os.environ.get("WITNESS_DEMAND"):
         runner.Runner.open = clients_of(runner.Runner.open)  # type: ignore[method-assign]
@@ -170,6 +192,7 @@
                 ledger.write("effect", duty, period, token)
                 obey("after", signal.SIGSTOP)
             return yes
+
         await send(receiver, duty, period, token, body, looks)
 
     runner.effects.send = witnessed
@@ -183,6 +206,7 @@
         say(self, now, tell, leases)
         if share:
             obey("after-share", signal.SIGKILL)
+
     runner.Runner._say = said  # type: ignore[method-assign]
     ledger.write("life", os.environ.get("BALANCER_NAME", ""))
     return daemon.main()
--- a/plumpick/simulation/commands.py
+++ b/plumpick/simulation/commands.py
@@ -46,23 +46,31 @@
 
 def failure_line(result: Result) -> str:
     """A failing seed in a line."""
-    return (f"seed {result.seed}: {result.rule} at step {result.step} ({result.t_ms / 1000:.3f} s): "
-            f"{result.text} [{result.digest}]")
+    return (
+        f"seed {result.seed}: {result.rule} at step {result.step} ({result.t_ms / 1000:.3f} s): "
+        f"{result.text} [{result.digest}]"
+    )
 
 
 def story(case: Case, result: Result) -> str:
     """A case and what came of it, for a person."""
-    lines = [f"seed {case.seed}: {case.gatekeepers} gatekeepers, {case.servers} servers, {case.seconds:g} s, "
-             f"load {case.load:g}"]
+    lines = [
+        f"seed {case.seed}: {case.gatekeepers} gatekeepers, {case.servers} servers, {case.seconds:g} s, "
+        f"load {case.load:g}"
+    ]
     lines += [f"  {fault}" for fault in case.faults] or ["  nothing goes wrong"]
-    lines.append(failure_line(result) if result.failed else
-                 f"all rules held: {result.requests} requests, {result.steps} steps, service "
-                 f"{result.service:.3f} [{result.digest}]")
+    lines.append(
+        failure_line(result)
+        if result.failed
+        else f"all rules held: {result.requests} requests, {result.steps} steps, service "
+        f"{result.service:.3f} [{result.digest}]"
+    )
     if case.duties:
         lines.append(f"  {result.owners} times a lease was taken, {result.effects} effects came")
     if case.budgets:
-        lines.append(f"  {result.spent:.0f} units of budgets spent, {result.turned_back} requests "
-                     "turned back")
+        lines.append(
+            f"  {result.spent:.0f} units of budgets spent, {result.turned_back} requests turned back"
+        )
     if result.excused:
         lines.append(f"  {result.excused} times a rule was missed by the clock alone while time was bent")
     return "\n".join([*lines, *(f"  {line}" for line in result.story)])
@@ -74,8 +82,9 @@
         if given.replay:
             return _one(case_from(Path(given.replay).read_text(encoding="utf-8")), given)
         if given.seed is not None:
-            return _one(replace(case_of(given.seed, given.seconds), duties=given.duties,
-                                budgets=given.budgets), given)
+            return _one(
+                replace(case_of(given.seed, given.seconds), duties=given.duties, budgets=given.budgets), given
+            )
         seeds = seeds_of(given.seeds)
     except (OSError, UnicodeDecodeError, ValueError) as problem:
         reason = problem if isinstance(problem, CaseError | ValueError) else f"{problem.strerror}"
@@ -98,6 +107,7 @@
     if given.history:
         Path(given.history).write_text("".join(line + "\n" for line in lines), encoding="utf-8")
     if result.failed and given.shrink:
+
         def told(news: Case, came: Result) -> None:
             _say(f"  {len(news.faults)} faults, load {news.load:g}: {failure_line(came)}")
 
@@ -147,8 +157,10 @@
                 rate = done / (time.monotonic() - began)
                 _say(f"{done} of {len(seeds)} seeds, {rate:.1f} a second, {len(failed)} failed")
     took = time.monotonic() - began
-    print(f"{done} seeds, {requests} requests, {steps} steps in {took:.0f} s ({done / took:.2f} seeds a "
-          f"second with {given.jobs} jobs); {len(failed)} failed")
+    print(
+        f"{done} seeds, {requests} requests, {steps} steps in {took:.0f} s ({done / took:.2f} seeds a "
+        f"second with {given.jobs} jobs); {len(failed)} failed"
+    )
     if given.duties:
         print(f"duties: {owners} times a lease was taken, {effects} effects came")
     if given.budgets:
@@ -165,15 +177,20 @@
     return EXIT_BROKEN if failed else EXIT_HELD
 
 
-def _write(folder: Path, digests: dict[int, str], marks: Counter[str], failed: list[Result],
-           given: argparse.Namespace) -> None:
+def _write(
+    folder: Path,
+    digests: dict[int, str],
+    marks: Counter[str],
+    failed: list[Result],
+    given: argparse.Namespace,
+) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    summary: dict[str, Any] = {"digests": {str(seed): digests[seed] for seed in sorted(digests)},
-                               "marks": {name: marks[name] for name in MARKS},
-                               "failed": [asdict(result) for result in failed]}
+    summary: dict[str, Any] = {
+        "digests": {str(seed): digests[seed] for seed in sorted(digests)},
+        "marks": {name: marks[name] for name in MARKS},
+        "failed": [asdict(result) for result in failed],
+    }
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n", encoding="utf-8")
     for result in failed:
         case = replace(case_of(result.seed, given.seconds), duties=given.duties, budgets=given.budgets)
         (folder / f"case-{result.seed}.json").write_text(case.as_json() + "\n", encoding="utf-8")
-
-
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -55,14 +55,31 @@
     async def start(self) -> None:
         """The receiver has to be there before the settings can name it."""
         await self.receiver.start()
-        row = {"kind": "call", "period_s": PERIOD_S, "fenced": True,
-               "receiver": f"http://{HOST}:{self.receiver.port}/effects"}
-        self.settings = operator_from({"fleet": {
-            "voters": list(range(min(3, self._gatekeepers))), "slots": 4, "term_s": TERM_S, "drift": 0.01,
-            "duty": [{**row, "name": f"duty-{number}"} for number in range(self._number)]
-            + ([{**row, "name": "use", "kind": "use", "period_s": 2 * PERIOD_S, "limit_s": 6.0}]
-               if self._number else []),
-            "budget": self._budgets, "share_s": SHARE_S}}, self._gatekeepers).fleet
+        row = {
+            "kind": "call",
+            "period_s": PERIOD_S,
+            "fenced": True,
+            "receiver": f"http://{HOST}:{self.receiver.port}/effects",
+        }
+        self.settings = operator_from(
+            {
+                "fleet": {
+                    "voters": list(range(min(3, self._gatekeepers))),
+                    "slots": 4,
+                    "term_s": TERM_S,
+                    "drift": 0.01,
+                    "duty": [{**row, "name": f"duty-{number}"} for number in range(self._number)]
+                    + (
+                        [{**row, "name": "use", "kind": "use", "period_s": 2 * PERIOD_S, "limit_s": 6.0}]
+                        if self._number
+                        else []
+                    ),
+                    "budget": self._budgets,
+                    "share_s": SHARE_S,
+                }
+            },
+            self._gatekeepers,
+        ).fleet
 
     def takes_part(self, process: Process, part: Any) -> None:
         """A process has a part from now on."""
@@ -78,6 +95,7 @@
                 if over:
                     self._over = self._over or f"budget {name}: {over:.4f} units over burst + rate x W"
             return met
+
         part.spends = spent
 
     def broken(self) -> Breach | None:
@@ -95,8 +113,13 @@
                     continue
                 self.owners.add(held.token)
                 if lease in holders:
-                    return Breach(OWNERS, self._now(), f"lease {lease}",
-                                  f"lease {lease} under {holders[lease]:x} and {held.token:x}", False)
+                    return Breach(
+                        OWNERS,
+                        self._now(),
+                        f"lease {lease}",
+                        f"lease {lease} under {holders[lease]:x} and {held.token:x}",
+                        False,
+                    )
                 holders[lease] = held.token
         return None
 
--- a/plumpick/simulation/exploration/commands.py
+++ b/plumpick/simulation/exploration/commands.py
@@ -16,21 +16,44 @@
         print("\n".join(PLANTS))
         return 0
     if given.plant and given.plant not in PLANTS or given.begin not in BEGINS:
-        print(f"plumpick explore: there is no {given.plant!r} or no {given.begin!r}; bugs: "
-              f"{', '.join(PLANTS)}; beginnings: {', '.join(BEGINS)}", file=sys.stderr)
+        print(
+            f"plumpick explore: there is no {given.plant!r} or no {given.begin!r}; bugs: "
+            f"{', '.join(PLANTS)}; beginnings: {', '.join(BEGINS)}",
+            file=sys.stderr,
+        )
         return 2
-    start = begin(given.begin, given.voters, restarts=given.restarts, doubles=given.doubles,
-                  effects=given.effects, gives=given.gives, **PLANTS.get(given.plant, {}))
-    found = search(start, given.depth, given.states, lambda depth, states: print(
-        f"depth {depth}: {states} states", file=sys.stderr))
-    row = {"begin": given.begin, "voters": given.voters, "plant": given.plant or "", "states": found.states,
-           "depth": found.depth, "seconds": round(found.seconds, 1), "broken": found.broken,
-           "history": [*BEGINS[given.begin], *found.history] if found.broken else []}
+    start = begin(
+        given.begin,
+        given.voters,
+        restarts=given.restarts,
+        doubles=given.doubles,
+        effects=given.effects,
+        gives=given.gives,
+        **PLANTS.get(given.plant, {}),
+    )
+    found = search(
+        start,
+        given.depth,
+        given.states,
+        lambda depth, states: print(f"depth {depth}: {states} states", file=sys.stderr),
+    )
+    row = {
+        "begin": given.begin,
+        "voters": given.voters,
+        "plant": given.plant or "",
+        "states": found.states,
+        "depth": found.depth,
+        "seconds": round(found.seconds, 1),
+        "broken": found.broken,
+        "history": [*BEGINS[given.begin], *found.history] if found.broken else [],
+    }
     if given.json:
         print(json.dumps(row))
     else:
-        print(f"{row['states']} states, all histories of {row['depth']} moves from {row['begin']!r}, "
-              f"{row['seconds']} s: {row['broken'] or 'every promise is kept'}")
+        print(
+            f"{row['states']} states, all histories of {row['depth']} moves from {row['begin']!r}, "
+            f"{row['seconds']} s: {row['broken'] or 'every promise is kept'}"
+        )
         for move in row["history"]:
             print(f"    {move}")
     return 1 if found.broken else 0
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -26,30 +26,60 @@
 
 def _fork_holder(holder: Holder) -> Holder:
     askings = {id(asking): _fork_asking(asking) for asking in holder.open.values()}
-    return fork_of(holder, changes=[], to_send=[], to_give={},
-                 held={lease: replace(held) for lease, held in holder.held.items()},
-                 open={lease: askings[id(asking)] for lease, asking in holder.open.items()})
+    return fork_of(
+        holder,
+        changes=[],
+        to_send=[],
+        to_give={},
+        held={lease: replace(held) for lease, held in holder.held.items()},
+        open={lease: askings[id(asking)] for lease, asking in holder.open.items()},
+    )
 
 
 def _fork_asking(one: Asking) -> Asking:
-    return Asking(one.serial, one.asked_ms, dict(one.leases), one.taking, one.tries,
-                  {lease: set(voters) for lease, voters in one.yes.items()},
-                  {lease: dict(said) for lease, said in one.no.items()}, dict(one.better), one.resend_ms,
-                  one.wait_ms)
+    return Asking(
+        one.serial,
+        one.asked_ms,
+        dict(one.leases),
+        one.taking,
+        one.tries,
+        {lease: set(voters) for lease, voters in one.yes.items()},
+        {lease: dict(said) for lease, said in one.no.items()},
+        dict(one.better),
+        one.resend_ms,
+        one.wait_ms,
+    )
 
 
 def _fork_voter(voter: Voter) -> Voter:
-    return fork_of(voter, grants={lease: Grant(one.token, one.serial, one.until_ms)
-                                for lease, one in voter.grants.items()},
-                 highest=dict(voter.highest), given_back=dict(voter.given_back))
+    return fork_of(
+        voter,
+        grants={lease: Grant(one.token, one.serial, one.until_ms) for lease, one in voter.grants.items()},
+        highest=dict(voter.highest),
+        given_back=dict(voter.given_back),
+    )
 
 
 def _holder_key(holder: Holder) -> Any:
-    return (holder.life, holder.counter, holder.serial,
-            tuple((held.token, held.asked_ms) for held in holder.held.values()),
-            tuple((one.serial, one.asked_ms, one.taking, tuple(one.leases.items()), one.resend_ms, one.tries,
-                   tuple(sorted(one.yes.get(LEASE, ()))), tuple(sorted(one.no.get(LEASE, {}).items())))
-                  for one in holder.open.values()))
+    return (
+        holder.life,
+        holder.counter,
+        holder.serial,
+        tuple((held.token, held.asked_ms) for held in holder.held.values()),
+        tuple(
+            (
+                one.serial,
+                one.asked_ms,
+                one.taking,
+                tuple(one.leases.items()),
+                one.resend_ms,
+                one.tries,
+                tuple(sorted(one.yes.get(LEASE, ()))),
+                tuple(sorted(one.no.get(LEASE, {}).items())),
+            )
+            for one in holder.open.values()
+        ),
+    )
 
 
 def _voter_key(voter: Voter) -> Any:
@@ -61,9 +91,18 @@
     """A state. `restarts`, `doubles`, `effects` and `gives` are how many a history may have. Holders and
     voters are shared with the state that it was forked from until they change."""
 
-    def __init__(self, voters: int = 3, restarts: int = 1, doubles: int = 1, effects: int = 2, gives: int = 1,
-                 part: float = PART, holder: type[Holder] = Holder, voter: type[Voter] = Voter,
-                 fence: type[Fence] = Fence) -> None:
+    def __init__(
+        self,
+        voters: int = 3,
+        restarts: int = 1,
+        doubles: int = 1,
+        effects: int = 2,
+        gives: int = 1,
+        part: float = PART,
+        holder: type[Holder] = Holder,
+        voter: type[Voter] = Voter,
+        fence: type[Fence] = Fence,
+    ) -> None:
         self.make, self.part = (holder, voter), part
         self.terms = Terms(tuple(range(voters)), 1, 0, TERM_MS, DRIFT)
         self.now = 0.0
@@ -81,9 +120,15 @@
         self.wrong = ""
 
     def fork(self) -> Leases:
-        return fork_of(self, left=dict(self.left), voters=list(self.voters), holders=list(self.holders),
-                     voter_keys=list(self.voter_keys), holder_keys=list(self.holder_keys),
-                     on_the_way=list(self.on_the_way))
+        return fork_of(
+            self,
+            left=dict(self.left),
+            voters=list(self.voters),
+            holders=list(self.holders),
+            voter_keys=list(self.voter_keys),
+            holder_keys=list(self.holder_keys),
+            on_the_way=list(self.on_the_way),
+        )
 
     def _clock(self, contender: bool) -> float:
         return self.now * (1 - DRIFT if contender else 1 + DRIFT)
@@ -232,15 +277,37 @@
         return self.wrong
 
     def key(self) -> Hashable:
-        return (self.now, *self.left.values(), tuple(self.on_the_way), self.taken, self.gained, self.over,
-                self.wrong, self.fence.highest(DUTY), tuple(self.holder_keys), tuple(self.voter_keys))
-
-
-HELD = ("take 0", "deliver ask 0 0 1 1 1", "deliver ask 0 1 1 1 1", "deliver answer 0 0 1 1 0 1",
-        "deliver answer 0 1 1 1 0 1")
+        return (
+            self.now,
+            *self.left.values(),
+            tuple(self.on_the_way),
+            self.taken,
+            self.gained,
+            self.over,
+            self.wrong,
+            self.fence.highest(DUTY),
+            tuple(self.holder_keys),
+            tuple(self.voter_keys),
+        )
+
+
+HELD = (
+    "take 0",
+    "deliver ask 0 0 1 1 1",
+    "deliver ask 0 1 1 1 1",
+    "deliver answer 0 0 1 1 0 1",
+    "deliver answer 0 1 1 1 0 1",
+)
 RENEWED_LATE = (*HELD, "wait", "tick 0", "deliver ask 0 0 2 1 1", "deliver ask 0 1 2 1 1", "wait")
-TAKEN_AGAIN = (*HELD, "give 0", "take 0", "deliver ask 0 0 3 1 2", "deliver ask 0 1 3 1 2",
-               "deliver answer 0 0 3 1 0 2", "deliver answer 0 1 3 1 0 2")
+TAKEN_AGAIN = (
+    *HELD,
+    "give 0",
+    "take 0",
+    "deliver ask 0 0 3 1 2",
+    "deliver ask 0 1 3 1 2",
+    "deliver answer 0 0 3 1 0 2",
+    "deliver answer 0 1 3 1 0 2",
+)
 BEGINS: dict[str, tuple[str, ...]] = {
     "nothing": (),  # nobody has asked
     "held": HELD,  # the first contender holds the lease, by the first two voters
@@ -338,4 +405,3 @@
     "gives-what-is-asked": {"holder": GivesWhatIsAsked},
     "believes-late-gives": {"voter": BelievesLateGives},
 }
-
--- a/plumpick/simulation/exploration/search.py
+++ b/plumpick/simulation/exploration/search.py
@@ -42,8 +42,9 @@
     history: list[str] = field(default_factory=list)
 
 
-def explore(start: State, depth: int, most_states: int = 5_000_000,
-            tell: Callable[[int, int], None] | None = None) -> Found:
+def explore(
+    start: State, depth: int, most_states: int = 5_000_000, tell: Callable[[int, int], None] | None = None
+) -> Found:
     """Play every history of up to `depth` moves; ends at the first that breaks a promise, or at
     `most_states`."""
     begun, found = time.monotonic(), Found()
--- a/plumpick/simulation/faults.py
+++ b/plumpick/simulation/faults.py
@@ -13,8 +13,17 @@
 from typing import Any
 
 SECONDS, GATES, SERVERS = 30.0, 3, 12
-SERVER_FAULTS = ("swallow", "error", "fast-error", "reset-before", "reset-after", "slow-after-record",
-                 "spoilt", "half-speed", "freeze")
+SERVER_FAULTS = (
+    "swallow",
+    "error",
+    "fast-error",
+    "reset-before",
+    "reset-after",
+    "slow-after-record",
+    "spoilt",
+    "half-speed",
+    "freeze",
+)
 # What bends time: a rule that goes by the clock alone is not judged while these last, and `AFTER_S` after.
 BENDS = ("still", "loss", "cut-to-server", "cut-from-server", "slow-link", "few-descriptors")
 AFTER_S = 3.0
@@ -60,17 +69,22 @@
 
     def bends(self, t_ms: float, kinds: tuple[str, ...] = BENDS, gate: str = "") -> bool:
         """Whether time was bent at that time of the run, or just before; with `gate`, at that one."""
-        return any(fault.kind in kinds and fault.at_s * 1000 <= t_ms
-                   <= (fault.at_s + fault.for_s + AFTER_S) * 1000
-                   and (not gate or gate == f"n{fault.with_.get('gate')}") for fault in self.faults)
+        return any(
+            fault.kind in kinds
+            and fault.at_s * 1000 <= t_ms <= (fault.at_s + fault.for_s + AFTER_S) * 1000
+            and (not gate or gate == f"n{fault.with_.get('gate')}")
+            for fault in self.faults
+        )
 
 
 def case_from(text: str) -> Case:
     """The case in a text of JSON. Raises CaseError."""
     try:
         value = json.loads(text)
-        faults = tuple(Fault(one["kind"], float(one["at_s"]), float(one["for_s"]), dict(one["with_"]))
-                       for one in value.pop("faults"))
+        faults = tuple(
+            Fault(one["kind"], float(one["at_s"]), float(one["for_s"]), dict(one["with_"]))
+            for one in value.pop("faults")
+        )
         unknown = [fault.kind for fault in faults if fault.kind not in KINDS]
         if unknown:
             raise CaseError(f"there is no fault {unknown[0]!r}; there are: {', '.join(KINDS)}")
@@ -105,38 +119,59 @@
 KINDS: dict[str, Any] = {
     "kill": lambda r, c: (0.0, _gate(r, c) | {"back_s": _round(r.uniform(0.3, 2.5))}),
     "restart": lambda r, c: (0.0, _gate(r, c)),
-    "restart-cut-short": lambda r, c: (0.0, _gate(r, c) | {
-        "after_s": _round(r.uniform(0.1, 2.0)), "back_s": _round(r.uniform(0.3, 1.5))}),
+    "restart-cut-short": lambda r, c: (
+        0.0,
+        _gate(r, c) | {"after_s": _round(r.uniform(0.1, 2.0)), "back_s": _round(r.uniform(0.3, 1.5))},
+    ),
     "reload": lambda r, c: (0.0, {}),
     "roster-silent": lambda r, c: (_round(r.uniform(2, 10)), {}),
     "release": lambda r, c: (_round(r.uniform(4, 15)), {"share": _round(r.uniform(0.1, 0.6))}),
     "silent-server": lambda r, c: (_round(r.uniform(2, 12)), {"count": r.randint(1, 2)}),
-    "server-fault": lambda r, c: (_round(r.uniform(1, 8)), {
-        "fault": r.choice(SERVER_FAULTS), "count": r.choice((0, 1, 1, 2, 4)),
-        "share": _round(r.choice((0.02, 0.1, 0.5, 1.0))), "by_ms": _round(r.uniform(300, 2500))}),
-    "hot-firm": lambda r, c: (_round(r.uniform(3, 10)), {
-        "plan": r.choice(("basico", "estandar", "amplio")), "times": _round(r.uniform(2, 6))}),
+    "server-fault": lambda r, c: (
+        _round(r.uniform(1, 8)),
+        {
+            "fault": r.choice(SERVER_FAULTS),
+            "count": r.choice((0, 1, 1, 2, 4)),
+            "share": _round(r.choice((0.02, 0.1, 0.5, 1.0))),
+            "by_ms": _round(r.uniform(300, 2500)),
+        },
+    ),
+    "hot-firm": lambda r, c: (
+        _round(r.uniform(3, 10)),
+        {"plan": r.choice(("basico", "estandar", "amplio")), "times": _round(r.uniform(2, 6))},
+    ),
     "split": lambda r, c: (_round(r.uniform(2, 10)), _gate(r, c)),
     "still": lambda r, c: (_round(r.choice((0.05, 0.2, 0.6, 1.5, 4.0)) * r.uniform(0.8, 1.2)), _gate(r, c)),
     "pieces": lambda r, c: (_round(r.uniform(3, 20)), {"share": _round(r.choice((0.1, 0.5, 1.0)))}),
     "loss": lambda r, c: (_round(r.uniform(1, 6)), {"share": _round(r.choice((0.005, 0.03, 0.1)))}),
     "resets": lambda r, c: (_round(r.uniform(1, 8)), {"share": _round(r.choice((0.002, 0.01, 0.05)))}),
     "slow-link": lambda r, c: (_round(r.uniform(1, 6)), {"ms": _round(r.uniform(2, 40))}),
-    "datagrams": lambda r, c: (_round(r.uniform(2, 15)), {
-        "loss": _round(r.choice((0.0, 0.1, 0.5, 1.0))), "twice": _round(r.choice((0.0, 0.1, 0.5))),
-        "late_ms": _round(r.choice((0.0, 20.0, 200.0)))}),
+    "datagrams": lambda r, c: (
+        _round(r.uniform(2, 15)),
+        {
+            "loss": _round(r.choice((0.0, 0.1, 0.5, 1.0))),
+            "twice": _round(r.choice((0.0, 0.1, 0.5))),
+            "late_ms": _round(r.choice((0.0, 20.0, 200.0))),
+        },
+    ),
     "cut-to-server": lambda r, c: (_round(r.uniform(0.3, 6)), _both(r, c)),
     "cut-from-server": lambda r, c: (_round(r.uniform(0.3, 6)), _both(r, c)),
     "cut-roster": lambda r, c: (_round(r.uniform(0.5, 8)), _gate(r, c)),
     "refusing": lambda r, c: (_round(r.uniform(0.5, 6)), _server(r, c)),
     "mute": lambda r, c: (_round(r.uniform(0.5, 6)), _server(r, c)),
     "few-descriptors": lambda r, c: (_round(r.uniform(2, 10)), _gate(r, c) | {"left": r.randint(0, 6)}),
-    "late-connections": lambda r, c: (_round(r.uniform(3, 12)), {
-        "share": _round(r.choice((0.05, 0.3, 0.6))), "window_s": r.choice((0.0, 0.5, 1.0, 1.0))}),
-    "silent-watches": lambda r, c: (0.0, {
-        "behind_s": _round(r.uniform(0.05, 2.0)), "share": _round(r.uniform(0.1, 0.4))}),
-    "unmeasured-resets": lambda r, c: (_round(r.uniform(2, 8)), {
-        "count": r.choice((0, 1, 3)), "share": _round(r.choice((0.1, 0.5)))}),
+    "late-connections": lambda r, c: (
+        _round(r.uniform(3, 12)),
+        {"share": _round(r.choice((0.05, 0.3, 0.6))), "window_s": r.choice((0.0, 0.5, 1.0, 1.0))},
+    ),
+    "silent-watches": lambda r, c: (
+        0.0,
+        {"behind_s": _round(r.uniform(0.05, 2.0)), "share": _round(r.uniform(0.1, 0.4))},
+    ),
+    "unmeasured-resets": lambda r, c: (
+        _round(r.uniform(2, 8)),
+        {"count": r.choice((0, 1, 3)), "share": _round(r.choice((0.1, 0.5)))},
+    ),
 }
 ON_SHARE, MOST_TIMES = 0.3, 3
 
@@ -144,10 +179,18 @@
 def case_of(seed: int, seconds: float = SECONDS) -> Case:
     """The case of a seed: it switches on its own part of the kinds, each one to three times."""
     rng = random.Random(f"case {seed}")
-    case = Case(seed, seconds, load=_round(rng.choice((0.06, 0.06, 0.06, 0.12, 0.12, 0.2, 0.3, 0.8))),
-                impatient=rng.choice((0.0, 0.0, 0.05, 0.3)))
-    case = replace(case, skew_ms=tuple(
-        _round(rng.uniform(-4, 4)) if rng.random() < 0.5 else 0.0 for _ in range(case.gatekeepers)))
+    case = Case(
+        seed,
+        seconds,
+        load=_round(rng.choice((0.06, 0.06, 0.06, 0.12, 0.12, 0.2, 0.3, 0.8))),
+        impatient=rng.choice((0.0, 0.0, 0.05, 0.3)),
+    )
+    case = replace(
+        case,
+        skew_ms=tuple(
+            _round(rng.uniform(-4, 4)) if rng.random() < 0.5 else 0.0 for _ in range(case.gatekeepers)
+        ),
+    )
     faults = []
     for kind, draw in KINDS.items():
         if rng.random() >= ON_SHARE:
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -176,8 +176,9 @@
     def get_debug(self) -> bool:
         return False
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any,
-                  context: contextvars.Context | None = None) -> events.Handle:
+    def call_soon(
+        self, callback: Callable[..., Any], *args: Any, context: contextvars.Context | None = None
+    ) -> events.Handle:
         handle = events.Handle(callback, args, self, context)
         if not self.dead:
             self.machine.soon(handle)
@@ -185,12 +186,22 @@
 
     call_soon_threadsafe = call_soon
 
-    def call_later(self, delay: float, callback: Callable[..., Any], *args: Any,
-                   context: contextvars.Context | None = None) -> events.TimerHandle:
+    def call_later(
+        self,
+        delay: float,
+        callback: Callable[..., Any],
+        *args: Any,
+        context: contextvars.Context | None = None,
+    ) -> events.TimerHandle:
         return self.call_at(self.time() + max(0.0, delay), callback, *args, context=context)
 
-    def call_at(self, when: float, callback: Callable[..., Any], *args: Any,
-                context: contextvars.Context | None = None) -> events.TimerHandle:
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[..., Any],
+        *args: Any,
+        context: contextvars.Context | None = None,
+    ) -> events.TimerHandle:
         handle = events.TimerHandle(when, callback, args, self, context)
         if not self.dead:
             # To the microsecond and never before it is due: sums of floats must not decide the order.
@@ -203,8 +214,14 @@
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
 
-    def create_task(self, coro: Coroutine[Any, Any, Any], *, name: str | None = None,
-                    context: contextvars.Context | None = None, **more: Any) -> asyncio.Task[Any]:
+    def create_task(
+        self,
+        coro: Coroutine[Any, Any, Any],
+        *,
+        name: str | None = None,
+        context: contextvars.Context | None = None,
+        **more: Any,
+    ) -> asyncio.Task[Any]:
         task = asyncio.Task(coro, loop=self, name=name or "task", context=context)
         self._tasks[task] = None
         task.add_done_callback(self._forget)
@@ -251,16 +268,32 @@
 
     # -- the network
 
-    async def create_server(self, protocol_factory: Any, host: Any = None,  # type: ignore
-                            port: Any = None, *, backlog: int = 100, **more: Any) -> Any:
+    async def create_server(
+        self,
+        protocol_factory: Any,
+        host: Any = None,  # type: ignore
+        port: Any = None,
+        *,
+        backlog: int = 100,
+        **more: Any,
+    ) -> Any:
         return self.machine.network.listen(self, protocol_factory, host, port or 0, backlog)
 
-    async def create_connection(self, protocol_factory: Any, host: Any = None,  # type: ignore
-                                port: Any = None, **more: Any) -> Any:
+    async def create_connection(
+        self,
+        protocol_factory: Any,
+        host: Any = None,  # type: ignore
+        port: Any = None,
+        **more: Any,
+    ) -> Any:
         return await self.machine.network.connect(self, protocol_factory, host, port)
 
-    async def create_datagram_endpoint(self, protocol_factory: Any, local_addr: Any = None,  # type: ignore
-                                       **more: Any) -> Any:
+    async def create_datagram_endpoint(
+        self,
+        protocol_factory: Any,
+        local_addr: Any = None,  # type: ignore
+        **more: Any,
+    ) -> Any:
         return self.machine.network.datagram_endpoint(self, protocol_factory, local_addr)
 
     def add_reader(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -96,11 +96,21 @@
         self._cold: set[str] = set()
         self._later_try: dict[str, str] = {}  # a request: its op's next try, at another gatekeeper
         self._by_type = {
-            Began: self._began, Asked: self._asked, Answered: self._answered, Left: self._left,
-            Took: self._took, Turned: self._turned, Replied: self._replied, Ran: self._ran,
+            Began: self._began,
+            Asked: self._asked,
+            Answered: self._answered,
+            Left: self._left,
+            Took: self._took,
+            Turned: self._turned,
+            Replied: self._replied,
+            Ran: self._ran,
             Wasted: self._wasted,
-            Told: self._told, Gate: self._gate, Passed: self._passed, Born: self._born,
-            Died: self._died}
+            Told: self._told,
+            Gate: self._gate,
+            Passed: self._passed,
+            Born: self._born,
+            Died: self._died,
+        }
 
     def mark(self, name: str) -> None:
         """The state was reached."""
@@ -208,8 +218,11 @@
             self._draining.pop((record.gate, record.server), None)
             return
         self._draining[record.gate, record.server] = record.t
-        if any(record.server in one.out.values() for one in self._tries.values()
-               if one.out and one.asked.gate == record.gate):
+        if any(
+            record.server in one.out.values()
+            for one in self._tries.values()
+            if one.out and one.asked.gate == record.gate
+        ):
             self.mark("word of a drain came while an attempt was at that server")
 
     def _gate(self, record: Gate) -> None:
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -95,7 +95,8 @@
         if name == "socket":
             return Named(("127.0.0.1", self.number))
         return {"sockname": ("127.0.0.1", self.number), "peername": ("127.0.0.1", self.number)}.get(
-            name, default)
+            name, default
+        )
 
     def is_closing(self) -> bool:
         return self.closing
@@ -250,8 +251,14 @@
 class Listener:
     """What `create_server` gives."""
 
-    def __init__(self, network: Network, process: Process, factory: Callable[[], Any],
-                 address: tuple[str, int], backlog: int) -> None:
+    def __init__(
+        self,
+        network: Network,
+        process: Process,
+        factory: Callable[[], Any],
+        address: tuple[str, int],
+        backlog: int,
+    ) -> None:
         self.network, self.process, self.factory = network, process, factory
         self.address, self.backlog = address, backlog
         self.sockets = [Named(address)]
@@ -415,8 +422,9 @@
 
     # -- connections
 
-    def listen(self, process: Process, factory: Callable[[], Any], host: Any, port: int,
-               backlog: int) -> Listener:
+    def listen(
+        self, process: Process, factory: Callable[[], Any], host: Any, port: int, backlog: int
+    ) -> Listener:
         """Raises OSError where the port is taken or no descriptor is left."""
         address = (str(host), port or self.new_port())
         if address in self.listeners:
@@ -426,8 +434,9 @@
         listener = self.listeners[address] = Listener(self, process, factory, address, backlog)
         return listener
 
-    async def connect(self, process: Process, factory: Callable[[], Any], host: str,
-                      port: int) -> tuple[End, Any]:
+    async def connect(
+        self, process: Process, factory: Callable[[], Any], host: str, port: int
+    ) -> tuple[End, Any]:
         """Raises OSError: refused, or no descriptor left. It may also never come up."""
         if not process.take():
             self.mark("descriptors ran out at a connect")
@@ -452,16 +461,21 @@
             process.call_soon(ours._read)
         return ours, protocol
 
-    def _syn(self, process: Process, address: tuple[str, int], up: asyncio.Future[End],
-             wait_s: float = SYN_S) -> None:
+    def _syn(
+        self, process: Process, address: tuple[str, int], up: asyncio.Future[End], wait_s: float = SYN_S
+    ) -> None:
         """Our knock arrives at the other side's machine; one that is not heard is sent again."""
         if up.done() or process.dead:
             return
         label = self.label_of(address[1])
         us, them = (process.name, ""), (label, "")
         listener, weather = self.listeners.get(address), self.over(label)
-        if weather.late_up and label[:4] == "lic-" and wait_s == SYN_S and (
-                self.rng.random() < weather.late_up):
+        if (
+            weather.late_up
+            and label[:4] == "lic-"
+            and wait_s == SYN_S
+            and (self.rng.random() < weather.late_up)
+        ):
             self.mark("a connection came up late")
             least, middle, most = weather.late_up_ms
             soon = self.rng.random() < 0.5
@@ -569,8 +583,9 @@
 
     # -- datagrams
 
-    def datagram_endpoint(self, process: Process, factory: Callable[[], Any],
-                          address: tuple[str, int]) -> tuple[DatagramEnd, Any]:
+    def datagram_endpoint(
+        self, process: Process, factory: Callable[[], Any], address: tuple[str, int]
+    ) -> tuple[DatagramEnd, Any]:
         plug = Plug(self, process)
         plug.bind(address)
         protocol = factory()
--- a/plumpick/simulation/shrink.py
+++ b/plumpick/simulation/shrink.py
@@ -19,9 +19,12 @@
 class Shrinker:
     """`play` plays a case; `told` hears of each smaller one."""
 
-    def __init__(self, play: Callable[[Case], Result],
-                 told: Callable[[Case, Result], None] = lambda _case, _result: None,
-                 most: int = MOST_PLAYS) -> None:
+    def __init__(
+        self,
+        play: Callable[[Case], Result],
+        told: Callable[[Case, Result], None] = lambda _case, _result: None,
+        most: int = MOST_PLAYS,
+    ) -> None:
         self._play, self._told, self.left = play, told, most
 
     def shrink(self, case: Case, result: Result) -> tuple[Case, Result]:
@@ -49,7 +52,7 @@
         while case.faults and self.left > 0:
             size = math.ceil(len(case.faults) / parts)
             for start in range(0, len(case.faults), size):
-                less = case.faults[:start] + case.faults[start + size:]
+                less = case.faults[:start] + case.faults[start + size :]
                 news, came = self._try(replace(case, faults=less), case, result)
                 if news is not case:
                     case, result, parts = news, came, max(2, parts - 1)
@@ -76,4 +79,4 @@
             return case
         fault = case.faults[number]
         news = Fault(fault.kind, fault.at_s, round(fault.for_s / 2, 3), fault.with_)
-        return replace(case, faults=(*case.faults[:number], news, *case.faults[number + 1:]))
+        return replace(case, faults=(*case.faults[:number], news, *case.faults[number + 1 :]))
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -218,8 +218,11 @@
         elif fault.kind in ("restart", "restart-cut-short"):
             events.append(script.RestartGatekeeper(at_s=at, gatekeeper=one["gate"]))
             if fault.kind == "restart-cut-short":
-                events.append(script.KillGatekeeper(
-                    at_s=at + one["after_s"], gatekeeper=one["gate"], back_s=one["back_s"]))
+                events.append(
+                    script.KillGatekeeper(
+                        at_s=at + one["after_s"], gatekeeper=one["gate"], back_s=one["back_s"]
+                    )
+                )
         elif fault.kind == "reload":
             events.append(script.MoveRoster(at_s=at))
         elif fault.kind == "roster-silent":
@@ -229,37 +232,70 @@
         elif fault.kind == "silent-server":
             events.append(script.SilentServers(at_s=at, count=one["count"], for_s=fault.for_s))
         elif fault.kind == "server-fault":
-            events.append(script.ServerFault(
-                at_s=at, fault=one["fault"], for_s=fault.for_s, count=one["count"], share=one["share"],
-                by_ms=one["by_ms"]))
+            events.append(
+                script.ServerFault(
+                    at_s=at,
+                    fault=one["fault"],
+                    for_s=fault.for_s,
+                    count=one["count"],
+                    share=one["share"],
+                    by_ms=one["by_ms"],
+                )
+            )
         elif fault.kind == "hot-firm":
             events.append(script.HotFirm(at_s=at, for_s=fault.for_s, plan=one["plan"], times=one["times"]))
         elif fault.kind == "silent-watches":  # and drains begin right behind, of servers that stay
             events.append(script.SilentWatches(at_s=at))
-            events.append(script.ReleaseServers(
-                at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=STAY_S))
+            events.append(
+                script.ReleaseServers(
+                    at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=STAY_S
+                )
+            )
         elif fault.kind == "unmeasured-resets":
-            events.append(script.ServerFault(at_s=at, fault="unmeasured-reset", for_s=fault.for_s,
-                                             count=one["count"], share=one["share"]))
+            events.append(
+                script.ServerFault(
+                    at_s=at,
+                    fault="unmeasured-reset",
+                    for_s=fault.for_s,
+                    count=one["count"],
+                    share=one["share"],
+                )
+            )
         elif fault.kind == "split":
             events.append(script.SplitPeers(at_s=at, for_s=fault.for_s, side=[one["gate"]]))
     # Some deployments' servers remember keys for a short while only.
-    windows = [fault.with_["window_s"] for fault in case.faults
-               if fault.kind == "late-connections" and fault.with_["window_s"]]
-    kinds = [msgspec.structs.replace(kind, window_s=min(windows, default=kind.window_s))
-             if kind.repeats == "keyed" else kind for kind in script.default_classes()]
+    windows = [
+        fault.with_["window_s"]
+        for fault in case.faults
+        if fault.kind == "late-connections" and fault.with_["window_s"]
+    ]
+    kinds = [
+        msgspec.structs.replace(kind, window_s=min(windows, default=kind.window_s))
+        if kind.repeats == "keyed"
+        else kind
+        for kind in script.default_classes()
+    ]
     return Scenario(
-        title=f"seed {case.seed}", seconds=case.seconds, classes=kinds,
+        title=f"seed {case.seed}",
+        seconds=case.seconds,
+        classes=kinds,
         fleet=script.FleetPart(gatekeepers=case.gatekeepers, servers=case.servers),
-        load=script.LoadPart(share=case.load), clients=script.ClientPart(impatient=case.impatient),
-        events=events)
+        load=script.LoadPart(share=case.load),
+        clients=script.ClientPart(impatient=case.impatient),
+        events=events,
+    )
 
 
 class World:
     """A case on its machine. `record` is told every record, `trace` every step."""
 
-    def __init__(self, case: Case, *, trace: Callable[[int, float, str, str], None] | None = None,
-                 record: Callable[[Record], None] | None = None) -> None:
+    def __init__(
+        self,
+        case: Case,
+        *,
+        trace: Callable[[int, float, str, str], None] | None = None,
+        record: Callable[[Record], None] | None = None,
+    ) -> None:
         self.case = case
         self.machine = machine = Machine(case.seed)
         machine.trace = trace
@@ -272,8 +308,11 @@
         supervise = type("Supervise", (SimulatedSupervisor,), {"machine": machine, "case": case})
         self.fleet = Fleet(around, scenario_of(case), f"seed-{case.seed}", supervise=supervise)
         self.fleet.recorder.listeners.append(self.marks)
-        self.watch = (Watch(around, case.duties, case.gatekeepers, case.budgets)
-                      if case.duties or case.budgets else None)
+        self.watch = (
+            Watch(around, case.duties, case.gatekeepers, case.budgets)
+            if case.duties or case.budgets
+            else None
+        )
         self.fleet.supervisor.watch = self.watch  # type: ignore[attr-defined]
         self.requests = 0
         self.record = record
@@ -319,9 +358,11 @@
             # What waits at a listener that has no descriptor was never the program's, nor was it told what
             # a cut keeps from it.
             unseen = bool(gate) and (
-                breach.rule == LOST and any(self.case.bends(t, ("few-descriptors",), gate)
-                                            for t in (t_ms, asked.t - self.play_t))
-                or breach.rule == DRAINS and self.case.bends(t_ms, ("cut-roster",), gate))
+                breach.rule == LOST
+                and any(self.case.bends(t, ("few-descriptors",), gate) for t in (t_ms, asked.t - self.play_t))
+                or breach.rule == DRAINS
+                and self.case.bends(t_ms, ("cut-roster",), gate)
+            )
             if (breach.timing or breach.rule in (COLD, CEILINGS)) and self.case.bends(t_ms) or unseen:
                 self.excused += 1
             elif self.broken is None:
@@ -364,8 +405,11 @@
                 network.weather, end = replace(weather, delay_ms=(one["ms"] / 4, one["ms"])), self._fair
             case "datagrams":
                 network.weather = replace(
-                    weather, datagram_loss=one["loss"], datagram_twice=one["twice"],
-                    datagram_late_ms=one["late_ms"])
+                    weather,
+                    datagram_loss=one["loss"],
+                    datagram_twice=one["twice"],
+                    datagram_late_ms=one["late_ms"],
+                )
                 end = self._fair
             case "cut-to-server" | "cut-from-server" | "cut-roster":
                 cut = Cut(gate, server) if fault.kind == "cut-to-server" else Cut(server, gate)
@@ -449,9 +493,16 @@
     def _result(self) -> Result:
         machine, fleet = self.machine, self.fleet
         result = Result(
-            self.case.seed, machine.digest(), machine.steps, round(machine.now, 3), self.requests,
-            round(fleet.service.as_dict()["service"], 4), dict(sorted(self.marks.counts.items())),
-            problems=list(machine.problems), excused=self.excused)
+            self.case.seed,
+            machine.digest(),
+            machine.steps,
+            round(machine.now, 3),
+            self.requests,
+            round(fleet.service.as_dict()["service"], 4),
+            dict(sorted(self.marks.counts.items())),
+            problems=list(machine.problems),
+            excused=self.excused,
+        )
         if self.watch is not None:
             result.spent = sum(one.total for one in self.watch.wholes.values())
             result.turned_back = self.watch.turned_back
--- a/plumpick/system.py
+++ b/plumpick/system.py
@@ -59,8 +59,9 @@
 
         Danger: where bytes and a reset have come by the time of one poll, libuv reads the bytes and tells the
         hang-up as an end, without the read that would have told the reset. So the system is asked."""
-        plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0,
-                             fileno=transport.get_extra_info("socket").fileno())
+        plug = socket.socket(
+            socket.AF_INET, socket.SOCK_STREAM, 0, fileno=transport.get_extra_info("socket").fileno()
+        )
         try:
             plug.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -28,22 +28,34 @@
 
 def as_dict(bound: Bound) -> dict[str, Any]:
     """A bound for --json: units, seconds, shares of 1."""
-    return {"plan": bound.plan, "situation": bound.situation.value, "window_s": bound.window_s,
-            "quota": round(bound.quota, 3), "beyond_quota": round(bound.beyond_quota, 3),
-            "ceiling": round(bound.ceiling, 3), "beyond_ceiling": round(bound.beyond_ceiling, 3),
-            "ceiling_share": round(bound.ceiling_share, 5)}
+    return {
+        "plan": bound.plan,
+        "situation": bound.situation.value,
+        "window_s": bound.window_s,
+        "quota": round(bound.quota, 3),
+        "beyond_quota": round(bound.beyond_quota, 3),
+        "ceiling": round(bound.ceiling, 3),
+        "beyond_ceiling": round(bound.beyond_ceiling, 3),
+        "ceiling_share": round(bound.ceiling_share, 5),
+    }
 
 
 def text_of(rows: list[Bound], settings: Settings) -> str:
     """The table for a person."""
-    lines = [f"{settings.gateways} gatekeepers; a try is held for {held_s(settings):.2f} s at most",
-             f"{'plan':<12}{'situation':<24}{'window':>8}{'quota':>10}{'beyond':>9}{'ceiling':>10}"
-             f"{'beyond':>16}"]
+    lines = [
+        f"{settings.gateways} gatekeepers; a try is held for {held_s(settings):.2f} s at most",
+        f"{'plan':<12}{'situation':<24}{'window':>8}{'quota':>10}{'beyond':>9}{'ceiling':>10}{'beyond':>16}",
+    ]
     for row in rows:
-        ceiling = f"{row.ceiling:>10.1f}{row.beyond_ceiling:>8.1f}{100 * row.ceiling_share:>6.1f} %" if (
-            row.ceiling) else f"{'-':>10}{'-':>8}"
-        lines.append(f"{row.plan:<12}{row.situation.value:<24}{row.window_s:>6g} s{row.quota:>10.1f}"
-                     f"{row.beyond_quota:>9.1f}{ceiling}")
+        ceiling = (
+            f"{row.ceiling:>10.1f}{row.beyond_ceiling:>8.1f}{100 * row.ceiling_share:>6.1f} %"
+            if (row.ceiling)
+            else f"{'-':>10}{'-':>8}"
+        )
+        lines.append(
+            f"{row.plan:<12}{row.situation.value:<24}{row.window_s:>6g} s{row.quota:>10.1f}"
+            f"{row.beyond_quota:>9.1f}{ceiling}"
+        )
     return "\n".join(lines)
 
 
@@ -52,19 +64,26 @@
     fleet = load(path, gateways).fleet
     if fleet is None:
         return None, []
-    return fleet, [row for one in fleet.budgets
-                   for row in budget_table(one.budget, gateways, fleet.terms, fleet.share_ms)]
+    return fleet, [
+        row
+        for one in fleet.budgets
+        for row in budget_table(one.budget, gateways, fleet.terms, fleet.share_ms)
+    ]
 
 
 def budget_lines(fleet: FleetSettings | None, rows: list[BudgetBound]) -> list[str]:
     """The table for a person."""
     if fleet is None or not rows:
         return ["no budgets are named"]
-    lines = ["budgets: `most` is never passed; `sure` can be spent where so much is wanted",
-             f"after a divider's death floors alone for {gap_s(fleet.terms, fleet.share_ms):g} s at most",
-             f"{'budget':<20}{'state':<28}{'window':>8}{'most':>12}{'sure':>12}"]
-    return lines + [f"{row.budget:<20}{row.state:<28}{row.window_s:>6g} s{row.most:>12.1f}{row.sure:>12.1f}"
-                    for row in rows]
+    lines = [
+        "budgets: `most` is never passed; `sure` can be spent where so much is wanted",
+        f"after a divider's death floors alone for {gap_s(fleet.terms, fleet.share_ms):g} s at most",
+        f"{'budget':<20}{'state':<28}{'window':>8}{'most':>12}{'sure':>12}",
+    ]
+    return lines + [
+        f"{row.budget:<20}{row.state:<28}{row.window_s:>6g} s{row.most:>12.1f}{row.sure:>12.1f}"
+        for row in rows
+    ]
 
 
 def bounds(given: argparse.Namespace) -> int:
@@ -83,10 +102,17 @@
         print(f"plumpick: {given.config}: {problem}", file=sys.stderr)
         return EXIT_USAGE
     if given.json:
-        print(json.dumps({"situations": [one.value for one in Situation],
-                          "held_s": held_s(settings), "bounds": [as_dict(row) for row in rows],
-                          **({"budgets": [asdict(row) for row in budgets]} if given.operator else {})},
-                         indent=1))
+        print(
+            json.dumps(
+                {
+                    "situations": [one.value for one in Situation],
+                    "held_s": held_s(settings),
+                    "bounds": [as_dict(row) for row in rows],
+                    **({"budgets": [asdict(row) for row in budgets]} if given.operator else {}),
+                },
+                indent=1,
+            )
+        )
     else:
         print("\n".join([text_of(rows, settings), *(budget_lines(fleet, budgets) if given.operator else [])]))
     return EXIT_HELD
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -20,22 +20,29 @@
     """For a person: a table of each gatekeeper, and of the tier where there are several."""
     out = []
     for one in rows:
-        out += [f"{one['gatekeeper']}:", f"{'budget':<20} {'whole':>9} {'floor':>9} {'lent':>9} {'until':>7} "
-                f"{'left':>9} {'demand':>9} {'unmet':>6}  divider"]
+        out += [
+            f"{one['gatekeeper']}:",
+            f"{'budget':<20} {'whole':>9} {'floor':>9} {'lent':>9} {'until':>7} "
+            f"{'left':>9} {'demand':>9} {'unmet':>6}  divider",
+        ]
         for row in one["budgets"]:
             until = "-" if row["until_ms"] is None else f"{row['until_ms'] / 1000:.1f} s"
             divider = "not known" if row["divider"] is None else f"n{row['divider']}, token {row['token']}"
-            out.append(f"{row['name']:<20} {row['whole']:>9g} {row['floor']:>9.4g} {row['lent']:>9.4g} "
-                       f"{until:>7} {row['left']:>9.4g} {row['demand']:>9.4g} {row['unmet']:>6}  {divider}"
-                       + ("" if row["out"] is None else f", here: {row['out']:.6g} lent to all"))
+            out.append(
+                f"{row['name']:<20} {row['whole']:>9g} {row['floor']:>9.4g} {row['lent']:>9.4g} "
+                f"{until:>7} {row['left']:>9.4g} {row['demand']:>9.4g} {row['unmet']:>6}  {divider}"
+                + ("" if row["out"] is None else f", here: {row['out']:.6g} lent to all")
+            )
     if len(rows) > 1:
         out.append("all of these, in turn and so not at one moment:")
         names = sorted({row["name"] for one in rows for row in one["budgets"]})
         for name in names:
             mine = [row for one in rows for row in one["budgets"] if row["name"] == name]
-            out.append(f"{name:<20} whole {max(row['whole'] for row in mine):g}, floors and shares "
-                       f"{sum(row['floor'] + row['lent'] for row in mine):.6g}, "
-                       f"demand {sum(row['demand'] for row in mine):.4g}")
+            out.append(
+                f"{name:<20} whole {max(row['whole'] for row in mine):g}, floors and shares "
+                f"{sum(row['floor'] + row['lent'] for row in mine):.6g}, "
+                f"demand {sum(row['demand'] for row in mine):.4g}"
+            )
     return out
 
 
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -27,8 +27,15 @@
 def _run(words: list[str], folder: str, **more: str) -> None:
     """Run a step; raises NotCompiled with the last line that it printed."""
     try:
-        done = subprocess.run(words, cwd=folder, env={**os.environ, **more}, text=True, timeout=SECONDS,
-                              stdout=subprocess.PIPE, stderr=subprocess.STDOUT)
+        done = subprocess.run(
+            words,
+            cwd=folder,
+            env={**os.environ, **more},
+            text=True,
+            timeout=SECONDS,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+        )
     except (OSError, subprocess.TimeoutExpired) as problem:
         raise NotCompiled(str(problem)) from problem
     if done.returncode:
@@ -48,16 +55,34 @@
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
         tools = Path(scratch, "tools")  # not among what the daemon may import
-        _run([sys.executable, "-m", "pip", "-q", "--disable-pip-version-check", "install", "--target",
-              str(tools), COMPILER, "setuptools"], scratch)
+        _run(
+            [
+                sys.executable,
+                "-m",
+                "pip",
+                "-q",
+                "--disable-pip-version-check",
+                "install",
+                "--target",
+                str(tools),
+                COMPILER,
+                "setuptools",
+            ],
+            scratch,
+        )
         build, result = Path(scratch, "build"), Path(scratch, "result")
         for package in ("anisefront", "plumpick"):
-            shutil.copytree(SOURCES / package, build / package,
-                            ignore=shutil.ignore_patterns("__pycache__", *TOOLS))
+            shutil.copytree(
+                SOURCES / package, build / package, ignore=shutil.ignore_patterns("__pycache__", *TOOLS)
+            )
         # Danger: what mypy takes to be unreachable is left out of the compiled code. Seen: a look at an
         # attribute that a call in between had changed. So it is an error here, and the plain sources serve.
-        _run([sys.executable, "-m", "mypyc", "--ignore-missing-imports", "--warn-unreachable", *FILES],
-             str(build), PYTHONPATH=str(tools), MYPYC_OPT_LEVEL=str(optimize))
+        _run(
+            [sys.executable, "-m", "mypyc", "--ignore-missing-imports", "--warn-unreachable", *FILES],
+            str(build),
+            PYTHONPATH=str(tools),
+            MYPYC_OPT_LEVEL=str(optimize),
+        )
         shutil.rmtree(build / "build", ignore_errors=True)  # setuptools' own copies
         for path in build.rglob("*.so"):
             target = result / path.relative_to(build)
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -76,8 +76,9 @@
     return states, dead
 
 
-def document(settings: Settings, states: list[dict[str, Any]], now_ms: float,
-             later_ms: float) -> dict[str, Any]:
+def document(
+    settings: Settings, states: list[dict[str, Any]], now_ms: float, later_ms: float
+) -> dict[str, Any]:
     """The version that these settings become: the newest one again where it has this very content, so that
     whoever lacks it gets it; a new number else. Services that know of nothing begin far above what any
     forgotten life of theirs may have given."""
@@ -107,8 +108,10 @@
     for line in wrong:
         print(f"plumpick configuration: {line}", file=sys.stderr)
     if len(wrong) < len(places):
-        print(f"version {value['version']} {value['digest'][:12]}, in force at {value['in_force_ms']:.0f}, "
-              f"at {len(places) - len(wrong)} of {len(places)}")
+        print(
+            f"version {value['version']} {value['digest'][:12]}, in force at {value['in_force_ms']:.0f}, "
+            f"at {len(places) - len(wrong)} of {len(places)}"
+        )
     return 1 if wrong else 0
 
 
@@ -136,8 +139,11 @@
         except Failed:
             continue
         if status == 200:
-            return _put(document(value["settings"], states, time.time() * 1000, given.in_force_in * 1000),
-                        places, dead)
+            return _put(
+                document(value["settings"], states, time.time() * 1000, given.in_force_in * 1000),
+                places,
+                dead,
+            )
     raise Failed(f"version {wanted} could not be read")
 
 
--- a/plumpick/tools/configuration_service.py
+++ b/plumpick/tools/configuration_service.py
@@ -111,7 +111,8 @@
         except ValueError as problem:
             status, body = 400, json.dumps({"problem": str(problem)}).encode()
         head = f"HTTP/1.1 {status} X\r\n" + (
-            "" if status == 204 else f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n")
+            "" if status == 204 else f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
+        )
         writer.write(head.encode() + b"\r\n" + body)
         self.bytes_out += len(head) + 2 + len(body)
         await writer.drain()
@@ -126,8 +127,9 @@
         if (method, path) == (b"PUT", PATH):
             return await self._publish(b"".join(request.parts))
         if (method, path) == (b"GET", f"{PATH}/status"):
-            return 200, json.dumps({**self.shelf.status(self.now()), "calls": self.calls,
-                                    "bytes_out": self.bytes_out}).encode()
+            return 200, json.dumps(
+                {**self.shelf.status(self.now()), "calls": self.calls, "bytes_out": self.bytes_out}
+            ).encode()
         if method == b"GET" and path.startswith(f"{PATH}/versions/"):
             return self._version(path.rpartition("/")[2])
         return 404, b"{}"
@@ -137,8 +139,14 @@
         if kept is None:
             return 404, json.dumps({"problem": f"version {text} is not kept here"}).encode()
         one = kept.content
-        return 200, json.dumps({"version": one.version, "digest": one.digest, "in_force_ms": one.in_force_ms,
-                                "settings": one.settings}).encode()
+        return 200, json.dumps(
+            {
+                "version": one.version,
+                "digest": one.digest,
+                "in_force_ms": one.in_force_ms,
+                "settings": one.settings,
+            }
+        ).encode()
 
     async def _publish(self, data: bytes) -> tuple[int, bytes]:
         try:
@@ -162,9 +170,18 @@
         name, loop = words.get("name", [""])[0][:64], asyncio.get_running_loop()
         if not name:
             raise ValueError("name is missing")
-        self.shelf.heard(Watcher(name, _number(words, "number"), _number(words, "in_force"),
-                                 words.get("have", [""])[0][:64], _number(words, "staged"), refused,
-                                 words.get("why", [""])[0][:200], self.now()))
+        self.shelf.heard(
+            Watcher(
+                name,
+                _number(words, "number"),
+                _number(words, "in_force"),
+                words.get("have", [""])[0][:64],
+                _number(words, "staged"),
+                refused,
+                words.get("why", [""])[0][:200],
+                self.now(),
+            )
+        )
         its = words.get("digest", [""])[0]
         end_s = loop.time() + min(MOST_WAIT_MS, _number(words, "timeout_ms")) / 1000
         while (body := self.shelf.answer(since, its, refused)) is None:
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -17,8 +17,24 @@
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE
 
-COLUMNS = ("arrival", "send", "credit", "refuse", "fail", "OK", "FULL", "CONNECT_FAILED", "RESET", "TIMEOUT",
-           "handshake", "call", "turned away", "tell", "sign", "heard")
+COLUMNS = (
+    "arrival",
+    "send",
+    "credit",
+    "refuse",
+    "fail",
+    "OK",
+    "FULL",
+    "CONNECT_FAILED",
+    "RESET",
+    "TIMEOUT",
+    "handshake",
+    "call",
+    "turned away",
+    "tell",
+    "sign",
+    "heard",
+)
 
 
 class CountsError(ValueError):
@@ -47,7 +63,7 @@
         if at < 0:
             continue
         try:
-            row = json.loads(line[at + 1:])
+            row = json.loads(line[at + 1 :])
         except ValueError:
             torn += 1
             continue
@@ -100,14 +116,20 @@
     load of a worker over the mean of those that were sent anything in that slice."""
     sends = sum(one.counts["send"] for one in slices.values())
     total = sum(one.counts["handshake"] for one in slices.values())
-    tilts = [max(one.workers.values()) * len(one.workers) / sum(one.workers.values())
-             for one in slices.values() if sum(one.workers.values()) >= 4 * len(one.workers) > 0]
-    return {"sends": sends, "handshakes a send": round(total / max(1, sends), 3),
-            "calls of discovery, most in a slice": max(one.counts["call"] for one in slices.values()),
-            "messages, most in a slice": max(one.counts["tell"] for one in slices.values()),
-            "messages not taken in": sum(one.counts["tell"] - one.counts["heard"] for one in slices.values()),
-            "sends on credit": sum(one.counts["credit"] for one in slices.values()),
-            "worker's load over the mean, most": round(max(tilts, default=0.0), 2)}
+    tilts = [
+        max(one.workers.values()) * len(one.workers) / sum(one.workers.values())
+        for one in slices.values()
+        if sum(one.workers.values()) >= 4 * len(one.workers) > 0
+    ]
+    return {
+        "sends": sends,
+        "handshakes a send": round(total / max(1, sends), 3),
+        "calls of discovery, most in a slice": max(one.counts["call"] for one in slices.values()),
+        "messages, most in a slice": max(one.counts["tell"] for one in slices.values()),
+        "messages not taken in": sum(one.counts["tell"] - one.counts["heard"] for one in slices.values()),
+        "sends on credit": sum(one.counts["credit"] for one in slices.values()),
+        "worker's load over the mean, most": round(max(tilts, default=0.0), 2),
+    }
 
 
 def text_of(slices: dict[int, Slice], span_ms: float) -> str:
@@ -142,8 +164,16 @@
         print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
     if given.json:
-        print(json.dumps({"slices": {place * given.span: dict(one.counts) for place, one in slices.items()},
-                          "summary": summary(slices), "torn": torn + malformed}, indent=1))
+        print(
+            json.dumps(
+                {
+                    "slices": {place * given.span: dict(one.counts) for place, one in slices.items()},
+                    "summary": summary(slices),
+                    "torn": torn + malformed,
+                },
+                indent=1,
+            )
+        )
     else:
         print(text_of(slices, given.span))
         print(f"{torn + malformed} lines could not be read")
--- a/plumpick/tools/duties.py
+++ b/plumpick/tools/duties.py
@@ -24,17 +24,23 @@
     named: dict[int, list[str]] = {}
     for name, slot, _, _ in whole["duties"]:
         named.setdefault(slot, []).append(name)
-    rows = [f"{whole['gatekeeper']}: voters {', '.join(map(str, whole['voters']))}"
-            f"{'' if whole['votes'] else '; this one has no vote'}",
-            f"{'lease':>5}  {'owner':<6} {'since':>9} {'until':>9}  token, duties"]
+    rows = [
+        f"{whole['gatekeeper']}: voters {', '.join(map(str, whole['voters']))}"
+        f"{'' if whole['votes'] else '; this one has no vote'}",
+        f"{'lease':>5}  {'owner':<6} {'since':>9} {'until':>9}  token, duties",
+    ]
     for lease, owner, token, since, until, why in whole["leases"]:
         what = "turn" if lease >= whole["slots"] else ", ".join(named.get(lease, ())) or "no duty"
-        rows.append(f"{lease:>5}  {'-' if owner is None else f'n{owner}':<6} {_seconds(since):>9} "
-                    f"{_seconds(until):>9}  {token or why or 'not known here'}  {what}")
+        rows.append(
+            f"{lease:>5}  {'-' if owner is None else f'n{owner}':<6} {_seconds(since):>9} "
+            f"{_seconds(until):>9}  {token or why or 'not known here'}  {what}"
+        )
     for name, slot, running, last in whole["duties"]:
         state = f"period {running} runs" if running is not None else "idle"
-        rows.append(f"{name} (slot {slot}): {state}" + (
-            "" if last is None else f"; last here period {last[0]}, {last[1]:.0f} ms, {last[2]}"))
+        rows.append(
+            f"{name} (slot {slot}): {state}"
+            + ("" if last is None else f"; last here period {last[0]}, {last[1]:.0f} ms, {last[2]}")
+        )
     return rows
 
 
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -45,6 +45,7 @@
 
     def __init__(self, record: Record, inner: Any) -> None:
         from anisefront import interface
+
         self._record, self._inner, self._face, self._decode = record, inner, interface, inner.codec.decode
         self._belief_ms = 0.0
         self._requests: dict[int, Any] = {}  # the module's own records of those that are open
@@ -76,8 +77,17 @@
     def _came(self, event: Any) -> None:
         face, write = self._face, self._record.write
         if isinstance(event, face.Arrival):
-            write("arrival", event.id, event.customer, event.plan_name, event.class_name, event.first_gateway,
-                  event.spread, int(event.is_repeat), round(event.due_ms - self._record.now()))
+            write(
+                "arrival",
+                event.id,
+                event.customer,
+                event.plan_name,
+                event.class_name,
+                event.first_gateway,
+                event.spread,
+                int(event.is_repeat),
+                round(event.due_ms - self._record.now()),
+            )
         elif isinstance(event, face.Outcome):
             write("outcome", event.id, event.server, event.result.name, round(event.took_ms, 1), event.load)
         elif isinstance(event, face.ClientGone):
@@ -86,23 +96,32 @@
             news = self._decode(event.data)
             write("heard", event.sender, [item.kind for item in news.items] if news else None)
         elif isinstance(event, face.Fleet):
-            write("list", int(event.complete), [(server.id, server.state.name, server.started_ms)
-                                                for server in event.servers])
+            write(
+                "list",
+                int(event.complete),
+                [(server.id, server.state.name, server.started_ms) for server in event.servers],
+            )
 
     def _went(self, action: Any) -> None:
         face, write = self._face, self._record.write
         if isinstance(action, face.Send):
             request = self._inner.requests.get(action.id)
-            write("send", action.id, action.server, request.paid if request else 0.0,
-                  int(bool(request and request.answered)))
+            write(
+                "send",
+                action.id,
+                action.server,
+                request.paid if request else 0.0,
+                int(bool(request and request.answered)),
+            )
         elif isinstance(action, face.Refuse):
             write("refuse", action.id, round(action.retry_in_ms), self._state(action.id))
         elif isinstance(action, face.Fail):
             write("fail", action.id, self._state(action.id))
         elif isinstance(action, face.Tell):
             news = self._decode(action.data)
-            write("tell", action.receiver, [item.kind for item in news.items] if news else [],
-                  len(action.data))
+            write(
+                "tell", action.receiver, [item.kind for item in news.items] if news else [], len(action.data)
+            )
 
     def _state(self, number: int) -> str:
         """How far a request had come: sent, held, or how its home had been heard."""
@@ -117,13 +136,26 @@
 
     def _believed(self) -> None:
         window, servers, quota = self._inner.window, self._inner.servers, self._inner.quota
-        self._record.write("belief", {
-            "limit": round(window.limit, 2), "out": round(window.out, 2), "cut": round(window.cut, 2),
-            "room": round(window.room, 2), "fleet_room": round(window.fleet_room, 2),
-            "idle": round(window.idle, 2), "held": len(self._inner.held), "waiting": len(quota.asking),
-            "silent": len(quota.silent), "rtt": round(quota.rtt_ms, 1), "warm": len(servers.warm),
-            "cold": len(servers.cold), "near": len(servers.near), "suspects": len(servers.suspects),
-            "budget": round(self._inner.budget, 1)})
+        self._record.write(
+            "belief",
+            {
+                "limit": round(window.limit, 2),
+                "out": round(window.out, 2),
+                "cut": round(window.cut, 2),
+                "room": round(window.room, 2),
+                "fleet_room": round(window.fleet_room, 2),
+                "idle": round(window.idle, 2),
+                "held": len(self._inner.held),
+                "waiting": len(quota.asking),
+                "silent": len(quota.silent),
+                "rtt": round(quota.rtt_ms, 1),
+                "warm": len(servers.warm),
+                "cold": len(servers.cold),
+                "near": len(servers.near),
+                "suspects": len(servers.suspects),
+                "budget": round(self._inner.budget, 1),
+            },
+        )
 
 
 def main() -> int:
@@ -153,8 +185,9 @@
             try:
                 news = await super()._call(target, limit_s)
             except BaseException as problem:
-                record.write("call", target, str(problem) or type(problem).__name__,
-                             round(record.now() - began))
+                record.write(
+                    "call", target, str(problem) or type(problem).__name__, round(record.now() - began)
+                )
                 raise
             record.write("call", target, "ok", round(record.now() - began), len(news.entries))
             return news
--- a/plumpick/upstream/workers.py
+++ b/plumpick/upstream/workers.py
@@ -60,14 +60,45 @@
     answer begins that is too large to be kept; it gives who reads it, or None if nobody wants it any more.
     `flows(attempt)` is told when the first byte of a stream goes out: it is not kept."""
 
-    __slots__ = ("request_id", "number", "worker", "head", "body", "started_ms", "done", "connection", "dial",
-                 "timer", "dial_timer", "stream", "begins", "reader", "is_head", "allow_ms", "first_ms",
-                 "moved_ms", "flows", "until_ms", "due_ms")
-
-    def __init__(self, request_id: int, number: int, worker: str, head: bytes, body: bytes, allow_ms: float,
-                 due_ms: float, done: Done, stream: Body | None = None, is_head: bool = False,
-                 begins: Callable[[Attempt, int, bytes], Reader | None] | None = None,
-                 flows: Callable[[Attempt], None] | None = None) -> None:
+    __slots__ = (
+        "request_id",
+        "number",
+        "worker",
+        "head",
+        "body",
+        "started_ms",
+        "done",
+        "connection",
+        "dial",
+        "timer",
+        "dial_timer",
+        "stream",
+        "begins",
+        "reader",
+        "is_head",
+        "allow_ms",
+        "first_ms",
+        "moved_ms",
+        "flows",
+        "until_ms",
+        "due_ms",
+    )
+
+    def __init__(
+        self,
+        request_id: int,
+        number: int,
+        worker: str,
+        head: bytes,
+        body: bytes,
+        allow_ms: float,
+        due_ms: float,
+        done: Done,
+        stream: Body | None = None,
+        is_head: bool = False,
+        begins: Callable[[Attempt, int, bytes], Reader | None] | None = None,
+        flows: Callable[[Attempt], None] | None = None,
+    ) -> None:
         self.request_id, self.number, self.worker = request_id, number, worker
         self.head, self.body, self.allow_ms, self.due_ms = head, body, allow_ms, due_ms
         self.stream, self.begins, self.is_head, self.flows = stream, begins, is_head, flows
@@ -208,8 +239,13 @@
     def eof_received(self) -> None:
         """A worker that ends its sending has closed: so does the transport. An answer that has neither a
         length nor chunks is whole then; a process that dies resets its connections."""
-        if self.until_close and self.attempt is not None and not self.complete and not self.closed and (
-                not self.pool.was_reset(self.transport)):
+        if (
+            self.until_close
+            and self.attempt is not None
+            and not self.complete
+            and not self.closed
+            and (not self.pool.was_reset(self.transport))
+        ):
             self.complete, self.keep, self.status = True, False, self.parser.get_status_code()
             self._answered()
 
@@ -233,8 +269,12 @@
             elif name == b"content-type":
                 self.kind = value
             elif name == b"content-length":
-                self.too_large = (not value.isdigit() or len(value) > MOST_DIGITS or int(value) > MOST_ANSWER
-                                  or self.length >= 0)
+                self.too_large = (
+                    not value.isdigit()
+                    or len(value) > MOST_DIGITS
+                    or int(value) > MOST_ANSWER
+                    or self.length >= 0
+                )
                 self.length = -1 if self.too_large else int(value)
         elif len(name) == 17 and name.lower() == b"transfer-encoding":
             self.chunked = True
@@ -383,17 +423,26 @@
         self.dialling: list[Attempt] = []
 
     def is_same_process(self, entry: Entry) -> bool:
-        return (self.entry.address == entry.address
-                and self.entry.server.started_ms == entry.server.started_ms)
+        return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
 
 
 class Workers:
     """The workers that discovery has named, by name."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, timers: Timers, *, idle_ms: float,
-                 dial_timeout_ms: float, max_connections: int, report_fields: tuple[str, ...],
-                 is_quiet: Callable[[Any], bool], budget: Budget,
-                 was_reset: Callable[[Any], bool] = lambda _transport: False) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        clock: Clock,
+        timers: Timers,
+        *,
+        idle_ms: float,
+        dial_timeout_ms: float,
+        max_connections: int,
+        report_fields: tuple[str, ...],
+        is_quiet: Callable[[Any], bool],
+        budget: Budget,
+        was_reset: Callable[[Any], bool] = lambda _transport: False,
+    ) -> None:
         self._loop, self._clock, self._timers, self.looks_quiet = loop, clock, timers, is_quiet
         self._max, self.was_reset = max_connections, was_reset
         self.reconfigure(idle_ms, dial_timeout_ms, report_fields)
@@ -441,8 +490,9 @@
         for entry in news.entries:
             name = entry.server.id
             worker = self._known.get(name)
-            if worker is not None and (entry.server.state is not State.READY
-                                       or not worker.is_same_process(entry)):
+            if worker is not None and (
+                entry.server.state is not State.READY or not worker.is_same_process(entry)
+            ):
                 self._retire(self._known.pop(name))
                 worker = None
             if worker is not None:
@@ -475,8 +525,12 @@
         comes up late, a stalled loop, word of a drain, the end of its request. Seen: a keyed request went
         out again 0.25 s after it was chosen to, when its group had forgotten the first."""
         now = self._clock.now()
-        return (attempt.done is not None and self.serves(worker) and now <= attempt.until_ms
-                and now < attempt.due_ms)
+        return (
+            attempt.done is not None
+            and self.serves(worker)
+            and now <= attempt.until_ms
+            and now < attempt.due_ms
+        )
 
     def start(self, attempt: Attempt) -> None:
         """Send on a kept connection, or on a new one. The outcome never comes before this returns."""
@@ -487,18 +541,23 @@
         kept = self._kept(worker, now) if worker is not None and self._may_leave(worker, attempt) else None
         if kept is not None:
             kept.carry(attempt)
-        elif worker is None or not self._may_leave(worker, attempt) or (
-                worker.connections >= MAX_PER_WORKER or self._connections >= self._max):
+        elif (
+            worker is None
+            or not self._may_leave(worker, attempt)
+            or (worker.connections >= MAX_PER_WORKER or self._connections >= self._max)
+        ):
             self._loop.call_soon(attempt.end, Result.CONNECT_FAILED)
         else:
             worker.connections += 1
             self._connections += 1
             worker.dialling.append(attempt)
-            attempt.dial_timer = self._timers.at(now + self._dial_ms,
-                                                 lambda: attempt.end(Result.CONNECT_FAILED))
+            attempt.dial_timer = self._timers.at(
+                now + self._dial_ms, lambda: attempt.end(Result.CONNECT_FAILED)
+            )
             connection = WorkerConnection(self, worker)
             attempt.dial = self._loop.create_task(
-                self._loop.create_connection(lambda: connection, *worker.entry.address))
+                self._loop.create_connection(lambda: connection, *worker.entry.address)
+            )
             attempt.dial.add_done_callback(functools.partial(self._dialled, worker, attempt, connection))
 
     def now(self) -> float:
@@ -523,8 +582,9 @@
             connection.abandon()
         return None
 
-    def _dialled(self, worker: Worker, attempt: Attempt, connection: WorkerConnection,
-                 dial: asyncio.Task[Any]) -> None:
+    def _dialled(
+        self, worker: Worker, attempt: Attempt, connection: WorkerConnection, dial: asyncio.Task[Any]
+    ) -> None:
         """A connection has come up, or has not. Called for a cancelled task too, even one never begun."""
         worker.dialling.remove(attempt)
         attempt.dial = None
--- a/tests/budgets/test_book.py
+++ b/tests/budgets/test_book.py
@@ -307,7 +307,6 @@
     assert sum(len(words.read(note)) for _, note in book.to_send) == len(budgets[::7])  # those in demand
 
 
-
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 900)), max_size=30))
 def test_the_index_by_demand_asks_for_what_a_look_at_all_budgets_would(steps):
     budgets = tuple(Budget(f"b{n}", Kind.RATE, 3.0, burst=3.0, floor=0.5) for n in range(10))
--- a/tests/budgets/test_budget_tier.py
+++ b/tests/budgets/test_budget_tier.py
@@ -35,9 +35,17 @@
 
 def test_where_all_demand_is_cut_off_from_the_divider_its_floor_serves_and_the_rest_rests():
     """As stated beforehand: `plumpick bounds --operator`, "cut off alone"."""
+
     async def scenario():
-        tier = Tier(3, 41, {"voters": [0, 1, 2], "slots": 4, "term_s": 2.0, "share_s": 1.0}, [],
-                    management=True, budgets=BUDGETS, demand={"exports": 0.0})
+        tier = Tier(
+            3,
+            41,
+            {"voters": [0, 1, 2], "slots": 4, "term_s": 2.0, "share_s": 1.0},
+            [],
+            management=True,
+            budgets=BUDGETS,
+            demand={"exports": 0.0},
+        )
         trial = Trial(tier, None)
         try:
             await tier.start()
@@ -46,20 +54,29 @@
             await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "what is lent is spent")
             tier.relay.sides = [{away}]
             begin = machine_ms() + 1100  # its share has ended by then
-            rows = await tier.until(lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20,
-                                    "seconds cut off")
+            rows = await tier.until(
+                lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "seconds cut off"
+            )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
-            operator = operator_from({"fleet": {"voters": [0, 1, 2], "term_s": 2.0, "share_s": 1.0,
-                                                "budget": [BUDGETS[0]]}}, 3).fleet
+            operator = operator_from(
+                {"fleet": {"voters": [0, 1, 2], "term_s": 2.0, "share_s": 1.0, "budget": [BUDGETS[0]]}}, 3
+            ).fleet
             one = operator.budgets[0].budget
-            sure = next(row.sure for row in table(one, 3, operator.terms, operator.share_ms)
-                        if row.state == "cut off alone" and row.window_s == 1.0)
+            sure = next(
+                row.sure
+                for row in table(one, 3, operator.terms, operator.share_ms)
+                if row.state == "cut off alone" and row.window_s == 1.0
+            )
             assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + one.floor_burst(3) + 1
             tier.relay.sides = []
-            await tier.until(lambda: sum(units for t, units in trial.spent("exports")
-                                         if t > machine_ms() - 1000) > 40, 20, "all of it again")
+            await tier.until(
+                lambda: sum(units for t, units in trial.spent("exports") if t > machine_ms() - 1000) > 40,
+                20,
+                "all of it again",
+            )
         finally:
             await tier.close()
+
     asyncio.run(scenario())
 
 
--- a/tests/budgets/test_budgets.py
+++ b/tests/budgets/test_budgets.py
@@ -215,8 +215,13 @@
         now += chance.choice((1.0, 20.0, 100.0))
         number = chance.randrange(5)
         if chance.random() < 0.01:  # other figures in service
-            budget = Budget("reports", Kind.RATE, chance.choice((0.0, 50.0, 100.0, 200.0)),
-                            burst=chance.choice((4.0, 10.0, 20.0)), floor=0.0)
+            budget = Budget(
+                "reports",
+                Kind.RATE,
+                chance.choice((0.0, 50.0, 100.0, 200.0)),
+                burst=chance.choice((4.0, 10.0, 20.0)),
+                floor=0.0,
+            )
             divider.change(now, budget)
             limits.append((now, budget))
         serials[number] += 1
@@ -225,22 +230,30 @@
         given[number].append((share, now + term))
         if chance.random() < 0.7:  # it has come
             has[number] = share.serial
-        out = [[share for share, until in shares if now < until and share.serial >= has[one]]
-               for one, shares in enumerate(given)]
+        out = [
+            [share for share, until in shares if now < until and share.serial >= has[one]]
+            for one, shares in enumerate(given)
+        ]
         # What was lent by other figures is out until its end.
         while len(limits) > 1 and limits[1][0] + term + 1 < now:
             del limits[0]
-        assert sum(max((share.amount for share in shares), default=0.0) for shares in out) <= max(
-            one.whole for _, one in limits) + 1e-9
-        assert sum(max((share.burst for share in shares), default=0.0) for shares in out) <= max(
-            one.burst * (one.whole > 0) for _, one in limits) + 1e-9
+        assert (
+            sum(max((share.amount for share in shares), default=0.0) for shares in out)
+            <= max(one.whole for _, one in limits) + 1e-9
+        )
+        assert (
+            sum(max((share.burst for share in shares), default=0.0) for shares in out)
+            <= max(one.burst * (one.whole > 0) for _, one in limits) + 1e-9
+        )
 
 
 def test_one_unit_for_two_hundred_gatekeepers_is_never_out_twice():
     """A stock of 1 and a rate of 1 a second with a burst of 1, all wanted by all, with faults."""
     chance = random.Random(7)
-    for budget in (Budget("one", Kind.STOCK, 1, floor=0.0, outlives_ms=200.0),
-                   Budget("one", Kind.RATE, 1.0, burst=1.0, floor=0.0)):
+    for budget in (
+        Budget("one", Kind.STOCK, 1, floor=0.0, outlives_ms=200.0),
+        Budget("one", Kind.RATE, 1.0, burst=1.0, floor=0.0),
+    ):
         rig = Rig(7, budget, 200, lambda _number, _t: int(chance.random() < 0.05))
         rig.faults(6)
         rig.run(10_000)
--- a/tests/capacity/test_size.py
+++ b/tests/capacity/test_size.py
@@ -50,7 +50,7 @@
         dearer = replace(CHOSEN[name], a=CHOSEN[name].a * 1.1 + 0.1, b=CHOSEN[name].b * 1.1)
         assert page.rows_table(model.lines_of(target(), {**CHOSEN, name: dearer})) != table, name
     for place, row in enumerate(rows.ROWS):
-        without = rows.ROWS[:place] + rows.ROWS[place + 1:]
+        without = rows.ROWS[:place] + rows.ROWS[place + 1 :]
         assert page.rows_table(model.lines_of(target(), CHOSEN, without)) != table, row.what
 
 
@@ -58,8 +58,12 @@
 def test_a_slope_is_that_of_its_points(slope):
     slope.check()
     assert len(slope.points) >= 4 and slope.command and slope.machine
-    for wrong in (replace(slope, b=slope.b * 1.01 + 1e-6), replace(slope, a=slope.a * 1.01 + 1e-6),
-                  replace(slope, residual=slope.residual + 0.01), replace(slope, points=slope.points[:3])):
+    for wrong in (
+        replace(slope, b=slope.b * 1.01 + 1e-6),
+        replace(slope, a=slope.a * 1.01 + 1e-6),
+        replace(slope, residual=slope.residual + 0.01),
+        replace(slope, points=slope.points[:3]),
+    ):
         with pytest.raises(slopes.SlopesError, match=slope.name):
             wrong.check()
 
@@ -89,8 +93,9 @@
 
 def by_hand(formula, sizes):
     """The same arithmetic by Python itself, with curves drawn from the points anew."""
+
     def told(what, rate):
-        near = 3 if sizes["set"] < 60 ** 0.5 else 20
+        near = 3 if sizes["set"] < 60**0.5 else 20
         value = curve(f"{what}_by_rate_{near}")(rate)
         if sizes["set"] != near:
             value *= curve(f"{what}_by_set")(sizes["set"]) / curve(f"{what}_by_set")(near)
@@ -102,8 +107,11 @@
         return lambda x: slopes.value(slope.form, a, b, x)
 
     names = {name: curve(name) for name in CHOSEN}
-    names |= {"words": lambda rate: told("words", rate), "word_bytes": lambda rate: told("bytes", rate),
-              "growth": lambda slope, x: slope(x) - slope(0.0)}
+    names |= {
+        "words": lambda rate: told("words", rate),
+        "word_bytes": lambda rate: told("bytes", rate),
+        "growth": lambda slope, x: slope(x) - slope(0.0),
+    }
     return eval(formula, {"__builtins__": {}}, {**names, **model.constants(sizes), **sizes})
 
 
@@ -144,8 +152,11 @@
 
 def test_before_and_after_versions_from_a_service_stand_side_by_side():
     for figure in ("messages", "reach"):
-        found = [line for line in lines()
-                 if (line.row.who, line.row.figure) == ("changes of configuration", figure)]
+        found = [
+            line
+            for line in lines()
+            if (line.row.who, line.row.figure) == ("changes of configuration", figure)
+        ]
         before = [line for line in found if line.row.what.startswith(rows.BEFORE)]
         after = [line for line in found if line.row.what.startswith(rows.WITH)]
         assert all(line.ratio > 1 for line in before) and all(line.ratio < 1 for line in after)
@@ -197,21 +208,37 @@
     assert slopes.chosen([plain, made]) == slopes.chosen([made, plain]) == {one.name: made}
 
 
-@pytest.mark.parametrize("formula", [
-    "nothing(workers)", "workers +", "nobody", "workers / 0", "growth(workers, 1)", "workers ** 2",
-    "__import__('os')", "workers.real", "words()", "idle_by_workers(workers, 1)", "'text'", "1 and workers",
-])
+@pytest.mark.parametrize(
+    "formula",
+    [
+        "nothing(workers)",
+        "workers +",
+        "nobody",
+        "workers / 0",
+        "growth(workers, 1)",
+        "workers ** 2",
+        "__import__('os')",
+        "workers.real",
+        "words()",
+        "idle_by_workers(workers, 1)",
+        "'text'",
+        "1 and workers",
+    ],
+)
 def test_what_is_no_formula_is_refused(formula):
     row = replace(rows.ROWS[0], formula=formula)
     with pytest.raises(model.ModelError):
         model.line_of(row, target(), CHOSEN)
 
 
-FORMS = [(curve, points) for curve, points in (
-    ("a + b x", [(1, 12.0), (10, 30.0), (100, 210.0), (1000, 2010.0)]),
-    ("a x^b", [(1, 3.0), (4, 6.0), (100, 30.0), (10_000, 300.0)]),
-    ("a x / (b + x)", [(1, 5.0), (9, 25.0), (41, 41.0), (991, 49.55)]),
-)]
+FORMS = [
+    (curve, points)
+    for curve, points in (
+        ("a + b x", [(1, 12.0), (10, 30.0), (100, 210.0), (1000, 2010.0)]),
+        ("a x^b", [(1, 3.0), (4, 6.0), (100, 30.0), (10_000, 300.0)]),
+        ("a x / (b + x)", [(1, 5.0), (9, 25.0), (41, 41.0), (991, 49.55)]),
+    )
+]
 
 
 @pytest.mark.parametrize(("curve", "points"), FORMS)
@@ -237,25 +264,42 @@
 
 
 def as_toml(whole):
-    return "\n".join(f"[{part}]\n" + "\n".join(f"{key} = {value}" for key, value in table.items())
-                     for part, table in whole.items())
+    return "\n".join(
+        f"[{part}]\n" + "\n".join(f"{key} = {value}" for key, value in table.items())
+        for part, table in whole.items()
+    )
 
 
 BAD = [
-    ("tier", "workers", 0), ("tier", "workers", -5), ("tier", "gatekeepers", 0),
+    ("tier", "workers", 0),
+    ("tier", "workers", -5),
+    ("tier", "gatekeepers", 0),
     ("load", "routes", 1_000_000),
-    ("load", "tenants", "inf"), ("load", "requests_per_s", "nan"), ("load", "requests_per_s", "inf"),
-    ("load", "tenants", 10 ** 400), ("load", "set", 551), ("tier", "services", "true"),
-    ("tier", "workers", '"many"'), ("tier", "workers", 10.5), ("limits", "told_s", 0),
-    ("limits", "cpu_part", 1.2), ("tier", "zones", 5901), ("tier", "rack_workers", 5901),
-    ("load", "busiest_per_s", 200), ("changes", "restart_parts", 551), ("tier", "halls", 3),
-    ("limits", "memory_mb", "[256]"), ("load", "plans", 0), ("changes", "configuration_per_day", -1),
+    ("load", "tenants", "inf"),
+    ("load", "requests_per_s", "nan"),
+    ("load", "requests_per_s", "inf"),
+    ("load", "tenants", 10**400),
+    ("load", "set", 551),
+    ("tier", "services", "true"),
+    ("tier", "workers", '"many"'),
+    ("tier", "workers", 10.5),
+    ("limits", "told_s", 0),
+    ("limits", "cpu_part", 1.2),
+    ("tier", "zones", 5901),
+    ("tier", "rack_workers", 5901),
+    ("load", "busiest_per_s", 200),
+    ("changes", "restart_parts", 551),
+    ("tier", "halls", 3),
+    ("limits", "memory_mb", "[256]"),
+    ("load", "plans", 0),
+    ("changes", "configuration_per_day", -1),
 ]
 
 
 @pytest.mark.parametrize(("part", "key", "value"), BAD)
 def test_a_form_that_cannot_be_served_is_refused_by_one_line_that_names_the_key(
-        part, key, value, tmp_path, capsys):
+    part, key, value, tmp_path, capsys
+):
     path = tmp_path / "form.toml"
     path.write_text(as_toml(changed(part, key, value)))
     code, out, err = printed(capsys, str(path))
@@ -285,9 +329,12 @@
     return st.integers(math.ceil(low), int(high)) if key.whole else st.floats(low, high)
 
 
-ANY_FORM = st.fixed_dictionaries({
-    part: st.fixed_dictionaries({name: any_number(key) for name, key in keys.items()})
-    for part, keys in form.KEYS.items()})
+ANY_FORM = st.fixed_dictionaries(
+    {
+        part: st.fixed_dictionaries({name: any_number(key) for name, key in keys.items()})
+        for part, keys in form.KEYS.items()
+    }
+)
 
 
 @given(ANY_FORM)
@@ -303,7 +350,8 @@
     found = model.lines_of(sizes, CHOSEN)
     assert len(found) == len(rows.ROWS)
     assert all(math.isfinite(line.value) and line.value >= 0 for line in found), [
-        (line.row.what, line.value) for line in found if not line.value >= 0]
+        (line.row.what, line.value) for line in found if not line.value >= 0
+    ]
 
 
 def test_json_has_the_same_rows(capsys):
@@ -321,6 +369,7 @@
 
     def entry(text):
         return next(row["value"] for row in json.loads(text) if row["formula"] == "changed_entry(workers)")
+
     assert entry(smaller) < entry(larger) / 3
 
 
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -29,10 +29,12 @@
 
 def test_words_that_nobody_takes_in_change_what_is_told():
     """So that the agreement of folds is none of modules that hear nothing."""
+
     class Deaf(Fold):
         def put(self, at_ms, place, event):
             if type(event).__name__ != "Heard":
                 super().put(at_ms, place, event)
+
     deaf, fold = Deaf(Load(**RING, kept=5)).play(), Fold(Load(**RING, kept=5)).play()
     assert abs(deaf["told"] / fold["told"] - 1) > 0.1
 
@@ -55,8 +57,13 @@
 
 
 def measured(*words):
-    return subprocess.run([sys.executable, "-m", "benchmarks.slopes", *words], cwd=ROOT, capture_output=True,
-                          text=True, timeout=120)
+    return subprocess.run(
+        [sys.executable, "-m", "benchmarks.slopes", *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=120,
+    )
 
 
 def test_a_slope_that_is_measured_stands_in_the_file_in_place_of_the_old_one(tmp_path):
@@ -70,7 +77,7 @@
 def test_a_slope_of_cpu_is_measured_in_processes_of_its_own(tmp_path):
     path = tmp_path / "slopes.json"
     assert measured("--only", "settings_parse_by_plans", "--out", str(path)).returncode == 0
-    slope, = slopes.read(path)
+    (slope,) = slopes.read(path)
     assert slope.scatter > 1 and all(y > 0 for _, y in slope.points)
 
 
--- a/tests/configuration/settings_rig.py
+++ b/tests/configuration/settings_rig.py
@@ -50,5 +50,3 @@
         if content is not None:
             self.versions.put(content, "")
             self.put.append((now, content.version, digest(content.settings)))
-
-
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -10,18 +10,37 @@
 
 from anisefront.configuration.versions import Content, Offer, Unusable, read
 from anisefront.configuration.delta import (
-    OWN, DeltaError, applied, canonical, changes_between, digest, shared,
+    OWN,
+    DeltaError,
+    applied,
+    canonical,
+    changes_between,
+    digest,
+    shared,
 )
 
 SCALARS = st.one_of(st.integers(-9, 9), st.floats(-9, 9), st.booleans(), st.text(max_size=3), st.none())
-ROWS = st.lists(st.builds(lambda name, worth, more: {"name": name, "worth": worth, **more},
-                          st.sampled_from("abcdefgh"), SCALARS, st.dictionaries(st.text(max_size=2), SCALARS,
-                                                                                max_size=2)),
-                max_size=8)
+ROWS = st.lists(
+    st.builds(
+        lambda name, worth, more: {"name": name, "worth": worth, **more},
+        st.sampled_from("abcdefgh"),
+        SCALARS,
+        st.dictionaries(st.text(max_size=2), SCALARS, max_size=2),
+    ),
+    max_size=8,
+)
 LISTS = st.one_of(ROWS, ROWS.map(lambda rows: list({row["name"]: row for row in rows}.values())))
-OBJECTS = st.fixed_dictionaries({}, optional={
-    "classes": LISTS, "packages": LISTS, "limits": st.dictionaries(st.text(max_size=2), SCALARS, max_size=3),
-    "myNumber": st.integers(0, 9), "locality": st.text(max_size=2), "azs": st.lists(SCALARS, max_size=3)})
+OBJECTS = st.fixed_dictionaries(
+    {},
+    optional={
+        "classes": LISTS,
+        "packages": LISTS,
+        "limits": st.dictionaries(st.text(max_size=2), SCALARS, max_size=3),
+        "myNumber": st.integers(0, 9),
+        "locality": st.text(max_size=2),
+        "azs": st.lists(SCALARS, max_size=3),
+    },
+)
 
 
 @effort(max_examples=300, deadline=None)
@@ -36,8 +55,9 @@
 @effort(max_examples=200, deadline=None)
 @given(OBJECTS)
 def test_the_digest_is_sha256_over_canonical_json_less_what_is_each_gatekeepers_own(value):
-    text = json.dumps({key: item for key, item in value.items() if key not in OWN}, sort_keys=True,
-                      separators=(",", ":"))
+    text = json.dumps(
+        {key: item for key, item in value.items() if key not in OWN}, sort_keys=True, separators=(",", ":")
+    )
     assert digest(value) == hashlib.sha256(text.encode()).hexdigest()
     assert digest({**value, "myNumber": 7, "locality": "elsewhere"}) == digest(value)
 
@@ -56,8 +76,13 @@
     assert canonical(made.settings) == canonical(shared(after))
 
 
-JSON = st.recursive(SCALARS, lambda inner: st.lists(inner, max_size=3) | st.dictionaries(
-    st.sampled_from(["drop", "set", "rows", "classes", "put", "new", "order", "name"]), inner, max_size=4))
+JSON = st.recursive(
+    SCALARS,
+    lambda inner: st.lists(inner, max_size=3)
+    | st.dictionaries(
+        st.sampled_from(["drop", "set", "rows", "classes", "put", "new", "order", "name"]), inner, max_size=4
+    ),
+)
 
 
 @effort(max_examples=300, deadline=None)
--- a/tests/configuration/test_gatekeepers.py
+++ b/tests/configuration/test_gatekeepers.py
@@ -34,7 +34,8 @@
     async def __aenter__(self):
         await self.service.open(HOST, 0)
         (self.folder / "operator.toml").write_text(
-            f'[configuration]\naddresses = ["{HOST}:{self.service.port}"]\n')
+            f'[configuration]\naddresses = ["{HOST}:{self.service.port}"]\n'
+        )
         return self
 
     async def __aexit__(self, *_):
@@ -51,14 +52,23 @@
     async def start(self, worker=9):
         """A process, up, with a worker at that port; where operators call it."""
         calls = free_port()
-        (self.folder / "config.json").write_text(json.dumps(config(
-            9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}")))
+        (self.folder / "config.json").write_text(
+            json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}"))
+        )
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "benchmarks.configuration.witness", cwd=ROOT,
+            sys.executable,
+            "-m",
+            "benchmarks.configuration.witness",
+            cwd=ROOT,
             stderr=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "BALANCER_CONFIG": str(self.folder / "config.json"),
-                 "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"), "TMPDIR": str(self.folder),
-                 "WITNESS_FILE": str(self.folder / "witness")})
+            env={
+                **os.environ,
+                "BALANCER_CONFIG": str(self.folder / "config.json"),
+                "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"),
+                "TMPDIR": str(self.folder),
+                "WITNESS_FILE": str(self.folder / "witness"),
+            },
+        )
         self.processes.append(process)
         await until_up(self.port)
         return process, calls
@@ -86,6 +96,7 @@
     async def whole():
         async with Machine(tmp_path) as machine:
             await scenario(machine)
+
     run(whole())
 
 
@@ -105,6 +116,7 @@
             pass
         assert "settings.limits.maxAttempts is missing" in await says(calls)
         assert (await says(calls, "CONFIGURATION now")).startswith("-ERR")
+
     on_a_machine(tmp_path, scenario)
 
 
@@ -118,6 +130,7 @@
         machine.service = fresh
         await machine.put(7, published(7))
         await machine.has(process, 7)
+
     on_a_machine(tmp_path, scenario)
 
 
@@ -134,6 +147,7 @@
         await machine.has(process, 4)
         had = machine.put_in_force(process.pid)
         assert had == sorted(had) and set(had) <= {1, 2, 3, 4}
+
     on_a_machine(tmp_path, scenario)
 
 
@@ -146,6 +160,7 @@
         await machine.put(2, published(2))
         again, _ = await machine.start()
         assert machine.put_in_force(again.pid) == [2]
+
     on_a_machine(tmp_path, scenario)
 
 
@@ -167,14 +182,21 @@
         await machine.put(6, published(6))
         await machine.has(again, 6)
         assert machine.put_in_force(again.pid) == [5, 6]
+
     on_a_machine(tmp_path, scenario)
 
 
 def test_without_a_configuration_table_it_is_off_and_not_imported(tmp_path):
-    code = ("import sys; import plumpick.daemon; print([name for name in sys.modules "
-            "if name.startswith(('plumpick.configuration', 'anisefront.configuration', 'plumpick.tools'))])")
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True,
-                          env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)})
+    code = (
+        "import sys; import plumpick.daemon; print([name for name in sys.modules "
+        "if name.startswith(('plumpick.configuration', 'anisefront.configuration', 'plumpick.tools'))])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        capture_output=True,
+        text=True,
+        env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
+    )
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
     async def scenario(machine):
@@ -182,11 +204,13 @@
         process, calls = await machine.start()
         assert (await says(calls)).startswith("-ERR settings are those of the file")
         assert machine.put_in_force(process.pid) == [] and machine.service.calls == 0
+
     on_a_machine(tmp_path, scenario)
 
 
 def test_half_a_tier_on_the_old_program_is_named_and_serves_by_its_file(tmp_path):
     """Two of three numbers: one asks, one runs without [configuration], one is not there at all."""
+
     async def scenario(machine):
         await machine.put(3, published(3))
         (machine.folder / "new").mkdir()
@@ -194,7 +218,8 @@
         async with with_it:
             with_it.service.close()
             (with_it.folder / "operator.toml").write_text(
-                f'[configuration]\naddresses = ["{HOST}:{machine.service.port}"]\n')
+                f'[configuration]\naddresses = ["{HOST}:{machine.service.port}"]\n'
+            )
             (machine.folder / "operator.toml").write_text("")
             new, _ = await with_it.start()
             old, _ = await machine.start()
@@ -207,16 +232,23 @@
             lines, well = summary([shelf.status(shelf.kept[3].came_ms + 6100)])
             assert not well and "2 never heard, by number: 1, 2" in lines
             assert machine.put_in_force(old.pid) == [] and await is_up(machine.port, 5.0)
+
     on_a_machine(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("table, key", [
-    ({}, "configuration.addresses"), ({"addresses": []}, "configuration.addresses"),
-    ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
-    ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
-    ({"addresses": ["here"]}, r"addresses\[0\]"), ({"addresses": [7]}, r"addresses\[0\]"),
-    ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
-    ({"addresses": ["127.0.0.1:1"], "silent": 9}, "configuration.silent: no such key")])
+@pytest.mark.parametrize(
+    "table, key",
+    [
+        ({}, "configuration.addresses"),
+        ({"addresses": []}, "configuration.addresses"),
+        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
+        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
+        ({"addresses": ["here"]}, r"addresses\[0\]"),
+        ({"addresses": [7]}, r"addresses\[0\]"),
+        ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
+        ({"addresses": ["127.0.0.1:1"], "silent": 9}, "configuration.silent: no such key"),
+    ],
+)
 def test_each_key_of_the_table_is_checked_by_name(table, key):
     with pytest.raises(ConfigError, match=key):
         operator_from({"configuration": table}, 3)
@@ -230,6 +262,7 @@
 def test_staff_publish_go_back_and_see_who_has_what(tmp_path, capsys):
     """The tool against two services: a change, a wrong file, the change before, the same again after one
     service forgot everything."""
+
     async def scenario():
         services = [Service(), Service()]
         for one in services:
@@ -242,6 +275,7 @@
         def file(name, value):
             (tmp_path / name).write_text(json.dumps(value))
             return str(tmp_path / name)
+
         whole = config(settings={**published(1), "myNumber": 0})
         assert await tool("publish", file("one.json", whole), "--to", *to, "--in-force-in", "0") == 0
         first = services[0].shelf.newest
@@ -267,6 +301,7 @@
         assert await tool("status", f"{HOST}:1") == 2
         services[0].close()
         forgot.close()
+
     run(scenario())
     said = capsys.readouterr()
     assert "classes[0]" in said.err and "service 2 lacks it: publish the same again" in said.out
@@ -276,13 +311,14 @@
 def test_the_judge_of_trials_sees_each_thing_that_must_never_be():
     known = {1: Published("a", 0.0, 0.0), 2: Published("b", 500.0, 0.0), 3: Published("", 0.0, 0.0)}
     for rows, word in (
-            ([["force", 10, 1, "n0", 2, "b"]], "before its time"),
-            ([["force", 600, 1, "n0", 1, "b"]], "another content"),
-            ([["force", 600, 1, "n0", 3, "c"]], "bad"),
-            ([["force", 600, 1, "n0", 9, "a"]], "never published"),
-            ([["force", 600, 1, "n0", 2, "b"], ["force", 601, 1, "n0", 1, "a"]], "went from version 2 to 1"),
-            ([["took", 1, 1, "n0", 2], ["force", 9, 1, "n0", 1, "a"]], "behind 2"),
-            ([["asked", 10 * turn, 1, "n0", 0] for turn in range(30)], "tight loop")):
+        ([["force", 10, 1, "n0", 2, "b"]], "before its time"),
+        ([["force", 600, 1, "n0", 1, "b"]], "another content"),
+        ([["force", 600, 1, "n0", 3, "c"]], "bad"),
+        ([["force", 600, 1, "n0", 9, "a"]], "never published"),
+        ([["force", 600, 1, "n0", 2, "b"], ["force", 601, 1, "n0", 1, "a"]], "went from version 2 to 1"),
+        ([["took", 1, 1, "n0", 2], ["force", 9, 1, "n0", 1, "a"]], "behind 2"),
+        ([["asked", 10 * turn, 1, "n0", 0] for turn in range(30)], "tight loop"),
+    ):
         assert word in "".join(judge(rows, known)), word
     well = [["force", 1, 1, "n0", 1, "a"], ["force", 500, 1, "n0", 2, "b"], ["force", 600, 2, "n0", 1, "a"]]
     assert judge(well, known) == []
--- a/tests/configuration/test_in_force.py
+++ b/tests/configuration/test_in_force.py
@@ -52,4 +52,5 @@
             assert process.returncode is None
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
+
     run(scenario())
--- a/tests/configuration/test_shelf.py
+++ b/tests/configuration/test_shelf.py
@@ -21,8 +21,17 @@
     assert "another content or time" in shelf.publish(0.0, document(5, published(5), 9.0))
     assert "older" in shelf.publish(0.0, document(4, published(4)))
     assert "digest" in shelf.publish(0.0, {**document(6, published(6)), "digest": "0" * 64})
-    assert "whole" in shelf.publish(0.0, {"version": 6, "digest": "0" * 64, "in_force_ms": 0, "base": 5,
-                                          "base_digest": "0" * 64, "changes": {}})
+    assert "whole" in shelf.publish(
+        0.0,
+        {
+            "version": 6,
+            "digest": "0" * 64,
+            "in_force_ms": 0,
+            "base": 5,
+            "base_digest": "0" * 64,
+            "changes": {},
+        },
+    )
     assert list(shelf.kept) == [5]
 
 
@@ -73,10 +82,17 @@
     lines, well = summary([first.status(now), second.status(now)])
     text = "\n".join(lines)
     assert not well and "version 7" in lines[0]
-    for word in ("service 2 lacks it", "n1 lacks it: has version 6, 7 staged", "n2 lacks it",
-                 "n2 refused version 7: settings.limits", "n3 has not been heard for 7.0 s",
-                 "n4 has version 8, which no service knows", "n5 has version 7 with another content",
-                 "1 never heard, by number: 6", "2 of 7 have it"):
+    for word in (
+        "service 2 lacks it",
+        "n1 lacks it: has version 6, 7 staged",
+        "n2 lacks it",
+        "n2 refused version 7: settings.limits",
+        "n3 has not been heard for 7.0 s",
+        "n4 has version 8, which no service knows",
+        "n5 has version 7 with another content",
+        "1 never heard, by number: 6",
+        "2 of 7 have it",
+    ):
         assert word in text, word
 
 
--- a/tests/configuration/test_source.py
+++ b/tests/configuration/test_source.py
@@ -27,8 +27,15 @@
         self.clock, self.taken, self.wrong = Clock(), [], wrong
         self.changed = asyncio.Event()
         loop = asyncio.get_running_loop()
-        self.source = Source(self.config, tuple(addresses), 30_000.0, self.reconfigure, self.clock,
-                             Timers(loop, self.clock), random.Random(number))
+        self.source = Source(
+            self.config,
+            tuple(addresses),
+            30_000.0,
+            self.reconfigure,
+            self.clock,
+            Timers(loop, self.clock),
+            random.Random(number),
+        )
         self.task = None
 
     def reconfigure(self, news):
@@ -90,6 +97,7 @@
     async def whole():
         async with services(count) as made:
             await scenario(*made)
+
     run(whole())
 
 
@@ -105,6 +113,7 @@
         assert service.bytes_out - sent < 2000  # changes, not 400 classes
         assert keeper.source.versions.in_force.digest == digest(published(2, 400))
         await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -118,13 +127,20 @@
         await keeper.until(1)
         assert keeper.clock.now() >= at_ms
         await keeper.stop()
+
     with_services(1, scenario)
 
 
-@pytest.mark.parametrize("wrong, word", [
-    ({"limits": {"maxAttempts": "three"}}, "maxAttempts"), ({"classes": []}, "classes"),
-    ({"packages": [{"name": 7}]}, "packages[0].name"), ({"rules": None}, "rules"),
-    ({"balancers": 1e999}, "balancers")])
+@pytest.mark.parametrize(
+    "wrong, word",
+    [
+        ({"limits": {"maxAttempts": "three"}}, "maxAttempts"),
+        ({"classes": []}, "classes"),
+        ({"packages": [{"name": 7}]}, "packages[0].name"),
+        ({"rules": None}, "rules"),
+        ({"balancers": 1e999}, "balancers"),
+    ],
+)
 def test_a_bad_version_is_never_in_force_is_told_and_is_not_asked_for_again(wrong, word):
     async def scenario(service):
         keeper = Keeper([place(service)]).start()
@@ -145,6 +161,7 @@
         await put(service, document(3, published(3)))
         await keeper.until(3)
         await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -164,6 +181,7 @@
         await put(service, document(4, published(4)))
         await keeper.until(4)
         await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -179,6 +197,7 @@
             await keeper.until(2)
             assert [news.settings.classes[0].worth for news in keeper.taken] == [2.0]
             await keeper.stop()
+
     with_services(2, scenario)
 
 
@@ -197,15 +216,18 @@
             await keeper.stop()
         lines, well = summary([service.shelf.status(service.now()) for service in (one, other)])
         assert not well and any("version 1 has two contents" in line for line in lines)
+
     with_services(2, scenario)
 
 
 def test_a_publisher_that_dies_between_two_services_is_completed_by_publishing_the_same_again():
     """The one that has it tells its watchers, who switch at its time; the others at the same time as soon as
     they hear of it; before that `status` names them."""
+
     async def scenario(one, other):
-        first, second = (Keeper([place(service)], number).start()
-                         for number, service in enumerate((one, other)))
+        first, second = (
+            Keeper([place(service)], number).start() for number, service in enumerate((one, other))
+        )
         value = {**published(5), "balancers": 2}
         await put(one, document(5, value))
         await first.until(5)
@@ -218,6 +240,7 @@
         assert second.source.versions.in_force.digest == first.source.versions.in_force.digest
         for keeper in (first, second):
             await keeper.stop()
+
     with_services(2, scenario)
 
 
@@ -251,14 +274,28 @@
     return b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(data) + data
 
 
-HOSTILE = [b"nonsense\r\n\r\n", body(b"{"), body(b"[" * 100_000), body([]), body({"version": 9}),
-           body({**document(9, published(9)), "digest": "f" * 64}),
-           b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
-           body(document(9, published(9)))[:-9] + b"x" * 9,
-           body(b'{"version":9,"digest":"' + b"a" * 64 + b'","in_force_ms":NaN,"settings":{}}'),
-           body(b'{"version":9,"digest":"' + b"a" * 64 + b'","in_force_ms":0,"settings":{"x":1e999}}'),
-           body({"version": 9, "digest": "a" * 64, "in_force_ms": 0, "base": 1, "base_digest": "b" * 64,
-                 "changes": {"rows": {"classes": 7}}})]
+HOSTILE = [
+    b"nonsense\r\n\r\n",
+    body(b"{"),
+    body(b"[" * 100_000),
+    body([]),
+    body({"version": 9}),
+    body({**document(9, published(9)), "digest": "f" * 64}),
+    b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n",
+    body(document(9, published(9)))[:-9] + b"x" * 9,
+    body(b'{"version":9,"digest":"' + b"a" * 64 + b'","in_force_ms":NaN,"settings":{}}'),
+    body(b'{"version":9,"digest":"' + b"a" * 64 + b'","in_force_ms":0,"settings":{"x":1e999}}'),
+    body(
+        {
+            "version": 9,
+            "digest": "a" * 64,
+            "in_force_ms": 0,
+            "base": 1,
+            "base_digest": "b" * 64,
+            "changes": {"rows": {"classes": 7}},
+        }
+    ),
+]
 
 
 @pytest.mark.parametrize("place_of", range(len(HOSTILE)))
@@ -272,6 +309,7 @@
             await keeper.until(3)
             assert len(keeper.taken) == 1 and bad.calls.empty()
             await keeper.stop()
+
     with_services(1, scenario)
     assert len([row for row in caplog.records if str(row.args).count("127.0.0.1")]) == 1
 
@@ -292,6 +330,7 @@
             await put(service, document(6, published(6)))
             await keeper.until(6)
             await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -308,6 +347,7 @@
                 await asyncio.sleep(0.002)
             assert len(keeper.taken) == 1 and not keeper.source.versions.refused
             await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -326,6 +366,7 @@
             await put(service, document(5, published(5)))
             await keeper.until(5)
             await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -337,6 +378,7 @@
             await silent.calls.get()
             await keeper.until(2)
             await keeper.stop()
+
     with_services(1, scenario)
 
 
@@ -358,6 +400,7 @@
         await keeper.until(6)
         await keeper.stop()
         fresh.close()
+
     with_services(1, scenario)
 
 
@@ -373,6 +416,7 @@
         await again.until(2)
         assert len(again.taken) == 1
         await again.stop()
+
     with_services(1, scenario)
 
 
@@ -387,11 +431,17 @@
         await after.source.inherit(estate)
         assert after.source.versions.in_force == keeper.source.versions.in_force
         assert after.taken[-1].settings == keeper.taken[-1].settings
-        for wrong in ({**estate, "digest": "0" * 64}, {**estate, "version": 4}, None, {"version": 9},
-                      {**document(9, {"classes": []})}):
+        for wrong in (
+            {**estate, "digest": "0" * 64},
+            {**estate, "version": 4},
+            None,
+            {"version": 9},
+            {**document(9, {"classes": []})},
+        ):
             await after.source.inherit(wrong)
         assert after.source.versions.in_force.version == 5 and len(after.taken) == 1
         assert Keeper([(HOST, 1)]).source.estate() is None  # its own file's: the next one has its own
+
     with_services(1, scenario)
 
 
@@ -412,6 +462,7 @@
         assert [news.settings.classes[0].worth for news in keepers[0].taken] == [1.0, 4.0]
         for keeper in keepers:
             await keeper.stop()
+
     with_services(2, scenario)
 
 
@@ -427,11 +478,14 @@
 
 def test_a_service_refuses_what_it_cannot_use_and_goes_on(caplog):
     async def scenario(service):
-        for data in (b"x\r\n\r\n", b"GET /configuration?since=-1&name=n HTTP/1.1\r\nHost: h\r\n\r\n",
-                     b"GET /configuration HTTP/1.1\r\nHost: h\r\n\r\n",
-                     b"GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n",
-                     b"PUT /configuration HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n{",
-                     b"GET /configuration/versions/9 HTTP/1.1\r\nHost: h\r\n\r\n"):
+        for data in (
+            b"x\r\n\r\n",
+            b"GET /configuration?since=-1&name=n HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"GET /configuration HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n",
+            b"PUT /configuration HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n{",
+            b"GET /configuration/versions/9 HTTP/1.1\r\nHost: h\r\n\r\n",
+        ):
             reader, writer = await asyncio.open_connection(HOST, service.port)
             writer.write(data)
             line = await reader.readline()
@@ -439,4 +493,5 @@
             writer.close()
         assert (await put(service, document(1, published(1))))[0] == 200
         assert plans.TOLD_MS == 6000.0 and len(service.shelf.kept) == 1
+
     with_services(1, scenario)
--- a/tests/configuration/test_versions.py
+++ b/tests/configuration/test_versions.py
@@ -8,8 +8,22 @@
 
 from anisefront.configuration.delta import changes_between, digest
 from anisefront.configuration.versions import (
-    ASK_MS, FIRST_ROUND_MS, GAP_MS, MOST_AHEAD_MS, MOST_REFUSED, MOST_ROUND_MS, NOW_MS, SPARE_MS, STAY,
-    TOLD_MS, WAIT_MS, Content, Unusable, Versions, offer_from, worst_ms,
+    ASK_MS,
+    FIRST_ROUND_MS,
+    GAP_MS,
+    MOST_AHEAD_MS,
+    MOST_REFUSED,
+    MOST_ROUND_MS,
+    NOW_MS,
+    SPARE_MS,
+    STAY,
+    TOLD_MS,
+    WAIT_MS,
+    Content,
+    Unusable,
+    Versions,
+    offer_from,
+    worst_ms,
 )
 
 BAD = 3  # versions that this divides are no settings for a gatekeeper
@@ -17,23 +31,39 @@
 
 def history(count, times):
     """Published versions: (document, settings)."""
-    return [document(number, {**published(number), **({"bad": True} if number % BAD == 0 else {})},
-                     times[number - 1]) for number in range(1, count + 1)]
+    return [
+        document(
+            number, {**published(number), **({"bad": True} if number % BAD == 0 else {})}, times[number - 1]
+        )
+        for number in range(1, count + 1)
+    ]
 
 
 def delta(base, news):
-    return {**{key: value for key, value in news.items() if key != "settings"}, "base": base["version"],
-            "base_digest": base["digest"], "changes": changes_between(base["settings"], news["settings"])}
-
-
-MOVES = st.lists(st.tuples(st.sampled_from(["whole", "delta", "old-base", "torn", "wait", "restart", "liar"]),
-                           st.integers(0, 7), st.integers(0, 7), st.integers(0, 4000)), max_size=40)
+    return {
+        **{key: value for key, value in news.items() if key != "settings"},
+        "base": base["version"],
+        "base_digest": base["digest"],
+        "changes": changes_between(base["settings"], news["settings"]),
+    }
+
+
+MOVES = st.lists(
+    st.tuples(
+        st.sampled_from(["whole", "delta", "old-base", "torn", "wait", "restart", "liar"]),
+        st.integers(0, 7),
+        st.integers(0, 7),
+        st.integers(0, 4000),
+    ),
+    max_size=40,
+)
 
 
 @effort(max_examples=400, deadline=None)
 @given(MOVES, st.lists(st.integers(0, 12_000), min_size=8, max_size=8))
 def test_whatever_comes_in_whatever_order_it_never_goes_back_and_never_holds_what_was_not_published(
-        moves, times):
+    moves, times
+):
     """Offers in any order, doubled, late, of other bases, torn, under numbers of others; restarts."""
     known = history(8, times)
     now, lives = 0.0, [Side(0.0, bad=lambda value: "bad" if value.get("bad") else "")]
@@ -45,8 +75,14 @@
         elif kind == "delta":
             side.offer(now, delta(known[other], news))
         elif kind == "old-base":  # its changes are of another base than it says
-            side.offer(now, {**delta(known[other], news), "base": side.versions.newest.version or 1,
-                             "base_digest": side.versions.newest.digest or known[0]["digest"]})
+            side.offer(
+                now,
+                {
+                    **delta(known[other], news),
+                    "base": side.versions.newest.version or 1,
+                    "base_digest": side.versions.newest.digest or known[0]["digest"],
+                },
+            )
         elif kind == "torn":
             side.offer(now, {**news, "settings": published(99)})
         elif kind == "liar":  # the number is in use
@@ -138,8 +174,10 @@
 
 
 def test_after_changes_of_another_base_or_a_wrong_digest_the_whole_is_asked_for():
-    for wrong in (delta(document(5, published(5)), document(6, published(6))),
-                  {**document(6, published(6)), "digest": "0" * 64}):
+    for wrong in (
+        delta(document(5, published(5)), document(6, published(6))),
+        {**document(6, published(6)), "digest": "0" * 64},
+    ):
         side = Side()
         side.offer(0.0, document(1, published(1)))
         assert side.versions.next(0.0).digest
@@ -150,13 +188,27 @@
         assert side.versions.next(0.0).digest == digest(published(6))
 
 
-@pytest.mark.parametrize("value", [
-    None, [], 7, {}, {"version": 1}, {**document(1, {}), "version": 0}, {**document(1, {}), "version": True},
-    {**document(1, {}), "version": 2.0}, {**document(1, {}), "version": 2**60},
-    {**document(1, {}), "digest": "X" * 64}, {**document(1, {}), "digest": 7},
-    {**document(1, {}), "in_force_ms": float("nan")}, {**document(1, {}), "in_force_ms": "now"},
-    {**document(1, {}), "in_force_ms": True}, {**document(1, {}), "settings": [1]},
-    {**document(1, {}), "settings": None, "changes": {}}])
+@pytest.mark.parametrize(
+    "value",
+    [
+        None,
+        [],
+        7,
+        {},
+        {"version": 1},
+        {**document(1, {}), "version": 0},
+        {**document(1, {}), "version": True},
+        {**document(1, {}), "version": 2.0},
+        {**document(1, {}), "version": 2**60},
+        {**document(1, {}), "digest": "X" * 64},
+        {**document(1, {}), "digest": 7},
+        {**document(1, {}), "in_force_ms": float("nan")},
+        {**document(1, {}), "in_force_ms": "now"},
+        {**document(1, {}), "in_force_ms": True},
+        {**document(1, {}), "settings": [1]},
+        {**document(1, {}), "settings": None, "changes": {}},
+    ],
+)
 def test_an_answer_that_is_no_offer_is_told_from_one(value):
     with pytest.raises(Unusable):
         offer_from(value)
@@ -191,8 +243,10 @@
             plan.failed("down")
         round_ms = min(MOST_ROUND_MS, FIRST_ROUND_MS * 2 ** (fails - 1))
         at = sorted(plan.next(12_345.6).after_ms for plan in plans)
-        tenths = [sum(place <= value < place + round_ms / 10 for value in at)
-                  for place in (round_ms * tenth / 10 for tenth in range(10))]
+        tenths = [
+            sum(place <= value < place + round_ms / 10 for value in at)
+            for place in (round_ms * tenth / 10 for tenth in range(10))
+        ]
         assert max(at) <= round_ms * (1 + 2 / 550) and max(tenths) <= 60
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -27,22 +27,48 @@
 
 def settings(**limits):
     return {
-        "balancers": 3, "myNumber": 0, "locality": "a", "tickMs": 4.0,
+        "balancers": 3,
+        "myNumber": 0,
+        "locality": "a",
+        "tickMs": 4.0,
         "classes": [
             {"name": "look", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"},
-            {"name": "book", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "dedup",
-             "keyScope": "zone", "dedupWindowMs": 9e3},
-            {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"}],
+            {
+                "name": "book",
+                "aimMs": 5e3,
+                "deadlineMs": 2e4,
+                "worth": 1.0,
+                "repeat": "dedup",
+                "keyScope": "zone",
+                "dedupWindowMs": 9e3,
+            },
+            {"name": "debit", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "fragile"},
+        ],
         "packages": [{"name": "basic", "perSecond": 50.0, "storeSize": 100.0}],
-        "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True, "dialTimeoutMs": 250.0,
-                   "connIdleMs": 30000.0, **limits},
+        "limits": {
+            "maxAttempts": 3,
+            "cancel": True,
+            "mayTell": True,
+            "dialTimeoutMs": 250.0,
+            "connIdleMs": 30000.0,
+            **limits,
+        },
         "rules": {"warmUpMs": 9000.0, "coldFrom": 0.2, "fallMultiple": 3.0, "tipAfterMs": 1000.0},
-        "report": {"fields": ["util", "latency_ms"], "how": "answers"}}
+        "report": {"fields": ["util", "latency_ms"], "how": "answers"},
+    }
 
 
 def entry(name, port, status="ready", since_ms=0):
-    return {"name": name, "address": f"{HOST}:{port}", "zone": "a", "type": "m", "group": 0, "status": status,
-            "weight": 1.0, "since_ms": since_ms}
+    return {
+        "name": name,
+        "address": f"{HOST}:{port}",
+        "zone": "a",
+        "type": "m",
+        "group": 0,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": since_ms,
+    }
 
 
 def listing(*entries, index=1, snapshot=True):
@@ -51,9 +77,15 @@
 
 def config(discovery_port=9, listen_port=1, known=(), **more):
     """A configuration in the platform's form."""
-    value = {"name": "n0", "listen": f"{HOST}:{listen_port}", "discovery": f"{HOST}:{discovery_port}",
-             "seed": "8c1f30d27a5be964", "limits": {"sockets": 256}, "known": listing(*known),
-             "settings": settings()}
+    value = {
+        "name": "n0",
+        "listen": f"{HOST}:{listen_port}",
+        "discovery": f"{HOST}:{discovery_port}",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 256},
+        "known": listing(*known),
+        "settings": settings(),
+    }
     value.update(more)
     return value
 
@@ -98,15 +130,15 @@
         self.script = script
         self.keeper = Gatekeeper(config_from(config(**more), {}), asyncio.get_running_loop(), script)
         config_here = self.keeper.config
-        self.front = HttpFront(self.keeper, config_here.settings, config_here.sockets, System().has_ended,
-                               System().is_quiet)
+        self.front = HttpFront(
+            self.keeper, config_here.settings, config_here.sockets, System().has_ended, System().is_quiet
+        )
         self.keeper.add(self.front)
         self.keeper.listed(config_here.known)
         self.server = None
 
     async def __aenter__(self):
-        self.server = await asyncio.get_running_loop().create_server(
-            self.front.connection, HOST, 0)
+        self.server = await asyncio.get_running_loop().create_server(self.front.connection, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.keeper.come_up()
         return self
@@ -118,7 +150,7 @@
         return await Client().open(self.port)
 
 
-_ids = itertools.count(0xaa)
+_ids = itertools.count(0xAA)
 
 
 def request(request_id=None, path="/look", key=None, body=b"", deadline=10_000, extra=""):
@@ -126,10 +158,14 @@
     request_id = f"{next(_ids):016x}" if request_id is None else request_id
     method = "POST" if body or key else "GET"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
-    return (f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\nX-Tier: basic\r\n"
-            f"X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: {deadline}\r\n"
-            f"X-Call-Terms: units=1,spread=2,first=0\r\n{length}"
-            + (f"Idempotency-Key: {key}\r\n" if key else "") + extra + "\r\n").encode() + body
+    return (
+        f"{method} {path} HTTP/1.1\r\nHost: h\r\nX-Request-Id: {request_id}\r\nX-Tier: basic\r\n"
+        f"X-Api-Key: 00000000b4d65521\r\nX-Deadline-Ms: {deadline}\r\n"
+        f"X-Call-Terms: units=1,spread=2,first=0\r\n{length}"
+        + (f"Idempotency-Key: {key}\r\n" if key else "")
+        + extra
+        + "\r\n"
+    ).encode() + body
 
 
 class Message:
@@ -273,9 +309,16 @@
             self.opened.set()
             await self.go.wait()
             return await loop.create_connection(factory, host, port)
-        gate.keeper.workers._loop = type("Loop", (), {
-            "create_task": staticmethod(loop.create_task), "create_connection": staticmethod(slow),
-            "call_soon": staticmethod(loop.call_soon)})
+
+        gate.keeper.workers._loop = type(
+            "Loop",
+            (),
+            {
+                "create_task": staticmethod(loop.create_task),
+                "create_connection": staticmethod(slow),
+                "call_soon": staticmethod(loop.call_soon),
+            },
+        )
 
 
 async def next_is(worker, gate):
@@ -283,7 +326,7 @@
     Several, since what went out on another connection may be read there a little later."""
     client = await gate.client()
     for number in range(5):
-        name = f"{0xff00 + number:016x}"
+        name = f"{0xFF00 + number:016x}"
         client.send(request(name))
         message, writer = await worker.asked()
         while message is None:  # the end of a connection that nothing was written to
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -17,6 +17,7 @@
         async with FakeWorker() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)]) as gate:
                 await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
@@ -28,30 +29,33 @@
 
 def test_an_answer_before_a_close_is_not_erased_by_what_has_not_been_read():
     """Closed over unread bytes a connection is reset; `Connection: close` closed so, at once."""
+
     async def scenario(worker, gate, client):
         client.close()
         plug = Plug(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        one, = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.all if one.request is not None]
         one.transport.pause_reading()  # as if the loop had not come to it
         plug.send(b"GET /lo")
         writer.write(answer())
         assert b"200 OK" in await plug.receive() and await plug.receive() == b""
         plug.close()
+
     one_worker(scenario)
 
 
 @pytest.mark.parametrize("late", [b"GET /look HT", request("00000000000000ee")], ids=["half a line", "whole"])
 def test_what_comes_between_the_look_and_the_close_of_an_idle_connection_is_never_taken(late):
     """Its client reads a clean end and asks anew; it is neither reset nor sent on."""
+
     async def scenario(worker, gate, client):
         client.close()
         plug = Plug(gate.port)
         plug.send(request())
         _, writer = await worker.asked()
         writer.write(answer())
-        one, = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.all if one.request is not None]
         assert b"200 OK" in await plug.receive()
         look = gate.front.looks_quiet
 
@@ -60,6 +64,7 @@
             plug.send(late)
             assert quiet and not look(transport)  # it is there before the loop turns
             return quiet
+
         gate.front.looks_quiet = look_and_then
         one.close_if_idle()
         gate.front.looks_quiet = look
@@ -67,6 +72,7 @@
         plug.close()
         await next_is(worker, gate)
         assert not gate.keeper.open
+
     one_worker(scenario)
 
 
@@ -85,17 +91,19 @@
         while gate.front.admission:
             await asyncio.sleep(0)
         await next_is(worker, gate)
+
     one_worker(scenario)
 
 
 def test_a_client_that_reads_slowly_gets_all_of_the_answer_before_its_connection_closes():
     """Seen by reading: whatever was not written 1 s after the answer's end was cut off."""
+
     async def scenario(worker, gate, client):
         client.close()
         plug = Plug(gate.port, room=4096)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        one, = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.all if one.request is not None]
         small(one)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
@@ -110,6 +118,7 @@
         head, _, got = b"".join(parts).partition(b"\r\n\r\n")
         assert b"200 OK" in head and got == body
         plug.close()
+
     one_worker(scenario)
 
 
@@ -127,6 +136,7 @@
             self.dropped = True
 
     from plumpick.fronts.http.admission import SWEEP_MS, UNREAD_AT_END_MS, UNREAD_MS, Admission
+
     for ending, bound in ((False, UNREAD_MS), (True, UNREAD_AT_END_MS)):
         stuck, admission = Stuck(), Admission(256, 0.0)
         admission.all[stuck] = None
@@ -141,6 +151,7 @@
 
 def test_connections_that_the_system_has_accepted_are_served_when_the_listener_closes():
     """They wait in the listener's backlog, unseen by us; closed with it they are reset."""
+
     async def scenario():
         loop = asyncio.get_running_loop()
         async with FakeWorker() as worker:
@@ -161,17 +172,19 @@
                     one.close()
                 with pytest.raises(ConnectionRefusedError):
                     socket.create_connection(address)
+
     run(scenario())
 
 
 def test_a_connection_whose_answer_is_not_written_out_is_not_given_to_the_next_process():
     """What is not with the system yet does not pass over with the descriptor."""
+
     async def scenario(worker, gate, client):
         client.close()
         plug, given = Plug(gate.port, room=4096), []
         plug.send(request())
         _, writer = await worker.asked()
-        one, = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.all if one.request is not None]
         small(one)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
@@ -186,6 +199,7 @@
         gate.front.give_idle(given.append)
         assert given == [one.transport]
         plug.close()
+
     one_worker(scenario)
 
 
--- a/tests/quota_rig.py
+++ b/tests/quota_rig.py
@@ -38,8 +38,9 @@
 class Rig:
     """`way(sender, receiver, now)` says how long a message takes, None for lost."""
 
-    def __init__(self, rate=8.0, burst=16.0, gateways=4, seed=1, way=lambda *_: 5.0, inbox=60.0, ceiling=0.0,
-                 spread=4):
+    def __init__(
+        self, rate=8.0, burst=16.0, gateways=4, seed=1, way=lambda *_: 5.0, inbox=60.0, ceiling=0.0, spread=4
+    ):
         self.plan = Plan("basico", rate, burst, ceiling_per_s=ceiling * rate, ceiling_burst=ceiling * burst)
         self.way, self.inbox, self.gateways, self.spread = way, inbox, gateways, spread
         self.rng = random.Random(seed)
@@ -57,10 +58,21 @@
 
     def settings(self, number):
         return Settings(
-            gateways=self.gateways, number=number, zone="a", classes=CLASSES, plans=(self.plan,),
-            warm_up_ms=1, cold_from=0.25, fall_multiple=2.5, fall_window_ms=1000, max_attempts=5,
+            gateways=self.gateways,
+            number=number,
+            zone="a",
+            classes=CLASSES,
+            plans=(self.plan,),
+            warm_up_ms=1,
+            cold_from=0.25,
+            fall_multiple=2.5,
+            fall_window_ms=1000,
+            max_attempts=5,
             tick_ms=TICK_MS,
-            may_tell=True, max_retry_after_ms=1000, inbox_per_s=self.inbox)
+            may_tell=True,
+            max_retry_after_ms=1000,
+            inbox_per_s=self.inbox,
+        )
 
     # -- what happens
 
@@ -112,8 +124,15 @@
                 self.messages[number, other, int(self.now // 1000)] += 1
                 self.told.append((self.now, number, other, self.modules[number].codec.decode(action.data)))
                 if takes is not None:
-                    self.at(self.now + takes, self.arrives, number, self.life[number], other,
-                            self.life[other], Heard(number, action.data))
+                    self.at(
+                        self.now + takes,
+                        self.arrives,
+                        number,
+                        self.life[number],
+                        other,
+                        self.life[other],
+                        Heard(number, action.data),
+                    )
 
     def arrives(self, sender, sender_life, number, life, event):
         if not self.dies_with_sender or sender_life == self.life[sender]:
@@ -125,9 +144,20 @@
         return place_of(tag_of(firm), min(self.spread, self.gateways))
 
     def ask(self, number, firm="f"):
-        self.notice(number, self.life[number], Arrival(
-            next(self.ids), firm, "seat-check", "basico", self.now + 2000, 1.0, 0,
-            min(self.spread, self.gateways)))
+        self.notice(
+            number,
+            self.life[number],
+            Arrival(
+                next(self.ids),
+                firm,
+                "seat-check",
+                "basico",
+                self.now + 2000,
+                1.0,
+                0,
+                min(self.spread, self.gateways),
+            ),
+        )
 
     def crowd(self, gates, rate, from_ms, until_ms, firm="f"):
         """Poisson arrivals, at any of these gateways that is up; `rate` a second over all of them."""
@@ -144,8 +174,13 @@
 
     def grants(self, sender, from_ms):
         """What a gateway granted since then, as it was told."""
-        return [item for t, number, _, news in self.told if number == sender and t >= from_ms
-                for item in news.items if item.kind is Kind.GRANT]
+        return [
+            item
+            for t, number, _, news in self.told
+            if number == sender and t >= from_ms
+            for item in news.items
+            if item.kind is Kind.GRANT
+        ]
 
     # -- what came of it
 
@@ -164,7 +199,9 @@
 
 def cut(side, from_ms, until_ms, *, out=True, into=True, takes=5.0):
     """A way on which those on one side do not hear the others (`into`), or are not heard (`out`)."""
+
     def way(sender, receiver, now):
         apart = (sender in side) != (receiver in side) and (out if sender in side else into)
         return None if apart and from_ms <= now < until_ms else takes
+
     return way
--- a/tests/rehearsal/test_runs.py
+++ b/tests/rehearsal/test_runs.py
@@ -332,10 +332,16 @@
     late = t + wait + 60
     kept = [line for line in lines if name not in line and json.loads(line)[1] < late - 1]
     kept.insert(next(n for n, line in enumerate(kept) if json.loads(line)[1] >= t), asked)
-    kept += [json.dumps(["Lag", late - 1, 90.0]), json.dumps(["Answered", late, name, 502, -1, "", 0.0]),
-             json.dumps(["Ended", late + 1, 1.0, 90.0])]
-    kept = [line for line in kept if not line.startswith(('["Took"', '["Ran"', '["Replied"', '["Answered"'))
-            or name in line]
+    kept += [
+        json.dumps(["Lag", late - 1, 90.0]),
+        json.dumps(["Answered", late, name, 502, -1, "", 0.0]),
+        json.dumps(["Ended", late + 1, 1.0, 90.0]),
+    ]
+    kept = [
+        line
+        for line in kept
+        if not line.startswith(('["Took"', '["Ran"', '["Replied"', '["Answered"')) or name in line
+    ]
     slow.write_text("\n".join(kept) + "\n")
     done = plumpick("audit", slow)
     assert done.returncode == 3 and "stood still" in done.stderr and "no-request-lost  broken" in done.stdout
--- a/tests/same_actions.py
+++ b/tests/same_actions.py
@@ -32,9 +32,12 @@
             return actions
 
     for failure, load, gateways in (
-            (rig.Failure(), 0.6, 3), (rig.Failure("swallow", "everywhere", 0.1), 1.0, 3),
-            (rig.Failure("release", "everywhere", 0.2), 0.8, 4),
-            (rig.Failure("fast-error", "server"), 1.2, 2), (rig.Failure("liar", "hall"), 0.6, 8)):
+        (rig.Failure(), 0.6, 3),
+        (rig.Failure("swallow", "everywhere", 0.1), 1.0, 3),
+        (rig.Failure("release", "everywhere", 0.2), 0.8, 4),
+        (rig.Failure("fast-error", "server"), 1.2, 2),
+        (rig.Failure("liar", "hall"), 0.6, 8),
+    ):
         rig.World(Told, failure, load, gateways, 9, 3, min(3, gateways)).play()
 
     worlds, text = (text.hexdigest(), faults), hashlib.sha256()
@@ -42,21 +45,42 @@
     own = rig.World(Told, rig.Failure(), 0.5, 3, 3, 1).gateways[0].rule
     good = own.controller.codec.encode(3, 1.0, [Item(Kind.ASK, 7, 1, 1.0, 2.0, 0, 0, 3)], [])
     hostile = [
-        one, one, replace(one, id=2, due_ms=math.nan), replace(one, id=3, units=math.nan),
-        replace(one, id=4, units="x"), replace(one, id=5, customer=None), replace(one, id=6, spread=0),
-        replace(one, id=7, spread=-3, first_gateway=99), replace(one, id=8, class_name=None),
-        replace(one, id=9, plan_name=7), replace(one, id="ten"), replace(one, id=11, due_ms="soon"),
-        replace(one, id=12, due_ms=math.inf), replace(one, id=13, units=-1.0),
+        one,
+        one,
+        replace(one, id=2, due_ms=math.nan),
+        replace(one, id=3, units=math.nan),
+        replace(one, id=4, units="x"),
+        replace(one, id=5, customer=None),
+        replace(one, id=6, spread=0),
+        replace(one, id=7, spread=-3, first_gateway=99),
+        replace(one, id=8, class_name=None),
+        replace(one, id=9, plan_name=7),
+        replace(one, id="ten"),
+        replace(one, id=11, due_ms="soon"),
+        replace(one, id=12, due_ms=math.inf),
+        replace(one, id=13, units=-1.0),
         replace(one, id=14, units=1e300),
-        replace(one, id=15, first_gateway="a"), replace(one, id=16, is_repeat=None),
+        replace(one, id=15, first_gateway="a"),
+        replace(one, id=16, is_repeat=None),
         Fleet((Server("s0", "hall-a", 0, rig.State.READY), Server("s0", "hall-b", 1, rig.State.READY))),
-        Fleet((Server("s1", "hall-a", 0, "ready"),)), Fleet(None),
+        Fleet((Server("s1", "hall-a", 0, "ready"),)),
+        Fleet(None),
         Fleet((Server("s2", None, "x", None, "w", None),)),
-        Outcome(1, 0, "s0", math.nan, Result.OK, True), Outcome(1, 0, "s0", "late", Result.OK, True),
-        Outcome(99, 0, "s0", 1.0, Result.OK, True), Outcome(1, "0", "s0", 1.0, None, True, load=("a",)),
-        Outcome(12, 0, "s0", 5.0, Result.OK, True, load=(math.nan, math.inf)), Heard(1, good),
-        Heard(1, b"\xff"), Heard(-1, good), Heard("one", good), Heard(1, None), Heard(1, "text"),
-        Woken("agenda"), None, 7, object,
+        Outcome(1, 0, "s0", math.nan, Result.OK, True),
+        Outcome(1, 0, "s0", "late", Result.OK, True),
+        Outcome(99, 0, "s0", 1.0, Result.OK, True),
+        Outcome(1, "0", "s0", 1.0, None, True, load=("a",)),
+        Outcome(12, 0, "s0", 5.0, Result.OK, True, load=(math.nan, math.inf)),
+        Heard(1, good),
+        Heard(1, b"\xff"),
+        Heard(-1, good),
+        Heard("one", good),
+        Heard(1, None),
+        Heard(1, "text"),
+        Woken("agenda"),
+        None,
+        7,
+        object,
     ]
     for place, event in enumerate(hostile):
         own.handle(1000.0 + 4 * place, [event])
--- a/tests/scale/test_brief.py
+++ b/tests/scale/test_brief.py
@@ -38,8 +38,10 @@
 
 class TellsLong(Planted):
     def handle(self, now, events):
-        return [replace(action, data=action.data + bytes(257)) if isinstance(action, Tell) else action
-                for action in self.inner.handle(now, events)]
+        return [
+            replace(action, data=action.data + bytes(257)) if isinstance(action, Tell) else action
+            for action in self.inner.handle(now, events)
+        ]
 
 
 class CrowdsTheCold(Planted):
@@ -47,30 +49,40 @@
 
     def handle(self, now, events):
         actions = self.inner.handle(now, events)
-        cold = max((backend.entry for backend in self.inner.servers.known.values()),
-                   key=lambda entry: entry.started_ms, default=None)
-        return [replace(action, server=cold.id) if isinstance(action, Send) and cold.started_ms else action
-                for action in actions]
+        cold = max(
+            (backend.entry for backend in self.inner.servers.known.values()),
+            key=lambda entry: entry.started_ms,
+            default=None,
+        )
+        return [
+            replace(action, server=cold.id) if isinstance(action, Send) and cold.started_ms else action
+            for action in actions
+        ]
 
 
 class SendsTwice(Planted):
     def handle(self, now, events):
-        return [action for one in self.inner.handle(now, events)
-                for action in ((one, one) if isinstance(one, Send) else (one,))]
+        return [
+            action
+            for one in self.inner.handle(now, events)
+            for action in ((one, one) if isinstance(one, Send) else (one,))
+        ]
 
 
 class RefusesSome(Planted):
     def handle(self, now, events):
         refused = [event for event in events if isinstance(event, Arrival) and event.id % 3 == 0]
         return [Refuse(event.id) for event in refused] + self.inner.handle(
-            now, [event for event in events if event not in refused])
+            now, [event for event in events if event not in refused]
+        )
 
 
 class RefusesAll(Planted):
     def handle(self, now, events):
         refused = [event for event in events if isinstance(event, Arrival)]
         return [Refuse(event.id) for event in refused] + self.inner.handle(
-            now, [event for event in events if event not in refused])
+            now, [event for event in events if event not in refused]
+        )
 
 
 class KnowsNoQuota(Planted):
@@ -81,8 +93,9 @@
 
 class HearsNoChange(Planted):
     def handle(self, now, events):
-        return self.inner.handle(now, [event for event in events
-                                       if not isinstance(event, Fleet) or event.complete])
+        return self.inner.handle(
+            now, [event for event in events if not isinstance(event, Fleet) or event.complete]
+        )
 
 
 LIVES = itertools.count()
@@ -119,10 +132,19 @@
 
 
 TIER_PLANTS = [
-    (TellsNothing, "words_per_try"), (TellsTwice, "words_per_try"), (TellsNothing, "word_bytes"),
-    (TellsLong, "word_bytes_most"), (TellsLong, "word_bytes"), (TellsTwice, "crowded_part"),
-    (CrowdsTheCold, "cold_sum"), (RefusesAll, "cold_sends"), (SendsTwice, "attempts_per_served"),
-    (RefusesSome, "served_inside_part"), (KnowsNoQuota, "beyond_part"), (HearsNoChange, "lacking")]
+    (TellsNothing, "words_per_try"),
+    (TellsTwice, "words_per_try"),
+    (TellsNothing, "word_bytes"),
+    (TellsLong, "word_bytes_most"),
+    (TellsLong, "word_bytes"),
+    (TellsTwice, "crowded_part"),
+    (CrowdsTheCold, "cold_sum"),
+    (RefusesAll, "cold_sends"),
+    (SendsTwice, "attempts_per_served"),
+    (RefusesSome, "served_inside_part"),
+    (KnowsNoQuota, "beyond_part"),
+    (HearsNoChange, "lacking"),
+]
 
 
 @pytest.mark.parametrize("plant, bound", TIER_PLANTS)
@@ -139,7 +161,9 @@
 
 def test_every_bound_on_a_tier_has_a_plant():
     assert {name for bands in brief.BANDS.values() for name in bands} == {
-        "told_ms", *(bound for _, bound in TIER_PLANTS)}
+        "told_ms",
+        *(bound for _, bound in TIER_PLANTS),
+    }
 
 
 def test_a_run_that_is_not_of_its_seed_alone_is_found():
--- a/tests/scale/test_commands.py
+++ b/tests/scale/test_commands.py
@@ -11,17 +11,26 @@
 from benchmarks.scale.points import Point
 
 
-@pytest.mark.parametrize("words, says", [
-    ("--workers 0", "--workers: 0 is not between"), ("--rate -1", "--rate: -1 is not between"),
-    ("--rate nan", "--rate: nan is not between"), ("--gatekeepers 40 --spread 50", "--spread: a set of 50"),
-    ("--axes rate,services", "--axes: there is no axis 'services'"), ("--jobs 0", "--jobs: 0 is not"),
-    ("--limit-s 1e9", "--limit-s: 1e+09 is not"), ("--fault-seeds 0", "--fault-seeds: 0 is not"),
-    ("--faults flood", "--faults: there is no fault 'flood'"),
-    ("--real-faults flood", "--real-faults: there is no fault 'flood'"),
-    ("--real 3,x", "--real: 'x' is no size"),
-    ("--real 300", "--real: '300' is no size"), ("--out /dev/null/x", "--out: "),
-    ("--nonsense", "--nonsense"),
-    ("--firms many", "--firms")])
+@pytest.mark.parametrize(
+    "words, says",
+    [
+        ("--workers 0", "--workers: 0 is not between"),
+        ("--rate -1", "--rate: -1 is not between"),
+        ("--rate nan", "--rate: nan is not between"),
+        ("--gatekeepers 40 --spread 50", "--spread: a set of 50"),
+        ("--axes rate,services", "--axes: there is no axis 'services'"),
+        ("--jobs 0", "--jobs: 0 is not"),
+        ("--limit-s 1e9", "--limit-s: 1e+09 is not"),
+        ("--fault-seeds 0", "--fault-seeds: 0 is not"),
+        ("--faults flood", "--faults: there is no fault 'flood'"),
+        ("--real-faults flood", "--real-faults: there is no fault 'flood'"),
+        ("--real 3,x", "--real: 'x' is no size"),
+        ("--real 300", "--real: '300' is no size"),
+        ("--out /dev/null/x", "--out: "),
+        ("--nonsense", "--nonsense"),
+        ("--firms many", "--firms"),
+    ],
+)
 def test_a_bad_call_is_one_line_that_names_the_flag(capsys, words, says):
     with pytest.raises(SystemExit) as ended:
         main(words.split())
@@ -31,20 +40,62 @@
 
 
 def test_one_point_is_played_and_written(capsys, tmp_path):
-    assert main(["--gatekeepers", "3", "--workers", "10", "--firms", "50", "--rate", "20", "--spread", "3",
-                 "--out", str(tmp_path), "--seed", "5", "--jobs", "1"]) == 0
+    assert (
+        main(
+            [
+                "--gatekeepers",
+                "3",
+                "--workers",
+                "10",
+                "--firms",
+                "50",
+                "--rate",
+                "20",
+                "--spread",
+                "3",
+                "--out",
+                str(tmp_path),
+                "--seed",
+                "5",
+                "--jobs",
+                "1",
+            ]
+        )
+        == 0
+    )
     out = capsys.readouterr().out
     assert out.startswith("seed 5\n") and "| one | 0 |" in out
     result = json.loads((tmp_path / "result.json").read_text())
-    row, = result["points"]
+    (row,) = result["points"]
     assert row["point"]["workers"] == 10 and row["seed"] == result["seed"] == 5 and row["sampled"] == "all"
     assert not row["cut"] and row["ratios"]["cold_sum"] <= 1 and row["counts"]["tries"] > 50
     assert result["services"].startswith("no mechanism")
 
 
 def test_what_an_earlier_result_has_played_is_not_played_again(capsys, tmp_path):
-    words = ["--axes", "", "--faults", "", "--real", "", "--real-faults", "", "--gatekeepers", "3",
-             "--workers", "10", "--firms", "50", "--rate", "20", "--spread", "3", "--jobs", "1", "--out"]
+    words = [
+        "--axes",
+        "",
+        "--faults",
+        "",
+        "--real",
+        "",
+        "--real-faults",
+        "",
+        "--gatekeepers",
+        "3",
+        "--workers",
+        "10",
+        "--firms",
+        "50",
+        "--rate",
+        "20",
+        "--spread",
+        "3",
+        "--jobs",
+        "1",
+        "--out",
+    ]
     assert main([*words, str(tmp_path / "a")]) == 0
     file = tmp_path / "a/result.json"
     first = json.loads(file.read_text())
@@ -75,10 +126,14 @@
 
 
 def test_the_chart_is_drawn(tmp_path):
-    rows = [{"axis": "rate", "value": value, "ratios": {"cold_sum": 0.2 * value, "told_ms": 0.0}}
-            for value in (70, 273)]
-    result = {"points": [*rows, {"axis": "firms", "value": 100, "failed": "x"}], "base": asdict(Point()),
-              "seed": 1}
+    rows = [
+        {"axis": "rate", "value": value, "ratios": {"cold_sum": 0.2 * value, "told_ms": 0.0}}
+        for value in (70, 273)
+    ]
+    result = {
+        "points": [*rows, {"axis": "firms", "value": 100, "failed": "x"}],
+        "base": asdict(Point()),
+        "seed": 1,
+    }
     chart.draw(result, tmp_path / "chart.png")
     assert (tmp_path / "chart.png").read_bytes().startswith(b"\x89PNG")
-
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -31,8 +31,10 @@
 
 
 def test_a_part_of_a_tier_shows_what_the_whole_one_does():
-    whole, one = (play(point, 1, settle_s=2.0, counted_s=4.0, changing_s=1.0)["figures"]
-                  for point in (Point(22, 100, 2200, 3, 40.0, 3), Point(40, 182, 4000, 3, 40.0, 3)))
+    whole, one = (
+        play(point, 1, settle_s=2.0, counted_s=4.0, changing_s=1.0)["figures"]
+        for point in (Point(22, 100, 2200, 3, 40.0, 3), Point(40, 182, 4000, 3, 40.0, 3))
+    )
     assert part_of(Point(40, 182, 4000, 3, 40.0, 3)).how(40).startswith("16 of 40")
     for name in ("words_come_per_s", "word_bytes", "words_per_try", "served_inside_part"):
         assert one[name] == pytest.approx(whole[name], rel=0.15), name
@@ -54,9 +56,13 @@
 
 
 def test_points_that_cannot_be_played_name_their_flag():
-    for point, flag in ((Point(workers=0), "--workers"), (Point(rate=-1.0), "--rate"),
-                        (Point(rate=math.nan), "--rate"), (Point(classes=1 << 20), "--classes"),
-                        (Point(3, spread=4), "--spread")):
+    for point, flag in (
+        (Point(workers=0), "--workers"),
+        (Point(rate=-1.0), "--rate"),
+        (Point(rate=math.nan), "--rate"),
+        (Point(classes=1 << 20), "--classes"),
+        (Point(3, spread=4), "--spread"),
+    ):
         with pytest.raises(PointError, match=f"^{flag}: "):
             check(point)
     with pytest.raises(PointError, match="no axis 'services'"):
@@ -67,9 +73,16 @@
 def test_where_a_limit_is_first_passed():
     def row(axis, value, words):
         return {"axis": axis, "value": value, "figures": {"words_come_per_s": words}}
+
     limit = LIMITS["words_come_per_s"]
-    assert passed_at([row("rate", 70, limit), row("rate", 273, limit + 1), row("rate", 1000, limit + 2),
-                      row("firms", 100, 1)]) == {"words_come_per_s": {"rate": 273}}
+    assert passed_at(
+        [
+            row("rate", 70, limit),
+            row("rate", 273, limit + 1),
+            row("rate", 1000, limit + 2),
+            row("firms", 100, 1),
+        ]
+    ) == {"words_come_per_s": {"rate": 273}}
 
 
 def test_a_run_ends_by_the_wall_clock_and_by_what_is_open(monkeypatch):
@@ -88,6 +101,7 @@
         faults.FAULTS[name].script(one)
         one.run([(SETTLE, faults.SETTLE_S + 1.0 + faults.FOR_MS / 2000)])  # half way
         return one
+
     calm, zone, regions = tier("calm"), tier("zone"), tier("regions")
     assert not calm.gone and all(gate.life == 1 for gate in calm.gates.values())
     assert len(zone.gone) == 4 and sum(gate.down for gate in zone.gates.values()) == 2
@@ -147,13 +161,21 @@
 
     def asked(t, request, firm):
         return Asked(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
+
     for record in (
-            Passed(999.0, "n0", "n1", 50, "delivered"), Passed(1000.0, "n0", "n1", 40, "delivered"),
-            Passed(1100.0, "n0", "n1", 60, "lost"), Passed(1200.0, "n0", "n1", 20, "crowded out"),
-            asked(1300.0, "a", "f"), Took(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
-            Replied(1350.0, 7, 200, False, 30.0), Answered(1360.0, "a", 200, 7, "a", 0.0),
-            Had(1365.0, "n0", "w", 2, "ready"), Told(1372.5, "n0", "w", 2, "ready"),
-            asked(1400.0, "b", "heavy"), Answered(1401.0, "b", 429, -1, "b", 0.0)):
+        Passed(999.0, "n0", "n1", 50, "delivered"),
+        Passed(1000.0, "n0", "n1", 40, "delivered"),
+        Passed(1100.0, "n0", "n1", 60, "lost"),
+        Passed(1200.0, "n0", "n1", 20, "crowded out"),
+        asked(1300.0, "a", "f"),
+        Took(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
+        Replied(1350.0, 7, 200, False, 30.0),
+        Answered(1360.0, "a", 200, 7, "a", 0.0),
+        Had(1365.0, "n0", "w", 2, "ready"),
+        Told(1372.5, "n0", "w", 2, "ready"),
+        asked(1400.0, "b", "heavy"),
+        Answered(1401.0, "b", 429, -1, "b", 0.0),
+    ):
         watch.feed(record)
     figures = watch.figures(1, 1.0)
     assert [figures[f"words_{name}_per_s"] for name in ("told", "come", "taken")] == [3, 2, 1]
--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -30,10 +30,18 @@
 
 def digests(hash_seed, seeds):
     """The digests of seeds, from a process of its own."""
-    code = ("import sys; from plumpick.simulation.faults import case_of; from plumpick.simulation.world "
-            "import play\nfor seed in map(int, sys.argv[1:]): print(play(case_of(seed, 12.0)).digest)")
-    done = subprocess.run([sys.executable, "-c", code, *map(str, seeds)], cwd=ROOT, check=True, text=True,
-                          capture_output=True, env={**os.environ, "PYTHONHASHSEED": hash_seed})
+    code = (
+        "import sys; from plumpick.simulation.faults import case_of; from plumpick.simulation.world "
+        "import play\nfor seed in map(int, sys.argv[1:]): print(play(case_of(seed, 12.0)).digest)"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code, *map(str, seeds)],
+        cwd=ROOT,
+        check=True,
+        text=True,
+        capture_output=True,
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
+    )
     return done.stdout.split()
 
 
@@ -54,7 +62,8 @@
             super().__init__(case, **more)
             right = self.network.soon
             self.network.soon = lambda label="n": (
-                right(label) + (chance.random() / 1000 if self.machine.now > 1.5 else 0))
+                right(label) + (chance.random() / 1000 if self.machine.now > 1.5 else 0)
+            )
 
     parted = difference(Case(1, seconds=2.0), Leaky)
     assert parted is not None and parted.step > 100 and parted.first != parted.second
@@ -74,8 +83,11 @@
     saved = case_from(json.dumps(FOUND_BY[name]))
     assert not play(saved).failed
     with planted(name):
-        for case in [saved, *(replace(saved, seed=seed) for seed in range(100, 112)),
-                     *map(case_of, range(1, WITHIN + 1))]:
+        for case in [
+            saved,
+            *(replace(saved, seed=seed) for seed in range(100, 112)),
+            *map(case_of, range(1, WITHIN + 1)),
+        ]:
             result = play(case)
             if result.failed:
                 break
@@ -106,6 +118,7 @@
 
 # -- hard cases
 
+
 def reached(case, *names):
     """The rules hold with each of a few seeds, and together they reach these states."""
     missed = set(names)
@@ -120,26 +133,41 @@
 
 def test_a_retry_through_a_second_gatekeeper_while_the_first_answer_is_in_flight():
     """Both may have run: a debit has one effect, and no answer is given for the other."""
-    faults = (Fault("server-fault", 2.0, 8.0, {"fault": "slow-after-record", "count": 0, "share": 0.5,
-                                               "by_ms": 1800.0}),
-              Fault("kill", 5.0, 0.0, {"gate": 0, "back_s": 1.0}))
+    faults = (
+        Fault(
+            "server-fault",
+            2.0,
+            8.0,
+            {"fault": "slow-after-record", "count": 0, "share": 0.5, "by_ms": 1800.0},
+        ),
+        Fault("kill", 5.0, 0.0, {"gate": 0, "back_s": 1.0}),
+    )
     reached(Case(2, seconds=14.0, impatient=0.8, load=0.3, faults=faults), *FROM_RECORDS[:2])
 
 
 def test_a_message_lost_just_before_a_restart_with_a_drain_and_a_silent_roster():
     """Units granted are not granted again beyond the ceiling's slack; drains are kept all the same."""
-    faults = (Fault("hot-firm", 2.0, 9.0, {"plan": "amplio", "times": 5.0}),
-              Fault("datagrams", 2.0, 9.0, {"loss": 0.4, "twice": 0.2, "late_ms": 100.0}),
-              Fault("release", 2.0, 3.0, {"share": 0.5}),
-              Fault("roster-silent", 5.0, 4.0, {}),
-              Fault("server-fault", 2.0, 6.0, {"fault": "slow-after-record", "count": 0, "share": 0.3,
-                                               "by_ms": 1500.0}),
-              Fault("kill", 4.0, 0.0, {"gate": 0, "back_s": 0.6}),
-              Fault("kill", 5.5, 0.0, {"gate": 1, "back_s": 0.6}),
-              Fault("kill", 7.0, 0.0, {"gate": 2, "back_s": 0.6}))
-    reached(Case(4, seconds=13.0, load=0.5, faults=faults), FROM_RECORDS[2],
-            "word of a drain came while an attempt was at that server",
-            "a gatekeeper came back while the roster was silent")
+    faults = (
+        Fault("hot-firm", 2.0, 9.0, {"plan": "amplio", "times": 5.0}),
+        Fault("datagrams", 2.0, 9.0, {"loss": 0.4, "twice": 0.2, "late_ms": 100.0}),
+        Fault("release", 2.0, 3.0, {"share": 0.5}),
+        Fault("roster-silent", 5.0, 4.0, {}),
+        Fault(
+            "server-fault",
+            2.0,
+            6.0,
+            {"fault": "slow-after-record", "count": 0, "share": 0.3, "by_ms": 1500.0},
+        ),
+        Fault("kill", 4.0, 0.0, {"gate": 0, "back_s": 0.6}),
+        Fault("kill", 5.5, 0.0, {"gate": 1, "back_s": 0.6}),
+        Fault("kill", 7.0, 0.0, {"gate": 2, "back_s": 0.6}),
+    )
+    reached(
+        Case(4, seconds=13.0, load=0.5, faults=faults),
+        FROM_RECORDS[2],
+        "word of a drain came while an attempt was at that server",
+        "a gatekeeper came back while the roster was silent",
+    )
 
 
 def test_a_request_that_came_during_a_stall_is_not_lost_by_the_sweep_after_it():
@@ -161,14 +189,17 @@
 
 # -- the command
 
+
 def test_the_command_plays_seeds_counts_marks_and_saves_what_fails(tmp_path, capsys):
-    assert cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "2",
-                     "--out", str(tmp_path)]) == 0
+    assert (
+        cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "2", "--out", str(tmp_path)]) == 0
+    )
     printed = capsys.readouterr().out
     assert "4 seeds" in printed and "0 failed" in printed and MARKS[0] in printed
     first = json.loads((tmp_path / "summary.json").read_text())["digests"]
-    assert cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "1",
-                     "--out", str(tmp_path)]) == 0
+    assert (
+        cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "1", "--out", str(tmp_path)]) == 0
+    )
     assert json.loads((tmp_path / "summary.json").read_text())["digests"] == first
 
 
@@ -176,8 +207,22 @@
     """Of a seed that bends no time: what `simulate` excuses for that, a file of records cannot."""
     history = tmp_path / "history.jsonl"
     seed = next(n for n in range(1, 100) if not any(fault.kind in BENDS for fault in case_of(n, 6.0).faults))
-    assert cli.main(["simulate", "--seed", str(seed), "--seconds", "6", "--history", str(history),
-                     "--out", str(tmp_path)]) == 0
+    assert (
+        cli.main(
+            [
+                "simulate",
+                "--seed",
+                str(seed),
+                "--seconds",
+                "6",
+                "--history",
+                str(history),
+                "--out",
+                str(tmp_path),
+            ]
+        )
+        == 0
+    )
     assert "all rules held" in capsys.readouterr().out
     assert cli.main(["audit", str(history)]) == 0
     assert cli.main(["simulate", "--replay", str(tmp_path / f"case-{seed}.json")]) == 0
@@ -189,8 +234,10 @@
 def test_a_failing_seed_ends_with_1_and_is_shrunk(tmp_path, capsys):
     """Whichever seed it is: which of them meet the bug changes with the program's ways."""
     with planted("anywhere"):
-        assert 1 in (cli.main(["simulate", "--seed", str(seed), "--seconds", "14", "--shrink"])
-                     for seed in range(1, 30))
+        assert 1 in (
+            cli.main(["simulate", "--seed", str(seed), "--seconds", "14", "--shrink"])
+            for seed in range(1, 30)
+        )
     assert "effects-once" in capsys.readouterr().out
 
 
