--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -33,6 +33,7 @@
                 return await work()
             finally:
                 self.machine.stopped = True
+
         owner.call_soon(lambda: task.append(owner.create_task(main())))
         self.machine.run(until)
         return task[0].result()
@@ -72,6 +73,7 @@
     def make():
         served.append(Keeper())
         return served[-1]
+
     listener = net.network.listen(net.two, make, HOST, 0, backlog)
     port = listener.address[1]
     loop = asyncio.get_running_loop()
@@ -93,6 +95,7 @@
         assert loop.time() == before
         await asyncio.sleep(3600)
         return loop.time() - before
+
     assert net.run(work, until=4000.0) == pytest.approx(3600)
     assert seen == [10, 20, 30]
 
@@ -102,6 +105,7 @@
 
     def again():
         net.one.call_soon(again)
+
     net.one.call_soon(again)
     with pytest.raises(RunAway, match="again"):
         net.machine.run(1.0)
@@ -109,6 +113,7 @@
 
     def at_once():
         later.one.call_later(0.0, at_once)
+
     later.one.call_soon(at_once)
     with pytest.raises(RunAway):
         later.machine.run(1.0)
@@ -125,6 +130,7 @@
         def make():
             reader = asyncio.StreamReader(loop=net.two)
             return asyncio.StreamReaderProtocol(reader, echo, loop=net.two)
+
         port = net.network.listen(net.two, make, HOST, 0, 5).address[1]
         reader, writer = await asyncio.open_connection(HOST, port)
         writer.write(b"hello\n")
@@ -133,6 +139,7 @@
             async with asyncio.timeout(1.0):
                 await asyncio.Event().wait()
         return await asyncio.to_thread(lambda: 7)
+
     assert net.run(work) == 7
 
 
@@ -146,13 +153,14 @@
         client, server, _ = await pair(net)
         client.transport.set_write_buffer_limits(high=1000)
         for start in range(0, len(sent), 777):
-            client.transport.write(sent[start:start + 777])
+            client.transport.write(sent[start : start + 777])
         assert not client.writable
         await asyncio.sleep(600)
         assert client.writable and server.got == sent
         client.transport.write_eof()
         await asyncio.sleep(2)
         return server.ends, server.lost, client.lost
+
     assert net.run(work, until=2000.0) == (1, ["closed"], ["closed"])
 
 
@@ -168,6 +176,7 @@
         server.transport.resume_reading()
         await asyncio.sleep(5)
         return len(server.got), client.writable
+
     assert net.run(work) == (500_000, True)
 
 
@@ -180,6 +189,7 @@
         client.transport.write(b"0123456789" * 10)
         await asyncio.sleep(1)
         return len(server.got), client.lost, server.lost
+
     got, client, server = net.run(work)
     assert got < 100 and client == ["ConnectionResetError"] == server
     assert not net.one.in_use and net.two.in_use == 1  # what listens
@@ -199,6 +209,7 @@
         net.network.heal(cut)
         await asyncio.sleep(1)
         return server.got
+
     assert net.run(work) == b"there"
 
 
@@ -226,6 +237,7 @@
                 async with asyncio.timeout(1.0):
                     await loop.create_connection(Keeper, HOST, port)
         return net.one.in_use
+
     assert net.run(work) == 2
     assert {"a connection was refused", "a knock was not heard", "a backlog was full"} <= set(net.marks)
 
@@ -247,6 +259,7 @@
         net.two.descriptors = 100
         await asyncio.sleep(1.5)
         return len(listener.queue)
+
     assert net.run(work) == 0
 
 
@@ -260,6 +273,7 @@
         async def forever():
             await asyncio.sleep(0.5)
             ran.append("task")
+
         net.two.call_soon(lambda: net.two.create_task(forever()))
         await asyncio.sleep(0.1)
         net.two.kill()
@@ -267,6 +281,7 @@
         with pytest.raises(ConnectionRefusedError):
             await asyncio.get_running_loop().create_connection(Keeper, HOST, listener.address[1])
         return client.lost
+
     assert net.run(work) == ["ConnectionResetError"]
     assert not ran and net.two.exit_code == -9
 
@@ -283,6 +298,7 @@
         assert not server.got and not ran and not server.transport.is_quiet()
         await asyncio.sleep(2)
         return server.got
+
     assert net.run(work) == b"meanwhile"
     assert ran and ran[0] >= 3.0
 
@@ -309,11 +325,13 @@
     async def work():
         ear, _ = await net.two.create_datagram_endpoint(Ear, (HOST, 0))
         mouth, _ = await net.one.create_datagram_endpoint(asyncio.DatagramProtocol, (HOST, 0))
-        net.network.weather = replace(net.network.weather, datagram_loss=0.3, datagram_twice=0.3,
-                                      datagram_late_ms=50.0)
+        net.network.weather = replace(
+            net.network.weather, datagram_loss=0.3, datagram_twice=0.3, datagram_late_ms=50.0
+        )
         for number in range(200):
             mouth.sendto(b"%d" % number, ear.get_extra_info("sockname"))
         await asyncio.sleep(1)
+
     net.run(work)
     numbers = [int(one) for one in Ear.got]
     assert 100 < len(set(numbers)) < 180 < len(numbers) + 40
--- a/tests/simulation/test_wide_tier.py
+++ b/tests/simulation/test_wide_tier.py
@@ -7,8 +7,9 @@
 
 SECONDS, LOAD = 12.0, 0.1
 
-HERD = tuple(Fault("kill", round(4.0 + number * 0.01, 3), 0.0, {"gate": number, "back_s": 1.5})
-             for number in range(30))
+HERD = tuple(
+    Fault("kill", round(4.0 + number * 0.01, 3), 0.0, {"gate": number, "back_s": 1.5}) for number in range(30)
+)
 JOIN = (Fault("release", 3.0, 7.0, {"share": 0.6}),)
 ZONE = (Fault("silent-server", 3.0, 4.0, {"count": 20}),)
 
@@ -22,12 +23,16 @@
             gates[record.id] = record.gate
         if type(record).__name__ == "Took":
             pairs.add((gates[record.id], record.server))
+
     case = Case(11, seconds=SECONDS, gatekeepers=40, servers=60, load=LOAD, faults=faults)
     return World(case, record=note).play(), pairs
 
 
-@pytest.mark.parametrize("faults, least", [((), 0.9), (HERD, 0.75), (JOIN, 0.85), (ZONE, 0.85)],
-                         ids=["calm", "herd", "join", "zone"])
+@pytest.mark.parametrize(
+    "faults, least",
+    [((), 0.9), (HERD, 0.75), (JOIN, 0.85), (ZONE, 0.85)],
+    ids=["calm", "herd", "join", "zone"],
+)
 def test_all_rules_hold_and_most_is_served(faults, least):
     result, pairs = tier(faults)
     assert not result.failed and not result.problems, (result.rule, result.text, result.problems)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -10,7 +10,11 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 INFO = {
-    "balancers": 2, "myNumber": 0, "locality": "a", "tickMs": 4.0, "unheard": {"of": 1},
+    "balancers": 2,
+    "myNumber": 0,
+    "locality": "a",
+    "tickMs": 4.0,
+    "unheard": {"of": 1},
     "classes": [{"name": "look", "aimMs": 500.0, "deadlineMs": 2000.0, "worth": 1.0, "repeat": "retryable"}],
     "packages": [{"name": "basic", "perSecond": 5.0, "storeSize": 10.0}],
     "limits": {"maxAttempts": 3, "cancel": True, "mayTell": True},
@@ -27,30 +31,34 @@
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m anisefront.simhost"
     command = command.replace(".venv/bin/python", sys.executable)
-    return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True,
-                          capture_output=True)
+    return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
 def test_a_request_is_sent_on_and_the_end_of_input_exits_0():
-    done = sim("SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
-               "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
-               "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n")
+    done = sim(
+        "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
+        "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
+        "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n"
+    )
     assert done.returncode == 0 and done.stderr == ""
     replies = done.stdout.split("FINISHED\n")
     assert replies[0] == "" and "HAND_OFF\t5\tw:1\t" in replies[2] and len(replies) == 5
 
 
-@pytest.mark.parametrize("line, names", [
-    ("REQUEST\t5\t0\t2\t1\tsoon\t0\tff\tlook\tbasic", ("REQUEST", "dueMs")),
-    ("REQUEST\t5\t0", ("REQUEST", "fields")),
-    ("REQUEST\t-5\t0\t2\t1\t2500\t0\tff\tlook\tbasic", ("REQUEST", "requestId")),
-    ("VERDICT\t5\t0\t0\tw:1\t40\tgreat\t1\t0\t-", ("VERDICT", "result")),
-    ("VERDICT\t5\t0\t0\tw:1\tnan\tok\t1\t0\t-", ("VERDICT", "rttMs")),
-    ("FROM_PEER\t1\txyz", ("FROM_PEER", "data")),
-    ("FLEET\tsome\t1\t0", ("FLEET", "mode")),
-    ("FLEET\tfull\t1\t2\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("FLEET", "rows")),
-    ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
-])
+@pytest.mark.parametrize(
+    "line, names",
+    [
+        ("REQUEST\t5\t0\t2\t1\tsoon\t0\tff\tlook\tbasic", ("REQUEST", "dueMs")),
+        ("REQUEST\t5\t0", ("REQUEST", "fields")),
+        ("REQUEST\t-5\t0\t2\t1\t2500\t0\tff\tlook\tbasic", ("REQUEST", "requestId")),
+        ("VERDICT\t5\t0\t0\tw:1\t40\tgreat\t1\t0\t-", ("VERDICT", "result")),
+        ("VERDICT\t5\t0\t0\tw:1\tnan\tok\t1\t0\t-", ("VERDICT", "rttMs")),
+        ("FROM_PEER\t1\txyz", ("FROM_PEER", "data")),
+        ("FLEET\tsome\t1\t0", ("FLEET", "mode")),
+        ("FLEET\tfull\t1\t2\nWORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("FLEET", "rows")),
+        ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
+    ],
+)
 def test_what_cannot_be_read_is_named_and_ends_the_process(line, names):
     done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0 and "Traceback" not in done.stderr
@@ -75,11 +83,18 @@
     return info
 
 
-@pytest.mark.parametrize("path, value, name", [
-    (("balancers",), None, "balancers"), (("rules", "coldFrom"), None, "coldFrom"),
-    (("classes", 0, "repeat"), "never", "repeat"), (("packages", 0, "perSecond"), -1, "rate_per_s"),
-    (("classes",), [], "classes"), (("limits", "maxAttempts"), "six", "maxAttempts"),
-    (("rules",), 3, "rules")])
+@pytest.mark.parametrize(
+    "path, value, name",
+    [
+        (("balancers",), None, "balancers"),
+        (("rules", "coldFrom"), None, "coldFrom"),
+        (("classes", 0, "repeat"), "never", "repeat"),
+        (("packages", 0, "perSecond"), -1, "rate_per_s"),
+        (("classes",), [], "classes"),
+        (("limits", "maxAttempts"), "six", "maxAttempts"),
+        (("rules",), 3, "rules"),
+    ],
+)
 def test_settings_that_cannot_be_right_are_named(path, value, name):
     done = sim(start(changed(path, value)))
     assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
@@ -90,6 +105,7 @@
 
     from anisefront import simhost
     from anisefront.control import Controller
+
     monkeypatch.setattr(Controller, "handle", lambda self, now, events: 1 / 0)
     monkeypatch.setattr(sys, "stdin", io.TextIOWrapper(io.BytesIO(start().encode())))
     out = io.TextIOWrapper(io.BytesIO())
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -70,11 +70,11 @@
     clients = [Client() for _ in range(admission.hard + 10)]
     assert all(admission.came(client, 0.0, 10) for client in clients)
     assert not admission.came(Client(), 0.0, 10)
-    for client in clients[-admission.most:]:
+    for client in clients[-admission.most :]:
         admission.asked(client)  # it is read: a whole request has come
     admission.make_room(5000.0)
     assert len(admission) == admission.most
-    assert [client.closed for client in clients[-admission.most:]] == [""] * admission.most
+    assert [client.closed for client in clients[-admission.most :]] == [""] * admission.most
 
 
 def test_where_all_is_full_those_go_whose_clients_have_gone_and_a_crowd_that_stays_is_looked_at_seldom():
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -15,22 +15,45 @@
     kinds = []
     for number in range(rng.choice((1, 1, 2, 3, 5))):
         deadline_ms = rng.choice((200.0, 500.0, 900.0, 2500.0, 7500.0, 25_000.0))
-        kinds.append(RequestClass(
-            f"class-{rng.randrange(1000)}-{number}", deadline_ms * rng.uniform(0.2, 0.9), deadline_ms,
-            rng.choice((0.0, 1.0, 4.0)), rng.choice(list(Repeat)), scope=rng.choice(list(Scope)),
-            window_ms=rng.choice((0.0, 30.0, 200.0, 700.0, 1000.0, 15_000.0)),
-            late_worth=rng.choice((0.0, 0.5))))
+        kinds.append(
+            RequestClass(
+                f"class-{rng.randrange(1000)}-{number}",
+                deadline_ms * rng.uniform(0.2, 0.9),
+                deadline_ms,
+                rng.choice((0.0, 1.0, 4.0)),
+                rng.choice(list(Repeat)),
+                scope=rng.choice(list(Scope)),
+                window_ms=rng.choice((0.0, 30.0, 200.0, 700.0, 1000.0, 15_000.0)),
+                late_worth=rng.choice((0.0, 0.5)),
+            )
+        )
     plans = []
     for number in range(rng.choice((1, 2, 3))):
         rate = rng.choice((0.0, 1.0, 6.0, 20.0))
         ceiling = rng.choice((0.0, 0.0, 2.0)) * rate
-        plans.append(Plan(f"plan-{number}", rate, rate * 3, value=rng.uniform(0.5, 2), over_cost=0.6,
-                          over_worth=rng.choice((0.0, 0.9)), ceiling_per_s=ceiling, ceiling_burst=ceiling * 3,
-                          ceiling_slack=max(4.0, ceiling * 0.3)))
-    more = {"max_attempts": rng.choice((1, 2, 3, 5)), "second_copies": rng.random() < 0.5,
-            "may_cancel": rng.random() < 0.5, "cold_from": rng.choice((0.1, 0.4)),
-            "warm_up_ms": rng.choice((0.0, 3000.0, 17_000.0)), "fall_multiple": rng.choice((2.0, 3.0)),
-            "report_how": rng.choice(("answers", "none")), "max_retry_after_ms": rng.choice((0.0, 1000.0))}
+        plans.append(
+            Plan(
+                f"plan-{number}",
+                rate,
+                rate * 3,
+                value=rng.uniform(0.5, 2),
+                over_cost=0.6,
+                over_worth=rng.choice((0.0, 0.9)),
+                ceiling_per_s=ceiling,
+                ceiling_burst=ceiling * 3,
+                ceiling_slack=max(4.0, ceiling * 0.3),
+            )
+        )
+    more = {
+        "max_attempts": rng.choice((1, 2, 3, 5)),
+        "second_copies": rng.random() < 0.5,
+        "may_cancel": rng.random() < 0.5,
+        "cold_from": rng.choice((0.1, 0.4)),
+        "warm_up_ms": rng.choice((0.0, 3000.0, 17_000.0)),
+        "fall_multiple": rng.choice((2.0, 3.0)),
+        "report_how": rng.choice(("answers", "none")),
+        "max_retry_after_ms": rng.choice((0.0, 1000.0)),
+    }
     return lambda **own: settings(classes=tuple(kinds), plans=tuple(plans), **more, **own)
 
 
@@ -73,7 +96,8 @@
         delay = self.rng.choice((0.0, 0.0, self.rng.uniform(0, 400.0)))
         result = self.rng.choices(
             [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
-            [60, 8, 8, 8, 6, 10])[0]
+            [60, 8, 8, 8, 6, 10],
+        )[0]
         took = delay + self.rng.expovariate(1 / 150)
         if delay > action.within_ms:
             result, took = Result.CONNECT_FAILED, delay
--- a/tests/test_aperture.py
+++ b/tests/test_aperture.py
@@ -50,8 +50,10 @@
 def test_by_capacity_where_most_servers_are_cold():
     names, rng = [f"s-{n:08x}" for n in range(60)], random.Random(3)
     cold = set(rng.sample(names, 42))
+
     def weight(name):
         return 0.3 if name in cold else 1.0
+
     even = loads(ring(names, weight), 40, weight)
     mean = 40 / (18 + 42 * 0.3)
     assert max(even.values()) <= 1.6 * mean and min(even.values()) >= 0.4 * mean
@@ -80,13 +82,28 @@
 
     def __init__(self, gateways=40, servers=60, started=lambda n: 0.0):
         kinds = (RequestClass("look", 1000, 2000, 1, Repeat.SAFE),)
-        self.modules = [Controller(Settings(
-            gateways=gateways, number=number, zone="a", classes=kinds, plans=(Plan("basic"),),
-            warm_up_ms=17_000, cold_from=0.25, fall_multiple=2.5, fall_window_ms=1000, max_attempts=3),
-            number) for number in range(gateways)]
+        self.modules = [
+            Controller(
+                Settings(
+                    gateways=gateways,
+                    number=number,
+                    zone="a",
+                    classes=kinds,
+                    plans=(Plan("basic"),),
+                    warm_up_ms=17_000,
+                    cold_from=0.25,
+                    fall_multiple=2.5,
+                    fall_window_ms=1000,
+                    max_attempts=3,
+                ),
+                number,
+            )
+            for number in range(gateways)
+        ]
         self.rng, self.ids, self.sent = random.Random(1), 0, []
-        self.fleet = Fleet(tuple(Server(f"s-{n:08x}", "a", n, State.READY, started_ms=started(n))
-                                 for n in range(servers)))
+        self.fleet = Fleet(
+            tuple(Server(f"s-{n:08x}", "a", n, State.READY, started_ms=started(n)) for n in range(servers))
+        )
         for module in self.modules:
             module.handle(100_000.0, [self.fleet])
 
--- a/tests/test_bans_and_draining.py
+++ b/tests/test_bans_and_draining.py
@@ -34,7 +34,7 @@
 
 def order(gate, now, call, server="", number=1):
     """What is wrong with a call; it is answered in its own turn."""
-    said, = of(Said, gate.handle(now, [Order(number, call, server)]))
+    (said,) = of(Said, gate.handle(now, [Order(number, call, server)]))
     assert said.number == number
     return said.wrong
 
@@ -98,9 +98,9 @@
 def test_what_is_out_at_a_banned_worker_may_finish_and_no_further_attempt_goes_there():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
-    send, = of(Send, gate.handle(1.0, [ask(1, plan=FREE)]))
+    (send,) = of(Send, gate.handle(1.0, [ask(1, plan=FREE)]))
     order(gate, 2.0, Call.DISABLE, send.server)
-    again, = of(Send, gate.handle(20.0, [outcome(send, Result.ERROR)]))
+    (again,) = of(Send, gate.handle(20.0, [outcome(send, Result.ERROR)]))
     assert again.server != send.server
 
 
@@ -151,8 +151,12 @@
         events = [Order(1, Call.DRAIN)] if now in (100.0, 400.0) else []
         stages += [(now, doors.stage) for doors in of(Doors, gate.handle(now, events))]
         now += 10.0
-    assert stages == [(100.0, Door.LEAVING), (100.0 + IDLE_AFTER_MS, Door.IDLE),
-                      (100.0 + LATE_AFTER_MS, Door.LATE), (100.0 + UNHEARD_AFTER_MS, Door.UNHEARD)]
+    assert stages == [
+        (100.0, Door.LEAVING),
+        (100.0 + IDLE_AFTER_MS, Door.IDLE),
+        (100.0 + LATE_AFTER_MS, Door.LATE),
+        (100.0 + UNHEARD_AFTER_MS, Door.UNHEARD),
+    ]
 
 
 def test_taken_back_at_any_moment_the_doors_are_open_at_once_and_stay_so():
@@ -193,8 +197,10 @@
     names = [f"s{n}" for n in range(9)]
     gate.handle(0.0, [Fleet(tuple(Server(name, "z0", 0, State.READY) for name in names))])
     gate.handle(100.0, [])
-    fleet = [Server(name, "z0", 0, State.READY, started_ms=200.0 if n < cold else 0.0)
-             for n, name in enumerate(names)]
+    fleet = [
+        Server(name, "z0", 0, State.READY, started_ms=200.0 if n < cold else 0.0)
+        for n, name in enumerate(names)
+    ]
     gate.handle(200.0, [Fleet(tuple(fleet))])
     sends, now, out = [], 200.0, []
     for number in range(seconds * rate):
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -15,16 +15,34 @@
 from benchmarks.simulation.plants import planted
 from plumpick import cli
 
-CLASSES = (RequestClass("seat-check", 750, 2000, 3, Repeat.SAFE),
-           RequestClass("seat-checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-           RequestClass("hours-debit", 2000, 7500, 2, Repeat.UNSAFE))
+CLASSES = (
+    RequestClass("seat-check", 750, 2000, 3, Repeat.SAFE),
+    RequestClass("seat-checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
+    RequestClass("hours-debit", 2000, 7500, 2, Repeat.UNSAFE),
+)
 
 
 def site(rate=8.0, burst_s=2.0, times=2.0, **more):
-    plan = Plan("amplio", rate, rate * burst_s, ceiling_per_s=rate * times,
-                ceiling_burst=rate * burst_s * times, ceiling_slack=1.0)
-    values = dict(gateways=3, number=0, zone="a", classes=CLASSES, plans=(Plan("basico", 0.8, 3.5), plan),
-                  warm_up_ms=17_000, cold_from=0.25, fall_multiple=2.5, fall_window_ms=1000, max_attempts=5)
+    plan = Plan(
+        "amplio",
+        rate,
+        rate * burst_s,
+        ceiling_per_s=rate * times,
+        ceiling_burst=rate * burst_s * times,
+        ceiling_slack=1.0,
+    )
+    values = dict(
+        gateways=3,
+        number=0,
+        zone="a",
+        classes=CLASSES,
+        plans=(Plan("basico", 0.8, 3.5), plan),
+        warm_up_ms=17_000,
+        cold_from=0.25,
+        fall_multiple=2.5,
+        fall_window_ms=1000,
+        max_attempts=5,
+    )
     return Settings(**(values | more))
 
 
@@ -44,6 +62,7 @@
 
     def of(situation, window_s=60.0, **more):
         return beyond_quota(plan, settings, situation, window_s, **more)
+
     plain = of(Situation.SERVICE)
     assert 0 < plain < plan.burst * 2 + 3 * settings.max_units
     assert of(Situation.ONE_HOME, restarts=2) == pytest.approx(plain + 2 * plan.burst)
@@ -64,7 +83,8 @@
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"loss": 1.5}, {"loss": -0.1}, {"restarts": -1}, {"spread": 0}, {"far": 7}])
+    "wrong", [{"loss": 1.5}, {"loss": -0.1}, {"restarts": -1}, {"spread": 0}, {"far": 7}]
+)
 def test_what_makes_no_sense_is_named(wrong):
     settings = site()
     with pytest.raises(BoundsError):
@@ -97,19 +117,25 @@
         with way(name):
             runs[name] = play(case, judge=False)
     over = {name: any(row.quota > row.quota_bound for row in rows) for name, (_, rows) in runs.items()}
-    assert over == {"plumpick": False, "even split": False, "one counter, open": True,
-                    "handed over, at best": False}
+    assert over == {
+        "plumpick": False,
+        "even split": False,
+        "one counter, open": True,
+        "handed over, at best": False,
+    }
     assert runs["even split"][0].service < runs["plumpick"][0].service
     assert before == (dict(vars(Quota)), control.HOME_CEILING, control.OWN_PART)
 
 
 def test_the_command_prints_the_table(tmp_path, capsys):
     settings = {
-        "balancers": 3, "myNumber": 0,
+        "balancers": 3,
+        "myNumber": 0,
         "classes": [{"name": "seat-check", "aimMs": 750, "deadlineMs": 2000, "repeat": "retryable"}],
         "packages": [{"name": "amplio", "perSecond": 8, "storeSize": 16, "hardRate": 16, "hardBurst": 32}],
         "rules": {"warmUpMs": 1, "coldFrom": 0.25, "fallMultiple": 2.5, "tipAfterMs": 1000},
-        "limits": {"maxAttempts": 5}}
+        "limits": {"maxAttempts": 5},
+    }
     path = tmp_path / "config.json"
     path.write_text(json.dumps({"settings": settings}))
     assert cli.main(["bounds", str(path)]) == 0
@@ -131,17 +157,25 @@
     home = Controller(site(plans=(plan,), may_tell=True), 1)
     home.handle(1000.0, [])
     ask = Item(Kind.ASK, 7, 1, 1.0, asked_per_s, 1, 0)
-    told = [one for one in home.handle(1001.0, [Heard(1, home.codec.encode(5, 1.0, [ask], []))])
-            if isinstance(one, Tell)]
+    told = [
+        one
+        for one in home.handle(1001.0, [Heard(1, home.codec.encode(5, 1.0, [ask], []))])
+        if isinstance(one, Tell)
+    ]
     kinds = {item.kind for one in told for item in home.codec.decode(one.data).items}
     assert (Kind.GRANT in kinds) is granted
 
 
-@pytest.mark.parametrize("words, left", [
-    ((Kind.ASK, Kind.SPENT, Kind.BACK), 7),  # out on credit; then the grant came, too late
-    ((Kind.ASK, Kind.BACK, Kind.BACK), 8),  # two late grants
-    ((Kind.ASK, Kind.BACK, Kind.SPENT), 7),  # the same as the first, in another order
-    ((Kind.SPENT, Kind.BACK, Kind.BACK), 8), ((Kind.SPENT, Kind.ASK, Kind.SPENT), 7)])
+@pytest.mark.parametrize(
+    "words, left",
+    [
+        ((Kind.ASK, Kind.SPENT, Kind.BACK), 7),  # out on credit; then the grant came, too late
+        ((Kind.ASK, Kind.BACK, Kind.BACK), 8),  # two late grants
+        ((Kind.ASK, Kind.BACK, Kind.SPENT), 7),  # the same as the first, in another order
+        ((Kind.SPENT, Kind.BACK, Kind.BACK), 8),
+        ((Kind.SPENT, Kind.ASK, Kind.SPENT), 7),
+    ],
+)
 def test_what_a_peer_says_late_twice_or_in_another_order_changes_nothing_twice(words, left):
     """Found by seed 90 of the windows: 21 units beyond a quota, with messages late by up to 200 ms."""
     home = Controller(site(plans=(Plan("basico", 1e-9, 8.0),), may_tell=True), 1)
@@ -149,5 +183,5 @@
     for place, kind in enumerate(words):
         word = home.codec.encode(5, 1.0, [Item(kind, 7, 1, 1.0, 0.0, 1, 0)], [])
         home.handle(1001.0 + place, [Heard(1, word)])
-    store, = home.quota.stores.values()
+    (store,) = home.quota.stores.values()
     assert store.level == pytest.approx(left, abs=1e-6)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -19,5 +19,6 @@
     def choose(self, now, request, group):
         cold = [one for one in self.cold if group is None or one in group]
         return min(cold, key=lambda one: one.out) if cold else right(self, now, request, group)
+
     monkeypatch.setattr(Servers, "choose", choose)
     assert Tier(20, 30, 1, 0.6, 0.7).play() > 1.0
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -16,8 +16,9 @@
 
 
 def python(*words, **more):
-    return subprocess.run([sys.executable, *map(str, words)], cwd=ROOT, text=True, capture_output=True,
-                          **more)
+    return subprocess.run(
+        [sys.executable, *map(str, words)], cwd=ROOT, text=True, capture_output=True, **more
+    )
 
 
 @pytest.fixture(scope="module")
@@ -45,11 +46,13 @@
 
 def test_a_simulated_fleet_has_the_same_history(folder):
     """The whole daemon, on its virtual machine: every step of some seeds."""
-    code = ("import sys; from pathlib import Path; from plumpick import compiled\n"
-            "if len(sys.argv) > 1: compiled.use(Path(sys.argv[1]))\n"
-            "from anisefront import control\n"
-            "from plumpick.simulation.faults import case_of\nfrom plumpick.simulation.world import play\n"
-            "print(control.__file__.endswith('.so'), *(play(case_of(n, 8.0)).digest for n in (1, 2, 3)))")
+    code = (
+        "import sys; from pathlib import Path; from plumpick import compiled\n"
+        "if len(sys.argv) > 1: compiled.use(Path(sys.argv[1]))\n"
+        "from anisefront import control\n"
+        "from plumpick.simulation.faults import case_of\nfrom plumpick.simulation.world import play\n"
+        "print(control.__file__.endswith('.so'), *(play(case_of(n, 8.0)).digest for n in (1, 2, 3)))"
+    )
     plain, fast = python("-c", code), python("-c", code, folder)
     assert plain.stdout.split()[0] == "False" and fast.stdout.split()[0] == "True", fast.stderr
     assert plain.stdout.split()[1:] == fast.stdout.split()[1:]
@@ -57,12 +60,14 @@
 
 def test_the_gatekeepers_own_tests_pass_compiled(folder):
     """On real sockets. One is left out: it asks for a weak reference, which compiled objects have not."""
-    code = ("import sys; from pathlib import Path; from plumpick import compiled\n"
-            "assert compiled.use(Path(sys.argv[1])).startswith('decisions: compiled')\n"
-            "import pytest, plumpick.gatekeeper, plumpick.fronts.http.connections as one\n"
-            "assert one.__file__.endswith('.so') and plumpick.gatekeeper.__file__.endswith('.so')\n"
-            "sys.exit(pytest.main(['-q', '-p', 'no:cacheprovider', 'tests/test_gatekeeper.py',"
-            "'tests/test_swallowing.py', '-k', 'not no_cycle']))")
+    code = (
+        "import sys; from pathlib import Path; from plumpick import compiled\n"
+        "assert compiled.use(Path(sys.argv[1])).startswith('decisions: compiled')\n"
+        "import pytest, plumpick.gatekeeper, plumpick.fronts.http.connections as one\n"
+        "assert one.__file__.endswith('.so') and plumpick.gatekeeper.__file__.endswith('.so')\n"
+        "sys.exit(pytest.main(['-q', '-p', 'no:cacheprovider', 'tests/test_gatekeeper.py',"
+        "'tests/test_swallowing.py', '-k', 'not no_cycle']))"
+    )
     done = python("-c", code, folder)
     assert done.returncode == 0, done.stdout[-3000:] + done.stderr
 
@@ -89,8 +94,9 @@
         monkeypatch.setattr(sysconfig, "get_config_var", lambda _name: "no-such-compiler")
     elif missing == "headers":
         paths = sysconfig.get_paths
-        monkeypatch.setattr(sysconfig, "get_paths",
-                            lambda *given, **more: {**paths(*given, **more), "include": str(tmp_path)})
+        monkeypatch.setattr(
+            sysconfig, "get_paths", lambda *given, **more: {**paths(*given, **more), "include": str(tmp_path)}
+        )
     else:
         monkeypatch.setattr(tool, "COMPILER", "plumpick-has-no-such-package==1")
         monkeypatch.setenv("PIP_NO_INDEX", "1")
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -15,18 +15,35 @@
 
 
 def test_records_are_found_behind_whatever_stands_before_and_torn_ones_are_counted():
-    rows, torn = rows_of([line("gone", 5.0, 1), "12 a line of the log", line("gone", 6.0, 1, before=""),
-                          '0.2 @["send",7.0,1,"w', line("gone", "late")])
+    rows, torn = rows_of(
+        [
+            line("gone", 5.0, 1),
+            "12 a line of the log",
+            line("gone", 6.0, 1, before=""),
+            '0.2 @["send",7.0,1,"w',
+            line("gone", "late"),
+        ]
+    )
     assert [row[1] for row in rows] == [5.0, 6.0] and torn == 2
 
 
 def test_a_tier_is_added_up_by_time_and_worker():
-    rows = [["arrival", 1000.0, 1], ["arrival", 2500.0, 2], ["belief", 1100.0, {"warm": 60}],
-            ["belief", 1200.0, {"warm": 18, "odd": "x"}], ["call", 500.0, "/", "status 503", 5],
-            ["call", 600.0, "/", "ok", 5], ["tell", 1500.0, 3, [], 6], ["tell", 1500.0, 3, [1], 20],
-            ["heard", 1510.0, 0, [1]], ["dial", 1001.0, "h", "up", 1.0],
-            ["dial", 1001.0, "h", "OSError", 1.0],
-            ["outcome", 1900.0, 1, "w0", "OK", 3.0, []], ["send", 1300.0], ["outcome", 1300.0]]
+    rows = [
+        ["arrival", 1000.0, 1],
+        ["arrival", 2500.0, 2],
+        ["belief", 1100.0, {"warm": 60}],
+        ["belief", 1200.0, {"warm": 18, "odd": "x"}],
+        ["call", 500.0, "/", "status 503", 5],
+        ["call", 600.0, "/", "ok", 5],
+        ["tell", 1500.0, 3, [], 6],
+        ["tell", 1500.0, 3, [1], 20],
+        ["heard", 1510.0, 0, [1]],
+        ["dial", 1001.0, "h", "up", 1.0],
+        ["dial", 1001.0, "h", "OSError", 1.0],
+        ["outcome", 1900.0, 1, "w0", "OK", 3.0, []],
+        ["send", 1300.0],
+        ["outcome", 1300.0],
+    ]
     rows += [["send", 1010.0 + n, n, f"w{n % 2 * (n % 3)}", 1.0, n % 4 > 0] for n in range(12)]
     slices, malformed = add_up(rows, 1000.0)
     assert malformed == 2 and set(slices) == {-1, 0, 1}
@@ -75,6 +92,7 @@
                     process.kill()
                     await process.wait()
             (tmp_path / "n0.log").write_bytes(said)
+
     run(whole())
     assert main(["counts", str(tmp_path), "--json"]) == EXIT_HELD
     told_by = json.loads(capsys.readouterr().out)
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -6,8 +6,20 @@
 
 import pytest
 from fakes import (
-    HOST, Client, FakeDiscovery, FakeWorker, Gate, Plug, Script, answer, config, entry, listing, request,
-    run, told,
+    HOST,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    Gate,
+    Plug,
+    Script,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+    told,
 )
 from test_process import UP, free_port, until_up
 
@@ -29,6 +41,7 @@
 
 def test_what_is_open_when_we_are_told_to_end_is_answered_by_then():
     """A worker that hangs would keep it until SIGKILL: its client's time ends long after."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)]) as gate:
@@ -36,10 +49,11 @@
                 client.send(request(deadline=20_000))
                 assert (await worker.asked())[0] is not None
                 await gate.script.event(Arrival)
-                open_request, = gate.keeper.open.values()
+                (open_request,) = gate.keeper.open.values()
                 gate.keeper.leave(100.0)
                 assert open_request.due_ms <= gate.keeper.clock.now() + 100.0
                 assert (await client.answer())[0] == 504 and not gate.keeper.open
+
     run(scenario())
 
 
@@ -50,16 +64,18 @@
                 client = await gate.client()
                 client.send(request(deadline=60))
                 await gate.script.event(Arrival)
-                open_request, = gate.keeper.open.values()
+                (open_request,) = gate.keeper.open.values()
                 due_ms = open_request.due_ms
                 gate.keeper.leave(5000.0)
                 assert open_request.due_ms == due_ms and (await client.answer())[0] == 504
+
     run(scenario())
 
 
 def served(scenario, monkeypatch, ending=(0.05, 0.1, 0.3), **more):
     """The daemon in this process, which signals reach; `scenario` is given its port and the fake
     discovery."""
+
     async def whole():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port = free_port()
@@ -71,6 +87,7 @@
             finally:
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
+
     monkeypatch.setattr(daemon, "ending_of", lambda _deadlines: ending)
     run(whole())
 
@@ -84,6 +101,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         await task
         assert task.exception() is None
+
     served(scenario, monkeypatch)
 
 
@@ -100,6 +118,7 @@
             os.kill(os.getpid(), number)
         await task
         assert await client.ends()
+
     served(scenario, monkeypatch)
 
 
@@ -112,6 +131,7 @@
         stop.ask()
         assert stop.at_s == first and stop.is_asked()
         assert await stop.within(asyncio.Event(), 1000.0)
+
     run(scenario())
 
 
@@ -123,6 +143,7 @@
         plugs.append(Plug(plug.getsockname()[1]))
         plugs[0].send(request())
         await right(loop, server, plug, front)
+
     monkeypatch.setattr(daemon, "close_listener", comes_just_before)
 
     async def scenario(port, fake, worker, _task):
@@ -133,6 +154,7 @@
         writer.write(answer())
         assert b"200 OK" in await plugs[0].receive()
         plugs[0].close()
+
     served(scenario, monkeypatch, (0.05, 20.0, 25.0), management=f"{HOST}:{free_port()}")
 
 
@@ -150,4 +172,5 @@
         writer.write(told(listing(entry("w1", worker.port))))
         await until_up(port)
         assert (await client.send(UP).answer())[0] == 200
+
     served(scenario, monkeypatch, known=listing())
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -31,10 +31,12 @@
 
 def one_worker(scenario, **script):
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
+
     async def whole():
         async with FakeWorker() as worker:
             async with Gate(Script(**script), known=[entry("w1", worker.port)]) as gate:
                 await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
@@ -55,6 +57,7 @@
         outcome = await gate.script.event(Outcome)
         assert outcome.result is Result.OK and outcome.final and outcome.load == (0.5, 7.0)
         assert not gate.keeper.open and not gate.keeper.attempts
+
     one_worker(scenario)
 
 
@@ -69,6 +72,7 @@
             writer.write(answer())
             assert (await client.answer())[0] == 200
         assert worker.connections == 1
+
     one_worker(scenario)
 
 
@@ -78,21 +82,25 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[1]["connection"] == "close" and await client.ends()
+
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("reply, result", [
-    (answer(500), Result.ERROR),
-    (answer(503), Result.ERROR),
-    (answer(504), Result.ERROR),
-    (answer(429), Result.ERROR),
-    (answer(503, extra="X-Not-Run: 1\r\n"), Result.FULL),
-    (answer(504, extra="X-Not-Run: 1\r\n"), Result.FULL),
-    (answer(500, extra="X-Not-Run: 1\r\n"), Result.ERROR),
-    (b"what is this\r\n\r\n", Result.ERROR),
-    (None, Result.RESET),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Result.RESET),
-])
+@pytest.mark.parametrize(
+    "reply, result",
+    [
+        (answer(500), Result.ERROR),
+        (answer(503), Result.ERROR),
+        (answer(504), Result.ERROR),
+        (answer(429), Result.ERROR),
+        (answer(503, extra="X-Not-Run: 1\r\n"), Result.FULL),
+        (answer(504, extra="X-Not-Run: 1\r\n"), Result.FULL),
+        (answer(500, extra="X-Not-Run: 1\r\n"), Result.ERROR),
+        (b"what is this\r\n\r\n", Result.ERROR),
+        (None, Result.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Result.RESET),
+    ],
+)
 def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -104,6 +112,7 @@
         status, _, body = await client.answer()
         assert (status, body) == (502, b"")  # as the script has it
         assert (await gate.script.event(Outcome)).result is result
+
     one_worker(scenario)
 
 
@@ -115,11 +124,13 @@
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+
     run(scenario())
 
 
 def test_a_large_request_that_was_never_whole_at_the_worker_could_not_connect():
     """What the worker closes on while a part of it is still here has not run."""
+
     async def scenario():
         started = asyncio.Event()
 
@@ -136,13 +147,14 @@
             await started.wait()
             while not gate.keeper.attempts:
                 await gate.script.came.wait()
-            attempt, = gate.keeper.attempts.values()
+            (attempt,) = gate.keeper.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             loop.call_soon(started.writer.transport.abort)
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         server.close()
+
     run(scenario())
 
 
@@ -150,6 +162,7 @@
     async def scenario(worker, gate, client):
         assert (await client.send(request()).answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+
     one_worker(scenario, worker="w9")
 
 
@@ -160,6 +173,7 @@
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.TIMEOUT
         assert (await worker.asked())[0] is None  # the end of the connection
+
     one_worker(scenario, allow_ms=30.0)
 
 
@@ -167,14 +181,20 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         async with Gate(Script(), known=[entry("w1", 9)]) as gate:
+
             async def never(*_):
                 await loop.create_future()
-            gate.keeper.workers._loop = type("Loop", (), {
-                "create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)})
+
+            gate.keeper.workers._loop = type(
+                "Loop",
+                (),
+                {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
+            )
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
             assert gate.keeper.workers._connections == 0
+
     run(scenario())
 
 
@@ -194,6 +214,7 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
+
     one_worker(scenario)
 
 
@@ -214,6 +235,7 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"third"))
         assert (await client.answer())[2] == b"third"
+
     one_worker(scenario)
 
 
@@ -222,6 +244,7 @@
         gate.script.to_do = [Send(77, "w1", 100.0)]
         gate.keeper.notice(Woken("late"))
         assert (await gate.script.event(Outcome)).result is Result.MOOT and worker.connections == 0
+
     one_worker(scenario)
 
 
@@ -232,6 +255,7 @@
         came = await gate.script.event(Arrival)
         client.close()
         assert (await gate.script.event(ClientGone)).id == came.id and not gate.keeper.open
+
     one_worker(scenario)
 
 
@@ -241,11 +265,13 @@
         assert status == 504
         came = await gate.script.event(Arrival)
         assert (await gate.script.event(ClientGone)).id == came.id
+
     one_worker(scenario, worker=None)
 
 
 def test_wake_ups_due_within_one_tick_take_one_turn_and_are_never_early():
     """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
+
     async def scenario(worker, gate, client):
         keeper, times = gate.keeper, []
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
@@ -253,6 +279,7 @@
         for after_ms in (0.0, 0.5, 4.0, 4.5):
             keeper._wake(Wake(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
+
     one_worker(scenario)
 
 
@@ -260,22 +287,36 @@
     async def scenario(worker, gate, client):
         gate.script.handle = lambda now, events: 1 / 0
         assert (await client.send(request(deadline=60)).answer())[0] == 504
+
     one_worker(scenario)
 
 
 # ---- connections to workers ---------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-    b"HTTP/1.1 100 Continue\r\n\r\n" * 1000,
-    b"HTTP/1.1 103 Early Hints\r\nLink: " + b"x" * 2000 + b"\r\n\r\n",
-    b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-], ids=["two lengths", "length and chunks", "below nothing", "3 GB", "chunks", "1xx", "large 1xx", "upgrade"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\n" * 1000,
+        b"HTTP/1.1 103 Early Hints\r\nLink: " + b"x" * 2000 + b"\r\n\r\n",
+        b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
+    ],
+    ids=[
+        "two lengths",
+        "length and chunks",
+        "below nothing",
+        "3 GB",
+        "chunks",
+        "1xx",
+        "large 1xx",
+        "upgrade",
+    ],
+)
 def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_ends(spoilt):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -289,15 +330,17 @@
         assert outcome.result().result is Result.ERROR
         assert (await client.answer())[0] == 502
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
 def test_what_waits_on_a_kept_connection_is_not_taken_for_the_next_answer():
     """The second copy is there, and the loop has not read it, when the next request goes out."""
+
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         workers = gate.keeper.workers
-        connection, = workers._known["w1"].idle
+        (connection,) = workers._known["w1"].idle
         connection.idle_since_ms -= REST_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
         writer.write(answer(body=b"twice"))
@@ -308,29 +351,33 @@
         _, other = ended if ended[0] is not None else again
         other.write(answer(body=b"own"))
         assert (await client.answer())[2] == b"own" and worker.connections == 2
+
     one_worker(scenario)
 
 
 def test_a_connection_rests_before_it_is_used_again():
     """What a worker sends right behind its answer may come a moment later."""
+
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         workers = gate.keeper.workers
-        connection, = workers._known["w1"].idle
+        (connection,) = workers._known["w1"].idle
         since = connection.idle_since_ms
         assert workers._kept(connection.worker, since + REST_MS - 0.1) is None
         assert workers._kept(connection.worker, since + REST_MS + 0.1) is connection
+
     one_worker(scenario)
 
 
 def test_a_second_answer_some_milliseconds_behind_the_first_is_not_the_answer_to_the_next_request():
     """It passed for it where the connection was used again after 2 ms; nothing in HTTP ties the two."""
+
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.asked()
         writer.write(answer(body=b"first"))
         assert (await client.answer())[2] == b"first"
-        connection, = gate.keeper.workers._known["w1"].idle
+        (connection,) = gate.keeper.workers._known["w1"].idle
         connection.idle_since_ms = gate.keeper.clock.now() - 10.0  # so long ago
         client.send(request())
         message, other = await worker.asked()
@@ -340,6 +387,7 @@
             await asyncio.sleep(0)
         other.write(answer(body=b"own"))
         assert (await client.answer())[2] == b"own"
+
     one_worker(scenario)
 
 
@@ -363,6 +411,7 @@
         mine.idle[:] = [oldest] * MOST_RESTING
         assert workers._kept(mine, now) is None  # right behind an answer none is used again
         mine.idle[:] = []
+
     one_worker(scenario)
 
 
@@ -376,11 +425,13 @@
         outcome = await gate.script.event(Outcome)
         assert outcome.result is Result.OK and outcome.load == (0.5, 7.0)
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
 def test_a_new_worker_at_the_address_of_an_old_one_takes_its_place():
     """Else what is sent under the old name comes to the new process, on connections of the old one."""
+
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         await gate.script.event(Fleet)
@@ -390,6 +441,7 @@
         assert [(one.id, one.state) for one in fleet.servers] == [("w2", State.READY), ("w1", State.GONE)]
         assert (await worker.asked())[0] is None and list(gate.keeper.workers._known) == ["w2"]
         assert (await client.send(request()).answer())[0] == 502  # the script still names w1
+
     one_worker(scenario)
 
 
@@ -410,6 +462,7 @@
             await asyncio.sleep(0)
         await exchange(worker, client)
         assert worker.connections == 2
+
     one_worker(scenario)
 
 
@@ -422,6 +475,7 @@
         assert (await worker.asked())[0] is None
         await exchange(worker, client)
         assert worker.connections == 2
+
     one_worker(scenario)
 
 
@@ -431,6 +485,7 @@
         _, writer = await worker.asked()
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
         assert (await client.answer())[::2] == (200, b"real")
+
     one_worker(scenario)
 
 
@@ -441,6 +496,7 @@
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
         gate.keeper.listed(worker_list_from(news, "list"))
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
@@ -452,6 +508,7 @@
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(Fleet) for _ in range(2)]
         assert fleets[1] == Fleet((), complete=True)
+
     one_worker(scenario)
 
 
@@ -463,9 +520,16 @@
             opened.set()
             await go.wait()
             return await loop.create_connection(factory, host, port)
-        gate.keeper.workers._loop = type("Loop", (), {
-            "create_task": staticmethod(loop.create_task), "create_connection": staticmethod(slow),
-            "call_soon": staticmethod(loop.call_soon)})
+
+        gate.keeper.workers._loop = type(
+            "Loop",
+            (),
+            {
+                "create_task": staticmethod(loop.create_task),
+                "create_connection": staticmethod(slow),
+                "call_soon": staticmethod(loop.call_soon),
+            },
+        )
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
@@ -474,6 +538,7 @@
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert worker.requests.empty() and gate.keeper.workers._connections == 0
+
     one_worker(scenario)
 
 
@@ -487,6 +552,7 @@
         assert (await other.send(request()).answer())[0] == 502
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert worker.connections == 1
+
     one_worker(scenario)
 
 
@@ -498,13 +564,24 @@
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
         assert (await worker.asked())[0] is None
+
     one_worker(scenario)
 
 
-@pytest.mark.parametrize("text", ["", "no json", '{"util":-1,"latency_ms":1}',
-                                  '{"util":0.5,"latency_ms":1e308}',
-                                  "[1,2]", '{"util":0.5}', '{"util":"x","latency_ms":1}',
-                                  '{"util":NaN,"latency_ms":1}', '{"util":1e999,"latency_ms":1}'])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "",
+        "no json",
+        '{"util":-1,"latency_ms":1}',
+        '{"util":0.5,"latency_ms":1e308}',
+        "[1,2]",
+        '{"util":0.5}',
+        '{"util":"x","latency_ms":1}',
+        '{"util":NaN,"latency_ms":1}',
+        '{"util":1e999,"latency_ms":1}',
+    ],
+)
 def test_a_load_report_that_cannot_be_read_is_none(text):
     async def scenario(worker, gate, client):
         client.send(request())
@@ -512,6 +589,7 @@
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
         assert (await gate.script.event(Outcome)).load == ()
+
     one_worker(scenario)
 
 
@@ -550,11 +628,13 @@
         writer.write(answer())
         assert (await other.answer())[0] == 200
         assert len(gate.keeper.open) == 0 and worker.requests.empty()
+
     one_worker(scenario)
 
 
 def test_requests_that_come_behind_an_open_one_are_answered_in_their_order():
     """They came in one piece; the second and third were answered 400 behind the first's answer."""
+
     async def scenario(worker, gate, client):
         client.send(request(path="/look/1") + request(path="/look/2"))
         client.send(request(path="/look/3"))
@@ -563,6 +643,7 @@
             assert asked.url == b"/look/" + number and worker.requests.empty()
             writer.write(answer(body=number))
             assert (await client.answer())[::2] == (200, number)
+
     one_worker(scenario)
 
 
@@ -574,6 +655,7 @@
         assert (await client.answer())[::2] == (200, b"first")
         assert (await client.answer())[0] == 400 and await client.ends()
         assert worker.requests.empty()
+
     one_worker(scenario)
 
 
@@ -593,6 +675,7 @@
                 writer.write(answer(body=asked.url))
                 assert (await client.answer())[0] == 200
             client.close()
+
     one_worker(scenario)
 
 
@@ -606,11 +689,13 @@
         assert asked.body == b"piece"
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
 def test_the_id_of_a_request_that_is_open_or_has_just_ended_is_turned_away():
     """Seen with bad clients: such a request went on to a worker as a second copy of another's."""
+
     async def scenario(worker, gate, client):
         other = await gate.client()
         client.send(request("00000000000000aa"))
@@ -623,6 +708,7 @@
         gate.keeper._forget_names()
         gate.keeper._forget_names()
         assert not gate.keeper._names and not any(gate.keeper._ended_names)
+
     one_worker(scenario)
 
 
@@ -656,11 +742,13 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert len([event for event in gate.script.events if isinstance(event, Arrival)]) == 1
+
     one_worker(scenario)
 
 
 def test_the_same_again_is_not_read_at_full_speed():
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
+
     async def scenario(worker, gate, client):
         gate.keeper.timers = timers = Timers(asyncio.get_running_loop(), gate.keeper.clock)
         waits, at = [], timers.at
@@ -668,6 +756,7 @@
         for _ in range(7):
             assert (await client.send(request(path="/none")).answer())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
+
     one_worker(scenario)
 
 
@@ -679,10 +768,11 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request(path="/none") * 300)
-        one, = gate.front.admission.all
+        (one,) = gate.front.admission.all
         while not one.unreadable:
             await asyncio.sleep(0)
         assert len(one.waiting) <= MOST_WAITING + 1
+
     one_worker(scenario)
 
 
@@ -699,18 +789,25 @@
     admission.sweep(now, gate.keeper.draining)
 
 
-@pytest.mark.parametrize("said, status", [
-    (b"", None), (b"\r\n\r\n\r\n", None), (b"GET /look HTTP/1.1\r\n", 408),
-    (request(body=b"half")[:-2], 408)])
+@pytest.mark.parametrize(
+    "said, status",
+    [
+        (b"", None),
+        (b"\r\n\r\n\r\n", None),
+        (b"GET /look HTTP/1.1\r\n", 408),
+        (request(body=b"half")[:-2], 408),
+    ],
+)
 def test_who_does_not_ask_in_time_is_told_or_closed(said, status):
     """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
+
     async def scenario(worker, gate, client):
         client.send(said)
         while said.strip() and not any(one.coming for one in gate.front.admission.all):
             await asyncio.sleep(0)
         await taken(gate, 1)
         later(gate, 2000)
-        one, = gate.front.admission.all
+        (one,) = gate.front.admission.all
         assert not one.ending
         later(gate, 3000 - SWEEP_MS)
         try:
@@ -718,6 +815,7 @@
         except ConnectionResetError:  # blank lines that were not read yet
             told = None
         assert (told and told[0]) == status and await client.ends()
+
     one_worker(scenario)
 
 
@@ -734,6 +832,7 @@
         client = await gate.client()
         client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
         assert (await client.answer())[0] == 413
+
     one_worker(scenario)
 
 
@@ -744,6 +843,7 @@
             client.send(bytes(256 * 1024))
             await client.writer.drain()
         assert (await client.answer())[0] == 404 and await client.ends()
+
     one_worker(scenario)
 
 
@@ -766,17 +866,19 @@
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
         assert len(admission) == 1 and len(gate.keeper.open) == 1
+
     one_worker(scenario)
 
 
 def test_an_idle_connection_with_a_request_unread_on_it_is_not_closed():
     """Seen in a rehearsal beside other work: four requests were lost with connections closed as idle."""
+
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        one, = gate.front.admission.all
+        (one,) = gate.front.admission.all
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
         while System().is_quiet(one.transport):
@@ -786,6 +888,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
@@ -811,11 +914,13 @@
         assert len(gate.keeper.open) == 1
         for one in crowd:
             one.close()
+
     one_worker(scenario)
 
 
 def test_idle_connections_beyond_those_kept_are_closed_after_a_while_the_longest_idle_first():
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
+
     async def scenario(worker, gate, client):
         gate.front.admission.idle_kept = 1
         first, second = client, await gate.client()
@@ -831,11 +936,13 @@
         assert len(gate.front.admission) == 1
         later(gate, 61_000)
         assert await second.ends()
+
     one_worker(scenario)
 
 
 def test_in_a_crowd_idle_connections_go_sooner():
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
+
     async def scenario(worker, gate, client):
         gate.front.admission.crowd = 1
         other = await gate.client()
@@ -852,6 +959,7 @@
         later(gate, 300)
         other.send(request())
         assert (await worker.asked())[0] is not None
+
     one_worker(scenario)
 
 
@@ -870,6 +978,7 @@
                 await asyncio.sleep(0)
         finally:
             gc.enable()
+
     one_worker(scenario)
 
 
@@ -881,6 +990,7 @@
         came = await gate.script.event(Arrival)
         assert came.due_ms < began + 150.0
         assert (await client.answer())[0] == 504 and not gate.keeper.open
+
     one_worker(scenario, worker=None)
 
 
@@ -891,17 +1001,25 @@
         assert (await client.send(up).answer())[0] == 503
         gate.keeper.ready = True
         assert (await client.send(up).answer())[0] == 200
+
     one_worker(scenario)
 
 
 # ---- configuration ------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("change, name", [
-    ({"listen": "here"}, "config.listen"), ({"seed": "xyz"}, "config.seed"), ({"settings": 3}, "settings"),
-    ({"peers": ["127.0.0.1:1"]}, "config.peers"),
-    ({"known": {"index": 1, "endpoints": [{}]}}, "endpoints[0]"),
-    ({"known": {"index": 10 ** 400, "endpoints": []}}, "index"), ({"discovery": "h:70000"}, "discovery")])
+@pytest.mark.parametrize(
+    "change, name",
+    [
+        ({"listen": "here"}, "config.listen"),
+        ({"seed": "xyz"}, "config.seed"),
+        ({"settings": 3}, "settings"),
+        ({"peers": ["127.0.0.1:1"]}, "config.peers"),
+        ({"known": {"index": 1, "endpoints": [{}]}}, "endpoints[0]"),
+        ({"known": {"index": 10**400, "endpoints": []}}, "index"),
+        ({"discovery": "h:70000"}, "discovery"),
+    ],
+)
 def test_a_malformed_configuration_is_named(change, name):
     value = config()
     value.update(change)
@@ -910,14 +1028,18 @@
     assert name in str(told.value)
 
 
-@pytest.mark.parametrize("change, key", [
-    (lambda value: value["classes"].clear(), "settings.classes"),
-    (lambda value: value["classes"][1].update(deadlineMs=0), "classes[1].deadlineMs"),
-    (lambda value: value["classes"][1].update(deadlineMs=-5), "classes[1].deadlineMs"),
-    (lambda value: value["classes"][1].update(dedupWindowMs=-1), "classes[1].dedupWindowMs"),
-    (lambda value: value["classes"][0].update(repeat="sometimes"), "classes[0].repeat"),
-    (lambda value: value["classes"][1].update(keyScope="planet"), "classes[1].keyScope"),
-    (lambda value: value["classes"][2].pop("name"), "classes[2].name")])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        (lambda value: value["classes"].clear(), "settings.classes"),
+        (lambda value: value["classes"][1].update(deadlineMs=0), "classes[1].deadlineMs"),
+        (lambda value: value["classes"][1].update(deadlineMs=-5), "classes[1].deadlineMs"),
+        (lambda value: value["classes"][1].update(dedupWindowMs=-1), "classes[1].dedupWindowMs"),
+        (lambda value: value["classes"][0].update(repeat="sometimes"), "classes[0].repeat"),
+        (lambda value: value["classes"][1].update(keyScope="planet"), "classes[1].keyScope"),
+        (lambda value: value["classes"][2].pop("name"), "classes[2].name"),
+    ],
+)
 def test_settings_that_cannot_be_served_are_named_by_their_key(change, key):
     value = config()
     change(value["settings"])
@@ -929,8 +1051,9 @@
 def test_the_environment_stands_in_for_what_the_file_lacks():
     value = config()
     del value["name"], value["listen"], value["discovery"]
-    made = config_from(value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5",
-                               "BALANCER_DISCOVERY": f"{HOST}:6"})
+    made = config_from(
+        value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
+    )
     assert (made.name, made.listen, made.discovery) == ("n7", (HOST, 5), (HOST, 6))
 
 
@@ -943,6 +1066,7 @@
 
 def test_the_module_serves_a_request_from_end_to_end():
     """The one scenario with the real module: arrival, quota, choice of worker, answer."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(known=[entry("w1", worker.port)]) as gate:
@@ -951,4 +1075,5 @@
                 _, writer = await worker.asked()
                 writer.write(answer())
                 assert (await client.answer())[::2] == (200, b"done")
+
     run(scenario())
--- a/tests/test_gray.py
+++ b/tests/test_gray.py
@@ -87,8 +87,10 @@
                     self.sent.append((self.now, action.id, number, action.server))
                     took = self.rule(self.rng, self.names_of[action.id], action.server, number)
                     if took is not None and took < action.allow_ms:
-                        self.later(took, Outcome(action.id, number, action.server, took, Result.OK, True,
-                                                 load=self.load))
+                        self.later(
+                            took,
+                            Outcome(action.id, number, action.server, took, Result.OK, True, load=self.load),
+                        )
                     else:
                         self.later(
                             action.allow_ms,
@@ -354,8 +356,11 @@
             control.late.setdefault(view, Late(0.0, 0.0)).learn(1.0 if answered else 3.0, answered)
     assert control.late_chance(Attempt(silent, "look", 0.0)) < 0.15
     assert control.late_chance(Attempt(well, "look", 0.0)) > 0.5
-    same_hall = next(one for one in control.servers.known.values()
-                     if one.entry.zone == silent.entry.zone and one is not silent)
+    same_hall = next(
+        one
+        for one in control.servers.known.values()
+        if one.entry.zone == silent.entry.zone and one is not silent
+    )
     assert control.late_chance(Attempt(same_hall, "look", 0.0)) < 0.2
     control.handle(2000.0, [Fleet((), True)])
     control.handle(9000.0, [Woken("agenda")])
@@ -388,7 +393,8 @@
     play = Play(swallowing(0.05), leave_ms=2400.0).run(6)
     gone = "s5"
     play.rule = lambda rng, name, server, number: (
-        None if server == gone or rng.random() < 0.05 else healthy(rng))
+        None if server == gone or rng.random() < 0.05 else healthy(rng)
+    )
     since = play.now
     play.run(3)  # discovery is silent: it still lists the server
     cold = Server("new", "z1", 9, State.READY, 1.0, play.now - 3000)
@@ -404,6 +410,7 @@
 
 # -- thin traffic: little is seen, so little is known
 
+
 def test_a_cap_is_one_attempt_at_least_but_never_over_where_caps_start():
     """Under one attempt it is chance that holds a request, not load. Fails where the cap is 0.45 here."""
     for gateways, limit in ((100, 1.0), (1000, START_PER_SERVER * 9 / 1000)):
@@ -430,14 +437,20 @@
 
 def test_a_wait_teaches_while_it_lasts_not_when_its_client_goes():
     """Attempts that stay out are learned of span by span, before the first of them has ended."""
-    play = Play(lambda rng, name, server, number: None if number == 0 else healthy(rng), rate=4.0,
-                names=("look",), leave_ms=2400.0).run(2.3)
+    play = Play(
+        lambda rng, name, server, number: None if number == 0 else healthy(rng),
+        rate=4.0,
+        names=("look",),
+        leave_ms=2400.0,
+    ).run(2.3)
     late = play.control.late["look",]
     assert not play.control.window.ended and late.spans > 2 and late.chance() < COPY_CHANCE
 
 
 def test_thin_gateways_serve_as_a_fixed_cap_does_when_nothing_is_wrong():
     """A hundred gateways, 0.8 of capacity, about one request a second each."""
-    services = {rule: mean(World(RULES[rule], Failure(), 0.8, 100, 9, seed, 3).play()["service"]
-                           for seed in (1, 2)) for rule in ("plumpick", "fixed cap")}
+    services = {
+        rule: mean(World(RULES[rule], Failure(), 0.8, 100, 9, seed, 3).play()["service"] for seed in (1, 2))
+        for rule in ("plumpick", "fixed cap")
+    }
     assert services["plumpick"] >= services["fixed cap"] - 0.04
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,7 +17,20 @@
 from anisefront import estate
 from anisefront.control import Controller
 from anisefront.interface import (
-    Arrival, Call, Estate, Heard, Inherit, Leave, Order, Outcome, Plan, Result, Resume, Said, Send, Tell,
+    Arrival,
+    Call,
+    Estate,
+    Heard,
+    Inherit,
+    Leave,
+    Order,
+    Outcome,
+    Plan,
+    Result,
+    Resume,
+    Said,
+    Send,
+    Tell,
 )
 from anisefront.messages import Kind
 from anisefront.stores import store_name
@@ -33,9 +46,16 @@
         assert messages == [("hello", "n0"), ("take", None), ("state", {"a": [1, None, "ä"]})]
 
 
-@pytest.mark.parametrize("data", [
-    b"GET / HTTP/1.1\r\n\r\n", MAGIC + b"\0\x02" + bytes(8), MAGIC + b"\0\x01\xff\xff\xff\xff" + bytes(4),
-    encode("take")[:-1] + b"x", MAGIC + b"\0\x01" + (2).to_bytes(4, "big") + b"abcd" + b"{}"])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        MAGIC + b"\0\x02" + bytes(8),
+        MAGIC + b"\0\x01\xff\xff\xff\xff" + bytes(4),
+        encode("take")[:-1] + b"x",
+        MAGIC + b"\0\x01" + (2).to_bytes(4, "big") + b"abcd" + b"{}",
+    ],
+)
 def test_what_is_old_foreign_torn_or_too_long_is_not_believed(data):
     with pytest.raises(Unreadable):
         Reader().feed(data)
@@ -57,7 +77,7 @@
 
 
 def left_by(control, now):
-    state, = of(Estate, control.handle(now, [Leave()]))
+    (state,) = of(Estate, control.handle(now, [Leave()]))
     return json.loads(json.dumps(state.state, allow_nan=False))
 
 
@@ -82,8 +102,14 @@
 def pass_on(now, sender, receiver):
     """What one process tells its own number reaches the other; the other's answers."""
     number = sender.settings.number
-    return receiver.handle(now, [Heard(number, tell.data) for tell in sender.actions
-                                 if isinstance(tell, Tell) and tell.receiver == number])
+    return receiver.handle(
+        now,
+        [
+            Heard(number, tell.data)
+            for tell in sender.actions
+            if isinstance(tell, Tell) and tell.receiver == number
+        ],
+    )
 
 
 def as_form_1(state):
@@ -93,9 +119,13 @@
     del state["classes"]
     state["accounts"] = [[name, [row[0] & low, *row[1:]]] for name, row in state["accounts"]]
     state["stores"] = [
-        [(name >> 16 & low) << 4 | name & 15, *rest[:-1],
-         [[key, [item[0], item[1] & low, *item[2:]], *ask] for key, item, *ask in rest[-1]]]
-        for name, *rest in state["stores"]]
+        [
+            (name >> 16 & low) << 4 | name & 15,
+            *rest[:-1],
+            [[key, [item[0], item[1] & low, *item[2:]], *ask] for key, item, *ask in rest[-1]],
+        ]
+        for name, *rest in state["stores"]
+    ]
     return state
 
 
@@ -156,20 +186,31 @@
 def test_bans_draining_and_what_is_known_of_servers_pass_over():
     old, new = gate(1), gate(2)
     old.handle(1.0, [Order(1, Call.DISABLE, "s1"), Order(2, Call.DRAIN)])
-    send, = of(Send, old.handle(2.0, [Arrival(9, "d", "look", "rated", 4000.0, 1, 0, 1)]))[:1] or [None]
+    (send,) = of(Send, old.handle(2.0, [Arrival(9, "d", "look", "rated", 4000.0, 1, 0, 1)]))[:1] or [None]
     if send is not None:
         old.handle(300.0, [Outcome(9, 0, send.server, 298.0, Result.ERROR, False)])
     new.handle(301.0, [Inherit(left_by(old, 301.0))])
     assert "s1" in new.servers.bans and new.draining.since_ms == 1.0
     assert {name for name, one in new.servers.known.items() if one.bad} == {
-        name for name, one in old.servers.known.items() if one.bad}
+        name for name, one in old.servers.known.items() if one.bad
+    }
     assert of(Said, new.handle(302.0, [Order(3, Call.ENABLE, "s1")]))[0].wrong == ""
     assert "s1" not in new.servers.bans
 
 
-@pytest.mark.parametrize("spoil", [
-    {"form": 0}, {"number": 7}, {"stores": [[1, 0]]}, {"accounts": [[["c"], []]]}, {"window": [1.0]},
-    {"servers": [["s1", 0.0, ["x"] * 4, {}, {}, []]]}, {"bans": 5}, {"usual": {"look": "soon"}}])
+@pytest.mark.parametrize(
+    "spoil",
+    [
+        {"form": 0},
+        {"number": 7},
+        {"stores": [[1, 0]]},
+        {"accounts": [[["c"], []]]},
+        {"window": [1.0]},
+        {"servers": [["s1", 0.0, ["x"] * 4, {}, {}, []]]},
+        {"bans": 5},
+        {"usual": {"look": "soon"}},
+    ],
+)
 def test_a_state_that_cannot_be_read_changes_nothing(spoil):
     old, new = gate(1), gate(2)
     let_in(old, 1.0, 5)
@@ -213,9 +254,17 @@
         """One more process; its management port."""
         self.management.append(free_port())
         path = self.folder / f"config-{len(self.management)}.json"
-        path.write_text(json.dumps(config(
-            self.fake.port, self.port, [entry("w1", self.worker.port)],
-            management=f"{HOST}:{self.management[-1]}", limits={"sockets": 1024})))
+        path.write_text(
+            json.dumps(
+                config(
+                    self.fake.port,
+                    self.port,
+                    [entry("w1", self.worker.port)],
+                    management=f"{HOST}:{self.management[-1]}",
+                    limits={"sockets": 1024},
+                )
+            )
+        )
         process = await start(path)
         self.processes.append(process)
         _, writer = await self.fake.called()
@@ -242,6 +291,7 @@
                     if process.returncode is None:
                         process.kill()
                         await process.wait()
+
     run(whole())
 
 
@@ -295,6 +345,7 @@
         assert (await idle.send(UP).answer())[0] == 200  # it went over twice and never noticed
         serving.cancel()
         assert counts["lost"] == counts["refused"] == 0 and counts["whole"] == counts["sent"]
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -312,6 +363,7 @@
         serving = asyncio.create_task(serve_all(one.worker))
         assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -324,6 +376,7 @@
         assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
         assert (await say(one.management[0], b"READY\n")).startswith("+OK")
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -335,6 +388,7 @@
         serving = asyncio.create_task(serve_all(one.worker))
         assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -355,6 +409,7 @@
         serving = asyncio.create_task(serve_all(one.worker))
         assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
     plug.close()
     assert os.path.isdir(tmp_path)
@@ -362,6 +417,7 @@
 
 def test_with_a_tmpdir_that_cannot_be_written_it_serves_and_says_so(tmp_path, monkeypatch):
     """As a full one: no socket is made there, and the next process begins by itself beside this one."""
+
     async def scenario(one):
         monkeypatch.setenv("TMPDIR", str(tmp_path / "none"))
         await one.start()
@@ -371,11 +427,13 @@
         one.processes[-1].kill()
         said = (await one.processes[-1].stderr.read()).decode()
         assert "handover: no socket at" in said and "Traceback" not in said
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
 def test_a_reload_and_calls_in_the_very_middle_of_an_upgrade_hold_in_both(tmp_path, monkeypatch):
     """Orders come to the old process for as long as the handover lasts: none of them is lost with it."""
+
     async def scenario(one):
         old, word = one.processes[0], b""
         # Each order is a line in its log: unread, some thousands fill the pipe, and the process waits.
@@ -399,11 +457,13 @@
         serving = asyncio.create_task(serve_all(one.worker))
         assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
 def test_after_a_next_process_that_died_another_one_takes_over(tmp_path, monkeypatch):
     """The dead one had put its socket in place of the first one's."""
+
     async def scenario(one):
         first = one.processes[0]
         await one.start()
@@ -420,6 +480,7 @@
         serving = asyncio.create_task(serve_all(one.worker))
         assert (await client.send(request()).answer())[0] == 200
         serving.cancel()
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -430,6 +491,7 @@
 
 def test_both_processes_told_to_end_each_answer_what_they_have_taken(tmp_path, monkeypatch):
     """The older has an open debit, the next one took another; both have SIGTERM before either is answered."""
+
     async def scenario(one):
         older = await Client().open(one.port)
         older.send(homed("00000000000000a1"))
@@ -447,6 +509,7 @@
         first.write(answer(body=b"older"))
         assert (await older.answer())[2] == b"older" and (await newer.answer())[2] == b"newer"
         assert [await process.wait() for process in one.processes] == [0, 0]
+
     upgrades(tmp_path, monkeypatch, scenario)
 
 
@@ -461,6 +524,7 @@
 def test_a_clients_retry_through_the_next_process_is_a_request_of_its_own(tmp_path, monkeypatch):
     """The first is open with the older process; its client asks again, under a new id, on a new
     connection."""
+
     async def scenario(one):
         older = await Client().open(one.port)
         older.send(homed("00000000000000b1", "/book", "same"))
@@ -475,4 +539,5 @@
         assert (await retry.answer())[2] == b"retry"
         first.write(answer(body=b"first"))
         assert (await older.answer())[2] == b"first" and await one.processes[0].wait() == 0
+
     upgrades(tmp_path, monkeypatch, scenario)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -21,14 +21,20 @@
     file = ROOT / path
     if not path.startswith("tests/") or not file.is_file():
         return False
-    return name in {node.name for node in ast.walk(ast.parse(file.read_text()))
-                    if isinstance(node, ast.FunctionDef)}
+    return name in {
+        node.name for node in ast.walk(ast.parse(file.read_text())) if isinstance(node, ast.FunctionDef)
+    }
 
 
 def test_lines_are_read_strictly():
     assert parsed(LINE + "\n") == [(LINE.split(" | ")[0], "a cause", 41)]
-    for bad in (LINE * 4, "tests/x.py::test_y | 41\n", "tests/x.py | cause | 41\n", "a::b | cause | soon\n",
-                "a::b |  | 41\n"):
+    for bad in (
+        LINE * 4,
+        "tests/x.py::test_y | 41\n",
+        "tests/x.py | cause | 41\n",
+        "a::b | cause | soon\n",
+        "a::b |  | 41\n",
+    ):
         with pytest.raises(ValueError, match="KNOWN-RED"):
             parsed(bad)
 
@@ -42,7 +48,8 @@
 def test_what_stands_there_is_passed_over_and_told(pytester_like):
     """Just these, by name, also where they have parameters."""
     passed_over, told = pytester_like(
-        "def test_red():\n    assert False\n\ndef test_green():\n    pass\n", "test_red")
+        "def test_red():\n    assert False\n\ndef test_green():\n    pass\n", "test_red"
+    )
     assert passed_over == 1 and "KNOWN RED, not run" in told and "1 passed" in told
 
 
@@ -62,9 +69,14 @@
         (tests / "test_some.py").write_text(text)
         (tmp_path / "KNOWN-RED.txt").write_text(f"tests/test_some.py::{red} | because | 41\n")
         (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\npythonpath = ["tests"]\n')
-        done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"],
-                              cwd=tmp_path, capture_output=True, text=True)
+        done = subprocess.run(
+            [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"],
+            cwd=tmp_path,
+            capture_output=True,
+            text=True,
+        )
         assert done.returncode == 0, done.stdout
         count = re.search(r"(\d+) deselected", done.stdout)
         return int(count[1]) if count else 0, done.stdout
+
     return play
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -29,6 +29,7 @@
 
 def with_office(scenario, **more):
     """A gatekeeper with one worker, w1, and its management port."""
+
     async def whole():
         async with FakeWorker() as worker:
             known = listing(entry("w1", worker.port))
@@ -45,19 +46,38 @@
                 finally:
                     server.close()
                     front.close()
+
     run(whole())
 
 
-@pytest.mark.parametrize("line, call", [
-    (b"READY", ("READY", "")), (b"ready", ("READY", "")), (b"  DRAIN ", ("DRAIN", "")),
-    (b"disable s-5be2a07c", ("DISABLE", "s-5be2a07c")), (b"ENABLE S-5be2a07c", ("ENABLE", "S-5be2a07c"))])
+@pytest.mark.parametrize(
+    "line, call",
+    [
+        (b"READY", ("READY", "")),
+        (b"ready", ("READY", "")),
+        (b"  DRAIN ", ("DRAIN", "")),
+        (b"disable s-5be2a07c", ("DISABLE", "s-5be2a07c")),
+        (b"ENABLE S-5be2a07c", ("ENABLE", "S-5be2a07c")),
+    ],
+)
 def test_calls_are_read_whatever_their_case_and_ids_as_they_stand(line, call):
     assert call_of(line) == call
 
 
-@pytest.mark.parametrize("line", [
-    b"", b"STOP", b"READY now", b"DISABLE", b"DISABLE a b", b"DISABLE a\0", b"DISABLE \xc3\xa4", b"\0",
-    b"DRAIN a b c"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"STOP",
+        b"READY now",
+        b"DISABLE",
+        b"DISABLE a b",
+        b"DISABLE a\0",
+        b"DISABLE \xc3\xa4",
+        b"\0",
+        b"DRAIN a b c",
+    ],
+)
 def test_what_is_no_call_is_named(line):
     with pytest.raises(ValueError):
         call_of(line)
@@ -88,6 +108,7 @@
         assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.keeper.ready
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
             assert (await say(port, wrong)).startswith("-ERR"), wrong
+
     with_office(scenario)
 
 
@@ -98,6 +119,7 @@
         gate.keeper.come_up()
         gate.keeper.leave(2000.0)
         assert (await say(port, b"READY\n")).startswith("-ERR")
+
     with_office(scenario)
 
 
@@ -110,6 +132,7 @@
         assert len(gate.operators.callers) <= HARD
         for _, writer in silent:
             writer.transport.abort()
+
     with_office(scenario)
 
 
@@ -121,6 +144,7 @@
         gate.operators.sweep(gate.keeper.clock.now() + 60_000.0)
         assert await Client().open(port) and not await reader.read()
         writer.close()
+
     with_office(scenario)
 
 
@@ -138,6 +162,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     with_office(scenario)
 
 
@@ -164,11 +189,13 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert "connection" not in (await again.answer())[1]
+
     with_office(scenario)
 
 
 def test_what_comes_late_in_a_drain_is_answered_before_its_end():
     """A client that writes slowly; its request would be open, and young, when nothing may be left."""
+
     async def scenario(port, gate, worker):
         slow = await gate.client()
         slow.send(request(deadline=10_000)[:-1])
@@ -180,6 +207,7 @@
         assert next(iter(gate.keeper.open.values())).guard is not None
         told = await slow.answer()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
+
     with_office(scenario)
 
 
@@ -189,15 +217,20 @@
         gate.keeper.leave(2000.0)
         await say(port, b"UNDRAIN\n")
         assert not gate.keeper.ready  # it ends all the same
+
     with_office(scenario)
 
 
 def test_staff_call_from_the_command_line(capsys):
     async def scenario(port, _gate, _worker):
         def calls():
-            return [main(["call", f"{HOST}:{port}", *words.split()]) for words in (
-                "READY", "DISABLE w1", "ENABLE w9", "NONSENSE")]
+            return [
+                main(["call", f"{HOST}:{port}", *words.split()])
+                for words in ("READY", "DISABLE w1", "ENABLE w9", "NONSENSE")
+            ]
+
         assert await asyncio.to_thread(calls) == [0, 0, 1, 1]
+
     with_office(scenario)
     assert capsys.readouterr().out.splitlines()[:2] == ["+OK ready", "+OK DISABLE w1"]
     assert main(["call", "nowhere", "READY"]) == main(["call", f"{HOST}:1", "READY"]) == 2
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -45,11 +45,24 @@
     index = st.integers(0, classes - 1) | st.just(classes - 1)
     sixteenths = st.integers(0, 0xFFFF).map(lambda n: n / 16)
     items = st.builds(
-        messages.Item, st.sampled_from(messages.Kind), st.integers(0, (1 << 48) - 1), st.integers(0, 0xFFFF),
-        sixteenths, sixteenths, index, st.integers(0, plans - 1) | st.just(plans - 1), st.integers(0, 15))
+        messages.Item,
+        st.sampled_from(messages.Kind),
+        st.integers(0, (1 << 48) - 1),
+        st.integers(0, 0xFFFF),
+        sixteenths,
+        sixteenths,
+        index,
+        st.integers(0, plans - 1) | st.just(plans - 1),
+        st.integers(0, 15),
+    )
     seen = st.builds(messages.Sighting, st.integers(0, (1 << 32) - 1), index, st.integers(0, 15))
-    return (codec(classes, plans), draw(st.integers(0, 0xFFFF)), draw(st.integers(0, 0xFFFF)) / 64,
-            draw(st.lists(items, max_size=30)), draw(st.lists(seen, max_size=6)))
+    return (
+        codec(classes, plans),
+        draw(st.integers(0, 0xFFFF)),
+        draw(st.integers(0, 0xFFFF)) / 64,
+        draw(st.lists(items, max_size=30)),
+        draw(st.lists(seen, max_size=6)),
+    )
 
 
 @budget(deadline=None, max_examples=300)
@@ -58,8 +71,12 @@
     one, boot, room, items, seen = told
     data = one.encode(boot, room, items, seen)
     assert len(data) <= messages.MAX_BYTES == 256
-    assert one.decode(data) == (boot, room, tuple(items[:one.max_items]),
-                                tuple(seen[:messages.MAX_SIGHTINGS]))
+    assert one.decode(data) == (
+        boot,
+        room,
+        tuple(items[: one.max_items]),
+        tuple(seen[: messages.MAX_SIGHTINGS]),
+    )
 
 
 @budget(deadline=None, max_examples=300)
@@ -72,13 +89,27 @@
     heard = one.decode(data)
     assert heard is None or (
         all(item.class_index < classes and item.plan_index < plans for item in heard.items)
-        and all(seen.class_index < classes for seen in heard.sightings))
-
-
-@pytest.mark.parametrize("classes, plans, item, seen", [
-    (3, 1, 14, 5), (3, 85, 14, 5), (3, 86, 15, 5), (16, 16, 14, 5), (17, 1, 14, 6), (17, 16, 15, 6),
-    (16, 17, 15, 5), (256, 256, 15, 6), (257, 256, 17, 6), (4096, 1, 15, 6), (4097, 1, 15, 8),
-    (65_536, 4096, 17, 8)])
+        and all(seen.class_index < classes for seen in heard.sightings)
+    )
+
+
+@pytest.mark.parametrize(
+    "classes, plans, item, seen",
+    [
+        (3, 1, 14, 5),
+        (3, 85, 14, 5),
+        (3, 86, 15, 5),
+        (16, 16, 14, 5),
+        (17, 1, 14, 6),
+        (17, 16, 15, 6),
+        (16, 17, 15, 5),
+        (256, 256, 15, 6),
+        (257, 256, 17, 6),
+        (4096, 1, 15, 6),
+        (4097, 1, 15, 8),
+        (65_536, 4096, 17, 8),
+    ],
+)
 def test_an_index_takes_no_more_bytes_than_the_settings_need(classes, plans, item, seen):
     one, word = codec(classes, plans), messages.Item(messages.Kind.ASK, 7, 1, 1.0, 1.0, 0, 0)
     empty = len(one.encode(1, 1.0, [], []))
@@ -99,19 +130,23 @@
 
 def test_odd_figures_are_clipped():
     one = codec(3, 2)
-    odd = [messages.Item(messages.Kind.ASK, 7, 1, value, value, 0, 0)
-           for value in (float("nan"), float("inf"), -1.0, 1e300, 4095.96875)]
+    odd = [
+        messages.Item(messages.Kind.ASK, 7, 1, value, value, 0, 0)
+        for value in (float("nan"), float("inf"), -1.0, 1e300, 4095.96875)
+    ]
     heard = one.decode(one.encode(1, float("nan"), odd, []))
     assert [item.units for item in heard.items] == [0.0, 4095.9375, 0.0, 4095.9375, 4095.9375]
 
 
-@pytest.mark.parametrize("change", [
-    dict(plans=2), dict(classes=4), dict(order=True), dict(version=3)])
+@pytest.mark.parametrize("change", [dict(plans=2), dict(classes=4), dict(order=True), dict(version=3)])
 def test_a_gateway_of_another_version_or_other_names_is_not_heard(change):
     one = codec(3, 3)
-    other = messages.Codec(settings(
-        classes=all_classes()[:change.get("classes", 3)][::-1 if "order" in change else 1],
-        plans=all_plans()[:change.get("plans", 3)]))
+    other = messages.Codec(
+        settings(
+            classes=all_classes()[: change.get("classes", 3)][:: -1 if "order" in change else 1],
+            plans=all_plans()[: change.get("plans", 3)],
+        )
+    )
     other.version = change.get("version", other.version)
     data = other.encode(1, 1.0, [messages.Item(messages.Kind.ASK, 7, 1, 1.0, 1.0, 0, 0)], [])
     assert other.decode(data) is not None and one.decode(data) is None
@@ -122,8 +157,11 @@
 
 def told_to(sender, receiver, actions):
     """What a gateway tells another, as that one's events."""
-    return [Heard(sender.settings.number, tell.data) for tell in of(Tell, actions)
-            if tell.receiver == receiver.settings.number]
+    return [
+        Heard(sender.settings.number, tell.data)
+        for tell in of(Tell, actions)
+        if tell.receiver == receiver.settings.number
+    ]
 
 
 def pair(customer, **more):
@@ -260,7 +298,9 @@
     """What the roll costs: a firm's gateways that speak another version than its home send on credit. A home
     keeps their even parts for them where all send life signs to all; in a wide tier it does not."""
     whole, half = roll(False, gateways), roll(True, gateways)
-    print(f"{gateways} gateways, one version: {whole[0]:.1f} units beyond, {whole[1]:.3f} of the quota "
-          f"served; half and half: {half[0]:.1f}, {half[1]:.3f}")
+    print(
+        f"{gateways} gateways, one version: {whole[0]:.1f} units beyond, {whole[1]:.3f} of the quota "
+        f"served; half and half: {half[0]:.1f}, {half[1]:.3f}"
+    )
     assert whole[0] <= 2 and whole[1] >= 0.95
     assert half[0] <= beyond and half[1] >= served
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -81,8 +81,8 @@
 
 def test_unsafe_is_tried_again_when_it_never_ran():
     c = gateway()
-    send, = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
-    again, = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
+    (send,) = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
+    (again,) = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
     assert again.id == 1
 
 
@@ -93,12 +93,15 @@
 
 
 def fleet_of(*servers):
-    return Fleet(tuple(Server(name, zone, cell, State.READY, 1.0, started_ms)
-                       for name, zone, cell, started_ms in servers))
+    return Fleet(
+        tuple(
+            Server(name, zone, cell, State.READY, 1.0, started_ms) for name, zone, cell, started_ms in servers
+        )
+    )
 
 
 def first_send(control, now):
-    send, = of(Send, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
+    (send,) = of(Send, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
     assert send.within_ms == math.inf
     return send
 
@@ -108,7 +111,7 @@
     control = keyed(Scope.ALL)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
-    repeat, = of(Send, control.handle(400.0, [outcome(send, Result.RESET)]))
+    (repeat,) = of(Send, control.handle(400.0, [outcome(send, Result.RESET)]))
     assert repeat.within_ms == 10.0 + 1000.0 - REPEAT_SPARE_MS - 400.0
     # That it never left proves that it never ran: the first one alone counts, and its time goes on.
     more = of(Send, control.handle(700.0, [outcome(repeat, Result.CONNECT_FAILED, attempt=1)]))
@@ -159,8 +162,8 @@
     """An error, then a full at the same server: the first may have run all the same."""
     c = Controller(settings(may_tell=False), 1)
     one = Fleet((Server("s0", "z0", 0, State.READY),))
-    send, = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
-    again, = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
+    (send,) = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
+    (again,) = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
     other = Fleet((Server("s0", "z0", 0, State.DRAINING), Server("s9", "z0", 3, State.READY)))
     actions = c.handle(1020, [other, outcome(again, Result.FULL, 1)])
     assert not of(Send, actions) and of(Fail, actions) == [Fail(1)]
@@ -170,11 +173,13 @@
     c = gateway()
     c.handle(1000, [Fleet(()), Fleet((), failed=True), Woken("never asked"), ClientGone(77)])
     assert of(Refuse, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
-        Refuse(1), Refuse(2)]
+        Refuse(1),
+        Refuse(2),
+    ]
     assert of(Refuse, c.handle(1002, [ask(3, due=900.0)])) == [Refuse(3)]
     c.handle(1003, [ask(4)])  # no servers: held
     assert 4 in c.requests
-    send, = of(Send, c.handle(1004, [FLEET]))
+    (send,) = of(Send, c.handle(1004, [FLEET]))
     assert of(Cancel, c.handle(1005, [ClientGone(4)])) == [Cancel(4, 0)]
     assert c.handle(1006, [ClientGone(4), Started(4, 0, send.server)]) == []
     c.handle(1007, [outcome(send, Result.OK), outcome(send, Result.OK), outcome(send, Result.ERROR, 3)])
@@ -203,14 +208,25 @@
     c.handle(1000, [FLEET])
     good = c.codec.encode(5, 1.0, [item(messages.Kind.SPENT, units=4)], [])
     told = c.codec.encode(5, 1.0, [], [messages.Sighting(77, 5, 15)])
-    odd = [c.codec.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
-           *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # of six classes and three plans
-           *(told[:-1] + bytes([index]) for index in (6 << 4 | 15, 255))]
+    odd = [
+        c.codec.encode(5, 1.0, [item(messages.Kind.GRANT), item(messages.Kind.WAIT)], []),
+        *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # of six classes and three plans
+        *(told[:-1] + bytes([index]) for index in (6 << 4 | 15, 255)),
+    ]
     bad_kind, other_names = bytearray(good), bytearray(good)
     bad_kind[10], other_names[1] = 0xF3, good[1] ^ 1
     old = b"\x03" + good[1:]
-    for data in (b"", b"\x00", good[:-1], b"\xff" + good[1:], old, bytes(300), bytes(bad_kind),
-                 bytes(other_names), *odd):
+    for data in (
+        b"",
+        b"\x00",
+        good[:-1],
+        b"\xff" + good[1:],
+        old,
+        bytes(300),
+        bytes(bad_kind),
+        bytes(other_names),
+        *odd,
+    ):
         assert not of(Send, c.handle(1001, [Heard(1, data)]))
     c.handle(1001, [Heard(9, good), Heard(0, good)])
     assert not c.quota.stores and not c.requests
@@ -226,13 +242,21 @@
     data = codec.encode(70000, 1.5, items, sightings)
     news = codec.decode(data)
     assert len(data) <= messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
-    assert news.items == tuple(items[:codec.max_items]) and news.sightings == tuple(sightings)
+    assert news.items == tuple(items[: codec.max_items]) and news.sightings == tuple(sightings)
     assert [messages.ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
 
 
-@pytest.mark.parametrize("bad, key", [
-    (dict(classes=()), "classes"), (dict(plans=()), "plans"), (dict(gateways=0), "gateways"),
-    (dict(number=3), "number"), (dict(max_attempts=0), "max_attempts"), (dict(warm_up_ms=-1), "warm_up_ms")])
+@pytest.mark.parametrize(
+    "bad, key",
+    [
+        (dict(classes=()), "classes"),
+        (dict(plans=()), "plans"),
+        (dict(gateways=0), "gateways"),
+        (dict(number=3), "number"),
+        (dict(max_attempts=0), "max_attempts"),
+        (dict(warm_up_ms=-1), "warm_up_ms"),
+    ],
+)
 def test_settings_that_cannot_be_right_are_named(bad, key):
     with pytest.raises(ValueError, match=key):
         settings(**bad)
@@ -467,7 +491,7 @@
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("c") + 1) % 3)
     tells = of(Tell, c.handle(1000, [Fleet(()), ask(1, units=4)]))
-    asked, = [told for tell in tells for told in c.codec.decode(tell.data).items]
+    (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).items]
     data = c.codec.encode(1, 1.0, [asked._replace(kind=messages.Kind.GRANT)], [])
     c.handle(1010, [Heard(home_of("c"), data)])
     tells = of(Tell, c.handle(1200, [ClientGone(1), Woken("agenda")]))
@@ -565,7 +589,7 @@
     first = of(Wake, c.handle(1000, [FLEET]))
     assert [round(wake.after_ms) for wake in first] == [100]  # the period
     actions = c.handle(1001, [ask(1)])
-    send, = of(Send, actions)
+    (send,) = of(Send, actions)
     assert not of(Wake, actions)  # all that is due for the request comes after the period
     c.handle(1002, [outcome(send, Result.OK)])
     wakes, now = [], 1002.0
@@ -603,7 +627,7 @@
 
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
-    send, = of(Send, c.handle(1000, [FLEET, ask(1)]))
+    (send,) = of(Send, c.handle(1000, [FLEET, ask(1)]))
     old = c.servers.known[send.server].entry
     back = Server(old.id, old.zone, old.cell, State.READY, 1.0, 1005.0)
     c.handle(1010, [Fleet((back,), complete=False)])
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -25,10 +25,14 @@
     for name in ("anisefront", "plumpick", "pyproject.toml", "README.md", "LICENSE"):
         run("cp", "-r", ROOT / name, tree)
     run(sys.executable, "-m", "build", "--wheel", "--outdir", tmp_path / "dist", tree)
-    wheel, = (tmp_path / "dist").glob("*.whl")
+    (wheel,) = (tmp_path / "dist").glob("*.whl")
     held = set(zipfile.ZipFile(wheel).namelist())
-    sources = {str(path.relative_to(ROOT)) for folder in ("anisefront", "plumpick")
-               for path in (ROOT / folder).rglob("*") if path.suffix in (".py", ".toml", ".json")}
+    sources = {
+        str(path.relative_to(ROOT))
+        for folder in ("anisefront", "plumpick")
+        for path in (ROOT / folder).rglob("*")
+        if path.suffix in (".py", ".toml", ".json")
+    }
     assert sources <= held
     venv.create(tmp_path / "fresh", with_pip=True)
     programs = tmp_path / "fresh" / "bin"
@@ -41,6 +45,11 @@
 def test_without_the_extra_the_tools_say_what_to_install(tmp_path):
     (tmp_path / "msgspec.py").write_text("raise ModuleNotFoundError('no', name='msgspec')\n")
     done = subprocess.run(
-        [sys.executable, "-m", "plumpick.cli", "rehearse"], capture_output=True, text=True,
-        timeout=PATIENCE_S, cwd=ROOT, env={**os.environ, "PYTHONPATH": str(tmp_path)})
+        [sys.executable, "-m", "plumpick.cli", "rehearse"],
+        capture_output=True,
+        text=True,
+        timeout=PATIENCE_S,
+        cwd=ROOT,
+        env={**os.environ, "PYTHONPATH": str(tmp_path)},
+    )
     assert done.returncode == 2 and "plumpick[kit]" in done.stderr
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -28,8 +28,14 @@
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable).replace("-m plumpick", f"-m {module}")
     return await asyncio.create_subprocess_exec(
-        "/bin/sh", "-c", command, cwd=ROOT, env={**os.environ, "BALANCER_CONFIG": str(path)},
-        stderr=asyncio.subprocess.PIPE, **more)
+        "/bin/sh",
+        "-c",
+        command,
+        cwd=ROOT,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+        **more,
+    )
 
 
 async def until_up(port):
@@ -70,6 +76,7 @@
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
+
     run(whole())
 
 
@@ -97,6 +104,7 @@
         writer.write(answer(body=b"taken"))
         assert (await kept.answer())[2] == b"taken" and await kept.ends()
         assert await process.wait() == 0
+
     with_program(tmp_path, scenario)
 
 
@@ -124,11 +132,13 @@
             assert (await client.answer())[0] == 200
             assert await process.wait() == 0
         assert worker.requests.empty()
+
     with_program(tmp_path, scenario)
 
 
 def test_no_thread_of_the_kernel_polls_on_its_account(tmp_path):
     """Seen in /proc: a thread iou-sqp beside the program took nearly all of its CPU share."""
+
     async def scenario(process, port, worker, _fake, _path):
         client = await Client().open(port)
         client.send(request())
@@ -137,6 +147,7 @@
         assert (await client.answer())[0] == 200
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
         assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
+
     with_program(tmp_path, scenario)
 
 
@@ -157,11 +168,14 @@
         finally:
             again.kill()
             await again.wait()
+
     with_program(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("text, name", [(None, "cannot read"), ("{", "config.json"), ("[]", "config"),
-                                        ('{"seed":"1"}', "settings")])
+@pytest.mark.parametrize(
+    "text, name",
+    [(None, "cannot read"), ("{", "config.json"), ("[]", "config"), ('{"seed":"1"}', "settings")],
+)
 def test_a_configuration_that_cannot_be_used_ends_it_with_one_line(tmp_path, text, name):
     async def scenario():
         path = tmp_path / "config.json"
@@ -170,6 +184,7 @@
         process = await start(path)
         _, said = await process.communicate()
         assert process.returncode == 2 and said.count(b"\n") == 1 and name.encode() in said
+
     run(scenario())
 
 
@@ -185,15 +200,18 @@
 BEYOND_LIMITS = [
     ({"classes": many(CLASSES, 65_537)}, "config.settings.classes: 65537"),
     ({"packages": many(PLANS, 4097)}, "config.settings.packages: 4097"),
-    ({"classes": []}, "config.settings.classes: "), ({"packages": []}, "config.settings.packages: "),
+    ({"classes": []}, "config.settings.classes: "),
+    ({"packages": []}, "config.settings.packages: "),
     ({"classes": [*CLASSES, CLASSES[1]]}, "config.settings.classes[3].name: 'book'"),
-    ({"packages": [PLANS[0], PLANS[0]]}, "config.settings.packages[1].name: 'basic'")]
+    ({"packages": [PLANS[0], PLANS[0]]}, "config.settings.packages[1].name: 'basic'"),
+]
 
 
 @pytest.mark.parametrize("change, said", BEYOND_LIMITS)
 def test_settings_that_no_message_can_tell_of_end_it_with_one_line(tmp_path, change, said):
     test_a_configuration_that_cannot_be_used_ends_it_with_one_line(
-        tmp_path, json.dumps(with_settings(config(), **change)), said)
+        tmp_path, json.dumps(with_settings(config(), **change)), said
+    )
 
 
 def test_as_many_classes_and_plans_as_may_be_are_taken():
@@ -208,8 +226,9 @@
         assert (await fake.called())[0].startswith("/discovery/hosts?since=")
         async with FakeDiscovery() as other:
             for change, said in BEYOND_LIMITS:
-                path.write_text(json.dumps(with_settings(
-                    {**first, "discovery": f"{HOST}:{other.port}"}, **change)))
+                path.write_text(
+                    json.dumps(with_settings({**first, "discovery": f"{HOST}:{other.port}"}, **change))
+                )
                 process.send_signal(signal.SIGHUP)
                 while b"stays as it was" not in (line := await process.stderr.readline()):
                     pass
@@ -221,6 +240,7 @@
             assert (await client.answer())[0] == 200 and other.calls.empty()
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
+
     with_program(tmp_path, scenario)
 
 
@@ -241,11 +261,13 @@
             finally:
                 process.kill()
                 await process.wait()
+
     run(whole())
 
 
 def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_leave_one_for_its_return(tmp_path):
     """With the real limit: of all descriptors clients hold what they may, and the list comes all the same."""
+
     async def whole():
         async with FakeWorker() as worker, FakeWorker() as other:
             port, discovery = free_port(), free_port()
@@ -280,4 +302,5 @@
                 await process.wait()
                 for one in crowd:
                     one.close()
+
     run(whole())
--- a/tests/test_quota_hard.py
+++ b/tests/test_quota_hard.py
@@ -61,8 +61,10 @@
 
 def test_a_split_that_flaps_is_booked_each_time_it_heals():
     """Every 300 ms: nobody is lost, and what went out meanwhile is told again."""
+
     def flapping(sender, receiver, now):
         return None if 3 in (sender, receiver) and now // 300 % 2 else 5.0
+
     rig = Rig(way=flapping, burst=4.0)
     firm = next(f"g{n}" for n in range(9) if rig.home(f"g{n}") != 3)
     rig.crowd([0, 1, 2], 8, 0, 20_000, firm)
@@ -74,6 +76,7 @@
 def test_a_firm_that_asked_for_more_than_its_quota_gets_the_like_part_on_credit(monkeypatch):
     """Each gateway of a wide set lets a first request go on while its home is silent: of a firm that asks for
     five times its quota that would be nearly all of them."""
+
     def play():
         rig = Rig(rate=4.0, burst=4.0, gateways=40, spread=40)
         home = rig.home()
@@ -82,6 +85,7 @@
         rig.crowd(others, 20.0, 0, 12_000)
         rig.run(12_000)
         return rig.beyond(8000)
+
     like = play()
     monkeypatch.setattr(control, "CREDIT_MS", -1.0)
     assert like < 12 < 16 < play()
@@ -146,7 +150,7 @@
 def test_the_asker_dies_holding_units_and_its_next_life_is_not_granted_them_again():
     rig, home, at = dies_at_a_grant(1)
     assert at < 9000
-    store, = rig.modules[home].quota.stores.values()
+    (store,) = rig.modules[home].quota.stores.values()
     assert rig.beyond() <= bound(rig, Situation.SERVICE, 12.0) and store.level <= store.plan.burst
     assert rig.count(at + 2000, 12_000) >= 0.7 * rig.plan.rate_per_s * (10 - at / 1000)
 
@@ -199,6 +203,7 @@
 
     def credits(rig):
         return sum(item.kind is Kind.SPENT for *_, news in rig.told for item in news.items)
+
     assert credits(asks_alone(now_and_then_late)) == 0
     monkeypatch.setattr(control, "ASK_LEAST_MS", 30.0)
     monkeypatch.setattr(control, "ASK_TRIES", 2)
@@ -208,18 +213,21 @@
 def test_a_low_ceiling_leaves_a_firm_its_whole_quota(monkeypatch):
     """With half of the ceiling at the home, 1.7 times the quota granted 0.82 of it. Of 6,728 tries refused
     with half of their quota unused, in two simulated days, 4,775 were of the plan with a ceiling."""
+
     def play():
         rig = Rig(ceiling=1.7)
         rig.crowd([0, 1, 2, 3], 1.2 * rig.plan.rate_per_s, 0, 24_000)
         rig.run(24_000)
         return rig.count(4000, 24_000) / (20 * rig.plan.rate_per_s)
+
     assert play() >= 0.98
     monkeypatch.setattr(control, "HOME_CEILING", 0.5 * control.CEILING_USE)
     assert play() < 0.95
 
 
-@pytest.mark.parametrize("askers, late_ms, left", [
-    (1, 0.0, 7.0), (2, 0.0, 0.3), (3, 0.0, -1.0), (3, 4000.0, 5.0)])
+@pytest.mark.parametrize(
+    "askers, late_ms, left", [(1, 0.0, 7.0), (2, 0.0, 0.3), (3, 0.0, -1.0), (3, 4000.0, 5.0)]
+)
 def test_a_new_store_begins_with_what_all_its_askers_have_left(askers, late_ms, left):
     """0.9 of 2 a second asked at each: one has all of its burst left, all three together nothing. Who first
     asks when the store is no longer new says nothing of what was before it."""
@@ -279,8 +287,10 @@
     """What `plumpick bounds` states of a split goes by the same pace."""
     narrow, wide = Rig(gateways=4), Rig(gateways=40, spread=40)
     plan = narrow.plan
+
     def split(rig):
         return beyond_quota(plan, rig.settings(0), Situation.SPLIT, 60.0, spread=4, far=3)
+
     assert wide.modules[0].quota.hold_ms == narrow.modules[0].quota.hold_ms  # not begun yet
     for rig in (narrow, wide):
         rig.run(100)
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -16,8 +16,28 @@
 from anisefront import reconfigure
 from anisefront.control import FORGET_MS, OWN_PART, Controller
 from anisefront.interface import (
-    Arrival, Cancel, Fail, Fleet, Heard, Inherit, Leave, Plan, Reconfigure, Refuse, Repeat, RequestClass,
-    Result, Resume, Said, Scope, Send, Server, State, Subscribe, Tell, Wake,
+    Arrival,
+    Cancel,
+    Fail,
+    Fleet,
+    Heard,
+    Inherit,
+    Leave,
+    Plan,
+    Reconfigure,
+    Refuse,
+    Repeat,
+    RequestClass,
+    Result,
+    Resume,
+    Said,
+    Scope,
+    Send,
+    Server,
+    State,
+    Subscribe,
+    Tell,
+    Wake,
 )
 from anisefront.messages import Codec, Item, Kind, tag_of
 from anisefront.settings import MAX_PLANS
@@ -33,18 +53,24 @@
 
 
 def with_class(given, name, **figures):
-    return replace(given, classes=tuple(
-        replace(kind, **figures) if kind.name == name else kind for kind in given.classes))
+    return replace(
+        given,
+        classes=tuple(replace(kind, **figures) if kind.name == name else kind for kind in given.classes),
+    )
 
 
 def with_plan(given, name, **figures):
-    return replace(given, plans=tuple(
-        replace(plan, **figures) if plan.name == name else plan for plan in given.plans))
+    return replace(
+        given, plans=tuple(replace(plan, **figures) if plan.name == name else plan for plan in given.plans)
+    )
 
 
 def without(given, name):
-    return replace(given, classes=tuple(kind for kind in given.classes if kind.name != name),
-                   plans=tuple(plan for plan in given.plans if plan.name != name))
+    return replace(
+        given,
+        classes=tuple(kind for kind in given.classes if kind.name != name),
+        plans=tuple(plan for plan in given.plans if plan.name != name),
+    )
 
 
 FLEET_6 = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(6)))
@@ -53,16 +79,21 @@
 # -- what cannot be taken
 
 
-@pytest.mark.parametrize("spoil, key", [
-    (lambda s: replace(s, gateways=4), "settings.balancers"),
-    (lambda s: replace(s, number=1), "settings.myNumber"),
-    (lambda s: replace(s, zone="elsewhere"), "settings.locality"),
-    (lambda s: replace(s, must_subscribe=True), "settings.discovery"),
-    (lambda s: replace(s, may_tell=False), "settings.limits.mayTell"),
-    (lambda s: replace(s, classes=(*s.classes, s.classes[1])), "settings.classes[6].name"),
-    (lambda s: replace(s, plans=(s.plans[0], *s.plans)), "settings.packages[1].name"),
-    (lambda s: replace(s, plans=tuple(Plan(f"p{n}") for n in range(MAX_PLANS + 1))), "settings.packages"),
-    (lambda _: None, "settings"), (lambda _: {"classes": []}, "settings")])
+@pytest.mark.parametrize(
+    "spoil, key",
+    [
+        (lambda s: replace(s, gateways=4), "settings.balancers"),
+        (lambda s: replace(s, number=1), "settings.myNumber"),
+        (lambda s: replace(s, zone="elsewhere"), "settings.locality"),
+        (lambda s: replace(s, must_subscribe=True), "settings.discovery"),
+        (lambda s: replace(s, may_tell=False), "settings.limits.mayTell"),
+        (lambda s: replace(s, classes=(*s.classes, s.classes[1])), "settings.classes[6].name"),
+        (lambda s: replace(s, plans=(s.plans[0], *s.plans)), "settings.packages[1].name"),
+        (lambda s: replace(s, plans=tuple(Plan(f"p{n}") for n in range(MAX_PLANS + 1))), "settings.packages"),
+        (lambda _: None, "settings"),
+        (lambda _: {"classes": []}, "settings"),
+    ],
+)
 def test_what_cannot_change_in_service_is_refused_whole_by_one_line_that_names_its_key(spoil, key):
     control, other = gateway(), gateway()
     events = [FLEET_6, ask(1), ask(2, "debit"), ask(3, plan="open")]
@@ -116,8 +147,9 @@
     first, second = of(Send, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
     new = without(with_class(settings(), "look", repeat=Repeat.UNSAFE), "debit")
     assert change(control, 1010.0, new) == ""
-    actions = control.handle(1050.0, [outcome(first, Result.ERROR), outcome(second, Result.ERROR),
-                                      ask(3, "debit"), ask(4, "look")])
+    actions = control.handle(
+        1050.0, [outcome(first, Result.ERROR), outcome(second, Result.ERROR), ask(3, "debit"), ask(4, "look")]
+    )
     by_id = {send.id: send for send in of(Send, actions)}
     assert of(Fail, actions) == [Fail(1)]  # one run of an unsafe one, as when it came
     assert 2 in by_id  # a further attempt at what was safe when it came
@@ -132,7 +164,7 @@
     control.handle(1000.0, [FLEET_6])
     new = RequestClass("new", 400, 1000, 5, Repeat.SAFE)
     assert change(control, 1004.0, replace(settings(), classes=(new, *settings().classes))) == ""
-    send, = of(Send, control.handle(1008.0, [ask(1, "new", due=2000.0)]))
+    (send,) = of(Send, control.handle(1008.0, [ask(1, "new", due=2000.0)]))
     assert control.top_rank == 5 * 1.5
     control.handle(1050.0, [outcome(send, Result.OK)])
     fresh = Controller(control.settings, 1)
@@ -164,8 +196,9 @@
     control = gateway(number=0)
     # Its home is another gateway, which has not answered.
     customer = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 1)
-    control.handle(1000.0, [FLEET_6, ask(1, plan="rated", customer=customer),
-                            ask(2, plan="capped", customer=customer)])
+    control.handle(
+        1000.0, [FLEET_6, ask(1, plan="rated", customer=customer), ask(2, plan="capped", customer=customer)]
+    )
     assert sum(request.waiting for request in control.requests.values()) == 2
     actions = control.handle(1004.0, [Reconfigure(1, without(settings(), "capped"))])
     assert [one.id for one in of(Refuse, actions)] == [2] and list(control.requests) == [1]
@@ -175,7 +208,7 @@
     home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
     crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
     own.handle(1000.0, [FLEET_6, *crowd])
-    store, = own.quota.stores.values()
+    (store,) = own.quota.stores.values()
     before = [own.settings.classes[one.item.class_index].name for one in store.queue]
     assert {"book", "seat"} == set(before)
     actions = own.handle(1000.001, [Reconfigure(1, without(own.settings, "book"))])
@@ -188,24 +221,42 @@
     control = gateway(number=0)
     old = control.settings
     control.handle(1000.0, [FLEET_6])
-    control.quota.outbox = {1: [
-        Item(Kind.SPENT, 7, 1, 1.0, 2.0, 0, 1, 3), Item(Kind.ASK, 7, 2, 1.0, 2.0, 0, 1, 3),
-        Item(Kind.BACK, 8, 3, 1.0, 2.0, 1, 0, 3), Item(Kind.ASK, 9, 4, 1.0, 2.0, 1, 2, 3)]}
+    control.quota.outbox = {
+        1: [
+            Item(Kind.SPENT, 7, 1, 1.0, 2.0, 0, 1, 3),
+            Item(Kind.ASK, 7, 2, 1.0, 2.0, 0, 1, 3),
+            Item(Kind.BACK, 8, 3, 1.0, 2.0, 1, 0, 3),
+            Item(Kind.ASK, 9, 4, 1.0, 2.0, 1, 2, 3),
+        ]
+    }
     control.quota.told_ms[1] = 1000.0
-    control.quota.unheard = {2: [(1000.0, Item(Kind.LATE, 7, 5, 1.0, 2.0, 3, 1, 3)),
-                                 (1000.0, Item(Kind.LATE, 7, 6, 1.0, 2.0, 3, 0, 3))]}
+    control.quota.unheard = {
+        2: [
+            (1000.0, Item(Kind.LATE, 7, 5, 1.0, 2.0, 3, 1, 3)),
+            (1000.0, Item(Kind.LATE, 7, 6, 1.0, 2.0, 3, 0, 3)),
+        ]
+    }
     new = without(without(replace(old, classes=old.classes[::-1], plans=old.plans[::-1]), "look"), "rated")
     actions = control.handle(1000.001, [Reconfigure(1, new)])
-    told = [item for tell in of(Tell, actions) for news in [Codec(old).decode(tell.data)] if news
-            for item in news.items]
+    told = [
+        item
+        for tell in of(Tell, actions)
+        for news in [Codec(old).decode(tell.data)]
+        if news
+        for item in news.items
+    ]
     assert [(item.kind, item.serial) for item in told] == [(Kind.BACK, 3)]  # of the plan that is gone
     waits = control.quota.outbox.get(1, []) + [
-        item for tell in of(Tell, actions) for news in [Codec(new).decode(tell.data)] if news
-        for item in news.items]
+        item
+        for tell in of(Tell, actions)
+        for news in [Codec(new).decode(tell.data)]
+        if news
+        for item in news.items
+    ]
     assert [item.serial for item in waits] == [1, 4]  # no question for a class that is gone
     assert [new.plans[item.plan_index].name for item in waits] == ["capped", "open"]
     assert new.classes[waits[1].class_index].name == "book"
-    late, = control.quota.unheard[2]
+    (late,) = control.quota.unheard[2]
     assert late[1].serial == 5 and new.classes[late[1].class_index].name == "seat"
 
 
@@ -229,21 +280,24 @@
 def test_slots_that_are_taken_stay_taken_over_a_change_and_come_back():
     control = gateway()
     home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
-    sends = of(Send, control.handle(1000.0, [
-        FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))]))
+    sends = of(
+        Send, control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))])
+    )
     assert len(sends) == 4  # as many as may be out at once
     lower = with_plan(settings(), "open", max_out=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
-    store, = control.quota.stores.values()
+    (store,) = control.quota.stores.values()
     assert len(store.leases) == 4
     assert not of(Send, control.handle(1008.0, [outcome(sends[0], Result.OK), outcome(sends[1], Result.OK)]))
     assert len(of(Send, control.handle(1012.0, [outcome(sends[2], Result.OK)]))) == 1
     assert change(control, 1016.0, without(settings(), "open")) == ""
-    parted, = control.quota.parted.values()
+    (parted,) = control.quota.parted.values()
     assert len(parted.leases) == 2 and not control.quota.stores
     assert change(control, 1020.0, settings()) == ""
-    assert len(of(Send, control.handle(1024.0, [
-        ask(n, plan="open", customer=home) for n in range(20, 26)]))) == 2
+    assert (
+        len(of(Send, control.handle(1024.0, [ask(n, plan="open", customer=home) for n in range(20, 26)])))
+        == 2
+    )
 
 
 # -- quotas over a change
@@ -291,8 +345,11 @@
 
     def put(self, number, plan):
         config = self.modules[number].settings
-        self.notice(number, self.life[number], Reconfigure(
-            1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))))
+        self.notice(
+            number,
+            self.life[number],
+            Reconfigure(1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))),
+        )
 
     def change(self, at_ms, plan, gap_ms=0.0):
         for number in range(self.gateways):
@@ -332,8 +389,9 @@
     rng = random.Random(seed)
     rig = Changing(40.0, 40.0, gateways=4, spread=4, seed=seed, ceiling=0.5)
     rig.crowd(range(4), 80.0, 0.0, 20_000.0)
-    steps = [(20.0, 20.0)] + [rng.choice([
-        (20.0, 20.0), (6.0, 6.0), (30.0, 8.0), (4.0, 30.0), (0.0, 0.0), None]) for _ in range(9)]
+    steps = [(20.0, 20.0)] + [
+        rng.choice([(20.0, 20.0), (6.0, 6.0), (30.0, 8.0), (4.0, 30.0), (0.0, 0.0), None]) for _ in range(9)
+    ]
     books, changes, at_ms = Books(*steps[0]), [], 0.0
     for step in steps[1:]:
         at_ms += rng.uniform(100.0, 3000.0)
@@ -366,8 +424,15 @@
     home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
 
     def burst(now):
-        return len(of(Send, control.handle(now, [
-            ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)])))
+        return len(
+            of(
+                Send,
+                control.handle(
+                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                ),
+            )
+        )
+
     control.handle(0.0, [FLEET_6])
     assert burst(4.0) >= 5
     assert change(control, 20.0, settings()) == ""
@@ -398,7 +463,6 @@
     control.quota.account(3010.0, arrival, plan)
     assert account.ceiling <= level + 160.0 * 0.010
 
-
     # While there is no such plan nothing fills, also for what is still open of it; and when it is back, not
     # for that time.
     assert change(control, 4000.0, without(settings(), "capped")) == ""
@@ -415,7 +479,7 @@
     control = Controller(plain(gateways=1), 1)
     control.handle(0.0, [FLEET_6])
     control.handle(4.0, [ask(n, "look", "plain", due=1400.0) for n in range(30)])
-    store, = control.quota.stores.values()
+    (store,) = control.quota.stores.values()
     control.handle(1400.0, [])  # whoever waited has gone
     control.quota.serve(1400.0, next(iter(control.quota.stores)))
     level = store.level = 1.0
@@ -431,13 +495,15 @@
 
 def test_who_waits_at_its_home_is_served_in_time_though_the_plan_has_moved_or_changed():
     """The store's wake-up goes by its new name, or by its new rate."""
+
     def waits():
         control = Controller(with_plan(plain(), "plain", rate_per_s=20.0), 1)
         home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
         control.handle(0.0, [FLEET_6])
-        sent = of(Send, control.handle(4.0, [
-            ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)]))
-        store, = control.quota.stores.values()
+        sent = of(
+            Send, control.handle(4.0, [ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)])
+        )
+        (store,) = control.quota.stores.values()
         assert sent and store.queue and 4.0 < store.wake_ms < 400.0
         return control, store
 
@@ -501,21 +567,48 @@
     kinds, plans = [], []
     for name in rng.sample([f"k{n}" for n in range(7)], rng.choice((1, 3, 5, 7))):
         deadline_ms = rng.choice((300.0, 900.0, 2500.0))
-        kinds.append(RequestClass(
-            name, deadline_ms * rng.uniform(0.2, 0.9), deadline_ms, rng.choice((0.0, 1.0, 4.0)),
-            rng.choice(list(Repeat)), scope=rng.choice(list(Scope)),
-            window_ms=rng.choice((0.0, 200.0, 1200.0)), late_worth=rng.choice((0.0, 0.5)),
-            streamed=rng.random() < 0.1))
+        kinds.append(
+            RequestClass(
+                name,
+                deadline_ms * rng.uniform(0.2, 0.9),
+                deadline_ms,
+                rng.choice((0.0, 1.0, 4.0)),
+                rng.choice(list(Repeat)),
+                scope=rng.choice(list(Scope)),
+                window_ms=rng.choice((0.0, 200.0, 1200.0)),
+                late_worth=rng.choice((0.0, 0.5)),
+                streamed=rng.random() < 0.1,
+            )
+        )
     for name in rng.sample([f"p{n}" for n in range(5)], rng.choice((1, 2, 4, 5))):
         rate, ceiling = rng.choice((0.0, 2.0, 6.0, 20.0)), rng.choice((0.0, 0.0, 2.0))
-        plans.append(Plan(
-            name, rate, rate * rng.choice((1, 3)), rng.choice((0, 0, 3)), rng.uniform(0.5, 2),
-            rng.choice((0.0, 0.9)), 0.6, ceiling * rate, ceiling * rate * 2, 4.0))
-    return replace(base, classes=tuple(kinds), plans=tuple(plans), max_attempts=rng.choice((1, 3, 5)),
-                   second_copies=rng.random() < 0.5, may_cancel=rng.random() < 0.7,
-                   warm_up_ms=rng.choice((0.0, 3000.0, 17_000.0)), cold_from=rng.choice((0.1, 0.4)),
-                   fall_multiple=rng.choice((2.0, 3.0)), max_retry_after_ms=rng.choice((0.0, 1000.0)),
-                   report_fields=rng.choice((("util",), ("util", "inflight"), ())))
+        plans.append(
+            Plan(
+                name,
+                rate,
+                rate * rng.choice((1, 3)),
+                rng.choice((0, 0, 3)),
+                rng.uniform(0.5, 2),
+                rng.choice((0.0, 0.9)),
+                0.6,
+                ceiling * rate,
+                ceiling * rate * 2,
+                4.0,
+            )
+        )
+    return replace(
+        base,
+        classes=tuple(kinds),
+        plans=tuple(plans),
+        max_attempts=rng.choice((1, 3, 5)),
+        second_copies=rng.random() < 0.5,
+        may_cancel=rng.random() < 0.7,
+        warm_up_ms=rng.choice((0.0, 3000.0, 17_000.0)),
+        cold_from=rng.choice((0.1, 0.4)),
+        fall_multiple=rng.choice((2.0, 3.0)),
+        max_retry_after_ms=rng.choice((0.0, 1000.0)),
+        report_fields=rng.choice((("util",), ("util", "inflight"), ())),
+    )
 
 
 class OwnKinds(Checker):
@@ -559,7 +652,7 @@
         control, events = self.gateways[n], self.inbox[n]
         self.inbox[n], before = [], control.settings
         actions = control.handle(self.now, [*events, Reconfigure(1, replace(new, number=n))])
-        said, = of(Said, actions)
+        (said,) = of(Said, actions)
         if new.zone == "elsewhere":
             assert "locality" in said.wrong and control.settings is before
             self.refused += 1
@@ -584,8 +677,10 @@
                 assert one.item.plan_index == name & 0xFFFF
                 assert one.item.class_index < len(control.classes)
         for items in quota.outbox.values():
-            assert all(item.plan_index < len(control.plans) and item.class_index < len(control.classes)
-                       for item in items)
+            assert all(
+                item.plan_index < len(control.plans) and item.class_index < len(control.classes)
+                for item in items
+            )
         assert not any(store.plan.name in control.plans for store in quota.parted.values())
         assert control.shares.keys() == control.waits.keys() == control.usual.keys() == control.timely.keys()
 
@@ -597,7 +692,8 @@
         gateway, arrival = self.checker.open[number]
         known = {kind.name: kind for kind in self.gateways[gateway].settings.classes}
         self.checker.kind_of[number] = known.get(arrival.class_name) or RequestClass(
-            arrival.class_name, 1, 1, 1, Repeat.UNSAFE)
+            arrival.class_name, 1, 1, 1, Repeat.UNSAFE
+        )
 
     def act(self, n, action):
         assert isinstance(action, (Send, Refuse, Fail, Cancel, Wake, Tell, Subscribe, Said))
@@ -668,15 +764,30 @@
         assert change(control, now, replace(base, classes=kinds, plans=plans)) == ""
         for _ in range(12):
             now += 100.0
-            arrivals = [Arrival(next(numbers), f"c{kind.name}", kind.name, plan.name, now + 900.0, 1, 0, 1)
-                        for kind in kinds for plan in plans]
+            arrivals = [
+                Arrival(next(numbers), f"c{kind.name}", kind.name, plan.name, now + 900.0, 1, 0, 1)
+                for kind in kinds
+                for plan in plans
+            ]
             turn(now, arrivals)
             turn(now + 40)
         quota, servers = control.quota, control.servers
-        sizes.append(max(
-            len(control.shares), len(control.late), len(quota.accounts), len(quota.stores), len(quota.parted),
-            len(servers.sightings), len(control.held), len(control.attempts) // 10, len(control.agenda) // 20,
-            len(quota.asking), len(quota.outbox), *(len(one.seen) for one in servers.known.values())))
+        sizes.append(
+            max(
+                len(control.shares),
+                len(control.late),
+                len(quota.accounts),
+                len(quota.stores),
+                len(quota.parted),
+                len(servers.sightings),
+                len(control.held),
+                len(control.attempts) // 10,
+                len(control.agenda) // 20,
+                len(quota.asking),
+                len(quota.outbox),
+                *(len(one.seen) for one in servers.known.values()),
+            )
+        )
     # What is of the last changes: an idle account is forgotten after FORGET_MS and a round of the tidying.
     assert max(sizes[100:]) <= max(sizes[10:100]) * 1.1 and max(sizes) < 18 * (FORGET_MS / 1200 + 6)
     for _ in range(400):
@@ -695,8 +806,15 @@
     old.handle(0.0, [FLEET_6])
 
     def burst(control, now):
-        return len(of(Send, control.handle(now, [
-            ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)])))
+        return len(
+            of(
+                Send,
+                control.handle(
+                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                ),
+            )
+        )
+
     assert burst(old, 4.0) >= 5
     level = next(iter(old.quota.stores.values())).level
     given = with_plan(plain(), "plain", rate_per_s=40.0, burst=120.0)
@@ -705,7 +823,7 @@
     new = Controller(moved, 2)
     new.handle(8.0, [FLEET_6, Inherit(state)])
     assert not new.faults
-    (name, store), = new.quota.stores.items()
+    ((name, store),) = new.quota.stores.items()
     assert name & 0xFFFF == 1 and store.plan is new.plans["plain"] and store.level <= level + 0.1
     assert burst(new, 12.0) <= 1
     # One that lacks the plan keeps its stores for when it comes back, and passes them on.
--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -9,7 +9,16 @@
 import httptools
 import pytest
 from fakes import (
-    Client, FakeWorker, Gate, answer, config, entry, read_message, request, run, settings,
+    Client,
+    FakeWorker,
+    Gate,
+    answer,
+    config,
+    entry,
+    read_message,
+    request,
+    run,
+    settings,
 )
 from test_ending import served
 from test_streams import Raw, head_of
@@ -28,8 +37,10 @@
     value = config(known=[], settings=settings())
     change(value["settings"])
     news = config_from(value, {})
-    return type(own)(**{name: getattr(own, name) for name in own.__dataclass_fields__} | {
-        "settings": news.settings, "idle_ms": news.idle_ms, "dial_timeout_ms": news.dial_timeout_ms})
+    return type(own)(
+        **{name: getattr(own, name) for name in own.__dataclass_fields__}
+        | {"settings": news.settings, "idle_ms": news.idle_ms, "dial_timeout_ms": news.dial_timeout_ms}
+    )
 
 
 def put(gate, change):
@@ -39,6 +50,7 @@
 def drop(name):
     def change(value):
         value["classes"] = [row for row in value["classes"] if row["name"] != name]
+
     return change
 
 
@@ -51,15 +63,18 @@
         for row in value["classes"]:
             if row["name"] == name:
                 row.update(more)
+
     return change
 
 
 def one_worker(scenario):
     """One worker, one gatekeeper with its module, one client."""
+
     async def whole():
         async with FakeWorker() as worker:
             async with Gate(known=[entry("w1", worker.port)]) as gate:
                 await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
@@ -80,11 +95,13 @@
         assert asked.url == b"/debit"
         writer.write(answer())
         assert (await client.answer())[0] == 200 and not gate.keeper.open
+
     one_worker(scenario)
 
 
 def test_a_failed_attempt_after_the_change_is_judged_as_its_request_came():
     """What may run twice when it came is tried again, and what may not is not."""
+
     async def scenario(worker, gate, client):
         client.send(request("00000000000000b1"))
         _, first = await worker.asked()
@@ -98,11 +115,13 @@
         assert (await client.answer())[2] == b"second"
         client.send(request("00000000000000b2"))
         assert (await client.answer())[0] == 405  # from now on it is no GET
+
     one_worker(scenario)
 
 
 def test_a_request_right_behind_a_change_is_read_by_the_new_settings():
     """Half of it came before."""
+
     async def scenario(worker, gate, client):
         data = request("00000000000000c1", "/fresh")
         client.send(data[:30])
@@ -114,6 +133,7 @@
         assert asked.url == b"/fresh"
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
@@ -128,6 +148,7 @@
         assert asked.url == b"/fresh"  # it was not read before the first had its answer
         writer.write(answer(body=b"two"))
         assert (await client.answer())[2] == b"two"
+
     one_worker(scenario)
 
 
@@ -136,14 +157,22 @@
         gold = request("00000000000000e1").replace(b"X-Tier: basic", b"X-Tier: gold")
         client.send(gold)
         assert (await client.answer())[0] == 400
-        assert put(gate, lambda value: value.update(packages=[
-            {"name": "gold", "perSecond": 50.0, "storeSize": 100.0}])) == ""
+        assert (
+            put(
+                gate,
+                lambda value: value.update(
+                    packages=[{"name": "gold", "perSecond": 50.0, "storeSize": 100.0}]
+                ),
+            )
+            == ""
+        )
         client.send(gold.replace(b"e1", b"e2"))
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request("00000000000000e3"))
         assert (await client.answer())[0] == 400
+
     one_worker(scenario)
 
 
@@ -153,7 +182,8 @@
             async with Gate(known=[entry("w1", worker.port)]) as gate:
                 client, size = await gate.client(), 4 * WHOLE
                 head = request("00000000000000f1", "/debit", body=b"-").replace(
-                    b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size)[:-1]
+                    b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size
+                )[:-1]
                 client.send(head + b"a" * (size // 2))
                 reader, writer = await worker.came.get()
                 assert "POST /debit" in await head_of(reader)
@@ -173,6 +203,7 @@
                 assert await client.reader.readexactly(size) == b"c" * (size // 2) + b"d" * (size - size // 2)
                 while gate.keeper.open:
                     await asyncio.sleep(0)
+
     run(scenario())
 
 
@@ -181,8 +212,10 @@
     "another zone": (lambda value: value.update(locality="b"), "settings.locality"),
     "another tier": (lambda value: value.update(balancers=4), "settings.balancers"),
     "no words": (lambda value: value["limits"].update(mayTell=False), "settings.limits.mayTell"),
-    "no time to dial": (lambda value: value["limits"].update(dialTimeoutMs=0),
-                        "settings.limits.dialTimeoutMs"),
+    "no time to dial": (
+        lambda value: value["limits"].update(dialTimeoutMs=0),
+        "settings.limits.dialTimeoutMs",
+    ),
     "no idle time": (lambda value: value["limits"].update(connIdleMs=-1), "settings.limits.connIdleMs"),
 }
 
@@ -198,12 +231,26 @@
 
     async def scenario(worker, gate, client):
         keeper = gate.keeper
-        before = (keeper.config, keeper.settings, keeper.controller.settings, gate.front.forms,
-                  keeper.workers._fields, keeper.workers._idle_ms, keeper.workers._dial_ms)
+        before = (
+            keeper.config,
+            keeper.settings,
+            keeper.controller.settings,
+            gate.front.forms,
+            keeper.workers._fields,
+            keeper.workers._idle_ms,
+            keeper.workers._dial_ms,
+        )
         wrong = put(gate, change)
         assert wrong.startswith(key) and "\n" not in wrong
-        after = (keeper.config, keeper.settings, keeper.controller.settings, gate.front.forms,
-                 keeper.workers._fields, keeper.workers._idle_ms, keeper.workers._dial_ms)
+        after = (
+            keeper.config,
+            keeper.settings,
+            keeper.controller.settings,
+            gate.front.forms,
+            keeper.workers._fields,
+            keeper.workers._idle_ms,
+            keeper.workers._dial_ms,
+        )
         assert all(one is other for one, other in zip(before, after, strict=True))
         client.send(request("00000000000000a1", "/fresh"))
         assert (await client.answer())[0] == 404
@@ -211,6 +258,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
@@ -220,6 +268,7 @@
         object.__setattr__(own, "sockets", 7)
         assert gate.keeper.reconfigure(own).startswith("sockets")
         assert gate.keeper.config.sockets == 256
+
     one_worker(scenario)
 
 
@@ -239,6 +288,7 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert put(gate, add(FRESH)) == ""
+
     one_worker(scenario)
 
 
@@ -262,11 +312,13 @@
         while not gate.keeper.controller.servers.known["w1"].report_ms > 0:
             await asyncio.sleep(0)
         assert gate.keeper.controller.servers.known["w1"].others >= 2
+
     one_worker(scenario)
 
 
 def test_fifty_changes_under_load_and_every_request_has_its_answer():
     """Each changes classes and plans; connections are kept, and none is closed."""
+
     def ample(value):  # so that no quota refuses
         value["packages"][0].update(perSecond=1e4, storeSize=1e4)
         return value
@@ -318,6 +370,7 @@
                 names = [name for names in told.values() for name in names]
                 assert len(names) == asked == len(set(names)) and not gate.keeper.open
                 assert len(told[200]) > 500 and len(told[404]) > 10
+
     run(scenario())
 
 
@@ -327,7 +380,7 @@
         _, writer = await worker.asked()
         gate.keeper.leave(5000.0)
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
-        open_request, = gate.keeper.open.values()
+        (open_request,) = gate.keeper.open.values()
         assert open_request.due_ms <= gate.keeper.clock.now() + 5000.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
@@ -337,6 +390,7 @@
         assert (await client.answer())[0] == 200
         gate.keeper.drain()
         assert put(gate, lambda _: None) == "" and not gate.keeper.ready
+
     one_worker(scenario)
 
 
@@ -359,6 +413,7 @@
         assert max(gate.keeper.deadlines_ms()) <= 400.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
+
     one_worker(scenario)
 
 
@@ -367,8 +422,9 @@
     asked = []
 
     async def scenario(port, fake, worker, task):
-        monkeypatch.setattr(daemon, "ending_of", lambda deadlines_s: asked.append(list(deadlines_s)) or (
-            0.05, 0.1, 0.3))
+        monkeypatch.setattr(
+            daemon, "ending_of", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
+        )
         monkeypatch.setattr("plumpick.gatekeeper.Gatekeeper.deadlines_ms", lambda _self: [1234.0])
         monkeypatch.setattr(daemon, "FIRST_LIST_S", 0.01)
         while True:
@@ -382,20 +438,25 @@
         assert message is not None
         os.kill(os.getpid(), signal.SIGTERM)
         await task
+
     served(scenario, monkeypatch)
     assert asked == [[1.234]]
 
 
 def test_nobody_elses_settings_are_touched():
     """Two gatekeepers in one process, of which one changes."""
+
     async def scenario():
         async with FakeWorker() as worker:
-            async with Gate(known=[entry("w1", worker.port)]) as one, Gate(
-                    known=[entry("w1", worker.port)]) as two:
+            async with (
+                Gate(known=[entry("w1", worker.port)]) as one,
+                Gate(known=[entry("w1", worker.port)]) as two,
+            ):
                 assert put(one, drop("look")) == ""
                 client = (await two.client()).send(request("00000000000000a1"))
                 _, writer = await worker.asked()
                 writer.write(answer())
                 assert (await client.answer())[0] == 200
                 assert isinstance(one.keeper.controller, Controller)
+
     run(scenario())
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -10,8 +10,11 @@
 
 
 def test_lines_are_short():
-    for path in [path for folder in ("anisefront", "plumpick", "tests", "benchmarks")
-                 for path in (ROOT / folder).rglob("*.py")]:
+    for path in [
+        path
+        for folder in ("anisefront", "plumpick", "tests", "benchmarks")
+        for path in (ROOT / folder).rglob("*.py")
+    ]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
@@ -32,9 +35,14 @@
 
 def test_the_daemons_files_are_what_the_deploy_file_says_and_need_no_tool():
     node = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["node"]
-    daemon = [*ROOT.glob("plumpick/*.py"), *ROOT.glob("plumpick/fronts/**/*.py"),
-              *ROOT.glob("plumpick/upstream/**/*.py"), *ROOT.glob("plumpick/handover/**/*.py"),
-              *ROOT.glob("plumpick/fleet/**/*.py"), *ROOT.glob("plumpick/configuration/**/*.py")]
+    daemon = [
+        *ROOT.glob("plumpick/*.py"),
+        *ROOT.glob("plumpick/fronts/**/*.py"),
+        *ROOT.glob("plumpick/upstream/**/*.py"),
+        *ROOT.glob("plumpick/handover/**/*.py"),
+        *ROOT.glob("plumpick/fleet/**/*.py"),
+        *ROOT.glob("plumpick/configuration/**/*.py"),
+    ]
     assert sorted(node) == sorted(str(path.relative_to(ROOT)) for path in daemon if path.name != "cli.py")
     for name in node:
         text = (ROOT / name).read_text()
@@ -43,7 +51,7 @@
 
 def test_readme_example_runs(capsys):
     readme = (ROOT / "README.md").read_text()
-    example, = re.findall(r"```python\n(.*?)```", readme, re.S)
+    (example,) = re.findall(r"```python\n(.*?)```", readme, re.S)
     exec(compile(example, "README.md", "exec"), {})
     assert "send 1 to" in capsys.readouterr().out
 
@@ -51,15 +59,23 @@
 def imports_of(path):
     """The modules of this repository that a file names in its imports, also those for types alone."""
     tree = ast.parse(path.read_text())
-    return {node.module for node in ast.walk(tree) if isinstance(node, ast.ImportFrom) and node.module
-            and node.module.startswith(("plumpick", "anisefront"))}
+    return {
+        node.module
+        for node in ast.walk(tree)
+        if isinstance(node, ast.ImportFrom)
+        and node.module
+        and node.module.startswith(("plumpick", "anisefront"))
+    }
 
 
 def test_the_page_of_crossings_names_tests_that_exist():
     text = (ROOT / "docs/design/crossings.md").read_text()
     named = set(re.findall(r"::(test_\w+)", text))
-    defined = {name for path in (ROOT / "tests").rglob("test_*.py")
-               for name in re.findall(r"^def (test_\w+)", path.read_text(), re.M)}
+    defined = {
+        name
+        for path in (ROOT / "tests").rglob("test_*.py")
+        for name in re.findall(r"^def (test_\w+)", path.read_text(), re.M)
+    }
     assert len(named) > 40 and not named - defined
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -35,7 +35,10 @@
 def settings(number=0, gateways=3, **more):
     """Settings with every kind of repeat and plan."""
     values = dict(
-        gateways=gateways, number=number, zone="z0", tick_ms=TICK,
+        gateways=gateways,
+        number=number,
+        zone="z0",
+        tick_ms=TICK,
         classes=(
             RequestClass("look", 600, 1500, 2, Repeat.SAFE),
             RequestClass("book", 900, 2500, 4, Repeat.KEYED, scope=Scope.CELL, window_ms=1200),
@@ -49,9 +52,20 @@
             Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
             Plan("open", max_out=4, value=1.2, over_cost=1.0),
         ),
-        warm_up_ms=8000, cold_from=0.25, fall_multiple=3, fall_window_ms=1500, max_attempts=4, max_units=4,
-        may_tell=True, second_copies=True, settles=True, max_retry_after_ms=1000, inbox_per_s=60,
-        report_how="answers", report_fields=("util", "inflight"))
+        warm_up_ms=8000,
+        cold_from=0.25,
+        fall_multiple=3,
+        fall_window_ms=1500,
+        max_attempts=4,
+        max_units=4,
+        may_tell=True,
+        second_copies=True,
+        settles=True,
+        max_retry_after_ms=1000,
+        inbox_per_s=60,
+        report_how="answers",
+        report_fields=("util", "inflight"),
+    )
     values.update(more)
     return Settings(**values)
 
@@ -163,8 +177,16 @@
         if spread == 2:
             gateway = self.rng.randrange(2)
         due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
-        arrival = Arrival(self.serial, customer, kind.name, plan.name, due, self.rng.choice((1, 1, 2, 4)),
-                          0 if spread == 2 else first * 0, spread)
+        arrival = Arrival(
+            self.serial,
+            customer,
+            kind.name,
+            plan.name,
+            due,
+            self.rng.choice((1, 1, 2, 4)),
+            0 if spread == 2 else first * 0,
+            spread,
+        )
         self.checker.arrival(gateway, arrival)
         self.inbox[gateway].append(arrival)
 
@@ -175,7 +197,8 @@
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
                 [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
-                [70, 8, 8, 6, 4, 4])[0]
+                [70, 8, 8, 6, 4, 4],
+            )[0]
             took = min(self.rng.expovariate(1 / 150), action.allow_ms)
             took = action.allow_ms if result is Result.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
@@ -195,7 +218,7 @@
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
-                data = action.data if self.rng.random() > 0.02 else action.data[:self.rng.randrange(20)]
+                data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
                 self.later(self.rng.expovariate(1 / 60), action.receiver, Heard(n, data))
 
     def deliver(self, gateway, event):
@@ -216,13 +239,26 @@
         if number in self.checker.open and (result is Result.OK or number in self.streams):
             self.streams.discard(number)
             due = self.checker.open[number][1].due_ms
-            assert self.now <= due + SLACK or self.checker.kinds[
-                self.checker.open[number][1].class_name].streamed, "rule 1: late"
+            assert (
+                self.now <= due + SLACK
+                or self.checker.kinds[self.checker.open[number][1].class_name].streamed
+            ), "rule 1: late"
             self.checker.open.pop(number)
             self.checker.done.add(number)
         final = number not in self.checker.open
-        self.inbox[gateway].append(Outcome(number, attempt, server.id, self.now - sent_ms, result, final,
-                                           self.rng.choice((0, 1, 3)), 0, (0.5, 2.0)))
+        self.inbox[gateway].append(
+            Outcome(
+                number,
+                attempt,
+                server.id,
+                self.now - sent_ms,
+                result,
+                final,
+                self.rng.choice((0, 1, 3)),
+                0,
+                (0.5, 2.0),
+            )
+        )
 
     def run(self, ms):
         end = self.now + ms
@@ -246,8 +282,11 @@
                     self.log.append((n, self.now, actions))
                     for action in actions:
                         self.act(n, action)
-            overdue = [n for n, (_, arrival) in self.checker.open.items()
-                       if arrival.due_ms + SLACK < self.now and n not in self.streams]
+            overdue = [
+                n
+                for n, (_, arrival) in self.checker.open.items()
+                if arrival.due_ms + SLACK < self.now and n not in self.streams
+            ]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end + 60_000
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -9,12 +9,27 @@
 from anisefront.interface import Fail, Fleet, Heard, Refuse, Result, Send, Server, State, Tell, Wake, Woken
 
 LEAVE = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.DRAINING) for n in range(4)), complete=False)
-STAGES = ("control.Controller.again", "control.Controller.due", "control.Controller.release",
-          "control.Controller.set_wake", "control.Controller.step_shares", "control.Controller.tidy",
-          "control.Quota.begin", "control.Quota.post", "control.Quota.step", "control.Servers.choose",
-          "control.Servers.step", "control.Window.step", "messages.Codec.encode")
-MUST_WORK = {"control.Controller.due", "control.Controller.release", "control.Quota.begin",
-             "control.Servers.choose"}  # to serve
+STAGES = (
+    "control.Controller.again",
+    "control.Controller.due",
+    "control.Controller.release",
+    "control.Controller.set_wake",
+    "control.Controller.step_shares",
+    "control.Controller.tidy",
+    "control.Quota.begin",
+    "control.Quota.post",
+    "control.Quota.step",
+    "control.Servers.choose",
+    "control.Servers.step",
+    "control.Window.step",
+    "messages.Codec.encode",
+)
+MUST_WORK = {
+    "control.Controller.due",
+    "control.Controller.release",
+    "control.Quota.begin",
+    "control.Servers.choose",
+}  # to serve
 
 
 def break_it(monkeypatch, name, when):
@@ -29,6 +44,7 @@
         if when(len(calls), arguments[1:]):
             raise RuntimeError(name)
         return whole(*arguments)
+
     monkeypatch.setattr(target, method, broken)
     return calls
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -24,8 +24,11 @@
     told = [action for action in asker.handle(now, [arrival]) if isinstance(action, Tell)]
     answers = []
     for tell in told:
-        answers += [action for action in home.handle(now + 1, [Heard(asker.settings.number, tell.data)])
-                    if isinstance(action, Tell)]
+        answers += [
+            action
+            for action in home.handle(now + 1, [Heard(asker.settings.number, tell.data)])
+            if isinstance(action, Tell)
+        ]
     return told, answers
 
 
@@ -54,8 +57,12 @@
     while not [action for action in done if isinstance(action, Tell)]:
         (wake,) = [action for action in done if isinstance(action, Wake)][:1]
         done = second.handle(1411.0 + wake.after_ms, [Woken(wake.name)])
-    kinds = [item.kind for action in done if isinstance(action, Tell)
-             for item in second.codec.decode(action.data).items]
+    kinds = [
+        item.kind
+        for action in done
+        if isinstance(action, Tell)
+        for item in second.codec.decode(action.data).items
+    ]
     assert Kind.BACK in kinds
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -36,6 +36,7 @@
         async with Raw() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
                 await scenario(worker, gate, await gate.client())
+
     run(whole())
 
 
@@ -58,7 +59,7 @@
 
 
 def chunked(data, size=70_000):
-    parts = [data[at:at + size] for at in range(0, len(data), size)]
+    parts = [data[at : at + size] for at in range(0, len(data), size)]
     chunks = [b"%x;ext=1\r\n%s\r\n" % (len(part), part) for part in parts]
     return b"".join(chunks) + b"0\r\nX-Trailer: t\r\n\r\n"
 
@@ -71,8 +72,11 @@
     monkeypatch.setattr("plumpick.upstream.workers.REST_MS", 0.0)  # its connection is used again at once
 
     body = bytes(range(256)) * (BIG // 256)
-    head = {"length": b"Content-Length: %d\r\n" % BIG, "chunks": b"Transfer-Encoding: chunked\r\n",
-            "end": b"Connection: close\r\n"}[form]
+    head = {
+        "length": b"Content-Length: %d\r\n" % BIG,
+        "chunks": b"Transfer-Encoding: chunked\r\n",
+        "end": b"Connection: close\r\n",
+    }[form]
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -97,6 +101,7 @@
         if form == "length":  # both connections may be used again
             client.send(request())
             assert "X-Request-Id" in await head_of(reader)
+
     one_raw(scenario)
 
 
@@ -110,7 +115,7 @@
         body = bytes(300_000)
         head = b"Content-Length: 300000" if form == "length" else b"Transfer-Encoding: chunked"
         sent = body if form == "length" else chunked(body)
-        writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + sent[:tenth * len(sent) // 10])
+        writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + sent[: tenth * len(sent) // 10])
         await writer.drain()
         writer.close()
         status, _, got, whole = await whole_answer(client.reader)
@@ -118,6 +123,7 @@
         assert len(got) < 300_000
         assert (await gate.script.event(Outcome)).result in (Result.RESET, Result.ERROR)
         assert not gate.keeper._streams
+
     one_raw(scenario)
 
 
@@ -130,6 +136,7 @@
         told = await client.reader.read()
         head, _, body = told.partition(b"\r\n\r\n")
         assert b"chunked" not in head and body == bytes(200_000)
+
     one_raw(scenario)
 
 
@@ -150,6 +157,7 @@
         writer.transport.get_extra_info("socket").setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER: a reset
         writer.transport.abort()
         assert (await client.answer())[0] == 502
+
     one_raw(scenario)
 
 
@@ -169,11 +177,12 @@
                     await writer.drain()
         except TimeoutError:
             pass
-        one, = gate.front.admission.all
+        (one,) = gate.front.admission.all
         assert written < 32 * BIG
         assert one.transport.get_write_buffer_size() <= MOST_MARK + 2**19
         client.close()
         assert (await gate.script.event(Outcome)).result is not Result.OK
+
     one_raw(scenario)
 
 
@@ -189,6 +198,7 @@
         assert gate.keeper.open
         gate.keeper._stalled(now + 60_000.0)
         assert not gate.keeper.open and (await gate.script.event(Outcome)).result is Result.RESET
+
     one_raw(scenario)
 
 
@@ -199,6 +209,7 @@
         assert (await head_of(reader)).startswith("HEAD ")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n")
         assert "Content-Length: 1234" in (await head_of(client.reader))
+
     one_raw(scenario)
 
 
@@ -235,6 +246,7 @@
         assert (await client.answer())[::2] == (200, b"done")
         client.send(request())  # the client's connection is of use again
         await head_of((await worker.came.get())[0])
+
     one_raw(scenario)
 
 
@@ -249,6 +261,7 @@
         client.send(data[-1:])
         await reader.readexactly(300_000)
         assert (await client.answer())[0] in (502, 504)  # now it does
+
     one_raw(scenario)
 
 
@@ -260,6 +273,7 @@
         writer.transport.abort()
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         assert (await client.answer())[0] == 502
+
     one_raw(scenario)
 
 
@@ -271,6 +285,7 @@
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await gate.script.event(Outcome)).result is Result.FULL
         assert (await client.answer())[0] == 502 and not gate.keeper._streams
+
     one_raw(scenario)
 
 
@@ -283,6 +298,7 @@
         gate.keeper._stalled(gate.keeper.clock.now() + 5000.0)
         assert (await client.answer())[0] == 408
         assert (await gate.script.event(Outcome)).result is Result.CANCELLED
+
     one_raw(scenario)
 
 
@@ -293,6 +309,7 @@
         client.writer.transport.abort()
         await gate.script.event(Outcome)
         assert not gate.keeper.open and not gate.keeper.attempts and not gate.keeper.workers.budget.streams
+
     one_raw(scenario)
 
 
@@ -311,11 +328,13 @@
         await reader.readexactly(100_000)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await client.answer())[0] == 200
+
     one_raw(scenario)
 
 
 def test_blanks_round_a_value_are_none_of_it_on_either_side():
     """Seen: 133 of 1,251 requests were turned away for a blank behind a value."""
+
     async def scenario(worker, gate, client):
         data = upload(b"body", "length")
         head, _, body = data.partition(b"\r\n\r\n")
@@ -325,6 +344,7 @@
         assert "X-Request-Id" in await head_of(reader) and await reader.readexactly(4) == b"body"
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
         assert (await gate.script.event(Outcome)).result is Result.FULL
+
     one_raw(scenario)
 
 
@@ -333,6 +353,7 @@
         client.send(request().replace(b"GET /look", b"GET http://api.internal/look?x=1"))
         reader, _ = await worker.came.get()
         assert (await head_of(reader)).startswith("GET /look?x=1 HTTP/1.1")
+
     one_raw(scenario)
 
 
@@ -348,6 +369,7 @@
         await reader.readexactly(BIG)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
         assert (await client.answer())[2] == b"second"
+
     one_raw(scenario)
 
 
@@ -407,11 +429,13 @@
         answers = await asyncio.gather(*(whole_answer(one.reader) for one in clients))
         assert all(whole and len(body) == 1_000_000 for _, _, body, whole in answers)
         assert not gate.keeper.workers.budget.streams
+
     one_raw(scenario)
 
 
 def test_among_three_thousand_silent_connections_requests_that_are_written_slowly_are_all_answered():
     """They come a hundred at a time, all the while; each true request is written in pieces among them."""
+
     async def scenario(worker, gate, _client):
         async def serve():
             while True:
@@ -429,11 +453,12 @@
             true = await Client().open(gate.port)
             data = request(path="/look/true")
             for at in range(0, len(data), len(data) // pieces + 1):
-                true.send(data[at:at + len(data) // pieces + 1])
+                true.send(data[at : at + len(data) // pieces + 1])
                 crowd.append(await Client().open(gate.port))  # some of the crowd comes between
             told = await true.answer()
             true.close()
             return told and told[0]
+
         tasks, crowd, answers = [], [], []
         tasks.append(asyncio.create_task(serve()))
         for _ in range(20):
@@ -447,4 +472,5 @@
             one.close()
         assert answers == [200] * 200
         assert len(gate.front.admission) <= gate.front.admission.hard + gate.keeper.spare_descriptors()
+
     one_raw(scenario)
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -17,6 +17,7 @@
 
 def watched(scenario):
     """Run a scenario with a fake discovery, and a queue of what the gatekeeper is told."""
+
     async def whole():
         async with FakeDiscovery() as fake:
             lists = asyncio.Queue()
@@ -25,6 +26,7 @@
             await scenario(fake, lists, discovery)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
+
     run(whole())
 
 
@@ -40,6 +42,7 @@
         news = await lists.get()
         assert not news.complete and news.entries[0].server.state.value == "gone"
         assert (await fake.called())[0] == WATCH.format(43)
+
     watched(scenario)
 
 
@@ -54,12 +57,23 @@
             writer.write(told(listing(index=41, snapshot=False)))
         await fake.called()
         assert lists.empty()
+
     watched(scenario)
 
 
-@pytest.mark.parametrize("reply", [
-    answer(500), answer(body=b"no json"), answer(body=b"[" * 100_000), answer(body=b"3"), b"noise\r\n\r\n",
-    answer(body=b'{"index":42,"endpoints":3}'), told(listing(index=40, snapshot=False)), None])
+@pytest.mark.parametrize(
+    "reply",
+    [
+        answer(500),
+        answer(body=b"no json"),
+        answer(body=b"[" * 100_000),
+        answer(body=b"3"),
+        b"noise\r\n\r\n",
+        answer(body=b'{"index":42,"endpoints":3}'),
+        told(listing(index=40, snapshot=False)),
+        None,
+    ],
+)
 def test_after_an_odd_answer_or_an_end_the_whole_list_is_asked_again(reply):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
@@ -74,6 +88,7 @@
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w1", 5001), index=44)))
         assert (await lists.get()).index == 44
+
     watched(scenario)
 
 
@@ -85,11 +100,13 @@
         news = await lists.get()
         assert [one.server.id for one in news.entries] == ["w1"] and news.complete
         assert (await fake.called())[0] == WATCH.format(41)
+
     watched(scenario)
 
 
 def test_a_watch_moves_and_begins_with_the_whole_list():
     """Whatever it is doing at the old address: here a watch waits, and then a call that has no answer."""
+
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
@@ -105,6 +122,7 @@
             assert (await lists.get()).index == 3
             assert (await new.called())[0] == WATCH.format(3)
             assert fake.calls.empty() and silent.calls.empty()
+
     watched(scenario)
 
 
@@ -117,6 +135,7 @@
 def test_what_the_old_address_has_begun_to_tell_is_not_dropped_by_a_move():
     """What discovery has written counts as told. A move dropped the call that was under way, and what was
     read of its answer; the new address may be dead or silent."""
+
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -131,6 +150,7 @@
             writer.write(news[-30:])
             assert (await lists.get()).entries[0].server.state.value == "draining"
             assert (await fake.called())[0] == WATCH.format(42)  # it is listened to until the new one tells
+
     watched(scenario)
 
 
@@ -152,6 +172,7 @@
             assert (await lists.get()).index == 42
             assert (await fake.called())[0] == WATCH.format(42)
             assert len(discovery._tasks) == 1 and silent.calls.empty()
+
     watched(scenario)
 
 
@@ -172,6 +193,7 @@
                 other.write(told(listing(entry("w9", 5009, "gone"), index=index, snapshot=False)))
                 assert (await lists.get()).index == index
             assert lists.empty() and len(discovery._tasks) == 1
+
     watched(scenario)
 
 
@@ -192,6 +214,7 @@
             assert (await lists.get()).index == 41
         target, writer = await fake.called()
         assert target == ("/discovery/hosts" if is_reset else WATCH.format(41)) and lists.empty()
+
     watched(scenario)
 
 
@@ -206,6 +229,7 @@
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w1", 5001, "draining"), index=42)))
         assert (await lists.get()).entries[0].server.state.value == "draining"
+
     watched(scenario)
 
 
@@ -220,6 +244,7 @@
         discovery._told = lists.put_nowait
         writer.write(told(listing(index=42)))
         assert (await lists.get()).index == 42
+
     watched(scenario)
 
 
@@ -234,9 +259,11 @@
             while True:
                 _, writer = await fake.called()
                 writer.write(told(listing(index=7)))
+
         answering = asyncio.get_running_loop().create_task(answer_all())
         assert (await lists.get()).index == 7
         answering.cancel()
+
     watched(scenario)
 
 
@@ -255,6 +282,7 @@
                 return await call(*args)
             finally:
                 failed.set()
+
         discovery._serving._call = watched_call
         task = asyncio.get_running_loop().create_task(discovery.run())
         await failed.wait()
@@ -267,6 +295,7 @@
     async def serve_once(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(told(listing(index=9)))
+
     run(scenario())
 
 
@@ -285,8 +314,11 @@
         own.close()  # the gatekeeper takes this address
         addresses[2] = f"{HOST}:1"
         heard = asyncio.Queue()
-        peers = Peers(config_from(config(peer_listen=addresses[0], peers=addresses), {}),
-                      lambda number, data: heard.put_nowait((number, data)), System().datagrams)
+        peers = Peers(
+            config_from(config(peer_listen=addresses[0], peers=addresses), {}),
+            lambda number, data: heard.put_nowait((number, data)),
+            System().datagrams,
+        )
         peers.open(loop)
         there = (HOST, int(addresses[0].rpartition(":")[2]))
         stranger.sendto(b"stranger", there)
@@ -301,6 +333,7 @@
         peers.close()
         peer.close()
         stranger.close()
+
     run(scenario())
 
 
@@ -318,11 +351,13 @@
             assert clock.now() >= start + at_ms
             if at_ms == 30.5:
                 done.set()
+
         for at_ms in (30.5, 10.25, 20.0, 0.0):
             timers.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
         timers.at(start + 15, lambda: fire(15)).cancel()
         await done.wait()
         assert fired == [0.0, 10.25, 20.0, 30.5]
+
     run(scenario())
 
 
@@ -334,6 +369,7 @@
         timers.at(clock.now(), lambda: 1 / 0)
         timers.at(clock.now(), done.set)
         await done.wait()
+
     run(scenario())
 
 
--- a/tests/test_swallowing.py
+++ b/tests/test_swallowing.py
@@ -23,6 +23,7 @@
                         message, writer = await one.asked()
                         if message is not None:
                             await seen.put((message, writer))
+
                 tasks = [asyncio.create_task(listen(one)) for one in (worker, other)]
                 warm = await gate.client()
                 for _ in range(5):  # answers come, so that the cap goes by them
@@ -51,4 +52,5 @@
                     task.cancel()
                 for client in clients:
                     client.close()
+
     run(scenario())
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -4,7 +4,15 @@
 import random
 
 from anisefront.watching import (
-    CALL_MS, MANY_VAIN, MOST_ROUNDS, NOW_MS, ROUND_MS, SPARE_MS, TOLD_MS, Watching, worst_ms,
+    CALL_MS,
+    MANY_VAIN,
+    MOST_ROUNDS,
+    NOW_MS,
+    ROUND_MS,
+    SPARE_MS,
+    TOLD_MS,
+    Watching,
+    worst_ms,
 )
 
 TURNS_PER_S, LINE_MS = 7.0, 2000.0  # the service takes so many calls a second; one that waited longer fails
@@ -163,8 +171,9 @@
             for all_s, least in ((2.0, 1.0), (4.0, 1.0), (5.7, 0.8)):
                 service = Service(count / all_s, 1, 8000.0, silent)
                 rng = random.Random(count)
-                listed, calls = play(shared(count), 60_000.0, [rng.random() * 100.0 for _ in range(count)],
-                                     service)
+                listed, calls = play(
+                    shared(count), 60_000.0, [rng.random() * 100.0 for _ in range(count)], service
+                )
                 in_time = sum(ms <= 8000.0 + TOLD_MS for ms in listed.values()) / count
                 assert len(listed) == count and in_time >= least, (silent, count, all_s, in_time)
                 assert len(calls) <= 1.5 * count
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -15,16 +15,19 @@
 
 def held(scenario, script=None, **more):
     """One worker, w1, whose connections come up when the test says so, one gatekeeper and one client."""
+
     async def whole():
         async with FakeWorker() as worker:
             async with Gate(script or Script(), known=[entry("w1", worker.port)], **more) as gate:
                 await scenario(worker, gate, await gate.client(), HeldDials(gate))
+
     run(whole())
 
 
 def test_a_repeat_whose_connection_comes_up_after_its_window_never_leaves():
     """Seen on the day zone+brink (seed 4): a checkout was sent again outside its window of 1 s, chosen within
     it, while a connection took up to 0.25 s to come up."""
+
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x"))
         came = await gate.script.event(Arrival)
@@ -37,6 +40,7 @@
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         gate.keeper.workers._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
+
     held(scenario, Script(worker=None))
 
 
@@ -59,11 +63,13 @@
                 assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
                 gate.script.worker = "w1"
                 await next_is(worker, gate)
+
     run(scenario())
 
 
 def test_nothing_begins_after_the_final_answer_where_attempts_may_not_be_cancelled():
     """Seen on the variant's day zone+brink: "sent on after its final answer", twice."""
+
     async def scenario(worker, gate, client, dials):
         client.send(request())
         await dials.opened.wait()
@@ -74,6 +80,7 @@
         dials.go.set()
         await next_is(worker, gate)
         assert not gate.keeper.attempts
+
     held(scenario, settings=STAYS)
 
 
@@ -85,6 +92,7 @@
         await gate.script.event(ClientGone)
         dials.go.set()
         await next_is(worker, gate)
+
     held(scenario, settings=STAYS)
 
 
@@ -106,13 +114,14 @@
                 dials.go.set()
                 gate.script.worker = "w2"
                 await next_is(other, gate)
+
     run(scenario())
 
 
 async def gone_unread(gate, client):
     """The client ends its sending, and that is there, unread. (Of a close the answer that is written to it
     would tell by a reset, some time later.)"""
-    one, = gate.front.admission.all
+    (one,) = gate.front.admission.all
     client.writer.write_eof()
     while not System().has_ended(one.transport):
         await asyncio.sleep(0)
@@ -134,6 +143,7 @@
                 writer.write(answer())
                 await next_is(worker, gate)
                 assert not gate.keeper.open
+
     run(scenario())
 
 
@@ -142,8 +152,9 @@
 
     def handle(self, now, events):
         actions = super().handle(now, events)
-        return [Send(action.id, "w1", 9000.0) if type(action).__name__ == "Fail" else action
-                for action in actions]
+        return [
+            Send(action.id, "w1", 9000.0) if type(action).__name__ == "Fail" else action for action in actions
+        ]
 
 
 @pytest.mark.parametrize("behind", [b"", request("0000000000000002")], ids=["alone", "one behind it"])
@@ -157,18 +168,20 @@
                 await gone_unread(gate, client)
                 writer.transport.abort()  # its attempt is reset, and the module sends it again
                 await next_is(worker, gate)
+
     run(scenario())
 
 
 def test_after_a_stall_timers_send_nothing_whose_client_has_gone_meanwhile():
     """Timers come before what is read: its client's end is there, and has not been read yet."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(worker=None), known=[entry("w1", worker.port)]) as gate:
                 plug = Plug(gate.port)
                 plug.send(request())
                 came = await gate.script.event(Arrival)
-                one, = gate.front.admission.all
+                (one,) = gate.front.admission.all
                 plug.close()  # from here on the loop does not turn
                 assert System().has_ended(one.transport) and came.id in gate.keeper.open
                 gate.front.admission._swept_ms = gate.keeper.clock.now() - 1000.0
@@ -178,6 +191,7 @@
                 assert not gate.keeper.attempts and not gate.keeper.open
                 gate.script.worker = "w1"
                 await next_is(worker, gate)
+
     run(scenario())
 
 
@@ -190,6 +204,7 @@
 @pytest.mark.parametrize("script", [Script(), Again("nowhere")], ids=["first", "further"])
 def test_an_attempt_tells_its_worker_what_is_left_when_its_bytes_leave(script):
     """Seen on zone+brink (brink seed 61): 5 of 21 further attempts told more time than was left."""
+
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x", deadline=5000))
         await dials.opened.wait()
@@ -197,11 +212,13 @@
         dials.go.set()
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 3100
+
     held(scenario, script)
 
 
 def test_an_attempt_on_a_kept_connection_does_not_tell_more_than_is_left_either():
     """Between the module's look at the clock and the write the process may stand still."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(allow_ms=4900.0), known=[entry("w1", worker.port)]) as gate:
@@ -214,6 +231,7 @@
                 client.send(request(deadline=5000))
                 message, _ = await worker.asked()
                 assert worker.connections == 1 and 0 < int(message.headers["x-deadline-ms"]) <= 3000
+
     run(scenario())
 
 
@@ -225,6 +243,7 @@
         dials.go.set()
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
+
     held(scenario)
 
 
@@ -241,6 +260,7 @@
         assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
         gate.keeper.workers._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
+
     held(scenario, Script(worker=None))
 
 
@@ -257,4 +277,5 @@
         dials.go.set()
         message, _ = await worker.asked()
         assert message.body == body and 0 < int(message.headers["x-deadline-ms"]) <= 3100
+
     held(scenario)
--- a/tests/upstream/test_streamed_attempts.py
+++ b/tests/upstream/test_streamed_attempts.py
@@ -14,15 +14,18 @@
     """A request whose body comes in chunks; its client's bytes, in so many pieces."""
     data = request(path="/debit", body=b"x").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")[:-1]
     size = len(body) // parts + 1
-    pieces = [body[at:at + size] for at in range(0, len(body), size)]
+    pieces = [body[at : at + size] for at in range(0, len(body), size)]
     return [data, *(b"%x\r\n%s\r\n" % (len(piece), piece) for piece in pieces), b"0\r\n\r\n"]
 
 
-@pytest.mark.parametrize("pieces", [
-    [request(path="/debit", body=LARGE)], chunked(LARGE, parts=1), chunked(LARGE, parts=8)],
-    ids=["length", "chunked, two reads", "chunked, many reads"])
+@pytest.mark.parametrize(
+    "pieces",
+    [[request(path="/debit", body=LARGE)], chunked(LARGE, parts=1), chunked(LARGE, parts=8)],
+    ids=["length", "chunked, two reads", "chunked, many reads"],
+)
 def test_a_streamed_request_that_came_whole_to_its_worker_may_have_run(pieces):
     """Seen on zone+brink (brink seed 63): refused after an attempt that may have run."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)]) as gate:
@@ -36,4 +39,5 @@
                 reset(writer)
                 assert (await gate.script.event(Outcome)).result is Result.RESET
                 assert (await client.answer())[0] == 502
+
     run(scenario())
--- a/tests/upstream/test_what_may_have_run.py
+++ b/tests/upstream/test_what_may_have_run.py
@@ -30,8 +30,12 @@
     "half a line, closed": (b"HTTP/1.", "close", Result.RESET),
     "no length, a part, reset": (HEAD + b"\r\na part", "reset", Result.RESET),
     "no length, nothing of it, reset": (HEAD + b"\r\n", "reset", Result.RESET),
-    "chunked, a part, closed": (HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n", "close",
-    Result.RESET), "with length, a part, closed": (answer(body=b"whole")[:-2], "close", Result.RESET),
+    "chunked, a part, closed": (
+        HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
+        "close",
+        Result.RESET,
+    ),
+    "with length, a part, closed": (answer(body=b"whole")[:-2], "close", Result.RESET),
 }
 
 
@@ -51,19 +55,21 @@
                     reset(writer) if end == "reset" else writer.close()
                 assert (await gate.script.event(Outcome)).result is proves
                 assert (await client.answer())[0] == 502
+
     run(scenario())
 
 
 @pytest.mark.parametrize("cut", [1, 2])
 def test_an_answer_with_no_length_ends_with_its_connection_though_all_of_it_comes_at_once(cut):
     """Its first bytes and its end in one read; or in two."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)]) as gate:
                 client = await gate.client()
                 client.send(request())
                 _, writer = await worker.asked()
-                attempt, = gate.keeper.attempts.values()
+                (attempt,) = gate.keeper.attempts.values()
                 attempt.connection.transport.pause_reading()
                 for part in (HEAD + b"\r\nall", b" of it")[:cut]:
                     writer.write(part)
@@ -72,19 +78,21 @@
                 attempt.connection.transport.resume_reading()
                 status, _, body = await client.answer()
                 assert (status, body) == (200, b"all" + b" of it" * (cut - 1))
+
     run(scenario())
 
 
 @pytest.mark.parametrize("part", [b"a part", b"x" * 70_000], ids=["small", "streams"])
 def test_a_reset_that_comes_in_the_same_poll_as_the_last_bytes_is_no_end(part):
     """Found on zone+brink (brink seed 5): libuv tells it as an end, and half an answer passed for whole."""
+
     async def scenario():
         async with FakeWorker() as worker:
             async with Gate(Script(), known=[entry("w1", worker.port)]) as gate:
                 client = await gate.client()
                 client.send(request(path="/debit", body=b"x"))
                 _, writer = await worker.asked()
-                attempt, = gate.keeper.attempts.values()
+                (attempt,) = gate.keeper.attempts.values()
                 transport = attempt.connection.transport
                 transport.pause_reading()  # as if the loop had not come to it
                 writer.write(HEAD + b"\r\n" + part)
@@ -97,6 +105,7 @@
                 assert (await gate.script.event(Outcome)).result is Result.RESET
                 status, _, _, whole = await whole_answer(client.reader)
                 assert (status, whole) == ((502, True) if len(part) < 65536 else (200, False))
+
     run(scenario())
 
 
@@ -105,11 +114,18 @@
     return request(path=path, **more).replace(b"spread=2", b"spread=1")
 
 
-@pytest.mark.parametrize("name, path, times", [
-    ("503 not run, whole", "/debit", 2), ("503 not run, cut in its body, reset", "/debit", 1),
-    ("nothing, reset", "/debit", 1), ("no length, a part, reset", "/debit", 1),
-    ("nothing, reset", "/look", 2), ("no length, a part, reset", "/book", 2),
-    ("503 not run, cut in its body, closed", "/book", 2)])
+@pytest.mark.parametrize(
+    "name, path, times",
+    [
+        ("503 not run, whole", "/debit", 2),
+        ("503 not run, cut in its body, reset", "/debit", 1),
+        ("nothing, reset", "/debit", 1),
+        ("no length, a part, reset", "/debit", 1),
+        ("nothing, reset", "/look", 2),
+        ("no length, a part, reset", "/book", 2),
+        ("503 not run, cut in its body, closed", "/book", 2),
+    ],
+)
 def test_the_module_sends_again_only_what_may_run_again(name, path, times):
     """The first attempt ends so; how many come in all, each of one request, and the last is answered."""
     data, end, _ = ENDS[name]
@@ -125,6 +141,7 @@
                         message, writer = await one.asked()
                         if message is not None:
                             await came.put((message.headers["x-request-id"], writer))
+
                 tasks = [asyncio.create_task(listen(one)) for one in (worker, other)]
                 client = await gate.client()
                 key, body = "k" if path == "/book" else None, b"" if path == "/look" else b"x"
@@ -145,4 +162,5 @@
                 assert (await client.answer())[2] == b"next"
                 for task in tasks:
                     task.cancel()
+
     run(scenario())
