--- /dev/null
+++ b/tests/compatibility/fleets.py
@@ -0,0 +1,31 @@
+"""Simulated fleets: every step's time and process, every record and every datagram of a seed, without names.
+
+What a step calls is left out, since that is the name of a function.
+"""
+
+from contextlib import contextmanager
+from dataclasses import replace
+
+from plumpick.simulation import loop
+from plumpick.simulation.faults import case_of
+from plumpick.simulation.world import play
+
+SECONDS = 6.0
+
+
+@contextmanager
+def without_names():
+    """Steps are told by their time and process alone."""
+    before, loop.what_is = loop.what_is, lambda _handle: ""
+    try:
+        yield
+    finally:
+        loop.what_is = before
+
+
+def digest_of(seed):
+    """The identity of one seed's run; some seeds have scheduled tasks and fleet-wide budgets."""
+    case = replace(case_of(seed, SECONDS), duties=(0, 2, 4)[seed % 3], budgets=(0, 3)[seed % 2])
+    with without_names():
+        result = play(case)
+    return f"{result.digest} {result.steps} {result.requests} {result.owners} {result.spent:.6f}"
