--- a/benchmarks/cold_workers.py
+++ b/benchmarks/cold_workers.py
@@ -16,32 +16,29 @@
 from collections import defaultdict, deque
 from typing import Any
 
+from plumpick.policy.actions import SetTimer, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Fleet,
-    Outcome,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    State,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    RequestReceived,
+    TimerFired,
 )
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 BEGIN_MS, SETTLE_MS, REPLACED_WITHIN_MS, AFTER_MS = 100_000.0, 3000.0, 7000.0, 4000.0
 NOTICE_MS = (1200.0, 4800.0)  # after which a gateway hears of a start
 CORES, WORK_MS, LONGEST_LINE_MS = 2, 170.0, 1500.0
 WARM_UP_MS, COLD_FROM, MULTIPLE, WINDOW_MS = 13_000.0, 0.25, 2.5, 1000.0
 KINDS = (
-    RequestClass("check", 750, 2000, 3, Repeat.SAFE),
-    RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-    RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE),
+    RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+    ),
+    RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
 
 
@@ -59,7 +56,9 @@
         self.queue: list[tuple[float, int, int, int, Any]] = []
         self.serial, self.now, self.zones = 0, BEGIN_MS, ("a", "b", "c")
         self.lives = [0] * gateways
-        self.old = {f"s{n}": Server(f"s{n}", self.zones[n % 3], 0, State.READY) for n in range(workers)}
+        self.old = {
+            f"s{n}": Endpoint(f"s{n}", self.zones[n % 3], 0, EndpointState.READY) for n in range(workers)
+        }
         self.gateways = [self.gateway(n) for n in range(gateways)]
         self.weights = [rng.lognormvariate(0, 0.8) for _ in self.gateways]  # unevenly spread
         self.per_ms = load * CORES / WORK_MS * workers
@@ -73,8 +72,11 @@
         for n in range(count):
             at, zone = BEGIN_MS + SETTLE_MS + REPLACED_WITHIN_MS * n / count, self.zones[n % 3]
             self.gone[f"s{n}"] = self.born[f"n{n}"] = at
-            news = Fleet(
-                (Server(f"s{n}", zone, 0, State.GONE), Server(f"n{n}", zone, 0, State.READY, 1.0, at)),
+            news = EndpointsUpdated(
+                (
+                    Endpoint(f"s{n}", zone, 0, EndpointState.GONE),
+                    Endpoint(f"n{n}", zone, 0, EndpointState.READY, 1.0, at),
+                ),
                 complete=False,
             )
             for number in range(gateways):
@@ -99,10 +101,10 @@
             report_fields=("util", "latency_ms"),
         )
         control = Controller(own, self.rng.randrange(1 << 30))
-        control.handle(self.now, [Fleet(tuple(self.known(number)))])
+        control.handle(self.now, [EndpointsUpdated(tuple(self.known(number)))])
         return control
 
-    def known(self, number: int) -> list[Server]:
+    def known(self, number: int) -> list[Endpoint]:
         """What a gateway that starts now knows: all that is listed."""
         born = getattr(self, "born", {})
         return [
@@ -110,7 +112,7 @@
             for name, one in self.old.items()
             if name not in getattr(self, "gone", {}) or self.now < self.gone[name]
         ] + [
-            Server(name, self.zones[int(name[1:]) % 3], 0, State.READY, 1.0, at)
+            Endpoint(name, self.zones[int(name[1:]) % 3], 0, EndpointState.READY, 1.0, at)
             for name, at in born.items()
             if at <= self.now
         ]
@@ -136,17 +138,17 @@
                 next_ms += rng.expovariate(self.per_ms)
                 kind = rng.choice(KINDS)
                 number = rng.choices(range(len(self.gateways)), self.weights)[0]
-                event = Arrival(
+                event = RequestReceived(
                     asked, f"c{asked % 500}", kind.name, "plan", self.now + kind.deadline_ms, 1, 0, 3
                 )
             for action in self.gateways[number].handle(self.now, [event]):
-                if isinstance(action, Send):
+                if isinstance(action, StartAttempt):
                     self.carry(number, action)
-                elif isinstance(action, Wake):
-                    self.later(self.now + max(action.after_ms, 0.01), number, Woken(action.name))
+                elif isinstance(action, SetTimer):
+                    self.later(self.now + max(action.after_ms, 0.01), number, TimerFired(action.name))
         return self.worst
 
-    def carry(self, number: int, send: Send) -> None:
+    def carry(self, number: int, send: StartAttempt) -> None:
         """An attempt comes to a worker."""
         now, name = self.now, send.server
         request = self.gateways[number].requests.get(send.id)
@@ -160,18 +162,20 @@
                 sent.popleft()
             self.worst, self.looked = max(self.worst, len(sent) / allowed(share)), self.looked + 1
         if self.gone.get(name, math.inf) <= now:
-            result, took = Result.CONNECT_FAILED, 50.0
+            result, took = AttemptResult.CONNECT_FAILED, 50.0
         else:
             start = max(now, self.busy[name])
             if start - now > LONGEST_LINE_MS:
-                result, took = Result.FULL, 2.0
+                result, took = AttemptResult.REJECTED_BY_WORKER, 2.0
             else:
                 self.busy[name] = start + self.rng.expovariate(1 / WORK_MS) / CORES / share
-                result, took = Result.OK, self.busy[name] - now + 60.0
+                result, took = AttemptResult.OK, self.busy[name] - now + 60.0
         self.later(
             now + took,
             number,
-            Outcome(send.id, attempt, name, took, result, result is Result.OK, load=(0.5, 100.0)),
+            AttemptCompleted(
+                send.id, attempt, name, took, result, result is AttemptResult.OK, load=(0.5, 100.0)
+            ),
         )
 
 
--- a/benchmarks/gray/rules.py
+++ b/benchmarks/gray/rules.py
@@ -12,24 +12,18 @@
 from collections import defaultdict, deque
 
 from plumpick.policy import controller
+from plumpick.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Action,
-    Arrival,
-    Cancel,
-    ClientGone,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fleet,
-    Outcome,
-    Refuse,
-    Repeat,
-    Result,
-    Send,
-    Settings,
-    State,
-    Wake,
+    RequestReceived,
 )
+from plumpick.policy.settings import Idempotency, Settings
 
 MOST_TRIES, HOLD_PART, STEP_MS = 3, 0.45, 20.0
 
@@ -45,9 +39,9 @@
         self.servers: list[str] = []
         self.out: defaultdict[str, int] = defaultdict(int)
         self.total = 0
-        self.held: deque[Arrival] = deque()
+        self.held: deque[RequestReceived] = deque()
         self.until: dict[int, float] = {}
-        self.open: dict[int, Arrival] = {}
+        self.open: dict[int, RequestReceived] = {}
         self.sent: dict[int, list[str]] = {}
         self.flying: dict[tuple[int, int], str] = {}
         self.limit = 0.0
@@ -57,7 +51,7 @@
     def start(self) -> None:
         self.limit = max(1.0, self.per_server * len(self.servers) / self.settings.gateways)
 
-    def learn(self, event: Outcome, kind_aim: float) -> None:
+    def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
         """What an outcome teaches the limit."""
 
     def usable(self) -> list[str]:
@@ -68,38 +62,42 @@
         self.now, actions = now_ms, list[Action]()
         for event in events:
             match event:
-                case Fleet():
-                    self.servers = [server.id for server in event.servers if server.state is State.READY]
+                case EndpointsUpdated():
+                    self.servers = [
+                        server.id for server in event.servers if server.state is EndpointState.READY
+                    ]
                     self.start()
-                case Arrival():
+                case RequestReceived():
                     self.open[event.id], self.sent[event.id] = event, []
                     self.until[event.id] = now_ms + HOLD_PART * self.kinds[event.class_name].aim_ms
                     self.held.append(event)
-                case ClientGone() if event.id in self.open:
+                case ClientDisconnected() if event.id in self.open:
                     self.close(event.id, actions)
-                case Outcome():
+                case AttemptCompleted():
                     self.outcome(event, actions)
         self.release(actions)
-        if not self.waking or any(not isinstance(event, Outcome | Arrival) for event in events):
+        if not self.waking or any(
+            not isinstance(event, AttemptCompleted | RequestReceived) for event in events
+        ):
             self.waking = True
-            actions.append(Wake(STEP_MS, "step"))
+            actions.append(SetTimer(STEP_MS, "step"))
         return actions
 
     def release(self, actions: list[Action]) -> None:
-        kept: deque[Arrival] = deque()
+        kept: deque[RequestReceived] = deque()
         for arrival in self.held:
             if arrival.id not in self.open:
                 continue
             if self.total < max(1.0, self.limit) and self.servers:
                 self.send(arrival, actions)
             elif self.now >= self.until[arrival.id]:
-                actions.append(Refuse(arrival.id, 250.0))
+                actions.append(RejectRequest(arrival.id, 250.0))
                 self.close(arrival.id, actions)
             else:
                 kept.append(arrival)
         self.held = kept
 
-    def send(self, arrival: Arrival, actions: list[Action]) -> None:
+    def send(self, arrival: RequestReceived, actions: list[Action]) -> None:
         tried = self.sent[arrival.id]
         pool = [name for name in self.usable() if name not in tried] or self.usable()
         least = min(self.out[name] for name in pool)
@@ -108,9 +106,9 @@
         tried.append(name)
         self.out[name] += 1
         self.total += 1
-        actions.append(Send(arrival.id, name, max(1.0, arrival.due_ms - self.now)))
+        actions.append(StartAttempt(arrival.id, name, max(1.0, arrival.due_ms - self.now)))
 
-    def outcome(self, event: Outcome, actions: list[Action]) -> None:
+    def outcome(self, event: AttemptCompleted, actions: list[Action]) -> None:
         name = self.flying.pop((event.id, event.attempt), None)
         if name is None:
             return
@@ -118,22 +116,22 @@
         self.total -= 1
         arrival = self.open.get(event.id)
         self.judge(name, event)
-        if arrival is not None or event.result is Result.OK:
+        if arrival is not None or event.result is AttemptResult.OK:
             self.learn(event, self.kinds[arrival.class_name].aim_ms if arrival else 1000.0)
         if arrival is None:
             return
         kind = self.kinds[arrival.class_name]
-        safe = event.result.never_ran or kind.repeat is Repeat.SAFE
+        safe = event.result.proves_not_executed or kind.repeat is Idempotency.IDEMPOTENT
         early = self.now < arrival.due_ms - kind.deadline_ms * 0.3
         if event.final:
             self.close(event.id, actions)
         elif safe and len(self.sent[event.id]) < MOST_TRIES and early:
             self.send(arrival, actions)
         else:
-            actions.append(Refuse(event.id, 250.0) if safe else Fail(event.id))
+            actions.append(RejectRequest(event.id, 250.0) if safe else FailRequest(event.id))
             self.close(event.id, actions)
 
-    def judge(self, name: str, event: Outcome) -> None:
+    def judge(self, name: str, event: AttemptCompleted) -> None:
         """What an outcome says of its server."""
 
     def close(self, number: int, actions: list[Action]) -> None:
@@ -141,14 +139,14 @@
         self.until.pop(number, None)
         for attempt in range(len(self.sent.pop(number, []))):
             if (number, attempt) in self.flying:
-                actions.append(Cancel(number, attempt))
+                actions.append(CancelAttempt(number, attempt))
 
 
 class Aimd(Fixed):
     """Additive increase, multiplicative decrease: a late, failed or lost attempt cuts a tenth off."""
 
-    def learn(self, event: Outcome, kind_aim: float) -> None:
-        if event.result is Result.OK and event.took_ms < kind_aim:
+    def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
+        if event.result is AttemptResult.OK and event.took_ms < kind_aim:
             self.limit += 1 / max(1.0, self.limit)
         else:
             self.limit = max(1.0, self.limit * 0.9)
@@ -161,8 +159,8 @@
         super().__init__(settings, seed)
         self.long = 0.0
 
-    def learn(self, event: Outcome, kind_aim: float) -> None:
-        if event.result is Result.MOOT:
+    def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
+        if event.result is AttemptResult.NOT_STARTED:
             return
         short = max(1.0, event.took_ms)
         self.long = short if not self.long else self.long + (short - self.long) * 2 / 601
@@ -190,10 +188,15 @@
     def usable(self) -> list[str]:
         return [name for name in self.servers if self.back.get(name, 0.0) <= self.now] or self.servers
 
-    def judge(self, name: str, event: Outcome) -> None:
-        if event.result is Result.OK:
+    def judge(self, name: str, event: AttemptCompleted) -> None:
+        if event.result is AttemptResult.OK:
             self.failures[name] = 0
-        elif event.result in (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED):
+        elif event.result in (
+            AttemptResult.ERROR,
+            AttemptResult.TIMEOUT,
+            AttemptResult.RESET,
+            AttemptResult.CANCELLED,
+        ):
             self.failures[name] += 1
             out = sum(until > self.now for until in self.back.values())
             if self.failures[name] >= self.row and out + 1 <= self.most * len(self.servers):
--- a/benchmarks/gray/world.py
+++ b/benchmarks/gray/world.py
@@ -14,40 +14,40 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from plumpick.policy.interface import (
+from plumpick.policy.actions import (
     Action,
-    Arrival,
-    Cancel,
-    ClientGone,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
-from plumpick.policy.peer_messages import MAX_SIGHTINGS, Codec, sighting
+from plumpick.policy.peer_messages import MAX_OUTLIER_REPORTS, PeerMessageCodec, outlier_report
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TICK_MS = 4.0
 HALLS = ("hall-a", "hall-b", "hall-c")
 WORK_MS = {"seat-check": 88.0, "seat-checkout": 225.0, "hours-debit": 225.0}
 SHARES = {"seat-check": 0.35, "seat-checkout": 0.34, "hours-debit": 0.31}
 CLASSES = (
-    RequestClass("seat-check", 750, 2000, 3, Repeat.SAFE),
-    RequestClass("seat-checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-    RequestClass("hours-debit", 2000, 7500, 2, Repeat.UNSAFE),
+    RequestClass("seat-check", 750, 2000, 3, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "seat-checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+    ),
+    RequestClass("hours-debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
 CORES, SLOTS, QUEUE = 2, 8, 40
 REPORT_MS = 300.0
@@ -90,11 +90,13 @@
 DRAIN_LOOK_MS = 100.0  # how often a server that drains is looked at; and one that gets warmer
 
 
-def lie(codec: Codec, data: bytes) -> bytes:
+def lie(codec: PeerMessageCodec, data: bytes) -> bytes:
     """A message with wrong words: a whole hall's servers fail, and there is room without end."""
     news = codec.decode(data)
     assert news is not None
-    words = [sighting(f"s{number}", 0, math.inf) for number in range(0, 3 * MAX_SIGHTINGS, len(HALLS))]
+    words = [
+        outlier_report(f"s{number}", 0, math.inf) for number in range(0, 3 * MAX_OUTLIER_REPORTS, len(HALLS))
+    ]
     return codec.encode(news.boot, 1000.0, list(news.items), words)
 
 
@@ -151,7 +153,7 @@
         self.done_work = self.waited = 0.0
         self.report, self.report_t = (0.0, 150.0), 0.0
         self.service = 150.0
-        self.state, self.started_ms = State.READY, 0.0
+        self.state, self.started_ms = EndpointState.READY, 0.0
 
     def warmth(self) -> float:
         """The part of its speed that it has by now."""
@@ -161,7 +163,7 @@
 
     def drain(self, then: Callable[[], None]) -> None:
         """Leave service, finish what is here, and come back as a new process, cold."""
-        self.state = State.DRAINING
+        self.state = EndpointState.DRAINING
         self.world.tell_fleet()
         self.world.clock.at(self.world.clock.now + DRAIN_LOOK_MS, self.drained, then)
 
@@ -169,7 +171,7 @@
         if self.busy or self.queue:
             self.world.clock.at(self.world.clock.now + DRAIN_LOOK_MS, self.drained, then)
             return
-        self.state, self.started_ms = State.READY, self.world.clock.now
+        self.state, self.started_ms = EndpointState.READY, self.world.clock.now
         self.world.tell_fleet()
         then()
 
@@ -186,7 +188,7 @@
         if kind == "unread" or kind == "swallow" and self.rng.random() < self.world.failure.share:
             return
         if kind == "fast-error":
-            self.answer(job, Result.ERROR, 1.0)
+            self.answer(job, AttemptResult.ERROR, 1.0)
             return
         self.advance()
         if len(self.busy) < SLOTS:
@@ -194,7 +196,7 @@
         elif len(self.queue) < QUEUE:
             self.queue.append(job)
         else:
-            self.answer(job, Result.FULL, 0.0)
+            self.answer(job, AttemptResult.REJECTED_BY_WORKER, 0.0)
         self.set_rate()
 
     def begin(self, job: Job) -> None:
@@ -246,12 +248,12 @@
             took = self.world.clock.now - job.sent
             self.service += (took - self.service) * 0.1
             late = 3000.0 if self.failing(job.name) == "late" else 0.0
-            self.answer(job, Result.OK, late)
+            self.answer(job, AttemptResult.OK, late)
             if self.queue:
                 self.begin(self.queue.pop(0))
         self.set_rate()
 
-    def answer(self, job: Job, result: Result, after: float) -> None:
+    def answer(self, job: Job, result: AttemptResult, after: float) -> None:
         now = self.world.clock.now
         if now >= self.report_t:
             self.report, self.report_t = (self.use, self.service), now + REPORT_MS
@@ -304,10 +306,12 @@
     def carry(self, action: Action) -> None:
         world, clock = self.world, self.world.clock
         match action:
-            case Send():
+            case StartAttempt():
                 one = self.tries.get(action.id)
                 if one is None or one.result:
-                    self.notice(Outcome(action.id, 0, action.server, 0.0, Result.MOOT, True))
+                    self.notice(
+                        AttemptCompleted(action.id, 0, action.server, 0.0, AttemptResult.NOT_STARTED, True)
+                    )
                     return
                 machine = world.machines[int(action.server[1:])]
                 job = Job(self, action.id, one.sent, world.work_of(action.id, one.name), one.name, clock.now)
@@ -318,24 +322,24 @@
                 world.check(one, machine)
                 clock.at(clock.now + 1.0, machine.take, job)
                 clock.at(clock.now + action.allow_ms, self.timed_out, job)
-            case Refuse() | Fail():
-                self.final(action.id, "refused" if isinstance(action, Refuse) else "failed")
-            case Cancel():
+            case RejectRequest() | FailRequest():
+                self.final(action.id, "refused" if isinstance(action, RejectRequest) else "failed")
+            case CancelAttempt():
                 one = self.tries.get(action.id)
                 job = one.attempts.get(action.attempt) if one is not None else None
                 if job is not None:
-                    self.drop(job, Result.CANCELLED)
-            case Wake():
-                clock.at(clock.now + action.after_ms, self.notice, Woken(action.name))
-            case Tell() if world.rng.random() > 0.03:
+                    self.drop(job, AttemptResult.CANCELLED)
+            case SetTimer():
+                clock.at(clock.now + action.after_ms, self.notice, TimerFired(action.name))
+            case SendPeerMessage() if world.rng.random() > 0.03:
                 if self.number == 0 and world.lies():
-                    action = Tell(action.receiver, lie(world.codec, action.data))
+                    action = SendPeerMessage(action.receiver, lie(world.codec, action.data))
                 for other in world.gateways:
                     if other is not self and action.receiver in (other.number, -1):
                         clock.at(
                             clock.now + world.rng.uniform(1.6, 39),
                             other.notice,
-                            Heard(self.number, action.data),
+                            PeerMessageReceived(self.number, action.data),
                         )
 
     def final(self, number: int, result: str) -> None:
@@ -344,31 +348,31 @@
             one.result, one.answered = result, self.world.clock.now
             one.idle = result == "refused" and self.world.has_room()
 
-    def drop(self, job: Job, result: Result) -> None:
+    def drop(self, job: Job, result: AttemptResult) -> None:
         if job.open:
             job.open = False
             one = self.tries[job.request]
             for machine in self.world.machines:
                 machine.cancelled(job)
             self.notice(
-                Outcome(
+                AttemptCompleted(
                     job.request, job.number, "", self.world.clock.now - job.sent, result, bool(one.result)
                 )
             )
 
     def timed_out(self, job: Job) -> None:
-        self.drop(job, Result.TIMEOUT)
+        self.drop(job, AttemptResult.TIMEOUT)
 
-    def ended(self, job: Job, result: Result, report: tuple[float, float]) -> None:
+    def ended(self, job: Job, result: AttemptResult, report: tuple[float, float]) -> None:
         """An answer has come."""
         if not job.open:
             return
         job.open = False
         one = self.tries[job.request]
-        if result is Result.OK:
+        if result is AttemptResult.OK:
             self.final(job.request, "served")
         self.notice(
-            Outcome(
+            AttemptCompleted(
                 job.request,
                 job.number,
                 "",
@@ -384,13 +388,15 @@
         now = self.world.clock.now
         spread, count = self.world.spread, len(self.world.gateways)
         first = (self.number - number % spread) % count
-        self.notice(Arrival(number, f"c{number}", one.name, "plan", now + one.wait - 20, 1.0, first, spread))
+        self.notice(
+            RequestReceived(number, f"c{number}", one.name, "plan", now + one.wait - 20, 1.0, first, spread)
+        )
         self.world.clock.at(now + one.wait, self.gone, number, one)
 
     def gone(self, number: int, one: Try) -> None:
         if not one.result:
             one.result, one.answered = "lost", self.world.clock.now
-            self.notice(ClientGone(number))
+            self.notice(ClientDisconnected(number))
 
 
 class World:
@@ -434,7 +440,7 @@
                 report_how="answers",
                 report_fields=("util", "latency_ms"),
             )
-            self.codec = Codec(settings)
+            self.codec = PeerMessageCodec(settings)
             self.gateways.append(Gateway(self, number, make(settings, seed * 1000 + number)))
         capacity = sum(machine.speed for machine in self.machines) * CORES
         mean = sum(SHARES[name] * WORK_MS[name] for name in SHARES)
@@ -464,13 +470,13 @@
     def tell_fleet(self) -> None:
         """Discovery tells every gateway the servers as they are."""
         servers = tuple(
-            Server(
+            Endpoint(
                 machine.name, machine.hall, machine.number // 3, machine.state, started_ms=machine.started_ms
             )
             for machine in self.machines
         )
         for gateway in self.gateways:
-            gateway.notice(Fleet(servers))
+            gateway.notice(EndpointsUpdated(servers))
 
     def release(self) -> None:
         """The next server of the release, if any is left."""
--- a/benchmarks/many_firms.py
+++ b/benchmarks/many_firms.py
@@ -17,23 +17,19 @@
 from statistics import median
 
 from benchmarks.gray.world import CLASSES, COLD_FROM, TICK_MS, WARM_UP_MS
+from plumpick.policy.actions import CancelAttempt, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.controller import FORGET_MS, Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    ClientGone,
-    Fleet,
-    Outcome,
-    Plan,
-    Result,
-    Send,
-    Server,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    RequestReceived,
+    TimerFired,
 )
+from plumpick.policy.settings import Plan, Settings
 
 PLANS = (Plan("basico", 0.8, 3.5), Plan("amplio", 8.0, 16.0, ceiling_per_s=16.0, ceiling_burst=32.0))
 ANSWER_MS = 60.0
@@ -60,7 +56,9 @@
     if traced:
         tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    events: list[object] = [Fleet(tuple(Server(f"s{n}", "a", 0, State.READY) for n in range(200)))]
+    events: list[object] = [
+        EndpointsUpdated(tuple(Endpoint(f"s{n}", "a", 0, EndpointState.READY) for n in range(200)))
+    ]
     later: list[tuple[float, object]] = []
     turns, told = [], Counter[int]()
     kept = most = 0.0
@@ -70,11 +68,11 @@
         while serial < firms and now < end and serial < firms * (1 - (end - now) / (seconds * 1000)):
             kind, plan = CLASSES[serial % 3], PLANS[serial % 10 == 0]
             events.append(
-                Arrival(
+                RequestReceived(
                     serial, f"firm-{serial}", kind.name, plan.name, now + kind.deadline_ms, 1.0, 0, gateways
                 )
             )
-            later.append((now + kind.deadline_ms, ClientGone(serial)))
+            later.append((now + kind.deadline_ms, ClientDisconnected(serial)))
             serial += 1
         events += [event for at, event in later if at <= now]
         later = [(at, event) for at, event in later if at > now]
@@ -83,15 +81,17 @@
         turns.append(time.perf_counter() - begin)
         events = []
         for action in actions:
-            if isinstance(action, Send):
-                done = Outcome(action.id, 0, action.server, ANSWER_MS, Result.OK, True)
+            if isinstance(action, StartAttempt):
+                done = AttemptCompleted(action.id, 0, action.server, ANSWER_MS, AttemptResult.OK, True)
                 later.append((now + ANSWER_MS, done))
-            elif isinstance(action, Wake):
-                later.append((now + action.after_ms, Woken(action.name)))
-            elif isinstance(action, Tell):
+            elif isinstance(action, SetTimer):
+                later.append((now + action.after_ms, TimerFired(action.name)))
+            elif isinstance(action, SendPeerMessage):
                 told[action.receiver] += 1
-            elif isinstance(action, Cancel):
-                later.append((now, Outcome(action.id, action.attempt, "", 0.0, Result.CANCELLED, True)))
+            elif isinstance(action, CancelAttempt):
+                later.append(
+                    (now, AttemptCompleted(action.id, action.attempt, "", 0.0, AttemptResult.CANCELLED, True))
+                )
         if now >= end > now - TICK_MS:
             kept = float(len(control.quota.accounts) + len(control.quota.stores))
             most = tracemalloc.get_traced_memory()[0] - before
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -28,7 +28,7 @@
 from benchmarks.quota_windows import case_of_splits, play
 from plumpick.policy import controller
 from plumpick.policy.controller import Quota
-from plumpick.policy.peer_messages import Item
+from plumpick.policy.peer_messages import QuotaMessage
 from plumpick.policy.quota.ledger import store_name
 from plumpick.policy.state import Account, Request, Store
 from plumpick.simulation.commands import seeds_of
@@ -85,11 +85,11 @@
     book, at_home = Quota.book, Quota.at_home
     last: dict[tuple[int, int], tuple[float, float]] = {}  # by gateway and store: its level, and when
 
-    def booked(self: Any, now: float, store: Store, key: Any, item: Item, ceiling: float) -> None:
+    def booked(self: Any, now: float, store: Store, key: Any, item: QuotaMessage, ceiling: float) -> None:
         book(self, now, store, key, item, ceiling)
         last[self.settings.number, store_name(item)] = store.level, now
 
-    def at(self: Any, now: float, key: Any, item: Item) -> None:
+    def at(self: Any, now: float, key: Any, item: QuotaMessage) -> None:
         plan, name = self.settings.plans[item.plan_index], store_name(item)
         level, ms = last.get((self.settings.number, name), (0.0, math.inf))
         if name not in self.stores and ms <= now:  # of this run, not of one before
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from plumpick.policy.quota.bounds import beyond_ceiling, together
-from plumpick.policy.settings_parser import settings_from
+from plumpick.policy.settings_parser import parse_settings
 from plumpick.rehearsal.records import Asked, Record, Took
 from plumpick.simulation.commands import seeds_of
 from plumpick.simulation.faults import KINDS, Case, Fault
@@ -96,7 +96,7 @@
     if not judge:
         world.fleet.recorder.listeners.remove(world.fleet.auditor)
     settings_value: dict[str, Any] = world.fleet.supervisor.settings_of(0)
-    settings = settings_from(settings_value)
+    settings = parse_settings(settings_value)
     result = world.play()
     restarts = sum(fault.kind in ("kill", "restart") for fault in case.faults)
     loss = max([fault.with_["loss"] for fault in case.faults if fault.kind == "datagrams"], default=0.0)
--- a/benchmarks/reconfigure.py
+++ b/benchmarks/reconfigure.py
@@ -11,19 +11,10 @@
 import time
 from dataclasses import replace
 
+from plumpick.policy.actions import CommandCompleted
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Fleet,
-    Plan,
-    Reconfigure,
-    Repeat,
-    RequestClass,
-    Said,
-    Server,
-    Settings,
-    State,
-)
+from plumpick.policy.events import Endpoint, EndpointState, EndpointsUpdated, RequestReceived, SettingsChanged
+from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
 
 TIMES = 20
 PLANS = 50
@@ -37,7 +28,7 @@
         zone="z0",
         tick_ms=4.0,
         classes=tuple(
-            RequestClass(f"route-{n}", 500.0 + n % 100, 2000.0, 1.0 + n % 3, Repeat.SAFE)
+            RequestClass(f"route-{n}", 500.0 + n % 100, 2000.0, 1.0 + n % 3, Idempotency.IDEMPOTENT)
             for n in range(classes)
         ),
         plans=tuple(
@@ -62,18 +53,25 @@
     """A module with so much in its tables; as many open requests as stores."""
     control = Controller(settings(classes), 1)
     control.handle(
-        0.0, [Fleet(tuple(Server(f"worker-{n}", f"z{n % 5}", n % 16, State.READY) for n in range(servers)))]
+        0.0,
+        [
+            EndpointsUpdated(
+                tuple(
+                    Endpoint(f"worker-{n}", f"z{n % 5}", n % 16, EndpointState.READY) for n in range(servers)
+                )
+            )
+        ],
     )
     for n in range(accounts):
         name = f"{n:016x}"
-        arrival = Arrival(n, name, "route-0", f"plan-{n % PLANS}", 1e9, 1.0, n % 550, 3)
+        arrival = RequestReceived(n, name, "route-0", f"plan-{n % PLANS}", 1e9, 1.0, n % 550, 3)
         control.quota.account(0.0, arrival, control.plans[arrival.plan_name])
     now = 4.0
     for n in range(stores):  # some that are open, and stores of those whose home this is
         control.handle(
             now,
             [
-                Arrival(
+                RequestReceived(
                     10**6 + n,
                     f"{n:016x}",
                     f"route-{n % classes}",
@@ -98,7 +96,7 @@
         f"{len(control.quota.stores)} stores, {len(control.requests)} open, {PLANS} plans"
     )
     base = settings(classes)
-    fresh = RequestClass("fresh", 700.0, 2000.0, 1.0, Repeat.SAFE)
+    fresh = RequestClass("fresh", 700.0, 2000.0, 1.0, Idempotency.IDEMPOTENT)
     kinds = {
         "none, a turn alone": None,
         "the same again": base,
@@ -118,7 +116,7 @@
             else:
                 wanted = other if step % 2 == 0 else base
                 events = [
-                    Reconfigure(
+                    SettingsChanged(
                         1,
                         replace(
                             wanted,
@@ -131,7 +129,9 @@
             began = time.perf_counter()
             actions = control.handle(now, events)
             took.append((time.perf_counter() - began) * 1000)
-            assert not control.faults and all(one.wrong == "" for one in actions if isinstance(one, Said))
+            assert not control.faults and all(
+                one.wrong == "" for one in actions if isinstance(one, CommandCompleted)
+            )
         print(f"{name:24} median {statistics.median(took):7.2f} ms, worst {max(took):7.2f} ms")
     began = time.perf_counter()
     control.tidy()
--- a/benchmarks/scale/faults.py
+++ b/benchmarks/scale/faults.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.runs import LIMIT_S, beyond_part, figures_of, row_of
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Make, Tier
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import State
+from plumpick.policy.events import EndpointState
 
 # A size whose inboxes hold in calm, so that what is lost is the fault's.
 POINT = Point(40, 200, 4000, 3, 30.0, 3)
@@ -62,7 +62,7 @@
     servers = [server for server in tier.load.servers if server.zone == name]
 
     def gone() -> None:
-        tier.change([replace(server, state=State.GONE) for server in servers])
+        tier.change([replace(server, state=EndpointState.GONE) for server in servers])
 
     def back() -> None:
         tier.change([replace(server, started_ms=tier.now) for server in servers])
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -11,8 +11,9 @@
 
 from benchmarks.cold_workers import COLD_FROM, CORES, MULTIPLE, WARM_UP_MS, WINDOW_MS
 from benchmarks.scale.points import Point
-from plumpick.policy.interface import Plan, Repeat, RequestClass, Scope, Server, Settings, State
-from plumpick.policy.settings_parser import settings_from
+from plumpick.policy.events import Endpoint, EndpointState
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
+from plumpick.policy.settings_parser import parse_settings
 from plumpick.rehearsal.fleet import Fleet
 from plumpick.rehearsal.scenario import ClientPart, PeerPart, RosterPart, Scenario
 
@@ -23,9 +24,11 @@
 PLANS = (("basico", 0.41, 1.0, 5.0, 0.0), ("estandar", 0.26, 2.6, 2.0, 0.0), ("amplio", 0.33, 10.0, 1.5, 2.0))
 LEAST_BURST = 2.0
 KINDS = (
-    RequestClass("check", 750, 2000, 3, Repeat.SAFE),
-    RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-    RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE),
+    RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+    ),
+    RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
 
 
@@ -51,7 +54,7 @@
     settings_of: Callable[[int], Settings]
     firms: list[Firm]
     kinds: list[tuple[RequestClass, float, float]]  # share, and mean work in ms
-    servers: list[Server]
+    servers: list[Endpoint]
     capacity: float  # of a warm worker, ms of work a ms
     clients: ClientPart
     peers: PeerPart
@@ -143,7 +146,7 @@
         firms,
         [(kind, 1 / point.classes, work_ms) for kind in kinds],
         [
-            Server(f"w{number}", f"z{number % ZONES}", number // 20, State.READY)
+            Endpoint(f"w{number}", f"z{number % ZONES}", number // 20, EndpointState.READY)
             for number in range(point.workers)
         ],
         CORES,
@@ -158,7 +161,7 @@
     scenario: Scenario = fleet.scenario
     rng = random.Random(f"{fleet.around.seed}/weights")
     settings = [
-        settings_from(fleet.supervisor.settings_of(number)) for number in range(scenario.fleet.gatekeepers)
+        parse_settings(fleet.supervisor.settings_of(number)) for number in range(scenario.fleet.gatekeepers)
     ]
     kinds = {kind.name: kind for kind in settings[0].classes}
     return Load(
@@ -179,7 +182,7 @@
         ],
         [(kinds[kind.name], kind.share, kind.work_ms) for kind in scenario.classes],
         [
-            Server(server.name, server.hall, fleet.groups[server.name], State.READY)
+            Endpoint(server.name, server.hall, fleet.groups[server.name], EndpointState.READY)
             for server in fleet.servers.values()
         ],
         float(scenario.server.cores),
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -20,27 +20,28 @@
 from benchmarks.cold_workers import COLD_FROM, WARM_UP_MS, WINDOW_MS, WORK_MS, allowed
 from benchmarks.scale.load import Firm, Load
 from plumpick.policy import subsetting
-from plumpick.policy.controller import CLOCK_GRAIN_MS, PERIOD_MS, Controller
-from plumpick.policy.interface import (
+from plumpick.policy.actions import (
     Action,
-    Arrival,
-    Cancel,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
+from plumpick.policy.controller import CLOCK_GRAIN_MS, PERIOD_MS, Controller
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
+from plumpick.policy.settings import Idempotency, RequestClass
 
 BEGIN_MS = 100_000.0
 SETTLE, COUNTED, CHANGING = "settle", "counted", "changing"  # phases of a run
@@ -201,7 +202,7 @@
         gate.wakes.clear()
         gate.period_ms = math.inf
         listed = tuple(server for name, server in self.list.items() if name not in self.gone)
-        self.turn(gate, gate.life, Fleet(listed), "begin")
+        self.turn(gate, gate.life, EndpointsUpdated(listed), "begin")
         gate.period_ms = self.now + PERIOD_MS
 
     def end(self, gate: Gate, back_ms: float, notice_ms: float) -> None:
@@ -263,32 +264,32 @@
 
     def act(self, gate: Gate, action: Action, lag_ms: float) -> None:
         match action:
-            case Send():
+            case StartAttempt():
                 self.send(gate, action, lag_ms)
-            case Tell():
+            case SendPeerMessage():
                 self.tell(gate, action)
-            case Wake():
+            case SetTimer():
                 # As the daemon's timers go: no finer than a tick, and once for all that is due then.
                 due = math.ceil((self.now + action.after_ms) / self.tick_ms) * self.tick_ms
                 if due not in gate.wakes:
                     gate.wakes.add(due)
                     self.at(due, self.wake, gate, gate.life, due)
-            case Refuse() | Fail():
+            case RejectRequest() | FailRequest():
                 self.refuse(gate, action)
-            case Cancel():
+            case CancelAttempt():
                 if action.id in self.open:
                     self.open[action.id].out.discard(action.attempt)
-                gone = Outcome(action.id, action.attempt, "", 0.0, Result.CANCELLED, False)
+                gone = AttemptCompleted(action.id, action.attempt, "", 0.0, AttemptResult.CANCELLED, False)
                 self.at(self.now, self.turn, gate, gate.life, gone, "serve")
 
     def wake(self, gate: Gate, life: int, due: float) -> None:
         if life == gate.life:
             gate.wakes.discard(due)
-            self.turn(gate, life, Woken("agenda"), "wake")
+            self.turn(gate, life, TimerFired("agenda"), "wake")
 
     # -- words
 
-    def tell(self, gate: Gate, action: Tell) -> None:
+    def tell(self, gate: Gate, action: SendPeerMessage) -> None:
         size = len(action.data)
         if gate.judged and self.counting:
             self.counts["told"] += 1
@@ -316,7 +317,7 @@
             return
         gate.inbox.append(self.now)
         self.counts["taken"] += counted
-        self.turn(gate, gate.life, Heard(sender, data), "words")
+        self.turn(gate, gate.life, PeerMessageReceived(sender, data), "words")
 
     # -- clients
 
@@ -347,7 +348,7 @@
             return
         number = next(self.ids)
         self.open[number] = request = Open(want, gate, self.now, 0.0)
-        arrival = Arrival(
+        arrival = RequestReceived(
             number,
             firm.name,
             want.kind.name,
@@ -370,25 +371,25 @@
         wait_ms = max(wait_ms, retry_ms) if want.firm.honours else wait_ms
         self.at(self.now + min(wait_ms, 5000.0), self.try_it, want)
 
-    def refuse(self, gate: Gate, action: Refuse | Fail) -> None:
+    def refuse(self, gate: Gate, action: RejectRequest | FailRequest) -> None:
         request = self.open.pop(action.id, None)
         if request is None:
             return
         self.counts["refused"] += gate.judged and self.counting
-        if isinstance(action, Refuse):
+        if isinstance(action, RejectRequest):
             self.again(request.want, action.retry_in_ms)
-        elif request.want.kind.repeat is Repeat.SAFE:
+        elif request.want.kind.repeat is Idempotency.IDEMPOTENT:
             self.again(request.want, 0.0)
 
     # -- workers
 
-    def warmth(self, server: Server) -> float:
+    def warmth(self, server: Endpoint) -> float:
         age = self.now - server.started_ms
         if not server.started_ms or age >= WARM_UP_MS:
             return 1.0
         return COLD_FROM + (1 - COLD_FROM) * max(0.0, age) / WARM_UP_MS
 
-    def send(self, gate: Gate, send: Send, lag_ms: float) -> None:
+    def send(self, gate: Gate, send: StartAttempt, lag_ms: float) -> None:
         """An attempt goes to a worker."""
         self.counts["attempts"] += gate.judged and self.counting
         request = self.open.get(send.id)
@@ -404,15 +405,17 @@
         if share < 1:
             self.is_cold(entry.id, share, work_ms)
         if entry.id in self.gone:
-            took, result = DIAL_MS, Result.CONNECT_FAILED
+            took, result = DIAL_MS, AttemptResult.CONNECT_FAILED
         else:
             drawn = min(self.rng.expovariate(1 / work_ms), 6 * work_ms)
-            took, result = drawn / share + self.rng.uniform(*WIRE_MS), Result.OK
+            took, result = drawn / share + self.rng.uniform(*WIRE_MS), AttemptResult.OK
         load = (min(1.0, max(0.0, self.rng.gauss(*UTIL))), took)
-        done = Outcome(send.id, number, send.server, took, result, result is Result.OK, load=load)
+        done = AttemptCompleted(
+            send.id, number, send.server, took, result, result is AttemptResult.OK, load=load
+        )
         self.at(self.now + took, self.outcome, gate, gate.life, done)
 
-    def outcome(self, gate: Gate, life: int, done: Outcome) -> None:
+    def outcome(self, gate: Gate, life: int, done: AttemptCompleted) -> None:
         request = self.open.get(done.id)
         if life != gate.life or request is None:
             # Its request has been answered; the module still counts the attempt as out.
@@ -457,28 +460,28 @@
 
     # -- discovery
 
-    def change(self, entries: list[Server]) -> None:
+    def change(self, entries: list[Endpoint]) -> None:
         """Things are so now, and each gatekeeper is told of it in its time, as by the rehearsal's roster."""
         part, told = self.load.roster, Told(self.now)
         self.told.append(told)
         for entry in entries:
-            if entry.state is State.GONE:
+            if entry.state is EndpointState.GONE:
                 self.gone.add(entry.id)
             else:
                 self.gone.discard(entry.id)
                 self.list[entry.id] = entry
-        late = part.add_s if entries[0].state is State.READY else part.gone_s
+        late = part.add_s if entries[0].state is EndpointState.READY else part.gone_s
         notice_ms = self.rng.uniform(*late) * 1000
         for gate in self.gates.values():
             self.at(
                 self.now + notice_ms + self.rng.uniform(*part.spread_ms),
                 self.list_turn,
                 gate,
-                Fleet(tuple(entries), complete=False),
+                EndpointsUpdated(tuple(entries), complete=False),
                 told,
             )
 
-    def list_turn(self, gate: Gate, fleet: Fleet, told: Told) -> None:
+    def list_turn(self, gate: Gate, fleet: EndpointsUpdated, told: Told) -> None:
         """By then another life of it may run."""
         self.turn(gate, gate.life, fleet, "list", told if gate.judged else None)
 
--- a/benchmarks/scale/work.py
+++ b/benchmarks/scale/work.py
@@ -11,8 +11,16 @@
 from benchmarks.scale.load import of_point
 from benchmarks.scale.points import Point
 from benchmarks.scale.tier import BEGIN_MS, Make
+from plumpick.policy.actions import Action, SendPeerMessage, StartAttempt
 from plumpick.policy.controller import PERIOD_MS, Controller
-from plumpick.policy.interface import Action, Arrival, Event, Fleet, Heard, Outcome, Result, Send, Tell
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    EndpointsUpdated,
+    Event,
+    PeerMessageReceived,
+    RequestReceived,
+)
 
 AT_ONCE = 20  # requests and words, of which the mean is taken
 
@@ -55,8 +63,8 @@
         return steps(lambda: (which or control).handle(now, events))
 
     found: dict[str, float] = {}
-    found["whole list"], _ = handle([Fleet(servers)])
-    peer.handle(now, [Fleet(servers)])
+    found["whole list"], _ = handle([EndpointsUpdated(servers)])
+    peer.handle(now, [EndpointsUpdated(servers)])
     now += PERIOD_MS
     control.handle(now, [])
     now += 3 * PERIOD_MS  # what is looked at every few periods has been looked at
@@ -69,20 +77,20 @@
     total = sent = 0
     for number in range(AT_ONCE):  # from here no period comes
         now += 1.0
-        arrival = Arrival(
+        arrival = RequestReceived(
             number, one.name, kind.name, one.plan, now + kind.deadline_ms, 1.0, one.first, one.spread
         )
         work, actions = handle([arrival])
         total += work
-        for send in [action for action in actions if isinstance(action, Send)]:
-            done = Outcome(send.id, 0, send.server, 40.0, Result.OK, True, load=(0.5, 40.0))
+        for send in [action for action in actions if isinstance(action, StartAttempt)]:
+            done = AttemptCompleted(send.id, 0, send.server, 40.0, AttemptResult.OK, True, load=(0.5, 40.0))
             total, sent = total + handle([done])[0], sent + 1
         told = peer.handle(now, [replace(arrival, id=number + AT_ONCE)])
-        words += [action.data for action in told if isinstance(action, Tell)]
+        words += [action.data for action in told if isinstance(action, SendPeerMessage)]
     found["request"], found["sent"] = total / AT_ONCE, sent
-    heard = [handle([Heard(1, data)])[0] for data in words]
+    heard = [handle([PeerMessageReceived(1, data)])[0] for data in words]
     found["word"], found["words"] = sum(heard) / max(1, len(heard)), len(heard)
-    found["change"], _ = handle([Fleet((replace(servers[-1], started_ms=now),), complete=False)])
+    found["change"], _ = handle([EndpointsUpdated((replace(servers[-1], started_ms=now),), complete=False)])
     now += PERIOD_MS
     control.handle(now, [])
     now += PERIOD_MS
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -23,8 +23,10 @@
 from plumpick.gateway.listeners.http.connection_admission import Admission
 from plumpick.gateway.upstream.connection_pool import Attempt, WorkerConnection, Workers
 from plumpick.policy import endpoint_watch
+from plumpick.policy.actions import RejectRequest
 from plumpick.policy.controller import Controller, Quota, Servers
-from plumpick.policy.interface import Refuse, Repeat, Result, State
+from plumpick.policy.events import AttemptResult, EndpointState
+from plumpick.policy.settings import Idempotency
 from plumpick.simulation.faults import case_of
 from plumpick.simulation.world import play
 
@@ -43,7 +45,7 @@
         (
             Controller,
             "allowed",
-            lambda self, request: None if request.kind.repeat is Repeat.KEYED else right(self, request),
+            lambda self, request: None if request.kind.repeat is Idempotency.KEYED else right(self, request),
         )
     ]
 
@@ -52,7 +54,7 @@
     """What may have run is refused, as if a retry were harmless."""
 
     def refuse(self: Controller, request: Any) -> None:
-        self.actions.append(Refuse(request.arrival.id, 250.0))
+        self.actions.append(RejectRequest(request.arrival.id, 250.0))
         self.close(request)
 
     return [(Controller, "refuse_or_fail", refuse)]
@@ -62,8 +64,8 @@
     """A connection that breaks after the last byte counts as one that never came up."""
     right = WorkerConnection._fault
 
-    def fault(self: WorkerConnection, result: Result) -> None:
-        right(self, Result.CONNECT_FAILED if result is Result.RESET else result)
+    def fault(self: WorkerConnection, result: AttemptResult) -> None:
+        right(self, AttemptResult.CONNECT_FAILED if result is AttemptResult.RESET else result)
 
     return [(WorkerConnection, "_fault", fault)]
 
@@ -74,8 +76,8 @@
 
     def listed(self: Gatekeeper, news: WorkerList) -> None:
         entries = tuple(
-            replace(one, server=replace(one.server, state=State.READY))
-            if one.server.state is State.DRAINING
+            replace(one, server=replace(one.server, state=EndpointState.READY))
+            if one.server.state is EndpointState.DRAINING
             else one
             for one in news.entries
         )
@@ -104,9 +106,9 @@
     """The connection of an attempt that was given up is used again."""
     right = Attempt.end
 
-    def end(self: Attempt, result: Result, *more: Any, **others: Any) -> None:
+    def end(self: Attempt, result: AttemptResult, *more: Any, **others: Any) -> None:
         connection, self.connection = self.connection, None
-        if connection is not None and self.done is not None and result is Result.CANCELLED:
+        if connection is not None and self.done is not None and result is AttemptResult.CANCELLED:
             connection.attempt = None
             connection.pool.put_back(connection)
             connection = None
@@ -174,7 +176,7 @@
         attempt.dial = None
         if dial.cancelled() or dial.exception() is not None:
             connection.abandon()
-            attempt.end(Result.CONNECT_FAILED)
+            attempt.end(AttemptResult.CONNECT_FAILED)
         else:
             if attempt.dial_timer is not None:
                 attempt.dial_timer.cancel()
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -17,26 +17,24 @@
 
 from benchmarks.slopes.fold import CLASSES, Fold, Load, servers, settings
 from plumpick.gateway.config import config_from, worker_list_from
+from plumpick.policy.actions import SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.budgets.allocator import Divider
 from plumpick.policy.budgets.ledger import INBOX_PER_S
 from plumpick.policy.budgets.terms import Budget, Kind
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fleet,
-    Heard,
-    Inherit,
-    Leave,
-    Outcome,
-    Result,
-    Send,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+    ExportState,
+    ImportState,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
+from plumpick.policy.settings import Settings
 
 REPEATS, TIER = 5, 550
 BEGIN_MS = 1000.0
@@ -52,7 +50,7 @@
 def module(workers: int, own: Settings | None = None) -> Controller:
     """One that has its list."""
     control = Controller(own or settings(TIER), 1)
-    control.handle(BEGIN_MS, [Fleet(servers(workers))])
+    control.handle(BEGIN_MS, [EndpointsUpdated(servers(workers))])
     return control
 
 
@@ -62,10 +60,10 @@
     end = now + seconds * 1000
     while now < end:
         begin = time.process_time_ns()
-        actions = control.handle(now, [Woken("agenda")] if wakes else [])
+        actions = control.handle(now, [TimerFired("agenda")] if wakes else [])
         spent += time.process_time_ns() - begin
         wakes += 1
-        after = [action.after_ms for action in actions if isinstance(action, Wake)]
+        after = [action.after_ms for action in actions if isinstance(action, SetTimer)]
         now += max(1.0, min(after, default=100.0))
     return spent / 1e6 / seconds
 
@@ -89,9 +87,11 @@
     control = module(200)
     for number in range(count):
         now = BEGIN_MS + 1 + number * 0.01
-        arrival = Arrival(number, f"firm-{number}", "check", "usual", now + 2000, 1.0, 0, spread)
-        sent = [one for one in control.handle(now, [arrival]) if isinstance(one, Send)]
-        control.handle(now, [Outcome(one.id, 0, one.server, 20.0, Result.OK, True) for one in sent])
+        arrival = RequestReceived(number, f"firm-{number}", "check", "usual", now + 2000, 1.0, 0, spread)
+        sent = [one for one in control.handle(now, [arrival]) if isinstance(one, StartAttempt)]
+        control.handle(
+            now, [AttemptCompleted(one.id, 0, one.server, 20.0, AttemptResult.OK, True) for one in sent]
+        )
     return control
 
 
@@ -104,8 +104,8 @@
     """One entry changed, in a call of its own."""
     control, all_servers, times = module(int(workers)), servers(int(workers)), []
     for number in range(3 * REPEATS):
-        state = State.READY if number % 2 else State.DRAINING
-        news = Fleet((replace(all_servers[number // 2 % len(all_servers)], state=state),), False)
+        state = EndpointState.READY if number % 2 else EndpointState.DRAINING
+        news = EndpointsUpdated((replace(all_servers[number // 2 % len(all_servers)], state=state),), False)
         times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [news]))
     return median(times)
 
@@ -114,14 +114,16 @@
     """So many entries changed, in one answer of discovery."""
     control, all_servers, times = module(workers), servers(workers), []
     for number in range(2 * REPEATS):
-        state = State.READY if number % 2 else State.DRAINING
-        news = Fleet(tuple(replace(one, state=state) for one in all_servers[: int(entries)]), False)
+        state = EndpointState.READY if number % 2 else EndpointState.DRAINING
+        news = EndpointsUpdated(
+            tuple(replace(one, state=state) for one in all_servers[: int(entries)]), False
+        )
         times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [news]))
     return median(times)
 
 
 def whole_list(workers: float) -> float:
-    control, fleet = module(int(workers)), Fleet(servers(int(workers)))
+    control, fleet = module(int(workers)), EndpointsUpdated(servers(int(workers)))
     return median(cpu_ms(control.handle, BEGIN_MS + 1, [fleet]) for _ in range(2 * REPEATS))
 
 
@@ -293,7 +295,9 @@
     def build() -> Controller:
         control = module(1000)
         for number in range(int(requests)):
-            arrival = Arrival(number, f"firm-{number % 100}", "check", "usual", BEGIN_MS + 2000, 0.001, 0, 1)
+            arrival = RequestReceived(
+                number, f"firm-{number % 100}", "check", "usual", BEGIN_MS + 2000, 0.001, 0, 1
+            )
             control.handle(BEGIN_MS + 1, [arrival])
         return control
 
@@ -303,19 +307,19 @@
 def memory_by_peers(peers: float) -> float:
     """So many others that have told a word of quotas, and were answered."""
     teller, words = Controller(replace(settings(TIER), number=1), 2), []
-    teller.handle(BEGIN_MS, [Fleet(servers(10))])
+    teller.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
     for number in range(50):  # firms whose home is 0
-        arrival = Arrival(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
+        arrival = RequestReceived(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
         words += [
             one.data
             for one in teller.handle(BEGIN_MS + 1 + 100 * number, [arrival])
-            if isinstance(one, Tell) and one.receiver == 0
+            if isinstance(one, SendPeerMessage) and one.receiver == 0
         ]
 
     def build() -> Controller:
         control = module(10)
         for number in range(int(peers)):
-            heard: Event = Heard(1 + number, words[number % len(words)])
+            heard: Event = PeerMessageReceived(1 + number, words[number % len(words)])
             control.handle(BEGIN_MS + 1 + number * 0.01, [heard])
         return control
 
@@ -353,7 +357,7 @@
 
 def _estate(firms: int) -> Any:
     control = _with_firms(firms)
-    actions = control.handle(BEGIN_MS + 10_000, [Leave()])
+    actions = control.handle(BEGIN_MS + 10_000, [ExportState()])
     return next(action.state for action in actions if hasattr(action, "state"))
 
 
@@ -365,8 +369,8 @@
     """To leave it, to write and read it as JSON, and to take it over."""
 
     def pass_over(control: Controller, heir: Controller) -> None:
-        left = control.handle(BEGIN_MS + 10_000, [Leave()])
+        left = control.handle(BEGIN_MS + 10_000, [ExportState()])
         state = next(action.state for action in left if hasattr(action, "state"))
-        heir.handle(BEGIN_MS + 10_000, [Inherit(json.loads(json.dumps(state)))])
+        heir.handle(BEGIN_MS + 10_000, [ImportState(json.loads(json.dumps(state)))])
 
     return median(cpu_ms(pass_over, _with_firms(int(firms)), module(200)) for _ in range(3))
--- a/benchmarks/slopes/fold.py
+++ b/benchmarks/slopes/fold.py
@@ -17,31 +17,26 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
+from plumpick.policy.actions import CancelAttempt, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 CLASSES = (
-    RequestClass("check", 750, 2000, 3, Repeat.SAFE),
-    RequestClass("checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-    RequestClass("debit", 2000, 7500, 2, Repeat.UNSAFE),
+    RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+    ),
+    RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
 ANSWER_MS, WAY_MS = 20.0, 1.0  # a worker's answer; a word's way
 QUOTA_TIMES = 2.0  # a firm's quota, in times of what it asks for: nobody is refused
@@ -73,9 +68,9 @@
     )
 
 
-def servers(count: int) -> tuple[Server, ...]:
+def servers(count: int) -> tuple[Endpoint, ...]:
     """Warm ones, in five zones."""
-    return tuple(Server(f"worker-{n}", "abcde"[n % 5], n % 20, State.READY) for n in range(count))
+    return tuple(Endpoint(f"worker-{n}", "abcde"[n % 5], n % 20, EndpointState.READY) for n in range(count))
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +112,7 @@
     def play(self) -> dict[str, float]:
         """Figures of one gatekeeper a second; CPU in us."""
         load = self.load
-        fleet = Fleet(servers(load.workers))
+        fleet = EndpointsUpdated(servers(load.workers))
         for place in range(load.kept):
             self.put(1000.0, place, fleet)
             self.put(1000.0 + self.rng.expovariate(load.rate) * 1000, place, None)
@@ -133,7 +128,7 @@
         figures = {name: count / per for name, count in self.counts.items()}
         return {**figures, **{f"us {name}": ns / 1000 / per for name, ns in self.spent.items()}}
 
-    def arrival(self, now: float, place: int) -> Arrival:
+    def arrival(self, now: float, place: int) -> RequestReceived:
         load = self.load
         firm = self.rng.randrange(self.firms)
         first = firm % load.kept
@@ -145,7 +140,7 @@
             member = (place - first) % load.kept
         turned = first + member - place  # by which the ring is turned back for it
         kind = CLASSES[self.serial % 3]
-        return Arrival(
+        return RequestReceived(
             self.serial,
             f"firm-{firm}",
             kind.name,
@@ -164,30 +159,38 @@
         if module.faults:
             raise module.faults[0]
         if self.on:
-            what = {"Heard": "heard", "Woken": "woken"}.get(type(event).__name__, "request")
+            what = {"PeerMessageReceived": "heard", "TimerFired": "woken"}.get(
+                type(event).__name__, "request"
+            )
             self.spent[what] += spent
             self.counts[what] += 1
-            self.counts["arrivals"] += isinstance(event, Arrival)
+            self.counts["arrivals"] += isinstance(event, RequestReceived)
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, StartAttempt):
                 number = self.attempts[place, action.id]
                 self.attempts[place, action.id] += 1
                 self.put(
                     now + ANSWER_MS,
                     place,
-                    Outcome(action.id, number, action.server, ANSWER_MS, Result.OK, True),
+                    AttemptCompleted(action.id, number, action.server, ANSWER_MS, AttemptResult.OK, True),
                 )
                 self.counts["sends"] += self.on
-            elif isinstance(action, Wake):
-                self.put(now + max(1.0, action.after_ms), place, Woken(action.name))
-            elif isinstance(action, Tell):
+            elif isinstance(action, SetTimer):
+                self.put(now + max(1.0, action.after_ms), place, TimerFired(action.name))
+            elif isinstance(action, SendPeerMessage):
                 other = action.receiver % load.kept
                 turned = action.receiver - other
-                self.put(now + WAY_MS, other, Heard((place - turned) % load.gateways, action.data))
+                self.put(
+                    now + WAY_MS, other, PeerMessageReceived((place - turned) % load.gateways, action.data)
+                )
                 if self.on:
                     self.counts["told"] += 1
                     self.counts["bytes told"] += len(action.data)
-            elif isinstance(action, Cancel):
-                self.put(now, place, Outcome(action.id, action.attempt, "", 0.0, Result.CANCELLED, True))
-            elif type(action).__name__ in ("Refuse", "Fail"):
+            elif isinstance(action, CancelAttempt):
+                self.put(
+                    now,
+                    place,
+                    AttemptCompleted(action.id, action.attempt, "", 0.0, AttemptResult.CANCELLED, True),
+                )
+            elif type(action).__name__ in ("RejectRequest", "FailRequest"):
                 self.counts["refused"] += self.on
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -19,9 +19,11 @@
 from benchmarks.slopes.decisions import cpu_ms
 from plumpick.gateway.config import config_from
 from plumpick.gateway.dynamic_config.client import _read
+from plumpick.policy.actions import CommandCompleted
 from plumpick.policy.dynamic_config.delta import canonical, changes_between, digest
 from plumpick.policy.dynamic_config.subscriber import Content, offer_from
-from plumpick.policy.interface import Reconfigure, Repeat, RequestClass, Said, Settings
+from plumpick.policy.events import SettingsChanged
+from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
 REPEATS = 6
 WORKERS, ACCOUNTS, STORES = 5900, 218, 73  # a gatekeeper of the operators' target
@@ -43,17 +45,17 @@
         now += 0.001  # no period comes meanwhile
 
         def turn(now: float = now, fresh: Settings = fresh, said: list[Any] = said) -> None:
-            said += control.handle(now, [Reconfigure(1, fresh)])
+            said += control.handle(now, [SettingsChanged(1, fresh)])
 
         times.append(cpu_ms(turn))
-        if control.faults or [one.wrong for one in said if isinstance(one, Said)] != [""]:
+        if control.faults or [one.wrong for one in said if isinstance(one, CommandCompleted)] != [""]:
             raise RuntimeError("the change was not taken over")
     return median(times)
 
 
 def taken_over(classes: float, stores: int = STORES) -> float:
     base = reconfigure.settings(int(classes))
-    more = RequestClass("fresh", 700.0, 2000.0, 1.0, Repeat.SAFE)
+    more = RequestClass("fresh", 700.0, 2000.0, 1.0, Idempotency.IDEMPOTENT)
     return _taken_over(base, replace(base, classes=(*base.classes, more)), stores)
 
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -25,8 +25,8 @@
 from plumpick.policy.budgets.ledger import INBOX_PER_S
 from plumpick.policy.controller import HOLD_PINGS, ping_ms
 from plumpick.policy.dynamic_config import subscriber, version_store
-from plumpick.policy.interface import Plan, Repeat, RequestClass, Settings
 from plumpick.policy.reconfiguration import refusal
+from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
 from plumpick.policy.settings_parser import MAX_CLASSES
 from plumpick.tools.configuration_service import MOST_CONNECTIONS
 
@@ -82,7 +82,7 @@
 def constants(sizes: Mapping[str, float]) -> dict[str, float]:
     """What the program's own text says at these sizes."""
     gatekeepers = int(sizes["gatekeepers"])
-    any_class = RequestClass("any", 1.0, 1.0, 1.0, Repeat.SAFE)
+    any_class = RequestClass("any", 1.0, 1.0, 1.0, Idempotency.IDEMPOTENT)
     tier = Settings(
         gateways=gatekeepers,
         number=0,
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -55,7 +55,7 @@
     "share": "plumpick/gateway/operator_config.py, _fleet",
     "watching": "plumpick/policy/endpoint_watch.py, Watching",
     "estate": "plumpick/policy/snapshot.py, leave and take_over",
-    "settings": "plumpick/policy/settings_parser.py, settings_from",
+    "settings": "plumpick/policy/settings_parser.py, parse_settings",
     "file": "plumpick/gateway/config.py, load",  # what stands there is in force at the next start
     # Settings in force without a restart: off unless the operator's file names a [configuration].
     "versions": "plumpick/gateway/dynamic_config/client.py, Source",
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -25,7 +25,7 @@
 from plumpick.policy.budgets import codec as shares
 from plumpick.policy.budgets.ledger import Book
 from plumpick.policy.budgets.matching import Matching
-from plumpick.policy.interface import Arrival
+from plumpick.policy.events import RequestReceived
 from plumpick.policy.leases.lease_holder import Gained, Lost, Refused, Yield
 from plumpick.policy.leases.participant import (
     Came,
@@ -360,7 +360,7 @@
             )
             self._step()
 
-    def admits(self, arrival: Arrival) -> bool:
+    def admits(self, arrival: RequestReceived) -> bool:
         """Whether a request may go on by the budgets that are for it; it has spent of them, then."""
         wanted = self._matching.of(arrival.class_name, arrival.plan_name, arrival.customer, arrival.units)
         return not wanted or self.spends(wanted)
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -8,11 +8,12 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.policy.interface import Server, Settings, State
-from plumpick.policy.settings_parser import SettingsError, Table, settings_from
+from plumpick.policy.events import Endpoint, EndpointState
+from plumpick.policy.settings import Settings
+from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 Address = tuple[str, int]
-STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
 
 
 class ConfigError(Exception):
@@ -23,7 +24,7 @@
 class Entry:
     """One worker in discovery's list: what the module learns of it, and where it listens."""
 
-    server: Server
+    server: Endpoint
     address: Address
 
 
@@ -64,12 +65,12 @@
     return host, int(port)
 
 
-def entry_from(row: Table) -> Entry:
+def entry_from(row: JsonObject) -> Entry:
     """One entry of a list in discovery's form."""
     status = row.text("status")
     if status not in STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
-    server = Server(
+    server = Endpoint(
         row.text("name"),
         row.text("zone", ""),
         int(row.number("group", 0.0)),
@@ -86,11 +87,11 @@
     """A list in discovery's form; raises SettingsError where it cannot be read.
 
     With `skipped`, an entry that cannot be read is told there and left out, which ends its worker's use."""
-    top = Table(value, path)
+    top = JsonObject(value, path)
     entries = []
     for number, row in enumerate(top.items("endpoints")):
         try:
-            entries.append(entry_from(Table(row, f"{path}.endpoints[{number}]")))
+            entries.append(entry_from(JsonObject(row, f"{path}.endpoints[{number}]")))
         except SettingsError as problem:
             if skipped is None:
                 raise
@@ -100,10 +101,10 @@
 
 def config_from(value: Any, environment: Mapping[str, str]) -> Config:
     """The configuration in an object of JSON; the environment stands in for what the object lacks."""
-    top = Table(value, "config")
+    top = JsonObject(value, "config")
     settings = top.table("settings")
     limits = settings.table("limits")
-    own = settings_from(settings.value, "config.settings")
+    own = parse_settings(settings.value, "config.settings")
     seed = top.text("seed")
     try:
         seed_number = int(seed, 16)
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -33,7 +33,7 @@
     offer_from,
     read,
 )
-from plumpick.policy.settings_parser import SettingsError, Table, settings_from
+from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 PATH = "/configuration"
 MOST_ANSWER = 64 * 2**20  # bytes
@@ -51,7 +51,7 @@
 def config_with(config: Config, settings: Settings) -> Config:
     """The configuration with published settings, this gatekeeper's own keys kept; raises SettingsError."""
     whole = {**settings, "myNumber": config.settings.number, "locality": config.settings.zone}
-    news, limits = settings_from(whole, "settings"), Table(whole, "settings").table("limits")
+    news, limits = parse_settings(whole, "settings"), JsonObject(whole, "settings").table("limits")
     if config.peers and len(config.peers) != news.gateways:
         raise SettingsError(f"settings.balancers: {news.gateways}, and there are {len(config.peers)} peers")
     return replace(
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -31,39 +31,41 @@
 from plumpick.gateway.upstream.connection_pool import Attempt, Workers
 from plumpick.gateway.upstream.request_encoding import head_of
 from plumpick.gateway.upstream.streaming_body import Body, Budget
-from plumpick.policy.controller import Controller
-from plumpick.policy.draining import LATE_FOR_MS, Door
-from plumpick.policy.health_status import Standing
-from plumpick.policy.interface import (
+from plumpick.policy.actions import (
     Action,
-    Arrival,
-    Call,
-    Cancel,
-    ClientGone,
-    Doors,
-    Estate,
+    CancelAttempt,
+    CommandCompleted,
+    FailRequest,
+    ProbeEndpoint,
+    RejectRequest,
+    SendPeerMessage,
+    SetAdmissionState,
+    SetTimer,
+    StartAttempt,
+    StateExported,
+    WatchEndpoints,
+)
+from plumpick.policy.controller import Controller
+from plumpick.policy.draining import LATE_FOR_MS, AdmissionState
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    CommandKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fleet,
-    Heard,
-    Inherit,
-    Leave,
-    Order,
-    Outcome,
-    Probe,
-    Reconfigure,
-    Refuse,
-    Result,
-    Resume,
-    Said,
-    Send,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
-    Woken,
+    ExportState,
+    ImportState,
+    OperatorCommand,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    ResumeAfterFailedHandover,
+    SettingsChanged,
+    TimerFired,
 )
+from plumpick.policy.health_status import Standing
 
 MARGIN_MS = 20.0  # the module is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
@@ -150,7 +152,7 @@
         self.ready = self.draining = False
         self.up = False  # it takes clients, by itself; `ready` is what the front is told
         self.ending = self.ending_last = False  # told to end; and so late in it that nothing is kept
-        self.door = Door.OPEN
+        self.door = AdmissionState.OPEN
         # Another process of this gatekeeper, while there are two: it is told what its peers say, the module's
         # word to its own number, and operators' calls.
         self.sibling: Sibling | None = None
@@ -169,17 +171,17 @@
         self._turn_ms = 0.0  # what time it was for the module when it decided last
         self._stood_ms = self._stood_until_ms = 0.0  # for how long; until when what is read may be so old
         self._carry: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send,
-            Refuse: self._refuse,
-            Fail: self._fail,
-            Cancel: self._cancel,
-            Wake: self._wake,
-            Tell: self._tell,
-            Probe: self._ignore,
-            Subscribe: self._ignore,
-            Said: self._say,
-            Doors: self._doors,
-            Estate: self._keep_estate,
+            StartAttempt: self._send,
+            RejectRequest: self._refuse,
+            FailRequest: self._fail,
+            CancelAttempt: self._cancel,
+            SetTimer: self._wake,
+            SendPeerMessage: self._tell,
+            ProbeEndpoint: self._ignore,
+            WatchEndpoints: self._ignore,
+            CommandCompleted: self._say,
+            SetAdmissionState: self._doors,
+            StateExported: self._keep_estate,
         }
         self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
         self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
@@ -214,21 +216,21 @@
         """Discovery has told something."""
         displaced = self.workers.update(news)
         servers = [entry.server for entry in news.entries]
-        servers += [replace(entry.server, state=State.GONE) for entry in displaced]
-        self.notice(Fleet(tuple(servers), news.complete))
+        servers += [replace(entry.server, state=EndpointState.GONE) for entry in displaced]
+        self.notice(EndpointsUpdated(tuple(servers), news.complete))
 
     def heard(self, sender: int, data: bytes) -> None:
         """A peer has told something."""
         if self.fleet is not None and data[:1] == LEASES:
             self.fleet.heard(sender, data)
             return
-        self.notice(Heard(sender, data))
+        self.notice(PeerMessageReceived(sender, data))
         if self.sibling is not None:
             self.sibling.heard(sender, data)
 
     def heard_elsewhere(self, sender: int, data: bytes) -> None:
         """The same, by way of another process of ours, or from that itself."""
-        self.notice(Heard(sender, data))
+        self.notice(PeerMessageReceived(sender, data))
 
     # -- operators
 
@@ -268,10 +270,10 @@
 
     def order(self, name: str, argument: str) -> str:
         """One that the module decides on; what is wrong with it, or nothing. Raises ValueError."""
-        order = Call(name.lower())
+        order = CommandKind(name.lower())
         self._serial += 1
         number = self._serial
-        self.notice(Order(number, order, argument))
+        self.notice(OperatorCommand(number, order, argument))
         self._turn()
         return self._said.pop(number, "the order failed; see the log")
 
@@ -288,7 +290,7 @@
                 return f"settings.limits.{key}: {value!r} is not above 0"
         self._serial += 1
         number = self._serial
-        self.notice(Reconfigure(number, config.settings))
+        self.notice(SettingsChanged(number, config.settings))
         self._turn()
         wrong = self._said.pop(number, "the module failed on them; see the log")
         if wrong:
@@ -309,17 +311,17 @@
         ]
         return [kind.deadline_ms for kind in self.settings.classes] + left
 
-    def _say(self, action: Said) -> None:
+    def _say(self, action: CommandCompleted) -> None:
         self._said[action.number] = action.wrong
 
-    def _doors(self, action: Doors) -> None:
+    def _doors(self, action: SetAdmissionState) -> None:
         """Clients are sent away, or taken again."""
         before, self.door = self.door, action.stage
-        if before != self.door and Door.OPEN in (before, self.door):
+        if before != self.door and AdmissionState.OPEN in (before, self.door):
             log.info("clients are %s", "sent away" if self.door else "taken again")
-        if before < Door.LATE <= self.door:
+        if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.door:
             self._late_end_ms = self.clock.now() + LATE_FOR_MS
-        elif self.door < Door.LATE:
+        elif self.door < AdmissionState.BOUNDING_LATE_REQUESTS:
             self._late_end_ms = math.inf
         self._open_or_not()
 
@@ -338,7 +340,7 @@
     def hand_over(self) -> Mapping[str, Any]:
         """Another process takes the clients from now on; its state to go on from. Raises ValueError."""
         self._estate = None
-        self.notice(Leave())
+        self.notice(ExportState())
         self._turn()
         state = self._left()  # by a call: compiled, the None from above would stand for this too
         if state is None:
@@ -350,18 +352,18 @@
     def _left(self) -> Mapping[str, Any] | None:
         return self._estate
 
-    def _keep_estate(self, action: Estate) -> None:
+    def _keep_estate(self, action: StateExported) -> None:
         self._estate = action.state
 
     def inherit(self, state: Mapping[str, Any]) -> None:
         """Go on from the state of the process before this one."""
-        self.notice(Inherit(state))
+        self.notice(ImportState(state))
         self._turn()
 
     def resume(self) -> None:
         """The other process has died; clients are taken here again."""
         self.succeeded, self.sibling = False, None
-        self.notice(Resume())
+        self.notice(ResumeAfterFailedHandover())
         self._open_or_not()
 
     def only_finish(self) -> None:
@@ -389,7 +391,7 @@
 
     def left(self, request: Request) -> None:
         if self._close(request):
-            self.notice(ClientGone(request.id))
+            self.notice(ClientDisconnected(request.id))
             if request.stream is not None or request.passing is not None:
                 self._call_off(request)
 
@@ -416,7 +418,7 @@
         self._names.add(ask.id)
         # Of what goes on while it comes its time has not begun; the module has to send it soon all the same.
         self.notice(
-            Arrival(
+            RequestReceived(
                 request.id,
                 ask.customer,
                 ask.kind.name,
@@ -462,7 +464,7 @@
         for number in range(request.sends):
             attempt = self.attempts.get((request.id, number))
             if attempt is not None and attempt.connection is None:
-                attempt.end(Result.CANCELLED)
+                attempt.end(AttemptResult.CANCELLED)
         return True
 
     def stream(self, giver: Source, length: int) -> Any:
@@ -480,13 +482,13 @@
             attempt, stream = request.passing, request.stream
             if attempt is not None:
                 if now - attempt.moved_ms > STALL_MS:
-                    attempt.end(Result.RESET)
+                    attempt.end(AttemptResult.RESET)
             elif stream is not None and not stream.whole:
                 if stream.held:
                     stream.moved_ms = max(stream.moved_ms, now - UPLOAD_STALL_MS / 2)
                 if now - stream.moved_ms > UPLOAD_STALL_MS and self._close(request):
                     request.asker.answer(408)
-                    self.notice(ClientGone(request.id))
+                    self.notice(ClientDisconnected(request.id))
                     self._call_off(request)
 
     def _call_off(self, request: Request) -> None:
@@ -494,34 +496,38 @@
         for number in range(request.sends):
             attempt = self.attempts.get((request.id, number))
             if attempt is not None:
-                attempt.end(Result.CANCELLED)
+                attempt.end(AttemptResult.CANCELLED)
 
     def _overdue(self, request: Request) -> None:
         """The last guard: the module has not answered, and the client is about to give up, or we end."""
         if self._close(request):
             self._count(request, FAILED)
             request.asker.answer(504)
-            self.notice(ClientGone(request.id))
+            self.notice(ClientDisconnected(request.id))
             if request.stream is not None:
                 self._call_off(request)
 
     # -- actions
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: StartAttempt) -> None:
         request = self.open.get(action.id)
         if request is None:  # the module can't know it: it ended in between
-            self.notice(Outcome(action.id, 0, action.server, 0.0, Result.MOOT, True))
+            self.notice(AttemptCompleted(action.id, 0, action.server, 0.0, AttemptResult.NOT_STARTED, True))
             return
         number, request.sends = request.sends, request.sends + 1
         stream = request.stream
         if stream is not None and (stream.begun or number > 0 and (request.id, number - 1) in self.attempts):
             # What has gone on is not kept, and one body goes one way.
-            self.notice(Outcome(action.id, number, action.server, 0.0, Result.MOOT, False))
+            self.notice(
+                AttemptCompleted(action.id, number, action.server, 0.0, AttemptResult.NOT_STARTED, False)
+            )
             return
         if request.asker.has_gone():  # nothing was read there that would have told it
             self.left(request)
             request.asker.drop()
-            self.notice(Outcome(action.id, number, action.server, 0.0, Result.MOOT, True))
+            self.notice(
+                AttemptCompleted(action.id, number, action.server, 0.0, AttemptResult.NOT_STARTED, True)
+            )
             return
         # What is left counts from when the module looked; of a body that still comes it has not begun.
         due_ms = min(self._turn_ms + action.allow_ms, request.due_ms) if stream is None else request.due_ms
@@ -546,7 +552,7 @@
     def _flows(self, attempt: Attempt) -> None:
         """A body that is not kept begins to go out: from here on there is one attempt. Its times say nothing
         of the worker until its last byte is there."""
-        self.notice(Started(attempt.request_id, attempt.number, attempt.worker, False))
+        self.notice(ResponseStarted(attempt.request_id, attempt.number, attempt.worker, False))
 
     def _begins(self, attempt: Attempt, length: int, kind: bytes) -> Any:
         """An answer that is too large to be kept begins: who reads it; None if nobody waits for it."""
@@ -559,59 +565,59 @@
         if request not in self._streams:
             self._streams[request] = None
             self.workers.budget.streams += 1
-        self.notice(Started(attempt.request_id, attempt.number, attempt.worker))
+        self.notice(ResponseStarted(attempt.request_id, attempt.number, attempt.worker))
         assert attempt.connection is not None
         request.asker.begin(length, kind, attempt.connection, self.workers.budget.mark())
         return request.asker
 
     def _ended(
-        self, attempt: Attempt, result: Result, body: bytes, kind: bytes, load: tuple[float, ...]
+        self, attempt: Attempt, result: AttemptResult, body: bytes, kind: bytes, load: tuple[float, ...]
     ) -> None:
         """One attempt has its outcome. The first good one is the request's final answer."""
         del self.attempts[attempt.request_id, attempt.number]
         request, passed = self.open.get(attempt.request_id), attempt.first_ms > 0
-        if request is not None and (result is Result.OK or passed):
+        if request is not None and (result is AttemptResult.OK or passed):
             self._close(request)  # what has begun to leave is the final answer, whole or broken
-            self._count(request, SERVED if result is Result.OK else FAILED)
+            self._count(request, SERVED if result is AttemptResult.OK else FAILED)
             if not passed:
                 request.asker.answer(200, body, kind)
         took_ms = (attempt.first_ms if passed else self.clock.now()) - attempt.started_ms
         self.notice(
-            Outcome(
+            AttemptCompleted(
                 attempt.request_id,
                 attempt.number,
                 attempt.worker,
                 max(0.0, took_ms),
                 result,
-                request is None or result is Result.OK or passed,
+                request is None or result is AttemptResult.OK or passed,
                 load=load,
             )
         )
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: RejectRequest) -> None:
         request = self.open.get(action.id)
         if request is not None and self._close(request):
             self._count(request, REFUSED)
             request.asker.answer(503, retry_in_ms=action.retry_in_ms)
 
-    def _fail(self, action: Fail) -> None:
+    def _fail(self, action: FailRequest) -> None:
         request = self.open.get(action.id)
         if request is not None and self._close(request):
             self._count(request, FAILED)
             request.asker.answer(502)
 
-    def _cancel(self, action: Cancel) -> None:
+    def _cancel(self, action: CancelAttempt) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
         if attempt is not None:
-            attempt.end(Result.CANCELLED)
+            attempt.end(AttemptResult.CANCELLED)
 
-    def _wake(self, action: Wake) -> None:
-        woken = Woken(action.name)
+    def _wake(self, action: SetTimer) -> None:
+        woken = TimerFired(action.name)
         # On the grid of the module's ticks, so that what is due within one tick takes one turn.
         due_ms, tick_ms = self.clock.now() + action.after_ms, max(1.0, self.settings.tick_ms)
         self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.notice(woken))
 
-    def _tell(self, action: Tell) -> None:
+    def _tell(self, action: SendPeerMessage) -> None:
         if action.receiver == self.settings.number:  # another process of ours
             if self.sibling is not None:
                 self.sibling.said(action.data)
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -9,8 +9,8 @@
 from plumpick.gateway.listeners.http.connection_admission import Admission
 from plumpick.gateway.listeners.http.validation import BadRequest, Forms, path_of
 from plumpick.gateway.listeners.interface import Ask, Core, InUse
-from plumpick.policy.draining import Door
-from plumpick.policy.interface import Settings
+from plumpick.policy.draining import AdmissionState
+from plumpick.policy.settings import Settings
 
 
 class HttpFront:
@@ -97,8 +97,8 @@
 
     def sweep(self, now: float, ending: bool) -> None:
         self.admission.sweep(now, ending)
-        if self.core.door >= Door.IDLE:
-            self.admission.send_away(now, self.core.door >= Door.UNHEARD)
+        if self.core.door >= AdmissionState.CLOSING_IDLE:
+            self.admission.send_away(now, self.core.door >= AdmissionState.CLOSING_UNREAD)
 
     def close_idle(self) -> None:
         now = self.core.clock.now()
--- a/plumpick/gateway/listeners/http/validation.py
+++ b/plumpick/gateway/listeners/http/validation.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from plumpick.policy.interface import Repeat, RequestClass, Settings
+from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
 MOST_CUSTOMER = 1 << 33  # a customer is a number below
 _NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
@@ -58,12 +58,12 @@
         kind = self._kinds.get(target[1:].partition(b"?")[0].partition(b"/")[0])
         if kind is None:
             raise BadRequest("there is no such class", 404)
-        if method not in ((b"GET", b"HEAD") if kind.repeat is Repeat.SAFE else (b"POST",)):
+        if method not in ((b"GET", b"HEAD") if kind.repeat is Idempotency.IDEMPOTENT else (b"POST",)):
             raise BadRequest("the class has another method", 405)
         if has_body and method != b"POST":
             raise BadRequest("a GET with a body")
         key = headers.get(b"idempotency-key")
-        if kind.repeat is Repeat.KEYED:
+        if kind.repeat is Idempotency.KEYED:
             if key is None or not _KEY.fullmatch(key):
                 raise BadRequest("idempotency-key is missing or malformed")
         elif key is not None:
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -8,8 +8,8 @@
 from typing import Any, NamedTuple, Protocol
 
 from plumpick.gateway.clock import Clock, Timers
-from plumpick.policy.draining import Door
-from plumpick.policy.interface import RequestClass, Settings
+from plumpick.policy.draining import AdmissionState
+from plumpick.policy.settings import RequestClass, Settings
 
 SWEEP_MS = 100.0  # how often fronts close what has had its time
 STILL_MS = 100.0  # a sweep so much late: we stood still
@@ -122,7 +122,7 @@
     timers: Timers
     ready: bool  # what `/up` says
     draining: bool  # each answer closes its connection
-    door: Door  # what else is closed
+    door: AdmissionState  # what else is closed
 
     def spare_descriptors(self) -> int:
         """Descriptors kept for workers that nobody uses now."""
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -16,7 +16,7 @@
 from plumpick.gateway.config import Entry, WorkerList
 from plumpick.gateway.upstream.request_encoding import message_of
 from plumpick.gateway.upstream.streaming_body import WHOLE, Body, Budget
-from plumpick.policy.interface import Result, State
+from plumpick.policy.events import AttemptResult, EndpointState
 
 MAX_HEAD = 16 * 1024
 IDLE_PART = 0.6  # of the time after which a worker closes an idle connection: ours are closed well before
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 _decode = json.JSONDecoder().decode
 
-Done = Callable[["Attempt", Result, bytes, bytes, tuple[float, ...]], None]
+Done = Callable[["Attempt", AttemptResult, bytes, bytes, tuple[float, ...]], None]
 
 
 class Reader(Protocol):
@@ -112,7 +112,9 @@
         self.timer: Timer | None = None
         self.dial_timer: Timer | None = None
 
-    def end(self, result: Result, body: bytes = b"", kind: bytes = b"", load: tuple[float, ...] = ()) -> None:
+    def end(
+        self, result: AttemptResult, body: bytes = b"", kind: bytes = b"", load: tuple[float, ...] = ()
+    ) -> None:
         """Tell the outcome, once, and give up what the attempt still holds."""
         done, self.done = self.done, None
         if done is None:
@@ -125,7 +127,7 @@
         if self.connection is not None:  # no whole answer has come: the worker learns by the end of it
             self.connection.abandon()
         reader, self.reader = self.reader, None
-        if reader is not None and result is not Result.OK:
+        if reader is not None and result is not AttemptResult.OK:
             reader.broken()
         done(self, result, body, kind, load)
 
@@ -226,7 +228,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             if not self.complete:
-                self._fault(Result.ERROR)
+                self._fault(AttemptResult.ERROR)
                 return
             self.excess = True
         if not self._is_busy():  # it has been taken back while it was read
@@ -234,7 +236,7 @@
         if self.complete and not self.too_large:
             self._answered()
         elif self.too_large or self.in_head and self.head_size > MAX_HEAD:
-            self._fault(Result.ERROR)
+            self._fault(AttemptResult.ERROR)
 
     def eof_received(self) -> None:
         """A worker that ends its sending has closed: so does the transport. An answer that has neither a
@@ -253,7 +255,7 @@
         self.parser = None  # it holds this connection: the two would wait for the collector
         self._leave()
         if self._is_busy():
-            self._fault(Result.CONNECT_FAILED if self.unsent else Result.RESET)
+            self._fault(AttemptResult.CONNECT_FAILED if self.unsent else AttemptResult.RESET)
 
     # -- the parser's callbacks
 
@@ -382,13 +384,13 @@
                 reader.finish()
             elif attempt.is_head:
                 body = b"%d" % max(0, self.length)  # what it would be long
-            attempt.end(Result.OK, body, self.kind, load)
+            attempt.end(AttemptResult.OK, body, self.kind, load)
         elif status in (503, 504) and self.not_run:
-            attempt.end(Result.FULL, load=load)
+            attempt.end(AttemptResult.REJECTED_BY_WORKER, load=load)
         else:  # also a 503 or 504 that does not say so: it may have run
-            attempt.end(Result.ERROR, load=load)
+            attempt.end(AttemptResult.ERROR, load=load)
 
-    def _fault(self, result: Result) -> None:
+    def _fault(self, result: AttemptResult) -> None:
         attempt, self.attempt = self.attempt, None
         self.abandon()
         if attempt is not None:
@@ -491,15 +493,17 @@
             name = entry.server.id
             worker = self._known.get(name)
             if worker is not None and (
-                entry.server.state is not State.READY or not worker.is_same_process(entry)
+                entry.server.state is not EndpointState.READY or not worker.is_same_process(entry)
             ):
                 self._retire(self._known.pop(name))
                 worker = None
             if worker is not None:
                 worker.entry = entry
-            elif entry.server.state is State.READY:
+            elif entry.server.state is EndpointState.READY:
                 self._known[name] = Worker(entry)
-        heirs = {entry.address: entry.server for entry in news.entries if entry.server.state is State.READY}
+        heirs = {
+            entry.address: entry.server for entry in news.entries if entry.server.state is EndpointState.READY
+        }
         displaced = []
         for name, worker in list(self._known.items()):
             heir = heirs.get(worker.entry.address)
@@ -513,7 +517,7 @@
         for connection in list(worker.idle):
             connection.abandon()
         for attempt in list(worker.dialling):  # not a byte of these was written
-            attempt.end(Result.CONNECT_FAILED)
+            attempt.end(AttemptResult.CONNECT_FAILED)
 
     def serves(self, worker: Worker) -> bool:
         return self._known.get(worker.entry.server.id) is worker
@@ -536,7 +540,7 @@
         """Send on a kept connection, or on a new one. The outcome never comes before this returns."""
         now = attempt.started_ms = self._clock.now()
         if attempt.stream is None:  # else its time begins with the last byte: see `sent`
-            attempt.timer = self._timers.at(attempt.due_ms, lambda: attempt.end(Result.TIMEOUT))
+            attempt.timer = self._timers.at(attempt.due_ms, lambda: attempt.end(AttemptResult.TIMEOUT))
         worker = self._known.get(attempt.worker)
         kept = self._kept(worker, now) if worker is not None and self._may_leave(worker, attempt) else None
         if kept is not None:
@@ -546,13 +550,13 @@
             or not self._may_leave(worker, attempt)
             or (worker.connections >= MAX_PER_WORKER or self._connections >= self._max)
         ):
-            self._loop.call_soon(attempt.end, Result.CONNECT_FAILED)
+            self._loop.call_soon(attempt.end, AttemptResult.CONNECT_FAILED)
         else:
             worker.connections += 1
             self._connections += 1
             worker.dialling.append(attempt)
             attempt.dial_timer = self._timers.at(
-                now + self._dial_ms, lambda: attempt.end(Result.CONNECT_FAILED)
+                now + self._dial_ms, lambda: attempt.end(AttemptResult.CONNECT_FAILED)
             )
             connection = WorkerConnection(self, worker)
             attempt.dial = self._loop.create_task(
@@ -567,7 +571,9 @@
         """The last byte of a request that went on while it came has been written."""
         now = attempt.started_ms = self._clock.now()
         if attempt.done is not None and attempt.reader is None:
-            attempt.timer = self._timers.at(now + attempt.allow_ms, lambda: attempt.end(Result.TIMEOUT))
+            attempt.timer = self._timers.at(
+                now + attempt.allow_ms, lambda: attempt.end(AttemptResult.TIMEOUT)
+            )
 
     def _kept(self, worker: Worker, now: float) -> WorkerConnection | None:
         """The kept connection used last that has rested and on which nothing waits. Where something does, it
@@ -598,7 +604,7 @@
             connection.carry(attempt)
         else:  # nothing was written, and nothing may be any more
             connection.abandon()
-            attempt.end(Result.CONNECT_FAILED)
+            attempt.end(AttemptResult.CONNECT_FAILED)
 
     # -- connections
 
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -15,56 +15,54 @@
 from typing import Any
 
 from plumpick.policy import reconfiguration, snapshot, subsetting
+from plumpick.policy.actions import (
+    Action,
+    CancelAttempt,
+    CommandCompleted,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetAdmissionState,
+    SetTimer,
+    StartAttempt,
+    StateExported,
+    WatchEndpoints,
+)
 from plumpick.policy.disabled_workers import Bans
 from plumpick.policy.draining import Draining
-from plumpick.policy.housekeeping import part_of, ping_ms
-from plumpick.policy.interface import (
-    Action,
-    Arrival,
-    Call,
-    Cancel,
-    ClientGone,
-    Doors,
-    Estate,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    CommandKind,
+    EndpointState,
+    EndpointsUpdated,
     Event,
-    Fail,
-    Fleet,
-    Heard,
-    Inherit,
-    Leave,
-    Order,
-    Outcome,
-    Plan,
-    Reconfigure,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Resume,
-    Said,
-    Scope,
-    Send,
-    Settings,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
+    ExportState,
+    ImportState,
+    OperatorCommand,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    ResumeAfterFailedHandover,
+    SettingsChanged,
 )
+from plumpick.policy.housekeeping import part_of, ping_ms
 from plumpick.policy.peer_messages import (
-    MAX_SIGHTINGS,
-    Codec,
-    Item,
-    Kind,
-    Sighting,
-    by_tag,
-    place_of,
-    ratio_of,
-    sighting,
-    tag_of,
+    MAX_OUTLIER_REPORTS,
+    OutlierReport,
+    PeerMessageCodec,
+    QuotaMessage,
+    QuotaMessageKind,
+    customer_tag,
+    endpoints_by_tag,
+    latency_ratio_of,
+    outlier_report,
+    owner_position,
 )
 from plumpick.policy.quota.hard_limits import slice_of
 from plumpick.policy.quota.ledger import begin_with, is_full, old_store_name, spare, store_name
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 from plumpick.policy.state import (
     Account,
     Ask,
@@ -291,15 +289,15 @@
         if self.pings_all():  # who tells nothing from the start may be cut off, and live by its own part
             self.last_ms = dict.fromkeys(set(range(self.settings.gateways)) - {self.settings.number}, now)
 
-    def account(self, now: float, arrival: Arrival, plan: Plan) -> Account:
+    def account(self, now: float, arrival: RequestReceived, plan: Plan) -> Account:
         """The customer's account, its buckets filled for the time gone by."""
         # Of one customer, what is said of its plan and set belongs together: a request that says otherwise in
         # its name must not bind the others.
         name = arrival.customer, plan.name, arrival.spread, arrival.first_gateway
         account = self.accounts.get(name)
         if account is None:
-            spread, tag = max(1, min(arrival.spread, self.settings.gateways)), tag_of(arrival.customer)
-            home = (arrival.first_gateway + place_of(tag, spread)) % self.settings.gateways
+            spread, tag = max(1, min(arrival.spread, self.settings.gateways)), customer_tag(arrival.customer)
+            home = (arrival.first_gateway + owner_position(tag, spread)) % self.settings.gateways
             account = self.accounts[name] = Account(plan, tag, spread, home, now)
             account.slice = self.slice(account, arrival.first_gateway)
         gone_s = 0.0 if self.heir else (now - account.at_ms) / 1000
@@ -321,7 +319,7 @@
     def slice(self, account: Account, first: int) -> float:
         """Our part of its ceiling, with nobody's word; `first`: of its set."""
         at = (self.settings.number - first) % self.settings.gateways
-        place = (at - place_of(account.tag, account.spread)) % account.spread
+        place = (at - owner_position(account.tag, account.spread)) % account.spread
         return REST_CEILING * slice_of(account.plan.ceiling_burst * REST_CEILING, account.spread, place)
 
     def forget(self, now: float, open_requests: Iterable[Request]) -> None:
@@ -365,7 +363,7 @@
         if request.plan.ceiling_per_s and units > account.ceiling:
             return False
         account.own, account.ceiling, request.paid = account.own - units, account.ceiling - units, units
-        self.tell_home(now, Kind.SPENT, request)
+        self.tell_home(now, QuotaMessageKind.SPENT, request)
         return True
 
     def is_lost(self, now: float, other: int) -> bool:
@@ -417,7 +415,13 @@
 
     def ask(self, now: float, request: Request) -> None:
         request.asks, request.asked_ms = request.asks + 1, now
-        self.tell_home(now, Kind.AGAIN if request.arrival.is_repeat else Kind.ASK, request)
+        self.tell_home(
+            now,
+            QuotaMessageKind.RETRY_GRANT_REQUEST
+            if request.arrival.is_repeat
+            else QuotaMessageKind.GRANT_REQUEST,
+            request,
+        )
         if not request.answered:
             patience = max(ASK_LEAST_MS, ASK_TIMES * self.rtt_ms) * (request.account.home not in self.silent)
             last_ms = request.came_ms + ASK_PART * request.kind.aim_ms
@@ -442,14 +446,14 @@
             return False
         return account.own >= 0 and not (request.plan.max_out and account.out) and self.draw(now, request)
 
-    def tell_home(self, now: float, kind: Kind, request: Request) -> None:
+    def tell_home(self, now: float, kind: QuotaMessageKind, request: Request) -> None:
         account, place = request.account, self.plan_index.get(request.plan.name)
         if place is None:  # of a plan that was dropped nobody has a store; a slot ends by its time
             return
         if not request.serial:
             self.serial = request.serial = self.serial % 0xFFFF + 1
             self.asking[request.serial] = request
-        item = Item(
+        item = QuotaMessage(
             kind,
             account.tag,
             request.serial,
@@ -460,8 +464,8 @@
             account.spread,
         )  # what goes back is of any
         self.say(now, account.home, item)
-        if kind is Kind.SPENT and account.home in self.silent:
-            late = now, item._replace(kind=Kind.LATE)
+        if kind is QuotaMessageKind.SPENT and account.home in self.silent:
+            late = now, item._replace(kind=QuotaMessageKind.LATE)
             self.unheard[account.home] = [*self.unheard.get(account.home, ())[1 - UNHEARD_MOST :], late]
 
     def close(self, now: float, request: Request) -> None:
@@ -473,16 +477,16 @@
             while now - next(iter(self.used.values())) > DONE_MS:
                 del self.used[next(iter(self.used))]
         if request.paid and (not request.attempts or request.plan.max_out):
-            self.tell_home(now, Kind.BACK, request)
+            self.tell_home(now, QuotaMessageKind.RETURNED, request)
 
-    def say(self, now: float, gateway: int, item: Item, boot: int = -1) -> None:
+    def say(self, now: float, gateway: int, item: QuotaMessage, boot: int = -1) -> None:
         """`boot`: of which life of that gateway, if not ours. Of our own number another process may live."""
         if gateway == self.settings.number and not self.heir and boot in (-1, self.boot):
             self.hear(now, gateway, self.boot, item)
         elif self.settings.may_tell or gateway == self.settings.number:
             self.outbox.setdefault(gateway, []).append(item)
 
-    def post(self, now: float, most: int) -> list[tuple[int, list[Item]]]:
+    def post(self, now: float, most: int) -> list[tuple[int, list[QuotaMessage]]]:
         """What each gateway is told now, `most` items each. Danger: what comes faster than an inbox takes is
         lost; so while ours is half full, which stands in for our peers', business waits for more to go."""
         self.heard_ms = {other: ms for other, ms in self.heard_ms.items() if now - ms <= TALKING_MS}
@@ -505,8 +509,8 @@
             self.plan_at(self.flush_ms, "flush", -1)
         return [(other, items[:most]) for other, items in posts]
 
-    def hear(self, now: float, sender: int, boot: int, item: Item) -> None:
-        if item.kind not in (Kind.GRANT, Kind.WAIT, Kind.DENY):
+    def hear(self, now: float, sender: int, boot: int, item: QuotaMessage) -> None:
+        if item.kind not in (QuotaMessageKind.GRANT, QuotaMessageKind.QUEUED, QuotaMessageKind.DENIED):
             if not self.heir:
                 self.at_home(now, (sender, boot, item.serial), item)
             return
@@ -514,8 +518,8 @@
         if request is None or request.account.tag != item.tag or request.account.home != sender:
             # It has ended meanwhile. Danger: a question asked twice is granted twice, and where the first
             # grant was used the second is no unit to give back. Seen: a third of what went out beyond quotas.
-            if item.kind is Kind.GRANT and item.serial not in self.used:
-                self.say(now, sender, item._replace(kind=Kind.BACK))
+            if item.kind is QuotaMessageKind.GRANT and item.serial not in self.used:
+                self.say(now, sender, item._replace(kind=QuotaMessageKind.RETURNED))
             return
         account = request.account
         account.total, account.total_ms = item.asked_per_s, now
@@ -523,16 +527,16 @@
         if request.asks == 1 and not request.answered:
             self.rtt_ms += (now - request.asked_ms - self.rtt_ms) * USUAL_GAIN
         request.answered = True
-        if item.kind is Kind.DENY:
+        if item.kind is QuotaMessageKind.DENIED:
             self.denied(request)
         elif not request.paid:
-            request.paid = request.arrival.units * (item.kind is Kind.GRANT)
+            request.paid = request.arrival.units * (item.kind is QuotaMessageKind.GRANT)
             if not request.paid:  # its home drops it then, so nothing is waited for any longer
                 kept_ms = request.kind.aim_ms * (1 - ANSWER_PART)
                 self.plan_at(request.asked_ms + kept_ms, "expired", request.arrival.id)
-            self.answered(request, item.kind is Kind.GRANT)
+            self.answered(request, item.kind is QuotaMessageKind.GRANT)
 
-    def at_home(self, now: float, key: tuple[int, int, int], item: Item) -> None:  # noqa: C901
+    def at_home(self, now: float, key: tuple[int, int, int], item: QuotaMessage) -> None:  # noqa: C901
         plan, kind = self.settings.plans[item.plan_index], self.settings.classes[item.class_index]
         name = store_name(item)
         store = (
@@ -542,13 +546,13 @@
         )
         self.stores[name] = store
         if not store.members and item.spread > 1:
-            first = self.settings.number - place_of(item.tag, item.spread)
+            first = self.settings.number - owner_position(item.tag, item.spread)
             store.members = tuple(
                 {(first + place) % self.settings.gateways for place in range(item.spread)}
                 - {self.settings.number}
             )
         queued = any(ask.key == key for ask in store.queue)
-        asked = item.kind in (Kind.ASK, Kind.AGAIN)
+        asked = item.kind in (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETRY_GRANT_REQUEST)
         if asked:
             if key[0] not in store.askers and now - store.born_ms <= DEMAND_MEMORY_MS:
                 begin_with(store, item.asked_per_s - item.units * 1000 / DEMAND_MEMORY_MS)
@@ -556,38 +560,38 @@
         if asked and key in store.done:
             if key in store.spent:
                 store.backs.add(key)  # it went out on credit; its grant comes too late and is given back
-            self.reply(now, Kind.GRANT, key, item, store)  # the first answer was lost
+            self.reply(now, QuotaMessageKind.GRANT, key, item, store)  # the first answer was lost
         elif asked and not queued:
             store.asked += item.units
-            worth = kind.worth if item.kind is Kind.ASK else 0.0
+            worth = kind.worth if item.kind is QuotaMessageKind.GRANT_REQUEST else 0.0
             ask = Ask(key, item, worth, now, now + kind.aim_ms * (1 - ANSWER_PART))
             store.queue.append(ask)
             self.serve(now, name)
             if ask in store.queue:
-                self.reply(now, Kind.WAIT, key, item, store)
-        elif item.kind in (Kind.SPENT, Kind.LATE) and key in store.spent:
+                self.reply(now, QuotaMessageKind.QUEUED, key, item, store)
+        elif item.kind in (QuotaMessageKind.SPENT, QuotaMessageKind.LATE) and key in store.spent:
             pass  # it was heard before
-        elif item.kind in (Kind.SPENT, Kind.LATE) and key not in store.done:
+        elif item.kind in (QuotaMessageKind.SPENT, QuotaMessageKind.LATE) and key not in store.done:
             store.queue = [ask for ask in store.queue if ask.key != key]
             store.asked += 0.0 if queued else item.units
             # What was kept back for it while it could not be heard.
-            kept = min(store.kept, item.units) if item.kind is Kind.LATE else 0.0
+            kept = min(store.kept, item.units) if item.kind is QuotaMessageKind.LATE else 0.0
             store.kept, store.level = store.kept - kept, store.level + kept
             level = store.level
             self.book(now, store, key, item, 0.0)
             # Danger: what goes beyond a quota takes nothing of it. Seen at 60 gateways, for ten seconds after
             # a split: 28 to 48 % of tries refused with half of their quota unused, for debts of that split.
-            if item.kind is Kind.LATE and level < item.units:
+            if item.kind is QuotaMessageKind.LATE and level < item.units:
                 store.level = level
             store.spent.add(key)
-        elif item.kind in (Kind.SPENT, Kind.LATE):
+        elif item.kind in (QuotaMessageKind.SPENT, QuotaMessageKind.LATE):
             store.spent.add(key)
             # Danger: it went out on credit, and the grant that comes too late would be given back. Seen: 21
             # units beyond a quota of 20 s, with messages late by 200 ms. If it was given back, it is booked.
             if key in store.backs and not plan.max_out:
                 store.level = max(min(-plan.burst, store.level), store.level - item.units)
             store.backs.add(key)
-        elif item.kind is Kind.BACK:
+        elif item.kind is QuotaMessageKind.RETURNED:
             free = store.leases.pop(key, None) is None and key in store.done and not plan.max_out
             if free and key not in store.backs:  # once: two late grants bring two of them
                 store.backs.add(key)
@@ -630,7 +634,7 @@
                 return
             store.queue.pop()
             self.book(now, store, ask.key, ask.item, ask.item.units)
-            self.reply(now, Kind.GRANT, ask.key, ask.item, store)
+            self.reply(now, QuotaMessageKind.GRANT, ask.key, ask.item, store)
 
     def deny(self, now: float, store: Store, top: float, rate: float) -> None:
         """Who can't have its turn in time, by what the store lacks and who is before it, is told at once: it
@@ -639,13 +643,15 @@
         for ask in reversed(store.queue):
             wait_s = (ahead + ask.item.units + spare(store, ask, top) - store.level) / rate
             if now + wait_s * 1000 > ask.until_ms:
-                self.reply(now, Kind.DENY, ask.key, ask.item, store)
+                self.reply(now, QuotaMessageKind.DENIED, ask.key, ask.item, store)
             else:
                 kept.append(ask)
                 ahead += ask.item.units
         store.queue = kept[::-1]
 
-    def book(self, now: float, store: Store, key: tuple[int, int, int], item: Item, ceiling: float) -> None:
+    def book(
+        self, now: float, store: Store, key: tuple[int, int, int], item: QuotaMessage, ceiling: float
+    ) -> None:
         if len(store.done) > DONE_LEAST and now - next(iter(store.done.values())) > DONE_MS:
             store.done = {old: ms for old, ms in store.done.items() if now - ms <= DONE_MS}
             store.backs &= store.done.keys()
@@ -656,7 +662,9 @@
         if store.plan.max_out:
             store.leases[key] = now + LEASE_AIMS * self.settings.classes[item.class_index].aim_ms
 
-    def reply(self, now: float, kind: Kind, key: tuple[int, int, int], item: Item, store: Store) -> None:
+    def reply(
+        self, now: float, kind: QuotaMessageKind, key: tuple[int, int, int], item: QuotaMessage, store: Store
+    ) -> None:
         asked = store.asked * 1000 / DEMAND_MEMORY_MS
         self.say(now, key[0], item._replace(kind=kind, asked_per_s=asked), key[1])
 
@@ -664,13 +672,13 @@
 class Servers(ServersState):
     """Which server gets an attempt: the least expected time, by load, speed, failures and zone."""
 
-    def update(self, now: float, fleet: Fleet) -> list[Backend]:
+    def update(self, now: float, fleet: EndpointsUpdated) -> list[Backend]:
         """Take in discovery's view; the answer is the servers that just left service."""
         before = self.warm + self.cold
         listed = {server.id for server in fleet.servers}
         for name, backend in self.known.items():
             if fleet.complete and name not in listed:
-                backend.entry = replace(backend.entry, state=State.GONE)
+                backend.entry = replace(backend.entry, state=EndpointState.GONE)
         for server in fleet.servers:
             known = self.known.get(server.id)
             if known is None or known.entry.started_ms != server.started_ms:  # what restarted has no past
@@ -678,18 +686,18 @@
             known.entry = server
         self.forget()
         self.sort(now)
-        return [backend for backend in before if backend.entry.state is not State.READY]
+        return [backend for backend in before if backend.entry.state is not EndpointState.READY]
 
-    def order(self, now: float, call: Call, name: str) -> str:
+    def order(self, now: float, call: CommandKind, name: str) -> str:
         """The operator's word on a server; what is wrong with it, or nothing."""
-        if call is Call.DISABLE:
+        if call is CommandKind.DISABLE:
             wrong = self.bans.disable(name, self.known)
         else:
             back, wrong = name in self.bans, self.bans.enable(now, name, self.known)
             if back and name in self.known:  # it is a new life, and has no past
                 old = self.known[name]
                 self.known[name] = Backend(old.entry, place=old.place)
-                self.by_tag = by_tag(self.known)
+                self.by_tag = endpoints_by_tag(self.known)
         self.sort(now)
         return wrong
 
@@ -698,9 +706,9 @@
         self.known = {
             name: backend
             for name, backend in self.known.items()
-            if backend.entry.state is not State.GONE or backend.out
+            if backend.entry.state is not EndpointState.GONE or backend.out
         }
-        self.by_tag = by_tag(self.known)
+        self.by_tag = endpoints_by_tag(self.known)
 
     def sort(self, now: float) -> None:
         """The servers that are ready, by warmth."""
@@ -708,7 +716,7 @@
         ready = [
             (backend, self.warmth(now, backend))
             for name, backend in self.known.items()
-            if backend.entry.state is State.READY and name not in self.bans
+            if backend.entry.state is EndpointState.READY and name not in self.bans
         ]
         for backend, share in ready:
             (self.warm if share >= 1 else self.cold).append(backend)
@@ -726,12 +734,12 @@
         self.sends *= math.exp(-PERIOD_MS / REPORT_MEMORY_MS)
         if self.cold:
             self.sort(now)
-        if any(backend.entry.state is State.GONE for backend in self.known.values()):
+        if any(backend.entry.state is EndpointState.GONE for backend in self.known.values()):
             self.forget()
         self.suspects = [
             backend
             for backend in self.suspects
-            if backend.entry.state is State.READY
+            if backend.entry.state is EndpointState.READY
             and max(self.failing(now, backend, name) for name in self.names) >= EJECT_FROM
         ]
         self.out_of.clear()
@@ -791,7 +799,7 @@
         if len(warm) < FEW_NEAR:  # of the arc too few are left
             warm = self.warm if group is None else [backend for backend in self.warm if backend in group]
         name, best, best_cost = request.kind.name, None, math.inf
-        fragile = 2 if request.kind.repeat is Repeat.UNSAFE else 1
+        fragile = 2 if request.kind.repeat is Idempotency.NON_IDEMPOTENT else 1
         if self.near_cold and now >= request.toss_ms:
             # Danger: a cold server falls over for good when all gateways overdo it. So chance decides, once
             # for each attempt: over all gateways it gets the part that its warmth is of the fleet of late.
@@ -884,10 +892,10 @@
             if ratio == math.inf:
                 backend.accused[-1] = now
             if name in self.names:  # it may have been dropped
-                seen = sighting(backend.entry.id, self.names[name], ratio)
-                self.sightings = [*self.sightings[1 - MAX_SIGHTINGS :], (now, seen)]
+                seen = outlier_report(backend.entry.id, self.names[name], ratio)
+                self.sightings = [*self.sightings[1 - MAX_OUTLIER_REPORTS :], (now, seen)]
 
-    def hear(self, now: float, sender: int, sightings: tuple[Sighting, ...]) -> None:
+    def hear(self, now: float, sender: int, sightings: tuple[OutlierReport, ...]) -> None:
         """What a peer saw weighs the less the more we see ourselves, or all would flee and crowd alike.
         Danger: a peer may be wrong, by its own network or a fault. Its words on one server count once in a
         while, and a failure that it tells only if another peer, or we, saw one too."""
@@ -897,7 +905,7 @@
             if backend is None or now - backend.words.get(sender, -math.inf) < WORD_GAP_MS:
                 continue
             backend.words[sender] = now
-            ratio = ratio_of(seen)
+            ratio = latency_ratio_of(seen)
             if ratio == math.inf:
                 backend.accused = {
                     other: ms for other, ms in backend.accused.items() if now - ms <= FAIL_MEMORY_MS
@@ -912,7 +920,7 @@
     """One gateway's decisions. The same events give the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.rng, self.codec = settings, random.Random(seed), Codec(settings)
+        self.settings, self.rng, self.codec = settings, random.Random(seed), PeerMessageCodec(settings)
         self.classes = {kind.name: kind for kind in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         self.window, self.servers = (
@@ -954,7 +962,9 @@
         self.wake_ms = math.inf  # the wake-up that is asked for
         self.tidy_ms, self.begun = 0.0, False
         self.draining = Draining()
-        self.admits: Callable[[Arrival], bool] | None = None  # budgets of the whole tier, where there are any
+        self.admits: Callable[[RequestReceived], bool] | None = (
+            None  # budgets of the whole tier, where there are any
+        )
         self.faults: list[Exception] = []  # raised by events of this turn
         self.actions: list[Action] = []
 
@@ -986,7 +996,7 @@
         self.stage(self.post)
         if not self.stage(self.set_wake):
             self.wake_ms = now_ms + PERIOD_MS
-            self.actions.append(Wake(PERIOD_MS, "agenda"))
+            self.actions.append(SetTimer(PERIOD_MS, "agenda"))
         return self.actions
 
     def stage(self, step: Callable[..., object], *what: Any) -> bool:
@@ -1001,39 +1011,39 @@
     def take_in(self, event: Event, left: list[Backend]) -> None:  # noqa: C901  (to be split by concern)
         """One event; the servers that leave service by it are added to those that left."""
         match event:
-            case Outcome():
+            case AttemptCompleted():
                 self.on_outcome(event)
-            case Arrival():
+            case RequestReceived():
                 self.on_arrival(event)
-            case Started() if event.id in self.requests:
+            case ResponseStarted() if event.id in self.requests:
                 self.requests[event.id].streaming = True
                 self.requests[event.id].once |= not event.kept
                 self.cancel_others(self.requests[event.id], event.attempt)
-            case ClientGone() if event.id in self.requests:
+            case ClientDisconnected() if event.id in self.requests:
                 self.close(self.requests[event.id])
-            case Heard():
+            case PeerMessageReceived():
                 self.on_heard(event)
-            case Order():
+            case OperatorCommand():
                 self.on_order(event)
-            case Reconfigure():
+            case SettingsChanged():
                 wrong = reconfiguration.apply(self, self.now, event.settings)
-                self.actions.append(Said(event.number, wrong))
-            case Leave():
-                self.actions.append(Estate(snapshot.leave(self)))
-            case Inherit():
+                self.actions.append(CommandCompleted(event.number, wrong))
+            case ExportState():
+                self.actions.append(StateExported(snapshot.leave(self)))
+            case ImportState():
                 snapshot.take_over(self, self.now, event.state)
-            case Resume():
+            case ResumeAfterFailedHandover():
                 snapshot.resume(self, self.now)
-            case Fleet() if not event.failed:
+            case EndpointsUpdated() if not event.failed:
                 left += self.servers.update(self.now, event)
                 self.window.set_limit(self.servers.capacity)
-            case Fleet():
+            case EndpointsUpdated():
                 self.plan_at(self.now + self.settings.ask_within_ms / 4, "subscribe")
 
     def copy_elsewhere(self, request: Request, left: list[Backend]) -> None:
         """A server that leaves may be dead before it has answered: safe work out there goes elsewhere too."""
         at_risk = len(request.out) == 1 and next(iter(request.out.values())) in left
-        if at_risk and request.kind.repeat is Repeat.SAFE and not request.streaming:
+        if at_risk and request.kind.repeat is Idempotency.IDEMPOTENT and not request.streaming:
             self.again(request)
 
     def post(self) -> None:
@@ -1043,9 +1053,9 @@
         for gateway, items in posts:
             self.stage(self.tell, gateway, items, seen)
 
-    def tell(self, gateway: int, items: list[Item], seen: list[Sighting]) -> None:
+    def tell(self, gateway: int, items: list[QuotaMessage], seen: list[OutlierReport]) -> None:
         data = self.codec.encode(self.quota.boot, self.window.room, items, seen)
-        self.actions.append(Tell(gateway, data))
+        self.actions.append(SendPeerMessage(gateway, data))
 
     def plan_at(self, at_ms: float, what: str, number: int = -1) -> None:
         """Put a thing on the agenda."""
@@ -1060,7 +1070,7 @@
             heapq.heappop(agenda)
         if agenda[0][0] < self.wake_ms:
             self.wake_ms = agenda[0][0]
-            self.actions.append(Wake(max(0.0, self.wake_ms - self.now), "agenda"))
+            self.actions.append(SetTimer(max(0.0, self.wake_ms - self.now), "agenda"))
 
     def due(self, what: str, number: int) -> None:  # noqa: C901  (to be split by concern)
         request = self.requests.get(number)
@@ -1077,9 +1087,9 @@
             self.quota.stores[number].wake_ms = math.inf
             self.quota.serve(self.now, number)
         elif what == "door":
-            self.actions.append(Doors(self.draining.stage(self.now)))
+            self.actions.append(SetAdmissionState(self.draining.stage(self.now)))
         elif what == "subscribe":
-            self.actions += [Subscribe()] * self.settings.must_subscribe
+            self.actions += [WatchEndpoints()] * self.settings.must_subscribe
         elif request is None or request.streaming:
             return
         elif what == "ask":
@@ -1183,7 +1193,7 @@
             share.step(sum(waits) / len(waits) if waits else 0.0)
             self.waits[name] = []
 
-    def on_heard(self, event: Heard) -> None:
+    def on_heard(self, event: PeerMessageReceived) -> None:
         """What another gateway tells; bytes that cannot be read and unknown senders change nothing."""
         news = self.codec.decode(event.data)
         if news is None or event.sender >= self.settings.gateways:
@@ -1200,22 +1210,22 @@
         for item in news.items:
             self.quota.hear(self.now, event.sender, news.boot, item)
 
-    def on_order(self, order: Order) -> None:
+    def on_order(self, order: OperatorCommand) -> None:
         """An operator's call; it is in force before it is answered."""
         wrong = ""
-        if order.call is Call.DRAIN:
+        if order.call is CommandKind.DRAIN:
             if self.draining.drain(self.now):
                 for at_ms in self.draining.times():
                     self.plan_at(at_ms, "door")
-        elif order.call is Call.UNDRAIN:
+        elif order.call is CommandKind.UNDRAIN:
             if self.draining.undrain() is not None:
                 self.plan_at(self.now, "door")
         else:
             wrong = self.servers.order(self.now, order.call, order.server)
             self.window.set_limit(self.servers.capacity)
-        self.actions.append(Said(order.number, wrong))
+        self.actions.append(CommandCompleted(order.number, wrong))
 
-    def on_arrival(self, arrival: Arrival) -> None:
+    def on_arrival(self, arrival: RequestReceived) -> None:
         # Compiled, each is looked at when it is read; plain, what is of a wrong type would go some way.
         words = arrival.customer, arrival.class_name, arrival.plan_name
         if not (
@@ -1226,10 +1236,10 @@
             raise TypeError(f"an arrival with a part of a wrong type: {arrival!r}")
         kind, plan = self.classes.get(arrival.class_name), self.plans.get(arrival.plan_name)
         if kind is None or plan is None or not arrival.due_ms > self.now or arrival.id in self.requests:
-            self.actions.append(Refuse(arrival.id))
+            self.actions.append(RejectRequest(arrival.id))
             return
         if self.admits is not None and not self.admits(arrival):
-            self.actions.append(Refuse(arrival.id, min(TELL_MS, self.settings.max_retry_after_ms)))
+            self.actions.append(RejectRequest(arrival.id, min(TELL_MS, self.settings.max_retry_after_ms)))
             return
         account = self.quota.account(self.now, arrival, plan)
         account.asked += arrival.units
@@ -1315,7 +1325,7 @@
             request.held, request.toss_ms = False, 0.0
         self.servers.bans.sent(backend.entry.id)
         self.actions.append(
-            Send(
+            StartAttempt(
                 number,
                 backend.entry.id,
                 max(1.0, request.arrival.due_ms - self.now),
@@ -1339,22 +1349,22 @@
     def allowed(self, request: Request) -> list[Backend] | None:
         """The only servers that rule 2 (its group and window) leaves to this request now; None for all."""
         kind, same = request.kind, request.anchor
-        if same is None or not request.uncertain or kind.repeat is Repeat.SAFE:
+        if same is None or not request.uncertain or kind.repeat is Idempotency.IDEMPOTENT:
             return None
-        if kind.repeat is Repeat.UNSAFE or self.repeat_left(request) <= 0:
+        if kind.repeat is Idempotency.NON_IDEMPOTENT or self.repeat_left(request) <= 0:
             return []
         # The group as it was when the first went out; what started since then remembers nothing of it.
         return [
             backend
             for backend in self.servers.warm + self.servers.cold
             if backend.entry.started_ms <= request.anchor_ms
-            and (kind.scope is Scope.ALL or backend.entry.zone == same.zone)
-            and (kind.scope is not Scope.CELL or backend.entry.cell == same.cell)
+            and (kind.scope is DeduplicationScope.ALL or backend.entry.zone == same.zone)
+            and (kind.scope is not DeduplicationScope.GROUP or backend.entry.cell == same.cell)
         ]
 
     def repeat_left(self, request: Request) -> float:
         """For how long from now a further attempt may still leave."""
-        if request.kind.repeat is Repeat.SAFE:
+        if request.kind.repeat is Idempotency.IDEMPOTENT:
             return math.inf
         spare = max(REPEAT_SPARE_MS, self.settings.tick_ms)
         return request.anchor_ms + request.kind.window_ms - spare - self.now
@@ -1386,25 +1396,29 @@
         self.budget -= price
         return True
 
-    def on_outcome(self, event: Outcome) -> None:
+    def on_outcome(self, event: AttemptCompleted) -> None:
         if (event.id, event.attempt) not in self.attempts:
             return
         attempt = self.attempts.pop((event.id, event.attempt))
         backend, class_name = attempt.backend, attempt.class_name
         request = self.requests.get(event.id)
-        backend.out, full = backend.out - 1, event.result is Result.FULL
+        backend.out, full = backend.out - 1, event.result is AttemptResult.REJECTED_BY_WORKER
         self.window.count(self.now, attempt.lost - 1)
         self.window.lost -= attempt.lost
         if attempt.overdue_ms and not self.stalled:
             spans = (self.now - attempt.sent_ms) / attempt.overdue_ms - 1 - attempt.spans
-            answered = event.result in (Result.OK, Result.ERROR, Result.FULL)
+            answered = event.result in (
+                AttemptResult.OK,
+                AttemptResult.ERROR,
+                AttemptResult.REJECTED_BY_WORKER,
+            )
             for view in self.late_views(attempt):
                 self.late.setdefault(view, Late(0.0, 0.0)).learn(max(0.0, spans), answered)
         self.window.full, self.window.ended = self.window.full + full, self.window.ended + 1
         usual, ratio = self.usual[class_name], math.inf
         if event.load:
             self.servers.report(self.now, backend, event.load)
-        if event.result is Result.OK:
+        if event.result is AttemptResult.OK:
             self.window.answered_ms += attempt.aim_ms
             self.window.well += 1
             timely = event.took_ms <= attempt.aim_ms
@@ -1412,12 +1426,12 @@
             ratio = event.took_ms / usual
             self.usual[class_name] += (event.took_ms - usual) * USUAL_GAIN * (not self.stalled)
         # After a stall our own pause would be taken for the server's slowness.
-        if event.result not in (Result.CANCELLED, Result.MOOT) and not self.stalled:
+        if event.result not in (AttemptResult.CANCELLED, AttemptResult.NOT_STARTED) and not self.stalled:
             self.servers.learn(self.now, backend, class_name, ratio, 1.0)
         if request is None:
             return
         request.out.pop(event.attempt, None)
-        request.uncertain -= event.result.never_ran
+        request.uncertain -= event.result.proves_not_executed
         if event.final:
             self.close(request)
         elif not request.out and not self.again(request):
@@ -1425,12 +1439,14 @@
 
     def refuse_or_fail(self, request: Request) -> None:
         """The final answer. A refusal says that a retry is harmless, so only where that is certain."""
-        keyed = request.kind.repeat is Repeat.KEYED and request.kind.scope is Scope.ALL
-        if request.kind.repeat is Repeat.SAFE or keyed or not request.uncertain:
+        keyed = request.kind.repeat is Idempotency.KEYED and request.kind.scope is DeduplicationScope.ALL
+        if request.kind.repeat is Idempotency.IDEMPOTENT or keyed or not request.uncertain:
             advice = max(TELL_MS, request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf))
-            self.actions.append(Refuse(request.arrival.id, min(advice, self.settings.max_retry_after_ms)))
+            self.actions.append(
+                RejectRequest(request.arrival.id, min(advice, self.settings.max_retry_after_ms))
+            )
         else:
-            self.actions.append(Fail(request.arrival.id))
+            self.actions.append(FailRequest(request.arrival.id))
         self.close(request)
 
     def close(self, request: Request) -> None:
@@ -1444,4 +1460,4 @@
 
     def cancel_others(self, request: Request, keep: int) -> None:
         copies = request.out if self.settings.may_cancel else ()
-        self.actions.extend(Cancel(request.arrival.id, n) for n in copies if n != keep)
+        self.actions.extend(CancelAttempt(request.arrival.id, n) for n in copies if n != keep)
--- a/plumpick/policy/draining.py
+++ b/plumpick/policy/draining.py
@@ -18,21 +18,21 @@
 GRAIN_MS = 0.01  # a wake-up may be so early
 
 
-class Door(IntEnum):
+class AdmissionState(IntEnum):
     """How the gatekeeper treats clients' connections; each stage keeps what those before it say."""
 
     OPEN = 0  # connections are kept
-    LEAVING = 1  # `/up` says no; an answer closes its connection
-    IDLE = 2  # idle connections close
-    LATE = 3  # requests are answered within LATE_FOR_MS from the beginning of this stage
-    UNHEARD = 4  # all close on which no request has come whole
+    REDIRECTING = 1  # `/up` says no; an answer closes its connection
+    CLOSING_IDLE = 2  # idle connections close
+    BOUNDING_LATE_REQUESTS = 3  # requests are answered within LATE_FOR_MS from the beginning of this stage
+    CLOSING_UNREAD = 4  # all close on which no request has come whole
 
 
 STAGES = (
-    (0.0, Door.LEAVING),
-    (IDLE_AFTER_MS, Door.IDLE),
-    (LATE_AFTER_MS, Door.LATE),
-    (UNHEARD_AFTER_MS, Door.UNHEARD),
+    (0.0, AdmissionState.REDIRECTING),
+    (IDLE_AFTER_MS, AdmissionState.CLOSING_IDLE),
+    (LATE_AFTER_MS, AdmissionState.BOUNDING_LATE_REQUESTS),
+    (UNHEARD_AFTER_MS, AdmissionState.CLOSING_UNREAD),
 )
 
 
@@ -49,20 +49,20 @@
         self.since_ms = now
         return True
 
-    def undrain(self) -> Door | None:
+    def undrain(self) -> AdmissionState | None:
         """Clients are taken again; None if they were all along."""
         if self.since_ms is None:
             return None
         self.since_ms = None
-        return Door.OPEN
+        return AdmissionState.OPEN
 
     def times(self) -> list[float]:
         """When its stages begin, for as long as the word stands."""
         return [] if self.since_ms is None else [self.since_ms + after_ms for after_ms, _ in STAGES]
 
-    def stage(self, now: float) -> Door:
+    def stage(self, now: float) -> AdmissionState:
         """Which stage it is at this time."""
         if self.since_ms is None:
-            return Door.OPEN
+            return AdmissionState.OPEN
         gone_ms = now - self.since_ms + GRAIN_MS
-        return max((door for after_ms, door in STAGES if gone_ms >= after_ms), default=Door.OPEN)
+        return max((door for after_ms, door in STAGES if gone_ms >= after_ms), default=AdmissionState.OPEN)
--- a/plumpick/policy/housekeeping.py
+++ b/plumpick/policy/housekeeping.py
@@ -5,7 +5,7 @@
 import math
 from typing import Any, TypeVar
 
-from plumpick.policy.interface import Settings
+from plumpick.policy.settings import Settings
 
 T = TypeVar("T")
 
--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -20,7 +20,7 @@
 from enum import IntEnum
 from typing import NamedTuple, TypeVar
 
-from plumpick.policy.interface import Settings
+from plumpick.policy.settings import Settings
 
 T = TypeVar("T")
 
@@ -29,28 +29,28 @@
 _HEAD = "<BIHHB"  # version, digest of names, boot number, room of the sender x 64, items
 _ITEM = "<BIHHHH"  # kind and set, tag (low, high), serial, units x 16, asked a second x 16; then both indexes
 _SIGHTING = "<I"  # server tag; then class and grade
-MAX_SIGHTINGS, MAX_SPREAD = 4, 15
+MAX_OUTLIER_REPORTS, MAX_ENCODED_SET_SIZE = 4, 15
 _GRADES = 16  # of a sighting
 _LOW = 0xFFFFFFFF
 
 
-class Kind(IntEnum):
+class QuotaMessageKind(IntEnum):
     """What an item says."""
 
-    ASK = 1  # to the home: may so many units go on?
+    GRANT_REQUEST = 1  # to the home: may so many units go on?
     GRANT = 2  # from the home: they may
-    WAIT = 3  # from the home: heard, but not now
+    QUEUED = 3  # from the home: heard, but not now
     SPENT = 4  # to the home: they went on without a grant
-    BACK = 5  # to the home: not needed, or no longer out
-    AGAIN = 6  # an ASK for a client's repeat
-    DENY = 7  # from the home: not in any time that is of use
+    RETURNED = 5  # to the home: not needed, or no longer out
+    RETRY_GRANT_REQUEST = 6  # an ASK for a client's repeat
+    DENIED = 7  # from the home: not in any time that is of use
     LATE = 8  # to the home: a SPENT once more, since it may not have been heard
 
 
-class Item(NamedTuple):
+class QuotaMessage(NamedTuple):
     """One piece of business about one try of a customer."""
 
-    kind: Kind
+    kind: QuotaMessageKind
     tag: int
     serial: int
     units: float
@@ -60,7 +60,7 @@
     spread: int = 1  # gateways of the customer's set; 0 where it is wider than MAX_SPREAD
 
 
-class Sighting(NamedTuple):
+class OutlierReport(NamedTuple):
     """How one attempt at a server went at the sender."""
 
     server: int
@@ -68,49 +68,49 @@
     grade: int
 
 
-class News(NamedTuple):
+class PeerMessage(NamedTuple):
     """One message."""
 
     boot: int
     room: float
-    items: tuple[Item, ...]
-    sightings: tuple[Sighting, ...]
+    items: tuple[QuotaMessage, ...]
+    sightings: tuple[OutlierReport, ...]
 
 
 _FAILED, _EVEN = 15, 4  # grades: failed; as fast as usual, with two grades for each doubling
 
 
-def sighting(server: str, class_index: int, ratio: float) -> Sighting:
+def outlier_report(server: str, class_index: int, ratio: float) -> OutlierReport:
     """What was seen of a server: the answer time against the usual, or inf for a failure."""
     grade = _FAILED if ratio == math.inf else _EVEN + round(2 * math.log2(max(0.25, min(32.0, ratio))))
-    return Sighting(server_tag(server), class_index, grade)
+    return OutlierReport(endpoint_tag(server), class_index, grade)
 
 
-def ratio_of(seen: Sighting) -> float:
+def latency_ratio_of(seen: OutlierReport) -> float:
     """The answer time against the usual that a sighting tells, inf for a failure."""
     return math.inf if seen.grade == _FAILED else 2 ** ((seen.grade - _EVEN) / 2)
 
 
-def tag_of(customer: str) -> int:
+def customer_tag(customer: str) -> int:
     """A short stand-in for a customer's name, 48 bits; the same at every gateway. The lower 32 are those of
     version 3, by which homes go (place_of): a roll moves no home, so that no firm has two meanwhile."""
     name = customer.encode()
     return int.from_bytes(hashlib.blake2b(name, digest_size=2).digest(), "little") << 32 | zlib.crc32(name)
 
 
-def place_of(tag: int, spread: int) -> int:
+def owner_position(tag: int, spread: int) -> int:
     """The place of a customer's home in its set."""
     return (tag & _LOW) % spread
 
 
-def server_tag(server: str) -> int:
+def endpoint_tag(server: str) -> int:
     """A short stand-in for a server's id, 32 bits."""
     return zlib.crc32(server.encode(errors="surrogatepass"))
 
 
-def by_tag(known: Mapping[str, T]) -> dict[int, T]:
+def endpoints_by_tag(known: Mapping[str, T]) -> dict[int, T]:
     """The servers by their tags. Two that share one are left out: a word on it may be on the other."""
-    tags = {name: server_tag(name) for name in known}
+    tags = {name: endpoint_tag(name) for name in known}
     holders = Counter(tags.values())
     return {tag: known[name] for name, tag in tags.items() if holders[tag] == 1}
 
@@ -124,7 +124,7 @@
     return "B" if count <= 1 << 8 else "H" if count <= 1 << 16 else "I"
 
 
-class Codec:
+class PeerMessageCodec:
     """Messages to bytes and back, between gateways of the same classes and plans."""
 
     def __init__(self, settings: Settings) -> None:
@@ -135,18 +135,20 @@
         self._head = struct.Struct(_HEAD)
         self._item = struct.Struct(_ITEM + _width(self.classes * self.plans))
         self._sighting = struct.Struct(_SIGHTING + _width(self.classes * _GRADES))
-        room = MAX_BYTES - self._head.size - MAX_SIGHTINGS * self._sighting.size
+        room = MAX_BYTES - self._head.size - MAX_OUTLIER_REPORTS * self._sighting.size
         self.max_items = room // self._item.size
 
-    def encode(self, boot: int, room: float, items: list[Item], sightings: list[Sighting]) -> bytes:
+    def encode(
+        self, boot: int, room: float, items: list[QuotaMessage], sightings: list[OutlierReport]
+    ) -> bytes:
         """The message; items and sightings beyond what it holds are left out. Raises ValueError where an
         index is none of the settings': packed all the same, it would be another class's."""
-        items, sightings = items[: self.max_items], sightings[:MAX_SIGHTINGS]
+        items, sightings = items[: self.max_items], sightings[:MAX_OUTLIER_REPORTS]
         parts = [self._head.pack(self.version, self.digest, boot & 0xFFFF, _clip(room * 64), len(items))]
         for item in items:
             if not (0 <= item.class_index < self.classes and 0 <= item.plan_index < self.plans):
                 raise ValueError(f"no index of class and plan: {item!r}")
-            kind = item.kind << 4 | (item.spread if item.spread <= MAX_SPREAD else 0)
+            kind = item.kind << 4 | (item.spread if item.spread <= MAX_ENCODED_SET_SIZE else 0)
             parts.append(
                 self._item.pack(
                     kind,
@@ -164,7 +166,7 @@
             parts.append(self._sighting.pack(seen.server, seen.class_index * _GRADES + seen.grade))
         return b"".join(parts)
 
-    def decode(self, data: bytes) -> News | None:
+    def decode(self, data: bytes) -> PeerMessage | None:
         """The message in these bytes, or None where they cannot be read."""
         if len(data) < self._head.size or len(data) > MAX_BYTES:
             return None
@@ -180,12 +182,12 @@
             return None
         if any(packed >= self.classes * _GRADES for _, packed in seen):
             return None
-        return News(
+        return PeerMessage(
             boot,
             room / 64,
             tuple(
-                Item(
-                    Kind(kind >> 4),
+                QuotaMessage(
+                    QuotaMessageKind(kind >> 4),
                     high << 32 | low,
                     serial,
                     units / 16,
@@ -196,8 +198,8 @@
                 )
                 for kind, low, high, serial, units, asked, index in rows
             ),
-            tuple(Sighting(server, packed // _GRADES, packed % _GRADES) for server, packed in seen),
+            tuple(OutlierReport(server, packed // _GRADES, packed % _GRADES) for server, packed in seen),
         )
 
 
-_KINDS = frozenset(int(kind) for kind in Kind)
+_KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -13,7 +13,7 @@
 
 from plumpick.policy.controller import CEILING_USE, HOLD_PINGS, OWN_PART, PING_ALL
 from plumpick.policy.housekeeping import ping_ms
-from plumpick.policy.interface import Plan, Settings
+from plumpick.policy.settings import Plan, Settings
 
 WINDOWS_S = (1.0, 10.0, 60.0)
 MOST_SPREAD = 4  # gateways of a customer's set, as the protocol has it at this site
--- a/plumpick/policy/quota/ledger.py
+++ b/plumpick/policy/quota/ledger.py
@@ -4,7 +4,7 @@
 
 import math
 
-from plumpick.policy.peer_messages import Item
+from plumpick.policy.peer_messages import QuotaMessage
 from plumpick.policy.state import Ask, Store
 
 NEW_PART = 0.5  # of a quota asked by a firm's gateways of late that still lets a new store begin full
@@ -12,12 +12,12 @@
 _PLAN_BITS = 16
 
 
-def store_name(item: Item) -> int:
+def store_name(item: QuotaMessage) -> int:
     """The store that an item of business is about: of a customer, and of the plan that is said to be its."""
     return item.tag << _PLAN_BITS | item.plan_index
 
 
-def old_store_name(item: Item) -> int:
+def old_store_name(item: QuotaMessage) -> int:
     """The same, for a store that a process of version 3 left: of its customer's tag 32 bits are known. Below
     nothing, where no other store is."""
     return renamed(item.tag & 0xFFFFFFFF, item.plan_index)
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -27,9 +27,9 @@
 from typing import TYPE_CHECKING
 
 from plumpick.policy.housekeeping import part_of, ping_ms
-from plumpick.policy.interface import Plan, RequestClass, Settings
-from plumpick.policy.peer_messages import Codec, Item, Kind
+from plumpick.policy.peer_messages import PeerMessageCodec, QuotaMessage, QuotaMessageKind
 from plumpick.policy.quota.ledger import is_full, moved
+from plumpick.policy.settings import Plan, RequestClass, Settings
 from plumpick.policy.settings_parser import MAX_CLASSES, MAX_PLANS
 from plumpick.policy.state import Account, Ask, QuotaState, Store
 
@@ -89,7 +89,7 @@
     classes = {kind.name: kind for kind in settings.classes}
     plans = {plan.name: plan for plan in settings.plans}
     same_names = list(classes) == list(control.classes) and list(plans) == list(control.plans)
-    codec = control.codec if same_names else Codec(settings)
+    codec = control.codec if same_names else PeerMessageCodec(settings)
     if not same_names:
         _deny(control, now, classes, plans)
     if plans != control.plans:
@@ -143,7 +143,7 @@
             (kept if stays else gone).append(ask)
         store.queue = kept
         for ask in gone if not quota.heir else ():  # else it is the heir who answers them
-            quota.reply(now, Kind.DENY, ask.key, ask.item, store)
+            quota.reply(now, QuotaMessageKind.DENIED, ask.key, ask.item, store)
 
 
 def _rename(control: Controller, settings: Settings) -> None:
@@ -156,11 +156,14 @@
     # What was spent or goes back counts also where its class is gone: a slot is then held for the longest.
     longest = max(range(len(settings.classes)), key=lambda place: settings.classes[place].aim_ms)
 
-    def renamed(items: list[Item]) -> list[Item]:
+    def renamed(items: list[QuotaMessage]) -> list[QuotaMessage]:
         kept = []
         for item in items:
             plan, kind = plan_to[item.plan_index], class_to[item.class_index]
-            if kind is None and item.kind not in (Kind.ASK, Kind.AGAIN):
+            if kind is None and item.kind not in (
+                QuotaMessageKind.GRANT_REQUEST,
+                QuotaMessageKind.RETRY_GRANT_REQUEST,
+            ):
                 kind = longest
             if plan is not None and kind is not None:
                 kept.append(item._replace(class_index=kind, plan_index=plan))
@@ -274,12 +277,7 @@
 
 def _learn_classes(control: Controller, classes: dict[str, RequestClass], same_names: bool) -> None:
     """What is known of a class stays; of a new one it begins as at a start."""
-    from plumpick.policy.controller import (  # that file imports this one
-        ANSWER_PART,
-        USUAL_START_MS,
-        FuzzyShare,
-        Late,
-    )
+    from plumpick.policy.controller import ANSWER_PART, USUAL_START_MS, FuzzyShare, Late
 
     part, changed = 1 / len(classes), classes
     if same_names:
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -9,17 +9,23 @@
 from collections.abc import Sequence
 from typing import Any
 
-from plumpick.policy import interface as face
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
+
+pass
 
 MAX_CLASSES, MAX_PLANS = 1 << 16, 1 << 12  # an index of both takes 4 bytes of a message at most
-_REPEATS = {"retryable": face.Repeat.SAFE, "dedup": face.Repeat.KEYED, "fragile": face.Repeat.UNSAFE}
+_REPEATS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 
 
 class SettingsError(ValueError):
     """What cannot be right in a configuration: names the key."""
 
 
-class Table:
+class JsonObject:
     """A JSON object of a configuration, which names the key that is missing or wrong."""
 
     def __init__(self, value: Any, path: str) -> None:
@@ -57,20 +63,20 @@
     def flag(self, key: str, fallback: bool | None = None) -> bool:
         return bool(self._get(key, (bool, int), fallback))
 
-    def table(self, key: str, fallback: dict[str, Any] | None = None) -> Table:
-        return Table(self._get(key, (dict,), fallback), f"{self.path}.{key}")
+    def table(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
+        return JsonObject(self._get(key, (dict,), fallback), f"{self.path}.{key}")
 
     def items(self, key: str) -> list[Any]:
         return self._get(key, (list,), None)
 
-    def rows(self, key: str) -> list[Table]:
-        return [Table(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
+    def rows(self, key: str) -> list[JsonObject]:
+        return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
 
     def words(self, key: str) -> tuple[str, ...]:
         return tuple(str(word) for word in self._get(key, (list,), []))
 
 
-def _request_class(row: Table) -> face.RequestClass:
+def _request_class(row: JsonObject) -> RequestClass:
     repeat = row.text("repeat")
     if repeat not in _REPEATS:
         raise SettingsError(f"{row.path}.repeat: {repeat!r} is no kind of repeat")
@@ -80,22 +86,22 @@
     window_ms = row.number("dedupWindowMs", 0.0)
     if window_ms < 0:
         raise SettingsError(f"{row.path}.dedupWindowMs: {window_ms!r} is below 0")
-    return face.RequestClass(
+    return RequestClass(
         name=row.text("name"),
         aim_ms=row.number("aimMs"),
         deadline_ms=row.above("deadlineMs"),
         worth=row.number("worth", 1.0),
         repeat=_REPEATS[repeat],
         late_worth=row.number("lateWorth", 0.0),
-        scope=face.Scope(scope),
+        scope=DeduplicationScope(scope),
         window_ms=window_ms,
         streamed=row.flag("streamed", False),
         aim_stretch=row.number("aimStretch", 0.0),
     )
 
 
-def _plan(row: Table) -> face.Plan:
-    return face.Plan(
+def _plan(row: JsonObject) -> Plan:
+    return Plan(
         name=row.text("name"),
         rate_per_s=row.number("perSecond", 0.0),
         burst=row.number("storeSize", 0.0),
@@ -109,7 +115,7 @@
     )
 
 
-def _limited(path: str, rows: Sequence[Table], most: int) -> Sequence[Table]:
+def _limited(path: str, rows: Sequence[JsonObject], most: int) -> Sequence[JsonObject]:
     """Between one and so many, each of a name of its own."""
     if not rows:
         raise SettingsError(f"{path}: there are none")
@@ -123,15 +129,15 @@
     return rows
 
 
-def settings_from(value: Any, path: str = "info") -> face.Settings:
+def parse_settings(value: Any, path: str = "info") -> Settings:
     """The settings in an object of JSON; keys that are not known are skipped."""
-    top = Table(value, path)
+    top = JsonObject(value, path)
     rules, limits = top.table("rules"), top.table("limits")
     domain, report = top.table("domain", {}), top.table("report", {})
     prices = top.table("penalties", {})
     classes = _limited(f"{path}.classes", top.rows("classes"), MAX_CLASSES)
     plans = _limited(f"{path}.packages", top.rows("packages"), MAX_PLANS)
-    return face.Settings(
+    return Settings(
         gateways=int(top.number("balancers")),
         number=int(top.number("myNumber")),
         zone=top.text("locality", ""),
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -19,10 +19,10 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
 
-from plumpick.policy.interface import Plan
-from plumpick.policy.peer_messages import Item, Kind, tag_of
+from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind, customer_tag
 from plumpick.policy.quota.ledger import moved, renamed
 from plumpick.policy.reconfiguration import refigure, renew
+from plumpick.policy.settings import Plan
 from plumpick.policy.state import Account, Ask, Backend, Store
 
 if TYPE_CHECKING:
@@ -70,8 +70,8 @@
     kind, tag, serial, units, asked_per_s, class_index, _, spread = row[1]
     if class_index not in places:
         return None
-    item = Item(
-        Kind(kind),
+    item = QuotaMessage(
+        QuotaMessageKind(kind),
         int(tag),
         int(serial),
         float(units),
@@ -181,7 +181,7 @@
             if plan in plans:
                 account = accounts[customer, plan, spread, first] = Account(plans[plan], 0, 1, 0, now)
                 _fill(account, _ACCOUNT, row)
-                account.tag = tag_of(customer)
+                account.tag = customer_tag(customer)
                 account.slice = quota.slice(account, int(first))
                 before = figures.get(plan, plans[plan])
                 if not _alike(before, plans[plan]):  # its figures are others now
--- a/plumpick/policy/state.py
+++ b/plumpick/policy/state.py
@@ -8,8 +8,9 @@
 from dataclasses import dataclass, field
 
 from plumpick.policy.disabled_workers import Bans
-from plumpick.policy.interface import Arrival, Plan, RequestClass, Server, Settings
-from plumpick.policy.peer_messages import Item, Sighting
+from plumpick.policy.events import Endpoint, RequestReceived
+from plumpick.policy.peer_messages import OutlierReport, QuotaMessage
+from plumpick.policy.settings import Plan, RequestClass, Settings
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +61,7 @@
     """A try that waits at its customer's home."""
 
     key: tuple[int, int, int]  # gateway, its boot number, serial
-    item: Item
+    item: QuotaMessage
     worth: float
     came_ms: float
     until_ms: float
@@ -70,7 +71,7 @@
 class Backend:
     """What is known of one server."""
 
-    entry: Server
+    entry: Endpoint
     out: int = 0
     slow: float = 1.0  # answer times against those of the fleet,
     seen: dict[str, float] = field(default_factory=dict)  # fading counts of outcomes, by class
@@ -111,7 +112,7 @@
 class Request:
     """One request, from arrival to its final answer."""
 
-    arrival: Arrival
+    arrival: RequestReceived
     kind: RequestClass
     plan: Plan
     account: Account
@@ -122,7 +123,7 @@
     out: dict[int, Backend] = field(default_factory=dict)  # attempts out
     tried: list[Backend] = field(default_factory=list)
     uncertain: int = 0  # attempts out or not proved never to have run
-    anchor: Server | None = None  # server of the first of these as it was then, and when it was sent
+    anchor: Endpoint | None = None  # server of the first of these as it was then, and when it was sent
     anchor_ms: float = 0.0
     serial: int = 0  # of its business with the home; 0: none
     asks: int = 0
@@ -182,14 +183,16 @@
     stores_left: list[int] = field(default_factory=list)
     parted_left: list[tuple[int, str]] = field(default_factory=list)
     asking: dict[int, Request] = field(default_factory=dict)  # by serial
-    outbox: dict[int, list[Item]] = field(default_factory=dict)  # by gateway
+    outbox: dict[int, list[QuotaMessage]] = field(default_factory=dict)  # by gateway
     heard_ms: dict[int, float] = field(default_factory=dict)  # when other gateways last told us anything
     told_ms: dict[int, float] = field(default_factory=dict)  # and we them
     last_ms: dict[int, float] = field(default_factory=dict)  # when each was last heard in this life
     used: dict[int, float] = field(default_factory=dict)  # ended of late, by serial: their units were used
     told: dict[int, float] = field(default_factory=dict)  # fading count of messages to each
     heard: float = 0.0  # fading count of messages heard
-    unheard: dict[int, list[tuple[float, Item]]] = field(default_factory=dict)  # told while it was silent
+    unheard: dict[int, list[tuple[float, QuotaMessage]]] = field(
+        default_factory=dict
+    )  # told while it was silent
     flush_ms: float = 0.0
     hold_ms: float = 2000.0  # a gateway that is silent for longer lives by its even part; its home keeps that
     silent: set[int] = field(default_factory=set)  # homes that left a question unanswered
@@ -215,7 +218,7 @@
     capacity: float = 0.0  # warmth of those ready in sum, now and of late
     reference: float = 0.0
     sends: float = 0.0  # fading count of our sends
-    sightings: list[tuple[float, Sighting]] = field(default_factory=list)
+    sightings: list[tuple[float, OutlierReport]] = field(default_factory=list)
     suspects: list[Backend] = field(default_factory=list)  # those that failed something of late
     out_of: dict[str, set[int]] = field(default_factory=dict)  # who is put out in this period, by class
     util: float = 1.0  # mean use of cores, as the servers tell it, and when last
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -11,11 +11,36 @@
 from collections.abc import Callable, Iterator
 from typing import Any, TextIO
 
-from plumpick.policy import interface as face
+from plumpick.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    ProbeEndpoint,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from plumpick.policy.controller import Controller
-from plumpick.policy.settings_parser import settings_from
-
-_STATES = {"Running": face.State.READY, "Stopping": face.State.DRAINING, "Deleted": face.State.GONE}
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    CounterReplied,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    Event,
+    PeerMessageReceived,
+    ProbeCompleted,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from plumpick.policy.settings_parser import parse_settings
+
+_STATES = {"Running": EndpointState.READY, "Stopping": EndpointState.DRAINING, "Deleted": EndpointState.GONE}
 _REPEATED_BIT = 2
 
 
@@ -74,8 +99,8 @@
     return () if text in ("-", "") else tuple(_number(part) for part in text.split(","))
 
 
-def _result(text: str) -> face.Result:
-    return face.Result(text)
+def _result(text: str) -> AttemptResult:
+    return AttemptResult(text)
 
 
 def _mode(text: str) -> str:
@@ -84,7 +109,7 @@
     return text
 
 
-def _state(text: str) -> face.State:
+def _state(text: str) -> EndpointState:
     return _STATES[text]
 
 
@@ -157,48 +182,48 @@
 # ---- batches ------------------------------------------------------------------------------------
 
 
-def _event(name: str, values: list[Any]) -> face.Event:
+def _event(name: str, values: list[Any]) -> Event:
     """The module's event for one message of an instance."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
-        return face.Arrival(
+        return RequestReceived(
             number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
         )
     if name == "VERDICT":
         number, attempt, actual, worker, took, result, final, used, load = values
-        return face.Outcome(number, attempt, worker, took, result, final, actual, used, load)
+        return AttemptCompleted(number, attempt, worker, took, result, final, actual, used, load)
     if name == "ACK_FIRST":
         number, worker, _took, attempt = values
-        return face.Started(number, attempt, worker)
+        return ResponseStarted(number, attempt, worker)
     if name == "CLIENT_GONE":
-        return face.ClientGone(values[0])
+        return ClientDisconnected(values[0])
     if name == "FIRED":
-        return face.Woken(values[0])
+        return TimerFired(values[0])
     if name == "FROM_PEER":
-        return face.Heard(values[0], values[1])
+        return PeerMessageReceived(values[0], values[1])
     if name == "PONG":
-        return face.Probed(*values)
-    return face.Counted(values[3])
+        return ProbeCompleted(*values)
+    return CounterReplied(values[3])
 
 
-def _reply(action: face.Action) -> str:
+def _reply(action: Action) -> str:
     """The wire's line for one action."""
     match action:
-        case face.Send(number, server, allow):
+        case StartAttempt(number, server, allow):
             return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
-        case face.Refuse(number, retry):
+        case RejectRequest(number, retry):
             return f"DENY\t{number}\t{retry:.3f}"
-        case face.Fail(number):
+        case FailRequest(number):
             return f"FINISH_ERROR\t{number}"
-        case face.Cancel(number, attempt):
+        case CancelAttempt(number, attempt):
             return f"DROP_ATTEMPT\t{number}\t{attempt}"
-        case face.Wake(after, name):
+        case SetTimer(after, name):
             return f"SET_ALARM\t{after:.3f}\t{name}"
-        case face.Tell(receiver, data):
+        case SendPeerMessage(receiver, data):
             return f"NOTIFY\t{receiver}\t{data.hex() or '-'}"
-        case face.Probe(server):
+        case ProbeEndpoint(server):
             return f"INSPECT\t{server}"
-        case face.Subscribe():
+        case WatchEndpoints():
             return "TRACK\t1"
 
 
@@ -230,7 +255,7 @@
 
     def _batch(self, now: float) -> bool:
         """Read one batch to its end and answer it; False when the input ends inside it."""
-        events: dict[int, list[face.Event]] = {}
+        events: dict[int, list[Event]] = {}
         replies: list[str] = []
         current: int | None = None
         for line in self._source:
@@ -263,7 +288,7 @@
                 events.setdefault(current, []).append(_event(name, values))
         return False
 
-    def _fleet(self, mode: str, _rev: int, count: int) -> face.Fleet:
+    def _fleet(self, mode: str, _rev: int, count: int) -> EndpointsUpdated:
         servers = []
         while len(servers) < count:
             line = next(self._source, None)
@@ -271,8 +296,8 @@
             if name != "WORKER":
                 raise WireError(f"FLEET: field rows: {count} told, {len(servers)} came")
             worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
-            servers.append(face.Server(worker, zone, cell, state, weight, started))
-        return face.Fleet(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
+            servers.append(Endpoint(worker, zone, cell, state, weight, started))
+        return EndpointsUpdated(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
 
     def _start(self, number: int, salt: int, info: str) -> None:
         try:
@@ -280,11 +305,11 @@
         except ValueError as problem:
             raise WireError("CONFIGURE: field info: no JSON") from problem
         try:
-            self._instances[number] = Controller(settings_from(value), salt)
+            self._instances[number] = Controller(parse_settings(value), salt)
         except ValueError as problem:
             raise WireError(f"CONFIGURE: field {problem}") from problem
 
-    def _turn(self, number: int, now: float, events: list[face.Event], replies: list[str]) -> None:
+    def _turn(self, number: int, now: float, events: list[Event], replies: list[str]) -> None:
         if number not in self._instances:
             raise WireError(f"SWITCH_TO: field gatekeeper: {number} was not configured")
         try:
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -15,15 +15,15 @@
 from plumpick.gateway.operator_config import FleetSettings, load
 from plumpick.policy.budgets.bounds import BudgetBound, gap_s
 from plumpick.policy.budgets.bounds import table as budget_table
-from plumpick.policy.interface import Settings
 from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, held_s, table
-from plumpick.policy.settings_parser import SettingsError, Table, settings_from
+from plumpick.policy.settings import Settings
+from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 
 def settings_in(path: str) -> Settings:
     """The settings in a gatekeeper's configuration. Raises OSError, ValueError or SettingsError."""
     value = json.loads(Path(path).read_text(encoding="utf-8"))
-    return settings_from(Table(value, "config").table("settings").value, "config.settings")
+    return parse_settings(JsonObject(value, "config").table("settings").value, "config.settings")
 
 
 def as_dict(bound: Bound) -> dict[str, Any]:
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -15,7 +15,7 @@
 
 from plumpick.policy.dynamic_config.delta import Settings, digest, shared
 from plumpick.policy.dynamic_config.version_store import summary
-from plumpick.policy.settings_parser import settings_from
+from plumpick.policy.settings_parser import parse_settings
 from plumpick.tools.call import address_of
 from plumpick.tools.configuration_service import PATH, Service
 
@@ -55,7 +55,7 @@
     if isinstance(value, dict) and isinstance(value.get("settings"), dict):
         value = value["settings"]
     try:
-        settings_from({**value, "myNumber": 0} if isinstance(value, dict) else value, "settings")
+        parse_settings({**value, "myNumber": 0} if isinstance(value, dict) else value, "settings")
         digest(value)
     except (ValueError, TypeError) as problem:  # a SettingsError, a DeltaError, or of the types themselves
         raise Failed(f"{path}: {problem}") from problem
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -14,6 +14,14 @@
 
 from plumpick.gateway import compiled
 from plumpick.gateway.clock import Clock
+from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, StartAttempt
+from plumpick.policy.events import (
+    AttemptCompleted,
+    ClientDisconnected,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+)
 
 BELIEF_MS = 100.0  # what the module believes is written so often
 KEPT_LINES = 50  # lines that wait to be written out together
@@ -44,9 +52,7 @@
     """A controller that writes down what comes in and goes out, and leaves all else to the real one."""
 
     def __init__(self, record: Record, inner: Any) -> None:
-        from plumpick.policy import interface
-
-        self._record, self._inner, self._face, self._decode = record, inner, interface, inner.codec.decode
+        self._record, self._inner, self._decode = record, inner, inner.codec.decode
         self._belief_ms = 0.0
         self._requests: dict[int, Any] = {}  # the module's own records of those that are open
 
@@ -55,18 +61,17 @@
 
     def handle(self, now_ms: float, events: list[Any]) -> list[Any]:
         """One turn of the module."""
-        face = self._face
         for event in events:
             self._came(event)
         actions: list[Any] = self._inner.handle(now_ms, events)
         for event in events:
-            if isinstance(event, face.Arrival):
+            if isinstance(event, RequestReceived):
                 self._requests[event.id] = self._inner.requests.get(event.id)
         for action in actions:
             self._went(action)
         for one in [*events, *actions]:
-            over = isinstance(one, (face.Refuse, face.Fail, face.ClientGone))
-            if over or isinstance(one, face.Outcome) and one.final:
+            over = isinstance(one, (RejectRequest, FailRequest, ClientDisconnected))
+            if over or isinstance(one, AttemptCompleted) and one.final:
                 self._requests.pop(one.id, None)
         if now_ms >= self._belief_ms:
             self._belief_ms = now_ms + BELIEF_MS
@@ -75,8 +80,8 @@
         return actions
 
     def _came(self, event: Any) -> None:
-        face, write = self._face, self._record.write
-        if isinstance(event, face.Arrival):
+        write = self._record.write
+        if isinstance(event, RequestReceived):
             write(
                 "arrival",
                 event.id,
@@ -88,14 +93,21 @@
                 int(event.is_repeat),
                 round(event.due_ms - self._record.now()),
             )
-        elif isinstance(event, face.Outcome):
-            write("outcome", event.id, event.server, event.result.name, round(event.took_ms, 1), event.load)
-        elif isinstance(event, face.ClientGone):
+        elif isinstance(event, AttemptCompleted):
+            write(
+                "outcome",
+                event.id,
+                event.server,
+                event.result.value.upper(),
+                round(event.took_ms, 1),
+                event.load,
+            )
+        elif isinstance(event, ClientDisconnected):
             write("gone", event.id)
-        elif isinstance(event, face.Heard):
+        elif isinstance(event, PeerMessageReceived):
             news = self._decode(event.data)
             write("heard", event.sender, [item.kind for item in news.items] if news else None)
-        elif isinstance(event, face.Fleet):
+        elif isinstance(event, EndpointsUpdated):
             write(
                 "list",
                 int(event.complete),
@@ -103,8 +115,8 @@
             )
 
     def _went(self, action: Any) -> None:
-        face, write = self._face, self._record.write
-        if isinstance(action, face.Send):
+        write = self._record.write
+        if isinstance(action, StartAttempt):
             request = self._inner.requests.get(action.id)
             write(
                 "send",
@@ -113,11 +125,11 @@
                 request.paid if request else 0.0,
                 int(bool(request and request.answered)),
             )
-        elif isinstance(action, face.Refuse):
+        elif isinstance(action, RejectRequest):
             write("refuse", action.id, round(action.retry_in_ms), self._state(action.id))
-        elif isinstance(action, face.Fail):
+        elif isinstance(action, FailRequest):
             write("fail", action.id, self._state(action.id))
-        elif isinstance(action, face.Tell):
+        elif isinstance(action, SendPeerMessage):
             news = self._decode(action.data)
             write(
                 "tell", action.receiver, [item.kind for item in news.items] if news else [], len(action.data)
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -32,7 +32,7 @@
 
     class Deaf(Fold):
         def put(self, at_ms, place, event):
-            if type(event).__name__ != "Heard":
+            if type(event).__name__ != "PeerMessageReceived":
                 super().put(at_ms, place, event)
 
     deaf, fold = Deaf(Load(**RING, kept=5)).play(), Fold(Load(**RING, kept=5)).play()
--- a/tests/compatibility/vocabulary.py
+++ b/tests/compatibility/vocabulary.py
@@ -8,79 +8,79 @@
 import math
 from enum import Enum
 
+from plumpick.policy.actions import (
+    CancelAttempt,
+    CommandCompleted,
+    FailRequest,
+    ProbeEndpoint,
+    RejectRequest,
+    SendPeerMessage,
+    SetAdmissionState,
+    SetTimer,
+    StartAttempt,
+    StateExported,
+    WatchEndpoints,
+)
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Call,
-    Cancel,
-    ClientGone,
-    Counted,
-    Doors,
-    Estate,
-    Fail,
-    Fleet,
-    Heard,
-    Inherit,
-    Leave,
-    Order,
-    Outcome,
-    Plan,
-    Probe,
-    Probed,
-    Reconfigure,
-    Refuse,
-    RequestClass,
-    Result,
-    Resume,
-    Said,
-    Send,
-    Server,
-    Settings,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    CommandKind,
+    CounterReplied,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    ExportState,
+    ImportState,
+    OperatorCommand,
+    PeerMessageReceived,
+    ProbeCompleted,
+    RequestReceived,
+    ResponseStarted,
+    ResumeAfterFailedHandover,
+    SettingsChanged,
+    TimerFired,
 )
-from plumpick.policy.settings_parser import settings_from
+from plumpick.policy.settings import Plan, RequestClass, Settings
+from plumpick.policy.settings_parser import parse_settings
 
 TAGS = {
-    "request": Arrival,
-    "started": Started,
-    "completed": Outcome,
-    "client-left": ClientGone,
-    "timer-fired": Woken,
-    "peer-message": Heard,
-    "probed": Probed,
-    "counted": Counted,
-    "order": Order,
-    "reconfigure": Reconfigure,
-    "export": Leave,
-    "import": Inherit,
-    "resume": Resume,
-    "endpoint": Server,
-    "endpoints": Fleet,
+    "request": RequestReceived,
+    "started": ResponseStarted,
+    "completed": AttemptCompleted,
+    "client-left": ClientDisconnected,
+    "timer-fired": TimerFired,
+    "peer-message": PeerMessageReceived,
+    "probed": ProbeCompleted,
+    "counted": CounterReplied,
+    "order": OperatorCommand,
+    "reconfigure": SettingsChanged,
+    "export": ExportState,
+    "import": ImportState,
+    "resume": ResumeAfterFailedHandover,
+    "endpoint": Endpoint,
+    "endpoints": EndpointsUpdated,
     "settings": Settings,
     "class": RequestClass,
     "plan": Plan,
-    "send": Send,
-    "refuse": Refuse,
-    "fail": Fail,
-    "cancel": Cancel,
-    "set-timer": Wake,
-    "tell": Tell,
-    "probe": Probe,
-    "watch": Subscribe,
-    "order-done": Said,
-    "admission": Doors,
-    "exported": Estate,
+    "send": StartAttempt,
+    "refuse": RejectRequest,
+    "fail": FailRequest,
+    "cancel": CancelAttempt,
+    "set-timer": SetTimer,
+    "tell": SendPeerMessage,
+    "probe": ProbeEndpoint,
+    "watch": WatchEndpoints,
+    "order-done": CommandCompleted,
+    "admission": SetAdmissionState,
+    "exported": StateExported,
 }
 TAG_OF = {kind: tag for tag, kind in TAGS.items()}
-RESULTS = {result.value: result for result in Result}
-STATES = {state.value: state for state in State}
-CALLS = {call.value: call for call in Call}
-PARSE_SETTINGS = settings_from
+RESULTS = {result.value: result for result in AttemptResult}
+STATES = {state.value: state for state in EndpointState}
+CALLS = {call.value: call for call in CommandKind}
+PARSE_SETTINGS = parse_settings
 
 
 def make(tag, *values):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -14,7 +14,8 @@
 from plumpick.gateway.gateway import Gatekeeper
 from plumpick.gateway.listeners.http.listener import HttpFront
 from plumpick.gateway.platform import System
-from plumpick.policy.interface import Arrival, Fail, Outcome, Send
+from plumpick.policy.actions import FailRequest, StartAttempt
+from plumpick.policy.events import AttemptCompleted, RequestReceived
 
 HOST = "127.0.0.1"
 PATIENCE_S = 30.0  # for a whole scenario: only a hang takes so long
@@ -106,10 +107,10 @@
         self.came.set()
         actions, self.to_do = self.to_do, []
         for event in events:
-            if isinstance(event, Arrival) and self.worker:
-                actions.append(Send(event.id, self.worker, self.allow_ms))
-            if isinstance(event, Outcome) and not event.final:
-                actions.append(Fail(event.id))
+            if isinstance(event, RequestReceived) and self.worker:
+                actions.append(StartAttempt(event.id, self.worker, self.allow_ms))
+            if isinstance(event, AttemptCompleted) and not event.final:
+                actions.append(FailRequest(event.id))
         return actions
 
     async def event(self, kind):
--- a/tests/quota_rig.py
+++ b/tests/quota_rig.py
@@ -8,31 +8,24 @@
 import random
 from collections import Counter
 
+from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    Settings,
-    State,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
-from plumpick.policy.peer_messages import Kind, place_of, tag_of
+from plumpick.policy.peer_messages import QuotaMessageKind, customer_tag, owner_position
+from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
 
-CLASSES = (RequestClass("seat-check", 750, 2000, 3, Repeat.SAFE),)
+CLASSES = (RequestClass("seat-check", 750, 2000, 3, Idempotency.IDEMPOTENT),)
 TICK_MS, ANSWER_MS = 4.0, 40.0
-FLEET = Fleet(tuple(Server(f"s{n}", "a", n, State.READY) for n in range(40)))
+FLEET = EndpointsUpdated(tuple(Endpoint(f"s{n}", "a", n, EndpointState.READY) for n in range(40)))
 
 
 class Rig:
@@ -103,18 +96,18 @@
         events, self.pending[number] = self.pending[number], []
         for action in self.modules[number].handle(self.now, events):
             match action:
-                case Send():
+                case StartAttempt():
                     if (number, life, action.id) not in self.sent:
                         self.sent.add((number, life, action.id))
                         self.granted.append((self.now, number))
-                    done = Outcome(action.id, 0, action.server, ANSWER_MS, Result.OK, True)
+                    done = AttemptCompleted(action.id, 0, action.server, ANSWER_MS, AttemptResult.OK, True)
                     self.ended["served"] += 1
                     self.at(self.now + ANSWER_MS, self.notice, number, life, done)
-                case Refuse() | Fail():
+                case RejectRequest() | FailRequest():
                     self.ended["refused"] += 1
-                case Wake():
-                    self.at(self.now + action.after_ms, self.notice, number, life, Woken(action.name))
-                case Tell():
+                case SetTimer():
+                    self.at(self.now + action.after_ms, self.notice, number, life, TimerFired(action.name))
+                case SendPeerMessage():
                     self.tell(number, action)
 
     def tell(self, number, action):
@@ -131,7 +124,7 @@
                         self.life[number],
                         other,
                         self.life[other],
-                        Heard(number, action.data),
+                        PeerMessageReceived(number, action.data),
                     )
 
     def arrives(self, sender, sender_life, number, life, event):
@@ -141,13 +134,13 @@
     # -- who asks
 
     def home(self, firm="f"):
-        return place_of(tag_of(firm), min(self.spread, self.gateways))
+        return owner_position(customer_tag(firm), min(self.spread, self.gateways))
 
     def ask(self, number, firm="f"):
         self.notice(
             number,
             self.life[number],
-            Arrival(
+            RequestReceived(
                 next(self.ids),
                 firm,
                 "seat-check",
@@ -179,7 +172,7 @@
             for t, number, _, news in self.told
             if number == sender and t >= from_ms
             for item in news.items
-            if item.kind is Kind.GRANT
+            if item.kind is QuotaMessageKind.GRANT
         ]
 
     # -- what came of it
--- a/tests/same_actions.py
+++ b/tests/same_actions.py
@@ -15,8 +15,17 @@
     which = compiled.use(compiled.Path(sys.argv[1])) if len(sys.argv) > 1 else "decisions: plain Python"
     from benchmarks.gray import world as rig
     from plumpick.policy import controller
-    from plumpick.policy.interface import Arrival, Fleet, Heard, Outcome, Result, Server, Woken
-    from plumpick.policy.peer_messages import Item, Kind
+    from plumpick.policy.events import (
+        AttemptCompleted,
+        AttemptResult,
+        Endpoint,
+        EndpointState,
+        EndpointsUpdated,
+        PeerMessageReceived,
+        RequestReceived,
+        TimerFired,
+    )
+    from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 
     text, faults = hashlib.sha256(), 0
 
@@ -41,9 +50,11 @@
         rig.World(Told, failure, load, gateways, 9, 3, min(3, gateways)).play()
 
     worlds, text = (text.hexdigest(), faults), hashlib.sha256()
-    one = Arrival(1, "c", "seat-check", "plan", 3000.0)
+    one = RequestReceived(1, "c", "seat-check", "plan", 3000.0)
     own = rig.World(Told, rig.Failure(), 0.5, 3, 3, 1).gateways[0].rule
-    good = own.controller.codec.encode(3, 1.0, [Item(Kind.ASK, 7, 1, 1.0, 2.0, 0, 0, 3)], [])
+    good = own.controller.codec.encode(
+        3, 1.0, [QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 2.0, 0, 0, 3)], []
+    )
     hostile = [
         one,
         one,
@@ -62,22 +73,27 @@
         replace(one, id=14, units=1e300),
         replace(one, id=15, first_gateway="a"),
         replace(one, id=16, is_repeat=None),
-        Fleet((Server("s0", "hall-a", 0, rig.State.READY), Server("s0", "hall-b", 1, rig.State.READY))),
-        Fleet((Server("s1", "hall-a", 0, "ready"),)),
-        Fleet(None),
-        Fleet((Server("s2", None, "x", None, "w", None),)),
-        Outcome(1, 0, "s0", math.nan, Result.OK, True),
-        Outcome(1, 0, "s0", "late", Result.OK, True),
-        Outcome(99, 0, "s0", 1.0, Result.OK, True),
-        Outcome(1, "0", "s0", 1.0, None, True, load=("a",)),
-        Outcome(12, 0, "s0", 5.0, Result.OK, True, load=(math.nan, math.inf)),
-        Heard(1, good),
-        Heard(1, b"\xff"),
-        Heard(-1, good),
-        Heard("one", good),
-        Heard(1, None),
-        Heard(1, "text"),
-        Woken("agenda"),
+        EndpointsUpdated(
+            (
+                Endpoint("s0", "hall-a", 0, EndpointState.READY),
+                Endpoint("s0", "hall-b", 1, EndpointState.READY),
+            )
+        ),
+        EndpointsUpdated((Endpoint("s1", "hall-a", 0, "ready"),)),
+        EndpointsUpdated(None),
+        EndpointsUpdated((Endpoint("s2", None, "x", None, "w", None),)),
+        AttemptCompleted(1, 0, "s0", math.nan, AttemptResult.OK, True),
+        AttemptCompleted(1, 0, "s0", "late", AttemptResult.OK, True),
+        AttemptCompleted(99, 0, "s0", 1.0, AttemptResult.OK, True),
+        AttemptCompleted(1, "0", "s0", 1.0, None, True, load=("a",)),
+        AttemptCompleted(12, 0, "s0", 5.0, AttemptResult.OK, True, load=(math.nan, math.inf)),
+        PeerMessageReceived(1, good),
+        PeerMessageReceived(1, b"\xff"),
+        PeerMessageReceived(-1, good),
+        PeerMessageReceived("one", good),
+        PeerMessageReceived(1, None),
+        PeerMessageReceived(1, "text"),
+        TimerFired("agenda"),
         None,
         7,
         object,
--- a/tests/scale/test_brief.py
+++ b/tests/scale/test_brief.py
@@ -7,8 +7,9 @@
 
 from benchmarks.scale import brief, load
 from benchmarks.scale.commands import main
+from plumpick.policy.actions import RejectRequest, SendPeerMessage, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import Arrival, Fleet, Refuse, Send, Tell
+from plumpick.policy.events import EndpointsUpdated, RequestReceived
 from plumpick.rehearsal.scenario import RosterPart
 
 
@@ -27,19 +28,21 @@
 
 class TellsNothing(Planted):
     def handle(self, now, events):
-        return [action for action in self.inner.handle(now, events) if not isinstance(action, Tell)]
+        return [
+            action for action in self.inner.handle(now, events) if not isinstance(action, SendPeerMessage)
+        ]
 
 
 class TellsTwice(Planted):
     def handle(self, now, events):
         actions = self.inner.handle(now, events)
-        return actions + [action for action in actions if isinstance(action, Tell)]
+        return actions + [action for action in actions if isinstance(action, SendPeerMessage)]
 
 
 class TellsLong(Planted):
     def handle(self, now, events):
         return [
-            replace(action, data=action.data + bytes(257)) if isinstance(action, Tell) else action
+            replace(action, data=action.data + bytes(257)) if isinstance(action, SendPeerMessage) else action
             for action in self.inner.handle(now, events)
         ]
 
@@ -55,7 +58,9 @@
             default=None,
         )
         return [
-            replace(action, server=cold.id) if isinstance(action, Send) and cold.started_ms else action
+            replace(action, server=cold.id)
+            if isinstance(action, StartAttempt) and cold.started_ms
+            else action
             for action in actions
         ]
 
@@ -65,22 +70,22 @@
         return [
             action
             for one in self.inner.handle(now, events)
-            for action in ((one, one) if isinstance(one, Send) else (one,))
+            for action in ((one, one) if isinstance(one, StartAttempt) else (one,))
         ]
 
 
 class RefusesSome(Planted):
     def handle(self, now, events):
-        refused = [event for event in events if isinstance(event, Arrival) and event.id % 3 == 0]
-        return [Refuse(event.id) for event in refused] + self.inner.handle(
+        refused = [event for event in events if isinstance(event, RequestReceived) and event.id % 3 == 0]
+        return [RejectRequest(event.id) for event in refused] + self.inner.handle(
             now, [event for event in events if event not in refused]
         )
 
 
 class RefusesAll(Planted):
     def handle(self, now, events):
-        refused = [event for event in events if isinstance(event, Arrival)]
-        return [Refuse(event.id) for event in refused] + self.inner.handle(
+        refused = [event for event in events if isinstance(event, RequestReceived)]
+        return [RejectRequest(event.id) for event in refused] + self.inner.handle(
             now, [event for event in events if event not in refused]
         )
 
@@ -94,7 +99,7 @@
 class HearsNoChange(Planted):
     def handle(self, now, events):
         return self.inner.handle(
-            now, [event for event in events if not isinstance(event, Fleet) or event.complete]
+            now, [event for event in events if not isinstance(event, EndpointsUpdated) or event.complete]
         )
 
 
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.real import FAULTED, RELEASE, Watch, events_of, scenario_of
 from benchmarks.scale.runs import part_of, play, quantile
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
-from plumpick.policy.interface import Server, State
+from plumpick.policy.events import Endpoint, EndpointState
 from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Replied, Told, Took
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
@@ -138,8 +138,8 @@
 
 def test_list_entries_are_told_to_all_and_gone_ones_are_not_sent_to():
     tier = Tier(of_point(SMALL, 1), 1)
-    one: Server = tier.list["w0"]
-    tier.at(BEGIN_MS + 500.0, tier.change, [Server(one.id, one.zone, one.cell, State.GONE)])
+    one: Endpoint = tier.list["w0"]
+    tier.at(BEGIN_MS + 500.0, tier.change, [Endpoint(one.id, one.zone, one.cell, EndpointState.GONE)])
     tier.at(BEGIN_MS + 800.0, tier.replaced, "w1")
     tier.run([(SETTLE, 7.0), (COUNTED, 1.0)])
     assert [len(told.late_ms) for told in tier.told] == [3, 3] and tier.lacking() == 0
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -6,7 +6,9 @@
 import pytest
 from test_rules import Checker, Town, settings
 
-from plumpick.policy.interface import Plan, Repeat, RequestClass, Result, Scope, Send
+from plumpick.policy.actions import StartAttempt
+from plumpick.policy.events import AttemptResult
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 
 
 def drawn(seed):
@@ -21,8 +23,8 @@
                 deadline_ms * rng.uniform(0.2, 0.9),
                 deadline_ms,
                 rng.choice((0.0, 1.0, 4.0)),
-                rng.choice(list(Repeat)),
-                scope=rng.choice(list(Scope)),
+                rng.choice(list(Idempotency)),
+                scope=rng.choice(list(DeduplicationScope)),
                 window_ms=rng.choice((0.0, 30.0, 200.0, 700.0, 1000.0, 15_000.0)),
                 late_worth=rng.choice((0.0, 0.5)),
             )
@@ -75,7 +77,7 @@
         """The bytes of the attempt that was sent last go out only now."""
         _, arrival = self.open[number]
         kind, loose = self.kinds[arrival.class_name], self.unproved(number)
-        if kind.repeat is Repeat.KEYED and len(loose) > 1:
+        if kind.repeat is Idempotency.KEYED and len(loose) > 1:
             assert now - loose[0][0] <= kind.window_ms, "rule 2: it left past the window"
 
 
@@ -87,7 +89,7 @@
         self.checker, self.kept_back = Books(self.config), 0
 
     def act(self, n, action):
-        if not isinstance(action, Send):
+        if not isinstance(action, StartAttempt):
             super().act(n, action)
             return
         server = next(one for one in self.fleet if one.id == action.server)
@@ -95,16 +97,23 @@
         number = len(self.checker.sent[action.id]) - 1
         delay = self.rng.choice((0.0, 0.0, self.rng.uniform(0, 400.0)))
         result = self.rng.choices(
-            [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
+            [
+                AttemptResult.OK,
+                AttemptResult.ERROR,
+                AttemptResult.REJECTED_BY_WORKER,
+                AttemptResult.TIMEOUT,
+                AttemptResult.CONNECT_FAILED,
+                AttemptResult.RESET,
+            ],
             [60, 8, 8, 8, 6, 10],
         )[0]
         took = delay + self.rng.expovariate(1 / 150)
         if delay > action.within_ms:
-            result, took = Result.CONNECT_FAILED, delay
+            result, took = AttemptResult.CONNECT_FAILED, delay
             self.kept_back += 1
         else:
             self.checker.leaves(self.now + delay, action.id)
-        took = action.allow_ms if result is Result.TIMEOUT else min(took, action.allow_ms)
+        took = action.allow_ms if result is AttemptResult.TIMEOUT else min(took, action.allow_ms)
         self.tries[action.id, number] = (n, server, self.now)
         self.later(took, n, (action.id, number, result))
 
@@ -128,8 +137,8 @@
         config = drawn(seed)()
         effects |= {kind.repeat for kind in config.classes}
         counts.add(len(config.classes))
-        if any(kind.repeat is Repeat.KEYED and 0 < kind.window_ms <= 1000 for kind in config.classes):
+        if any(kind.repeat is Idempotency.KEYED and 0 < kind.window_ms <= 1000 for kind in config.classes):
             town = LateTown(seed, settings_of=drawn(seed))
             town.run(3000)
             kept += town.kept_back
-    assert kept > 5 and effects == set(Repeat) and 1 in counts and max(counts) >= 4
+    assert kept > 5 and effects == set(Idempotency) and 1 in counts and max(counts) >= 4
--- a/tests/test_aperture.py
+++ b/tests/test_aperture.py
@@ -5,20 +5,17 @@
 
 import pytest
 
+from plumpick.policy.actions import StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Fleet,
-    Outcome,
-    Plan,
-    Repeat,
-    RequestClass,
-    Result,
-    Send,
-    Server,
-    Settings,
-    State,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    RequestReceived,
 )
+from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
 from plumpick.policy.subsetting import COVER, LEAST_ARC, arc_of, place_of, share
 
 
@@ -81,7 +78,7 @@
     """Forty decision modules that send to sixty servers; each attempt is answered at once."""
 
     def __init__(self, gateways=40, servers=60, started=lambda n: 0.0):
-        kinds = (RequestClass("look", 1000, 2000, 1, Repeat.SAFE),)
+        kinds = (RequestClass("look", 1000, 2000, 1, Idempotency.IDEMPOTENT),)
         self.modules = [
             Controller(
                 Settings(
@@ -101,8 +98,11 @@
             for number in range(gateways)
         ]
         self.rng, self.ids, self.sent = random.Random(1), 0, []
-        self.fleet = Fleet(
-            tuple(Server(f"s-{n:08x}", "a", n, State.READY, started_ms=started(n)) for n in range(servers))
+        self.fleet = EndpointsUpdated(
+            tuple(
+                Endpoint(f"s-{n:08x}", "a", n, EndpointState.READY, started_ms=started(n))
+                for n in range(servers)
+            )
         )
         for module in self.modules:
             module.handle(100_000.0, [self.fleet])
@@ -111,12 +111,12 @@
         for step in range(int(seconds * a_second)):
             now, number = 100_000 + step * 1000 / a_second, self.rng.randrange(len(self.modules))
             self.ids += 1
-            arrival = Arrival(self.ids, f"c{step}", "look", "basic", now + 2000)
+            arrival = RequestReceived(self.ids, f"c{step}", "look", "basic", now + 2000)
             actions = self.modules[number].handle(now, [arrival])
             for action in actions:
-                if isinstance(action, Send):
+                if isinstance(action, StartAttempt):
                     self.sent.append((now, number, action.server))
-                    done = Outcome(action.id, 0, action.server, 200.0, Result.OK, True)
+                    done = AttemptCompleted(action.id, 0, action.server, 200.0, AttemptResult.OK, True)
                     self.modules[number].handle(now, [done])
 
 
@@ -134,8 +134,8 @@
     tier = Tier()
     module = tier.modules[0]
     arc = {backend.entry.id for backend in module.servers.near}
-    gone = Fleet(tuple(Server(name, "a", 0, State.GONE) for name in arc), complete=False)
+    gone = EndpointsUpdated(tuple(Endpoint(name, "a", 0, EndpointState.GONE) for name in arc), complete=False)
     module.handle(100_100.0, [gone])
-    actions = module.handle(100_200.0, [Arrival(1, "c", "look", "basic", 102_200.0)])
-    sent = [action.server for action in actions if isinstance(action, Send)]
+    actions = module.handle(100_200.0, [RequestReceived(1, "c", "look", "basic", 102_200.0)])
+    sent = [action.server for action in actions if isinstance(action, StartAttempt)]
     assert len(sent) == 1 and sent[0] not in arc
