--- a/tests/test_bans_and_draining.py
+++ b/tests/test_bans_and_draining.py
@@ -5,30 +5,27 @@
 from test_module import FLEET, ask, gateway, of, outcome
 from test_rules import settings
 
+from plumpick.policy.actions import CommandCompleted, RejectRequest, SetAdmissionState, StartAttempt
 from plumpick.policy.controller import Controller
 from plumpick.policy.disabled_workers import MOST_GONE, MOST_NAME, OWED_AFTER_MS, Bans
-from plumpick.policy.draining import IDLE_AFTER_MS, LATE_AFTER_MS, UNHEARD_AFTER_MS, Door, Draining
-from plumpick.policy.interface import (
-    Arrival,
-    Call,
-    Doors,
-    Fleet,
-    Order,
-    Plan,
-    Refuse,
-    Result,
-    Said,
-    Send,
-    Server,
-    State,
+from plumpick.policy.draining import IDLE_AFTER_MS, LATE_AFTER_MS, UNHEARD_AFTER_MS, AdmissionState, Draining
+from plumpick.policy.events import (
+    AttemptResult,
+    CommandKind,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    OperatorCommand,
+    RequestReceived,
 )
+from plumpick.policy.settings import Plan
 
 FREE = "free"
 
 
 def order(gate, now, call, server="", number=1):
     """What is wrong with a call; it is answered in its own turn."""
-    (said,) = of(Said, gate.handle(now, [Order(number, call, server)]))
+    (said,) = of(CommandCompleted, gate.handle(now, [OperatorCommand(number, call, server)]))
     assert said.number == number
     return said.wrong
 
@@ -38,13 +35,13 @@
     sends, ended = [], 0
     for number in range(first, first + count):
         asked = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
-        sends += of(Send, gate.handle(now, [asked]))
+        sends += of(StartAttempt, gate.handle(now, [asked]))
         if len(sends) - ended > 12:
-            gate.handle(now + 1.0, [outcome(sends[ended], Result.OK)])
+            gate.handle(now + 1.0, [outcome(sends[ended], AttemptResult.OK)])
             ended += 1
         now += 10.0
     for send in sends[ended:]:
-        gate.handle(now, [outcome(send, Result.OK)])
+        gate.handle(now, [outcome(send, AttemptResult.OK)])
     return [send.server for send in sends]
 
 
@@ -58,10 +55,10 @@
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     assert "s2" in served(gate, 0.0, 60, 500)
-    assert order(gate, 601.0, Call.DISABLE, "s2") == ""
+    assert order(gate, 601.0, CommandKind.DISABLE, "s2") == ""
     assert "s2" not in served(gate, 610.0, 60)
-    gone = Fleet((Server("s2", "z0", 2, State.GONE),), complete=False)
-    back = Fleet((Server("s2", "z0", 2, State.READY, started_ms=900.0),), complete=False)
+    gone = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.GONE),), complete=False)
+    back = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.READY, started_ms=900.0),), complete=False)
     gate.handle(2000.0, [gone])
     gate.handle(2001.0, [back])
     gate.handle(2002.0, [FLEET])
@@ -71,10 +68,10 @@
 def test_twice_out_and_once_back_is_back_and_unknown_ids_are_owed_a_no():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
-    assert order(gate, 1.0, Call.DISABLE, "s2") == order(gate, 2.0, Call.DISABLE, "s2") == ""
-    assert order(gate, 3.0, Call.ENABLE, "s2") == order(gate, 4.0, Call.ENABLE, "s2") == ""
+    assert order(gate, 1.0, CommandKind.DISABLE, "s2") == order(gate, 2.0, CommandKind.DISABLE, "s2") == ""
+    assert order(gate, 3.0, CommandKind.ENABLE, "s2") == order(gate, 4.0, CommandKind.ENABLE, "s2") == ""
     assert "s2" in served(gate, 4.0 + OWED_AFTER_MS, 60)
-    assert order(gate, 2000.0, Call.DISABLE, "s99") and order(gate, 2001.0, Call.ENABLE, "s99")
+    assert order(gate, 2000.0, CommandKind.DISABLE, "s99") and order(gate, 2001.0, CommandKind.ENABLE, "s99")
 
 
 def test_who_comes_back_is_cold_and_gets_a_request_soon_but_no_crowd_of_them():
@@ -82,8 +79,8 @@
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     before = served(gate, 10.0, 120)
-    order(gate, 2000.0, Call.DISABLE, "s2")
-    order(gate, 3000.0, Call.ENABLE, "s2")
+    order(gate, 2000.0, CommandKind.DISABLE, "s2")
+    order(gate, 3000.0, CommandKind.ENABLE, "s2")
     after = served(gate, 3000.0 + OWED_AFTER_MS, 120, 4000)
     assert after[0] == "s2"
     assert 0 < after.count("s2") < before.count("s2")
@@ -92,21 +89,21 @@
 def test_what_is_out_at_a_banned_worker_may_finish_and_no_further_attempt_goes_there():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
-    (send,) = of(Send, gate.handle(1.0, [ask(1, plan=FREE)]))
-    order(gate, 2.0, Call.DISABLE, send.server)
-    (again,) = of(Send, gate.handle(20.0, [outcome(send, Result.ERROR)]))
+    (send,) = of(StartAttempt, gate.handle(1.0, [ask(1, plan=FREE)]))
+    order(gate, 2.0, CommandKind.DISABLE, send.server)
+    (again,) = of(StartAttempt, gate.handle(20.0, [outcome(send, AttemptResult.ERROR)]))
     assert again.server != send.server
 
 
 def test_with_the_only_worker_out_requests_are_refused_in_time_with_advice():
     gate = free_gateway()
-    gate.handle(0.0, [Fleet((Server("s2", "z0", 0, State.READY),))])
-    order(gate, 1.0, Call.DISABLE, "s2")
-    assert not of(Send, gate.handle(2.0, [ask(1, plan=FREE, due=2002.0)]))
+    gate.handle(0.0, [EndpointsUpdated((Endpoint("s2", "z0", 0, EndpointState.READY),))])
+    order(gate, 1.0, CommandKind.DISABLE, "s2")
+    assert not of(StartAttempt, gate.handle(2.0, [ask(1, plan=FREE, due=2002.0)]))
     refused, now = [], 2.0
     while not refused and now < 2002.0:
         now += 10.0
-        refused = of(Refuse, gate.handle(now, []))
+        refused = of(RejectRequest, gate.handle(now, []))
     assert refused and now < 1100.0
 
 
@@ -142,14 +139,14 @@
     gate.handle(0.0, [FLEET])
     stages, now = [], 0.0
     while now < UNHEARD_AFTER_MS + 500.0:
-        events = [Order(1, Call.DRAIN)] if now in (100.0, 400.0) else []
-        stages += [(now, doors.stage) for doors in of(Doors, gate.handle(now, events))]
+        events = [OperatorCommand(1, CommandKind.DRAIN)] if now in (100.0, 400.0) else []
+        stages += [(now, doors.stage) for doors in of(SetAdmissionState, gate.handle(now, events))]
         now += 10.0
     assert stages == [
-        (100.0, Door.LEAVING),
-        (100.0 + IDLE_AFTER_MS, Door.IDLE),
-        (100.0 + LATE_AFTER_MS, Door.LATE),
-        (100.0 + UNHEARD_AFTER_MS, Door.UNHEARD),
+        (100.0, AdmissionState.REDIRECTING),
+        (100.0 + IDLE_AFTER_MS, AdmissionState.CLOSING_IDLE),
+        (100.0 + LATE_AFTER_MS, AdmissionState.BOUNDING_LATE_REQUESTS),
+        (100.0 + UNHEARD_AFTER_MS, AdmissionState.CLOSING_UNREAD),
     ]
 
 
@@ -157,15 +154,18 @@
     for back in (101.0, 700.0, 2200.0, 3000.0):
         gate = gateway()
         gate.handle(0.0, [FLEET])
-        gate.handle(100.0, [Order(1, Call.DRAIN)])
+        gate.handle(100.0, [OperatorCommand(1, CommandKind.DRAIN)])
         now, last = 100.0, None
         while now < 6000.0:
             now += 1.0
-            for doors in of(Doors, gate.handle(now, [Order(2, Call.UNDRAIN)] if now == back else [])):
+            for doors in of(
+                SetAdmissionState,
+                gate.handle(now, [OperatorCommand(2, CommandKind.UNDRAIN)] if now == back else []),
+            ):
                 last = doors.stage
-                assert now < back or last is Door.OPEN
+                assert now < back or last is AdmissionState.OPEN
             if now == back:
-                assert last is Door.OPEN
+                assert last is AdmissionState.OPEN
 
 
 def test_drained_again_after_it_was_taken_back_the_stages_count_from_the_second_word():
@@ -174,14 +174,14 @@
     draining.undrain()
     assert draining.undrain() is None
     draining.drain(1000.0)
-    assert draining.stage(1000.0 + IDLE_AFTER_MS - 1.0) is Door.LEAVING
+    assert draining.stage(1000.0 + IDLE_AFTER_MS - 1.0) is AdmissionState.REDIRECTING
 
 
 def test_a_drained_gateway_still_serves_what_comes():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
-    gate.handle(1.0, [Order(1, Call.DRAIN)])
-    assert of(Send, gate.handle(2.0, [Arrival(1, "c", "look", FREE, 3000.0)]))
+    gate.handle(1.0, [OperatorCommand(1, CommandKind.DRAIN)])
+    assert of(StartAttempt, gate.handle(2.0, [RequestReceived(1, "c", "look", FREE, 3000.0)]))
 
 
 def cold_part(cold, seconds=2, rate=60):
@@ -189,23 +189,25 @@
     whether some waited."""
     gate = free_gateway(fall_multiple=2.5)
     names = [f"s{n}" for n in range(9)]
-    gate.handle(0.0, [Fleet(tuple(Server(name, "z0", 0, State.READY) for name in names))])
+    gate.handle(
+        0.0, [EndpointsUpdated(tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names))]
+    )
     gate.handle(100.0, [])
     fleet = [
-        Server(name, "z0", 0, State.READY, started_ms=200.0 if n < cold else 0.0)
+        Endpoint(name, "z0", 0, EndpointState.READY, started_ms=200.0 if n < cold else 0.0)
         for n, name in enumerate(names)
     ]
-    gate.handle(200.0, [Fleet(tuple(fleet))])
+    gate.handle(200.0, [EndpointsUpdated(tuple(fleet))])
     sends, now, out = [], 200.0, []
     for number in range(seconds * rate):
         now += 1000.0 / rate
-        arrival = Arrival(number, f"c{number}", "look", FREE, now + 1500.0)
-        new = of(Send, gate.handle(now, [arrival]))
+        arrival = RequestReceived(number, f"c{number}", "look", FREE, now + 1500.0)
+        new = of(StartAttempt, gate.handle(now, [arrival]))
         sends += new
         out += [(now + 60.0, send) for send in new]
         for due, send in [row for row in out if row[0] <= now]:
             out.remove((due, send))
-            sends += of(Send, gate.handle(now, [outcome(send, Result.OK)]))
+            sends += of(StartAttempt, gate.handle(now, [outcome(send, AttemptResult.OK)]))
     to_cold = [send for send in sends if int(send.server[1:]) < cold]
     return len(to_cold) / len(sends), len(sends) / (seconds * rate)
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -10,15 +10,19 @@
 from benchmarks.simulation.plants import planted
 from plumpick import cli
 from plumpick.policy import controller
+from plumpick.policy.actions import SendPeerMessage
 from plumpick.policy.controller import Controller, Quota
-from plumpick.policy.interface import Heard, Plan, Repeat, RequestClass, Scope, Settings, Tell
-from plumpick.policy.peer_messages import Item, Kind
+from plumpick.policy.events import PeerMessageReceived
+from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 from plumpick.policy.quota.bounds import BoundsError, Situation, beyond_ceiling, beyond_quota, held_s, table
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 CLASSES = (
-    RequestClass("seat-check", 750, 2000, 3, Repeat.SAFE),
-    RequestClass("seat-checkout", 2000, 7500, 3, Repeat.KEYED, scope=Scope.ZONE, window_ms=15_000),
-    RequestClass("hours-debit", 2000, 7500, 2, Repeat.UNSAFE),
+    RequestClass("seat-check", 750, 2000, 3, Idempotency.IDEMPOTENT),
+    RequestClass(
+        "seat-checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+    ),
+    RequestClass("hours-debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
 
 
@@ -156,24 +160,33 @@
     plan = Plan("basico", 2.0, 8.0)
     home = Controller(site(plans=(plan,), may_tell=True), 1)
     home.handle(1000.0, [])
-    ask = Item(Kind.ASK, 7, 1, 1.0, asked_per_s, 1, 0)
+    ask = QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, asked_per_s, 1, 0)
     told = [
         one
-        for one in home.handle(1001.0, [Heard(1, home.codec.encode(5, 1.0, [ask], []))])
-        if isinstance(one, Tell)
+        for one in home.handle(1001.0, [PeerMessageReceived(1, home.codec.encode(5, 1.0, [ask], []))])
+        if isinstance(one, SendPeerMessage)
     ]
     kinds = {item.kind for one in told for item in home.codec.decode(one.data).items}
-    assert (Kind.GRANT in kinds) is granted
+    assert (QuotaMessageKind.GRANT in kinds) is granted
 
 
 @pytest.mark.parametrize(
     "words, left",
     [
-        ((Kind.ASK, Kind.SPENT, Kind.BACK), 7),  # out on credit; then the grant came, too late
-        ((Kind.ASK, Kind.BACK, Kind.BACK), 8),  # two late grants
-        ((Kind.ASK, Kind.BACK, Kind.SPENT), 7),  # the same as the first, in another order
-        ((Kind.SPENT, Kind.BACK, Kind.BACK), 8),
-        ((Kind.SPENT, Kind.ASK, Kind.SPENT), 7),
+        (
+            (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.SPENT, QuotaMessageKind.RETURNED),
+            7,
+        ),  # out on credit; then the grant came, too late
+        (
+            (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETURNED, QuotaMessageKind.RETURNED),
+            8,
+        ),  # two late grants
+        (
+            (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETURNED, QuotaMessageKind.SPENT),
+            7,
+        ),  # the same as the first, in another order
+        ((QuotaMessageKind.SPENT, QuotaMessageKind.RETURNED, QuotaMessageKind.RETURNED), 8),
+        ((QuotaMessageKind.SPENT, QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.SPENT), 7),
     ],
 )
 def test_what_a_peer_says_late_twice_or_in_another_order_changes_nothing_twice(words, left):
@@ -181,7 +194,7 @@
     home = Controller(site(plans=(Plan("basico", 1e-9, 8.0),), may_tell=True), 1)
     home.handle(1000.0, [])
     for place, kind in enumerate(words):
-        word = home.codec.encode(5, 1.0, [Item(kind, 7, 1, 1.0, 0.0, 1, 0)], [])
-        home.handle(1001.0 + place, [Heard(1, word)])
+        word = home.codec.encode(5, 1.0, [QuotaMessage(kind, 7, 1, 1.0, 0.0, 1, 0)], [])
+        home.handle(1001.0 + place, [PeerMessageReceived(1, word)])
     (store,) = home.quota.stores.values()
     assert store.level == pytest.approx(left, abs=1e-6)
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -25,7 +25,7 @@
 
 from plumpick.gateway import daemon
 from plumpick.gateway.config import config_from
-from plumpick.policy.interface import Arrival
+from plumpick.policy.events import RequestReceived
 
 
 @pytest.mark.parametrize("deadlines_s", [[0.2], [0.2, 0.5], [0.9], [1.5], [2.0, 7.5], [3.0], [60.0]])
@@ -47,7 +47,7 @@
             client = await gate.client()
             client.send(request(deadline=20_000))
             assert (await worker.asked())[0] is not None
-            await gate.script.event(Arrival)
+            await gate.script.event(RequestReceived)
             (open_request,) = gate.keeper.open.values()
             gate.keeper.leave(100.0)
             assert open_request.due_ms <= gate.keeper.clock.now() + 100.0
@@ -61,7 +61,7 @@
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request(deadline=60))
-            await gate.script.event(Arrival)
+            await gate.script.event(RequestReceived)
             (open_request,) = gate.keeper.open.values()
             due_ms = open_request.due_ms
             gate.keeper.leave(5000.0)
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -14,18 +14,15 @@
 from plumpick.gateway.listeners.http.connection_admission import SWEEP_MS
 from plumpick.gateway.platform import System
 from plumpick.gateway.upstream.connection_pool import LEAST_REST_MS, MOST_RESTING, REST_MS
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    ClientGone,
-    Fleet,
-    Outcome,
-    Refuse,
-    Result,
-    Send,
-    State,
-    Wake,
-    Woken,
+from plumpick.policy.actions import CancelAttempt, RejectRequest, SetTimer, StartAttempt
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    EndpointState,
+    EndpointsUpdated,
+    RequestReceived,
+    TimerFired,
 )
 
 
@@ -51,10 +48,10 @@
         writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
-        came = await gate.script.event(Arrival)
+        came = await gate.script.event(RequestReceived)
         assert (came.class_name, came.plan_name, came.spread) == ("book", "basic", 2)
-        outcome = await gate.script.event(Outcome)
-        assert outcome.result is Result.OK and outcome.final and outcome.load == (0.5, 7.0)
+        outcome = await gate.script.event(AttemptCompleted)
+        assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
         assert not gate.keeper.open and not gate.keeper.attempts
 
     one_worker(scenario)
@@ -88,16 +85,16 @@
 @pytest.mark.parametrize(
     "reply, result",
     [
-        (answer(500), Result.ERROR),
-        (answer(503), Result.ERROR),
-        (answer(504), Result.ERROR),
-        (answer(429), Result.ERROR),
-        (answer(503, extra="X-Not-Run: 1\r\n"), Result.FULL),
-        (answer(504, extra="X-Not-Run: 1\r\n"), Result.FULL),
-        (answer(500, extra="X-Not-Run: 1\r\n"), Result.ERROR),
-        (b"what is this\r\n\r\n", Result.ERROR),
-        (None, Result.RESET),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", Result.RESET),
+        (answer(500), AttemptResult.ERROR),
+        (answer(503), AttemptResult.ERROR),
+        (answer(504), AttemptResult.ERROR),
+        (answer(429), AttemptResult.ERROR),
+        (answer(503, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
+        (answer(504, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
+        (answer(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
+        (b"what is this\r\n\r\n", AttemptResult.ERROR),
+        (None, AttemptResult.RESET),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", AttemptResult.RESET),
     ],
 )
 def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
@@ -106,11 +103,11 @@
         _, writer = await worker.asked()
         if reply is not None:
             writer.write(reply)
-        if result is Result.RESET:
+        if result is AttemptResult.RESET:
             writer.close()
         status, _, body = await client.answer()
         assert (status, body) == (502, b"")  # as the script has it
-        assert (await gate.script.event(Outcome)).result is result
+        assert (await gate.script.event(AttemptCompleted)).result is result
 
     one_worker(scenario)
 
@@ -122,7 +119,7 @@
         async with Gate(Script(), known=[entry("w1", port)]) as gate:
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -151,7 +148,7 @@
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             loop.call_soon(started.writer.transport.abort)
-            assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         server.close()
 
     run(scenario())
@@ -160,7 +157,7 @@
 def test_a_worker_that_is_not_known_could_not_connect():
     async def scenario(worker, gate, client):
         assert (await client.send(request()).answer())[0] == 502
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     one_worker(scenario, worker="w9")
 
@@ -170,7 +167,7 @@
         client.send(request())
         assert (await worker.asked())[0] is not None
         assert (await client.answer())[0] == 502
-        assert (await gate.script.event(Outcome)).result is Result.TIMEOUT
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.TIMEOUT
         assert (await worker.asked())[0] is None  # the end of the connection
 
     one_worker(scenario, allow_ms=30.0)
@@ -191,7 +188,7 @@
             )
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
             assert gate.keeper.workers._connections == 0
 
     run(scenario())
@@ -201,12 +198,12 @@
     async def scenario(worker, gate, client):
         client.send(request("0000000000000001"))
         _, writer = await worker.asked()
-        came = await gate.script.event(Arrival)
-        gate.script.to_do = [Refuse(came.id, 250.0), Cancel(came.id, 0)]
-        gate.keeper.notice(Woken("now"))
+        came = await gate.script.event(RequestReceived)
+        gate.script.to_do = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
+        gate.keeper.notice(TimerFired("now"))
         status, headers, _ = await client.answer()
         assert status == 503 and headers["retry-after"] == "0.250"
-        assert (await gate.script.event(Outcome)).result is Result.CANCELLED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
         writer.write(answer(body=b"late"))
         assert (await worker.asked())[0] is None
         client.send(request("0000000000000002"))
@@ -221,14 +218,14 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, first = await worker.asked()
-        came = await gate.script.event(Arrival)
-        gate.script.to_do = [Send(came.id, "w1", 9000.0)]
-        gate.keeper.notice(Woken("hedge"))
+        came = await gate.script.event(RequestReceived)
+        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
+        gate.keeper.notice(TimerFired("hedge"))
         _, second = await worker.asked()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
         first.write(answer(body=b"first"))
-        outcomes = [await gate.script.event(Outcome) for _ in range(2)]
+        outcomes = [await gate.script.event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
         _, writer = await worker.asked()
@@ -240,9 +237,11 @@
 
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
-        gate.script.to_do = [Send(77, "w1", 100.0)]
-        gate.keeper.notice(Woken("late"))
-        assert (await gate.script.event(Outcome)).result is Result.MOOT and worker.connections == 0
+        gate.script.to_do = [StartAttempt(77, "w1", 100.0)]
+        gate.keeper.notice(TimerFired("late"))
+        assert (
+            await gate.script.event(AttemptCompleted)
+        ).result is AttemptResult.NOT_STARTED and worker.connections == 0
 
     one_worker(scenario)
 
@@ -251,9 +250,9 @@
     async def scenario(worker, gate, client):
         client.send(request())
         await worker.asked()
-        came = await gate.script.event(Arrival)
+        came = await gate.script.event(RequestReceived)
         client.close()
-        assert (await gate.script.event(ClientGone)).id == came.id and not gate.keeper.open
+        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.keeper.open
 
     one_worker(scenario)
 
@@ -262,8 +261,8 @@
     async def scenario(worker, gate, client):
         status, _, _ = await client.send(request(deadline=60)).answer()
         assert status == 504
-        came = await gate.script.event(Arrival)
-        assert (await gate.script.event(ClientGone)).id == came.id
+        came = await gate.script.event(RequestReceived)
+        assert (await gate.script.event(ClientDisconnected)).id == came.id
 
     one_worker(scenario, worker=None)
 
@@ -276,7 +275,7 @@
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
         keeper.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
-            keeper._wake(Wake(after_ms, "agenda"))
+            keeper._wake(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
     one_worker(scenario)
@@ -321,12 +320,12 @@
         client.send(request())
         _, writer = await worker.asked()
         writer.write(spoilt)
-        outcome = asyncio.ensure_future(gate.script.event(Outcome))
+        outcome = asyncio.ensure_future(gate.script.event(AttemptCompleted))
         while not outcome.done():  # an answer of 1xx without end goes on coming
             if spoilt.startswith(b"HTTP/1.1 10") and not writer.is_closing():
                 writer.write(spoilt)
             await asyncio.sleep(0)
-        assert outcome.result().result is Result.ERROR
+        assert outcome.result().result is AttemptResult.ERROR
         assert (await client.answer())[0] == 502
         assert (await worker.asked())[0] is None
 
@@ -421,8 +420,8 @@
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
         assert (await client.answer())[::2] == (200, b"done")
-        outcome = await gate.script.event(Outcome)
-        assert outcome.result is Result.OK and outcome.load == (0.5, 7.0)
+        outcome = await gate.script.event(AttemptCompleted)
+        assert outcome.result is AttemptResult.OK and outcome.load == (0.5, 7.0)
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -433,11 +432,14 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        await gate.script.event(Fleet)
+        await gate.script.event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
         gate.keeper.listed(worker_list_from(news, "list"))
-        fleet = await gate.script.event(Fleet)
-        assert [(one.id, one.state) for one in fleet.servers] == [("w2", State.READY), ("w1", State.GONE)]
+        fleet = await gate.script.event(EndpointsUpdated)
+        assert [(one.id, one.state) for one in fleet.servers] == [
+            ("w2", EndpointState.READY),
+            ("w1", EndpointState.GONE),
+        ]
         assert (await worker.asked())[0] is None and list(gate.keeper.workers._known) == ["w2"]
         assert (await client.send(request()).answer())[0] == 502  # the script still names w1
 
@@ -505,8 +507,8 @@
         gate.keeper.listed(worker_list_from(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
-        fleets = [await gate.script.event(Fleet) for _ in range(2)]
-        assert fleets[1] == Fleet((), complete=True)
+        fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
+        assert fleets[1] == EndpointsUpdated((), complete=True)
 
     one_worker(scenario)
 
@@ -535,7 +537,7 @@
         gate.keeper.listed(worker_list_from(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert worker.requests.empty() and gate.keeper.workers._connections == 0
 
     one_worker(scenario)
@@ -549,7 +551,7 @@
         await worker.asked()
         other = await gate.client()
         assert (await other.send(request()).answer())[0] == 502
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert worker.connections == 1
 
     one_worker(scenario)
@@ -587,7 +589,7 @@
         _, writer = await worker.asked()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
-        assert (await gate.script.event(Outcome)).load == ()
+        assert (await gate.script.event(AttemptCompleted)).load == ()
 
     one_worker(scenario)
 
@@ -740,7 +742,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        assert len([event for event in gate.script.events if isinstance(event, Arrival)]) == 1
+        assert len([event for event in gate.script.events if isinstance(event, RequestReceived)]) == 1
 
     one_worker(scenario)
 
@@ -986,7 +988,7 @@
         gate.keeper.leave(150.0)
         began = gate.keeper.clock.now()
         client.send(request(deadline=10_000))
-        came = await gate.script.event(Arrival)
+        came = await gate.script.event(RequestReceived)
         assert came.due_ms < began + 150.0
         assert (await client.answer())[0] == 504 and not gate.keeper.open
 
@@ -1060,7 +1062,12 @@
     news = worker_list_from(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
     server = news.entries[0].server
     assert (news.index, news.complete, news.entries[0].address) == (41, False, (HOST, 5000))
-    assert (server.id, server.zone, server.state, server.started_ms) == ("w1", "a", State.DRAINING, 77.0)
+    assert (server.id, server.zone, server.state, server.started_ms) == (
+        "w1",
+        "a",
+        EndpointState.DRAINING,
+        77.0,
+    )
 
 
 def test_the_module_serves_a_request_from_end_to_end():
--- a/tests/test_gray.py
+++ b/tests/test_gray.py
@@ -15,6 +15,7 @@
 
 from benchmarks.gray.rules import RULES
 from benchmarks.gray.world import Failure, World
+from plumpick.policy.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
 from plumpick.policy.controller import (
     COPY_CHANCE,
     EJECT_FROM,
@@ -29,24 +30,19 @@
     Late,
     Window,
 )
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    ClientGone,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Result,
-    Send,
-    Server,
-    State,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+    TimerFired,
 )
-from plumpick.policy.peer_messages import Codec, sighting
+from plumpick.policy.peer_messages import PeerMessageCodec, outlier_report
+from plumpick.policy.settings import Plan
 from plumpick.policy.state import Attempt
 
 TICK = 4.0
@@ -78,9 +74,9 @@
     def do(self, actions):
         for action in actions:
             match action:
-                case Wake():
-                    self.later(max(TICK, action.after_ms), Woken(action.name))
-                case Send():
+                case SetTimer():
+                    self.later(max(TICK, action.after_ms), TimerFired(action.name))
+                case StartAttempt():
                     number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
                     self.out.add((action.id, number))
                     self.most_out = max(self.most_out, len(self.out))
@@ -89,19 +85,28 @@
                     if took is not None and took < action.allow_ms:
                         self.later(
                             took,
-                            Outcome(action.id, number, action.server, took, Result.OK, True, load=self.load),
+                            AttemptCompleted(
+                                action.id, number, action.server, took, AttemptResult.OK, True, load=self.load
+                            ),
                         )
                     else:
                         self.later(
                             action.allow_ms,
-                            Outcome(action.id, number, action.server, action.allow_ms, Result.TIMEOUT, False),
+                            AttemptCompleted(
+                                action.id,
+                                number,
+                                action.server,
+                                action.allow_ms,
+                                AttemptResult.TIMEOUT,
+                                False,
+                            ),
                         )
-                case Cancel():
+                case CancelAttempt():
                     key = (action.id, action.attempt)
                     if key in self.out:
-                        self.later(0, Outcome(*key, "", 0.0, Result.CANCELLED, True))
-                case Refuse() | Fail():
-                    ended = self.refused if isinstance(action, Refuse) else self.failed
+                        self.later(0, AttemptCompleted(*key, "", 0.0, AttemptResult.CANCELLED, True))
+                case RejectRequest() | FailRequest():
+                    ended = self.refused if isinstance(action, RejectRequest) else self.failed
                     ended.append((self.now, action.id))
                     self.open.pop(action.id, None)
 
@@ -112,15 +117,15 @@
             if self.queue and self.queue[0][0] <= due:
                 at, _, event = heapq.heappop(self.queue)
                 self.now = max(self.now, at)
-                if isinstance(event, Outcome):
+                if isinstance(event, AttemptCompleted):
                     key = (event.id, event.attempt)
                     if key not in self.out:
                         continue
                     self.out.discard(key)
-                    if event.result is Result.OK and event.id in self.open:
+                    if event.result is AttemptResult.OK and event.id in self.open:
                         self.served.append((self.now, event.id, self.now - self.came[event.id]))
                         del self.open[event.id]
-                elif isinstance(event, ClientGone):
+                elif isinstance(event, ClientDisconnected):
                     if event.id not in self.open:
                         continue
                     del self.open[event.id]
@@ -130,8 +135,8 @@
                 due = self.now + self.rng.expovariate(rate) * 1000
                 number, name = next(self.ids), self.rng.choice(self.names)
                 self.names_of[number], self.came[number], self.open[number] = name, self.now, True
-                events = [Arrival(number, f"c{number}", name, "rated", self.now + 2500.0)]
-                self.later(self.leave_ms, ClientGone(number))
+                events = [RequestReceived(number, f"c{number}", name, "rated", self.now + 2500.0)]
+                self.later(self.leave_ms, ClientDisconnected(number))
             self.do(self.control.handle(self.now, events))
             self.limits.append((self.now, self.control.window.limit))
         return self
@@ -199,7 +204,7 @@
 
 def test_our_own_stall_makes_nobody_overdue():
     play = Play(lambda *_: None, rate=20.0, leave_ms=60_000.0).run(0.15)
-    play.do(play.control.handle(play.now + 900, [Woken("agenda")]))
+    play.do(play.control.handle(play.now + 900, [TimerFired("agenda")]))
     assert not play.control.window.lost
     assert not [one for one in play.control.attempts.values() if one.overdue_ms]
 
@@ -220,8 +225,8 @@
     the rule's window: in 2 of 60 rehearsals 0.97 of the budget, in one of 20 before more than all of it."""
     config = settings(gateways=4)
     play = Play(lambda rng, *_: healthy(rng), rate=40.0).run(3)
-    cold = Server("cold", "z0", 9, State.READY, 1.0, play.now)
-    play.do(play.control.handle(play.now, [Fleet((cold,), complete=False)]))
+    cold = Endpoint("cold", "z0", 9, EndpointState.READY, 1.0, play.now)
+    play.do(play.control.handle(play.now, [EndpointsUpdated((cold,), complete=False)]))
     play.control.servers.rng = Unlucky(1)
     start = play.now
     play.run(config.fall_window_ms / 1000)
@@ -253,8 +258,10 @@
 
     def sent(self, name, count=16):
         """Where requests of a class go that are out at one time."""
-        asked = [Arrival(number, f"c{number}", name, "rated", self.now + 2500.0) for number in range(count)]
-        return [one.server for one in self.control.handle(self.now, asked) if isinstance(one, Send)]
+        asked = [
+            RequestReceived(number, f"c{number}", name, "rated", self.now + 2500.0) for number in range(count)
+        ]
+        return [one.server for one in self.control.handle(self.now, asked) if isinstance(one, StartAttempt)]
 
 
 def test_a_server_that_fails_one_class_gets_none_of_that_class_and_the_others_as_before():
@@ -310,12 +317,12 @@
 def test_one_peer_alone_brings_no_server_into_disrepute_two_do():
     """A peer's words may be wrong: by its own network, or a fault. 60 of them a second did as they liked."""
     given = settings(gateways=4, plans=(Plan("rated", 1e6, 1e6),))
-    lie = Codec(given).encode(7, 1.0, [], [sighting("s1", 0, math.inf)] * 4)
+    lie = PeerMessageCodec(given).encode(7, 1.0, [], [outlier_report("s1", 0, math.inf)] * 4)
     for liars, avoided in (((1,), False), ((1, 2), True)):
         control = Controller(given, 1)
         control.handle(1000.0, [FLEET])
         for turn in range(120):
-            control.handle(1000.0 + 20 * turn, [Heard(liar, lie) for liar in liars])
+            control.handle(1000.0 + 20 * turn, [PeerMessageReceived(liar, lie) for liar in liars])
         bad = control.servers.failing(3400.0, control.servers.known["s1"], "look")
         assert (bad > EJECT_FROM) is avoided
 
@@ -325,14 +332,18 @@
     control.handle(1000.0, [FLEET])
     now, to_bad = 1000.0, 0
     for turn in range(30):
-        news = control.codec.encode(7, 0.2, [], [sighting("s1", 0, math.inf), sighting("s2", 0, 1.0)])
+        news = control.codec.encode(
+            7, 0.2, [], [outlier_report("s1", 0, math.inf), outlier_report("s2", 0, 1.0)]
+        )
         now += 500
-        control.handle(now, [Heard(1 + turn % 20, news)])
-        actions = control.handle(now + 1, [Arrival(turn, f"c{turn}", "look", "rated", now + 2500.0)])
+        control.handle(now, [PeerMessageReceived(1 + turn % 20, news)])
+        actions = control.handle(now + 1, [RequestReceived(turn, f"c{turn}", "look", "rated", now + 2500.0)])
         for send in actions:
-            if isinstance(send, Send):
+            if isinstance(send, StartAttempt):
                 to_bad += send.server == "s1"
-                control.handle(now + 60, [Outcome(send.id, 0, send.server, 59.0, Result.OK, True)])
+                control.handle(
+                    now + 60, [AttemptCompleted(send.id, 0, send.server, 59.0, AttemptResult.OK, True)]
+                )
     assert to_bad <= 1
 
 
@@ -340,7 +351,7 @@
     control = Controller(settings(gateways=4), 1)
     control.handle(1000.0, [FLEET])
     for turn in range(200):
-        control.handle(1000.0 + 10 * turn, [Heard(1, control.codec.encode(7, 1000.0, [], []))])
+        control.handle(1000.0 + 10 * turn, [PeerMessageReceived(1, control.codec.encode(7, 1000.0, [], []))])
     assert control.window.fleet_room <= 2 * 12 * 6 / 4
 
 
@@ -362,8 +373,8 @@
         if one.entry.zone == silent.entry.zone and one is not silent
     )
     assert control.late_chance(Attempt(same_hall, "look", 0.0)) < 0.2
-    control.handle(2000.0, [Fleet((), True)])
-    control.handle(9000.0, [Woken("agenda")])
+    control.handle(2000.0, [EndpointsUpdated((), True)])
+    control.handle(9000.0, [TimerFired("agenda")])
     assert all(len(view) == 1 for view in control.late)  # what went is forgotten
 
 
@@ -372,7 +383,7 @@
     for name, sent in (("feed", 0), ("book", 1)):
         play = Play(lambda *_: None, names=(name,), rate=0.001).run(0.1)
         control = play.control
-        control.handle(play.now, [Arrival(1, "c", name, "rated", play.now + 2500.0)])
+        control.handle(play.now, [RequestReceived(1, "c", name, "rated", play.now + 2500.0)])
         control.budget = 2.0
         request = control.requests[1]
         control.actions = []
@@ -397,8 +408,8 @@
     )
     since = play.now
     play.run(3)  # discovery is silent: it still lists the server
-    cold = Server("new", "z1", 9, State.READY, 1.0, play.now - 3000)
-    play.do(play.control.handle(play.now, [Fleet((*FLEET.servers[:5], cold))]))
+    cold = Endpoint("new", "z1", 9, EndpointState.READY, 1.0, play.now - 3000)
+    play.do(play.control.handle(play.now, [EndpointsUpdated((*FLEET.servers[:5], cold))]))
     play.run(8)
     assert play.share_in_aim(since=since) > 0.93
     assert not [one for one in play.sent if one[3] == gone and one[0] > since + 3000]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -17,25 +17,22 @@
 from plumpick.gateway.hot_restart.message import MAGIC, MAX_TEXT, Reader, Unreadable, encode
 from plumpick.gateway.hot_restart.succession import path_in
 from plumpick.policy import snapshot
+from plumpick.policy.actions import CommandCompleted, SendPeerMessage, StartAttempt, StateExported
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Call,
-    Estate,
-    Heard,
-    Inherit,
-    Leave,
-    Order,
-    Outcome,
-    Plan,
-    Result,
-    Resume,
-    Said,
-    Send,
-    Tell,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    CommandKind,
+    ExportState,
+    ImportState,
+    OperatorCommand,
+    PeerMessageReceived,
+    RequestReceived,
+    ResumeAfterFailedHandover,
 )
-from plumpick.policy.peer_messages import Kind
+from plumpick.policy.peer_messages import QuotaMessageKind
 from plumpick.policy.quota.ledger import store_name
+from plumpick.policy.settings import Plan
 
 
 def test_messages_come_whole_wherever_they_are_cut():
@@ -77,14 +74,14 @@
 
 
 def left_by(control, now):
-    (state,) = of(Estate, control.handle(now, [Leave()]))
+    (state,) = of(StateExported, control.handle(now, [ExportState()]))
     return json.loads(json.dumps(state.state, allow_nan=False))
 
 
 def let_in(control, now, count, first=1):
     sends = []
     for number in range(first, first + count):
-        sends += of(Send, control.handle(now, [ask(number, plan="plain", due=now + 5000.0)]))
+        sends += of(StartAttempt, control.handle(now, [ask(number, plan="plain", due=now + 5000.0)]))
     return len(sends)
 
 
@@ -92,7 +89,7 @@
     old, new = gate(1), gate(2)
     granted = let_in(old, 1.0, 40)
     assert 5 <= granted <= 13  # a burst of 12, less what is kept for worthier ones
-    new.handle(2.0, [Inherit(left_by(old, 2.0))])
+    new.handle(2.0, [ImportState(left_by(old, 2.0))])
     assert let_in(new, 3.0, 40, 1000) <= 1
     fresh = gate(3)
     assert let_in(fresh, 3.0, 40, 1000) >= 5  # what a start without the state would have granted
@@ -105,9 +102,9 @@
     return receiver.handle(
         now,
         [
-            Heard(number, tell.data)
+            PeerMessageReceived(number, tell.data)
             for tell in sender.actions
-            if isinstance(tell, Tell) and tell.receiver == number
+            if isinstance(tell, SendPeerMessage) and tell.receiver == number
         ],
     )
 
@@ -136,11 +133,11 @@
     assert let_in(old, 1.0, 40) >= 5
     state = as_form_1(left_by(old, 2.0))
     state["accounts"] = state["accounts"] if known else []
-    new.handle(2.0, [Inherit(state)])
+    new.handle(2.0, [ImportState(state)])
     assert not new.faults
     assert let_in(new, 3.0, 40, 1000) <= 1
     (store,) = new.quota.stores
-    assert store == store_name(item(Kind.ASK, plan_index=3))
+    assert store == store_name(item(QuotaMessageKind.GRANT_REQUEST, plan_index=3))
     for step in range(200):
         new.handle(100.0 * step, [])
     assert not new.quota.stores and not new.faults
@@ -154,7 +151,7 @@
     waiting = {row[1][2]: given.classes[row[1][5]].name for store in state["stores"] for row in store[-1]}
     assert {"look", "book"} == set(waiting.values())
     new = Controller(replace(given, classes=given.classes[:0:-1]), 2)  # in another order, without `look`
-    new.handle(3.0, [FLEET, Inherit(state)])
+    new.handle(3.0, [FLEET, ImportState(state)])
     assert not new.faults
     queue = [one for store in new.quota.stores.values() for one in store.queue]
     assert queue and {new.settings.classes[one.item.class_index].name for one in queue} == {"book"}
@@ -162,39 +159,45 @@
 
 def test_what_the_old_process_still_asks_its_own_home_the_new_one_grants():
     old, new = gate(1), gate(2)
-    new.handle(1.0, [Inherit(left_by(old, 1.0))])
+    new.handle(1.0, [ImportState(left_by(old, 1.0))])
     old.handle(2.0, [ask(1, due=5000.0, units=2)])
     level = next(iter(new.quota.stores.values())).level if new.quota.stores else 12.0
     pass_on(3.0, old, new)
     actions = pass_on(4.0, new, old)
-    assert of(Send, actions)
+    assert of(StartAttempt, actions)
     assert next(iter(new.quota.stores.values())).level <= level - 1.9
 
 
 def test_peers_business_is_the_new_processs_alone():
     old, new = gate(1), gate(2)
     state = left_by(old, 1.0)
-    new.handle(1.0, [Inherit(state)])
+    new.handle(1.0, [ImportState(state)])
     other = gate(5, (home_of("c") + 1) % 3)
     other.handle(2.0, [ask(1, due=5000.0)])
-    tells = [tell for tell in other.actions if isinstance(tell, Tell) and tell.receiver == home_of("c")]
+    tells = [
+        tell for tell in other.actions if isinstance(tell, SendPeerMessage) and tell.receiver == home_of("c")
+    ]
     assert tells
-    heard = [Heard(other.settings.number, tell.data) for tell in tells]
-    assert not of(Tell, old.handle(3.0, heard)) and of(Tell, new.handle(3.0, heard))
+    heard = [PeerMessageReceived(other.settings.number, tell.data) for tell in tells]
+    assert not of(SendPeerMessage, old.handle(3.0, heard)) and of(SendPeerMessage, new.handle(3.0, heard))
 
 
 def test_bans_draining_and_what_is_known_of_servers_pass_over():
     old, new = gate(1), gate(2)
-    old.handle(1.0, [Order(1, Call.DISABLE, "s1"), Order(2, Call.DRAIN)])
-    (send,) = of(Send, old.handle(2.0, [Arrival(9, "d", "look", "rated", 4000.0, 1, 0, 1)]))[:1] or [None]
+    old.handle(1.0, [OperatorCommand(1, CommandKind.DISABLE, "s1"), OperatorCommand(2, CommandKind.DRAIN)])
+    (send,) = of(StartAttempt, old.handle(2.0, [RequestReceived(9, "d", "look", "rated", 4000.0, 1, 0, 1)]))[
+        :1
+    ] or [None]
     if send is not None:
-        old.handle(300.0, [Outcome(9, 0, send.server, 298.0, Result.ERROR, False)])
-    new.handle(301.0, [Inherit(left_by(old, 301.0))])
+        old.handle(300.0, [AttemptCompleted(9, 0, send.server, 298.0, AttemptResult.ERROR, False)])
+    new.handle(301.0, [ImportState(left_by(old, 301.0))])
     assert "s1" in new.servers.bans and new.draining.since_ms == 1.0
     assert {name for name, one in new.servers.known.items() if one.bad} == {
         name for name, one in old.servers.known.items() if one.bad
     }
-    assert of(Said, new.handle(302.0, [Order(3, Call.ENABLE, "s1")]))[0].wrong == ""
+    assert (
+        of(CommandCompleted, new.handle(302.0, [OperatorCommand(3, CommandKind.ENABLE, "s1")]))[0].wrong == ""
+    )
     assert "s1" not in new.servers.bans
 
 
@@ -215,7 +218,7 @@
     old, new = gate(1), gate(2)
     let_in(old, 1.0, 5)
     before = let_in(gate(2), 3.0, 40)
-    new.handle(2.0, [Inherit({**left_by(old, 2.0), **spoil})])
+    new.handle(2.0, [ImportState({**left_by(old, 2.0), **spoil})])
     assert new.faults and let_in(new, 3.0, 40) == before
 
 
@@ -223,7 +226,7 @@
     old = gate(1)
     let_in(old, 1.0, 40)
     left_by(old, 2.0)
-    old.handle(60_000.0, [Resume()])
+    old.handle(60_000.0, [ResumeAfterFailedHandover()])
     assert let_in(old, 60_001.0, 40, 1000) <= 1
 
 
@@ -233,9 +236,9 @@
     for step in range(100):
         now, control = 20.0 * step, old if step < 50 else new
         if step == 50:
-            new.handle(now, [Inherit(left_by(old, now))])
-        arrival = Arrival(step, "c", "look", "capped", now + 1400.0, 1, 0, 3)
-        sent += len(of(Send, control.handle(now, [arrival])))
+            new.handle(now, [ImportState(left_by(old, now))])
+        arrival = RequestReceived(step, "c", "look", "capped", now + 1400.0, 1, 0, 3)
+        sent += len(of(StartAttempt, control.handle(now, [arrival])))
     assert sent <= 32 + 16 * 2.0 + 4
     assert snapshot.FORM == 2
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -12,19 +12,16 @@
 from test_rules import settings
 
 from plumpick.policy import peer_messages
+from plumpick.policy.actions import SendPeerMessage, StartAttempt
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Fleet,
-    Heard,
-    Plan,
-    Repeat,
-    RequestClass,
-    Send,
-    Server,
-    State,
-    Tell,
+from plumpick.policy.events import (
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
 )
+from plumpick.policy.settings import Idempotency, Plan, RequestClass
 from plumpick.policy.settings_parser import MAX_CLASSES, MAX_PLANS
 
 CORNERS = (1, 2, 3, 15, 16, 17, 255, 256, 257, 4095, 4096, 4097, 65_535, 65_536)
@@ -34,7 +31,7 @@
 
 @functools.cache
 def all_classes():
-    return tuple(RequestClass(f"k{n}", 600, 1500, 1, Repeat.SAFE) for n in range(MAX_CLASSES))
+    return tuple(RequestClass(f"k{n}", 600, 1500, 1, Idempotency.IDEMPOTENT) for n in range(MAX_CLASSES))
 
 
 @functools.cache
@@ -44,7 +41,9 @@
 
 @functools.lru_cache(32)
 def codec(classes, plans):
-    return peer_messages.Codec(settings(classes=all_classes()[:classes], plans=all_plans()[:plans]))
+    return peer_messages.PeerMessageCodec(
+        settings(classes=all_classes()[:classes], plans=all_plans()[:plans])
+    )
 
 
 def sizes(most):
@@ -58,8 +57,8 @@
     index = st.integers(0, classes - 1) | st.just(classes - 1)
     sixteenths = st.integers(0, 0xFFFF).map(lambda n: n / 16)
     items = st.builds(
-        peer_messages.Item,
-        st.sampled_from(peer_messages.Kind),
+        peer_messages.QuotaMessage,
+        st.sampled_from(peer_messages.QuotaMessageKind),
         st.integers(0, (1 << 48) - 1),
         st.integers(0, 0xFFFF),
         sixteenths,
@@ -68,7 +67,7 @@
         st.integers(0, plans - 1) | st.just(plans - 1),
         st.integers(0, 15),
     )
-    seen = st.builds(peer_messages.Sighting, st.integers(0, (1 << 32) - 1), index, st.integers(0, 15))
+    seen = st.builds(peer_messages.OutlierReport, st.integers(0, (1 << 32) - 1), index, st.integers(0, 15))
     return (
         codec(classes, plans),
         draw(st.integers(0, 0xFFFF)),
@@ -88,7 +87,7 @@
         boot,
         room,
         tuple(items[: one.max_items]),
-        tuple(seen[: peer_messages.MAX_SIGHTINGS]),
+        tuple(seen[: peer_messages.MAX_OUTLIER_REPORTS]),
     )
 
 
@@ -124,27 +123,32 @@
     ],
 )
 def test_an_index_takes_no_more_bytes_than_the_settings_need(classes, plans, item, seen):
-    one, word = codec(classes, plans), peer_messages.Item(peer_messages.Kind.ASK, 7, 1, 1.0, 1.0, 0, 0)
+    one, word = (
+        codec(classes, plans),
+        peer_messages.QuotaMessage(peer_messages.QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 1.0, 0, 0),
+    )
     empty = len(one.encode(1, 1.0, [], []))
     assert len(one.encode(1, 1.0, [word], [])) - empty == item
-    assert len(one.encode(1, 1.0, [], [peer_messages.Sighting(7, 0, 15)])) - empty == seen
+    assert len(one.encode(1, 1.0, [], [peer_messages.OutlierReport(7, 0, 15)])) - empty == seen
     assert one.max_items == (256 - empty - 4 * seen) // item >= 12
 
 
 @pytest.mark.parametrize("class_index, plan_index", [(3, 0), (0, 2), (-1, 0), (0, -1)])
 def test_an_index_of_no_class_or_plan_is_not_packed(class_index, plan_index):
-    word = peer_messages.Item(peer_messages.Kind.ASK, 7, 1, 1.0, 1.0, class_index, plan_index)
+    word = peer_messages.QuotaMessage(
+        peer_messages.QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 1.0, class_index, plan_index
+    )
     with pytest.raises(ValueError):
         codec(3, 2).encode(1, 1.0, [word], [])
     if not 0 <= class_index < 3:
         with pytest.raises(ValueError):
-            codec(3, 2).encode(1, 1.0, [], [peer_messages.Sighting(7, class_index, 15)])
+            codec(3, 2).encode(1, 1.0, [], [peer_messages.OutlierReport(7, class_index, 15)])
 
 
 def test_odd_figures_are_clipped():
     one = codec(3, 2)
     odd = [
-        peer_messages.Item(peer_messages.Kind.ASK, 7, 1, value, value, 0, 0)
+        peer_messages.QuotaMessage(peer_messages.QuotaMessageKind.GRANT_REQUEST, 7, 1, value, value, 0, 0)
         for value in (float("nan"), float("inf"), -1.0, 1e300, 4095.96875)
     ]
     heard = one.decode(one.encode(1, float("nan"), odd, []))
@@ -154,14 +158,19 @@
 @pytest.mark.parametrize("change", [dict(plans=2), dict(classes=4), dict(order=True), dict(version=3)])
 def test_a_gateway_of_another_version_or_other_names_is_not_heard(change):
     one = codec(3, 3)
-    other = peer_messages.Codec(
+    other = peer_messages.PeerMessageCodec(
         settings(
             classes=all_classes()[: change.get("classes", 3)][:: -1 if "order" in change else 1],
             plans=all_plans()[: change.get("plans", 3)],
         )
     )
     other.version = change.get("version", other.version)
-    data = other.encode(1, 1.0, [peer_messages.Item(peer_messages.Kind.ASK, 7, 1, 1.0, 1.0, 0, 0)], [])
+    data = other.encode(
+        1,
+        1.0,
+        [peer_messages.QuotaMessage(peer_messages.QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 1.0, 0, 0)],
+        [],
+    )
     assert other.decode(data) is not None and one.decode(data) is None
 
 
@@ -171,8 +180,8 @@
 def told_to(sender, receiver, actions):
     """What a gateway tells another, as that one's events."""
     return [
-        Heard(sender.settings.number, tell.data)
-        for tell in of(Tell, actions)
+        PeerMessageReceived(sender.settings.number, tell.data)
+        for tell in of(SendPeerMessage, actions)
         if tell.receiver == receiver.settings.number
     ]
 
@@ -188,11 +197,13 @@
 
 def let_in(home, peer, now, customer, name, plan, count=10):
     """How many of so many requests at once a gateway sends on within 30 ms, where the home is asked."""
-    asks = [Arrival(int(now) + n, customer, name, plan, now + 1500.0, 1.0, 0, 3) for n in range(count)]
+    asks = [
+        RequestReceived(int(now) + n, customer, name, plan, now + 1500.0, 1.0, 0, 3) for n in range(count)
+    ]
     events, sent = asks, 0
     for step in range(6):
         actions = peer.handle(now + 5 * step, events)
-        sent += len(of(Send, actions))
+        sent += len(of(StartAttempt, actions))
         events = told_to(home, peer, home.handle(now + 5 * step + 2, told_to(peer, home, actions)))
     return sent
 
@@ -200,7 +211,9 @@
 @pytest.mark.parametrize("place", [0, 1, 14, 15, 16])
 def test_with_17_classes_a_home_judges_each_firm_by_its_own_class(place):
     """The one at this place is worth the most and gets all of the burst; others leave a part in store."""
-    classes = tuple(RequestClass(f"k{n}", 600, 1500, float(n == place), Repeat.SAFE) for n in range(17))
+    classes = tuple(
+        RequestClass(f"k{n}", 600, 1500, float(n == place), Idempotency.IDEMPOTENT) for n in range(17)
+    )
     for name in ("k0", "k15", "k16"):
         home, peer = pair("c", classes=classes, plans=(Plan("basic", 1.0, 10.0),))
         sent = let_in(home, peer, 1010.0, "c", name, "basic")
@@ -209,7 +222,10 @@
 
 @pytest.mark.parametrize("place", [0, 1, 15, 16])
 def test_with_17_plans_a_home_judges_each_firm_by_its_own_plan(place):
-    kinds = (RequestClass("look", 600, 1500, 1, Repeat.SAFE), RequestClass("book", 600, 1500, 1, Repeat.SAFE))
+    kinds = (
+        RequestClass("look", 600, 1500, 1, Idempotency.IDEMPOTENT),
+        RequestClass("book", 600, 1500, 1, Idempotency.IDEMPOTENT),
+    )
     plans = tuple(Plan(f"p{n}", 1.0, 8.0 if n == place else 2.0) for n in range(17))
     for number in (0, 15, 16):
         home, peer = pair("c", classes=kinds, plans=plans)
@@ -230,7 +246,7 @@
 
 
 def test_with_17_classes_what_peers_saw_of_a_class_is_booked_to_no_other():
-    classes = tuple(RequestClass(f"k{n}", 600, 1500, 1, Repeat.SAFE) for n in range(17))
+    classes = tuple(RequestClass(f"k{n}", 600, 1500, 1, Idempotency.IDEMPOTENT) for n in range(17))
     home, *peers = (Controller(settings(number=n, classes=classes), 1) for n in range(3))
     for one in (home, *peers):
         one.handle(1000.0, [FLEET])
@@ -253,7 +269,9 @@
 
 
 def fleet_of(*names):
-    return Fleet(tuple(Server(name, "z0", 0, State.READY) for name in (*names, "s1", "s2", "s3")))
+    return EndpointsUpdated(
+        tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in (*names, "s1", "s2", "s3"))
+    )
 
 
 def known_bad(first, second):
@@ -278,13 +296,13 @@
 
 def test_of_two_servers_that_share_a_tag_no_peers_word_is_taken_until_one_has_gone():
     first, second = SERVER_TWINS
-    assert peer_messages.server_tag(first) == peer_messages.server_tag(second)
+    assert peer_messages.endpoint_tag(first) == peer_messages.endpoint_tag(second)
     assert known_bad(first, second) == known_bad(second, first) == set()
     home = gateway()
     home.handle(1000.0, [fleet_of(first, second)])
     assert len(home.servers.by_tag) == 3
     home.handle(1001.0, [fleet_of(second)])
-    assert home.servers.by_tag[peer_messages.server_tag(second)] is home.servers.known[second]
+    assert home.servers.by_tag[peer_messages.endpoint_tag(second)] is home.servers.known[second]
 
 
 # -- a roll
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -6,34 +6,33 @@
 from test_rules import settings
 
 from plumpick.policy import peer_messages
+from plumpick.policy.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from plumpick.policy.controller import CENTRES, FORGET_MS, REPEAT_SPARE_MS, Controller, FuzzyShare, Window
-from plumpick.policy.housekeeping import TIDY_LEAST, TIDY_PARTS
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    ClientGone,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Started,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
 )
+from plumpick.policy.housekeeping import TIDY_LEAST, TIDY_PARTS
 from plumpick.policy.quota.ledger import store_name
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 
-FLEET = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(6)))
+FLEET = EndpointsUpdated(tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6)))
 
 
 def gateway(**more):
@@ -41,7 +40,7 @@
 
 
 def ask(number, name="look", plan="rated", due=5000.0, customer="c", units=1):
-    return Arrival(number, customer, name, plan, due, units, 0, 3)
+    return RequestReceived(number, customer, name, plan, due, units, 0, 3)
 
 
 def of(kind, actions):
@@ -49,78 +48,81 @@
 
 
 def outcome(send, result, attempt=0, took=50.0, final=None):
-    final = result is Result.OK if final is None else final
-    return Outcome(send.id, attempt, send.server, took, result, final)
+    final = result is AttemptResult.OK if final is None else final
+    return AttemptCompleted(send.id, attempt, send.server, took, result, final)
 
 
 def test_ordinary_request_is_sent_and_ends():
     c = gateway()
-    sends = of(Send, c.handle(1000, [FLEET, ask(1)]))
+    sends = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     assert [send.id for send in sends] == [1]
-    assert not of(Fail, c.handle(1050, [outcome(sends[0], Result.OK)]))
+    assert not of(FailRequest, c.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
     assert not c.requests and not c.window.out
 
 
 def test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe():
     c = gateway()
-    safe, unsafe = of(Send, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
+    safe, unsafe = of(StartAttempt, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
     if safe.id != 1:
         safe, unsafe = unsafe, safe
-    actions = c.handle(1050, [outcome(safe, Result.ERROR), outcome(unsafe, Result.ERROR)])
-    again = of(Send, actions)
+    actions = c.handle(1050, [outcome(safe, AttemptResult.ERROR), outcome(unsafe, AttemptResult.ERROR)])
+    again = of(StartAttempt, actions)
     assert [send.id for send in again] == [1] and again[0].server != safe.server
-    assert of(Fail, actions) == [Fail(2)]
+    assert of(FailRequest, actions) == [FailRequest(2)]
 
 
 def test_unsafe_is_tried_again_when_it_never_ran():
     c = gateway()
-    (send,) = of(Send, c.handle(1000, [FLEET, ask(1, "debit")]))
-    (again,) = of(Send, c.handle(1010, [outcome(send, Result.FULL)]))
+    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1, "debit")]))
+    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.REJECTED_BY_WORKER)]))
     assert again.id == 1
 
 
 def keyed(scope, window_ms=1000.0, **more):
-    kinds = (RequestClass("book", 3000, 9000, 4, Repeat.KEYED, scope=scope, window_ms=window_ms),)
+    kinds = (RequestClass("book", 3000, 9000, 4, Idempotency.KEYED, scope=scope, window_ms=window_ms),)
     return gateway(classes=kinds, plans=(Plan("basic"),), **more)
 
 
 def fleet_of(*servers):
-    return Fleet(
+    return EndpointsUpdated(
         tuple(
-            Server(name, zone, cell, State.READY, 1.0, started_ms) for name, zone, cell, started_ms in servers
+            Endpoint(name, zone, cell, EndpointState.READY, 1.0, started_ms)
+            for name, zone, cell, started_ms in servers
         )
     )
 
 
 def first_send(control, now):
-    (send,) = of(Send, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
+    (send,) = of(StartAttempt, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
     assert send.within_ms == math.inf
     return send
 
 
 def test_a_repeat_says_by_when_it_has_to_leave():
     """By when its group forgets the first; whoever carries it out looks at the time again."""
-    control = keyed(Scope.ALL)
+    control = keyed(DeduplicationScope.ALL)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
-    (repeat,) = of(Send, control.handle(400.0, [outcome(send, Result.RESET)]))
+    (repeat,) = of(StartAttempt, control.handle(400.0, [outcome(send, AttemptResult.RESET)]))
     assert repeat.within_ms == 10.0 + 1000.0 - REPEAT_SPARE_MS - 400.0
     # That it never left proves that it never ran: the first one alone counts, and its time goes on.
-    more = of(Send, control.handle(700.0, [outcome(repeat, Result.CONNECT_FAILED, attempt=1)]))
+    more = of(StartAttempt, control.handle(700.0, [outcome(repeat, AttemptResult.CONNECT_FAILED, attempt=1)]))
     assert [one.within_ms for one in more] == [10.0 + 1000.0 - REPEAT_SPARE_MS - 700.0]
-    done = control.handle(990.0, [outcome(more[0], Result.CONNECT_FAILED, attempt=2)])
-    assert not of(Send, done) and (of(Fail, done) or of(Refuse, done))
+    done = control.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
+    assert not of(StartAttempt, done) and (of(FailRequest, done) or of(RejectRequest, done))
 
 
 @pytest.mark.parametrize("window_ms", [0.0, 10.0, REPEAT_SPARE_MS])
 def test_within_a_window_shorter_than_its_way_nothing_is_repeated(window_ms):
-    control = keyed(Scope.ALL, window_ms)
+    control = keyed(DeduplicationScope.ALL, window_ms)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
-    assert not of(Send, control.handle(11.0, [outcome(send, Result.RESET)]))
+    assert not of(StartAttempt, control.handle(11.0, [outcome(send, AttemptResult.RESET)]))
 
 
-@pytest.mark.parametrize("scope, group", [(Scope.ZONE, {"w1", "w2"}), (Scope.CELL, {"w1"})])
+@pytest.mark.parametrize(
+    "scope, group", [(DeduplicationScope.ZONE, {"w1", "w2"}), (DeduplicationScope.GROUP, {"w1"})]
+)
 def test_the_group_of_a_repeat_is_that_of_the_moment_of_the_first(scope, group):
     """A worker that is listed elsewhere since then takes its group with it; the repeat does not go there."""
     for place in range(40):
@@ -132,12 +134,12 @@
         moved = tuple((name, "b" if name == send.server else zone, cell, ms) for name, zone, cell, ms in old)
         first = next(row for row in old if row[0] == send.server)
         control.handle(20.0, [fleet_of(*moved)])
-        for repeat in of(Send, control.handle(30.0, [outcome(send, Result.RESET)])):
+        for repeat in of(StartAttempt, control.handle(30.0, [outcome(send, AttemptResult.RESET)])):
             row = next(row for row in moved if row[0] == repeat.server)
-            assert row[1] == first[1] and (scope is Scope.ZONE or row[2] == first[2])
+            assert row[1] == first[1] and (scope is DeduplicationScope.ZONE or row[2] == first[2])
 
 
-@pytest.mark.parametrize("scope", list(Scope))
+@pytest.mark.parametrize("scope", list(DeduplicationScope))
 def test_a_worker_that_has_started_since_remembers_nothing_of_the_first(scope):
     for place in range(20):
         control = keyed(scope, warm_up_ms=1.0)
@@ -146,64 +148,88 @@
         send = first_send(control, 1010.0)
         other = "w2" if send.server == "w1" else "w1"
         control.handle(1100.0, [fleet_of((send.server, "a", 1, 1050.0), (other, "a", 1, 0.0))])
-        for repeat in of(Send, control.handle(1200.0, [outcome(send, Result.RESET)])):
+        for repeat in of(StartAttempt, control.handle(1200.0, [outcome(send, AttemptResult.RESET)])):
             assert repeat.server == other
 
 
 def test_a_disproved_attempt_does_not_clear_one_that_may_have_run():
     """An error, then a full at the same server: the first may have run all the same."""
     c = Controller(settings(may_tell=False), 1)
-    one = Fleet((Server("s0", "z0", 0, State.READY),))
-    (send,) = of(Send, c.handle(1000, [one, ask(1, "book", due=1900)]))
-    (again,) = of(Send, c.handle(1010, [outcome(send, Result.ERROR)]))
-    other = Fleet((Server("s0", "z0", 0, State.DRAINING), Server("s9", "z0", 3, State.READY)))
-    actions = c.handle(1020, [other, outcome(again, Result.FULL, 1)])
-    assert not of(Send, actions) and of(Fail, actions) == [Fail(1)]
+    one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
+    (send,) = of(StartAttempt, c.handle(1000, [one, ask(1, "book", due=1900)]))
+    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.ERROR)]))
+    other = EndpointsUpdated(
+        (Endpoint("s0", "z0", 0, EndpointState.DRAINING), Endpoint("s9", "z0", 3, EndpointState.READY))
+    )
+    actions = c.handle(1020, [other, outcome(again, AttemptResult.REJECTED_BY_WORKER, 1)])
+    assert not of(StartAttempt, actions) and of(FailRequest, actions) == [FailRequest(1)]
 
 
 def test_odd_rounds_are_handled():
     c = gateway()
-    c.handle(1000, [Fleet(()), Fleet((), failed=True), Woken("never asked"), ClientGone(77)])
-    assert of(Refuse, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
-        Refuse(1),
-        Refuse(2),
+    c.handle(
+        1000,
+        [
+            EndpointsUpdated(()),
+            EndpointsUpdated((), failed=True),
+            TimerFired("never asked"),
+            ClientDisconnected(77),
+        ],
+    )
+    assert of(RejectRequest, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
+        RejectRequest(1),
+        RejectRequest(2),
     ]
-    assert of(Refuse, c.handle(1002, [ask(3, due=900.0)])) == [Refuse(3)]
+    assert of(RejectRequest, c.handle(1002, [ask(3, due=900.0)])) == [RejectRequest(3)]
     c.handle(1003, [ask(4)])  # no servers: held
     assert 4 in c.requests
-    (send,) = of(Send, c.handle(1004, [FLEET]))
-    assert of(Cancel, c.handle(1005, [ClientGone(4)])) == [Cancel(4, 0)]
-    assert c.handle(1006, [ClientGone(4), Started(4, 0, send.server)]) == []
-    c.handle(1007, [outcome(send, Result.OK), outcome(send, Result.OK), outcome(send, Result.ERROR, 3)])
+    (send,) = of(StartAttempt, c.handle(1004, [FLEET]))
+    assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
+    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.server)]) == []
+    c.handle(
+        1007,
+        [
+            outcome(send, AttemptResult.OK),
+            outcome(send, AttemptResult.OK),
+            outcome(send, AttemptResult.ERROR, 3),
+        ],
+    )
     assert c.window.out == 0 and not c.requests
 
 
 def test_held_without_servers_is_refused_before_its_time_is_up():
     c = gateway()
-    c.handle(1000, [Fleet(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
+    c.handle(1000, [EndpointsUpdated(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
     refused = {}
     for now in range(1004, 1700, 4):
-        refused.update((action.id, now) for action in of(Refuse, c.handle(now, [Woken("agenda")])))
+        refused.update(
+            (action.id, now) for action in of(RejectRequest, c.handle(now, [TimerFired("agenda")]))
+        )
     assert set(refused) == {1, 2} and refused[1] <= 1600 and refused[2] <= 1500
 
 
 def item(kind, customer="c", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
-    return peer_messages.Item(
-        kind, peer_messages.tag_of(customer), serial, units, asked, class_index, plan_index
+    return peer_messages.QuotaMessage(
+        kind, peer_messages.customer_tag(customer), serial, units, asked, class_index, plan_index
     )
 
 
 def home_of(customer, first=0, spread=3):
-    return first + peer_messages.place_of(peer_messages.tag_of(customer), spread)
+    return first + peer_messages.owner_position(peer_messages.customer_tag(customer), spread)
 
 
 def test_peer_bytes_that_cannot_be_read_change_nothing():
     c = gateway()
     c.handle(1000, [FLEET])
-    good = c.codec.encode(5, 1.0, [item(peer_messages.Kind.SPENT, units=4)], [])
-    told = c.codec.encode(5, 1.0, [], [peer_messages.Sighting(77, 5, 15)])
+    good = c.codec.encode(5, 1.0, [item(peer_messages.QuotaMessageKind.SPENT, units=4)], [])
+    told = c.codec.encode(5, 1.0, [], [peer_messages.OutlierReport(77, 5, 15)])
     odd = [
-        c.codec.encode(5, 1.0, [item(peer_messages.Kind.GRANT), item(peer_messages.Kind.WAIT)], []),
+        c.codec.encode(
+            5,
+            1.0,
+            [item(peer_messages.QuotaMessageKind.GRANT), item(peer_messages.QuotaMessageKind.QUEUED)],
+            [],
+        ),
         *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # of six classes and three plans
         *(told[:-1] + bytes([index]) for index in (6 << 4 | 15, 255)),
     ]
@@ -221,23 +247,28 @@
         bytes(other_names),
         *odd,
     ):
-        assert not of(Send, c.handle(1001, [Heard(1, data)]))
-    c.handle(1001, [Heard(9, good), Heard(0, good)])
+        assert not of(StartAttempt, c.handle(1001, [PeerMessageReceived(1, data)]))
+    c.handle(1001, [PeerMessageReceived(9, good), PeerMessageReceived(0, good)])
     assert not c.quota.stores and not c.requests
-    c.handle(1001, [Heard(1, good), Heard(1, good)])  # repeated: counted once
-    assert c.quota.stores[store_name(item(peer_messages.Kind.ASK))].level == pytest.approx(12 - 4, abs=0.1)
+    c.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])  # repeated: counted once
+    assert c.quota.stores[
+        store_name(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
+    ].level == pytest.approx(12 - 4, abs=0.1)
 
 
 def test_messages_survive_a_round_trip_and_stay_small():
     codec = gateway().codec
-    items = [item(peer_messages.Kind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 6, 2) for n in range(100)]
+    items = [
+        item(peer_messages.QuotaMessageKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 6, 2)
+        for n in range(100)
+    ]
     ratios = (0.01, 1.0, 2.0, float("inf"))
-    sightings = [peer_messages.sighting(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
+    sightings = [peer_messages.outlier_report(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
     data = codec.encode(70000, 1.5, items, sightings)
     news = codec.decode(data)
     assert len(data) <= peer_messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
     assert news.items == tuple(items[: codec.max_items]) and news.sightings == tuple(sightings)
-    assert [peer_messages.ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
+    assert [peer_messages.latency_ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
 
 
 @pytest.mark.parametrize(
@@ -260,9 +291,9 @@
     with pytest.raises(ValueError, match="rate_per_s"):
         Plan("p", rate_per_s=-1)
     with pytest.raises(ValueError, match="repeat"):
-        RequestClass("k", 1, 1, 1, "sometimes", scope=Scope.ALL)
+        RequestClass("k", 1, 1, 1, "sometimes", scope=DeduplicationScope.ALL)
     with pytest.raises(ValueError, match="aim_ms"):
-        RequestClass("k", float("nan"), 1, 1, Repeat.SAFE)
+        RequestClass("k", float("nan"), 1, 1, Idempotency.IDEMPOTENT)
 
 
 def test_fuzzy_surface_is_the_diagonal_table():
@@ -289,7 +320,7 @@
     c = gateway()
     c.handle(1000, [FLEET])
     c.usual["look"] = 5000.0
-    assert of(Send, c.handle(1001, [ask(1)]))
+    assert of(StartAttempt, c.handle(1001, [ask(1)]))
 
 
 def test_window_is_shared_out_over_gateways():
@@ -317,11 +348,11 @@
     c = gateway(gateways=1)
     c.handle(1000, [FLEET])
     calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
-    first = of(Send, c.handle(1001, calm))
+    first = of(StartAttempt, c.handle(1001, calm))
     assert c.window.limit <= len(first) <= c.window.limit + 2
     assert len(c.held) == 199 - len(first)
     c.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
-    sent = of(Send, c.handle(1010, [outcome(send, Result.OK) for send in first[:3]]))
+    sent = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
     assert sent[0].id == 501
 
 
@@ -329,11 +360,13 @@
     number = home_of("o")
     c = gateway(number=number)
     peer = (number + 1) % 3
-    asks = [item(peer_messages.Kind.ASK, "o", n, plan_index=2) for n in (1, 2, 3)]
-    c.handle(1000, [FLEET, Heard(peer, c.codec.encode(1, 1.0, asks, []))])
-    assert len(of(Send, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
-    free = c.codec.encode(1, 1.0, [item(peer_messages.Kind.BACK, "o", 2, plan_index=2)], [])
-    assert len(of(Send, c.handle(1002, [Heard(peer, free)]))) == 1
+    asks = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
+    c.handle(1000, [FLEET, PeerMessageReceived(peer, c.codec.encode(1, 1.0, asks, []))])
+    assert (
+        len(of(StartAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
+    )
+    free = c.codec.encode(1, 1.0, [item(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], [])
+    assert len(of(StartAttempt, c.handle(1002, [PeerMessageReceived(peer, free)]))) == 1
 
 
 def test_home_lends_to_all_gateways_together_no_more_than_the_quota():
@@ -342,27 +375,39 @@
     c.handle(1000, [FLEET])
     granted = set()
     for n in range(300):
-        data = c.codec.encode(1, 1.0, [item(peer_messages.Kind.ASK, serial=9)], [])
+        data = c.codec.encode(1, 1.0, [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], [])
         if n != 7:
-            for tell in of(Tell, c.handle(1001 + n / 100, [Heard(n, data), Heard(n, data)])):
+            for tell in of(
+                SendPeerMessage,
+                c.handle(1001 + n / 100, [PeerMessageReceived(n, data), PeerMessageReceived(n, data)]),
+            ):
                 news = c.codec.decode(tell.data)
-                granted |= {tell.receiver for told in news.items if told.kind is peer_messages.Kind.GRANT}
+                granted |= {
+                    tell.receiver for told in news.items if told.kind is peer_messages.QuotaMessageKind.GRANT
+                }
     # The class is worth half the worthiest: it leaves two fifths of the burst in store for that one.
     assert (
-        6 <= len(granted) <= 8 and 4.8 <= c.quota.stores[store_name(item(peer_messages.Kind.ASK))].level < 5.9
+        6 <= len(granted) <= 8
+        and 4.8 <= c.quota.stores[store_name(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))].level < 5.9
     )
 
 
 def test_a_clients_repeat_leaves_a_reserve_to_first_tries():
     """Repeats come when most of their aim has gone by; lent to them, the quota is spent on late answers."""
     granted = {}
-    for kind, worthiest in ((peer_messages.Kind.AGAIN, 0), (peer_messages.Kind.ASK, 1)):
+    for kind, worthiest in (
+        (peer_messages.QuotaMessageKind.RETRY_GRANT_REQUEST, 0),
+        (peer_messages.QuotaMessageKind.GRANT_REQUEST, 1),
+    ):
         c = gateway(gateways=300, number=7)
         c.handle(1000, [FLEET])
         asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
-        c.handle(1001, [Heard(1, c.codec.encode(1, 1.0, asks, []))])
+        c.handle(1001, [PeerMessageReceived(1, c.codec.encode(1, 1.0, asks, []))])
         granted[kind] = len(c.quota.stores[store_name(asks[0])].done)
-    assert granted[peer_messages.Kind.AGAIN] <= 7 and granted[peer_messages.Kind.ASK] >= 11
+    assert (
+        granted[peer_messages.QuotaMessageKind.RETRY_GRANT_REQUEST] <= 7
+        and granted[peer_messages.QuotaMessageKind.GRANT_REQUEST] >= 11
+    )
 
 
 def test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit():
@@ -371,13 +416,13 @@
     c = gateway(number=number)
     events, told, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
     for now in range(1000, 1500, 4):
-        actions = c.handle(now, [*events, Woken("agenda")])
-        events, told, sent = [], told + of(Tell, actions), sent + of(Send, actions)
+        actions = c.handle(now, [*events, TimerFired("agenda")])
+        events, told, sent = [], told + of(SendPeerMessage, actions), sent + of(StartAttempt, actions)
     kinds = [told.kind for tell in told for told in c.codec.decode(tell.data).items]
     assert (
         len(sent) == 1
-        and kinds.count(peer_messages.Kind.ASK) >= 6
-        and kinds.count(peer_messages.Kind.SPENT) == 1
+        and kinds.count(peer_messages.QuotaMessageKind.GRANT_REQUEST) >= 6
+        and kinds.count(peer_messages.QuotaMessageKind.SPENT) == 1
     )
 
 
@@ -385,8 +430,8 @@
     """Customers who come once would be kept for ever; one forgotten too early would be granted twice."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
-    sends = of(Send, c.handle(1001, [ask(n) for n in range(12)]))  # all of its burst; one stays open
-    c.handle(1002, [outcome(send, Result.OK) for send in sends[1:]])
+    sends = of(StartAttempt, c.handle(1001, [ask(n) for n in range(12)]))  # all of its burst; one stays open
+    c.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
     last = len(sends)
     assert last >= 9 and len(c.quota.accounts) == len(c.quota.stores) == 1
     wait_s = 12 / c.plans["rated"].rate_per_s
@@ -407,7 +452,9 @@
     """A look at 50,000 at a stroke held everything else up for 154 ms."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
-    c.handle(1001, [event for n in range(2000) for event in (ask(n, customer=f"c{n}"), ClientGone(n))])
+    c.handle(
+        1001, [event for n in range(2000) for event in (ask(n, customer=f"c{n}"), ClientDisconnected(n))]
+    )
     late, left = 1001 + 10 * FORGET_MS, []
     for _ in range(2 * TIDY_PARTS):
         before = len(c.quota.accounts)
@@ -426,10 +473,10 @@
 def test_servers_that_have_gone_and_entries_of_ended_requests_are_forgotten():
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
-    sends = of(Send, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
-    c.handle(1002, [Fleet(())])
+    sends = of(StartAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
+    c.handle(1002, [EndpointsUpdated(())])
     assert set(c.servers.known) == {send.server for send in sends}
-    c.handle(1003, [outcome(send, Result.OK) for send in sends])
+    c.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
     for n in range(20):
         c.handle(1100 + 100 * n, [])
     assert not c.servers.known and not c.servers.by_tag
@@ -443,7 +490,7 @@
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_cost=0.5),))
     c.handle(1000, [FLEET])
     actions = c.handle(1001, [ask(n, customer="d") for n in range(40)])
-    refused, sent = of(Refuse, actions), of(Send, actions)
+    refused, sent = of(RejectRequest, actions), of(StartAttempt, actions)
     waiting = [request for request in c.requests.values() if request.waiting]
     assert len(sent) >= 7 and len(refused) + len(sent) + len(waiting) == 40
     assert len(refused) > len(waiting) and all(one.retry_in_ms >= 250 for one in refused if one.retry_in_ms)
@@ -459,30 +506,34 @@
     plans = (Plan("rated", 4, 12, over_cost=0.5),)
     home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
     home.handle(1000, [FLEET])
-    asks = [item(peer_messages.Kind.ASK, serial=n) for n in range(1, 16)]
-    told = of(Tell, home.handle(1001, [Heard(1, home.codec.encode(1, 1.0, asks, []))]))
+    asks = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)]
+    told = of(
+        SendPeerMessage, home.handle(1001, [PeerMessageReceived(1, home.codec.encode(1, 1.0, asks, []))])
+    )
     kinds = [one.kind for tell in told for one in home.codec.decode(tell.data).items]
-    assert peer_messages.Kind.DENY in kinds and peer_messages.Kind.GRANT in kinds
+    assert peer_messages.QuotaMessageKind.DENIED in kinds and peer_messages.QuotaMessageKind.GRANT in kinds
     peer.handle(1000, [FLEET])
     first = peer.settings.number + 6 - home_of("c", spread=2)
-    peer.handle(1001, [Arrival(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
+    peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
     request = peer.requests[1]
     assert request.account.home == 7
-    deny = item(peer_messages.Kind.DENY, serial=request.serial)
-    refused = of(Refuse, peer.handle(1002, [Heard(7, peer.codec.encode(1, 1.0, [deny], []))]))
+    deny = item(peer_messages.QuotaMessageKind.DENIED, serial=request.serial)
+    refused = of(
+        RejectRequest, peer.handle(1002, [PeerMessageReceived(7, peer.codec.encode(1, 1.0, [deny], []))])
+    )
     assert [one.id for one in refused] == [1]
 
 
 def test_a_full_store_serves_anybody_also_where_the_reserve_is_most_of_a_small_burst():
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_cost=0.5),))
-    again = Arrival(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_repeat=True)
-    assert [send.id for send in of(Send, c.handle(1000, [FLEET, again]))] == [1]
+    again = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_repeat=True)
+    assert [send.id for send in of(StartAttempt, c.handle(1000, [FLEET, again]))] == [1]
 
 
 def test_a_bad_event_does_not_lose_the_others_of_its_turn():
     c = gateway(gateways=1, number=0)
-    odd = Arrival(1, "c", "look", "rated", 5000.0, units="many")
-    sends = of(Send, c.handle(1000, [FLEET, odd, ask(2)]))
+    odd = RequestReceived(1, "c", "look", "rated", 5000.0, units="many")
+    sends = of(StartAttempt, c.handle(1000, [FLEET, odd, ask(2)]))
     assert [send.id for send in sends] == [2] and len(c.faults) == 1
     c.handle(1001, [])
     assert not c.faults
@@ -490,25 +541,25 @@
 
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("c") + 1) % 3)
-    tells = of(Tell, c.handle(1000, [Fleet(()), ask(1, units=4)]))
+    tells = of(SendPeerMessage, c.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
     (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).items]
-    data = c.codec.encode(1, 1.0, [asked._replace(kind=peer_messages.Kind.GRANT)], [])
-    c.handle(1010, [Heard(home_of("c"), data)])
-    tells = of(Tell, c.handle(1200, [ClientGone(1), Woken("agenda")]))
+    data = c.codec.encode(1, 1.0, [asked._replace(kind=peer_messages.QuotaMessageKind.GRANT)], [])
+    c.handle(1010, [PeerMessageReceived(home_of("c"), data)])
+    tells = of(SendPeerMessage, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
     assert [told.kind for tell in tells for told in c.codec.decode(tell.data).items] == [
-        peer_messages.Kind.BACK
+        peer_messages.QuotaMessageKind.RETURNED
     ]
 
 
 def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
     """Rule 4 counts all gateways together: one send from each of 400 would push it over."""
-    cold = Server("cold", "z0", 0, State.READY, 1.0, 50_000.0)
+    cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
         c = Controller(settings(number=n, gateways=400, may_tell=False), n)
-        c.handle(50_000, [Fleet((*FLEET.servers, cold))])
-        burst = [Arrival(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
-        count += sum(send.server == "cold" for send in of(Send, c.handle(52_000, burst)))
+        c.handle(50_000, [EndpointsUpdated((*FLEET.servers, cold))])
+        burst = [RequestReceived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
+        count += sum(send.server == "cold" for send in of(StartAttempt, c.handle(52_000, burst)))
     warm = 400 * 3 / 7
     assert 0 < count < 0.45 * 2 * warm
 
@@ -519,20 +570,20 @@
     c.handle(now, [FLEET])
     for _ in range(200):
         number, now = number + 1, now + 20
-        for send in of(Send, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
+        for send in of(StartAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
             sent.append(send.server)
-            result, took = (Result.ERROR, 2) if send.server == "s1" else (Result.OK, 90)
+            result, took = (AttemptResult.ERROR, 2) if send.server == "s1" else (AttemptResult.OK, 90)
             more = c.handle(now + 5, [outcome(send, result, took=took)])
-            for n, retry in enumerate(of(Send, more)):
-                c.handle(now + 10, [outcome(retry, Result.OK, n + 1)])
+            for n, retry in enumerate(of(StartAttempt, more)):
+                c.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
 
 
 def test_ceiling_starts_empty_so_that_a_restart_grants_nothing_twice():
     c = gateway(number=home_of("k"))
     c.handle(1000, [FLEET])
-    assert not of(Send, c.handle(1001, [ask(1, plan="capped", customer="k")]))
-    assert of(Send, c.handle(1250, [Woken("agenda")]))
+    assert not of(StartAttempt, c.handle(1001, [ask(1, plan="capped", customer="k")]))
+    assert of(StartAttempt, c.handle(1250, [TimerFired("agenda")]))
 
 
 def test_only_the_home_is_told_business_and_others_no_more_than_a_sign_of_life():
@@ -540,7 +591,7 @@
     c.handle(1000, [FLEET])
     for now in range(1004, 3000, 4):
         events = [ask(now, due=now + 1500.0)] if now == 1500 else []
-        for tell in of(Tell, c.handle(now, [*events, Woken("agenda")])):
+        for tell in of(SendPeerMessage, c.handle(now, [*events, TimerFired("agenda")])):
             (told if c.codec.decode(tell.data).items else signs).append(tell.receiver)
     assert set(told) == {home_of("c")} and len(told) <= 4
     assert max(map(signs.count, set(signs))) <= 4  # in 2 s
@@ -549,12 +600,17 @@
 def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
     c = gateway(number=(home_of("c") + 1) % 3, inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
-    wait = c.codec.encode(1, 1.0, [item(peer_messages.Kind.WAIT, serial=c.quota.serial, asked=400.0)], [])
-    c.handle(1010, [Heard(home_of("c"), wait)])
+    wait = c.codec.encode(
+        1, 1.0, [item(peer_messages.QuotaMessageKind.QUEUED, serial=c.quota.serial, asked=400.0)], []
+    )
+    c.handle(1010, [PeerMessageReceived(home_of("c"), wait)])
     asked = 0
     for n in range(400):
-        for tell in of(Tell, c.handle(1012 + n, [ask(n + 2)])):
-            asked += sum(told.kind is peer_messages.Kind.ASK for told in c.codec.decode(tell.data).items)
+        for tell in of(SendPeerMessage, c.handle(1012 + n, [ask(n + 2)])):
+            asked += sum(
+                told.kind is peer_messages.QuotaMessageKind.GRANT_REQUEST
+                for told in c.codec.decode(tell.data).items
+            )
     assert 0 < asked < 100
 
 
@@ -567,8 +623,8 @@
         c.handle(1000, [FLEET])
         total = 0
         for now in range(1004, 3000, 4):
-            came = Arrival(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
-            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), Woken("agenda")]))
+            came = RequestReceived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
+            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), TimerFired("agenda")]))
         counts.append(total)
     assert counts[1] < 1.5 * counts[0]
 
@@ -578,9 +634,9 @@
     """Seen on a day with a silent worker: of 48 tries refused later than that, 44 were short retries."""
     c = gateway()
     c.usual["look"] = 20.0  # fast answers: they alone would allow holding it until shortly before its end
-    c.handle(1000, [Fleet(()), ask(1, due=due)])
+    c.handle(1000, [EndpointsUpdated(()), ask(1, due=due)])
     now = 1000.0
-    while not of(Refuse, c.handle(now, [Woken("agenda")])):
+    while not of(RejectRequest, c.handle(now, [TimerFired("agenda")])):
         now += 4
     assert now - 1000 < 0.5 * (due - 1000)
 
@@ -588,50 +644,53 @@
 def test_a_wake_up_is_asked_for_what_comes_first_and_not_for_requests_that_have_ended():
     """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
     c = gateway(gateways=1)
-    first = of(Wake, c.handle(1000, [FLEET]))
+    first = of(SetTimer, c.handle(1000, [FLEET]))
     assert [round(wake.after_ms) for wake in first] == [100]  # the period
     actions = c.handle(1001, [ask(1)])
-    (send,) = of(Send, actions)
-    assert not of(Wake, actions)  # all that is due for the request comes after the period
-    c.handle(1002, [outcome(send, Result.OK)])
+    (send,) = of(StartAttempt, actions)
+    assert not of(SetTimer, actions)  # all that is due for the request comes after the period
+    c.handle(1002, [outcome(send, AttemptResult.OK)])
     wakes, now = [], 1002.0
     for _ in range(30):  # beyond its hedge, and up to where it would have been given up
         now += 100
-        wakes += of(Wake, c.handle(now, [Woken("agenda")]))
+        wakes += of(SetTimer, c.handle(now, [TimerFired("agenda")]))
     assert len(wakes) == 30 and all(99 <= wake.after_ms <= 101 for wake in wakes)
 
 
 def test_discovery_that_must_be_asked_is_asked_and_asked_again():
     c = gateway(must_subscribe=True, ask_within_ms=4000)
-    assert of(Subscribe, c.handle(1000, [FLEET]))
-    c.handle(1010, [Fleet((), failed=True)])
-    assert of(Subscribe, c.handle(2100, [Woken("agenda")]))
+    assert of(WatchEndpoints, c.handle(1000, [FLEET]))
+    c.handle(1010, [EndpointsUpdated((), failed=True)])
+    assert of(WatchEndpoints, c.handle(2100, [TimerFired("agenda")]))
 
 
 def test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window():
     """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
-    for result in (Result.FULL, Result.CONNECT_FAILED):
+    for result in (AttemptResult.REJECTED_BY_WORKER, AttemptResult.CONNECT_FAILED):
         c = gateway()
         now, sent = 1000.0, []
         c.handle(now, [FLEET])
         for number in range(1, 300):
             now += 10
-            sends = of(Send, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
+            sends = of(StartAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
             while sends:
                 send = sends.pop()
                 sent.append(send.server)
                 bad = send.server == "s2"
                 attempt = c.requests[send.id].attempts - 1
-                sends += of(Send, c.handle(now + 2, [outcome(send, result if bad else Result.OK, attempt)]))
+                sends += of(
+                    StartAttempt,
+                    c.handle(now + 2, [outcome(send, result if bad else AttemptResult.OK, attempt)]),
+                )
         assert sent.count("s2") < len(sent) / 15
         assert c.window.cut == 1.0
 
 
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
-    (send,) = of(Send, c.handle(1000, [FLEET, ask(1)]))
+    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     old = c.servers.known[send.server].entry
-    back = Server(old.id, old.zone, old.cell, State.READY, 1.0, 1005.0)
-    c.handle(1010, [Fleet((back,), complete=False)])
-    c.handle(1020, [outcome(send, Result.RESET)])
+    back = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
+    c.handle(1010, [EndpointsUpdated((back,), complete=False)])
+    c.handle(1020, [outcome(send, AttemptResult.RESET)])
     assert c.servers.known[send.server].out == 0
--- a/tests/test_quota_hard.py
+++ b/tests/test_quota_hard.py
@@ -9,9 +9,10 @@
 
 from plumpick.policy import controller
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import Heard, Plan
-from plumpick.policy.peer_messages import Item, Kind
+from plumpick.policy.events import PeerMessageReceived
+from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 from plumpick.policy.quota.bounds import Situation, beyond_quota
+from plumpick.policy.settings import Plan
 from tests.quota_rig import Rig, cut
 
 
@@ -188,8 +189,10 @@
 def test_a_grant_that_is_heard_again_after_its_request_has_ended_gives_nothing_back():
     """Answers come after the second question, and again when the request has been served and has ended."""
     rig = asks_alone(lambda *_: 90.0, 3)
-    assert sum(item.kind is Kind.GRANT for *_, news in rig.told for item in news.items) > len(rig.granted)
-    assert not any(item.kind is Kind.BACK for *_, news in rig.told for item in news.items)
+    assert sum(item.kind is QuotaMessageKind.GRANT for *_, news in rig.told for item in news.items) > len(
+        rig.granted
+    )
+    assert not any(item.kind is QuotaMessageKind.RETURNED for *_, news in rig.told for item in news.items)
     assert rig.beyond() <= bound(rig, Situation.SERVICE, 20.0)
     assert all(len(module.quota.used) <= 20 / 4 * 8 for module in rig.modules)
 
@@ -202,7 +205,7 @@
         return 60.0 if rng.random() < 0.2 else 3.0
 
     def credits(rig):
-        return sum(item.kind is Kind.SPENT for *_, news in rig.told for item in news.items)
+        return sum(item.kind is QuotaMessageKind.SPENT for *_, news in rig.told for item in news.items)
 
     assert credits(asks_alone(now_and_then_late)) == 0
     monkeypatch.setattr(controller, "ASK_LEAST_MS", 30.0)
@@ -236,8 +239,8 @@
     home.handle(1000.0, [])
     for sender in range(1, askers + 1):
         ms = 1001.0 + (sender > 1) * late_ms
-        ask = Item(Kind.ASK, 7, 1, 1.0, 0.9 + 1 / 3, 0, 0)
-        home.handle(ms, [Heard(sender, home.codec.encode(5, 1.0, [ask], []))])
+        ask = QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 0.9 + 1 / 3, 0, 0)
+        home.handle(ms, [PeerMessageReceived(sender, home.codec.encode(5, 1.0, [ask], []))])
         level = next(iter(home.quota.stores.values())).level
     assert level == pytest.approx(left, abs=1.01)
 
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -14,32 +14,31 @@
 from test_rules import Checker, Town, settings
 
 from plumpick.policy import reconfiguration
+from plumpick.policy.actions import (
+    CancelAttempt,
+    CommandCompleted,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from plumpick.policy.controller import FORGET_MS, OWN_PART, Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    Fail,
-    Fleet,
-    Heard,
-    Inherit,
-    Leave,
-    Plan,
-    Reconfigure,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Resume,
-    Said,
-    Scope,
-    Send,
-    Server,
-    State,
-    Subscribe,
-    Tell,
-    Wake,
+from plumpick.policy.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    ExportState,
+    ImportState,
+    PeerMessageReceived,
+    RequestReceived,
+    ResumeAfterFailedHandover,
+    SettingsChanged,
 )
-from plumpick.policy.peer_messages import Codec, Item, Kind, tag_of
+from plumpick.policy.peer_messages import PeerMessageCodec, QuotaMessage, QuotaMessageKind, customer_tag
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 from plumpick.policy.settings_parser import MAX_PLANS
 
 NAMES = itertools.count(1)
@@ -47,7 +46,7 @@
 
 def change(control, now, new, *before):
     """Take over these settings in a turn of its own; what is said to them."""
-    said = of(Said, control.handle(now, [*before, Reconfigure(next(NAMES), new)]))
+    said = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
     assert not control.faults
     return said[0].wrong
 
@@ -73,7 +72,9 @@
     )
 
 
-FLEET_6 = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(6)))
+FLEET_6 = EndpointsUpdated(
+    tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6))
+)
 
 
 # -- what cannot be taken
@@ -98,11 +99,11 @@
     control, other = gateway(), gateway()
     events = [FLEET_6, ask(1), ask(2, "debit"), ask(3, plan="open")]
     bad = spoil(with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", aim_ms=1.0))
-    actions = control.handle(1000.0, [*events, Reconfigure(7, bad)])
-    said = [action for action in actions if isinstance(action, Said)]
+    actions = control.handle(1000.0, [*events, SettingsChanged(7, bad)])
+    said = [action for action in actions if isinstance(action, CommandCompleted)]
     assert not control.faults and [one.number for one in said] == [7]
     assert said[0].wrong.startswith(key) and "\n" not in said[0].wrong
-    assert [one for one in actions if not isinstance(one, Said)] == other.handle(1000.0, events)
+    assert [one for one in actions if not isinstance(one, CommandCompleted)] == other.handle(1000.0, events)
     assert control.settings == settings()
     for step in range(1, 200):  # and nothing later either
         more = [ask(100 + step, due=1000.0 + 20 * step + 900)]
@@ -122,10 +123,10 @@
     def handle(self, now_ms, events):
         self.turns += 1
         if self.turns % 3 == 0:
-            events = [*events, Reconfigure(self.turns, copy.deepcopy(self.settings))]
+            events = [*events, SettingsChanged(self.turns, copy.deepcopy(self.settings))]
         actions = super().handle(now_ms, events)
-        assert all(action.wrong == "" for action in of(Said, actions))
-        return [action for action in actions if not isinstance(action, Said)]
+        assert all(action.wrong == "" for action in of(CommandCompleted, actions))
+        return [action for action in actions if not isinstance(action, CommandCompleted)]
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -144,29 +145,37 @@
 
 def test_a_request_keeps_its_class_to_its_end_also_where_that_is_dropped():
     control = gateway()
-    first, second = of(Send, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
-    new = without(with_class(settings(), "look", repeat=Repeat.UNSAFE), "debit")
+    first, second = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
+    new = without(with_class(settings(), "look", repeat=Idempotency.NON_IDEMPOTENT), "debit")
     assert change(control, 1010.0, new) == ""
     actions = control.handle(
-        1050.0, [outcome(first, Result.ERROR), outcome(second, Result.ERROR), ask(3, "debit"), ask(4, "look")]
+        1050.0,
+        [
+            outcome(first, AttemptResult.ERROR),
+            outcome(second, AttemptResult.ERROR),
+            ask(3, "debit"),
+            ask(4, "look"),
+        ],
     )
-    by_id = {send.id: send for send in of(Send, actions)}
-    assert of(Fail, actions) == [Fail(1)]  # one run of an unsafe one, as when it came
+    by_id = {send.id: send for send in of(StartAttempt, actions)}
+    assert of(FailRequest, actions) == [FailRequest(1)]  # one run of an unsafe one, as when it came
     assert 2 in by_id  # a further attempt at what was safe when it came
-    assert of(Refuse, actions)[0].id == 3  # of a class that is not there
-    assert of(Fail, control.handle(1100.0, [outcome(by_id[4], Result.ERROR)])) == [Fail(4)]
-    assert not of(Fail, control.handle(1110.0, [outcome(by_id[2], Result.OK, 1)]))
+    assert of(RejectRequest, actions)[0].id == 3  # of a class that is not there
+    assert of(FailRequest, control.handle(1100.0, [outcome(by_id[4], AttemptResult.ERROR)])) == [
+        FailRequest(4)
+    ]
+    assert not of(FailRequest, control.handle(1110.0, [outcome(by_id[2], AttemptResult.OK, 1)]))
     assert not control.requests and not control.attempts
 
 
 def test_a_class_that_appears_is_served_at_once_and_learned_from_its_start():
     control = gateway()
     control.handle(1000.0, [FLEET_6])
-    new = RequestClass("new", 400, 1000, 5, Repeat.SAFE)
+    new = RequestClass("new", 400, 1000, 5, Idempotency.IDEMPOTENT)
     assert change(control, 1004.0, replace(settings(), classes=(new, *settings().classes))) == ""
-    (send,) = of(Send, control.handle(1008.0, [ask(1, "new", due=2000.0)]))
+    (send,) = of(StartAttempt, control.handle(1008.0, [ask(1, "new", due=2000.0)]))
     assert control.top_rank == 5 * 1.5
-    control.handle(1050.0, [outcome(send, Result.OK)])
+    control.handle(1050.0, [outcome(send, AttemptResult.OK)])
     fresh = Controller(control.settings, 1)
     assert list(control.usual) != list(fresh.usual) and control.usual.keys() == fresh.usual.keys()
     assert control.shares["new"].aim_s == fresh.shares["new"].aim_s
@@ -174,16 +183,16 @@
 
 def test_what_was_learned_of_a_class_stays_and_goes_with_it_once_nothing_of_it_is_open():
     control = gateway()
-    sent = of(Send, control.handle(1000.0, [FLEET_6, ask(1, "look"), ask(2, "feed")]))
+    sent = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "look"), ask(2, "feed")]))
     look, feed = sorted(sent, key=lambda send: send.id)
-    control.handle(1300.0, [outcome(look, Result.OK, took=300.0)])
+    control.handle(1300.0, [outcome(look, AttemptResult.OK, took=300.0)])
     usual = control.usual["look"]
     assert change(control, 1310.0, without(settings(), "feed")) == ""
     assert control.usual["look"] == usual != 150.0
     for step in range(20):
         control.handle(1400.0 + 100 * step, [])
     assert "feed" in control.shares and control.late["feed",]
-    control.handle(3500.0, [outcome(feed, Result.OK)])
+    control.handle(3500.0, [outcome(feed, AttemptResult.OK)])
     for step in range(10):
         control.handle(3600.0 + 100 * step, [])
     tables = control.shares, control.waits, control.usual, control.timely
@@ -195,26 +204,26 @@
 def test_who_waits_for_a_quota_under_a_plan_that_goes_is_told_at_once_and_others_wait_on():
     control = gateway(number=0)
     # Its home is another gateway, which has not answered.
-    customer = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 1)
+    customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 1)
     control.handle(
         1000.0, [FLEET_6, ask(1, plan="rated", customer=customer), ask(2, plan="capped", customer=customer)]
     )
     assert sum(request.waiting for request in control.requests.values()) == 2
-    actions = control.handle(1004.0, [Reconfigure(1, without(settings(), "capped"))])
-    assert [one.id for one in of(Refuse, actions)] == [2] and list(control.requests) == [1]
+    actions = control.handle(1004.0, [SettingsChanged(1, without(settings(), "capped"))])
+    assert [one.id for one in of(RejectRequest, actions)] == [2] and list(control.requests) == [1]
     assert not control.faults
     # And of its own stores: who waits there under a class that goes is denied, the others stay.
     own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_worth=0.0), 1)
-    home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
     own.handle(1000.0, [FLEET_6, *crowd])
     (store,) = own.quota.stores.values()
     before = [own.settings.classes[one.item.class_index].name for one in store.queue]
     assert {"book", "seat"} == set(before)
-    actions = own.handle(1000.001, [Reconfigure(1, without(own.settings, "book"))])
+    actions = own.handle(1000.001, [SettingsChanged(1, without(own.settings, "book"))])
     left = [own.settings.classes[one.item.class_index].name for one in store.queue]
     assert not own.faults and left == ["seat"] * before.count("seat")
-    assert len(of(Refuse, actions)) == before.count("book") and not of(Send, actions)
+    assert len(of(RejectRequest, actions)) == before.count("book") and not of(StartAttempt, actions)
 
 
 def test_what_waits_to_be_told_is_renamed_and_what_cannot_be_goes_out_by_the_old_names():
@@ -223,33 +232,35 @@
     control.handle(1000.0, [FLEET_6])
     control.quota.outbox = {
         1: [
-            Item(Kind.SPENT, 7, 1, 1.0, 2.0, 0, 1, 3),
-            Item(Kind.ASK, 7, 2, 1.0, 2.0, 0, 1, 3),
-            Item(Kind.BACK, 8, 3, 1.0, 2.0, 1, 0, 3),
-            Item(Kind.ASK, 9, 4, 1.0, 2.0, 1, 2, 3),
+            QuotaMessage(QuotaMessageKind.SPENT, 7, 1, 1.0, 2.0, 0, 1, 3),
+            QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 2, 1.0, 2.0, 0, 1, 3),
+            QuotaMessage(QuotaMessageKind.RETURNED, 8, 3, 1.0, 2.0, 1, 0, 3),
+            QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 9, 4, 1.0, 2.0, 1, 2, 3),
         ]
     }
     control.quota.told_ms[1] = 1000.0
     control.quota.unheard = {
         2: [
-            (1000.0, Item(Kind.LATE, 7, 5, 1.0, 2.0, 3, 1, 3)),
-            (1000.0, Item(Kind.LATE, 7, 6, 1.0, 2.0, 3, 0, 3)),
+            (1000.0, QuotaMessage(QuotaMessageKind.LATE, 7, 5, 1.0, 2.0, 3, 1, 3)),
+            (1000.0, QuotaMessage(QuotaMessageKind.LATE, 7, 6, 1.0, 2.0, 3, 0, 3)),
         ]
     }
     new = without(without(replace(old, classes=old.classes[::-1], plans=old.plans[::-1]), "look"), "rated")
-    actions = control.handle(1000.001, [Reconfigure(1, new)])
+    actions = control.handle(1000.001, [SettingsChanged(1, new)])
     told = [
         item
-        for tell in of(Tell, actions)
-        for news in [Codec(old).decode(tell.data)]
+        for tell in of(SendPeerMessage, actions)
+        for news in [PeerMessageCodec(old).decode(tell.data)]
         if news
         for item in news.items
     ]
-    assert [(item.kind, item.serial) for item in told] == [(Kind.BACK, 3)]  # of the plan that is gone
+    assert [(item.kind, item.serial) for item in told] == [
+        (QuotaMessageKind.RETURNED, 3)
+    ]  # of the plan that is gone
     waits = control.quota.outbox.get(1, []) + [
         item
-        for tell in of(Tell, actions)
-        for news in [Codec(new).decode(tell.data)]
+        for tell in of(SendPeerMessage, actions)
+        for news in [PeerMessageCodec(new).decode(tell.data)]
         if news
         for item in news.items
     ]
@@ -263,39 +274,50 @@
 def test_peers_of_other_names_are_not_heard_until_they_have_changed_too():
     one, two = gateway(number=0), gateway(number=1)
     new = with_plan(settings(), "rated", rate_per_s=5.0)
-    data = two.codec.encode(1, 1.0, [Item(Kind.ASK, 7, 1, 1.0, 2.0, 0, 0, 3)], [])
+    data = two.codec.encode(
+        1, 1.0, [QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 2.0, 0, 0, 3)], []
+    )
     change(one, 1000.0, new)
-    one.handle(1004.0, [Heard(1, data)])
+    one.handle(1004.0, [PeerMessageReceived(1, data)])
     assert one.quota.stores  # other figures, the same names: it is heard
     dropped = without(settings(), "feed")
     change(one, 1008.0, dropped)
     heard_ms = dict(one.quota.heard_ms)
-    one.handle(1012.0, [Heard(1, data)])
+    one.handle(1012.0, [PeerMessageReceived(1, data)])
     assert one.quota.heard_ms == heard_ms
     change(two, 1016.0, replace(dropped, number=1))
-    one.handle(1020.0, [Heard(1, two.codec.encode(1, 1.0, [], []))])
+    one.handle(1020.0, [PeerMessageReceived(1, two.codec.encode(1, 1.0, [], []))])
     assert one.quota.heard_ms[1] == 1020.0
 
 
 def test_slots_that_are_taken_stay_taken_over_a_change_and_come_back():
     control = gateway()
-    home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     sends = of(
-        Send, control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))])
+        StartAttempt,
+        control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))]),
     )
     assert len(sends) == 4  # as many as may be out at once
     lower = with_plan(settings(), "open", max_out=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
     (store,) = control.quota.stores.values()
     assert len(store.leases) == 4
-    assert not of(Send, control.handle(1008.0, [outcome(sends[0], Result.OK), outcome(sends[1], Result.OK)]))
-    assert len(of(Send, control.handle(1012.0, [outcome(sends[2], Result.OK)]))) == 1
+    assert not of(
+        StartAttempt,
+        control.handle(1008.0, [outcome(sends[0], AttemptResult.OK), outcome(sends[1], AttemptResult.OK)]),
+    )
+    assert len(of(StartAttempt, control.handle(1012.0, [outcome(sends[2], AttemptResult.OK)]))) == 1
     assert change(control, 1016.0, without(settings(), "open")) == ""
     (parted,) = control.quota.parted.values()
     assert len(parted.leases) == 2 and not control.quota.stores
     assert change(control, 1020.0, settings()) == ""
     assert (
-        len(of(Send, control.handle(1024.0, [ask(n, plan="open", customer=home) for n in range(20, 26)])))
+        len(
+            of(
+                StartAttempt,
+                control.handle(1024.0, [ask(n, plan="open", customer=home) for n in range(20, 26)]),
+            )
+        )
         == 2
     )
 
@@ -348,7 +370,7 @@
         self.notice(
             number,
             self.life[number],
-            Reconfigure(1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))),
+            SettingsChanged(1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))),
         )
 
     def change(self, at_ms, plan, gap_ms=0.0):
@@ -421,12 +443,12 @@
 
 def test_a_plan_that_is_dropped_and_comes_back_does_not_begin_full():
     control = Controller(plain(), 1)
-    home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
 
     def burst(now):
         return len(
             of(
-                Send,
+                StartAttempt,
                 control.handle(
                     now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
                 ),
@@ -449,7 +471,7 @@
 def test_an_account_is_settled_by_what_was_in_force():
     control = gateway()
     control.handle(0.0, [FLEET_6])
-    arrival = Arrival(1, "c", "look", "capped", 1400.0, 1, 0, 3)
+    arrival = RequestReceived(1, "c", "look", "capped", 1400.0, 1, 0, 3)
     plan = control.plans["capped"]
     account = control.quota.account(0.0, arrival, plan)
     control.quota.account(1000.0, arrival, plan)
@@ -498,10 +520,11 @@
 
     def waits():
         control = Controller(with_plan(plain(), "plain", rate_per_s=20.0), 1)
-        home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+        home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
         control.handle(0.0, [FLEET_6])
         sent = of(
-            Send, control.handle(4.0, [ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)])
+            StartAttempt,
+            control.handle(4.0, [ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)]),
         )
         (store,) = control.quota.stores.values()
         assert sent and store.queue and 4.0 < store.wake_ms < 400.0
@@ -512,11 +535,11 @@
     moved = replace(control.settings, plans=(Plan("first", 1, 1), *control.settings.plans[::-1]))
     assert change(control, 4.001, moved) == "" and store.wake_ms == wake_ms
     assert control.quota.stores == {next(iter(control.quota.stores)): store}
-    assert len(of(Send, control.handle(wake_ms, []))) == 1 and not control.faults
+    assert len(of(StartAttempt, control.handle(wake_ms, []))) == 1 and not control.faults
     control, store = waits()
     faster = with_plan(control.settings, "plain", rate_per_s=0.0, burst=0.0)  # nothing is counted any more
-    actions = control.handle(4.001, [Reconfigure(1, faster)])
-    assert len(of(Send, actions)) > 1 and not store.queue and not control.faults
+    actions = control.handle(4.001, [SettingsChanged(1, faster)])
+    assert len(of(StartAttempt, actions)) > 1 and not store.queue and not control.faults
 
 
 def test_a_class_of_another_aim_is_steered_by_that_from_now_on():
@@ -530,8 +553,10 @@
 
 def test_another_warm_up_counts_at_once():
     control = gateway()
-    servers = [Server(f"s{n}", "z0", n, State.READY, 1.0, 7000.0 if n < 3 else 0.0) for n in range(6)]
-    control.handle(10_000.0, [Fleet(tuple(servers))])
+    servers = [
+        Endpoint(f"s{n}", "z0", n, EndpointState.READY, 1.0, 7000.0 if n < 3 else 0.0) for n in range(6)
+    ]
+    control.handle(10_000.0, [EndpointsUpdated(tuple(servers))])
     assert len(control.servers.cold) == 3 and control.servers.capacity < 6
     limit = control.window.limit
     assert change(control, 10_004.0, replace(settings(), warm_up_ms=2000.0)) == ""
@@ -573,8 +598,8 @@
                 deadline_ms * rng.uniform(0.2, 0.9),
                 deadline_ms,
                 rng.choice((0.0, 1.0, 4.0)),
-                rng.choice(list(Repeat)),
-                scope=rng.choice(list(Scope)),
+                rng.choice(list(Idempotency)),
+                scope=rng.choice(list(DeduplicationScope)),
                 window_ms=rng.choice((0.0, 200.0, 1200.0)),
                 late_worth=rng.choice((0.0, 0.5)),
                 streamed=rng.random() < 0.1,
@@ -651,8 +676,8 @@
             new = replace(new, zone="elsewhere")
         control, events = self.gateways[n], self.inbox[n]
         self.inbox[n], before = [], control.settings
-        actions = control.handle(self.now, [*events, Reconfigure(1, replace(new, number=n))])
-        (said,) = of(Said, actions)
+        actions = control.handle(self.now, [*events, SettingsChanged(1, replace(new, number=n))])
+        (said,) = of(CommandCompleted, actions)
         if new.zone == "elsewhere":
             assert "locality" in said.wrong and control.settings is before
             self.refused += 1
@@ -692,19 +717,31 @@
         gateway, arrival = self.checker.open[number]
         known = {kind.name: kind for kind in self.gateways[gateway].settings.classes}
         self.checker.kind_of[number] = known.get(arrival.class_name) or RequestClass(
-            arrival.class_name, 1, 1, 1, Repeat.UNSAFE
+            arrival.class_name, 1, 1, 1, Idempotency.NON_IDEMPOTENT
         )
 
     def act(self, n, action):
-        assert isinstance(action, (Send, Refuse, Fail, Cancel, Wake, Tell, Subscribe, Said))
-        if isinstance(action, Said):
+        assert isinstance(
+            action,
+            (
+                StartAttempt,
+                RejectRequest,
+                FailRequest,
+                CancelAttempt,
+                SetTimer,
+                SendPeerMessage,
+                WatchEndpoints,
+                CommandCompleted,
+            ),
+        )
+        if isinstance(action, CommandCompleted):
             return
-        if isinstance(action, Wake):
+        if isinstance(action, SetTimer):
             assert 0 <= action.after_ms < 60_000
-        if isinstance(action, (Send, Refuse, Fail, Cancel)):
-            assert isinstance(action, Cancel) or action.id in self.checker.open, "more than one answer"
+        if isinstance(action, (StartAttempt, RejectRequest, FailRequest, CancelAttempt)):
+            assert isinstance(action, CancelAttempt) or action.id in self.checker.open, "more than one answer"
             self.checker.of(action.id)
-        if isinstance(action, Send):
+        if isinstance(action, StartAttempt):
             assert 0 < action.allow_ms < 60_000
         super().act(n, action)
 
@@ -726,9 +763,11 @@
         state = left_by(control, self.now)
         self.in_force[n] = self.chance.choice(self.pool)
         new = Controller(self.now_at(n), self.chance.randrange(1 << 30))
-        new.handle(self.now, [Fleet(tuple(self.fleet)), Inherit(state)])
+        new.handle(self.now, [EndpointsUpdated(tuple(self.fleet)), ImportState(state)])
         self.check(new)
-        for action in control.handle(self.now, [Resume()]):  # the heir dies, and the old one goes on
+        for action in control.handle(
+            self.now, [ResumeAfterFailedHandover()]
+        ):  # the heir dies, and the old one goes on
             self.act(n, action)
         self.in_force[n] = control.settings
         self.check(control)
@@ -753,8 +792,10 @@
     def turn(now, events=()):
         """Every attempt ends by the next turn, some by an error."""
         events, waits[:] = [*events, *waits], []
-        for send in of(Send, control.handle(now, events)):
-            waits.append(outcome(send, Result.ERROR if send.id % 5 == 0 else Result.OK, sent[send.id]))
+        for send in of(StartAttempt, control.handle(now, events)):
+            waits.append(
+                outcome(send, AttemptResult.ERROR if send.id % 5 == 0 else AttemptResult.OK, sent[send.id])
+            )
             sent[send.id] += 1
         assert not control.faults
 
@@ -765,7 +806,7 @@
         for _ in range(12):
             now += 100.0
             arrivals = [
-                Arrival(next(numbers), f"c{kind.name}", kind.name, plan.name, now + 900.0, 1, 0, 1)
+                RequestReceived(next(numbers), f"c{kind.name}", kind.name, plan.name, now + 900.0, 1, 0, 1)
                 for kind in kinds
                 for plan in plans
             ]
@@ -802,13 +843,13 @@
 def test_a_successor_of_other_settings_takes_over_by_names():
     """Plans at other places and of other figures, one that it does not have, one that is new."""
     old = Controller(plain(), 1)
-    home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     old.handle(0.0, [FLEET_6])
 
     def burst(control, now):
         return len(
             of(
-                Send,
+                StartAttempt,
                 control.handle(
                     now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
                 ),
@@ -821,17 +862,17 @@
     moved = replace(given, plans=(Plan("first", 1, 1), *given.plans[::-1]))
     state = left_by(old, 8.0)
     new = Controller(moved, 2)
-    new.handle(8.0, [FLEET_6, Inherit(state)])
+    new.handle(8.0, [FLEET_6, ImportState(state)])
     assert not new.faults
     ((name, store),) = new.quota.stores.items()
     assert name & 0xFFFF == 1 and store.plan is new.plans["plain"] and store.level <= level + 0.1
     assert burst(new, 12.0) <= 1
     # One that lacks the plan keeps its stores for when it comes back, and passes them on.
     lacks = Controller(settings(), 3)
-    lacks.handle(8.0, [FLEET_6, Inherit(state)])
+    lacks.handle(8.0, [FLEET_6, ImportState(state)])
     assert not lacks.faults and not lacks.quota.stores and len(lacks.quota.parted) == 1
     last = Controller(plain(), 4)
-    last.handle(12.0, [FLEET_6, Inherit(left_by(lacks, 12.0))])
+    last.handle(12.0, [FLEET_6, ImportState(left_by(lacks, 12.0))])
     assert not last.faults and burst(last, 16.0) <= 1
     fresh = Controller(plain(), 1)
     fresh.handle(0.0, [FLEET_6])
@@ -840,14 +881,14 @@
 
 def test_a_process_with_an_heir_changes_its_settings_and_leaves_the_stores_to_it():
     old = gateway()
-    home = next(f"c{n}" for n in itertools.count() if tag_of(f"c{n}") % 0x100000000 % 3 == 0)
+    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(40)]
     old.handle(0.0, [FLEET_6, *crowd])
-    old.handle(4.0, [Leave()])
+    old.handle(4.0, [ExportState()])
     assert change(old, 8.0, without(with_plan(settings(), "rated", rate_per_s=100.0), "book")) == ""
     level = next(iter(old.quota.stores.values())).level
     for step in range(20):
         old.handle(100.0 + 100 * step, [])
         assert not old.faults
-    old.handle(3000.0, [Resume()])
+    old.handle(3000.0, [ResumeAfterFailedHandover()])
     assert not old.faults and next(iter(old.quota.stores.values())).level <= max(0.0, level) + 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,29 +5,27 @@
 
 import pytest
 
+from plumpick.policy.actions import (
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendPeerMessage,
+    SetTimer,
+    StartAttempt,
+)
 from plumpick.policy.controller import Controller
-from plumpick.policy.interface import (
-    Arrival,
-    Cancel,
-    Fail,
-    Fleet,
-    Heard,
-    Outcome,
-    Plan,
-    Refuse,
-    Repeat,
-    RequestClass,
-    Result,
-    Scope,
-    Send,
-    Server,
-    Settings,
-    Started,
-    State,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
 )
+from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TICK, GRACE, SLACK = 4.0, 250.0, 16.0
 
@@ -40,12 +38,18 @@
         zone="z0",
         tick_ms=TICK,
         classes=(
-            RequestClass("look", 600, 1500, 2, Repeat.SAFE),
-            RequestClass("book", 900, 2500, 4, Repeat.KEYED, scope=Scope.CELL, window_ms=1200),
-            RequestClass("hold", 900, 2500, 4, Repeat.KEYED, scope=Scope.ZONE, window_ms=1200),
-            RequestClass("seat", 900, 2500, 4, Repeat.KEYED, scope=Scope.ALL, window_ms=1200),
-            RequestClass("debit", 900, 2500, 3, Repeat.UNSAFE),
-            RequestClass("feed", 900, 2500, 1, Repeat.SAFE, streamed=True),
+            RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
+            RequestClass(
+                "book", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.GROUP, window_ms=1200
+            ),
+            RequestClass(
+                "hold", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=1200
+            ),
+            RequestClass(
+                "seat", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.ALL, window_ms=1200
+            ),
+            RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
+            RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
         ),
         plans=(
             Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
@@ -98,14 +102,14 @@
         kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
         assert drained_ms is None or now <= drained_ms + GRACE, "rule 3: sent to a draining server"
         loose = self.unproved(number)
-        if kind.repeat is Repeat.UNSAFE:
+        if kind.repeat is Idempotency.NON_IDEMPOTENT:
             assert not loose, "rule 2: an unsafe request went out twice"
-        if kind.repeat is Repeat.KEYED and loose:
+        if kind.repeat is Idempotency.KEYED and loose:
             first_ms, first = loose[0]
             assert now - first_ms <= kind.window_ms, "rule 2: past the window"
-            if kind.scope is Scope.CELL:
+            if kind.scope is DeduplicationScope.GROUP:
                 assert first.cell == server.cell, "rule 2: another cell"
-            if kind.scope is Scope.ZONE:
+            if kind.scope is DeduplicationScope.ZONE:
                 assert first.zone == server.zone, "rule 2: another zone"
         if not self.sent[number] and plan.ceiling_per_s:
             level, at = self.ceilings.get(arrival.customer, (plan.ceiling_burst, now))
@@ -119,8 +123,10 @@
         kind = self.kinds[arrival.class_name]
         assert now <= arrival.due_ms + SLACK, "rule 1: late"
         if refused and self.unproved(number):
-            all_of_them = kind.repeat is Repeat.KEYED and kind.scope is Scope.ALL
-            assert kind.repeat is Repeat.SAFE or all_of_them, "rule 2: refused though it may have run"
+            all_of_them = kind.repeat is Idempotency.KEYED and kind.scope is DeduplicationScope.ALL
+            assert kind.repeat is Idempotency.IDEMPOTENT or all_of_them, (
+                "rule 2: refused though it may have run"
+            )
         self.done.add(number)
 
 
@@ -134,7 +140,7 @@
         self.loss, self.kill, self.rate = loss, kill, rate
         self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
         self.inbox = {n: [] for n in range(gateways)}
-        self.fleet = [Server(f"s{n}", f"z{n % 2}", n % 4, State.READY) for n in range(8)]
+        self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(8)]
         self.learned = {n: {} for n in range(gateways)}
         self.life = {n: 0 for n in range(gateways)}
         self.gateways, self.tries, self.streams = {}, {}, set()
@@ -146,8 +152,8 @@
         self.life[n] += 1
         config = self.settings_of(number=n, gateways=len(self.life))
         self.gateways[n] = Controller(config, self.rng.randrange(1 << 30))
-        self.inbox[n] = [Fleet(tuple(self.fleet))]
-        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not State.READY}
+        self.inbox[n] = [EndpointsUpdated(tuple(self.fleet))]
+        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not EndpointState.READY}
 
     def later(self, delay, gateway, event):
         self.serial += 1
@@ -156,12 +162,16 @@
     def change_fleet(self):
         n = self.rng.randrange(len(self.fleet))
         old = self.fleet[n]
-        flip = {State.READY: State.DRAINING, State.DRAINING: State.GONE, State.GONE: State.READY}[old.state]
-        started = self.now if flip is State.READY else old.started_ms
-        self.fleet[n] = Server(old.id, old.zone, old.cell, flip, 1.0, started)
+        flip = {
+            EndpointState.READY: EndpointState.DRAINING,
+            EndpointState.DRAINING: EndpointState.GONE,
+            EndpointState.GONE: EndpointState.READY,
+        }[old.state]
+        started = self.now if flip is EndpointState.READY else old.started_ms
+        self.fleet[n] = Endpoint(old.id, old.zone, old.cell, flip, 1.0, started)
         for gateway in self.gateways:
-            self.inbox[gateway].append(Fleet((self.fleet[n],), complete=False))
-            if flip is State.READY:
+            self.inbox[gateway].append(EndpointsUpdated((self.fleet[n],), complete=False))
+            if flip is EndpointState.READY:
                 self.learned[gateway].pop(old.id, None)
             else:
                 self.learned[gateway].setdefault(old.id, self.now)
@@ -177,7 +187,7 @@
         if spread == 2:
             gateway = self.rng.randrange(2)
         due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
-        arrival = Arrival(
+        arrival = RequestReceived(
             self.serial,
             customer,
             kind.name,
@@ -191,39 +201,46 @@
         self.inbox[gateway].append(arrival)
 
     def act(self, n, action):
-        if isinstance(action, Send):
+        if isinstance(action, StartAttempt):
             server = next(s for s in self.fleet if s.id == action.server)
             self.checker.send(self.now, action.id, server, self.learned[n].get(server.id))
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
-                [Result.OK, Result.ERROR, Result.FULL, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET],
+                [
+                    AttemptResult.OK,
+                    AttemptResult.ERROR,
+                    AttemptResult.REJECTED_BY_WORKER,
+                    AttemptResult.TIMEOUT,
+                    AttemptResult.CONNECT_FAILED,
+                    AttemptResult.RESET,
+                ],
                 [70, 8, 8, 6, 4, 4],
             )[0]
             took = min(self.rng.expovariate(1 / 150), action.allow_ms)
-            took = action.allow_ms if result is Result.TIMEOUT else took
+            took = action.allow_ms if result is AttemptResult.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
             streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
-            if streamed and result is Result.OK:
-                self.later(took / 2, n, Started(action.id, attempt, server.id))
+            if streamed and result is AttemptResult.OK:
+                self.later(took / 2, n, ResponseStarted(action.id, attempt, server.id))
             self.later(took, n, (action.id, attempt, result))
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (RejectRequest, FailRequest)):
             if action.id in self.checker.open:
                 assert action.id not in self.streams, "rule 1: a started stream was ended"
-                self.checker.answer(self.now, action.id, isinstance(action, Refuse))
-        elif isinstance(action, Cancel):
-            self.later(0.5, n, (action.id, action.attempt, Result.CANCELLED))
-        elif isinstance(action, Wake):
-            self.later(max(action.after_ms, 1e-3), n, Woken(action.name))
-        elif isinstance(action, Tell):
+                self.checker.answer(self.now, action.id, isinstance(action, RejectRequest))
+        elif isinstance(action, CancelAttempt):
+            self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
+        elif isinstance(action, SetTimer):
+            self.later(max(action.after_ms, 1e-3), n, TimerFired(action.name))
+        elif isinstance(action, SendPeerMessage):
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
                 data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
-                self.later(self.rng.expovariate(1 / 60), action.receiver, Heard(n, data))
+                self.later(self.rng.expovariate(1 / 60), action.receiver, PeerMessageReceived(n, data))
 
     def deliver(self, gateway, event):
         if not isinstance(event, tuple):
-            if isinstance(event, Started):
+            if isinstance(event, ResponseStarted):
                 if event.id not in self.checker.open or (event.id, event.attempt) not in self.tries:
                     return
                 self.streams.add(event.id)
@@ -234,9 +251,9 @@
         if entry is None:
             return
         _, server, sent_ms = entry
-        if result.never_ran:
+        if result.proves_not_executed:
             self.checker.proved[number].add(attempt)
-        if number in self.checker.open and (result is Result.OK or number in self.streams):
+        if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
             self.streams.discard(number)
             due = self.checker.open[number][1].due_ms
             assert (
@@ -247,7 +264,7 @@
             self.checker.done.add(number)
         final = number not in self.checker.open
         self.inbox[gateway].append(
-            Outcome(
+            AttemptCompleted(
                 number,
                 attempt,
                 server.id,
@@ -273,7 +290,7 @@
                     self.killed(self.rng.randrange(len(self.gateways)))
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, gateway, life, event = heapq.heappop(self.queue)
-                if isinstance(event, Heard) or life == self.life[gateway]:
+                if isinstance(event, PeerMessageReceived) or life == self.life[gateway]:
                     self.deliver(gateway, event)
             for n, controller in self.gateways.items():
                 events, self.inbox[n] = self.inbox[n], []
@@ -323,24 +340,26 @@
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
     now, serial, sends, outs = 50_000.0, 0, [], []
-    fleet = [Server(f"s{n}", "z0", 0, State.READY) for n in range(5)]
-    cold = Server("cold", "z0", 0, State.READY, 1.0, 52_000.0)
+    fleet = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(5)]
+    cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 52_000.0)
     while now < 56_000:
         now += TICK
         for n, controller in gateways.items():
             events = []
             if now == 50_004.0:
-                events.append(Fleet(tuple(fleet)))
+                events.append(EndpointsUpdated(tuple(fleet)))
             if now == 52_000.0:
-                events.append(Fleet((cold,), complete=False))
+                events.append(EndpointsUpdated((cold,), complete=False))
             if rng.random() < 0.12:
                 serial += 1
-                events.append(Arrival(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3))
+                events.append(
+                    RequestReceived(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3)
+                )
             while outs and outs[0][0] <= now and outs[0][1] == n:
                 _, _, number, server = heapq.heappop(outs)
-                events.append(Outcome(number, 0, server, 120.0, Result.OK, True))
+                events.append(AttemptCompleted(number, 0, server, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
-                if isinstance(action, Send):
+                if isinstance(action, StartAttempt):
                     sends.append((now, action.server))
                     heapq.heappush(outs, (now + 120, n, action.id, action.server))
         outs.sort()
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -5,22 +5,20 @@
 import pytest
 from test_module import FLEET, ask, gateway, home_of, of, outcome
 
+from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.controller import PERIOD_MS
-from plumpick.policy.interface import (
-    Fail,
-    Fleet,
-    Heard,
-    Refuse,
-    Result,
-    Send,
-    Server,
-    State,
-    Tell,
-    Wake,
-    Woken,
+from plumpick.policy.events import (
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    PeerMessageReceived,
+    TimerFired,
 )
 
-LEAVE = Fleet(tuple(Server(f"s{n}", f"z{n % 2}", n % 4, State.DRAINING) for n in range(4)), complete=False)
+LEAVE = EndpointsUpdated(
+    tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.DRAINING) for n in range(4)), complete=False
+)
 STAGES = (
     "controller.Controller.again",
     "controller.Controller.due",
@@ -34,7 +32,7 @@
     "controller.Servers.choose",
     "controller.Servers.step",
     "controller.Window.step",
-    "peer_messages.Codec.encode",
+    "peer_messages.PeerMessageCodec.encode",
 )
 MUST_WORK = {
     "controller.Controller.due",
@@ -72,22 +70,22 @@
             events.append(ask(number, plan="capped" if number % 2 else "rated", due=now + 1400.0))
         if now >= 1500 and now % 200 == 0:  # most servers leave, and come back
             events.append(LEAVE if now % 400 else FLEET)
-        events += [outcome(send, Result.OK, attempt) for at, send, attempt in outs if at <= now]
+        events += [outcome(send, AttemptResult.OK, attempt) for at, send, attempt in outs if at <= now]
         outs = [row for row in outs if row[0] > now]
         if any(at <= now for at in wakes):
-            events.append(Woken("agenda"))
+            events.append(TimerFired("agenda"))
         if events:
             wakes = [at for at in wakes if at > now]
             actions, events = control.handle(now, events), []
             faults += control.faults
             for action in actions:
-                if isinstance(action, Send):
+                if isinstance(action, StartAttempt):
                     outs.append((now + 50, action, sum(one == action.id for one in sent)))
                     sent.append(action.id)
                     served.add(action.id)
-                elif isinstance(action, (Refuse, Fail)):
+                elif isinstance(action, (RejectRequest, FailRequest)):
                     ended.add(action.id)
-                elif isinstance(action, Wake):
+                elif isinstance(action, SetTimer):
                     wakes.append(now + action.after_ms)
             periods = [at for at, _, what, _ in control.agenda if what == "period"]
             assert len(periods) == 1 and now < periods[0] <= now + PERIOD_MS + 4
@@ -151,8 +149,8 @@
     control = home()
     control.handle(1000.0, [FLEET])
     others = sorted({0, 1, 2} - {control.settings.number})
-    calls = break_it(monkeypatch, "peer_messages.Codec.encode", lambda count, _: count == 1)
-    told = of(Tell, control.handle(1000.0 + 600, []))
+    calls = break_it(monkeypatch, "peer_messages.PeerMessageCodec.encode", lambda count, _: count == 1)
+    told = of(SendPeerMessage, control.handle(1000.0 + 600, []))
     assert len(calls) == 2 and [tell.receiver for tell in told] == others[1:] and len(control.faults) == 1
 
 
@@ -161,6 +159,6 @@
     control = home()
     control.handle(1000.0, [FLEET])
     odd = ask(1, due=math.nan)
-    assert of(Refuse, control.handle(1001.0, [odd])) and not control.requests
+    assert of(RejectRequest, control.handle(1001.0, [odd])) and not control.requests
     assert all(at == at for at, *_ in control.agenda)
-    assert not of(Send, control.handle(1002.0, [Heard(1, b"")]))
+    assert not of(StartAttempt, control.handle(1002.0, [PeerMessageReceived(1, b"")]))
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -3,10 +3,12 @@
 from test_module import FLEET
 from test_rules import settings
 
+from plumpick.policy.actions import SendPeerMessage, SetTimer
 from plumpick.policy.controller import Controller
+from plumpick.policy.events import PeerMessageReceived, RequestReceived, TimerFired
 from plumpick.policy.health_status import SETTLE_MS, Standing
-from plumpick.policy.interface import Arrival, Heard, Plan, Tell, Wake, Woken
-from plumpick.policy.peer_messages import Kind
+from plumpick.policy.peer_messages import QuotaMessageKind
+from plumpick.policy.settings import Plan
 
 PLANS = (Plan("rated", 10.0, 20.0),)
 SEED = 7  # operators may leave it in the file: each start has the same
@@ -20,14 +22,14 @@
 
 def asked(asker, home, now, number, customer="c", units=5.0):
     """One request at the asker, its question taken to the home, and the home's answers, not delivered."""
-    arrival = Arrival(number, customer, "look", "rated", now + 2500.0, units, 0, 1)
-    told = [action for action in asker.handle(now, [arrival]) if isinstance(action, Tell)]
+    arrival = RequestReceived(number, customer, "look", "rated", now + 2500.0, units, 0, 1)
+    told = [action for action in asker.handle(now, [arrival]) if isinstance(action, SendPeerMessage)]
     answers = []
     for tell in told:
         answers += [
             action
-            for action in home.handle(now + 1, [Heard(asker.settings.number, tell.data)])
-            if isinstance(action, Tell)
+            for action in home.handle(now + 1, [PeerMessageReceived(asker.settings.number, tell.data)])
+            if isinstance(action, SendPeerMessage)
         ]
     return told, answers
 
@@ -49,21 +51,23 @@
     home = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
     _, answers = asked(first, home, 1010.0, 1)
-    assert [item.kind for answer in answers for item in home.codec.decode(answer.data).items] == [Kind.GRANT]
+    assert [item.kind for answer in answers for item in home.codec.decode(answer.data).items] == [
+        QuotaMessageKind.GRANT
+    ]
     asked(second, home, 1410.0, 1)
-    done = second.handle(1411.0, [Heard(0, answers[0].data)])
+    done = second.handle(1411.0, [PeerMessageReceived(0, answers[0].data)])
     request = second.requests[1]
     assert request.waiting and not request.paid
-    while not [action for action in done if isinstance(action, Tell)]:
-        (wake,) = [action for action in done if isinstance(action, Wake)][:1]
-        done = second.handle(1411.0 + wake.after_ms, [Woken(wake.name)])
+    while not [action for action in done if isinstance(action, SendPeerMessage)]:
+        (wake,) = [action for action in done if isinstance(action, SetTimer)][:1]
+        done = second.handle(1411.0 + wake.after_ms, [TimerFired(wake.name)])
     kinds = [
         item.kind
         for action in done
-        if isinstance(action, Tell)
+        if isinstance(action, SendPeerMessage)
         for item in second.codec.decode(action.data).items
     ]
-    assert Kind.BACK in kinds
+    assert QuotaMessageKind.RETURNED in kinds
 
 
 def test_the_same_events_give_the_same_life():
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -7,7 +7,7 @@
 from fakes import HOST, Client, Gate, Message, Script, entry, request, run
 
 from plumpick.gateway.upstream.streaming_body import LEAST_MARK, MOST_MARK, WHOLE, Body, Budget
-from plumpick.policy.interface import Outcome, Result, Started
+from plumpick.policy.events import AttemptCompleted, AttemptResult, ResponseStarted
 
 BIG = 5 * 1024 * 1024
 
@@ -97,7 +97,7 @@
             assert data
             message.parser.feed_data(data)
         assert message.body == body
-        assert (await gate.script.event(Outcome)).result is Result.OK
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.OK
         assert not gate.keeper.open and not gate.keeper._streams and not gate.keeper.workers.budget.streams
         if form == "length":  # both connections may be used again
             client.send(request())
@@ -122,7 +122,10 @@
         status, _, got, whole = await whole_answer(client.reader)
         assert not whole or status != 200
         assert len(got) < 300_000
-        assert (await gate.script.event(Outcome)).result in (Result.RESET, Result.ERROR)
+        assert (await gate.script.event(AttemptCompleted)).result in (
+            AttemptResult.RESET,
+            AttemptResult.ERROR,
+        )
         assert not gate.keeper._streams
 
     one_raw(scenario)
@@ -182,7 +185,7 @@
         assert written < 32 * BIG
         assert one.transport.get_write_buffer_size() <= MOST_MARK + 2**19
         client.close()
-        assert (await gate.script.event(Outcome)).result is not Result.OK
+        assert (await gate.script.event(AttemptCompleted)).result is not AttemptResult.OK
 
     one_raw(scenario)
 
@@ -198,7 +201,9 @@
         gate.keeper._stalled(now + 5000.0)  # long after its deadline
         assert gate.keeper.open
         gate.keeper._stalled(now + 60_000.0)
-        assert not gate.keeper.open and (await gate.script.event(Outcome)).result is Result.RESET
+        assert (
+            not gate.keeper.open and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+        )
 
     one_raw(scenario)
 
@@ -242,7 +247,7 @@
                 got += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
         assert got == body
-        assert not (await gate.script.event(Started)).kept
+        assert not (await gate.script.event(ResponseStarted)).kept
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
         assert (await client.answer())[::2] == (200, b"done")
         client.send(request())  # the client's connection is of use again
@@ -272,7 +277,7 @@
         reader, writer = await worker.came.get()
         await head_of(reader)
         writer.transport.abort()
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert (await client.answer())[0] == 502
 
     one_raw(scenario)
@@ -284,7 +289,7 @@
         reader, writer = await worker.came.get()
         await head_of(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-        assert (await gate.script.event(Outcome)).result is Result.FULL
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
         assert (await client.answer())[0] == 502 and not gate.keeper._streams
 
     one_raw(scenario)
@@ -298,7 +303,7 @@
         await reader.readexactly(900_000)
         gate.keeper._stalled(gate.keeper.clock.now() + 5000.0)
         assert (await client.answer())[0] == 408
-        assert (await gate.script.event(Outcome)).result is Result.CANCELLED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
     one_raw(scenario)
 
@@ -308,7 +313,7 @@
         client.send(upload(bytes(BIG), "chunks")[:1_000_000])
         await head_of((await worker.came.get())[0])
         client.writer.transport.abort()
-        await gate.script.event(Outcome)
+        await gate.script.event(AttemptCompleted)
         assert not gate.keeper.open and not gate.keeper.attempts and not gate.keeper.workers.budget.streams
 
     one_raw(scenario)
@@ -344,7 +349,7 @@
         reader, writer = await worker.came.get()
         assert "X-Request-Id" in await head_of(reader) and await reader.readexactly(4) == b"body"
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
-        assert (await gate.script.event(Outcome)).result is Result.FULL
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
 
     one_raw(scenario)
 
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -8,7 +8,14 @@
 from fakes import FakeWorker, Gate, HeldDials, Plug, Script, answer, entry, next_is, request, run, settings
 
 from plumpick.gateway.platform import System
-from plumpick.policy.interface import Arrival, ClientGone, Outcome, Refuse, Result, Send, Woken
+from plumpick.policy.actions import RejectRequest, StartAttempt
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    ClientDisconnected,
+    RequestReceived,
+    TimerFired,
+)
 
 STAYS = settings(cancel=False)  # where attempts may not be cancelled
 
@@ -32,14 +39,14 @@
 
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x"))
-        came = await gate.script.event(Arrival)
-        gate.script.to_do = [Send(came.id, "w1", 9000.0, within_ms=400.0)]
-        gate.keeper.notice(Woken("again"))
+        came = await gate.script.event(RequestReceived)
+        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, within_ms=400.0)]
+        gate.keeper.notice(TimerFired("again"))
         await dials.opened.wait()
         clock = gate.keeper.clock
         gate.keeper.workers._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)})
         dials.go.set()
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         gate.keeper.workers._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
@@ -56,12 +63,12 @@
             assert (await client.answer())[0] == 200  # its connection is kept
             gate.script.worker = None
             client.send(request(path="/book", key="k1", body=b"x"))
-            await gate.script.event(Arrival)
-            came = await gate.script.event(Arrival)
-            gate.script.to_do = [Send(came.id, "w1", 9000.0, within_ms=-1.0)]  # over by now
-            gate.keeper.notice(Woken("again"))
-            await gate.script.event(Outcome)
-            assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+            await gate.script.event(RequestReceived)
+            came = await gate.script.event(RequestReceived)
+            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, within_ms=-1.0)]  # over by now
+            gate.keeper.notice(TimerFired("again"))
+            await gate.script.event(AttemptCompleted)
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
             gate.script.worker = "w1"
             await next_is(worker, gate)
 
@@ -74,9 +81,9 @@
     async def scenario(worker, gate, client, dials):
         client.send(request())
         await dials.opened.wait()
-        came = await gate.script.event(Arrival)
-        gate.script.to_do = [Refuse(came.id, 250.0)]
-        gate.keeper.notice(Woken("refuse"))
+        came = await gate.script.event(RequestReceived)
+        gate.script.to_do = [RejectRequest(came.id, 250.0)]
+        gate.keeper.notice(TimerFired("refuse"))
         assert (await client.answer())[0] == 503
         dials.go.set()
         await next_is(worker, gate)
@@ -90,7 +97,7 @@
         client.send(request())
         await dials.opened.wait()
         client.close()
-        await gate.script.event(ClientGone)
+        await gate.script.event(ClientDisconnected)
         dials.go.set()
         await next_is(worker, gate)
 
@@ -106,9 +113,9 @@
                 client.send(request())
                 _, writer = await worker.asked()
                 dials = HeldDials(gate)
-                came = await gate.script.event(Arrival)
-                gate.script.to_do = [Send(came.id, "w2", 9000.0)]
-                gate.keeper.notice(Woken("hedge"))
+                came = await gate.script.event(RequestReceived)
+                gate.script.to_do = [StartAttempt(came.id, "w2", 9000.0)]
+                gate.keeper.notice(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
                 assert (await client.answer())[2] == b"first"
@@ -155,7 +162,8 @@
     def handle(self, now, events):
         actions = super().handle(now, events)
         return [
-            Send(action.id, "w1", 9000.0) if type(action).__name__ == "Fail" else action for action in actions
+            StartAttempt(action.id, "w1", 9000.0) if type(action).__name__ == "FailRequest" else action
+            for action in actions
         ]
 
 
@@ -183,13 +191,13 @@
         ):
             plug = Plug(gate.port)
             plug.send(request())
-            came = await gate.script.event(Arrival)
+            came = await gate.script.event(RequestReceived)
             (one,) = gate.front.admission.all
             plug.close()  # from here on the loop does not turn
             assert System().has_ended(one.transport) and came.id in gate.keeper.open
             gate.front.admission._swept_ms = gate.keeper.clock.now() - 1000.0
-            gate.script.to_do = [Send(came.id, "w1", 9000.0)]
-            gate.keeper.notice(Woken("timer"))
+            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
+            gate.keeper.notice(TimerFired("timer"))
             gate.keeper._turn()
             assert not gate.keeper.attempts and not gate.keeper.open
             gate.script.worker = "w1"
@@ -255,14 +263,14 @@
 def test_an_attempt_whose_connection_comes_up_after_its_deadline_never_leaves():
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=5000))
-        came = await gate.script.event(Arrival)
-        gate.script.to_do = [Send(came.id, "w1", 4900.0)]
-        gate.keeper.notice(Woken("send"))
+        came = await gate.script.event(RequestReceived)
+        gate.script.to_do = [StartAttempt(came.id, "w1", 4900.0)]
+        gate.keeper.notice(TimerFired("send"))
         await dials.opened.wait()
         clock = gate.keeper.workers._clock
         later(gate, 4901.0)
         dials.go.set()
-        assert (await gate.script.event(Outcome)).result is Result.CONNECT_FAILED
+        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         gate.keeper.workers._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
--- a/tests/upstream/test_streamed_attempts.py
+++ b/tests/upstream/test_streamed_attempts.py
@@ -5,7 +5,7 @@
 import pytest
 from fakes import FakeWorker, Gate, Script, entry, request, reset, run
 
-from plumpick.policy.interface import Outcome, Result
+from plumpick.policy.events import AttemptCompleted, AttemptResult
 
 LARGE = b"x" * 70_000
 
@@ -36,7 +36,7 @@
             message, writer = await worker.asked()
             assert len(message.body) == len(LARGE)  # its last byte is there
             reset(writer)
-            assert (await gate.script.event(Outcome)).result is Result.RESET
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
             assert (await client.answer())[0] == 502
 
     run(scenario())
--- a/tests/upstream/test_what_may_have_run.py
+++ b/tests/upstream/test_what_may_have_run.py
@@ -7,7 +7,7 @@
 from test_streams import whole_answer
 
 from plumpick.gateway.platform import System
-from plumpick.policy.interface import Outcome, Result
+from plumpick.policy.events import AttemptCompleted, AttemptResult
 
 NOT_RUN = "X-Not-Run: 1\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\n"
@@ -21,21 +21,21 @@
 
 # What comes, how the connection ends, and what that proves.
 ENDS = {
-    "503 not run, whole": (answer(503, extra=NOT_RUN), None, Result.FULL),
-    "503 not run, cut in its body, reset": (answer(503, extra=NOT_RUN)[:-2], "reset", Result.RESET),
-    "503 not run, cut in its body, closed": (answer(503, extra=NOT_RUN)[:-2], "close", Result.RESET),
-    "503 not run, cut in its head": (answer(503, extra=NOT_RUN)[:30], "reset", Result.RESET),
-    "nothing, reset": (b"", "reset", Result.RESET),
-    "nothing, closed": (b"", "close", Result.RESET),
-    "half a line, closed": (b"HTTP/1.", "close", Result.RESET),
-    "no length, a part, reset": (HEAD + b"\r\na part", "reset", Result.RESET),
-    "no length, nothing of it, reset": (HEAD + b"\r\n", "reset", Result.RESET),
+    "503 not run, whole": (answer(503, extra=NOT_RUN), None, AttemptResult.REJECTED_BY_WORKER),
+    "503 not run, cut in its body, reset": (answer(503, extra=NOT_RUN)[:-2], "reset", AttemptResult.RESET),
+    "503 not run, cut in its body, closed": (answer(503, extra=NOT_RUN)[:-2], "close", AttemptResult.RESET),
+    "503 not run, cut in its head": (answer(503, extra=NOT_RUN)[:30], "reset", AttemptResult.RESET),
+    "nothing, reset": (b"", "reset", AttemptResult.RESET),
+    "nothing, closed": (b"", "close", AttemptResult.RESET),
+    "half a line, closed": (b"HTTP/1.", "close", AttemptResult.RESET),
+    "no length, a part, reset": (HEAD + b"\r\na part", "reset", AttemptResult.RESET),
+    "no length, nothing of it, reset": (HEAD + b"\r\n", "reset", AttemptResult.RESET),
     "chunked, a part, closed": (
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\npart\r\n",
         "close",
-        Result.RESET,
+        AttemptResult.RESET,
     ),
-    "with length, a part, closed": (answer(body=b"whole")[:-2], "close", Result.RESET),
+    "with length, a part, closed": (answer(body=b"whole")[:-2], "close", AttemptResult.RESET),
 }
 
 
@@ -52,7 +52,7 @@
             await written(writer)
             if end is not None:
                 reset(writer) if end == "reset" else writer.close()
-            assert (await gate.script.event(Outcome)).result is proves
+            assert (await gate.script.event(AttemptCompleted)).result is proves
             assert (await client.answer())[0] == 502
 
     run(scenario())
@@ -99,7 +99,7 @@
                 await asyncio.sleep(0)
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
-            assert (await gate.script.event(Outcome)).result is Result.RESET
+            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
             status, _, _, whole = await whole_answer(client.reader)
             assert (status, whole) == ((502, True) if len(part) < 65536 else (200, False))
 
