--- a/benchmarks/cold_workers.py
+++ b/benchmarks/cold_workers.py
@@ -36,7 +36,13 @@
 KINDS = (
     RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
     RequestClass(
-        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+        "checkout",
+        2000,
+        7500,
+        3,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=15_000,
     ),
     RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
@@ -77,7 +83,7 @@
                     Endpoint(f"s{n}", zone, 0, EndpointState.GONE),
                     Endpoint(f"n{n}", zone, 0, EndpointState.READY, 1.0, at),
                 ),
-                complete=False,
+                is_snapshot=False,
             )
             for number in range(gateways):
                 self.later(at + rng.uniform(*NOTICE_MS), number, news, every_life=True)
@@ -87,18 +93,18 @@
 
     def gateway(self, number: int) -> Controller:
         own = Settings(
-            gateways=len(self.lives),
-            number=number,
+            gateway_count=len(self.lives),
+            gateway_number=number,
             zone=self.zones[number % 3],
             classes=KINDS,
             plans=(Plan("plan"),),
-            warm_up_ms=WARM_UP_MS,
-            cold_from=COLD_FROM,
-            fall_multiple=MULTIPLE,
-            fall_window_ms=WINDOW_MS,
+            slow_start_ms=WARM_UP_MS,
+            slow_start_initial_ratio=COLD_FROM,
+            overload_multiple=MULTIPLE,
+            overload_window_ms=WINDOW_MS,
             max_attempts=5,
-            second_copies=True,
-            report_fields=("util", "latency_ms"),
+            can_hedge=True,
+            load_report_fields=("util", "latency_ms"),
         )
         control = Controller(own, self.rng.randrange(1 << 30))
         control.handle(self.now, [EndpointsUpdated(tuple(self.known(number)))])
@@ -145,12 +151,12 @@
                 if isinstance(action, StartAttempt):
                     self.carry(number, action)
                 elif isinstance(action, SetTimer):
-                    self.later(self.now + max(action.after_ms, 0.01), number, TimerFired(action.name))
+                    self.later(self.now + max(action.delay_ms, 0.01), number, TimerFired(action.name))
         return self.worst
 
     def carry(self, number: int, send: StartAttempt) -> None:
         """An attempt comes to a worker."""
-        now, name = self.now, send.server
+        now, name = self.now, send.endpoint
         request = self.gateways[number].requests.get(send.id)
         attempt = request.attempts - 1 if request is not None else 0
         born = self.born.get(name)
@@ -174,7 +180,7 @@
             now + took,
             number,
             AttemptCompleted(
-                send.id, attempt, name, took, result, result is AttemptResult.OK, load=(0.5, 100.0)
+                send.id, attempt, name, took, result, result is AttemptResult.OK, load_report=(0.5, 100.0)
             ),
         )
 
--- a/benchmarks/configuration/witness.py
+++ b/benchmarks/configuration/witness.py
@@ -19,7 +19,7 @@
 
 def mark_of(config: Any) -> str:
     """What tells the settings of a configuration from others, less what is a gatekeeper's own."""
-    text = repr((replace(config.settings, number=0, zone=""), config.dial_timeout_ms, config.idle_ms))
+    text = repr((replace(config.settings, gateway_number=0, zone=""), config.dial_timeout_ms, config.idle_ms))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
--- a/benchmarks/gray/rules.py
+++ b/benchmarks/gray/rules.py
@@ -49,7 +49,7 @@
         self.waking = False
 
     def start(self) -> None:
-        self.limit = max(1.0, self.per_server * len(self.servers) / self.settings.gateways)
+        self.limit = max(1.0, self.per_server * len(self.servers) / self.settings.gateway_count)
 
     def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
         """What an outcome teaches the limit."""
@@ -64,12 +64,14 @@
             match event:
                 case EndpointsUpdated():
                     self.servers = [
-                        server.id for server in event.servers if server.state is EndpointState.READY
+                        server.id for server in event.endpoints if server.state is EndpointState.READY
                     ]
                     self.start()
                 case RequestReceived():
                     self.open[event.id], self.sent[event.id] = event, []
-                    self.until[event.id] = now_ms + HOLD_PART * self.kinds[event.class_name].aim_ms
+                    self.until[event.id] = (
+                        now_ms + HOLD_PART * self.kinds[event.class_name].latency_objective_ms
+                    )
                     self.held.append(event)
                 case ClientDisconnected() if event.id in self.open:
                     self.close(event.id, actions)
@@ -106,7 +108,7 @@
         tried.append(name)
         self.out[name] += 1
         self.total += 1
-        actions.append(StartAttempt(arrival.id, name, max(1.0, arrival.due_ms - self.now)))
+        actions.append(StartAttempt(arrival.id, name, max(1.0, arrival.deadline_ms - self.now)))
 
     def outcome(self, event: AttemptCompleted, actions: list[Action]) -> None:
         name = self.flying.pop((event.id, event.attempt), None)
@@ -117,13 +119,13 @@
         arrival = self.open.get(event.id)
         self.judge(name, event)
         if arrival is not None or event.result is AttemptResult.OK:
-            self.learn(event, self.kinds[arrival.class_name].aim_ms if arrival else 1000.0)
+            self.learn(event, self.kinds[arrival.class_name].latency_objective_ms if arrival else 1000.0)
         if arrival is None:
             return
         kind = self.kinds[arrival.class_name]
-        safe = event.result.proves_not_executed or kind.repeat is Idempotency.IDEMPOTENT
-        early = self.now < arrival.due_ms - kind.deadline_ms * 0.3
-        if event.final:
+        safe = event.result.proves_not_executed or kind.idempotency is Idempotency.IDEMPOTENT
+        early = self.now < arrival.deadline_ms - kind.deadline_ms * 0.3
+        if event.is_final:
             self.close(event.id, actions)
         elif safe and len(self.sent[event.id]) < MOST_TRIES and early:
             self.send(arrival, actions)
@@ -146,7 +148,7 @@
     """Additive increase, multiplicative decrease: a late, failed or lost attempt cuts a tenth off."""
 
     def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
-        if event.result is AttemptResult.OK and event.took_ms < kind_aim:
+        if event.result is AttemptResult.OK and event.latency_ms < kind_aim:
             self.limit += 1 / max(1.0, self.limit)
         else:
             self.limit = max(1.0, self.limit * 0.9)
@@ -162,7 +164,7 @@
     def learn(self, event: AttemptCompleted, kind_aim: float) -> None:
         if event.result is AttemptResult.NOT_STARTED:
             return
-        short = max(1.0, event.took_ms)
+        short = max(1.0, event.latency_ms)
         self.long = short if not self.long else self.long + (short - self.long) * 2 / 601
         if self.long / short > 2:
             self.long *= 0.95
@@ -170,7 +172,7 @@
             return
         gradient = max(0.5, min(1.0, 1.5 * self.long / short))
         news = self.limit * gradient + math.sqrt(max(1.0, self.limit))
-        most = 4 * self.per_server * len(self.servers) / self.settings.gateways
+        most = 4 * self.per_server * len(self.servers) / self.settings.gateway_count
         self.limit = min(max(1.0, most), max(1.0, self.limit * 0.8 + news * 0.2))
 
 
--- a/benchmarks/gray/world.py
+++ b/benchmarks/gray/world.py
@@ -45,7 +45,13 @@
 CLASSES = (
     RequestClass("seat-check", 750, 2000, 3, Idempotency.IDEMPOTENT),
     RequestClass(
-        "seat-checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+        "seat-checkout",
+        2000,
+        7500,
+        3,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=15_000,
     ),
     RequestClass("hours-debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
@@ -97,7 +103,7 @@
     words = [
         outlier_report(f"s{number}", 0, math.inf) for number in range(0, 3 * MAX_OUTLIER_REPORTS, len(HALLS))
     ]
-    return codec.encode(news.boot, 1000.0, list(news.items), words)
+    return codec.encode(news.incarnation, 1000.0, list(news.quota_messages), words)
 
 
 class Clock:
@@ -310,10 +316,10 @@
                 one = self.tries.get(action.id)
                 if one is None or one.result:
                     self.notice(
-                        AttemptCompleted(action.id, 0, action.server, 0.0, AttemptResult.NOT_STARTED, True)
+                        AttemptCompleted(action.id, 0, action.endpoint, 0.0, AttemptResult.NOT_STARTED, True)
                     )
                     return
-                machine = world.machines[int(action.server[1:])]
+                machine = world.machines[int(action.endpoint[1:])]
                 job = Job(self, action.id, one.sent, world.work_of(action.id, one.name), one.name, clock.now)
                 one.attempts[one.sent] = job
                 one.sent += 1
@@ -321,7 +327,7 @@
                 world.further += one.sent > 1
                 world.check(one, machine)
                 clock.at(clock.now + 1.0, machine.take, job)
-                clock.at(clock.now + action.allow_ms, self.timed_out, job)
+                clock.at(clock.now + action.timeout_ms, self.timed_out, job)
             case RejectRequest() | FailRequest():
                 self.final(action.id, "refused" if isinstance(action, RejectRequest) else "failed")
             case CancelAttempt():
@@ -330,7 +336,7 @@
                 if job is not None:
                     self.drop(job, AttemptResult.CANCELLED)
             case SetTimer():
-                clock.at(clock.now + action.after_ms, self.notice, TimerFired(action.name))
+                clock.at(clock.now + action.delay_ms, self.notice, TimerFired(action.name))
             case SendPeerMessage() if world.rng.random() > 0.03:
                 if self.number == 0 and world.lies():
                     action = SendPeerMessage(action.receiver, lie(world.codec, action.data))
@@ -379,7 +385,7 @@
                 self.world.clock.now - job.sent,
                 result,
                 bool(one.result),
-                load=report,
+                load_report=report,
             )
         )
 
@@ -422,23 +428,23 @@
         self.gateways = []
         for number in range(gateways):
             settings = Settings(
-                gateways=gateways,
-                number=number,
+                gateway_count=gateways,
+                gateway_number=number,
                 zone=HALLS[number % 3],
                 classes=CLASSES,
                 plans=plans,
-                warm_up_ms=WARM_UP_MS,
-                cold_from=COLD_FROM,
-                fall_multiple=2.5,
-                fall_window_ms=1000,
+                slow_start_ms=WARM_UP_MS,
+                slow_start_initial_ratio=COLD_FROM,
+                overload_multiple=2.5,
+                overload_window_ms=1000,
                 max_attempts=5,
                 tick_ms=TICK_MS,
-                may_tell=True,
-                second_copies=True,
+                can_message_peers=True,
+                can_hedge=True,
                 max_retry_after_ms=1000.0,
-                inbox_per_s=60.0,
-                report_how="answers",
-                report_fields=("util", "latency_ms"),
+                peer_inbox_per_s=60.0,
+                load_report_source="answers",
+                load_report_fields=("util", "latency_ms"),
             )
             self.codec = PeerMessageCodec(settings)
             self.gateways.append(Gateway(self, number, make(settings, seed * 1000 + number)))
@@ -502,8 +508,8 @@
             self.clock.at(t, arrivals.choice(self.gateways).came, number, one)
         self.clock.run(END_MS + DRAIN_MS)
         tries = [one for gateway in self.gateways for one in gateway.tries.values() if one.came > 1000]
-        worth = {kind.name: kind.worth for kind in CLASSES}
-        aims = {kind.name: kind.aim_ms for kind in CLASSES}
+        worth = {kind.name: kind.priority_weight for kind in CLASSES}
+        aims = {kind.name: kind.latency_objective_ms for kind in CLASSES}
         offered = sum(worth[one.name] for one in tries)
         good = sum(
             worth[one.name]
--- a/benchmarks/many_firms.py
+++ b/benchmarks/many_firms.py
@@ -31,26 +31,26 @@
 )
 from plumpick.policy.settings import Plan, Settings
 
-PLANS = (Plan("basico", 0.8, 3.5), Plan("amplio", 8.0, 16.0, ceiling_per_s=16.0, ceiling_burst=32.0))
+PLANS = (Plan("basico", 0.8, 3.5), Plan("amplio", 8.0, 16.0, hard_limit_per_s=16.0, hard_limit_burst=32.0))
 ANSWER_MS = 60.0
 
 
 def play(firms: int, gateways: int, seconds: float, traced: bool) -> dict[str, float]:
     """One run; the figures by name. `traced`: bytes are counted, which takes several times as long."""
     settings = Settings(
-        gateways=gateways,
-        number=0,
+        gateway_count=gateways,
+        gateway_number=0,
         zone="a",
         classes=CLASSES,
         plans=PLANS,
-        warm_up_ms=WARM_UP_MS,
-        cold_from=COLD_FROM,
-        fall_multiple=2.5,
-        fall_window_ms=1000,
+        slow_start_ms=WARM_UP_MS,
+        slow_start_initial_ratio=COLD_FROM,
+        overload_multiple=2.5,
+        overload_window_ms=1000,
         max_attempts=5,
         tick_ms=TICK_MS,
-        may_tell=True,
-        inbox_per_s=60,
+        can_message_peers=True,
+        peer_inbox_per_s=60,
     )
     control, now, serial = Controller(settings, 1), 1000.0, 0
     if traced:
@@ -82,10 +82,10 @@
         events = []
         for action in actions:
             if isinstance(action, StartAttempt):
-                done = AttemptCompleted(action.id, 0, action.server, ANSWER_MS, AttemptResult.OK, True)
+                done = AttemptCompleted(action.id, 0, action.endpoint, ANSWER_MS, AttemptResult.OK, True)
                 later.append((now + ANSWER_MS, done))
             elif isinstance(action, SetTimer):
-                later.append((now + action.after_ms, TimerFired(action.name)))
+                later.append((now + action.delay_ms, TimerFired(action.name)))
             elif isinstance(action, SendPeerMessage):
                 told[action.receiver] += 1
             elif isinstance(action, CancelAttempt):
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -50,7 +50,7 @@
 
     def request(self: Any, now: float, request: Request) -> bool:
         one, plan = request.account, request.plan
-        room = not plan.max_out or one.out < max(1, plan.max_out // one.spread)
+        room = not plan.max_in_flight or one.out < max(1, plan.max_in_flight // one.spread)
         fits = not plan.rate_per_s or request.arrival.units <= one.own
         if room and fits and self.draw(now, request):
             return True
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -117,7 +117,7 @@
                     loss=1 - (1 - loss) * (1 - world.fleet.scenario.peers.loss),
                 ),
                 round(windows.worst[plan.name, "ceiling"], 2),
-                beyond_ceiling(plan, settings, 1.0) if plan.ceiling_per_s else 0.0,
+                beyond_ceiling(plan, settings, 1.0) if plan.hard_limit_per_s else 0.0,
             )
         )
     return result, rows
--- a/benchmarks/reconfigure.py
+++ b/benchmarks/reconfigure.py
@@ -32,7 +32,7 @@
             for n in range(classes)
         ),
         plans=tuple(
-            Plan(f"plan-{n}", 8.0, 16.0, ceiling_per_s=16.0, ceiling_burst=32.0) for n in range(PLANS)
+            Plan(f"plan-{n}", 8.0, 16.0, hard_limit_per_s=16.0, hard_limit_burst=32.0) for n in range(PLANS)
         ),
         warm_up_ms=8000,
         cold_from=0.25,
@@ -100,13 +100,15 @@
     kinds = {
         "none, a turn alone": None,
         "the same again": base,
-        "a class's aim": replace(base, classes=(replace(base.classes[0], aim_ms=333.0), *base.classes[1:])),
+        "a class's aim": replace(
+            base, classes=(replace(base.classes[0], latency_objective_ms=333.0), *base.classes[1:])
+        ),
         "a plan's rate": replace(base, plans=(replace(base.plans[0], rate_per_s=9.0), *base.plans[1:])),
         "a class more": replace(base, classes=(*base.classes, fresh)),
         "a class less": replace(base, classes=base.classes[:-1]),
         "a plan less, the first": replace(base, plans=base.plans[1:]),
         "all plans' figures": replace(base, plans=tuple(replace(plan, burst=20.0) for plan in base.plans)),
-        "the warm-up": replace(base, warm_up_ms=9000.0),
+        "the warm-up": replace(base, slow_start_ms=9000.0),
     }
     for name, other in kinds.items():
         took = []
@@ -130,7 +132,7 @@
             actions = control.handle(now, events)
             took.append((time.perf_counter() - began) * 1000)
             assert not control.faults and all(
-                one.wrong == "" for one in actions if isinstance(one, CommandCompleted)
+                one.error == "" for one in actions if isinstance(one, CommandCompleted)
             )
         print(f"{name:24} median {statistics.median(took):7.2f} ms, worst {max(took):7.2f} ms")
     began = time.perf_counter()
--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -26,7 +26,13 @@
 KINDS = (
     RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
     RequestClass(
-        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+        "checkout",
+        2000,
+        7500,
+        3,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=15_000,
     ),
     RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
@@ -101,7 +107,12 @@
         burst = max(LEAST_BURST, rate * burst_s)
         plans.append(
             Plan(
-                name, rate, burst, over_cost=0.6, ceiling_per_s=ceiling * rate, ceiling_burst=ceiling * burst
+                name,
+                rate,
+                burst,
+                over_quota_cost=0.6,
+                hard_limit_per_s=ceiling * rate,
+                hard_limit_burst=ceiling * burst,
             )
         )
     firms = []
@@ -122,27 +133,27 @@
     kinds = classes(point.classes)
     work_ms = min(MOST_WORK_MS, BUSY * CORES * point.workers * 1000 / total)
     common = Settings(
-        gateways=point.gatekeepers,
-        number=0,
+        gateway_count=point.gatekeepers,
+        gateway_number=0,
         zone="",
         classes=kinds,
         plans=tuple(plans),
-        warm_up_ms=WARM_UP_MS,
-        cold_from=COLD_FROM,
-        fall_multiple=MULTIPLE,
-        fall_window_ms=WINDOW_MS,
+        slow_start_ms=WARM_UP_MS,
+        slow_start_initial_ratio=COLD_FROM,
+        overload_multiple=MULTIPLE,
+        overload_window_ms=WINDOW_MS,
         max_attempts=5,
         tick_ms=4.0,
-        may_tell=True,
-        second_copies=True,
+        can_message_peers=True,
+        can_hedge=True,
         max_retry_after_ms=1000.0,
-        inbox_per_s=peers.inbox_per_s,
-        report_how="answers",
-        report_fields=("util", "latency_ms"),
+        peer_inbox_per_s=peers.inbox_per_s,
+        load_report_source="answers",
+        load_report_fields=("util", "latency_ms"),
     )
     return Load(
         point.gatekeepers,
-        lambda number: replace(common, number=number, zone=f"z{number % ZONES}"),
+        lambda number: replace(common, gateway_number=number, zone=f"z{number % ZONES}"),
         firms,
         [(kind, 1 / point.classes, work_ms) for kind in kinds],
         [
--- a/benchmarks/scale/tier.py
+++ b/benchmarks/scale/tier.py
@@ -270,7 +270,7 @@
                 self.tell(gate, action)
             case SetTimer():
                 # As the daemon's timers go: no finer than a tick, and once for all that is due then.
-                due = math.ceil((self.now + action.after_ms) / self.tick_ms) * self.tick_ms
+                due = math.ceil((self.now + action.delay_ms) / self.tick_ms) * self.tick_ms
                 if due not in gate.wakes:
                     gate.wakes.add(due)
                     self.at(due, self.wake, gate, gate.life, due)
@@ -377,8 +377,8 @@
             return
         self.counts["refused"] += gate.judged and self.counting
         if isinstance(action, RejectRequest):
-            self.again(request.want, action.retry_in_ms)
-        elif request.want.kind.repeat is Idempotency.IDEMPOTENT:
+            self.again(request.want, action.retry_after_ms)
+        elif request.want.kind.idempotency is Idempotency.IDEMPOTENT:
             self.again(request.want, 0.0)
 
     # -- workers
@@ -400,7 +400,7 @@
         if not number:
             request.lag_ms = max(request.lag_ms, lag_ms)
             self.book(request.want.firm)
-        entry, work_ms = self.list[send.server], request.want.work_ms
+        entry, work_ms = self.list[send.endpoint], request.want.work_ms
         share = self.warmth(entry)
         if share < 1:
             self.is_cold(entry.id, share, work_ms)
@@ -411,7 +411,7 @@
             took, result = drawn / share + self.rng.uniform(*WIRE_MS), AttemptResult.OK
         load = (min(1.0, max(0.0, self.rng.gauss(*UTIL))), took)
         done = AttemptCompleted(
-            send.id, number, send.server, took, result, result is AttemptResult.OK, load=load
+            send.id, number, send.endpoint, took, result, result is AttemptResult.OK, load_report=load
         )
         self.at(self.now + took, self.outcome, gate, gate.life, done)
 
@@ -419,7 +419,7 @@
         request = self.open.get(done.id)
         if life != gate.life or request is None:
             # Its request has been answered; the module still counts the attempt as out.
-            self.turn(gate, life, replace(done, final=False), "serve")
+            self.turn(gate, life, replace(done, is_final=False), "serve")
             return
         if done.attempt not in request.out:
             return  # it was called off, and told so
@@ -427,16 +427,16 @@
             self.at(gate.still_ms, self.outcome, gate, life, done)
             return
         request.out.discard(done.attempt)
-        if done.final:
+        if done.is_final:
             del self.open[done.id]
         lag_ms = self.turn(gate, life, done, "serve")
-        if not (done.final and gate.judged):
+        if not (done.is_final and gate.judged):
             return
         inside = request.want.firm.use <= 1
         self.counts["served"] += self.counting
         self.counts["served_inside"] += self.counting and inside
         if inside:  # what others wait for is their quota
-            self.waits[self.phase].append(max(0.0, self.now - request.came_ms - done.took_ms))
+            self.waits[self.phase].append(max(0.0, self.now - request.came_ms - done.latency_ms))
             self.lags[self.phase].append(request.lag_ms + lag_ms)
 
     def is_cold(self, name: str, share: float, work_ms: float) -> None:
@@ -477,7 +477,7 @@
                 self.now + notice_ms + self.rng.uniform(*part.spread_ms),
                 self.list_turn,
                 gate,
-                EndpointsUpdated(tuple(entries), complete=False),
+                EndpointsUpdated(tuple(entries), is_snapshot=False),
                 told,
             )
 
--- a/benchmarks/scale/work.py
+++ b/benchmarks/scale/work.py
@@ -83,14 +83,18 @@
         work, actions = handle([arrival])
         total += work
         for send in [action for action in actions if isinstance(action, StartAttempt)]:
-            done = AttemptCompleted(send.id, 0, send.server, 40.0, AttemptResult.OK, True, load=(0.5, 40.0))
+            done = AttemptCompleted(
+                send.id, 0, send.endpoint, 40.0, AttemptResult.OK, True, load_report=(0.5, 40.0)
+            )
             total, sent = total + handle([done])[0], sent + 1
         told = peer.handle(now, [replace(arrival, id=number + AT_ONCE)])
         words += [action.data for action in told if isinstance(action, SendPeerMessage)]
     found["request"], found["sent"] = total / AT_ONCE, sent
     heard = [handle([PeerMessageReceived(1, data)])[0] for data in words]
     found["word"], found["words"] = sum(heard) / max(1, len(heard)), len(heard)
-    found["change"], _ = handle([EndpointsUpdated((replace(servers[-1], started_ms=now),), complete=False)])
+    found["change"], _ = handle(
+        [EndpointsUpdated((replace(servers[-1], started_ms=now),), is_snapshot=False)]
+    )
     now += PERIOD_MS
     control.handle(now, [])
     now += PERIOD_MS
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -63,7 +63,7 @@
         actions = control.handle(now, [TimerFired("agenda")] if wakes else [])
         spent += time.process_time_ns() - begin
         wakes += 1
-        after = [action.after_ms for action in actions if isinstance(action, SetTimer)]
+        after = [action.delay_ms for action in actions if isinstance(action, SetTimer)]
         now += max(1.0, min(after, default=100.0))
     return spent / 1e6 / seconds
 
@@ -90,7 +90,7 @@
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", now + 2000, 1.0, 0, spread)
         sent = [one for one in control.handle(now, [arrival]) if isinstance(one, StartAttempt)]
         control.handle(
-            now, [AttemptCompleted(one.id, 0, one.server, 20.0, AttemptResult.OK, True) for one in sent]
+            now, [AttemptCompleted(one.id, 0, one.endpoint, 20.0, AttemptResult.OK, True) for one in sent]
         )
     return control
 
@@ -135,7 +135,7 @@
             "address": f"127.0.0.1:{port}",
             "zone": one.zone,
             "type": "m",
-            "group": one.cell,
+            "group": one.deduplication_group,
             "status": "ready",
             "weight": 1.0,
             "since_ms": 0,
@@ -306,7 +306,7 @@
 
 def memory_by_peers(peers: float) -> float:
     """So many others that have told a word of quotas, and were answered."""
-    teller, words = Controller(replace(settings(TIER), number=1), 2), []
+    teller, words = Controller(replace(settings(TIER), gateway_number=1), 2), []
     teller.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
     for number in range(50):  # firms whose home is 0
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
--- a/benchmarks/slopes/fold.py
+++ b/benchmarks/slopes/fold.py
@@ -34,7 +34,13 @@
 CLASSES = (
     RequestClass("check", 750, 2000, 3, Idempotency.IDEMPOTENT),
     RequestClass(
-        "checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+        "checkout",
+        2000,
+        7500,
+        3,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=15_000,
     ),
     RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
@@ -50,21 +56,21 @@
 ) -> Settings:
     """Of gatekeeper 0 of a tier."""
     return Settings(
-        gateways=gateways,
-        number=0,
+        gateway_count=gateways,
+        gateway_number=0,
         zone="a",
         classes=classes,
         plans=plans,
-        warm_up_ms=17_000.0,
-        cold_from=0.25,
-        fall_multiple=2.5,
-        fall_window_ms=1000.0,
+        slow_start_ms=17_000.0,
+        slow_start_initial_ratio=0.25,
+        overload_multiple=2.5,
+        overload_window_ms=1000.0,
         max_attempts=5,
         tick_ms=1.0,
-        may_tell=True,
-        may_cancel=True,
-        second_copies=True,
-        inbox_per_s=60.0,
+        can_message_peers=True,
+        can_cancel_attempts=True,
+        can_hedge=True,
+        peer_inbox_per_s=60.0,
     )
 
 
@@ -97,7 +103,7 @@
         self.firms = max(1, round(load.tenants * load.kept / load.gateways))
         asks = load.rate * load.kept / self.firms  # of one firm a second
         own = settings(load.gateways, plans=(Plan("usual", QUOTA_TIMES * asks, 4 * QUOTA_TIMES * asks + 4),))
-        self.modules = [Controller(replace(own, number=n), load.seed + n) for n in range(load.kept)]
+        self.modules = [Controller(replace(own, gateway_number=n), load.seed + n) for n in range(load.kept)]
         self.queue: list[tuple[float, int, int, Any]] = []
         self.serial = 0
         self.attempts: Counter[tuple[int, int]] = Counter()
@@ -172,11 +178,11 @@
                 self.put(
                     now + ANSWER_MS,
                     place,
-                    AttemptCompleted(action.id, number, action.server, ANSWER_MS, AttemptResult.OK, True),
+                    AttemptCompleted(action.id, number, action.endpoint, ANSWER_MS, AttemptResult.OK, True),
                 )
                 self.counts["sends"] += self.on
             elif isinstance(action, SetTimer):
-                self.put(now + max(1.0, action.after_ms), place, TimerFired(action.name))
+                self.put(now + max(1.0, action.delay_ms), place, TimerFired(action.name))
             elif isinstance(action, SendPeerMessage):
                 other = action.receiver % load.kept
                 turned = action.receiver - other
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -48,7 +48,7 @@
             said += control.handle(now, [SettingsChanged(1, fresh)])
 
         times.append(cpu_ms(turn))
-        if control.faults or [one.wrong for one in said if isinstance(one, CommandCompleted)] != [""]:
+        if control.faults or [one.error for one in said if isinstance(one, CommandCompleted)] != [""]:
             raise RuntimeError("the change was not taken over")
     return median(times)
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -84,17 +84,17 @@
     gatekeepers = int(sizes["gatekeepers"])
     any_class = RequestClass("any", 1.0, 1.0, 1.0, Idempotency.IDEMPOTENT)
     tier = Settings(
-        gateways=gatekeepers,
-        number=0,
+        gateway_count=gatekeepers,
+        gateway_number=0,
         zone="",
         classes=(any_class,),
         plans=(Plan("any"),),
-        warm_up_ms=0.0,
-        cold_from=0.0,
-        fall_multiple=0.0,
-        fall_window_ms=0.0,
+        slow_start_ms=0.0,
+        slow_start_initial_ratio=0.0,
+        overload_multiple=0.0,
+        overload_window_ms=0.0,
         max_attempts=1,
-        inbox_per_s=sizes["words_taken_in_per_s"],
+        peer_inbox_per_s=sizes["words_taken_in_per_s"],
     )
     default = operator_from({"fleet": {"voters": [0]}}, gatekeepers).fleet
     if default is None:
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -100,8 +100,8 @@
         now = self._system.boottime()
         self.member = Member(
             self._settings.terms,
-            self._config.settings.number,
-            self._config.settings.gateways,
+            self._config.settings.gateway_number,
+            self._config.settings.gateway_count,
             self._system.life(),
             self._chance,
             now,
@@ -111,8 +111,8 @@
         if self._settings.budgets:
             self.book = Book(
                 tuple(one.budget for one in self._settings.budgets),
-                self._config.settings.number,
-                self._config.settings.gateways,
+                self._config.settings.gateway_number,
+                self._config.settings.gateway_count,
                 self._settings.terms,
                 self._settings.share_ms,
                 self._chance,
@@ -144,7 +144,7 @@
         """Two processes with one voter's number would each give its word, and each spend a budget's floor:
         one of them has to wait."""
         self._guard_timer = None
-        member, votes = self.member, self._config.settings.number in self._settings.terms.voters
+        member, votes = self.member, self._config.settings.gateway_number in self._settings.terms.voters
         if member is None or member.closed or not (votes or self.book):
             return
         self._guard = self._system.guard(self._config.peer_listen)
@@ -385,7 +385,7 @@
         while book.to_send:
             notes, book.to_send = book.to_send, []
             for number, data in notes:
-                if number == self._config.settings.number:
+                if number == self._config.settings.gateway_number:
                     book.heard(now, number, member.life, data, member.life, self._holder_of, self._end_of)
                 else:
                     self._say(now, member.note(now, number, data))
@@ -490,12 +490,12 @@
         """What all gatekeepers did in the period, and what is not known."""
         name, period, member = settings.duty.name, start.period, self.member
         assert member is not None
-        gathering = usage_report.Gathering(self._config.settings.gateways, self._system.boottime())
+        gathering = usage_report.Gathering(self._config.settings.gateway_count, self._system.boottime())
         self._gathering[name] = period, gathering
         tag = zlib.crc32(name.encode())
         while not gathering.over(now := self._system.boottime()):
             for number in gathering.due(now):
-                if number == self._config.settings.number:
+                if number == self._config.settings.gateway_number:
                     for data in self._told(name, tag, period):
                         said = usage_report.read(data)
                         assert said is not None
@@ -604,7 +604,7 @@
                 leases.append(
                     [
                         lease,
-                        self._config.settings.number,
+                        self._config.settings.gateway_number,
                         f"{held.token:x}",
                         round(now - held.since_ms),
                         round(holder.stop_ms(lease) - now),
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -111,8 +111,8 @@
     except ValueError as problem:
         raise SettingsError(f"config.seed: {seed!r} is no hex number") from problem
     peers = tuple(address_from(peer, "config.peers") for peer in top.words("peers"))
-    if peers and len(peers) != own.gateways:
-        raise SettingsError(f"config.peers: {len(peers)} for {own.gateways} gatekeepers")
+    if peers and len(peers) != own.gateway_count:
+        raise SettingsError(f"config.peers: {len(peers)} for {own.gateway_count} gatekeepers")
     peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
     # The file before the environment, as with the other addresses.
     management = top.text("management", environment.get("BALANCER_MANAGEMENT", ""))
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -147,7 +147,7 @@
         self._config, self._gatekeeper, self._loop = config, gatekeeper, loop
         self._calls = ManagementFront(gatekeeper)
         gatekeeper.sweeps.append(self._calls.sweep)
-        self._context = HandoverContext(config.name, config.settings.number, gatekeeper, front)
+        self._context = HandoverContext(config.name, config.settings.gateway_number, gatekeeper, front)
         self._context.fleet = gatekeeper.fleet
         self._context.versions = gatekeeper.versions
         self.leases: Any = None  # what the process before left of its part in the fleet's work
@@ -297,12 +297,12 @@
         gatekeeper.peers.open(loop)
     else:
         await plane.open()
-    shared, known = config.settings.must_subscribe, config.known.entries
-    sharers, rng = config.settings.gateways if shared else 0, random.Random(config.seed)
+    shared, known = config.settings.must_request_watch, config.known.entries
+    sharers, rng = config.settings.gateway_count if shared else 0, random.Random(config.seed)
     discovery = Discovery(
         config.discovery,
         gatekeeper.listed,
-        lambda index: Watching(sharers, index, rng, config.settings.number),
+        lambda index: Watching(sharers, index, rng, config.settings.gateway_number),
         gatekeeper.clock.now,
         config.known.index if known else None,
     )
@@ -374,8 +374,8 @@
         return None
     from plumpick.gateway.operator_config import load as load_operator
 
-    fleet = load_operator(path, config.settings.gateways).fleet
-    if fleet is not None and config.settings.gateways > 1 and config.peer_listen is None:
+    fleet = load_operator(path, config.settings.gateway_count).fleet
+    if fleet is not None and config.settings.gateway_count > 1 and config.peer_listen is None:
         raise ConfigError(f"{path}: fleet: this gatekeeper has no peer_listen to hear the others at")
     if fleet is not None and config.peer_listen == config.listen:
         raise ConfigError(f"{path}: fleet: peer_listen needs a port other than that of listen")
@@ -389,7 +389,7 @@
         return None
     from plumpick.gateway.operator_config import load as load_operator
 
-    return load_operator(path, config.settings.gateways).configuration
+    return load_operator(path, config.settings.gateway_count).configuration
 
 
 def main(which: str = "") -> int:
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -50,10 +50,12 @@
 
 def config_with(config: Config, settings: Settings) -> Config:
     """The configuration with published settings, this gatekeeper's own keys kept; raises SettingsError."""
-    whole = {**settings, "myNumber": config.settings.number, "locality": config.settings.zone}
+    whole = {**settings, "myNumber": config.settings.gateway_number, "locality": config.settings.zone}
     news, limits = parse_settings(whole, "settings"), JsonObject(whole, "settings").table("limits")
-    if config.peers and len(config.peers) != news.gateways:
-        raise SettingsError(f"settings.balancers: {news.gateways}, and there are {len(config.peers)} peers")
+    if config.peers and len(config.peers) != news.gateway_count:
+        raise SettingsError(
+            f"settings.balancers: {news.gateway_count}, and there are {len(config.peers)} peers"
+        )
     return replace(
         config,
         settings=news,
@@ -87,7 +89,7 @@
         self._config, self._addresses, self._silent_ms = config, addresses, silent_ms
         self._reconfigure, self._clock, self._timers = reconfigure, clock, timers
         self.versions = Versions(
-            config.settings.number, config.settings.gateways, len(addresses), rng, clock.now()
+            config.settings.gateway_number, config.settings.gateway_count, len(addresses), rng, clock.now()
         )
         self._ready: dict[int, Config] = {}  # of the staged version alone
         self._timer: Timer | None = None
@@ -154,7 +156,7 @@
             "since": call.since,
             "digest": call.digest,
             "name": self._config.name,
-            "number": self._config.settings.number,
+            "number": self._config.settings.gateway_number,
             "in_force": call.in_force,
             "have": call.in_force_digest,
             "staged": call.staged,
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -137,7 +137,7 @@
             idle_ms=config.idle_ms,
             dial_timeout_ms=config.dial_timeout_ms,
             max_connections=int(config.sockets * WORKER_PART),
-            report_fields=config.settings.report_fields,
+            report_fields=config.settings.load_report_fields,
             is_quiet=system.is_quiet,
             budget=Budget(int(config.memory_mb * 2**20 * STREAM_PART)),
             was_reset=system.was_reset,
@@ -145,7 +145,7 @@
         self.peers = Peers(config, self.heard, system.datagrams)
         self._fronts: list[Front] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
-        self._standing = Standing(config.settings.gateways, config.settings.number)
+        self._standing = Standing(config.settings.gateway_count, config.settings.gateway_number)
         self.open: dict[int, Request] = {}
         self._streams: dict[Request, None] = {}  # of these, with a body that goes on while it comes
         self.attempts: dict[tuple[int, int], Attempt] = {}  # all that are out, also of ended requests
@@ -296,7 +296,7 @@
         if wrong:
             return wrong
         self.config, self.settings = config, config.settings
-        self.workers.reconfigure(config.idle_ms, config.dial_timeout_ms, config.settings.report_fields)
+        self.workers.reconfigure(config.idle_ms, config.dial_timeout_ms, config.settings.load_report_fields)
         for front in self._fronts:
             front.reconfigure(config.settings)
         return ""
@@ -312,11 +312,11 @@
         return [kind.deadline_ms for kind in self.settings.classes] + left
 
     def _say(self, action: CommandCompleted) -> None:
-        self._said[action.number] = action.wrong
+        self._said[action.id] = action.error
 
     def _doors(self, action: SetAdmissionState) -> None:
         """Clients are sent away, or taken again."""
-        before, self.door = self.door, action.stage
+        before, self.door = self.door, action.state
         if before != self.door and AdmissionState.OPEN in (before, self.door):
             log.info("clients are %s", "sent away" if self.door else "taken again")
         if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.door:
@@ -512,32 +512,32 @@
     def _send(self, action: StartAttempt) -> None:
         request = self.open.get(action.id)
         if request is None:  # the module can't know it: it ended in between
-            self.notice(AttemptCompleted(action.id, 0, action.server, 0.0, AttemptResult.NOT_STARTED, True))
+            self.notice(AttemptCompleted(action.id, 0, action.endpoint, 0.0, AttemptResult.NOT_STARTED, True))
             return
         number, request.sends = request.sends, request.sends + 1
         stream = request.stream
         if stream is not None and (stream.begun or number > 0 and (request.id, number - 1) in self.attempts):
             # What has gone on is not kept, and one body goes one way.
             self.notice(
-                AttemptCompleted(action.id, number, action.server, 0.0, AttemptResult.NOT_STARTED, False)
+                AttemptCompleted(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_STARTED, False)
             )
             return
         if request.asker.has_gone():  # nothing was read there that would have told it
             self.left(request)
             request.asker.drop()
             self.notice(
-                AttemptCompleted(action.id, number, action.server, 0.0, AttemptResult.NOT_STARTED, True)
+                AttemptCompleted(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_STARTED, True)
             )
             return
         # What is left counts from when the module looked; of a body that still comes it has not begun.
-        due_ms = min(self._turn_ms + action.allow_ms, request.due_ms) if stream is None else request.due_ms
+        due_ms = min(self._turn_ms + action.timeout_ms, request.due_ms) if stream is None else request.due_ms
         attempt = Attempt(
             request.id,
             number,
-            action.server,
+            action.endpoint,
             request.head,
             request.body,
-            action.allow_ms,
+            action.timeout_ms,
             due_ms,
             self._ended,
             stream,
@@ -545,7 +545,7 @@
             self._begins,
             self._flows,
         )
-        attempt.until_ms = self._turn_ms + action.within_ms
+        attempt.until_ms = self._turn_ms + action.start_within_ms
         self.attempts[request.id, number] = attempt
         self.workers.start(attempt)
 
@@ -590,7 +590,7 @@
                 max(0.0, took_ms),
                 result,
                 request is None or result is AttemptResult.OK or passed,
-                load=load,
+                load_report=load,
             )
         )
 
@@ -598,7 +598,7 @@
         request = self.open.get(action.id)
         if request is not None and self._close(request):
             self._count(request, REFUSED)
-            request.asker.answer(503, retry_in_ms=action.retry_in_ms)
+            request.asker.answer(503, retry_in_ms=action.retry_after_ms)
 
     def _fail(self, action: FailRequest) -> None:
         request = self.open.get(action.id)
@@ -614,11 +614,11 @@
     def _wake(self, action: SetTimer) -> None:
         woken = TimerFired(action.name)
         # On the grid of the module's ticks, so that what is due within one tick takes one turn.
-        due_ms, tick_ms = self.clock.now() + action.after_ms, max(1.0, self.settings.tick_ms)
+        due_ms, tick_ms = self.clock.now() + action.delay_ms, max(1.0, self.settings.tick_ms)
         self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self.notice(woken))
 
     def _tell(self, action: SendPeerMessage) -> None:
-        if action.receiver == self.settings.number:  # another process of ours
+        if action.receiver == self.settings.gateway_number:  # another process of ours
             if self.sibling is not None:
                 self.sibling.said(action.data)
             return
--- a/plumpick/gateway/listeners/http/validation.py
+++ b/plumpick/gateway/listeners/http/validation.py
@@ -48,7 +48,7 @@
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         # A customer's terms are the same every time; the cache is bounded, and what is odd raises.
         self._terms = functools.lru_cache(512)(
-            functools.partial(call_terms, gateways=settings.gateways, most_units=settings.max_units)
+            functools.partial(call_terms, gateways=settings.gateway_count, most_units=settings.max_units)
         )
 
     def read(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool) -> Form:
@@ -58,12 +58,12 @@
         kind = self._kinds.get(target[1:].partition(b"?")[0].partition(b"/")[0])
         if kind is None:
             raise BadRequest("there is no such class", 404)
-        if method not in ((b"GET", b"HEAD") if kind.repeat is Idempotency.IDEMPOTENT else (b"POST",)):
+        if method not in ((b"GET", b"HEAD") if kind.idempotency is Idempotency.IDEMPOTENT else (b"POST",)):
             raise BadRequest("the class has another method", 405)
         if has_body and method != b"POST":
             raise BadRequest("a GET with a body")
         key = headers.get(b"idempotency-key")
-        if kind.repeat is Idempotency.KEYED:
+        if kind.idempotency is Idempotency.KEYED:
             if key is None or not _KEY.fullmatch(key):
                 raise BadRequest("idempotency-key is missing or malformed")
         elif key is not None:
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -25,7 +25,9 @@
     ) -> None:
         self._config, self._heard, self._datagrams = config, heard, datagrams
         self._numbers = {
-            address: number for number, address in enumerate(config.peers) if number != config.settings.number
+            address: number
+            for number, address in enumerate(config.peers)
+            if number != config.settings.gateway_number
         }
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: Any = None
--- a/plumpick/policy/actions.py
+++ b/plumpick/policy/actions.py
@@ -18,9 +18,9 @@
     remembers the first; what cannot leave by then, for a connection comes up late, must not leave at all."""
 
     id: int
-    server: str
-    allow_ms: float
-    within_ms: float = math.inf
+    endpoint: str
+    timeout_ms: float
+    start_within_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     """Final: it is safe to try again."""
 
     id: int
-    retry_in_ms: float = 0.0
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 class SetTimer:
     """Ask for a `Woken` event."""
 
-    after_ms: float
+    delay_ms: float
     name: str
 
 
@@ -66,7 +66,7 @@
 class ProbeEndpoint:
     """Ask a server for its load."""
 
-    server: str
+    endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,15 +78,15 @@
 class CommandCompleted:
     """The answer to an order, or to other settings: what is wrong, or nothing where they are in force."""
 
-    number: int
-    wrong: str = ""
+    id: int
+    error: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class SetAdmissionState:
     """From now on treat clients' connections so."""
 
-    stage: AdmissionState
+    state: AdmissionState
 
 
 @dataclass(frozen=True, slots=True)
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -287,17 +287,22 @@
         self.hold_ms = HOLD_PINGS * ping_ms(self.settings)
         self.boot, self.serial = random.Random(f"{self.boot}/{now}").choices(range(1 << 16), k=2)
         if self.pings_all():  # who tells nothing from the start may be cut off, and live by its own part
-            self.last_ms = dict.fromkeys(set(range(self.settings.gateways)) - {self.settings.number}, now)
+            self.last_ms = dict.fromkeys(
+                set(range(self.settings.gateway_count)) - {self.settings.gateway_number}, now
+            )
 
     def account(self, now: float, arrival: RequestReceived, plan: Plan) -> Account:
         """The customer's account, its buckets filled for the time gone by."""
         # Of one customer, what is said of its plan and set belongs together: a request that says otherwise in
         # its name must not bind the others.
-        name = arrival.customer, plan.name, arrival.spread, arrival.first_gateway
+        name = arrival.customer, plan.name, arrival.gateway_set_size, arrival.first_gateway
         account = self.accounts.get(name)
         if account is None:
-            spread, tag = max(1, min(arrival.spread, self.settings.gateways)), customer_tag(arrival.customer)
-            home = (arrival.first_gateway + owner_position(tag, spread)) % self.settings.gateways
+            spread, tag = (
+                max(1, min(arrival.gateway_set_size, self.settings.gateway_count)),
+                customer_tag(arrival.customer),
+            )
+            home = (arrival.first_gateway + owner_position(tag, spread)) % self.settings.gateway_count
             account = self.accounts[name] = Account(plan, tag, spread, home, now)
             account.slice = self.slice(account, arrival.first_gateway)
         gone_s = 0.0 if self.heir else (now - account.at_ms) / 1000
@@ -312,15 +317,15 @@
         part = min(1.0, mine / account.total) if account.total else 1 / account.spread
         account.own = min(plan.burst * OWN_PART * part, account.own + plan.rate_per_s * part * gone_s)
         # A ceiling is split for good and its parts start empty: a restart can't grant again what was spent.
-        most, fills = plan.ceiling_burst * account.slice, plan.ceiling_per_s * account.slice * gone_s
+        most, fills = plan.hard_limit_burst * account.slice, plan.hard_limit_per_s * account.slice * gone_s
         account.ceiling = min(most, account.ceiling + fills)
         return account
 
     def slice(self, account: Account, first: int) -> float:
         """Our part of its ceiling, with nobody's word; `first`: of its set."""
-        at = (self.settings.number - first) % self.settings.gateways
+        at = (self.settings.gateway_number - first) % self.settings.gateway_count
         place = (at - owner_position(account.tag, account.spread)) % account.spread
-        return REST_CEILING * slice_of(account.plan.ceiling_burst * REST_CEILING, account.spread, place)
+        return REST_CEILING * slice_of(account.plan.hard_limit_burst * REST_CEILING, account.spread, place)
 
     def forget(self, now: float, open_requests: Iterable[Request]) -> None:
         """Forget customers of whom nothing is open and whose buckets and stores are full again: they begin
@@ -331,8 +336,8 @@
             account = self.accounts[name]
             plan, gone_s = account.plan, (now - account.at_ms) / 1000
             idle = gone_s * 1000 > FORGET_MS and id(account) not in open_now and not account.out
-            fills = plan.ceiling_per_s * account.slice * gone_s
-            full = account.ceiling + fills >= plan.ceiling_burst * account.slice
+            fills = plan.hard_limit_per_s * account.slice * gone_s
+            full = account.ceiling + fills >= plan.hard_limit_burst * account.slice
             if (
                 idle
                 and account.own + plan.rate_per_s / account.spread * gone_s >= 0
@@ -346,21 +351,21 @@
     def request(self, now: float, request: Request) -> bool:
         """May this try go on? Where the bucket here lacks units, its home is asked."""
         account, plan, units = request.account, request.plan, request.arrival.units
-        if not (plan.rate_per_s or plan.max_out or plan.ceiling_per_s):
+        if not (plan.rate_per_s or plan.max_in_flight or plan.hard_limit_per_s):
             return True  # nothing is counted, so there is nothing to ask
-        if plan.rate_per_s and not plan.max_out and units <= account.own and self.draw(now, request):
+        if plan.rate_per_s and not plan.max_in_flight and units <= account.own and self.draw(now, request):
             return True
         # Danger: who asks for many times its quota, or repeats without end, floods its home's inbox, and
         # what is lost there is everyone's. So only so many ask as a home can hear.
-        heard = max(INBOX_PART * self.settings.inbox_per_s, ASK_MOST * plan.rate_per_s)
-        if not self.settings.inbox_per_s or self.rng.random() * account.total <= heard:
+        heard = max(INBOX_PART * self.settings.peer_inbox_per_s, ASK_MOST * plan.rate_per_s)
+        if not self.settings.peer_inbox_per_s or self.rng.random() * account.total <= heard:
             self.ask(now, request)
         return False
 
     def draw(self, now: float, request: Request) -> bool:
         """Send on from the buckets here, where the slice of the ceiling allows; the home is told."""
         account, units = request.account, request.arrival.units
-        if request.plan.ceiling_per_s and units > account.ceiling:
+        if request.plan.hard_limit_per_s and units > account.ceiling:
             return False
         account.own, account.ceiling, request.paid = account.own - units, account.ceiling - units, units
         self.tell_home(now, QuotaMessageKind.SPENT, request)
@@ -398,19 +403,22 @@
         self.ping(now)
 
     def pings_all(self) -> bool:
-        return self.settings.gateways - 1 <= PING_ALL
+        return self.settings.gateway_count - 1 <= PING_ALL
 
     def ping(self, now: float) -> None:
         """A life sign, where nothing else was told of late, to the homes of our customers."""
-        if self.settings.may_tell and not self.heir:
+        if self.settings.can_message_peers and not self.heir:
             gap_ms = ping_ms(self.settings)
             wide = (
-                range(self.settings.gateways)
+                range(self.settings.gateway_count)
                 if self.pings_all()
                 else ({account.home for account in self.accounts.values()})
             )
             for other in wide:
-                if other != self.settings.number and now - self.told_ms.get(other, -math.inf) >= gap_ms:
+                if (
+                    other != self.settings.gateway_number
+                    and now - self.told_ms.get(other, -math.inf) >= gap_ms
+                ):
                     self.outbox.setdefault(other, [])
 
     def ask(self, now: float, request: Request) -> None:
@@ -418,13 +426,13 @@
         self.tell_home(
             now,
             QuotaMessageKind.RETRY_GRANT_REQUEST
-            if request.arrival.is_repeat
+            if request.arrival.is_client_retry
             else QuotaMessageKind.GRANT_REQUEST,
             request,
         )
         if not request.answered:
             patience = max(ASK_LEAST_MS, ASK_TIMES * self.rtt_ms) * (request.account.home not in self.silent)
-            last_ms = request.came_ms + ASK_PART * request.kind.aim_ms
+            last_ms = request.came_ms + ASK_PART * request.kind.latency_objective_ms
             self.plan_at(min(now + patience, max(now, last_ms)), "ask", request.arrival.id)
 
     def unanswered(self, now: float, request: Request) -> bool:
@@ -433,7 +441,9 @@
         if request.answered:
             return False  # it waits at its home
         account = self.account(now, request.arrival, request.plan)
-        in_time = request.asks < ASK_TRIES and now < request.came_ms + ASK_PART * request.kind.aim_ms
+        in_time = (
+            request.asks < ASK_TRIES and now < request.came_ms + ASK_PART * request.kind.latency_objective_ms
+        )
         if in_time and account.home not in self.silent:
             self.ask(now, request)
             return False
@@ -444,7 +454,9 @@
             request.plan.rate_per_s or math.inf
         ):
             return False
-        return account.own >= 0 and not (request.plan.max_out and account.out) and self.draw(now, request)
+        return (
+            account.own >= 0 and not (request.plan.max_in_flight and account.out) and self.draw(now, request)
+        )
 
     def tell_home(self, now: float, kind: QuotaMessageKind, request: Request) -> None:
         account, place = request.account, self.plan_index.get(request.plan.name)
@@ -471,26 +483,26 @@
     def close(self, now: float, request: Request) -> None:
         """The request has ended: what it drew and did not use goes back, and its slot is free."""
         self.asking.pop(request.serial, None)
-        if request.serial and request.paid and request.attempts and not request.plan.max_out:
+        if request.serial and request.paid and request.attempts and not request.plan.max_in_flight:
             self.used.pop(request.serial, None)  # the newest last, also when the numbers have come round
             self.used[request.serial] = now
             while now - next(iter(self.used.values())) > DONE_MS:
                 del self.used[next(iter(self.used))]
-        if request.paid and (not request.attempts or request.plan.max_out):
+        if request.paid and (not request.attempts or request.plan.max_in_flight):
             self.tell_home(now, QuotaMessageKind.RETURNED, request)
 
     def say(self, now: float, gateway: int, item: QuotaMessage, boot: int = -1) -> None:
         """`boot`: of which life of that gateway, if not ours. Of our own number another process may live."""
-        if gateway == self.settings.number and not self.heir and boot in (-1, self.boot):
+        if gateway == self.settings.gateway_number and not self.heir and boot in (-1, self.boot):
             self.hear(now, gateway, self.boot, item)
-        elif self.settings.may_tell or gateway == self.settings.number:
+        elif self.settings.can_message_peers or gateway == self.settings.gateway_number:
             self.outbox.setdefault(gateway, []).append(item)
 
     def post(self, now: float, most: int) -> list[tuple[int, list[QuotaMessage]]]:
         """What each gateway is told now, `most` items each. Danger: what comes faster than an inbox takes is
         lost; so while ours is half full, which stands in for our peers', business waits for more to go."""
         self.heard_ms = {other: ms for other, ms in self.heard_ms.items() if now - ms <= TALKING_MS}
-        room = TELL_PART * self.settings.inbox_per_s or math.inf
+        room = TELL_PART * self.settings.peer_inbox_per_s or math.inf
 
         def gap(other: int) -> float:
             full = min(1.0, max(0.0, 2 * self.heard / room - 1))
@@ -515,14 +527,14 @@
                 self.at_home(now, (sender, boot, item.serial), item)
             return
         request = self.asking.get(item.serial)
-        if request is None or request.account.tag != item.tag or request.account.home != sender:
+        if request is None or request.account.tag != item.customer_tag or request.account.home != sender:
             # It has ended meanwhile. Danger: a question asked twice is granted twice, and where the first
             # grant was used the second is no unit to give back. Seen: a third of what went out beyond quotas.
             if item.kind is QuotaMessageKind.GRANT and item.serial not in self.used:
                 self.say(now, sender, item._replace(kind=QuotaMessageKind.RETURNED))
             return
         account = request.account
-        account.total, account.total_ms = item.asked_per_s, now
+        account.total, account.total_ms = item.demand_per_s, now
         account.told, account.told_ms = account.total, now
         if request.asks == 1 and not request.answered:
             self.rtt_ms += (now - request.asked_ms - self.rtt_ms) * USUAL_GAIN
@@ -532,7 +544,7 @@
         elif not request.paid:
             request.paid = request.arrival.units * (item.kind is QuotaMessageKind.GRANT)
             if not request.paid:  # its home drops it then, so nothing is waited for any longer
-                kept_ms = request.kind.aim_ms * (1 - ANSWER_PART)
+                kept_ms = request.kind.latency_objective_ms * (1 - ANSWER_PART)
                 self.plan_at(request.asked_ms + kept_ms, "expired", request.arrival.id)
             self.answered(request, item.kind is QuotaMessageKind.GRANT)
 
@@ -545,17 +557,17 @@
             or Store(plan, plan.burst, now, kept=plan.burst, born_ms=now)
         )
         self.stores[name] = store
-        if not store.members and item.spread > 1:
-            first = self.settings.number - owner_position(item.tag, item.spread)
+        if not store.members and item.gateway_set_size > 1:
+            first = self.settings.gateway_number - owner_position(item.customer_tag, item.gateway_set_size)
             store.members = tuple(
-                {(first + place) % self.settings.gateways for place in range(item.spread)}
-                - {self.settings.number}
+                {(first + place) % self.settings.gateway_count for place in range(item.gateway_set_size)}
+                - {self.settings.gateway_number}
             )
         queued = any(ask.key == key for ask in store.queue)
         asked = item.kind in (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETRY_GRANT_REQUEST)
         if asked:
             if key[0] not in store.askers and now - store.born_ms <= DEMAND_MEMORY_MS:
-                begin_with(store, item.asked_per_s - item.units * 1000 / DEMAND_MEMORY_MS)
+                begin_with(store, item.demand_per_s - item.units * 1000 / DEMAND_MEMORY_MS)
             store.askers[key[0]] = now
         if asked and key in store.done:
             if key in store.spent:
@@ -563,8 +575,8 @@
             self.reply(now, QuotaMessageKind.GRANT, key, item, store)  # the first answer was lost
         elif asked and not queued:
             store.asked += item.units
-            worth = kind.worth if item.kind is QuotaMessageKind.GRANT_REQUEST else 0.0
-            ask = Ask(key, item, worth, now, now + kind.aim_ms * (1 - ANSWER_PART))
+            worth = kind.priority_weight if item.kind is QuotaMessageKind.GRANT_REQUEST else 0.0
+            ask = Ask(key, item, worth, now, now + kind.latency_objective_ms * (1 - ANSWER_PART))
             store.queue.append(ask)
             self.serve(now, name)
             if ask in store.queue:
@@ -588,11 +600,11 @@
             store.spent.add(key)
             # Danger: it went out on credit, and the grant that comes too late would be given back. Seen: 21
             # units beyond a quota of 20 s, with messages late by 200 ms. If it was given back, it is booked.
-            if key in store.backs and not plan.max_out:
+            if key in store.backs and not plan.max_in_flight:
                 store.level = max(min(-plan.burst, store.level), store.level - item.units)
             store.backs.add(key)
         elif item.kind is QuotaMessageKind.RETURNED:
-            free = store.leases.pop(key, None) is None and key in store.done and not plan.max_out
+            free = store.leases.pop(key, None) is None and key in store.done and not plan.max_in_flight
             if free and key not in store.backs:  # once: two late grants bring two of them
                 store.backs.add(key)
                 store.level = min(plan.burst, store.level + item.units)
@@ -608,12 +620,12 @@
         kept = store.kept + plan.rate_per_s * (1 - part) * gone_s
         store.kept = min(plan.burst, kept) * (1.0 if part < 1 else math.exp(-gone_s * 1000 / TALKING_MS))
         store.level = min(plan.burst, store.level + plan.rate_per_s * part * gone_s)
-        ceiling_per_s = plan.ceiling_per_s * HOME_CEILING
-        store.ceiling = min(plan.ceiling_burst * HOME_CEILING, store.ceiling + ceiling_per_s * gone_s)
+        ceiling_per_s = plan.hard_limit_per_s * HOME_CEILING
+        store.ceiling = min(plan.hard_limit_burst * HOME_CEILING, store.ceiling + ceiling_per_s * gone_s)
         store.queue = sorted(
             (ask for ask in store.queue if ask.until_ms > now), key=lambda ask: (ask.worth, ask.came_ms)
         )
-        if plan.max_out:
+        if plan.max_in_flight:
             store.leases = {key: until for key, until in store.leases.items() if until > now}
         while store.queue:
             ask, wait_s = store.queue[-1], 0.0
@@ -621,12 +633,12 @@
                 # Lesser worth leaves a reserve; a client's repeat, whose aim has mostly gone by, the most.
                 left = spare(store, ask, top)
                 wait_s = (ask.item.units + left - store.level) / (plan.rate_per_s * part)
-            if plan.ceiling_per_s:
+            if plan.hard_limit_per_s:
                 wait_s = max(wait_s, (ask.item.units - store.ceiling) / ceiling_per_s)
-            if plan.max_out and len(store.leases) >= plan.max_out:
+            if plan.max_in_flight and len(store.leases) >= plan.max_in_flight:
                 wait_s = max(wait_s, (min(store.leases.values()) - now) / 1000)
             if wait_s > 0:
-                if plan.rate_per_s and not plan.max_out:
+                if plan.rate_per_s and not plan.max_in_flight:
                     self.deny(now, store, top, plan.rate_per_s * part)
                 if store.queue and not now < store.wake_ms <= now + wait_s * 1000 + PERIOD_MS:
                     store.wake_ms = now + wait_s * 1000 + self.settings.tick_ms
@@ -659,14 +671,16 @@
         store.done[key] = now
         floor = min(-store.plan.burst, store.level)  # it may have had more to owe by
         store.level, store.ceiling = max(floor, store.level - item.units), store.ceiling - ceiling
-        if store.plan.max_out:
-            store.leases[key] = now + LEASE_AIMS * self.settings.classes[item.class_index].aim_ms
+        if store.plan.max_in_flight:
+            store.leases[key] = (
+                now + LEASE_AIMS * self.settings.classes[item.class_index].latency_objective_ms
+            )
 
     def reply(
         self, now: float, kind: QuotaMessageKind, key: tuple[int, int, int], item: QuotaMessage, store: Store
     ) -> None:
         asked = store.asked * 1000 / DEMAND_MEMORY_MS
-        self.say(now, key[0], item._replace(kind=kind, asked_per_s=asked), key[1])
+        self.say(now, key[0], item._replace(kind=kind, demand_per_s=asked), key[1])
 
 
 class Servers(ServersState):
@@ -675,11 +689,11 @@
     def update(self, now: float, fleet: EndpointsUpdated) -> list[Backend]:
         """Take in discovery's view; the answer is the servers that just left service."""
         before = self.warm + self.cold
-        listed = {server.id for server in fleet.servers}
+        listed = {server.id for server in fleet.endpoints}
         for name, backend in self.known.items():
-            if fleet.complete and name not in listed:
+            if fleet.is_snapshot and name not in listed:
                 backend.entry = replace(backend.entry, state=EndpointState.GONE)
-        for server in fleet.servers:
+        for server in fleet.endpoints:
             known = self.known.get(server.id)
             if known is None or known.entry.started_ms != server.started_ms:  # what restarted has no past
                 known = self.known[server.id] = Backend(server, place=subsetting.place_of(server.id))
@@ -723,10 +737,12 @@
             self.capacity += share
         self.reference = max(self.capacity, self.reference)
         ready.sort(key=lambda row: (row[0].place, row[0].entry.id))
-        arc = set(map(id, subsetting.arc_of(ready, self.settings.gateways, self.settings.number)))
+        arc = set(
+            map(id, subsetting.arc_of(ready, self.settings.gateway_count, self.settings.gateway_number))
+        )
         self.near = [backend for backend in self.warm if id(backend) in arc]
         self.near_cold = [backend for backend in self.cold if id(backend) in arc]
-        self.near_part = subsetting.share(self.capacity, self.settings.gateways)
+        self.near_part = subsetting.share(self.capacity, self.settings.gateway_count)
 
     def step(self, now: float) -> None:
         """One period has gone by."""
@@ -771,10 +787,13 @@
     def warmth(self, now: float, backend: Backend) -> float:
         """The share of its capacity that a server surely has by now."""
         began_ms = self.bans.began_ms(now, backend.entry.id, backend.entry.started_ms)
-        age, warm_up = now - began_ms, self.settings.warm_up_ms
+        age, warm_up = now - began_ms, self.settings.slow_start_ms
         if not began_ms or age >= warm_up:
             return 1.0
-        return self.settings.cold_from + (1 - self.settings.cold_from) * max(0.0, age) / warm_up
+        return (
+            self.settings.slow_start_initial_ratio
+            + (1 - self.settings.slow_start_initial_ratio) * max(0.0, age) / warm_up
+        )
 
     @staticmethod
     def slow(now: float, backend: Backend) -> float:
@@ -799,7 +818,7 @@
         if len(warm) < FEW_NEAR:  # of the arc too few are left
             warm = self.warm if group is None else [backend for backend in self.warm if backend in group]
         name, best, best_cost = request.kind.name, None, math.inf
-        fragile = 2 if request.kind.repeat is Idempotency.NON_IDEMPOTENT else 1
+        fragile = 2 if request.kind.idempotency is Idempotency.NON_IDEMPOTENT else 1
         if self.near_cold and now >= request.toss_ms:
             # Danger: a cold server falls over for good when all gateways overdo it. So chance decides, once
             # for each attempt: over all gateways it gets the part that its warmth is of the fleet of late.
@@ -810,7 +829,7 @@
                     return backend
             # With few warm ones it gets more, as far as the rule's multiple surely allows: what the warm ones
             # cannot carry would wait for a place that nobody has.
-            fleet = max(self.capacity, self.reference / max(1.0, COLD_PART * self.settings.fall_multiple))
+            fleet = max(self.capacity, self.reference / max(1.0, COLD_PART * self.settings.overload_multiple))
             toss = self.rng.random() * fleet * self.near_part
             for backend in self.near_cold:
                 toss -= self.warmth(now, backend)
@@ -853,17 +872,19 @@
         """Whether a cold server may be sent one more of ours. Chance alone gives it its part on the mean, and
         now and then several times that within the rule's window; so we send no more than the multiple of what
         a warm server gets of us, by its warmth. What all of us send then keeps the budget at any load."""
-        window_ms = self.settings.fall_window_ms
+        window_ms = self.settings.overload_window_ms
         backend.cold_ms = [ms for ms in backend.cold_ms if now - ms < window_ms]
         count = max(1.0, len(self.near), self.reference * self.near_part)  # of late: a few would have more
         usual = self.sends * window_ms / REPORT_MEMORY_MS / count
-        if len(backend.cold_ms) >= max(1.0, self.settings.fall_multiple * self.warmth(now, backend) * usual):
+        if len(backend.cold_ms) >= max(
+            1.0, self.settings.overload_multiple * self.warmth(now, backend) * usual
+        ):
             return False
         backend.cold_ms.append(now)
         return True
 
     def report(self, now: float, backend: Backend, load: tuple[float, ...]) -> None:
-        values = dict(zip(self.settings.report_fields, load, strict=False))
+        values = dict(zip(self.settings.load_report_fields, load, strict=False))
         busy = UTIL_LOAD * max(0.0, min(1.0, values.get("util", 0.0)))
         backend.others = max(0.0, values["inflight"] - backend.out) if "inflight" in values else busy
         backend.report_ms = now
@@ -901,7 +922,7 @@
         while, and a failure that it tells only if another peer, or we, saw one too."""
         weight = HEARD_WEIGHT / (1 + CHOICE_PER_SEND * self.sends / max(1, len(self.near)))
         for seen in sightings:
-            backend = self.by_tag.get(seen.server)
+            backend = self.by_tag.get(seen.endpoint_tag)
             if backend is None or now - backend.words.get(sender, -math.inf) < WORD_GAP_MS:
                 continue
             backend.words[sender] = now
@@ -924,20 +945,22 @@
         self.classes = {kind.name: kind for kind in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
         self.window, self.servers = (
-            Window(settings.gateways),
+            Window(settings.gateway_count),
             Servers(
                 settings,
                 self.rng,
                 {name: n for n, name in enumerate(self.classes)},
-                Bans(settings.warm_up_ms),
+                Bans(settings.slow_start_ms),
             ),
         )
         self.shares = {
-            kind.name: FuzzyShare(kind.aim_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
+            kind.name: FuzzyShare(kind.latency_objective_ms * (1 - ANSWER_PART), 1 / len(settings.classes))
             for kind in settings.classes
         }
         self.waits: dict[str, list[float]] = {kind.name: [] for kind in settings.classes}
-        self.usual = {kind.name: min(USUAL_START_MS, kind.aim_ms / 4) for kind in settings.classes}
+        self.usual = {
+            kind.name: min(USUAL_START_MS, kind.latency_objective_ms / 4) for kind in settings.classes
+        }
         self.quota = Quota(
             settings,
             self.rng,
@@ -949,7 +972,9 @@
         )
         # What the worthiest request inside its quota is worth.
         self.top_rank = (
-            max(kind.worth for kind in settings.classes) * max(plan.value for plan in settings.plans) or 1.0
+            max(kind.priority_weight for kind in settings.classes)
+            * max(plan.priority_factor for plan in settings.plans)
+            or 1.0
         )
         self.timely = {kind.name: 1.0 for kind in settings.classes}  # share of answers within their aim
         self.requests: dict[int, Request] = {}
@@ -985,7 +1010,7 @@
         self.begun = self.begun or self.stage(self.quota.begin, now_ms)
         for event in events:
             self.stage(self.take_in, event, left)
-        for request in list(self.requests.values()) if left and self.settings.second_copies else ():
+        for request in list(self.requests.values()) if left and self.settings.can_hedge else ():
             self.stage(self.copy_elsewhere, request, left)
         while self.agenda and self.agenda[0][0] <= now_ms + CLOCK_GRAIN_MS:
             _, _, what, number = heapq.heappop(self.agenda)
@@ -1017,7 +1042,7 @@
                 self.on_arrival(event)
             case ResponseStarted() if event.id in self.requests:
                 self.requests[event.id].streaming = True
-                self.requests[event.id].once |= not event.kept
+                self.requests[event.id].once |= not event.is_body_retained
                 self.cancel_others(self.requests[event.id], event.attempt)
             case ClientDisconnected() if event.id in self.requests:
                 self.close(self.requests[event.id])
@@ -1027,28 +1052,28 @@
                 self.on_order(event)
             case SettingsChanged():
                 wrong = reconfiguration.apply(self, self.now, event.settings)
-                self.actions.append(CommandCompleted(event.number, wrong))
+                self.actions.append(CommandCompleted(event.id, wrong))
             case ExportState():
                 self.actions.append(StateExported(snapshot.leave(self)))
             case ImportState():
                 snapshot.take_over(self, self.now, event.state)
             case ResumeAfterFailedHandover():
                 snapshot.resume(self, self.now)
-            case EndpointsUpdated() if not event.failed:
+            case EndpointsUpdated() if not event.is_failure:
                 left += self.servers.update(self.now, event)
                 self.window.set_limit(self.servers.capacity)
             case EndpointsUpdated():
-                self.plan_at(self.now + self.settings.ask_within_ms / 4, "subscribe")
+                self.plan_at(self.now + self.settings.watch_retry_ms / 4, "subscribe")
 
     def copy_elsewhere(self, request: Request, left: list[Backend]) -> None:
         """A server that leaves may be dead before it has answered: safe work out there goes elsewhere too."""
         at_risk = len(request.out) == 1 and next(iter(request.out.values())) in left
-        if at_risk and request.kind.repeat is Idempotency.IDEMPOTENT and not request.streaming:
+        if at_risk and request.kind.idempotency is Idempotency.IDEMPOTENT and not request.streaming:
             self.again(request)
 
     def post(self) -> None:
         """Tell the others what is due to them."""
-        posts = self.quota.post(self.now, self.codec.max_items) if self.quota.outbox else []
+        posts = self.quota.post(self.now, self.codec.max_quota_messages) if self.quota.outbox else []
         seen = [seen for ms, seen in self.servers.sightings if self.now - ms <= SIGHTING_MS] if posts else []
         for gateway, items in posts:
             self.stage(self.tell, gateway, items, seen)
@@ -1089,7 +1114,7 @@
         elif what == "door":
             self.actions.append(SetAdmissionState(self.draining.stage(self.now)))
         elif what == "subscribe":
-            self.actions += [WatchEndpoints()] * self.settings.must_subscribe
+            self.actions += [WatchEndpoints()] * self.settings.must_request_watch
         elif request is None or request.streaming:
             return
         elif what == "ask":
@@ -1100,7 +1125,7 @@
         elif what == "hedge":  # a second copy for an attempt that takes too long, while there is room
             for backend in request.out.values() if not self.stalled else ():  # silence is a failure too
                 self.servers.learn(self.now, backend, request.kind.name, math.inf, SUSPECT)
-            room = self.settings.second_copies and self.window.mean_out < HEDGE_ROOM * self.window.limit
+            room = self.settings.can_hedge and self.window.mean_out < HEDGE_ROOM * self.window.limit
             if room and len(request.out) == 1:
                 (number,) = request.out
                 chance = self.late_chance(self.attempts[request.arrival.id, number])
@@ -1136,7 +1161,7 @@
             attempt.lost += self.window.write_off(self.now, 1 - attempt.chance - attempt.lost)
             next_ms = min(next_ms, attempt.look_ms)
         # The place that an attempt leaves is first of all its copy's.
-        if self.settings.second_copies and len(request.out) == 1:
+        if self.settings.can_hedge and len(request.out) == 1:
             (number,) = request.out
             attempt = self.attempts[request.arrival.id, number]
             if (
@@ -1196,46 +1221,46 @@
     def on_heard(self, event: PeerMessageReceived) -> None:
         """What another gateway tells; bytes that cannot be read and unknown senders change nothing."""
         news = self.codec.decode(event.data)
-        if news is None or event.sender >= self.settings.gateways:
+        if news is None or event.sender >= self.settings.gateway_count:
             return
-        if event.sender == self.settings.number:  # another process of ours: of quotas alone
-            for item in news.items if self.quota.kin and news.boot != self.quota.boot else ():
-                self.quota.hear(self.now, event.sender, news.boot, item)
+        if event.sender == self.settings.gateway_number:  # another process of ours: of quotas alone
+            for item in news.quota_messages if self.quota.kin and news.incarnation != self.quota.boot else ():
+                self.quota.hear(self.now, event.sender, news.incarnation, item)
             return
-        most = PEAK_GROWTH * START_PER_SERVER * self.servers.capacity / self.settings.gateways
-        self.window.fleet_room += (min(news.room, most) - self.window.fleet_room) * FLEET_GAIN
+        most = PEAK_GROWTH * START_PER_SERVER * self.servers.capacity / self.settings.gateway_count
+        self.window.fleet_room += (min(news.capacity, most) - self.window.fleet_room) * FLEET_GAIN
         if not self.stalled:
-            self.servers.hear(self.now, event.sender, news.sightings)
+            self.servers.hear(self.now, event.sender, news.outlier_reports)
         self.quota.is_heard(self.now, event.sender)
-        for item in news.items:
-            self.quota.hear(self.now, event.sender, news.boot, item)
+        for item in news.quota_messages:
+            self.quota.hear(self.now, event.sender, news.incarnation, item)
 
     def on_order(self, order: OperatorCommand) -> None:
         """An operator's call; it is in force before it is answered."""
         wrong = ""
-        if order.call is CommandKind.DRAIN:
+        if order.kind is CommandKind.DRAIN:
             if self.draining.drain(self.now):
                 for at_ms in self.draining.times():
                     self.plan_at(at_ms, "door")
-        elif order.call is CommandKind.UNDRAIN:
+        elif order.kind is CommandKind.UNDRAIN:
             if self.draining.undrain() is not None:
                 self.plan_at(self.now, "door")
         else:
-            wrong = self.servers.order(self.now, order.call, order.server)
+            wrong = self.servers.order(self.now, order.kind, order.endpoint)
             self.window.set_limit(self.servers.capacity)
-        self.actions.append(CommandCompleted(order.number, wrong))
+        self.actions.append(CommandCompleted(order.id, wrong))
 
     def on_arrival(self, arrival: RequestReceived) -> None:
         # Compiled, each is looked at when it is read; plain, what is of a wrong type would go some way.
         words = arrival.customer, arrival.class_name, arrival.plan_name
         if not (
             isinstance(arrival.id, int)
-            and isinstance(arrival.is_repeat, bool)
+            and isinstance(arrival.is_client_retry, bool)
             and all(isinstance(word, str) for word in words)
         ):
             raise TypeError(f"an arrival with a part of a wrong type: {arrival!r}")
         kind, plan = self.classes.get(arrival.class_name), self.plans.get(arrival.plan_name)
-        if kind is None or plan is None or not arrival.due_ms > self.now or arrival.id in self.requests:
+        if kind is None or plan is None or not arrival.deadline_ms > self.now or arrival.id in self.requests:
             self.actions.append(RejectRequest(arrival.id))
             return
         if self.admits is not None and not self.admits(arrival):
@@ -1244,14 +1269,16 @@
         account = self.quota.account(self.now, arrival, plan)
         account.asked += arrival.units
         # An answer just after the aim is worth little or nothing, so waiting must leave time for the answer.
-        aim_ms, worth = self.now + kind.aim_ms, kind.worth * plan.value
+        aim_ms, worth = self.now + kind.latency_objective_ms, kind.priority_weight * plan.priority_factor
         request = self.requests[arrival.id] = Request(arrival, kind, plan, account, self.now, aim_ms, worth)
-        self.plan_at(arrival.due_ms - 2 * self.settings.tick_ms, "due", arrival.id)
-        last = arrival.due_ms if kind.late_worth > 0 else min(arrival.due_ms, request.aim_ms)
+        self.plan_at(arrival.deadline_ms - 2 * self.settings.tick_ms, "due", arrival.id)
+        last = (
+            arrival.deadline_ms if kind.late_priority_weight > 0 else min(arrival.deadline_ms, request.aim_ms)
+        )
         impatient = self.now + ANSWER_PART * (last - self.now)  # it leaves less than an answer usually takes
         # Refused by half of its time a client can still use the rest: a late refusal is worse than an early
         # one. A retry with little time left would else be held for most of that, as answers take less.
-        patient = self.now + HOLD_PART * (arrival.due_ms - self.now)
+        patient = self.now + HOLD_PART * (arrival.deadline_ms - self.now)
         self.plan_at(min(patient, max(last - self.answer_time(kind), impatient)), "hopeless", arrival.id)
         if self.quota.request(self.now, request):
             self.let_in(request)
@@ -1261,9 +1288,9 @@
         plan = request.plan
         if granted:
             self.let_in(request)
-        elif plan.over_worth > plan.over_cost and not plan.ceiling_per_s:
+        elif plan.over_quota_weight > plan.over_quota_cost and not plan.hard_limit_per_s:
             self.quota.asking.pop(request.serial)
-            request.inside, request.rank = False, request.rank * plan.over_worth
+            request.inside, request.rank = False, request.rank * plan.over_quota_weight
             self.let_in(request)
 
     def on_denied(self, request: Request) -> None:
@@ -1328,12 +1355,12 @@
             StartAttempt(
                 number,
                 backend.entry.id,
-                max(1.0, request.arrival.due_ms - self.now),
+                max(1.0, request.arrival.deadline_ms - self.now),
                 self.repeat_left(request) if request.uncertain else math.inf,
             )
         )
         self.attempts[number, request.attempts] = Attempt(
-            backend, request.kind.name, self.now, request.kind.aim_ms
+            backend, request.kind.name, self.now, request.kind.latency_objective_ms
         )
         request.out[request.attempts] = backend
         request.tried.append(backend)
@@ -1349,33 +1376,36 @@
     def allowed(self, request: Request) -> list[Backend] | None:
         """The only servers that rule 2 (its group and window) leaves to this request now; None for all."""
         kind, same = request.kind, request.anchor
-        if same is None or not request.uncertain or kind.repeat is Idempotency.IDEMPOTENT:
+        if same is None or not request.uncertain or kind.idempotency is Idempotency.IDEMPOTENT:
             return None
-        if kind.repeat is Idempotency.NON_IDEMPOTENT or self.repeat_left(request) <= 0:
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT or self.repeat_left(request) <= 0:
             return []
         # The group as it was when the first went out; what started since then remembers nothing of it.
         return [
             backend
             for backend in self.servers.warm + self.servers.cold
             if backend.entry.started_ms <= request.anchor_ms
-            and (kind.scope is DeduplicationScope.ALL or backend.entry.zone == same.zone)
-            and (kind.scope is not DeduplicationScope.GROUP or backend.entry.cell == same.cell)
+            and (kind.deduplication_scope is DeduplicationScope.ALL or backend.entry.zone == same.zone)
+            and (
+                kind.deduplication_scope is not DeduplicationScope.GROUP
+                or backend.entry.deduplication_group == same.deduplication_group
+            )
         ]
 
     def repeat_left(self, request: Request) -> float:
         """For how long from now a further attempt may still leave."""
-        if request.kind.repeat is Idempotency.IDEMPOTENT:
+        if request.kind.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
         spare = max(REPEAT_SPARE_MS, self.settings.tick_ms)
-        return request.anchor_ms + request.kind.window_ms - spare - self.now
+        return request.anchor_ms + request.kind.deduplication_window_ms - spare - self.now
 
     def answer_time(self, kind: RequestClass) -> float:
         """What an attempt is taken to need. Bounded: past the aim all would be refused, and nothing heal."""
-        return min(SAFE_TIMES * self.usual[kind.name], ANSWER_PART * kind.aim_ms)
+        return min(SAFE_TIMES * self.usual[kind.name], ANSWER_PART * kind.latency_objective_ms)
 
     def may_repeat(self, request: Request) -> bool:
         """Whether a further attempt could still be in time, and rule 2 leaves it a server."""
-        left = min(request.aim_ms, request.arrival.due_ms) - self.now
+        left = min(request.aim_ms, request.arrival.deadline_ms) - self.now
         return (
             left >= self.answer_time(request.kind)
             and request.attempts < self.settings.max_attempts
@@ -1387,7 +1417,7 @@
         """A further attempt, where it can still be in time and the budget allows it. `chance`: that the one
         before still answers; the less likely, the less the copy is a load more than was asked for. What may
         gain the most (worth x chance in time) may take the last token."""
-        left = min(request.aim_ms, request.arrival.due_ms) - self.now
+        left = min(request.aim_ms, request.arrival.deadline_ms) - self.now
         gain = request.rank * min(1.0, left / max(1.0, 2 * self.answer_time(request.kind))) / self.top_rank
         price = max(RETRY_LEAST, chance)
         least = price + RETRY_RESERVE * RETRY_MOST * max(0.0, 1 - gain)
@@ -1416,15 +1446,15 @@
                 self.late.setdefault(view, Late(0.0, 0.0)).learn(max(0.0, spans), answered)
         self.window.full, self.window.ended = self.window.full + full, self.window.ended + 1
         usual, ratio = self.usual[class_name], math.inf
-        if event.load:
-            self.servers.report(self.now, backend, event.load)
+        if event.load_report:
+            self.servers.report(self.now, backend, event.load_report)
         if event.result is AttemptResult.OK:
             self.window.answered_ms += attempt.aim_ms
             self.window.well += 1
-            timely = event.took_ms <= attempt.aim_ms
+            timely = event.latency_ms <= attempt.aim_ms
             self.timely[class_name] += (timely - self.timely[class_name]) * USUAL_GAIN
-            ratio = event.took_ms / usual
-            self.usual[class_name] += (event.took_ms - usual) * USUAL_GAIN * (not self.stalled)
+            ratio = event.latency_ms / usual
+            self.usual[class_name] += (event.latency_ms - usual) * USUAL_GAIN * (not self.stalled)
         # After a stall our own pause would be taken for the server's slowness.
         if event.result not in (AttemptResult.CANCELLED, AttemptResult.NOT_STARTED) and not self.stalled:
             self.servers.learn(self.now, backend, class_name, ratio, 1.0)
@@ -1432,15 +1462,18 @@
             return
         request.out.pop(event.attempt, None)
         request.uncertain -= event.result.proves_not_executed
-        if event.final:
+        if event.is_final:
             self.close(request)
         elif not request.out and not self.again(request):
             self.refuse_or_fail(request)
 
     def refuse_or_fail(self, request: Request) -> None:
         """The final answer. A refusal says that a retry is harmless, so only where that is certain."""
-        keyed = request.kind.repeat is Idempotency.KEYED and request.kind.scope is DeduplicationScope.ALL
-        if request.kind.repeat is Idempotency.IDEMPOTENT or keyed or not request.uncertain:
+        keyed = (
+            request.kind.idempotency is Idempotency.KEYED
+            and request.kind.deduplication_scope is DeduplicationScope.ALL
+        )
+        if request.kind.idempotency is Idempotency.IDEMPOTENT or keyed or not request.uncertain:
             advice = max(TELL_MS, request.arrival.units * 1000 / (request.plan.rate_per_s or math.inf))
             self.actions.append(
                 RejectRequest(request.arrival.id, min(advice, self.settings.max_retry_after_ms))
@@ -1459,5 +1492,5 @@
         self.cancel_others(request, -1)
 
     def cancel_others(self, request: Request, keep: int) -> None:
-        copies = request.out if self.settings.may_cancel else ()
+        copies = request.out if self.settings.can_cancel_attempts else ()
         self.actions.extend(CancelAttempt(request.arrival.id, n) for n in copies if n != keep)
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -46,7 +46,7 @@
 
     id: str
     zone: str
-    cell: int
+    deduplication_group: int
     state: EndpointState
     weight: float = 1.0
     started_ms: float = 0.0  # 0: long ago
@@ -56,9 +56,9 @@
 class EndpointsUpdated:
     """Discovery's view. `complete` lists replace the old one; `failed` ones carry nothing."""
 
-    servers: tuple[Endpoint, ...]
-    complete: bool = True
-    failed: bool = False
+    endpoints: tuple[Endpoint, ...]
+    is_snapshot: bool = True
+    is_failure: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,11 +69,11 @@
     customer: str
     class_name: str
     plan_name: str
-    due_ms: float
+    deadline_ms: float
     units: float = 1.0
     first_gateway: int = 0
-    spread: int = 1
-    is_repeat: bool = False
+    gateway_set_size: int = 1
+    is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,8 +82,8 @@
 
     id: int
     attempt: int
-    server: str
-    kept: bool = True  # False: its body goes on while it comes, so there is no further attempt
+    endpoint: str
+    is_body_retained: bool = True  # False: its body goes on while it comes, so there is no further attempt
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,13 +92,13 @@
 
     id: int
     attempt: int
-    server: str
-    took_ms: float
+    endpoint: str
+    latency_ms: float
     result: AttemptResult
-    final: bool
-    true_units: float = 0.0
-    used_percent: int = 0  # 1 + percent; 0: not told
-    load: tuple[float, ...] = ()
+    is_final: bool
+    actual_units: float = 0.0
+    quota_used_percent: int = 0  # 1 + percent; 0: not told
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,10 +127,10 @@
 class ProbeCompleted:
     """The answer to a probe."""
 
-    server: str
-    took_ms: float
+    endpoint: str
+    latency_ms: float
     result: AttemptResult
-    load: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,16 +153,16 @@
 class OperatorCommand:
     """An operator's call; `number` names it in the answer, `server` the worker that it is about."""
 
-    number: int
-    call: CommandKind
-    server: str = ""
+    id: int
+    kind: CommandKind
+    endpoint: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
     """Other settings from now on; `number` names this in the answer, a `Said`: refused, nothing changes."""
 
-    number: int
+    id: int
     settings: Settings
 
 
--- a/plumpick/policy/housekeeping.py
+++ b/plumpick/policy/housekeeping.py
@@ -28,4 +28,6 @@
 
     Danger: the inbox is the tier's scarcest good. Seen at 40 gateways that each sent 39 life signs every
     500 ms: 1,600 of 2,400 messages a second that all inboxes take, and one of five lost, business as well."""
-    return max(PING_MS, 1000 * (settings.gateways - 1) / (PING_PART * (settings.inbox_per_s or math.inf)))
+    return max(
+        PING_MS, 1000 * (settings.gateway_count - 1) / (PING_PART * (settings.peer_inbox_per_s or math.inf))
+    )
--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -51,19 +51,19 @@
     """One piece of business about one try of a customer."""
 
     kind: QuotaMessageKind
-    tag: int
+    customer_tag: int
     serial: int
     units: float
-    asked_per_s: float  # of the sender; from a home, of the whole set
+    demand_per_s: float  # of the sender; from a home, of the whole set
     class_index: int
     plan_index: int
-    spread: int = 1  # gateways of the customer's set; 0 where it is wider than MAX_SPREAD
+    gateway_set_size: int = 1  # gateways of the customer's set; 0 where it is wider than MAX_SPREAD
 
 
 class OutlierReport(NamedTuple):
     """How one attempt at a server went at the sender."""
 
-    server: int
+    endpoint_tag: int
     class_index: int
     grade: int
 
@@ -71,10 +71,10 @@
 class PeerMessage(NamedTuple):
     """One message."""
 
-    boot: int
-    room: float
-    items: tuple[QuotaMessage, ...]
-    sightings: tuple[OutlierReport, ...]
+    incarnation: int
+    capacity: float
+    quota_messages: tuple[QuotaMessage, ...]
+    outlier_reports: tuple[OutlierReport, ...]
 
 
 _FAILED, _EVEN = 15, 4  # grades: failed; as fast as usual, with two grades for each doubling
@@ -136,34 +136,36 @@
         self._item = struct.Struct(_ITEM + _width(self.classes * self.plans))
         self._sighting = struct.Struct(_SIGHTING + _width(self.classes * _GRADES))
         room = MAX_BYTES - self._head.size - MAX_OUTLIER_REPORTS * self._sighting.size
-        self.max_items = room // self._item.size
+        self.max_quota_messages = room // self._item.size
 
     def encode(
         self, boot: int, room: float, items: list[QuotaMessage], sightings: list[OutlierReport]
     ) -> bytes:
         """The message; items and sightings beyond what it holds are left out. Raises ValueError where an
         index is none of the settings': packed all the same, it would be another class's."""
-        items, sightings = items[: self.max_items], sightings[:MAX_OUTLIER_REPORTS]
+        items, sightings = items[: self.max_quota_messages], sightings[:MAX_OUTLIER_REPORTS]
         parts = [self._head.pack(self.version, self.digest, boot & 0xFFFF, _clip(room * 64), len(items))]
         for item in items:
             if not (0 <= item.class_index < self.classes and 0 <= item.plan_index < self.plans):
                 raise ValueError(f"no index of class and plan: {item!r}")
-            kind = item.kind << 4 | (item.spread if item.spread <= MAX_ENCODED_SET_SIZE else 0)
+            kind = item.kind << 4 | (
+                item.gateway_set_size if item.gateway_set_size <= MAX_ENCODED_SET_SIZE else 0
+            )
             parts.append(
                 self._item.pack(
                     kind,
-                    item.tag & _LOW,
-                    item.tag >> 32,
+                    item.customer_tag & _LOW,
+                    item.customer_tag >> 32,
                     item.serial & 0xFFFF,
                     _clip(item.units * 16),
-                    _clip(item.asked_per_s * 16),
+                    _clip(item.demand_per_s * 16),
                     item.class_index * self.plans + item.plan_index,
                 )
             )
         for seen in sightings:
             if not (0 <= seen.class_index < self.classes and 0 <= seen.grade < _GRADES):
                 raise ValueError(f"no index of a class, or no grade: {seen!r}")
-            parts.append(self._sighting.pack(seen.server, seen.class_index * _GRADES + seen.grade))
+            parts.append(self._sighting.pack(seen.endpoint_tag, seen.class_index * _GRADES + seen.grade))
         return b"".join(parts)
 
     def decode(self, data: bytes) -> PeerMessage | None:
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -59,7 +59,9 @@
     before the aim (the deadline, where late answers have worth). Its time counts from the arrival and units
     are drawn later, so this is more than can be. On top come attempts that found no connection."""
     longest_ms = max(
-        kind.deadline_ms if kind.late_worth > 0 else min(kind.deadline_ms, kind.aim_ms)
+        kind.deadline_ms
+        if kind.late_priority_weight > 0
+        else min(kind.deadline_ms, kind.latency_objective_ms)
         for kind in settings.classes
     )
     return longest_ms / 1000 + DIAL_S * settings.max_attempts
@@ -69,7 +71,7 @@
     """The size of a customer's set that is reckoned with."""
     if spread is not None and spread < 1:
         raise BoundsError(f"spread: {spread} is no number of gateways")
-    return min(settings.gateways, MOST_SPREAD if spread is None else spread)
+    return min(settings.gateway_count, MOST_SPREAD if spread is None else spread)
 
 
 def beyond_quota(
@@ -118,7 +120,7 @@
     unsure_s = min(window_s, (HOLD_PINGS + 3) * ping_ms(settings) / 1000)
     # Among many gateways only those that asked a home of late give it life signs, so a firm that goes to a
     # gateway new to it has its even part there besides.
-    new = 0.0 if settings.gateways - 1 <= PING_ALL else (window_s - unsure_s) * cut_off / count
+    new = 0.0 if settings.gateway_count - 1 <= PING_ALL else (window_s - unsure_s) * cut_off / count
     return own + plan.rate_per_s * (unsure_s + new)
 
 
@@ -151,8 +153,8 @@
     fills, so the parts make only CEILING_USE of the ceiling together."""
     if window_s <= 0:
         raise BoundsError("windows are not below nothing")
-    allowed = plan.ceiling_burst + plan.ceiling_per_s * window_s
-    drawn = plan.ceiling_burst + plan.ceiling_per_s * (window_s + held_s(settings))
+    allowed = plan.hard_limit_burst + plan.hard_limit_per_s * window_s
+    drawn = plan.hard_limit_burst + plan.hard_limit_per_s * (window_s + held_s(settings))
     return max(0.0, CEILING_USE * drawn - allowed)
 
 
@@ -169,7 +171,11 @@
     for plan in settings.plans:
         for situation in Situation:
             for window_s in windows_s:
-                ceiling = (plan.ceiling_burst + plan.ceiling_per_s * window_s) if plan.ceiling_per_s else 0.0
+                ceiling = (
+                    (plan.hard_limit_burst + plan.hard_limit_per_s * window_s)
+                    if plan.hard_limit_per_s
+                    else 0.0
+                )
                 rows.append(
                     Bound(
                         plan.name,
--- a/plumpick/policy/quota/ledger.py
+++ b/plumpick/policy/quota/ledger.py
@@ -14,13 +14,13 @@
 
 def store_name(item: QuotaMessage) -> int:
     """The store that an item of business is about: of a customer, and of the plan that is said to be its."""
-    return item.tag << _PLAN_BITS | item.plan_index
+    return item.customer_tag << _PLAN_BITS | item.plan_index
 
 
 def old_store_name(item: QuotaMessage) -> int:
     """The same, for a store that a process of version 3 left: of its customer's tag 32 bits are known. Below
     nothing, where no other store is."""
-    return renamed(item.tag & 0xFFFFFFFF, item.plan_index)
+    return renamed(item.customer_tag & 0xFFFFFFFF, item.plan_index)
 
 
 def renamed(old_tag: int, plan_index: int) -> int:
@@ -43,8 +43,9 @@
         not store.queue
         and (not plan.rate_per_s or store.level + plan.rate_per_s * gone_s >= plan.burst)
         and (
-            not plan.ceiling_per_s
-            or store.ceiling + plan.ceiling_per_s * ceiling_part * gone_s >= plan.ceiling_burst * ceiling_part
+            not plan.hard_limit_per_s
+            or store.ceiling + plan.hard_limit_per_s * ceiling_part * gone_s
+            >= plan.hard_limit_burst * ceiling_part
         )
         and all(until <= now for until in store.leases.values())
         and store.wake_ms == math.inf
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -38,13 +38,13 @@
 
 # What a gateway is, not what it does: it stays until a restart. With the keys of the configuration.
 FIXED = (
-    ("gateways", "balancers"),
-    ("number", "myNumber"),
+    ("gateway_count", "balancers"),
+    ("gateway_number", "myNumber"),
     ("zone", "locality"),
-    ("must_subscribe", "discovery"),
-    ("may_tell", "limits.mayTell"),
+    ("must_request_watch", "discovery"),
+    ("can_message_peers", "limits.mayTell"),
 )
-WARMTH = ("warm_up_ms", "cold_from")
+WARMTH = ("slow_start_ms", "slow_start_initial_ratio")
 
 
 def refusal(old: Settings, new: object) -> str:
@@ -106,12 +106,14 @@
     control.codec, control.classes, control.plans = codec, classes, plans
     index(quota)
     control.top_rank = (
-        max([kind.worth for kind in settings.classes]) * max([plan.value for plan in settings.plans]) or 1.0
+        max([kind.priority_weight for kind in settings.classes])
+        * max([plan.priority_factor for plan in settings.plans])
+        or 1.0
     )
     control.servers.names = quota.class_index
     _move_stores(control, now, plans)
     if any(getattr(settings, name) != getattr(old, name) for name in WARMTH):
-        control.servers.bans.warm_up_ms = settings.warm_up_ms
+        control.servers.bans.warm_up_ms = settings.slow_start_ms
         control.servers.sort(now)
         control.window.set_limit(control.servers.capacity)
     return ""
@@ -123,7 +125,7 @@
 
     quota.class_index = {kind.name: place for place, kind in enumerate(quota.settings.classes)}
     quota.plan_index = {plan.name: place for place, plan in enumerate(quota.settings.plans)}
-    quota.top_worth = max([kind.worth for kind in quota.settings.classes]) or 1.0
+    quota.top_worth = max([kind.priority_weight for kind in quota.settings.classes]) or 1.0
     quota.hold_ms = HOLD_PINGS * ping_ms(quota.settings)
 
 
@@ -154,7 +156,9 @@
     class_to = [class_at.get(kind.name) for kind in old.classes]
     plan_to = [plan_at.get(plan.name) for plan in old.plans]
     # What was spent or goes back counts also where its class is gone: a slot is then held for the longest.
-    longest = max(range(len(settings.classes)), key=lambda place: settings.classes[place].aim_ms)
+    longest = max(
+        range(len(settings.classes)), key=lambda place: settings.classes[place].latency_objective_ms
+    )
 
     def renamed(items: list[QuotaMessage]) -> list[QuotaMessage]:
         kept = []
@@ -171,8 +175,8 @@
 
     for gateway, items in quota.outbox.items():
         gone = [item for item in items if plan_to[item.plan_index] is None]
-        for first in range(0, len(gone), control.codec.max_items):
-            control.tell(gateway, gone[first : first + control.codec.max_items], [])
+        for first in range(0, len(gone), control.codec.max_quota_messages):
+            control.tell(gateway, gone[first : first + control.codec.max_quota_messages], [])
     quota.outbox = {gateway: renamed(items) for gateway, items in quota.outbox.items()}
     quota.unheard = {
         gateway: [(ms, new) for ms, item in told for new in renamed([item])]
@@ -247,11 +251,11 @@
     fills = rate * gone_s * quota.part_here(now, store)
     store.level = min(plan.burst, max(store.level, min(burst, store.level + fills)))
     store.kept = min(plan.burst, store.kept)
-    rate = min(before.ceiling_per_s, plan.ceiling_per_s) * HOME_CEILING
-    burst = min(before.ceiling_burst, plan.ceiling_burst) * HOME_CEILING
-    ceiling = store.ceiling if before.ceiling_per_s else 0.0  # without one it is only counted down
+    rate = min(before.hard_limit_per_s, plan.hard_limit_per_s) * HOME_CEILING
+    burst = min(before.hard_limit_burst, plan.hard_limit_burst) * HOME_CEILING
+    ceiling = store.ceiling if before.hard_limit_per_s else 0.0  # without one it is only counted down
     ceiling = max(ceiling, min(burst, ceiling + rate * gone_s))
-    store.ceiling = min(plan.ceiling_burst * HOME_CEILING, ceiling)
+    store.ceiling = min(plan.hard_limit_burst * HOME_CEILING, ceiling)
     store.asked *= math.exp(-gone_s * 1000 / DEMAND_MEMORY_MS)
     store.plan, store.at_ms = plan, now
 
@@ -268,7 +272,7 @@
     account.plan = plan
     account.slice = quota.slice(account, first)
     # A look at all accounts at the change would hold up everything else; and none begins with more.
-    account.ceiling = account.ceiling if before.ceiling_per_s else 0.0
+    account.ceiling = account.ceiling if before.hard_limit_per_s else 0.0
     return max(0.0, min(gone_s, (now - quota.changed_ms) / 1000)), plan
 
 
@@ -282,13 +286,17 @@
     part, changed = 1 / len(classes), classes
     if same_names:
         pairs = zip(classes.values(), control.classes.values(), strict=True)
-        changed = {kind.name: kind for kind, before in pairs if kind.aim_ms != before.aim_ms}
+        changed = {
+            kind.name: kind
+            for kind, before in pairs
+            if kind.latency_objective_ms != before.latency_objective_ms
+        }
     for name, kind in changed.items():
-        wait_ms, share = kind.aim_ms * (1 - ANSWER_PART), control.shares.get(name)
+        wait_ms, share = kind.latency_objective_ms * (1 - ANSWER_PART), control.shares.get(name)
         if share is None:
             control.shares[name] = FuzzyShare(wait_ms, part)
             control.waits[name], control.timely[name] = [], 1.0
-            control.usual[name] = min(USUAL_START_MS, kind.aim_ms / 4)
+            control.usual[name] = min(USUAL_START_MS, kind.latency_objective_ms / 4)
             control.late[name,] = Late()
         elif share.aim_s != wait_ms / 1000:  # against another aim the last error says nothing
             share.aim_s, share.last_error = wait_ms / 1000, None
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -33,27 +33,27 @@
     """A class of requests: what it wants and what may be done with it."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float
-    repeat: Idempotency
-    late_worth: float = 0.0
-    scope: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0
+    priority_weight: float
+    idempotency: Idempotency
+    late_priority_weight: float = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
     streamed: bool = False
-    aim_stretch: float = 0.0
+    latency_objective_stretch: float = 0.0
 
     def __post_init__(self) -> None:
         _require_at_least(
             0,
-            aim_ms=self.aim_ms,
+            aim_ms=self.latency_objective_ms,
             deadline_ms=self.deadline_ms,
-            worth=self.worth,
-            late_worth=self.late_worth,
-            window_ms=self.window_ms,
+            worth=self.priority_weight,
+            late_worth=self.late_priority_weight,
+            window_ms=self.deduplication_window_ms,
         )
-        if not isinstance(self.repeat, Idempotency):
-            raise ValueError(f"repeat: {self.repeat!r} is no kind of repeat")
+        if not isinstance(self.idempotency, Idempotency):
+            raise ValueError(f"repeat: {self.idempotency!r} is no kind of repeat")
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,26 +63,26 @@
     name: str
     rate_per_s: float = 0.0  # 0: no quota on the rate
     burst: float = 0.0
-    max_out: int = 0  # 0: no quota on attempts out at once
-    value: float = 1.0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
-    ceiling_per_s: float = 0.0  # 0: no ceiling
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    max_in_flight: int = 0  # 0: no quota on attempts out at once
+    priority_factor: float = 1.0
+    over_quota_weight: float = 0.0
+    over_quota_cost: float = 0.0
+    hard_limit_per_s: float = 0.0  # 0: no ceiling
+    hard_limit_burst: float = 0.0
+    hard_limit_slack: float = 0.0
 
     def __post_init__(self) -> None:
         _require_at_least(
             0,
             rate_per_s=self.rate_per_s,
             burst=self.burst,
-            max_out=self.max_out,
-            value=self.value,
-            over_worth=self.over_worth,
-            over_cost=self.over_cost,
-            ceiling_per_s=self.ceiling_per_s,
-            ceiling_burst=self.ceiling_burst,
-            ceiling_slack=self.ceiling_slack,
+            max_out=self.max_in_flight,
+            value=self.priority_factor,
+            over_worth=self.over_quota_weight,
+            over_cost=self.over_quota_cost,
+            ceiling_per_s=self.hard_limit_per_s,
+            ceiling_burst=self.hard_limit_burst,
+            ceiling_slack=self.hard_limit_slack,
         )
 
 
@@ -90,47 +90,47 @@
 class Settings:
     """What a gateway is told when it starts."""
 
-    gateways: int
-    number: int
+    gateway_count: int
+    gateway_number: int
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    warm_up_ms: float
-    cold_from: float
-    fall_multiple: float
-    fall_window_ms: float
+    slow_start_ms: float
+    slow_start_initial_ratio: float
+    overload_multiple: float
+    overload_window_ms: float
     max_attempts: int
     tick_ms: float = 1.0
     max_units: float = 1.0
-    may_cancel: bool = True
-    may_tell: bool = False
-    may_probe: bool = False
-    second_copies: bool = False
-    must_subscribe: bool = False
-    settles: bool = False
+    can_cancel_attempts: bool = True
+    can_message_peers: bool = False
+    can_probe_endpoints: bool = False
+    can_hedge: bool = False
+    must_request_watch: bool = False
+    settles_afterwards: bool = False
     max_retry_after_ms: float = 0.0
-    inbox_per_s: float = 0.0
-    ask_within_ms: float = 10_000.0
-    report_how: str = "none"
-    report_fields: tuple[str, ...] = ()
-    cross_zone_price: float = 0.0
-    peer_price: float = 0.0
+    peer_inbox_per_s: float = 0.0
+    watch_retry_ms: float = 10_000.0
+    load_report_source: str = "none"
+    load_report_fields: tuple[str, ...] = ()
+    cross_zone_cost: float = 0.0
+    peer_message_cost: float = 0.0
 
     def __post_init__(self) -> None:
         if not self.classes:
             raise ValueError("classes: there are none")
         if not self.plans:
             raise ValueError("plans: there are none")
-        _require_at_least(1, gateways=self.gateways, max_attempts=self.max_attempts)
+        _require_at_least(1, gateways=self.gateway_count, max_attempts=self.max_attempts)
         _require_at_least(
             0,
-            number=self.number,
-            warm_up_ms=self.warm_up_ms,
-            cold_from=self.cold_from,
-            fall_multiple=self.fall_multiple,
-            fall_window_ms=self.fall_window_ms,
+            number=self.gateway_number,
+            warm_up_ms=self.slow_start_ms,
+            cold_from=self.slow_start_initial_ratio,
+            fall_multiple=self.overload_multiple,
+            fall_window_ms=self.overload_window_ms,
             max_units=self.max_units,
-            inbox_per_s=self.inbox_per_s,
+            inbox_per_s=self.peer_inbox_per_s,
         )
-        if self.number >= self.gateways:
-            raise ValueError(f"number: {self.number} is not below gateways ({self.gateways})")
+        if self.gateway_number >= self.gateway_count:
+            raise ValueError(f"number: {self.gateway_number} is not below gateways ({self.gateway_count})")
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -32,7 +32,7 @@
 _OLD_PLANS = 16  # places of plans in a store's name of form 1
 _ACCOUNT = ("tag", "spread", "home", "at_ms", "own", "ceiling", "asked", "total", "total_ms")
 _STORE = ("level", "at_ms", "ceiling", "asked", "kept", "born_ms", "before", "begun")
-_FIGURES = ("rate_per_s", "burst", "max_out", "ceiling_per_s", "ceiling_burst")
+_FIGURES = ("rate_per_s", "burst", "max_in_flight", "hard_limit_per_s", "hard_limit_burst")
 _WINDOW = ("peak", "cut", "room", "fleet_room", "well", "full", "ended", "mean_out")
 _SERVER = ("slow", "seen_ms", "others", "report_ms")
 
@@ -106,8 +106,8 @@
     banned, back = servers.bans.state()
     return {
         "form": FORM,
-        "number": control.settings.number,
-        "gateways": control.settings.gateways,
+        "number": control.settings.gateway_number,
+        "gateways": control.settings.gateway_count,
         "classes": list(control.classes),
         "plans": list(at),
         "figures": {plan.name: _row(plan, _FIGURES) for plan in plans},
@@ -162,7 +162,7 @@
     settings, quota, servers = control.settings, control.quota, control.servers
     if left.get("form") not in (FORM, OLD_FORM):
         raise ValueError(f"a state of form {left.get('form')!r}")
-    if left.get("number") != settings.number or left.get("gateways") != settings.gateways:
+    if left.get("number") != settings.gateway_number or left.get("gateways") != settings.gateway_count:
         raise ValueError("the state of another gatekeeper")
     plans = {plan.name: plan for plan in settings.plans}
     try:
@@ -185,7 +185,7 @@
                 account.slice = quota.slice(account, int(first))
                 before = figures.get(plan, plans[plan])
                 if not _alike(before, plans[plan]):  # its figures are others now
-                    account.at_ms, account.ceiling = now, account.ceiling if before.ceiling_per_s else 0.0
+                    account.at_ms, account.ceiling = now, account.ceiling if before.hard_limit_per_s else 0.0
         for name, place, row, members, askers, done, backs, spent, leases, queue in left["stores"]:
             # Its name holds the plan's place, which may be another here.
             plan = left["plans"][place]
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -297,7 +297,9 @@
                 raise WireError(f"FLEET: field rows: {count} told, {len(servers)} came")
             worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
             servers.append(Endpoint(worker, zone, cell, state, weight, started))
-        return EndpointsUpdated(tuple(servers), complete=mode in ("full", "cached"), failed=mode == "failed")
+        return EndpointsUpdated(
+            tuple(servers), is_snapshot=mode in ("full", "cached"), is_failure=mode == "failed"
+        )
 
     def _start(self, number: int, salt: int, info: str) -> None:
         try:
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -43,7 +43,7 @@
 def text_of(rows: list[Bound], settings: Settings) -> str:
     """The table for a person."""
     lines = [
-        f"{settings.gateways} gatekeepers; a try is held for {held_s(settings):.2f} s at most",
+        f"{settings.gateway_count} gatekeepers; a try is held for {held_s(settings):.2f} s at most",
         f"{'plan':<12}{'situation':<24}{'window':>8}{'quota':>10}{'beyond':>9}{'ceiling':>10}{'beyond':>16}",
     ]
     for row in rows:
@@ -91,7 +91,7 @@
     try:
         settings = settings_in(given.config)
         rows = table(settings, spread=given.spread, loss=given.loss, restarts=given.restarts)
-        fleet, budgets = budgets_in(given.operator, settings.gateways) if given.operator else (None, [])
+        fleet, budgets = budgets_in(given.operator, settings.gateway_count) if given.operator else (None, [])
     except OSError as problem:
         print(f"plumpick: {given.config}: {problem.strerror}", file=sys.stderr)
         return EXIT_USAGE
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -71,7 +71,7 @@
             self._went(action)
         for one in [*events, *actions]:
             over = isinstance(one, (RejectRequest, FailRequest, ClientDisconnected))
-            if over or isinstance(one, AttemptCompleted) and one.final:
+            if over or isinstance(one, AttemptCompleted) and one.is_final:
                 self._requests.pop(one.id, None)
         if now_ms >= self._belief_ms:
             self._belief_ms = now_ms + BELIEF_MS
@@ -89,18 +89,18 @@
                 event.plan_name,
                 event.class_name,
                 event.first_gateway,
-                event.spread,
-                int(event.is_repeat),
-                round(event.due_ms - self._record.now()),
+                event.gateway_set_size,
+                int(event.is_client_retry),
+                round(event.deadline_ms - self._record.now()),
             )
         elif isinstance(event, AttemptCompleted):
             write(
                 "outcome",
                 event.id,
-                event.server,
+                event.endpoint,
                 event.result.value.upper(),
-                round(event.took_ms, 1),
-                event.load,
+                round(event.latency_ms, 1),
+                event.load_report,
             )
         elif isinstance(event, ClientDisconnected):
             write("gone", event.id)
@@ -110,8 +110,8 @@
         elif isinstance(event, EndpointsUpdated):
             write(
                 "list",
-                int(event.complete),
-                [(server.id, server.state.name, server.started_ms) for server in event.servers],
+                int(event.is_snapshot),
+                [(server.id, server.state.name, server.started_ms) for server in event.endpoints],
             )
 
     def _went(self, action: Any) -> None:
@@ -121,12 +121,12 @@
             write(
                 "send",
                 action.id,
-                action.server,
+                action.endpoint,
                 request.paid if request else 0.0,
                 int(bool(request and request.answered)),
             )
         elif isinstance(action, RejectRequest):
-            write("refuse", action.id, round(action.retry_in_ms), self._state(action.id))
+            write("refuse", action.id, round(action.retry_after_ms), self._state(action.id))
         elif isinstance(action, FailRequest):
             write("fail", action.id, self._state(action.id))
         elif isinstance(action, SendPeerMessage):
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -94,8 +94,8 @@
 class Script:
     """In the module's place: sends each request to one worker, fails it after a bad outcome, keeps events."""
 
-    def __init__(self, worker="w1", allow_ms=20_000.0):
-        self.worker, self.allow_ms = worker, allow_ms
+    def __init__(self, worker="w1", timeout_ms=20_000.0):
+        self.worker, self.timeout_ms = worker, timeout_ms
         self.events, self.to_do, self.faults = [], [], []
         self.came = asyncio.Event()
 
@@ -108,8 +108,8 @@
         actions, self.to_do = self.to_do, []
         for event in events:
             if isinstance(event, RequestReceived) and self.worker:
-                actions.append(StartAttempt(event.id, self.worker, self.allow_ms))
-            if isinstance(event, AttemptCompleted) and not event.final:
+                actions.append(StartAttempt(event.id, self.worker, self.timeout_ms))
+            if isinstance(event, AttemptCompleted) and not event.is_final:
                 actions.append(FailRequest(event.id))
         return actions
 
--- a/tests/quota_rig.py
+++ b/tests/quota_rig.py
@@ -34,7 +34,9 @@
     def __init__(
         self, rate=8.0, burst=16.0, gateways=4, seed=1, way=lambda *_: 5.0, inbox=60.0, ceiling=0.0, spread=4
     ):
-        self.plan = Plan("basico", rate, burst, ceiling_per_s=ceiling * rate, ceiling_burst=ceiling * burst)
+        self.plan = Plan(
+            "basico", rate, burst, hard_limit_per_s=ceiling * rate, hard_limit_burst=ceiling * burst
+        )
         self.way, self.inbox, self.gateways, self.spread = way, inbox, gateways, spread
         self.rng = random.Random(seed)
         self.now, self.queue, self.serial = 0.0, [], itertools.count()
@@ -51,20 +53,20 @@
 
     def settings(self, number):
         return Settings(
-            gateways=self.gateways,
-            number=number,
+            gateway_count=self.gateways,
+            gateway_number=number,
             zone="a",
             classes=CLASSES,
             plans=(self.plan,),
-            warm_up_ms=1,
-            cold_from=0.25,
-            fall_multiple=2.5,
-            fall_window_ms=1000,
+            slow_start_ms=1,
+            slow_start_initial_ratio=0.25,
+            overload_multiple=2.5,
+            overload_window_ms=1000,
             max_attempts=5,
             tick_ms=TICK_MS,
-            may_tell=True,
+            can_message_peers=True,
             max_retry_after_ms=1000,
-            inbox_per_s=self.inbox,
+            peer_inbox_per_s=self.inbox,
         )
 
     # -- what happens
@@ -100,13 +102,13 @@
                     if (number, life, action.id) not in self.sent:
                         self.sent.add((number, life, action.id))
                         self.granted.append((self.now, number))
-                    done = AttemptCompleted(action.id, 0, action.server, ANSWER_MS, AttemptResult.OK, True)
+                    done = AttemptCompleted(action.id, 0, action.endpoint, ANSWER_MS, AttemptResult.OK, True)
                     self.ended["served"] += 1
                     self.at(self.now + ANSWER_MS, self.notice, number, life, done)
                 case RejectRequest() | FailRequest():
                     self.ended["refused"] += 1
                 case SetTimer():
-                    self.at(self.now + action.after_ms, self.notice, number, life, TimerFired(action.name))
+                    self.at(self.now + action.delay_ms, self.notice, number, life, TimerFired(action.name))
                 case SendPeerMessage():
                     self.tell(number, action)
 
@@ -171,7 +173,7 @@
             item
             for t, number, _, news in self.told
             if number == sender and t >= from_ms
-            for item in news.items
+            for item in news.quota_messages
             if item.kind is QuotaMessageKind.GRANT
         ]
 
--- a/tests/same_actions.py
+++ b/tests/same_actions.py
@@ -58,21 +58,21 @@
     hostile = [
         one,
         one,
-        replace(one, id=2, due_ms=math.nan),
+        replace(one, id=2, deadline_ms=math.nan),
         replace(one, id=3, units=math.nan),
         replace(one, id=4, units="x"),
         replace(one, id=5, customer=None),
-        replace(one, id=6, spread=0),
-        replace(one, id=7, spread=-3, first_gateway=99),
+        replace(one, id=6, gateway_set_size=0),
+        replace(one, id=7, gateway_set_size=-3, first_gateway=99),
         replace(one, id=8, class_name=None),
         replace(one, id=9, plan_name=7),
         replace(one, id="ten"),
-        replace(one, id=11, due_ms="soon"),
-        replace(one, id=12, due_ms=math.inf),
+        replace(one, id=11, deadline_ms="soon"),
+        replace(one, id=12, deadline_ms=math.inf),
         replace(one, id=13, units=-1.0),
         replace(one, id=14, units=1e300),
         replace(one, id=15, first_gateway="a"),
-        replace(one, id=16, is_repeat=None),
+        replace(one, id=16, is_client_retry=None),
         EndpointsUpdated(
             (
                 Endpoint("s0", "hall-a", 0, EndpointState.READY),
@@ -85,8 +85,8 @@
         AttemptCompleted(1, 0, "s0", math.nan, AttemptResult.OK, True),
         AttemptCompleted(1, 0, "s0", "late", AttemptResult.OK, True),
         AttemptCompleted(99, 0, "s0", 1.0, AttemptResult.OK, True),
-        AttemptCompleted(1, "0", "s0", 1.0, None, True, load=("a",)),
-        AttemptCompleted(12, 0, "s0", 5.0, AttemptResult.OK, True, load=(math.nan, math.inf)),
+        AttemptCompleted(1, "0", "s0", 1.0, None, True, load_report=("a",)),
+        AttemptCompleted(12, 0, "s0", 5.0, AttemptResult.OK, True, load_report=(math.nan, math.inf)),
         PeerMessageReceived(1, good),
         PeerMessageReceived(1, b"\xff"),
         PeerMessageReceived(-1, good),
@@ -100,7 +100,7 @@
     ]
     for place, event in enumerate(hostile):
         own.handle(1000.0 + 4 * place, [event])
-        own.handle(1002.0 + 4 * place, [replace(one, id=100 + place, due_ms=4000.0), event])
+        own.handle(1002.0 + 4 * place, [replace(one, id=100 + place, deadline_ms=4000.0), event])
     own.handle(9000.0, hostile)
     print(which)
     print(worlds[0], text.hexdigest())
--- a/tests/scale/test_brief.py
+++ b/tests/scale/test_brief.py
@@ -58,7 +58,7 @@
             default=None,
         )
         return [
-            replace(action, server=cold.id)
+            replace(action, endpoint=cold.id)
             if isinstance(action, StartAttempt) and cold.started_ms
             else action
             for action in actions
@@ -92,14 +92,14 @@
 
 class KnowsNoQuota(Planted):
     def __init__(self, settings, seed):
-        plans = tuple(replace(plan, rate_per_s=0.0, ceiling_per_s=0.0) for plan in settings.plans)
+        plans = tuple(replace(plan, rate_per_s=0.0, hard_limit_per_s=0.0) for plan in settings.plans)
         super().__init__(replace(settings, plans=plans), seed)
 
 
 class HearsNoChange(Planted):
     def handle(self, now, events):
         return self.inner.handle(
-            now, [event for event in events if not isinstance(event, EndpointsUpdated) or event.complete]
+            now, [event for event in events if not isinstance(event, EndpointsUpdated) or event.is_snapshot]
         )
 
 
@@ -120,7 +120,7 @@
             for backend in self.inner.servers.known.values():
                 backend.place + backend.place
             for kind in self.inner.settings.classes:
-                kind.aim_ms + kind.aim_ms
+                kind.latency_objective_ms + kind.latency_objective_ms
         return actions
 
 
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -52,7 +52,7 @@
     load = of_point(point, 3)
     assert sum(firm.asked_per_s for firm in load.firms) == pytest.approx(40 * 70.0)
     assert len({kind.name for kind, _, _ in load.kinds}) == 230
-    assert load.settings_of(7).number == 7 and len(load.settings_of(7).classes) == 230
+    assert load.settings_of(7).gateway_number == 7 and len(load.settings_of(7).classes) == 230
 
 
 def test_points_that_cannot_be_played_name_their_flag():
@@ -139,7 +139,11 @@
 def test_list_entries_are_told_to_all_and_gone_ones_are_not_sent_to():
     tier = Tier(of_point(SMALL, 1), 1)
     one: Endpoint = tier.list["w0"]
-    tier.at(BEGIN_MS + 500.0, tier.change, [Endpoint(one.id, one.zone, one.cell, EndpointState.GONE)])
+    tier.at(
+        BEGIN_MS + 500.0,
+        tier.change,
+        [Endpoint(one.id, one.zone, one.deduplication_group, EndpointState.GONE)],
+    )
     tier.at(BEGIN_MS + 800.0, tier.replaced, "w1")
     tier.run([(SETTLE, 7.0), (COUNTED, 1.0)])
     assert [len(told.late_ms) for told in tier.told] == [3, 3] and tier.lacking() == 0
--- a/tests/test_any_settings.py
+++ b/tests/test_any_settings.py
@@ -24,9 +24,9 @@
                 deadline_ms,
                 rng.choice((0.0, 1.0, 4.0)),
                 rng.choice(list(Idempotency)),
-                scope=rng.choice(list(DeduplicationScope)),
-                window_ms=rng.choice((0.0, 30.0, 200.0, 700.0, 1000.0, 15_000.0)),
-                late_worth=rng.choice((0.0, 0.5)),
+                deduplication_scope=rng.choice(list(DeduplicationScope)),
+                deduplication_window_ms=rng.choice((0.0, 30.0, 200.0, 700.0, 1000.0, 15_000.0)),
+                late_priority_weight=rng.choice((0.0, 0.5)),
             )
         )
     plans = []
@@ -38,22 +38,22 @@
                 f"plan-{number}",
                 rate,
                 rate * 3,
-                value=rng.uniform(0.5, 2),
-                over_cost=0.6,
-                over_worth=rng.choice((0.0, 0.9)),
-                ceiling_per_s=ceiling,
-                ceiling_burst=ceiling * 3,
-                ceiling_slack=max(4.0, ceiling * 0.3),
+                priority_factor=rng.uniform(0.5, 2),
+                over_quota_cost=0.6,
+                over_quota_weight=rng.choice((0.0, 0.9)),
+                hard_limit_per_s=ceiling,
+                hard_limit_burst=ceiling * 3,
+                hard_limit_slack=max(4.0, ceiling * 0.3),
             )
         )
     more = {
         "max_attempts": rng.choice((1, 2, 3, 5)),
-        "second_copies": rng.random() < 0.5,
-        "may_cancel": rng.random() < 0.5,
-        "cold_from": rng.choice((0.1, 0.4)),
-        "warm_up_ms": rng.choice((0.0, 3000.0, 17_000.0)),
-        "fall_multiple": rng.choice((2.0, 3.0)),
-        "report_how": rng.choice(("answers", "none")),
+        "can_hedge": rng.random() < 0.5,
+        "can_cancel_attempts": rng.random() < 0.5,
+        "slow_start_initial_ratio": rng.choice((0.1, 0.4)),
+        "slow_start_ms": rng.choice((0.0, 3000.0, 17_000.0)),
+        "overload_multiple": rng.choice((2.0, 3.0)),
+        "load_report_source": rng.choice(("answers", "none")),
         "max_retry_after_ms": rng.choice((0.0, 1000.0)),
     }
     return lambda **own: settings(classes=tuple(kinds), plans=tuple(plans), **more, **own)
@@ -69,7 +69,7 @@
     def send(self, now, number, server, drained_ms):
         super().send(now, number, server, drained_ms)
         out = self.out.setdefault(number, set())
-        assert self.config.second_copies or not out, "a second copy"
+        assert self.config.can_hedge or not out, "a second copy"
         out.add(len(self.sent[number]) - 1)
         assert len(self.sent[number]) <= self.config.max_attempts, "too many attempts"
 
@@ -77,8 +77,8 @@
         """The bytes of the attempt that was sent last go out only now."""
         _, arrival = self.open[number]
         kind, loose = self.kinds[arrival.class_name], self.unproved(number)
-        if kind.repeat is Idempotency.KEYED and len(loose) > 1:
-            assert now - loose[0][0] <= kind.window_ms, "rule 2: it left past the window"
+        if kind.idempotency is Idempotency.KEYED and len(loose) > 1:
+            assert now - loose[0][0] <= kind.deduplication_window_ms, "rule 2: it left past the window"
 
 
 class LateTown(Town):
@@ -92,7 +92,7 @@
         if not isinstance(action, StartAttempt):
             super().act(n, action)
             return
-        server = next(one for one in self.fleet if one.id == action.server)
+        server = next(one for one in self.fleet if one.id == action.endpoint)
         self.checker.send(self.now, action.id, server, self.learned[n].get(server.id))
         number = len(self.checker.sent[action.id]) - 1
         delay = self.rng.choice((0.0, 0.0, self.rng.uniform(0, 400.0)))
@@ -108,12 +108,12 @@
             [60, 8, 8, 8, 6, 10],
         )[0]
         took = delay + self.rng.expovariate(1 / 150)
-        if delay > action.within_ms:
+        if delay > action.start_within_ms:
             result, took = AttemptResult.CONNECT_FAILED, delay
             self.kept_back += 1
         else:
             self.checker.leaves(self.now + delay, action.id)
-        took = action.allow_ms if result is AttemptResult.TIMEOUT else min(took, action.allow_ms)
+        took = action.timeout_ms if result is AttemptResult.TIMEOUT else min(took, action.timeout_ms)
         self.tries[action.id, number] = (n, server, self.now)
         self.later(took, n, (action.id, number, result))
 
@@ -135,9 +135,12 @@
     kept, effects, counts = 0, set(), set()
     for seed in range(24):
         config = drawn(seed)()
-        effects |= {kind.repeat for kind in config.classes}
+        effects |= {kind.idempotency for kind in config.classes}
         counts.add(len(config.classes))
-        if any(kind.repeat is Idempotency.KEYED and 0 < kind.window_ms <= 1000 for kind in config.classes):
+        if any(
+            kind.idempotency is Idempotency.KEYED and 0 < kind.deduplication_window_ms <= 1000
+            for kind in config.classes
+        ):
             town = LateTown(seed, settings_of=drawn(seed))
             town.run(3000)
             kept += town.kept_back
--- a/tests/test_aperture.py
+++ b/tests/test_aperture.py
@@ -82,15 +82,15 @@
         self.modules = [
             Controller(
                 Settings(
-                    gateways=gateways,
-                    number=number,
+                    gateway_count=gateways,
+                    gateway_number=number,
                     zone="a",
                     classes=kinds,
                     plans=(Plan("basic"),),
-                    warm_up_ms=17_000,
-                    cold_from=0.25,
-                    fall_multiple=2.5,
-                    fall_window_ms=1000,
+                    slow_start_ms=17_000,
+                    slow_start_initial_ratio=0.25,
+                    overload_multiple=2.5,
+                    overload_window_ms=1000,
                     max_attempts=3,
                 ),
                 number,
@@ -115,8 +115,8 @@
             actions = self.modules[number].handle(now, [arrival])
             for action in actions:
                 if isinstance(action, StartAttempt):
-                    self.sent.append((now, number, action.server))
-                    done = AttemptCompleted(action.id, 0, action.server, 200.0, AttemptResult.OK, True)
+                    self.sent.append((now, number, action.endpoint))
+                    done = AttemptCompleted(action.id, 0, action.endpoint, 200.0, AttemptResult.OK, True)
                     self.modules[number].handle(now, [done])
 
 
@@ -134,8 +134,10 @@
     tier = Tier()
     module = tier.modules[0]
     arc = {backend.entry.id for backend in module.servers.near}
-    gone = EndpointsUpdated(tuple(Endpoint(name, "a", 0, EndpointState.GONE) for name in arc), complete=False)
+    gone = EndpointsUpdated(
+        tuple(Endpoint(name, "a", 0, EndpointState.GONE) for name in arc), is_snapshot=False
+    )
     module.handle(100_100.0, [gone])
     actions = module.handle(100_200.0, [RequestReceived(1, "c", "look", "basic", 102_200.0)])
-    sent = [action.server for action in actions if isinstance(action, StartAttempt)]
+    sent = [action.endpoint for action in actions if isinstance(action, StartAttempt)]
     assert len(sent) == 1 and sent[0] not in arc
--- a/tests/test_bans_and_draining.py
+++ b/tests/test_bans_and_draining.py
@@ -26,8 +26,8 @@
 def order(gate, now, call, server="", number=1):
     """What is wrong with a call; it is answered in its own turn."""
     (said,) = of(CommandCompleted, gate.handle(now, [OperatorCommand(number, call, server)]))
-    assert said.number == number
-    return said.wrong
+    assert said.id == number
+    return said.error
 
 
 def served(gate, now, count, first=1000):
@@ -42,13 +42,13 @@
         now += 10.0
     for send in sends[ended:]:
         gate.handle(now, [outcome(send, AttemptResult.OK)])
-    return [send.server for send in sends]
+    return [send.endpoint for send in sends]
 
 
 def free_gateway(**more):
     """A gateway with a plan that has no quota: no home is asked."""
     given = settings(**more)
-    return Controller(replace(given, plans=(*given.plans, Plan(FREE)), gateways=1, number=0), 1)
+    return Controller(replace(given, plans=(*given.plans, Plan(FREE)), gateway_count=1, gateway_number=0), 1)
 
 
 def test_a_banned_worker_gets_nothing_whatever_the_list_says():
@@ -57,8 +57,10 @@
     assert "s2" in served(gate, 0.0, 60, 500)
     assert order(gate, 601.0, CommandKind.DISABLE, "s2") == ""
     assert "s2" not in served(gate, 610.0, 60)
-    gone = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.GONE),), complete=False)
-    back = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.READY, started_ms=900.0),), complete=False)
+    gone = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.GONE),), is_snapshot=False)
+    back = EndpointsUpdated(
+        (Endpoint("s2", "z0", 2, EndpointState.READY, started_ms=900.0),), is_snapshot=False
+    )
     gate.handle(2000.0, [gone])
     gate.handle(2001.0, [back])
     gate.handle(2002.0, [FLEET])
@@ -90,9 +92,9 @@
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     (send,) = of(StartAttempt, gate.handle(1.0, [ask(1, plan=FREE)]))
-    order(gate, 2.0, CommandKind.DISABLE, send.server)
+    order(gate, 2.0, CommandKind.DISABLE, send.endpoint)
     (again,) = of(StartAttempt, gate.handle(20.0, [outcome(send, AttemptResult.ERROR)]))
-    assert again.server != send.server
+    assert again.endpoint != send.endpoint
 
 
 def test_with_the_only_worker_out_requests_are_refused_in_time_with_advice():
@@ -140,7 +142,7 @@
     stages, now = [], 0.0
     while now < UNHEARD_AFTER_MS + 500.0:
         events = [OperatorCommand(1, CommandKind.DRAIN)] if now in (100.0, 400.0) else []
-        stages += [(now, doors.stage) for doors in of(SetAdmissionState, gate.handle(now, events))]
+        stages += [(now, doors.state) for doors in of(SetAdmissionState, gate.handle(now, events))]
         now += 10.0
     assert stages == [
         (100.0, AdmissionState.REDIRECTING),
@@ -162,7 +164,7 @@
                 SetAdmissionState,
                 gate.handle(now, [OperatorCommand(2, CommandKind.UNDRAIN)] if now == back else []),
             ):
-                last = doors.stage
+                last = doors.state
                 assert now < back or last is AdmissionState.OPEN
             if now == back:
                 assert last is AdmissionState.OPEN
@@ -187,7 +189,7 @@
 def cold_part(cold, seconds=2, rate=60):
     """The part of safe requests that go to cold servers, when so many of nine have just been replaced; and
     whether some waited."""
-    gate = free_gateway(fall_multiple=2.5)
+    gate = free_gateway(overload_multiple=2.5)
     names = [f"s{n}" for n in range(9)]
     gate.handle(
         0.0, [EndpointsUpdated(tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names))]
@@ -208,7 +210,7 @@
         for due, send in [row for row in out if row[0] <= now]:
             out.remove((due, send))
             sends += of(StartAttempt, gate.handle(now, [outcome(send, AttemptResult.OK)]))
-    to_cold = [send for send in sends if int(send.server[1:]) < cold]
+    to_cold = [send for send in sends if int(send.endpoint[1:]) < cold]
     return len(to_cold) / len(sends), len(sends) / (seconds * rate)
 
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -20,7 +20,13 @@
 CLASSES = (
     RequestClass("seat-check", 750, 2000, 3, Idempotency.IDEMPOTENT),
     RequestClass(
-        "seat-checkout", 2000, 7500, 3, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=15_000
+        "seat-checkout",
+        2000,
+        7500,
+        3,
+        Idempotency.KEYED,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window_ms=15_000,
     ),
     RequestClass("hours-debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
@@ -31,20 +37,20 @@
         "amplio",
         rate,
         rate * burst_s,
-        ceiling_per_s=rate * times,
-        ceiling_burst=rate * burst_s * times,
-        ceiling_slack=1.0,
+        hard_limit_per_s=rate * times,
+        hard_limit_burst=rate * burst_s * times,
+        hard_limit_slack=1.0,
     )
     values = dict(
-        gateways=3,
-        number=0,
+        gateway_count=3,
+        gateway_number=0,
         zone="a",
         classes=CLASSES,
         plans=(Plan("basico", 0.8, 3.5), plan),
-        warm_up_ms=17_000,
-        cold_from=0.25,
-        fall_multiple=2.5,
-        fall_window_ms=1000,
+        slow_start_ms=17_000,
+        slow_start_initial_ratio=0.25,
+        overload_multiple=2.5,
+        overload_window_ms=1000,
         max_attempts=5,
     )
     return Settings(**(values | more))
@@ -54,7 +60,7 @@
 @pytest.mark.parametrize("burst_s", [1.0, 2.9])
 @pytest.mark.parametrize("times", [1.7, 2.3])
 def test_the_hard_ceiling_is_passed_by_two_per_cent_of_a_minute_at_most(rate, burst_s, times):
-    for settings in (site(rate, burst_s, times), site(rate, burst_s, times, gateways=4)):
+    for settings in (site(rate, burst_s, times), site(rate, burst_s, times, gateway_count=4)):
         rows = [row for row in table(settings) if row.plan == "amplio" and row.window_s == 60]
         assert {row.situation for row in rows} == set(Situation)
         assert all(row.ceiling_share <= 0.02 for row in rows)
@@ -75,7 +81,7 @@
     # For a while neither side knows; then each goes by its even parts. Among many gateways a firm may go to
     # one that never asked its home, which so keeps nothing back.
     assert of(Situation.SPLIT) == pytest.approx(plain + 0.8 * 3.5)
-    many = site(gateways=30)
+    many = site(gateway_count=30)
     plain = beyond_quota(plan, many, Situation.SERVICE, 60.0)
     new = 0.8 * 56.5 * 3 / 4
     assert beyond_quota(plan, many, Situation.SPLIT, 60.0) == pytest.approx(plain + 0.8 * 3.5 + new)
@@ -158,7 +164,7 @@
 def test_a_home_that_comes_back_grants_nothing_again_to_who_has_asked_for_all_of_it(asked_per_s, granted):
     """With a full store each restart of a home was worth a burst more to the firms that ask for the most."""
     plan = Plan("basico", 2.0, 8.0)
-    home = Controller(site(plans=(plan,), may_tell=True), 1)
+    home = Controller(site(plans=(plan,), can_message_peers=True), 1)
     home.handle(1000.0, [])
     ask = QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, asked_per_s, 1, 0)
     told = [
@@ -166,7 +172,7 @@
         for one in home.handle(1001.0, [PeerMessageReceived(1, home.codec.encode(5, 1.0, [ask], []))])
         if isinstance(one, SendPeerMessage)
     ]
-    kinds = {item.kind for one in told for item in home.codec.decode(one.data).items}
+    kinds = {item.kind for one in told for item in home.codec.decode(one.data).quota_messages}
     assert (QuotaMessageKind.GRANT in kinds) is granted
 
 
@@ -191,7 +197,7 @@
 )
 def test_what_a_peer_says_late_twice_or_in_another_order_changes_nothing_twice(words, left):
     """Found by seed 90 of the windows: 21 units beyond a quota, with messages late by up to 200 ms."""
-    home = Controller(site(plans=(Plan("basico", 1e-9, 8.0),), may_tell=True), 1)
+    home = Controller(site(plans=(Plan("basico", 1e-9, 8.0),), can_message_peers=True), 1)
     home.handle(1000.0, [])
     for place, kind in enumerate(words):
         word = home.codec.encode(5, 1.0, [QuotaMessage(kind, 7, 1, 1.0, 0.0, 1, 0)], [])
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -49,9 +49,9 @@
         status, _, body = await client.answer()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
         came = await gate.script.event(RequestReceived)
-        assert (came.class_name, came.plan_name, came.spread) == ("book", "basic", 2)
+        assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
         outcome = await gate.script.event(AttemptCompleted)
-        assert outcome.result is AttemptResult.OK and outcome.final and outcome.load == (0.5, 7.0)
+        assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
         assert not gate.keeper.open and not gate.keeper.attempts
 
     one_worker(scenario)
@@ -170,7 +170,7 @@
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.TIMEOUT
         assert (await worker.asked())[0] is None  # the end of the connection
 
-    one_worker(scenario, allow_ms=30.0)
+    one_worker(scenario, timeout_ms=30.0)
 
 
 def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
@@ -226,7 +226,7 @@
         assert (await client.answer())[2] == b"second"
         first.write(answer(body=b"first"))
         outcomes = [await gate.script.event(AttemptCompleted) for _ in range(2)]
-        assert [(done.attempt, done.final) for done in outcomes] == [(1, True), (0, True)]
+        assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
         _, writer = await worker.asked()
         writer.write(answer(body=b"third"))
@@ -421,7 +421,7 @@
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
         assert (await client.answer())[::2] == (200, b"done")
         outcome = await gate.script.event(AttemptCompleted)
-        assert outcome.result is AttemptResult.OK and outcome.load == (0.5, 7.0)
+        assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -436,7 +436,7 @@
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
         gate.keeper.listed(worker_list_from(news, "list"))
         fleet = await gate.script.event(EndpointsUpdated)
-        assert [(one.id, one.state) for one in fleet.servers] == [
+        assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
@@ -508,7 +508,7 @@
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
-        assert fleets[1] == EndpointsUpdated((), complete=True)
+        assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
 
     one_worker(scenario)
 
@@ -589,7 +589,7 @@
         _, writer = await worker.asked()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
-        assert (await gate.script.event(AttemptCompleted)).load == ()
+        assert (await gate.script.event(AttemptCompleted)).load_report == ()
 
     one_worker(scenario)
 
@@ -989,7 +989,7 @@
         began = gate.keeper.clock.now()
         client.send(request(deadline=10_000))
         came = await gate.script.event(RequestReceived)
-        assert came.due_ms < began + 150.0
+        assert came.deadline_ms < began + 150.0
         assert (await client.answer())[0] == 504 and not gate.keeper.open
 
     one_worker(scenario, worker=None)
--- a/tests/test_gray.py
+++ b/tests/test_gray.py
@@ -59,7 +59,7 @@
         self, rule, *, rate=60.0, names=("look", "book", "debit"), seed=1, leave_ms=1400.0, util=0.3
     ):
         plans = (Plan("rated", 1e6, 1e6),)
-        self.control = Controller(settings(gateways=4, plans=plans, may_tell=False), seed)
+        self.control = Controller(settings(gateways=4, plans=plans, can_message_peers=False), seed)
         self.rng, self.rule, self.rate = random.Random(seed), rule, rate
         self.names, self.leave_ms, self.load = names, leave_ms, (util, 0)
         self.queue, self.serial, self.now = [], itertools.count(), 1000.0
@@ -75,28 +75,34 @@
         for action in actions:
             match action:
                 case SetTimer():
-                    self.later(max(TICK, action.after_ms), TimerFired(action.name))
+                    self.later(max(TICK, action.delay_ms), TimerFired(action.name))
                 case StartAttempt():
                     number = self.attempts[action.id] = self.attempts.get(action.id, -1) + 1
                     self.out.add((action.id, number))
                     self.most_out = max(self.most_out, len(self.out))
-                    self.sent.append((self.now, action.id, number, action.server))
-                    took = self.rule(self.rng, self.names_of[action.id], action.server, number)
-                    if took is not None and took < action.allow_ms:
+                    self.sent.append((self.now, action.id, number, action.endpoint))
+                    took = self.rule(self.rng, self.names_of[action.id], action.endpoint, number)
+                    if took is not None and took < action.timeout_ms:
                         self.later(
                             took,
                             AttemptCompleted(
-                                action.id, number, action.server, took, AttemptResult.OK, True, load=self.load
+                                action.id,
+                                number,
+                                action.endpoint,
+                                took,
+                                AttemptResult.OK,
+                                True,
+                                load_report=self.load,
                             ),
                         )
                     else:
                         self.later(
-                            action.allow_ms,
+                            action.timeout_ms,
                             AttemptCompleted(
                                 action.id,
                                 number,
-                                action.server,
-                                action.allow_ms,
+                                action.endpoint,
+                                action.timeout_ms,
                                 AttemptResult.TIMEOUT,
                                 False,
                             ),
@@ -226,14 +232,23 @@
     config = settings(gateways=4)
     play = Play(lambda rng, *_: healthy(rng), rate=40.0).run(3)
     cold = Endpoint("cold", "z0", 9, EndpointState.READY, 1.0, play.now)
-    play.do(play.control.handle(play.now, [EndpointsUpdated((cold,), complete=False)]))
+    play.do(play.control.handle(play.now, [EndpointsUpdated((cold,), is_snapshot=False)]))
     play.control.servers.rng = Unlucky(1)
     start = play.now
-    play.run(config.fall_window_ms / 1000)
+    play.run(config.overload_window_ms / 1000)
     to_cold = [at for at, _, _, server in play.sent if server == "cold" and at >= start]
-    usual = 40.0 * config.fall_window_ms / 1000 / 6  # what a warm server gets of this gateway in that time
-    warmth = config.cold_from + (1 - config.cold_from) * config.fall_window_ms / config.warm_up_ms
-    assert 1 <= most_within(to_cold, config.fall_window_ms) <= 1.3 * config.fall_multiple * warmth * usual + 1
+    usual = (
+        40.0 * config.overload_window_ms / 1000 / 6
+    )  # what a warm server gets of this gateway in that time
+    warmth = (
+        config.slow_start_initial_ratio
+        + (1 - config.slow_start_initial_ratio) * config.overload_window_ms / config.slow_start_ms
+    )
+    assert (
+        1
+        <= most_within(to_cold, config.overload_window_ms)
+        <= 1.3 * config.overload_multiple * warmth * usual + 1
+    )
 
 
 # -- who is to blame: a server, a hall, a class, a peer, ourselves
@@ -247,7 +262,7 @@
         self.now, self.bad, self.of = 1000.0, set(bad), set(of)
         self.control.handle(self.now, [FLEET])
         for _ in range(rounds):
-            for server in FLEET.servers:
+            for server in FLEET.endpoints:
                 for name in names:
                     failed = server.id in self.bad and name in self.of
                     self.see(server.id, name, math.inf if failed else 1.0)
@@ -261,7 +276,7 @@
         asked = [
             RequestReceived(number, f"c{number}", name, "rated", self.now + 2500.0) for number in range(count)
         ]
-        return [one.server for one in self.control.handle(self.now, asked) if isinstance(one, StartAttempt)]
+        return [one.endpoint for one in self.control.handle(self.now, asked) if isinstance(one, StartAttempt)]
 
 
 def test_a_server_that_fails_one_class_gets_none_of_that_class_and_the_others_as_before():
@@ -273,15 +288,15 @@
 
 def test_where_more_than_half_look_bad_nobody_is_put_out():
     """All answers failed at once: our own network. To put servers out then empties the list."""
-    judged = Judged(bad=[server.id for server in FLEET.servers])
+    judged = Judged(bad=[server.id for server in FLEET.endpoints])
     assert judged.control.servers.suspects and not judged.control.servers.ejected(judged.now, "look")
-    assert len(set(judged.sent("look"))) == len(FLEET.servers)
+    assert len(set(judged.sent("look"))) == len(FLEET.endpoints)
 
 
 def test_no_more_than_a_bounded_part_is_put_out():
     judged = Judged(bad=["s0", "s1", "s2"])
     out = judged.control.servers.ejected(judged.now, "look")
-    assert len(out) == int(EJECT_MOST * len(FLEET.servers)) == 2
+    assert len(out) == int(EJECT_MOST * len(FLEET.endpoints)) == 2
 
 
 def test_after_our_own_network_is_back_the_fleet_serves_within_two_seconds():
@@ -340,9 +355,9 @@
         actions = control.handle(now + 1, [RequestReceived(turn, f"c{turn}", "look", "rated", now + 2500.0)])
         for send in actions:
             if isinstance(send, StartAttempt):
-                to_bad += send.server == "s1"
+                to_bad += send.endpoint == "s1"
                 control.handle(
-                    now + 60, [AttemptCompleted(send.id, 0, send.server, 59.0, AttemptResult.OK, True)]
+                    now + 60, [AttemptCompleted(send.id, 0, send.endpoint, 59.0, AttemptResult.OK, True)]
                 )
     assert to_bad <= 1
 
@@ -409,7 +424,7 @@
     since = play.now
     play.run(3)  # discovery is silent: it still lists the server
     cold = Endpoint("new", "z1", 9, EndpointState.READY, 1.0, play.now - 3000)
-    play.do(play.control.handle(play.now, [EndpointsUpdated((*FLEET.servers[:5], cold))]))
+    play.do(play.control.handle(play.now, [EndpointsUpdated((*FLEET.endpoints[:5], cold))]))
     play.run(8)
     assert play.share_in_aim(since=since) > 0.93
     assert not [one for one in play.sent if one[3] == gone and one[0] > since + 3000]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -98,7 +98,7 @@
 
 def pass_on(now, sender, receiver):
     """What one process tells its own number reaches the other; the other's answers."""
-    number = sender.settings.number
+    number = sender.settings.gateway_number
     return receiver.handle(
         now,
         [
@@ -178,7 +178,7 @@
         tell for tell in other.actions if isinstance(tell, SendPeerMessage) and tell.receiver == home_of("c")
     ]
     assert tells
-    heard = [PeerMessageReceived(other.settings.number, tell.data) for tell in tells]
+    heard = [PeerMessageReceived(other.settings.gateway_number, tell.data) for tell in tells]
     assert not of(SendPeerMessage, old.handle(3.0, heard)) and of(SendPeerMessage, new.handle(3.0, heard))
 
 
@@ -189,14 +189,14 @@
         :1
     ] or [None]
     if send is not None:
-        old.handle(300.0, [AttemptCompleted(9, 0, send.server, 298.0, AttemptResult.ERROR, False)])
+        old.handle(300.0, [AttemptCompleted(9, 0, send.endpoint, 298.0, AttemptResult.ERROR, False)])
     new.handle(301.0, [ImportState(left_by(old, 301.0))])
     assert "s1" in new.servers.bans and new.draining.since_ms == 1.0
     assert {name for name, one in new.servers.known.items() if one.bad} == {
         name for name, one in old.servers.known.items() if one.bad
     }
     assert (
-        of(CommandCompleted, new.handle(302.0, [OperatorCommand(3, CommandKind.ENABLE, "s1")]))[0].wrong == ""
+        of(CommandCompleted, new.handle(302.0, [OperatorCommand(3, CommandKind.ENABLE, "s1")]))[0].error == ""
     )
     assert "s1" not in new.servers.bans
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -86,7 +86,7 @@
     assert one.decode(data) == (
         boot,
         room,
-        tuple(items[: one.max_items]),
+        tuple(items[: one.max_quota_messages]),
         tuple(seen[: peer_messages.MAX_OUTLIER_REPORTS]),
     )
 
@@ -100,8 +100,8 @@
         data = (head + bytes(4) + bytes([draw.draw(st.integers(0, 20))]) + data)[:256]
     heard = one.decode(data)
     assert heard is None or (
-        all(item.class_index < classes and item.plan_index < plans for item in heard.items)
-        and all(seen.class_index < classes for seen in heard.sightings)
+        all(item.class_index < classes and item.plan_index < plans for item in heard.quota_messages)
+        and all(seen.class_index < classes for seen in heard.outlier_reports)
     )
 
 
@@ -130,7 +130,7 @@
     empty = len(one.encode(1, 1.0, [], []))
     assert len(one.encode(1, 1.0, [word], [])) - empty == item
     assert len(one.encode(1, 1.0, [], [peer_messages.OutlierReport(7, 0, 15)])) - empty == seen
-    assert one.max_items == (256 - empty - 4 * seen) // item >= 12
+    assert one.max_quota_messages == (256 - empty - 4 * seen) // item >= 12
 
 
 @pytest.mark.parametrize("class_index, plan_index", [(3, 0), (0, 2), (-1, 0), (0, -1)])
@@ -152,7 +152,7 @@
         for value in (float("nan"), float("inf"), -1.0, 1e300, 4095.96875)
     ]
     heard = one.decode(one.encode(1, float("nan"), odd, []))
-    assert [item.units for item in heard.items] == [0.0, 4095.9375, 0.0, 4095.9375, 4095.9375]
+    assert [item.units for item in heard.quota_messages] == [0.0, 4095.9375, 0.0, 4095.9375, 4095.9375]
 
 
 @pytest.mark.parametrize("change", [dict(plans=2), dict(classes=4), dict(order=True), dict(version=3)])
@@ -180,9 +180,9 @@
 def told_to(sender, receiver, actions):
     """What a gateway tells another, as that one's events."""
     return [
-        PeerMessageReceived(sender.settings.number, tell.data)
+        PeerMessageReceived(sender.settings.gateway_number, tell.data)
         for tell in of(SendPeerMessage, actions)
-        if tell.receiver == receiver.settings.number
+        if tell.receiver == receiver.settings.gateway_number
     ]
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -49,7 +49,7 @@
 
 def outcome(send, result, attempt=0, took=50.0, final=None):
     final = result is AttemptResult.OK if final is None else final
-    return AttemptCompleted(send.id, attempt, send.server, took, result, final)
+    return AttemptCompleted(send.id, attempt, send.endpoint, took, result, final)
 
 
 def test_ordinary_request_is_sent_and_ends():
@@ -67,7 +67,7 @@
         safe, unsafe = unsafe, safe
     actions = c.handle(1050, [outcome(safe, AttemptResult.ERROR), outcome(unsafe, AttemptResult.ERROR)])
     again = of(StartAttempt, actions)
-    assert [send.id for send in again] == [1] and again[0].server != safe.server
+    assert [send.id for send in again] == [1] and again[0].endpoint != safe.endpoint
     assert of(FailRequest, actions) == [FailRequest(2)]
 
 
@@ -79,7 +79,17 @@
 
 
 def keyed(scope, window_ms=1000.0, **more):
-    kinds = (RequestClass("book", 3000, 9000, 4, Idempotency.KEYED, scope=scope, window_ms=window_ms),)
+    kinds = (
+        RequestClass(
+            "book",
+            3000,
+            9000,
+            4,
+            Idempotency.KEYED,
+            deduplication_scope=scope,
+            deduplication_window_ms=window_ms,
+        ),
+    )
     return gateway(classes=kinds, plans=(Plan("basic"),), **more)
 
 
@@ -94,7 +104,7 @@
 
 def first_send(control, now):
     (send,) = of(StartAttempt, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
-    assert send.within_ms == math.inf
+    assert send.start_within_ms == math.inf
     return send
 
 
@@ -104,10 +114,10 @@
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
     (repeat,) = of(StartAttempt, control.handle(400.0, [outcome(send, AttemptResult.RESET)]))
-    assert repeat.within_ms == 10.0 + 1000.0 - REPEAT_SPARE_MS - 400.0
+    assert repeat.start_within_ms == 10.0 + 1000.0 - REPEAT_SPARE_MS - 400.0
     # That it never left proves that it never ran: the first one alone counts, and its time goes on.
     more = of(StartAttempt, control.handle(700.0, [outcome(repeat, AttemptResult.CONNECT_FAILED, attempt=1)]))
-    assert [one.within_ms for one in more] == [10.0 + 1000.0 - REPEAT_SPARE_MS - 700.0]
+    assert [one.start_within_ms for one in more] == [10.0 + 1000.0 - REPEAT_SPARE_MS - 700.0]
     done = control.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
     assert not of(StartAttempt, done) and (of(FailRequest, done) or of(RejectRequest, done))
 
@@ -131,30 +141,32 @@
         control.rng.seed(place)
         control.handle(0.0, [fleet_of(*old)])
         send = first_send(control, 10.0)
-        moved = tuple((name, "b" if name == send.server else zone, cell, ms) for name, zone, cell, ms in old)
-        first = next(row for row in old if row[0] == send.server)
+        moved = tuple(
+            (name, "b" if name == send.endpoint else zone, cell, ms) for name, zone, cell, ms in old
+        )
+        first = next(row for row in old if row[0] == send.endpoint)
         control.handle(20.0, [fleet_of(*moved)])
         for repeat in of(StartAttempt, control.handle(30.0, [outcome(send, AttemptResult.RESET)])):
-            row = next(row for row in moved if row[0] == repeat.server)
+            row = next(row for row in moved if row[0] == repeat.endpoint)
             assert row[1] == first[1] and (scope is DeduplicationScope.ZONE or row[2] == first[2])
 
 
 @pytest.mark.parametrize("scope", list(DeduplicationScope))
 def test_a_worker_that_has_started_since_remembers_nothing_of_the_first(scope):
     for place in range(20):
-        control = keyed(scope, warm_up_ms=1.0)
+        control = keyed(scope, slow_start_ms=1.0)
         control.rng.seed(place)
         control.handle(1000.0, [fleet_of(("w1", "a", 1, 0.0), ("w2", "a", 1, 0.0))])
         send = first_send(control, 1010.0)
-        other = "w2" if send.server == "w1" else "w1"
-        control.handle(1100.0, [fleet_of((send.server, "a", 1, 1050.0), (other, "a", 1, 0.0))])
+        other = "w2" if send.endpoint == "w1" else "w1"
+        control.handle(1100.0, [fleet_of((send.endpoint, "a", 1, 1050.0), (other, "a", 1, 0.0))])
         for repeat in of(StartAttempt, control.handle(1200.0, [outcome(send, AttemptResult.RESET)])):
-            assert repeat.server == other
+            assert repeat.endpoint == other
 
 
 def test_a_disproved_attempt_does_not_clear_one_that_may_have_run():
     """An error, then a full at the same server: the first may have run all the same."""
-    c = Controller(settings(may_tell=False), 1)
+    c = Controller(settings(can_message_peers=False), 1)
     one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
     (send,) = of(StartAttempt, c.handle(1000, [one, ask(1, "book", due=1900)]))
     (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.ERROR)]))
@@ -171,7 +183,7 @@
         1000,
         [
             EndpointsUpdated(()),
-            EndpointsUpdated((), failed=True),
+            EndpointsUpdated((), is_failure=True),
             TimerFired("never asked"),
             ClientDisconnected(77),
         ],
@@ -185,7 +197,7 @@
     assert 4 in c.requests
     (send,) = of(StartAttempt, c.handle(1004, [FLEET]))
     assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
-    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.server)]) == []
+    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
     c.handle(
         1007,
         [
@@ -266,9 +278,18 @@
     sightings = [peer_messages.outlier_report(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
     data = codec.encode(70000, 1.5, items, sightings)
     news = codec.decode(data)
-    assert len(data) <= peer_messages.MAX_BYTES and news.boot == 70000 & 0xFFFF and news.room == 1.5
-    assert news.items == tuple(items[: codec.max_items]) and news.sightings == tuple(sightings)
-    assert [peer_messages.latency_ratio_of(seen) for seen in news.sightings] == [0.25, 1.0, 2.0, float("inf")]
+    assert (
+        len(data) <= peer_messages.MAX_BYTES and news.incarnation == 70000 & 0xFFFF and news.capacity == 1.5
+    )
+    assert news.quota_messages == tuple(items[: codec.max_quota_messages]) and news.outlier_reports == tuple(
+        sightings
+    )
+    assert [peer_messages.latency_ratio_of(seen) for seen in news.outlier_reports] == [
+        0.25,
+        1.0,
+        2.0,
+        float("inf"),
+    ]
 
 
 @pytest.mark.parametrize(
@@ -279,7 +300,7 @@
         (dict(gateways=0), "gateways"),
         (dict(number=3), "number"),
         (dict(max_attempts=0), "max_attempts"),
-        (dict(warm_up_ms=-1), "warm_up_ms"),
+        (dict(slow_start_ms=-1), "warm_up_ms"),
     ],
 )
 def test_settings_that_cannot_be_right_are_named(bad, key):
@@ -291,7 +312,7 @@
     with pytest.raises(ValueError, match="rate_per_s"):
         Plan("p", rate_per_s=-1)
     with pytest.raises(ValueError, match="repeat"):
-        RequestClass("k", 1, 1, 1, "sometimes", scope=DeduplicationScope.ALL)
+        RequestClass("k", 1, 1, 1, "sometimes", deduplication_scope=DeduplicationScope.ALL)
     with pytest.raises(ValueError, match="aim_ms"):
         RequestClass("k", float("nan"), 1, 1, Idempotency.IDEMPOTENT)
 
@@ -383,7 +404,9 @@
             ):
                 news = c.codec.decode(tell.data)
                 granted |= {
-                    tell.receiver for told in news.items if told.kind is peer_messages.QuotaMessageKind.GRANT
+                    tell.receiver
+                    for told in news.quota_messages
+                    if told.kind is peer_messages.QuotaMessageKind.GRANT
                 }
     # The class is worth half the worthiest: it leaves two fifths of the burst in store for that one.
     assert (
@@ -418,7 +441,7 @@
     for now in range(1000, 1500, 4):
         actions = c.handle(now, [*events, TimerFired("agenda")])
         events, told, sent = [], told + of(SendPeerMessage, actions), sent + of(StartAttempt, actions)
-    kinds = [told.kind for tell in told for told in c.codec.decode(tell.data).items]
+    kinds = [told.kind for tell in told for told in c.codec.decode(tell.data).quota_messages]
     assert (
         len(sent) == 1
         and kinds.count(peer_messages.QuotaMessageKind.GRANT_REQUEST) >= 6
@@ -475,7 +498,7 @@
     c.handle(1000, [FLEET])
     sends = of(StartAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
     c.handle(1002, [EndpointsUpdated(())])
-    assert set(c.servers.known) == {send.server for send in sends}
+    assert set(c.servers.known) == {send.endpoint for send in sends}
     c.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
     for n in range(20):
         c.handle(1100 + 100 * n, [])
@@ -487,33 +510,35 @@
 
 def test_who_cannot_have_its_quota_in_time_is_told_at_once_and_who_waited_in_vain_when_that_is_sure():
     """Seen: they waited for 0.6 s, up to 76 at once, on connections that others had then no longer."""
-    c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_cost=0.5),))
+    c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
     c.handle(1000, [FLEET])
     actions = c.handle(1001, [ask(n, customer="d") for n in range(40)])
     refused, sent = of(RejectRequest, actions), of(StartAttempt, actions)
     waiting = [request for request in c.requests.values() if request.waiting]
     assert len(sent) >= 7 and len(refused) + len(sent) + len(waiting) == 40
-    assert len(refused) > len(waiting) and all(one.retry_in_ms >= 250 for one in refused if one.retry_in_ms)
+    assert len(refused) > len(waiting) and all(
+        one.retry_after_ms >= 250 for one in refused if one.retry_after_ms
+    )
     kind = c.classes["look"]
     for _ in range(200):  # until its home has dropped them
-        if c.agenda[0][0] > 1001 + kind.aim_ms * (1 - 0.45) + 10:
+        if c.agenda[0][0] > 1001 + kind.latency_objective_ms * (1 - 0.45) + 10:
             break
         c.handle(c.agenda[0][0], [])
     assert not any(request.waiting for request in c.requests.values())
 
 
 def test_a_home_denies_a_peer_in_one_message_and_the_peer_refuses():
-    plans = (Plan("rated", 4, 12, over_cost=0.5),)
+    plans = (Plan("rated", 4, 12, over_quota_cost=0.5),)
     home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
     home.handle(1000, [FLEET])
     asks = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)]
     told = of(
         SendPeerMessage, home.handle(1001, [PeerMessageReceived(1, home.codec.encode(1, 1.0, asks, []))])
     )
-    kinds = [one.kind for tell in told for one in home.codec.decode(tell.data).items]
+    kinds = [one.kind for tell in told for one in home.codec.decode(tell.data).quota_messages]
     assert peer_messages.QuotaMessageKind.DENIED in kinds and peer_messages.QuotaMessageKind.GRANT in kinds
     peer.handle(1000, [FLEET])
-    first = peer.settings.number + 6 - home_of("c", spread=2)
+    first = peer.settings.gateway_number + 6 - home_of("c", spread=2)
     peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
     request = peer.requests[1]
     assert request.account.home == 7
@@ -525,8 +550,8 @@
 
 
 def test_a_full_store_serves_anybody_also_where_the_reserve_is_most_of_a_small_burst():
-    c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_cost=0.5),))
-    again = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_repeat=True)
+    c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_quota_cost=0.5),))
+    again = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
     assert [send.id for send in of(StartAttempt, c.handle(1000, [FLEET, again]))] == [1]
 
 
@@ -542,11 +567,11 @@
 def test_what_was_granted_and_not_used_goes_back():
     c = gateway(number=(home_of("c") + 1) % 3)
     tells = of(SendPeerMessage, c.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
-    (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).items]
+    (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).quota_messages]
     data = c.codec.encode(1, 1.0, [asked._replace(kind=peer_messages.QuotaMessageKind.GRANT)], [])
     c.handle(1010, [PeerMessageReceived(home_of("c"), data)])
     tells = of(SendPeerMessage, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
-    assert [told.kind for tell in tells for told in c.codec.decode(tell.data).items] == [
+    assert [told.kind for tell in tells for told in c.codec.decode(tell.data).quota_messages] == [
         peer_messages.QuotaMessageKind.RETURNED
     ]
 
@@ -556,10 +581,10 @@
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
-        c = Controller(settings(number=n, gateways=400, may_tell=False), n)
-        c.handle(50_000, [EndpointsUpdated((*FLEET.servers, cold))])
+        c = Controller(settings(number=n, gateways=400, can_message_peers=False), n)
+        c.handle(50_000, [EndpointsUpdated((*FLEET.endpoints, cold))])
         burst = [RequestReceived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
-        count += sum(send.server == "cold" for send in of(StartAttempt, c.handle(52_000, burst)))
+        count += sum(send.endpoint == "cold" for send in of(StartAttempt, c.handle(52_000, burst)))
     warm = 400 * 3 / 7
     assert 0 < count < 0.45 * 2 * warm
 
@@ -571,8 +596,8 @@
     for _ in range(200):
         number, now = number + 1, now + 20
         for send in of(StartAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
-            sent.append(send.server)
-            result, took = (AttemptResult.ERROR, 2) if send.server == "s1" else (AttemptResult.OK, 90)
+            sent.append(send.endpoint)
+            result, took = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
             more = c.handle(now + 5, [outcome(send, result, took=took)])
             for n, retry in enumerate(of(StartAttempt, more)):
                 c.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
@@ -592,13 +617,13 @@
     for now in range(1004, 3000, 4):
         events = [ask(now, due=now + 1500.0)] if now == 1500 else []
         for tell in of(SendPeerMessage, c.handle(now, [*events, TimerFired("agenda")])):
-            (told if c.codec.decode(tell.data).items else signs).append(tell.receiver)
+            (told if c.codec.decode(tell.data).quota_messages else signs).append(tell.receiver)
     assert set(told) == {home_of("c")} and len(told) <= 4
     assert max(map(signs.count, set(signs))) <= 4  # in 2 s
 
 
 def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
-    c = gateway(number=(home_of("c") + 1) % 3, inbox_per_s=20)
+    c = gateway(number=(home_of("c") + 1) % 3, peer_inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
     wait = c.codec.encode(
         1, 1.0, [item(peer_messages.QuotaMessageKind.QUEUED, serial=c.quota.serial, asked=400.0)], []
@@ -609,7 +634,7 @@
         for tell in of(SendPeerMessage, c.handle(1012 + n, [ask(n + 2)])):
             asked += sum(
                 told.kind is peer_messages.QuotaMessageKind.GRANT_REQUEST
-                for told in c.codec.decode(tell.data).items
+                for told in c.codec.decode(tell.data).quota_messages
             )
     assert 0 < asked < 100
 
@@ -645,7 +670,7 @@
     """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
     c = gateway(gateways=1)
     first = of(SetTimer, c.handle(1000, [FLEET]))
-    assert [round(wake.after_ms) for wake in first] == [100]  # the period
+    assert [round(wake.delay_ms) for wake in first] == [100]  # the period
     actions = c.handle(1001, [ask(1)])
     (send,) = of(StartAttempt, actions)
     assert not of(SetTimer, actions)  # all that is due for the request comes after the period
@@ -654,13 +679,13 @@
     for _ in range(30):  # beyond its hedge, and up to where it would have been given up
         now += 100
         wakes += of(SetTimer, c.handle(now, [TimerFired("agenda")]))
-    assert len(wakes) == 30 and all(99 <= wake.after_ms <= 101 for wake in wakes)
+    assert len(wakes) == 30 and all(99 <= wake.delay_ms <= 101 for wake in wakes)
 
 
 def test_discovery_that_must_be_asked_is_asked_and_asked_again():
-    c = gateway(must_subscribe=True, ask_within_ms=4000)
+    c = gateway(must_request_watch=True, watch_retry_ms=4000)
     assert of(WatchEndpoints, c.handle(1000, [FLEET]))
-    c.handle(1010, [EndpointsUpdated((), failed=True)])
+    c.handle(1010, [EndpointsUpdated((), is_failure=True)])
     assert of(WatchEndpoints, c.handle(2100, [TimerFired("agenda")]))
 
 
@@ -675,8 +700,8 @@
             sends = of(StartAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
             while sends:
                 send = sends.pop()
-                sent.append(send.server)
-                bad = send.server == "s2"
+                sent.append(send.endpoint)
+                bad = send.endpoint == "s2"
                 attempt = c.requests[send.id].attempts - 1
                 sends += of(
                     StartAttempt,
@@ -689,8 +714,8 @@
 def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
     c = gateway()
     (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
-    old = c.servers.known[send.server].entry
-    back = Endpoint(old.id, old.zone, old.cell, EndpointState.READY, 1.0, 1005.0)
-    c.handle(1010, [EndpointsUpdated((back,), complete=False)])
+    old = c.servers.known[send.endpoint].entry
+    back = Endpoint(old.id, old.zone, old.deduplication_group, EndpointState.READY, 1.0, 1005.0)
+    c.handle(1010, [EndpointsUpdated((back,), is_snapshot=False)])
     c.handle(1020, [outcome(send, AttemptResult.RESET)])
-    assert c.servers.known[send.server].out == 0
+    assert c.servers.known[send.endpoint].out == 0
--- a/tests/test_quota_hard.py
+++ b/tests/test_quota_hard.py
@@ -189,10 +189,12 @@
 def test_a_grant_that_is_heard_again_after_its_request_has_ended_gives_nothing_back():
     """Answers come after the second question, and again when the request has been served and has ended."""
     rig = asks_alone(lambda *_: 90.0, 3)
-    assert sum(item.kind is QuotaMessageKind.GRANT for *_, news in rig.told for item in news.items) > len(
-        rig.granted
+    assert sum(
+        item.kind is QuotaMessageKind.GRANT for *_, news in rig.told for item in news.quota_messages
+    ) > len(rig.granted)
+    assert not any(
+        item.kind is QuotaMessageKind.RETURNED for *_, news in rig.told for item in news.quota_messages
     )
-    assert not any(item.kind is QuotaMessageKind.RETURNED for *_, news in rig.told for item in news.items)
     assert rig.beyond() <= bound(rig, Situation.SERVICE, 20.0)
     assert all(len(module.quota.used) <= 20 / 4 * 8 for module in rig.modules)
 
@@ -205,7 +207,9 @@
         return 60.0 if rng.random() < 0.2 else 3.0
 
     def credits(rig):
-        return sum(item.kind is QuotaMessageKind.SPENT for *_, news in rig.told for item in news.items)
+        return sum(
+            item.kind is QuotaMessageKind.SPENT for *_, news in rig.told for item in news.quota_messages
+        )
 
     assert credits(asks_alone(now_and_then_late)) == 0
     monkeypatch.setattr(controller, "ASK_LEAST_MS", 30.0)
@@ -280,7 +284,7 @@
     signs, business = Counter(), Counter()
     for t, _, receiver, news in rig.told:
         if t >= 4000:
-            (business if news.items else signs)[receiver] += 1 / 8
+            (business if news.quota_messages else signs)[receiver] += 1 / 8
     assert max(signs.values()) <= 0.4 * rig.inbox
     assert sum(business.values()) > sum(signs.values()) and max((signs + business).values()) < rig.inbox
     assert not any(module.silent_homes() for module in rig.modules)  # and nobody is taken to be away
--- a/tests/test_reconfigure.py
+++ b/tests/test_reconfigure.py
@@ -48,7 +48,7 @@
     """Take over these settings in a turn of its own; what is said to them."""
     said = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
     assert not control.faults
-    return said[0].wrong
+    return said[0].error
 
 
 def with_class(given, name, **figures):
@@ -83,11 +83,11 @@
 @pytest.mark.parametrize(
     "spoil, key",
     [
-        (lambda s: replace(s, gateways=4), "settings.balancers"),
-        (lambda s: replace(s, number=1), "settings.myNumber"),
+        (lambda s: replace(s, gateway_count=4), "settings.balancers"),
+        (lambda s: replace(s, gateway_number=1), "settings.myNumber"),
         (lambda s: replace(s, zone="elsewhere"), "settings.locality"),
-        (lambda s: replace(s, must_subscribe=True), "settings.discovery"),
-        (lambda s: replace(s, may_tell=False), "settings.limits.mayTell"),
+        (lambda s: replace(s, must_request_watch=True), "settings.discovery"),
+        (lambda s: replace(s, can_message_peers=False), "settings.limits.mayTell"),
         (lambda s: replace(s, classes=(*s.classes, s.classes[1])), "settings.classes[6].name"),
         (lambda s: replace(s, plans=(s.plans[0], *s.plans)), "settings.packages[1].name"),
         (lambda s: replace(s, plans=tuple(Plan(f"p{n}") for n in range(MAX_PLANS + 1))), "settings.packages"),
@@ -98,11 +98,11 @@
 def test_what_cannot_change_in_service_is_refused_whole_by_one_line_that_names_its_key(spoil, key):
     control, other = gateway(), gateway()
     events = [FLEET_6, ask(1), ask(2, "debit"), ask(3, plan="open")]
-    bad = spoil(with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", aim_ms=1.0))
+    bad = spoil(with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", latency_objective_ms=1.0))
     actions = control.handle(1000.0, [*events, SettingsChanged(7, bad)])
     said = [action for action in actions if isinstance(action, CommandCompleted)]
-    assert not control.faults and [one.number for one in said] == [7]
-    assert said[0].wrong.startswith(key) and "\n" not in said[0].wrong
+    assert not control.faults and [one.id for one in said] == [7]
+    assert said[0].error.startswith(key) and "\n" not in said[0].error
     assert [one for one in actions if not isinstance(one, CommandCompleted)] == other.handle(1000.0, events)
     assert control.settings == settings()
     for step in range(1, 200):  # and nothing later either
@@ -125,7 +125,7 @@
         if self.turns % 3 == 0:
             events = [*events, SettingsChanged(self.turns, copy.deepcopy(self.settings))]
         actions = super().handle(now_ms, events)
-        assert all(action.wrong == "" for action in of(CommandCompleted, actions))
+        assert all(action.error == "" for action in of(CommandCompleted, actions))
         return [action for action in actions if not isinstance(action, CommandCompleted)]
 
 
@@ -146,7 +146,7 @@
 def test_a_request_keeps_its_class_to_its_end_also_where_that_is_dropped():
     control = gateway()
     first, second = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
-    new = without(with_class(settings(), "look", repeat=Idempotency.NON_IDEMPOTENT), "debit")
+    new = without(with_class(settings(), "look", idempotency=Idempotency.NON_IDEMPOTENT), "debit")
     assert change(control, 1010.0, new) == ""
     actions = control.handle(
         1050.0,
@@ -213,7 +213,7 @@
     assert [one.id for one in of(RejectRequest, actions)] == [2] and list(control.requests) == [1]
     assert not control.faults
     # And of its own stores: who waits there under a class that goes is denied, the others stay.
-    own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_worth=0.0), 1)
+    own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_quota_weight=0.0), 1)
     home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
     own.handle(1000.0, [FLEET_6, *crowd])
@@ -252,7 +252,7 @@
         for tell in of(SendPeerMessage, actions)
         for news in [PeerMessageCodec(old).decode(tell.data)]
         if news
-        for item in news.items
+        for item in news.quota_messages
     ]
     assert [(item.kind, item.serial) for item in told] == [
         (QuotaMessageKind.RETURNED, 3)
@@ -262,7 +262,7 @@
         for tell in of(SendPeerMessage, actions)
         for news in [PeerMessageCodec(new).decode(tell.data)]
         if news
-        for item in news.items
+        for item in news.quota_messages
     ]
     assert [item.serial for item in waits] == [1, 4]  # no question for a class that is gone
     assert [new.plans[item.plan_index].name for item in waits] == ["capped", "open"]
@@ -285,7 +285,7 @@
     heard_ms = dict(one.quota.heard_ms)
     one.handle(1012.0, [PeerMessageReceived(1, data)])
     assert one.quota.heard_ms == heard_ms
-    change(two, 1016.0, replace(dropped, number=1))
+    change(two, 1016.0, replace(dropped, gateway_number=1))
     one.handle(1020.0, [PeerMessageReceived(1, two.codec.encode(1, 1.0, [], []))])
     assert one.quota.heard_ms[1] == 1020.0
 
@@ -298,7 +298,7 @@
         control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))]),
     )
     assert len(sends) == 4  # as many as may be out at once
-    lower = with_plan(settings(), "open", max_out=2)
+    lower = with_plan(settings(), "open", max_in_flight=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
     (store,) = control.quota.stores.values()
     assert len(store.leases) == 4
@@ -417,7 +417,7 @@
     books, changes, at_ms = Books(*steps[0]), [], 0.0
     for step in steps[1:]:
         at_ms += rng.uniform(100.0, 3000.0)
-        rig.change(at_ms, step and replace(rig.plan, ceiling_per_s=step[0], ceiling_burst=step[1]))
+        rig.change(at_ms, step and replace(rig.plan, hard_limit_per_s=step[0], hard_limit_burst=step[1]))
         changes.append((at_ms, step))
     rig.run(20_000.0)
     free, counted = False, 0
@@ -477,7 +477,7 @@
     control.quota.account(1000.0, arrival, plan)
     level = account.ceiling
     assert level > 0
-    new = with_plan(settings(), "capped", ceiling_per_s=160.0, ceiling_burst=320.0)
+    new = with_plan(settings(), "capped", hard_limit_per_s=160.0, hard_limit_burst=320.0)
     assert change(control, 3000.0, new) == ""
     plan = control.plans["capped"]
     control.quota.account(3000.0, arrival, plan)
@@ -545,7 +545,7 @@
 def test_a_class_of_another_aim_is_steered_by_that_from_now_on():
     control = gateway()
     control.handle(0.0, [FLEET_6])
-    assert change(control, 4.0, with_class(settings(), "look", aim_ms=300.0)) == ""
+    assert change(control, 4.0, with_class(settings(), "look", latency_objective_ms=300.0)) == ""
     fresh = Controller(control.settings, 1)
     assert control.shares["look"].aim_s == fresh.shares["look"].aim_s
     assert control.shares["book"].aim_s == fresh.shares["book"].aim_s
@@ -559,10 +559,10 @@
     control.handle(10_000.0, [EndpointsUpdated(tuple(servers))])
     assert len(control.servers.cold) == 3 and control.servers.capacity < 6
     limit = control.window.limit
-    assert change(control, 10_004.0, replace(settings(), warm_up_ms=2000.0)) == ""
+    assert change(control, 10_004.0, replace(settings(), slow_start_ms=2000.0)) == ""
     assert len(control.servers.warm) == 6 and control.servers.capacity == 6 and control.window.limit > limit
     assert control.servers.bans.warm_up_ms == 2000.0
-    assert change(control, 10_008.0, replace(settings(), warm_up_ms=60_000.0)) == ""
+    assert change(control, 10_008.0, replace(settings(), slow_start_ms=60_000.0)) == ""
     assert len(control.servers.cold) == 3
 
 
@@ -599,9 +599,9 @@
                 deadline_ms,
                 rng.choice((0.0, 1.0, 4.0)),
                 rng.choice(list(Idempotency)),
-                scope=rng.choice(list(DeduplicationScope)),
-                window_ms=rng.choice((0.0, 200.0, 1200.0)),
-                late_worth=rng.choice((0.0, 0.5)),
+                deduplication_scope=rng.choice(list(DeduplicationScope)),
+                deduplication_window_ms=rng.choice((0.0, 200.0, 1200.0)),
+                late_priority_weight=rng.choice((0.0, 0.5)),
                 streamed=rng.random() < 0.1,
             )
         )
@@ -626,13 +626,13 @@
         classes=tuple(kinds),
         plans=tuple(plans),
         max_attempts=rng.choice((1, 3, 5)),
-        second_copies=rng.random() < 0.5,
-        may_cancel=rng.random() < 0.7,
-        warm_up_ms=rng.choice((0.0, 3000.0, 17_000.0)),
-        cold_from=rng.choice((0.1, 0.4)),
-        fall_multiple=rng.choice((2.0, 3.0)),
+        can_hedge=rng.random() < 0.5,
+        can_cancel_attempts=rng.random() < 0.7,
+        slow_start_ms=rng.choice((0.0, 3000.0, 17_000.0)),
+        slow_start_initial_ratio=rng.choice((0.1, 0.4)),
+        overload_multiple=rng.choice((2.0, 3.0)),
         max_retry_after_ms=rng.choice((0.0, 1000.0)),
-        report_fields=rng.choice((("util",), ("util", "inflight"), ())),
+        load_report_fields=rng.choice((("util",), ("util", "inflight"), ())),
     )
 
 
@@ -668,7 +668,7 @@
         self.checker = OwnKinds(self.config)
 
     def now_at(self, number=0, gateways=3):
-        return replace(self.in_force.get(number, self.pool[0]), number=number)
+        return replace(self.in_force.get(number, self.pool[0]), gateway_number=number)
 
     def change(self, n):
         new = self.chance.choice(self.pool)
@@ -676,13 +676,13 @@
             new = replace(new, zone="elsewhere")
         control, events = self.gateways[n], self.inbox[n]
         self.inbox[n], before = [], control.settings
-        actions = control.handle(self.now, [*events, SettingsChanged(1, replace(new, number=n))])
+        actions = control.handle(self.now, [*events, SettingsChanged(1, replace(new, gateway_number=n))])
         (said,) = of(CommandCompleted, actions)
         if new.zone == "elsewhere":
-            assert "locality" in said.wrong and control.settings is before
+            assert "locality" in said.error and control.settings is before
             self.refused += 1
         else:
-            assert said.wrong == "" and control.settings == replace(new, number=n)
+            assert said.error == "" and control.settings == replace(new, gateway_number=n)
             self.in_force[n] = new
             self.changes += 1
         self.check(control)
@@ -697,7 +697,7 @@
             assert name & 0xFFFF == quota.plan_index[store.plan.name]
             # What was kept back for a word that came late may be above, until the store is served again.
             assert store.level <= store.plan.burst + (4 if store.spent else 0)
-            assert not store.plan.ceiling_per_s or store.ceiling <= store.plan.ceiling_burst
+            assert not store.plan.hard_limit_per_s or store.ceiling <= store.plan.hard_limit_burst
             for one in store.queue:
                 assert one.item.plan_index == name & 0xFFFF
                 assert one.item.class_index < len(control.classes)
@@ -737,12 +737,12 @@
         if isinstance(action, CommandCompleted):
             return
         if isinstance(action, SetTimer):
-            assert 0 <= action.after_ms < 60_000
+            assert 0 <= action.delay_ms < 60_000
         if isinstance(action, (StartAttempt, RejectRequest, FailRequest, CancelAttempt)):
             assert isinstance(action, CancelAttempt) or action.id in self.checker.open, "more than one answer"
             self.checker.of(action.id)
         if isinstance(action, StartAttempt):
-            assert 0 < action.allow_ms < 60_000
+            assert 0 < action.timeout_ms < 60_000
         super().act(n, action)
 
     def deliver(self, gateway, event):
