--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -33,42 +33,71 @@
 def settings(number=0, gateways=3, **more):
     """Settings with every kind of repeat and plan."""
     values = dict(
-        gateways=gateways,
-        number=number,
+        gateway_count=gateways,
+        gateway_number=number,
         zone="z0",
         tick_ms=TICK,
         classes=(
             RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
             RequestClass(
-                "book", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.GROUP, window_ms=1200
+                "book",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.GROUP,
+                deduplication_window_ms=1200,
             ),
             RequestClass(
-                "hold", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.ZONE, window_ms=1200
+                "hold",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ZONE,
+                deduplication_window_ms=1200,
             ),
             RequestClass(
-                "seat", 900, 2500, 4, Idempotency.KEYED, scope=DeduplicationScope.ALL, window_ms=1200
+                "seat",
+                900,
+                2500,
+                4,
+                Idempotency.KEYED,
+                deduplication_scope=DeduplicationScope.ALL,
+                deduplication_window_ms=1200,
             ),
             RequestClass("debit", 900, 2500, 3, Idempotency.NON_IDEMPOTENT),
             RequestClass("feed", 900, 2500, 1, Idempotency.IDEMPOTENT, streamed=True),
         ),
         plans=(
             Plan("rated", 4, 12, 0, 1.0, 0.3, 0.1),
-            Plan("capped", 8, 16, 0, 1.5, 0.5, 0.1, ceiling_per_s=16, ceiling_burst=32, ceiling_slack=4),
-            Plan("open", max_out=4, value=1.2, over_cost=1.0),
+            Plan(
+                "capped",
+                8,
+                16,
+                0,
+                1.5,
+                0.5,
+                0.1,
+                hard_limit_per_s=16,
+                hard_limit_burst=32,
+                hard_limit_slack=4,
+            ),
+            Plan("open", max_in_flight=4, priority_factor=1.2, over_quota_cost=1.0),
         ),
-        warm_up_ms=8000,
-        cold_from=0.25,
-        fall_multiple=3,
-        fall_window_ms=1500,
+        slow_start_ms=8000,
+        slow_start_initial_ratio=0.25,
+        overload_multiple=3,
+        overload_window_ms=1500,
         max_attempts=4,
         max_units=4,
-        may_tell=True,
-        second_copies=True,
-        settles=True,
+        can_message_peers=True,
+        can_hedge=True,
+        settles_afterwards=True,
         max_retry_after_ms=1000,
-        inbox_per_s=60,
-        report_how="answers",
-        report_fields=("util", "inflight"),
+        peer_inbox_per_s=60,
+        load_report_source="answers",
+        load_report_fields=("util", "inflight"),
     )
     values.update(more)
     return Settings(**values)
@@ -102,29 +131,33 @@
         kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
         assert drained_ms is None or now <= drained_ms + GRACE, "rule 3: sent to a draining server"
         loose = self.unproved(number)
-        if kind.repeat is Idempotency.NON_IDEMPOTENT:
+        if kind.idempotency is Idempotency.NON_IDEMPOTENT:
             assert not loose, "rule 2: an unsafe request went out twice"
-        if kind.repeat is Idempotency.KEYED and loose:
+        if kind.idempotency is Idempotency.KEYED and loose:
             first_ms, first = loose[0]
-            assert now - first_ms <= kind.window_ms, "rule 2: past the window"
-            if kind.scope is DeduplicationScope.GROUP:
-                assert first.cell == server.cell, "rule 2: another cell"
-            if kind.scope is DeduplicationScope.ZONE:
+            assert now - first_ms <= kind.deduplication_window_ms, "rule 2: past the window"
+            if kind.deduplication_scope is DeduplicationScope.GROUP:
+                assert first.deduplication_group == server.deduplication_group, "rule 2: another cell"
+            if kind.deduplication_scope is DeduplicationScope.ZONE:
                 assert first.zone == server.zone, "rule 2: another zone"
-        if not self.sent[number] and plan.ceiling_per_s:
-            level, at = self.ceilings.get(arrival.customer, (plan.ceiling_burst, now))
-            level = min(plan.ceiling_burst, level + (now - at) / 1000 * plan.ceiling_per_s) - arrival.units
-            assert level >= -plan.ceiling_slack - 1e-6, f"rule 5: {arrival.customer} at {level}"
+        if not self.sent[number] and plan.hard_limit_per_s:
+            level, at = self.ceilings.get(arrival.customer, (plan.hard_limit_burst, now))
+            level = (
+                min(plan.hard_limit_burst, level + (now - at) / 1000 * plan.hard_limit_per_s) - arrival.units
+            )
+            assert level >= -plan.hard_limit_slack - 1e-6, f"rule 5: {arrival.customer} at {level}"
             self.ceilings[arrival.customer] = (level, now)
         self.sent[number].append((now, server))
 
     def answer(self, now, number, refused):
         _, arrival = self.open.pop(number)
         kind = self.kinds[arrival.class_name]
-        assert now <= arrival.due_ms + SLACK, "rule 1: late"
+        assert now <= arrival.deadline_ms + SLACK, "rule 1: late"
         if refused and self.unproved(number):
-            all_of_them = kind.repeat is Idempotency.KEYED and kind.scope is DeduplicationScope.ALL
-            assert kind.repeat is Idempotency.IDEMPOTENT or all_of_them, (
+            all_of_them = (
+                kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
+            )
+            assert kind.idempotency is Idempotency.IDEMPOTENT or all_of_them, (
                 "rule 2: refused though it may have run"
             )
         self.done.add(number)
@@ -168,9 +201,9 @@
             EndpointState.GONE: EndpointState.READY,
         }[old.state]
         started = self.now if flip is EndpointState.READY else old.started_ms
-        self.fleet[n] = Endpoint(old.id, old.zone, old.cell, flip, 1.0, started)
+        self.fleet[n] = Endpoint(old.id, old.zone, old.deduplication_group, flip, 1.0, started)
         for gateway in self.gateways:
-            self.inbox[gateway].append(EndpointsUpdated((self.fleet[n],), complete=False))
+            self.inbox[gateway].append(EndpointsUpdated((self.fleet[n],), is_snapshot=False))
             if flip is EndpointState.READY:
                 self.learned[gateway].pop(old.id, None)
             else:
@@ -182,7 +215,7 @@
         kind = self.rng.choice(self.config.classes)
         plan = self.rng.choice(self.config.plans)
         spread = self.rng.choice((2, len(self.gateways)))
-        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_out else 1)}-{spread}"
+        customer = f"{plan.name}-{self.rng.randrange(4 if plan.max_in_flight else 1)}-{spread}"
         first = gateway if spread == len(self.gateways) else 0
         if spread == 2:
             gateway = self.rng.randrange(2)
@@ -202,7 +235,7 @@
 
     def act(self, n, action):
         if isinstance(action, StartAttempt):
-            server = next(s for s in self.fleet if s.id == action.server)
+            server = next(s for s in self.fleet if s.id == action.endpoint)
             self.checker.send(self.now, action.id, server, self.learned[n].get(server.id))
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
@@ -216,8 +249,8 @@
                 ],
                 [70, 8, 8, 6, 4, 4],
             )[0]
-            took = min(self.rng.expovariate(1 / 150), action.allow_ms)
-            took = action.allow_ms if result is AttemptResult.TIMEOUT else took
+            took = min(self.rng.expovariate(1 / 150), action.timeout_ms)
+            took = action.timeout_ms if result is AttemptResult.TIMEOUT else took
             self.tries[action.id, attempt] = (n, server, self.now)
             streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
             if streamed and result is AttemptResult.OK:
@@ -230,7 +263,7 @@
         elif isinstance(action, CancelAttempt):
             self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
         elif isinstance(action, SetTimer):
-            self.later(max(action.after_ms, 1e-3), n, TimerFired(action.name))
+            self.later(max(action.delay_ms, 1e-3), n, TimerFired(action.name))
         elif isinstance(action, SendPeerMessage):
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
@@ -255,7 +288,7 @@
             self.checker.proved[number].add(attempt)
         if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
             self.streams.discard(number)
-            due = self.checker.open[number][1].due_ms
+            due = self.checker.open[number][1].deadline_ms
             assert (
                 self.now <= due + SLACK
                 or self.checker.kinds[self.checker.open[number][1].class_name].streamed
@@ -302,7 +335,7 @@
             overdue = [
                 n
                 for n, (_, arrival) in self.checker.open.items()
-                if arrival.due_ms + SLACK < self.now and n not in self.streams
+                if arrival.deadline_ms + SLACK < self.now and n not in self.streams
             ]
             assert not overdue, f"rule 1: no answer for {overdue[:3]}"
             assert self.now < end + 60_000
@@ -349,7 +382,7 @@
             if now == 50_004.0:
                 events.append(EndpointsUpdated(tuple(fleet)))
             if now == 52_000.0:
-                events.append(EndpointsUpdated((cold,), complete=False))
+                events.append(EndpointsUpdated((cold,), is_snapshot=False))
             if rng.random() < 0.12:
                 serial += 1
                 events.append(
@@ -360,8 +393,8 @@
                 events.append(AttemptCompleted(number, 0, server, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
                 if isinstance(action, StartAttempt):
-                    sends.append((now, action.server))
-                    heapq.heappush(outs, (now + 120, n, action.id, action.server))
+                    sends.append((now, action.endpoint))
+                    heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
         outs.sort()
     for start in range(52_000, 54_500, 100):
         window = [server for at, server in sends if start <= at < start + 1500]
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -17,7 +17,7 @@
 )
 
 LEAVE = EndpointsUpdated(
-    tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.DRAINING) for n in range(4)), complete=False
+    tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.DRAINING) for n in range(4)), is_snapshot=False
 )
 STAGES = (
     "controller.Controller.again",
@@ -86,7 +86,7 @@
                 elif isinstance(action, (RejectRequest, FailRequest)):
                     ended.add(action.id)
                 elif isinstance(action, SetTimer):
-                    wakes.append(now + action.after_ms)
+                    wakes.append(now + action.delay_ms)
             periods = [at for at, _, what, _ in control.agenda if what == "period"]
             assert len(periods) == 1 and now < periods[0] <= now + PERIOD_MS + 4
             assert min(wakes, default=math.inf) <= periods[0] + 4
@@ -148,7 +148,7 @@
 def test_a_message_that_cannot_be_packed_costs_no_other_gateways(monkeypatch):
     control = home()
     control.handle(1000.0, [FLEET])
-    others = sorted({0, 1, 2} - {control.settings.number})
+    others = sorted({0, 1, 2} - {control.settings.gateway_number})
     calls = break_it(monkeypatch, "peer_messages.PeerMessageCodec.encode", lambda count, _: count == 1)
     told = of(SendPeerMessage, control.handle(1000.0 + 600, []))
     assert len(calls) == 2 and [tell.receiver for tell in told] == others[1:] and len(control.faults) == 1
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,7 +15,9 @@
 
 
 def gateway(number, now):
-    control = Controller(settings(gateways=2, number=number, plans=PLANS, may_tell=True), SEED + number)
+    control = Controller(
+        settings(gateways=2, number=number, plans=PLANS, can_message_peers=True), SEED + number
+    )
     control.handle(now, [FLEET])
     return control
 
@@ -28,7 +30,9 @@
     for tell in told:
         answers += [
             action
-            for action in home.handle(now + 1, [PeerMessageReceived(asker.settings.number, tell.data)])
+            for action in home.handle(
+                now + 1, [PeerMessageReceived(asker.settings.gateway_number, tell.data)]
+            )
             if isinstance(action, SendPeerMessage)
         ]
     return told, answers
@@ -43,7 +47,7 @@
     booked = len(store.done)
     again, _ = asked(second, home, 1410.0, 1)
     assert told and again and booked == 1 and len(store.done) == 2
-    assert home.codec.decode(told[0].data).boot != home.codec.decode(again[0].data).boot
+    assert home.codec.decode(told[0].data).incarnation != home.codec.decode(again[0].data).incarnation
 
 
 def test_a_grant_to_the_last_life_is_not_believed_by_the_next_but_given_back():
@@ -51,7 +55,7 @@
     home = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
     _, answers = asked(first, home, 1010.0, 1)
-    assert [item.kind for answer in answers for item in home.codec.decode(answer.data).items] == [
+    assert [item.kind for answer in answers for item in home.codec.decode(answer.data).quota_messages] == [
         QuotaMessageKind.GRANT
     ]
     asked(second, home, 1410.0, 1)
@@ -60,12 +64,12 @@
     assert request.waiting and not request.paid
     while not [action for action in done if isinstance(action, SendPeerMessage)]:
         (wake,) = [action for action in done if isinstance(action, SetTimer)][:1]
-        done = second.handle(1411.0 + wake.after_ms, [TimerFired(wake.name)])
+        done = second.handle(1411.0 + wake.delay_ms, [TimerFired(wake.name)])
     kinds = [
         item.kind
         for action in done
         if isinstance(action, SendPeerMessage)
-        for item in second.codec.decode(action.data).items
+        for item in second.codec.decode(action.data).quota_messages
     ]
     assert QuotaMessageKind.RETURNED in kinds
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -247,7 +247,7 @@
                 got += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
         assert got == body
-        assert not (await gate.script.event(ResponseStarted)).kept
+        assert not (await gate.script.event(ResponseStarted)).is_body_retained
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
         assert (await client.answer())[::2] == (200, b"done")
         client.send(request())  # the client's connection is of use again
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -40,7 +40,7 @@
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x"))
         came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, within_ms=400.0)]
+        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=400.0)]
         gate.keeper.notice(TimerFired("again"))
         await dials.opened.wait()
         clock = gate.keeper.clock
@@ -65,7 +65,7 @@
             client.send(request(path="/book", key="k1", body=b"x"))
             await gate.script.event(RequestReceived)
             came = await gate.script.event(RequestReceived)
-            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, within_ms=-1.0)]  # over by now
+            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=-1.0)]  # over by now
             gate.keeper.notice(TimerFired("again"))
             await gate.script.event(AttemptCompleted)
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
@@ -233,7 +233,7 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(Script(allow_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
+            Gate(Script(timeout_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
         ):
             client = await gate.client()
             client.send(request(deadline=5000))
