--- a/benchmarks/configuration/size.py
+++ b/benchmarks/configuration/size.py
@@ -24,7 +24,7 @@
 from benchmarks.configuration.trial import ROOT, Trial, settings_of, unix_ms
 from benchmarks.trials import quantile
 from plumpick.gateway.clock import Clock, Timers
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import Source, _read, _short_turns
 from plumpick.policy.dynamic_config.delta import canonical, changes_between, digest
 from plumpick.policy.dynamic_config.subscriber import Content, Versions, offer_from
@@ -104,7 +104,7 @@
 async def stalls(value: dict[str, Any]) -> dict[str, dict[str, float]]:
     """A whole and a change read and checked in a thread, as the daemon does, beside a loop that has to turn
     each millisecond: ms until it is read, and by how much a turn came late."""
-    base = config_from(Trial(1, 3, "", Path("."))._config(0), {})
+    base = parse_config(Trial(1, 3, "", Path("."))._config(0), {})
     after = changed(value, "one figure")
     held = Content(1, digest(value), 0.0, value)
     rows = {
@@ -186,7 +186,7 @@
         tasks = []
         for number in numbers:
             row = {**base, "name": f"n{number}", "settings": {**base["settings"], "myNumber": number}}
-            hollow = Hollow(number, count, (HOST, port), config_from(row, {}), clock, timers, forced)
+            hollow = Hollow(number, count, (HOST, port), parse_config(row, {}), clock, timers, forced)
             tasks.append(asyncio.create_task(hollow.source.run()))
         end = time.monotonic() + 120
         while sum(version == last for version, _ in forced) < len(numbers) and time.monotonic() < end:
--- a/benchmarks/configuration/trial.py
+++ b/benchmarks/configuration/trial.py
@@ -22,7 +22,7 @@
 from benchmarks.configuration.relay import Relay, Weather
 from benchmarks.configuration.witness import mark_of
 from benchmarks.trials import to_the_end
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import config_with
 from plumpick.policy.dynamic_config.delta import digest
 from plumpick.policy.dynamic_config.subscriber import TOLD_MS
@@ -169,7 +169,7 @@
         self.number = 0
         self.tasks: list[asyncio.Task[Any]] = []
         self.events: list[str] = []
-        self.base = config_from(self._config(0), {})
+        self.base = parse_config(self._config(0), {})
 
     # -- processes
 
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -20,7 +20,7 @@
 from plumpick.gateway.config import WorkerList
 from plumpick.gateway.gateway import Gatekeeper
 from plumpick.gateway.listeners.http.connection import ClientConnection
-from plumpick.gateway.listeners.http.connection_admission import Admission
+from plumpick.gateway.listeners.http.connection_admission import ConnectionAdmission
 from plumpick.gateway.upstream.connection_pool import Attempt, WorkerConnection, Workers
 from plumpick.policy import endpoint_watch
 from plumpick.policy.actions import RejectRequest
@@ -153,9 +153,9 @@
 
 def stands_still_and_closes() -> Swap:
     """The sweep of connections goes by the clock alone, also after a stall: as it was."""
-    right = Admission.sweep
+    right = ConnectionAdmission.sweep
 
-    def sweep(self: Admission, now: float, ending: bool) -> None:
+    def sweep(self: ConnectionAdmission, now: float, ending: bool) -> None:
         self._swept_ms = -1.0
         right(self, now, ending)
 
@@ -163,7 +163,7 @@
         if self.is_idle():  # and never looks whether something is unread
             self._finish()
 
-    return [(Admission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
+    return [(ConnectionAdmission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
 
 
 def writes_after_the_end() -> Swap:
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -471,7 +471,7 @@
     if unknown := sorted({*given.only, *([given.round] if given.round else [])} - names):
         print(f"benchmarks.slopes: no such slope: {', '.join(unknown)}", file=sys.stderr)
         return 2
-    if given.compiled and "compiled (" not in (told := compiled.use(given.compiled)):
+    if given.compiled and "compiled (" not in (told := compiled.use_compiled_files(given.compiled)):
         print(f"benchmarks.slopes: {told}; compile them into {given.compiled} first", file=sys.stderr)
         return 2
     if given.round:
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from benchmarks.slopes.fold import CLASSES, Fold, Load, servers, settings
-from plumpick.gateway.config import config_from, worker_list_from
+from plumpick.gateway.config import parse_config, parse_worker_list
 from plumpick.policy.actions import SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.budgets.allocator import Divider
 from plumpick.policy.budgets.ledger import INBOX_PER_S
@@ -151,7 +151,7 @@
 
 def list_parse(workers: float) -> float:
     text = json.dumps(listing(int(workers)))
-    return median(cpu_ms(lambda: worker_list_from(json.loads(text), "list")) for _ in range(2 * REPEATS))
+    return median(cpu_ms(lambda: parse_worker_list(json.loads(text), "list")) for _ in range(2 * REPEATS))
 
 
 def configuration(classes: int, plans: int) -> dict[str, Any]:
@@ -185,7 +185,7 @@
 
 def _settings_parse(classes: int, plans: int) -> float:
     text = json.dumps(configuration(classes, plans))
-    return median(cpu_ms(lambda: config_from(json.loads(text), {})) for _ in range(2 * REPEATS))
+    return median(cpu_ms(lambda: parse_config(json.loads(text), {})) for _ in range(2 * REPEATS))
 
 
 def settings_parse_by_classes(classes: float) -> float:
@@ -277,7 +277,7 @@
 
 def memory_by_workers(workers: float) -> float:
     """The module's and the list's entries."""
-    return held_bytes(lambda: (module(int(workers)), worker_list_from(listing(int(workers)), "list")))
+    return held_bytes(lambda: (module(int(workers)), parse_worker_list(listing(int(workers)), "list")))
 
 
 def memory_by_firms(firms: float) -> float:
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -17,7 +17,7 @@
 from benchmarks.configuration.size import bytes_of, changed, crowd, document, wide
 from benchmarks.configuration.trial import Trial
 from benchmarks.slopes.decisions import cpu_ms
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import _read
 from plumpick.policy.actions import CommandCompleted
 from plumpick.policy.dynamic_config.delta import canonical, changes_between, digest
@@ -84,7 +84,7 @@
 def change_read(classes: float) -> float:
     """What the daemon does with an answer, in its thread."""
     value = wide(int(classes), PLANS, 3)
-    after, config = changed(value, "one class more"), config_from(Trial(1, 3, "", Path("."))._config(0), {})
+    after, config = changed(value, "one class more"), parse_config(Trial(1, 3, "", Path("."))._config(0), {})
     held = Content(1, digest(value), 0.0, value)
     data = canonical(
         {
--- a/plumpick/__main__.py
+++ b/plumpick/__main__.py
@@ -7,7 +7,7 @@
 
 def main() -> int:
     """The exit code."""
-    which = compiled.use()
+    which = compiled.use_compiled_files()
     from plumpick.gateway import daemon  # only now: it imports the decisions
 
     return daemon.main(which)
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -16,7 +16,7 @@
 from plumpick.capacity.rows import MECHANISMS, NONE, ROWS, Row
 from plumpick.capacity.slopes import LINEAR, Slope
 from plumpick.cli import parser
-from plumpick.gateway.daemon import ending_of
+from plumpick.gateway.daemon import shutdown_times
 from plumpick.gateway.gateway import WORKER_PART
 from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
 from plumpick.policy import endpoint_watch, subsetting, usage_report
@@ -122,7 +122,7 @@
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_MS,
         "shared_round_ms": endpoint_watch.ROUND_MS,
         "shared_worst_s": endpoint_watch.worst_ms(True) / 1000,
-        "ending_s": ending_of([math.inf])[2],  # of classes with long deadlines
+        "ending_s": shutdown_times([math.inf])[2],  # of classes with long deadlines
         # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
         "restarts_a_version": float(any(refusal(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_ms(1) / 1000, _publish_s()),
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -40,7 +40,7 @@
     "shares": "plumpick/policy/controller.py, Controller.step_shares",
     "tidy": "plumpick/policy/controller.py, Quota.forget",
     "list": "plumpick/policy/controller.py, Servers.update",
-    "list read": "plumpick/gateway/config.py, worker_list_from",
+    "list read": "plumpick/gateway/config.py, parse_worker_list",
     "choice": "plumpick/policy/controller.py, Servers.choose",
     "words": "plumpick/policy/controller.py, Quota.post",
     "words in": "plumpick/policy/controller.py, Controller.on_heard",
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -19,7 +19,7 @@
 from plumpick.gateway.cluster import fenced_effects
 from plumpick.gateway.config import Config
 from plumpick.gateway.operator_config import USE, DutySettings, FleetSettings
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 from plumpick.policy import scheduled_tasks as plans
 from plumpick.policy import usage_report
 from plumpick.policy.budgets import codec as shares
@@ -59,7 +59,7 @@
         config: Config,
         settings: FleetSettings,
         loop: asyncio.AbstractEventLoop,
-        system: System,
+        system: Platform,
         tell: Callable[[int, bytes], None],
         order: Callable[[str], str],
     ) -> None:
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -13,7 +13,11 @@
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 Address = tuple[str, int]
-STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.GONE}
+ENDPOINT_STATES = {
+    "ready": EndpointState.READY,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.GONE,
+}
 
 
 class ConfigError(Exception):
@@ -21,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class WorkerEntry:
     """One worker in discovery's list: what the module learns of it, and where it listens."""
 
     server: Endpoint
@@ -34,7 +38,7 @@
 
     index: int
     complete: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[WorkerEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +61,7 @@
     management: Address | None = None  # where operators call; None: nowhere
 
 
-def address_from(text: Any, path: str) -> Address:
+def parse_address(text: Any, path: str) -> Address:
     """Host and port of 'host:port'."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -65,23 +69,23 @@
     return host, int(port)
 
 
-def entry_from(row: JsonObject) -> Entry:
+def parse_worker_entry(row: JsonObject) -> WorkerEntry:
     """One entry of a list in discovery's form."""
     status = row.text("status")
-    if status not in STATES:
+    if status not in ENDPOINT_STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
     server = Endpoint(
         row.text("name"),
         row.text("zone", ""),
         int(row.number("group", 0.0)),
-        STATES[status],
+        ENDPOINT_STATES[status],
         row.number("weight", 1.0),
         row.number("since_ms", 0.0),
     )
-    return Entry(server, address_from(row.text("address"), f"{row.path}.address"))
+    return WorkerEntry(server, parse_address(row.text("address"), f"{row.path}.address"))
 
 
-def worker_list_from(
+def parse_worker_list(
     value: Any, path: str, skipped: Callable[[SettingsError], None] | None = None
 ) -> WorkerList:
     """A list in discovery's form; raises SettingsError where it cannot be read.
@@ -91,7 +95,7 @@
     entries = []
     for number, row in enumerate(top.items("endpoints")):
         try:
-            entries.append(entry_from(JsonObject(row, f"{path}.endpoints[{number}]")))
+            entries.append(parse_worker_entry(JsonObject(row, f"{path}.endpoints[{number}]")))
         except SettingsError as problem:
             if skipped is None:
                 raise
@@ -99,7 +103,7 @@
     return WorkerList(int(top.number("index")), top.flag("snapshot", False), tuple(entries))
 
 
-def config_from(value: Any, environment: Mapping[str, str]) -> Config:
+def parse_config(value: Any, environment: Mapping[str, str]) -> Config:
     """The configuration in an object of JSON; the environment stands in for what the object lacks."""
     top = JsonObject(value, "config")
     settings = top.table("settings")
@@ -110,7 +114,7 @@
         seed_number = int(seed, 16)
     except ValueError as problem:
         raise SettingsError(f"config.seed: {seed!r} is no hex number") from problem
-    peers = tuple(address_from(peer, "config.peers") for peer in top.words("peers"))
+    peers = tuple(parse_address(peer, "config.peers") for peer in top.words("peers"))
     if peers and len(peers) != own.gateway_count:
         raise SettingsError(f"config.peers: {len(peers)} for {own.gateway_count} gatekeepers")
     peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
@@ -118,8 +122,8 @@
     management = top.text("management", environment.get("BALANCER_MANAGEMENT", ""))
     return Config(
         name=top.text("name", environment.get("BALANCER_NAME")),
-        listen=address_from(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
-        discovery=address_from(
+        listen=parse_address(top.text("listen", environment.get("BALANCER_LISTEN")), "config.listen"),
+        discovery=parse_address(
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
         seed=seed_number,
@@ -127,22 +131,22 @@
         settings=own,
         dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         idle_ms=limits.number("connIdleMs", 15_000.0),
-        known=worker_list_from(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
-        peer_listen=address_from(peer_listen, "config.peer_listen") if peer_listen else None,
+        known=parse_worker_list(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
+        peer_listen=parse_address(peer_listen, "config.peer_listen") if peer_listen else None,
         peers=peers,
-        peers_all=address_from(peers_all, "config.peers_all") if peers_all else None,
+        peers_all=parse_address(peers_all, "config.peers_all") if peers_all else None,
         memory_mb=top.table("limits", {}).number("memory_mb", 192.0),
-        management=address_from(management, "config.management") if management else None,
+        management=parse_address(management, "config.management") if management else None,
     )
 
 
-def load(environment: Mapping[str, str]) -> Config:
+def load_config(environment: Mapping[str, str]) -> Config:
     """Read the file that BALANCER_CONFIG names."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
     try:
-        return config_from(json.loads(Path(path).read_text(encoding="utf-8")), environment)
+        return parse_config(json.loads(Path(path).read_text(encoding="utf-8")), environment)
     except OSError as problem:
         raise ConfigError(f"cannot read {path}: {problem.strerror}") from problem
     except ValueError as problem:  # no UTF-8, no JSON, or a SettingsError
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -17,43 +17,51 @@
 
 import uvloop
 
-from plumpick.gateway.config import Config, ConfigError, load
+from plumpick.gateway.config import Config, ConfigError, load_config
 from plumpick.gateway.discovery import Discovery
 from plumpick.gateway.gateway import Gatekeeper
-from plumpick.gateway.listeners.http.listener import HttpFront
-from plumpick.gateway.platform import System
+from plumpick.gateway.listeners.http.listener import HttpListener
+from plumpick.gateway.platform import Platform
 from plumpick.policy.endpoint_watch import Watching
 
-FIRST_LIST_S = 0.5  # how long the first whole list is waited for; after that the known one has to do,
-NO_LIST_S = 8.0  # where there is one: without any each request would be refused. Ready within 10 s still
+FIRST_LIST_TIMEOUT_S = 0.5  # how long the first whole list is waited for; after that the known one has to do,
+ONLY_LIST_TIMEOUT_S = (
+    8.0  # where there is one: without any each request would be refused. Ready within 10 s still
+)
 # After SIGTERM connections go on coming for up to 0.4 s, and clients go on using those that they have; peers
 # find their customers' home here. All this is served until it is time to finish: the longest deadline, of 3 s
 # at most, and 0.7 s more are sure before SIGKILL.
-SURE_MOST_S, SURE_MORE_S = 3.0, 0.7
-SPARE_S, SPARE_PART = 0.5, 0.25  # so long before that all is answered; or this part of it, where that is less
-LAST_S, LEAST_S = 1.0, 0.45  # so long before the end no connection is kept any more; but not sooner than this
-EXIT_S = 0.1  # so long before SIGKILL we have gone, but for bodies that still go on
-TO_FINISH_S = 600.0  # none of those takes longer
-STEP_S = 0.02
-OWN_SOCKETS = 24  # descriptors of the program itself: the loop's, listeners, discovery, operators
-BACKLOG = 512
+MAX_GRACE_DEADLINE_S, EXTRA_GRACE_S = 3.0, 0.7
+ANSWER_MARGIN_S, ANSWER_MARGIN_RATIO = (
+    0.5,
+    0.25,
+)  # so long before that all is answered; or this part of it, where that is less
+CLOSING_WINDOW_S, MIN_SERVING_S = (
+    1.0,
+    0.45,
+)  # so long before the end no connection is kept any more; but not sooner than this
+EXIT_MARGIN_S = 0.1  # so long before SIGKILL we have gone, but for bodies that still go on
+MAX_STREAM_S = 600.0  # none of those takes longer
+POLL_INTERVAL_S = 0.02
+OWN_DESCRIPTORS = 24  # descriptors of the program itself: the loop's, listeners, discovery, operators
+LISTEN_BACKLOG = 512
 
 log = logging.getLogger("plumpick")
 
 
-def ending_of(deadlines_s: Iterable[float]) -> tuple[float, float, float]:
+def shutdown_times(deadlines_s: Iterable[float]) -> tuple[float, float, float]:
     """What SIGTERM leaves time for, in seconds from it, by the deadlines of the classes: until when what
     comes is served and connections are kept; until when all is answered; when we have gone.
 
     The sums: SIGKILL comes no sooner than the longest deadline, of SURE_MOST_S at most, and SURE_MORE_S. New
     connections come for 0.4 s, and what is taken last has as long as its client waits, or LAST_S."""
     longest = max(deadlines_s)
-    sure = min(longest, SURE_MOST_S) + SURE_MORE_S
-    end = sure - min(SPARE_S, SPARE_PART * sure)
-    return max(LEAST_S, end - min(LAST_S, longest)), end, sure - EXIT_S
+    sure = min(longest, MAX_GRACE_DEADLINE_S) + EXTRA_GRACE_S
+    end = sure - min(ANSWER_MARGIN_S, ANSWER_MARGIN_RATIO * sure)
+    return max(MIN_SERVING_S, end - min(CLOSING_WINDOW_S, longest)), end, sure - EXIT_MARGIN_S
 
 
-class Stop:
+class StopRequest:
     """SIGTERM, which may come more than once and at any stage; its time counts from the first."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -81,7 +89,7 @@
 
 
 async def close_listener(
-    loop: asyncio.AbstractEventLoop, server: Any, plug: socket.socket | None, front: HttpFront
+    loop: asyncio.AbstractEventLoop, server: Any, plug: socket.socket | None, front: HttpListener
 ) -> None:
     """Listen no more. Danger: connections that the system has accepted for us and that we have not taken yet
     are reset with the listener, and requests on them are lost. So it is emptied first; what comes between the
@@ -106,7 +114,7 @@
 
 
 async def reload(
-    config: Config, discovery: Discovery, asked: asyncio.Event, system: System, part: Any
+    config: Config, discovery: Discovery, asked: asyncio.Event, system: Platform, part: Any
 ) -> None:
     """Read the configuration anew whenever that is asked for, and the operator's own file. What can change in
     service is discovery's address, and the wholes and bursts of budgets; a file that cannot be used changes
@@ -126,7 +134,7 @@
         if part is None:
             continue
         try:
-            fleet = await asyncio.to_thread(fleet_of, config, system.operator_file())
+            fleet = await asyncio.to_thread(load_cluster_settings, config, system.operator_file())
         except ConfigError as problem:
             log.error("the operator's settings stay as they were: %s", problem)
             continue
@@ -139,15 +147,15 @@
     and from the one before. What it is made of is imported only where there are operators."""
 
     def __init__(
-        self, config: Config, gatekeeper: Gatekeeper, front: HttpFront, loop: asyncio.AbstractEventLoop
+        self, config: Config, gatekeeper: Gatekeeper, front: HttpListener, loop: asyncio.AbstractEventLoop
     ) -> None:
-        from plumpick.gateway.hot_restart.succession import HandoverContext, Predecessor
-        from plumpick.gateway.listeners.admin import ManagementFront
+        from plumpick.gateway.hot_restart.succession import HotRestartContext, Predecessor
+        from plumpick.gateway.listeners.admin import AdminListener
 
         self._config, self._gatekeeper, self._loop = config, gatekeeper, loop
-        self._calls = ManagementFront(gatekeeper)
+        self._calls = AdminListener(gatekeeper)
         gatekeeper.sweeps.append(self._calls.sweep)
-        self._context = HandoverContext(config.name, config.settings.gateway_number, gatekeeper, front)
+        self._context = HotRestartContext(config.name, config.settings.gateway_number, gatekeeper, front)
         self._context.fleet = gatekeeper.fleet
         self._context.versions = gatekeeper.versions
         self.leases: Any = None  # what the process before left of its part in the fleet's work
@@ -159,14 +167,14 @@
 
     async def open(self) -> None:
         """Hear operators, and find out who runs already; the peers' socket is its, if somebody does."""
-        from plumpick.gateway.hot_restart.succession import Successor, path_in
-        from plumpick.gateway.listeners.admin import listening
+        from plumpick.gateway.hot_restart.succession import Successor, socket_path
+        from plumpick.gateway.listeners.admin import start_server
 
         assert self._config.management is not None
-        self._server = await listening(self._calls, self._config.management, self._loop)
+        self._server = await start_server(self._calls, self._config.management, self._loop)
         folder = os.environ.get("TMPDIR")
         if folder:
-            self._path = path_in(folder, self._config.name)
+            self._path = socket_path(folder, self._config.name)
             self._successor = await Successor.ask(self._loop, self._path, self._config.name)
         peers = self._gatekeeper.peers
         if self._successor is not None:
@@ -208,7 +216,7 @@
 
     def _held(self, count: int) -> None:
         """What the process before still holds is not ours, and it has some of its own."""
-        self._gatekeeper.limit(max(self._config.sockets // 3, self._config.sockets - count - OWN_SOCKETS))
+        self._gatekeeper.limit(max(self._config.sockets // 3, self._config.sockets - count - OWN_DESCRIPTORS))
 
     def _alone(self) -> None:
         """The process before has gone: its part of the descriptors is free."""
@@ -219,7 +227,7 @@
         self._predecessor.ending = True
         keeper = self._gatekeeper
         while self._loop.time() < until_s and not (keeper.succeeded and keeper.is_quiet()):
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         context = self._context
         if not keeper.succeeded and context.server is not None:  # nobody else empties the listener
             await close_listener(self._loop, context.server, context.listener, context.front)
@@ -243,7 +251,7 @@
         plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         plug.bind(address)
-        plug.listen(BACKLOG)
+        plug.listen(LISTEN_BACKLOG)
         plug.setblocking(False)
     except OSError:
         plug.close()
@@ -251,8 +259,8 @@
     return plug
 
 
-def part_in(
-    settings: Any, config: Config, loop: asyncio.AbstractEventLoop, system: System, gatekeeper: Gatekeeper
+def start_cluster_participant(
+    settings: Any, config: Config, loop: asyncio.AbstractEventLoop, system: Platform, gatekeeper: Gatekeeper
 ) -> Any:
     """The gatekeeper's part in what is done for the whole tier; imported only where the operator names it."""
     from plumpick.gateway.cluster.lease_runner import Runner
@@ -265,7 +273,7 @@
     return part
 
 
-def versions_of(settings: Any, config: Config, gatekeeper: Gatekeeper) -> Any:
+def create_settings_source(settings: Any, config: Config, gatekeeper: Gatekeeper) -> Any:
     """The source of the gatekeeper's settings; imported only where the operator names one."""
     from plumpick.gateway.dynamic_config.client import source_of
 
@@ -273,23 +281,25 @@
 
 
 async def serve(  # noqa: C901, PLR0915  (to be split by concern)
-    config: Config, system: System | None = None, fleet: Any = None, configuration: Any = None
+    config: Config, system: Platform | None = None, fleet: Any = None, configuration: Any = None
 ) -> None:
     """Run one gatekeeper until SIGTERM, then finish what it has taken. `fleet`: the operator's settings of
     what is done for the whole tier; `configuration`: of where versions of the settings come from."""
-    system = system or System()
+    system = system or Platform()
     loop = asyncio.get_running_loop()
-    stop = Stop(loop)
+    stop = StopRequest(loop)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.ask)
     reload_asked = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, reload_asked.set)
     gatekeeper = Gatekeeper(config, loop, system=system)
-    front = HttpFront(gatekeeper, config.settings, config.sockets, system.has_ended, system.is_quiet)
+    front = HttpListener(gatekeeper, config.settings, config.sockets, system.has_ended, system.is_quiet)
     gatekeeper.add(front)
-    part = part_in(fleet, config, loop, system, gatekeeper) if fleet is not None else None
+    part = start_cluster_participant(fleet, config, loop, system, gatekeeper) if fleet is not None else None
     gatekeeper.fleet = part
-    versions = versions_of(configuration, config, gatekeeper) if configuration is not None else None
+    versions = (
+        create_settings_source(configuration, config, gatekeeper) if configuration is not None else None
+    )
     gatekeeper.versions = versions
     gatekeeper.listed(config.known)
     plane = ManagementPlane(config, gatekeeper, front, loop) if config.management else None
@@ -315,18 +325,18 @@
     server: Any = None
     plug: socket.socket | None = None
     if plane is None:
-        plug = system.listener(config.listen, BACKLOG)
+        plug = system.listener(config.listen, LISTEN_BACKLOG)
         server = (
-            await loop.create_server(front.connection, sock=plug, backlog=BACKLOG)
+            await loop.create_server(front.connection, sock=plug, backlog=LISTEN_BACKLOG)
             if plug
             else (
                 await loop.create_server(
-                    front.connection, *config.listen, backlog=BACKLOG, reuse_address=True
+                    front.connection, *config.listen, backlog=LISTEN_BACKLOG, reuse_address=True
                 )
             )
         )
     # There a watch says nothing while nothing has changed.
-    wait_s = FIRST_LIST_S if known else NO_LIST_S
+    wait_s = FIRST_LIST_TIMEOUT_S if known else ONLY_LIST_TIMEOUT_S
     if not (shared and known) and not await stop.within(discovery.listed, wait_s):
         log.warning("discovery is silent; starting with the known list")
     if versions is not None and not await stop.within(versions.answered, versions.first_s):
@@ -340,7 +350,7 @@
     log.info("gatekeeper %s is up", config.name)
 
     await stop.wait()
-    serve_s, end_s, gone_s = ending_of(ms / 1000 for ms in gatekeeper.deadlines_ms())
+    serve_s, end_s, gone_s = shutdown_times(ms / 1000 for ms in gatekeeper.deadlines_ms())
     gatekeeper.leave((stop.at_s + end_s - loop.time()) * 1000)
     if part is not None:
         part.leave()
@@ -353,10 +363,10 @@
     gatekeeper.close_idle()
     while (
         gatekeeper.busy()
-        and loop.time() < stop.at_s + TO_FINISH_S
+        and loop.time() < stop.at_s + MAX_STREAM_S
         and not (loop.time() > stop.at_s + gone_s and gatekeeper.has_answered())
     ):
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -368,7 +378,7 @@
     log.info("gatekeeper %s has finished", config.name)
 
 
-def fleet_of(config: Config, path: str) -> Any:
+def load_cluster_settings(config: Config, path: str) -> Any:
     """What the operator's own file names for the whole tier, or None; raises ConfigError."""
     if not path:
         return None
@@ -382,7 +392,7 @@
     return fleet
 
 
-def configuration_of(config: Config, path: str) -> Any:
+def load_settings_service(config: Config, path: str) -> Any:
     """Where the operator's own file says that versions of the settings come from, or None; raises
     ConfigError."""
     if not path:
@@ -397,9 +407,9 @@
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it asks for comes anyway
     try:
-        config = load(os.environ)
-        fleet = fleet_of(config, System().operator_file())
-        configuration = configuration_of(config, System().operator_file())
+        config = load_config(os.environ)
+        fleet = load_cluster_settings(config, Platform().operator_file())
+        configuration = load_settings_service(config, Platform().operator_file())
     except ConfigError as problem:
         print(f"plumpick: {problem}", file=sys.stderr)
         return 2
--- a/plumpick/gateway/discovery.py
+++ b/plumpick/gateway/discovery.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from plumpick.gateway.config import Address, WorkerList, worker_list_from
+from plumpick.gateway.config import Address, WorkerList, parse_worker_list
 from plumpick.policy import endpoint_watch
 from plumpick.policy.endpoint_watch import Watching
 from plumpick.policy.settings_parser import SettingsError
@@ -123,7 +123,7 @@
     async def _call(self, target: str, limit_s: float) -> WorkerList:
         try:
             async with asyncio.timeout(limit_s):
-                return worker_list_from(json.loads(await self._get(target)), "list", self._skip)
+                return parse_worker_list(json.loads(await self._get(target)), "list", self._skip)
         except TimeoutError as problem:
             raise CallFailed("no answer in time", waited=self._writer is not None) from problem
         except SettingsError as problem:
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -15,19 +15,19 @@
 from plumpick.gateway.clock import Timer, Timers
 from plumpick.gateway.config import Config, WorkerList
 from plumpick.gateway.listeners.interface import (
-    STILL_MS,
-    SWEEP_MS,
-    Ask,
-    Asker,
-    Front,
-    InUse,
-    Part,
-    Sibling,
-    Source,
-    Versioned,
+    STALL_THRESHOLD_MS,
+    SWEEP_INTERVAL_MS,
+    ClusterParticipant,
+    DuplicateRequestIdError,
+    IncomingRequest,
+    Listener,
+    PausableSource,
+    ResponseSink,
+    SettingsSource,
+    SiblingProcess,
 )
 from plumpick.gateway.peers import Peers
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 from plumpick.gateway.upstream.connection_pool import Attempt, Workers
 from plumpick.gateway.upstream.request_encoding import head_of
 from plumpick.gateway.upstream.streaming_body import Body, Budget
@@ -105,7 +105,9 @@
         "due_ms",
     )
 
-    def __init__(self, number: int, name: bytes, asker: Asker, head: bytes, ask: Ask) -> None:
+    def __init__(
+        self, number: int, name: bytes, asker: ResponseSink, head: bytes, ask: IncomingRequest
+    ) -> None:
         self.id, self.name, self.asker, self.head, self.body = number, name, asker, head, ask.body
         self.stream, self.is_head, self.wait_ms = ask.stream, ask.method == b"HEAD", 0.0
         self.due_ms = math.inf  # it is answered by then; a stream's time has not begun
@@ -123,9 +125,9 @@
         config: Config,
         loop: asyncio.AbstractEventLoop,
         controller: Any = None,
-        system: System | None = None,
+        system: Platform | None = None,
     ) -> None:
-        system = system or System()
+        system = system or Platform()
         self.config, self.settings, self.loop = config, config.settings, loop
         self.clock = system.clock()
         self.timers = Timers(loop, self.clock)
@@ -143,7 +145,7 @@
             was_reset=system.was_reset,
         )
         self.peers = Peers(config, self.heard, system.datagrams)
-        self._fronts: list[Front] = []
+        self._fronts: list[Listener] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
         self._standing = Standing(config.settings.gateway_count, config.settings.gateway_number)
         self.open: dict[int, Request] = {}
@@ -155,10 +157,12 @@
         self.door = AdmissionState.OPEN
         # Another process of this gatekeeper, while there are two: it is told what its peers say, the module's
         # word to its own number, and operators' calls.
-        self.sibling: Sibling | None = None
+        self.sibling: SiblingProcess | None = None
         self.succeeded = False  # and that one takes the clients now
-        self.fleet: Part | None = None  # in what is done for the whole tier, where the operator names it
-        self.versions: Versioned | None = None  # of the settings, where the operator names their service
+        self.fleet: ClusterParticipant | None = (
+            None  # in what is done for the whole tier, where the operator names it
+        )
+        self.versions: SettingsSource | None = None  # of the settings, where the operator names their service
         self._estate: Mapping[str, Any] | None = None
         self._said: dict[int, str] = {}  # answers to orders, until they are picked up in the same turn
         self._names: set[bytes] = set()  # ids of the open requests, and of those ended of late and before
@@ -183,7 +187,7 @@
             SetAdmissionState: self._doors,
             StateExported: self._keep_estate,
         }
-        self.timers.at(self.clock.now() + SWEEP_MS, self._sweep)
+        self.timers.at(self.clock.now() + SWEEP_INTERVAL_MS, self._sweep)
         self.timers.at(self.clock.now() + REMEMBER_MS, self._forget_names)
 
     # -- events
@@ -382,7 +386,7 @@
 
     # -- fronts
 
-    def add(self, front: Front) -> None:
+    def add(self, front: Listener) -> None:
         """One more door to ask at."""
         self._fronts.append(front)
 
@@ -395,11 +399,11 @@
             if request.stream is not None or request.passing is not None:
                 self._call_off(request)
 
-    def take(self, asker: Asker, ask: Ask) -> Request:
+    def take(self, asker: ResponseSink, ask: IncomingRequest) -> Request:
         now = self.clock.now()
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
         if ask.id in self._names or ask.id in self._ended_names[0] or ask.id in self._ended_names[1]:
-            raise InUse("x-request-id is in use")
+            raise DuplicateRequestIdError("x-request-id is in use")
         self._serial += 1
         # What is read after a stall of ours may have waited all through it; its client's time ran on.
         unread_ms = self._unread_ms(now) + now - ask.came_ms  # it may have waited behind another, too
@@ -467,7 +471,7 @@
                 attempt.end(AttemptResult.CANCELLED)
         return True
 
-    def stream(self, giver: Source, length: int) -> Any:
+    def stream(self, giver: PausableSource, length: int) -> Any:
         return Body(giver, length, self.workers.budget.mark())
 
     def came_whole(self, request: Request) -> None:
@@ -632,7 +636,7 @@
     def _unread_ms(self, now: float) -> float:
         """For how long what is read now may have waited for us, at most."""
         late_ms = self._late_ms(now)
-        if late_ms > STILL_MS:
+        if late_ms > STALL_THRESHOLD_MS:
             return late_ms
         return self._stood_ms if now < self._stood_until_ms else 0.0
 
@@ -645,12 +649,12 @@
     def _sweep(self) -> None:
         now = self.clock.now()
         late_ms = self._late_ms(now)
-        if late_ms > STILL_MS:
+        if late_ms > STALL_THRESHOLD_MS:
             self._stood_ms, self._stood_until_ms = late_ms, now + MARGIN_MS
         line = self._standing.look(now, self.controller.silent_homes())
         if line:
             log.warning(line)
-        self.timers.at(now + SWEEP_MS, self._sweep)
+        self.timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
         self._stalled(now)
         for front in self._fronts:
             front.sweep(now, self.ending_last)
--- a/plumpick/gateway/hot_restart/channel.py
+++ b/plumpick/gateway/hot_restart/channel.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.gateway.hot_restart.message import Reader, Unreadable, encode
+from plumpick.gateway.hot_restart.message import MessageDecoder, MessageFormatError, encode
 
-READ = 256 * 1024
-MOST_WAITING = 32 * 1024 * 1024  # bytes to be written; the other side reads nothing then, and is given up
-MOST_FDS = 8  # that come with one read
+READ_BYTES = 256 * 1024
+MAX_UNSENT_BYTES = 32 * 1024 * 1024  # bytes to be written; the other side reads nothing then, and is given up
+MAX_DESCRIPTORS_PER_READ = 8  # that come with one read
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         ended: Callable[[], None],
     ) -> None:
         self._loop, self._plug, self._heard, self._ended = loop, plug, heard, ended
-        self._reader, self._waiting = Reader(), deque[tuple[bytes, list[int]]]()
+        self._reader, self._waiting = MessageDecoder(), deque[tuple[bytes, list[int]]]()
         self._waits = 0
         self._loose: list[int] = []  # descriptors whose message is not whole yet
         self.closed = False
@@ -48,7 +48,7 @@
         data = encode(kind, value)
         self._waiting.append((data, descriptors or []))
         self._waits += len(data)
-        if self._waits > MOST_WAITING:
+        if self._waits > MAX_UNSENT_BYTES:
             self.close()
         elif len(self._waiting) == 1:
             self._write()
@@ -77,7 +77,9 @@
     def _read(self) -> None:
         size = array.array("i").itemsize
         try:
-            data, rights, _, _ = self._plug.recvmsg(READ, socket.CMSG_LEN(MOST_FDS * size))
+            data, rights, _, _ = self._plug.recvmsg(
+                READ_BYTES, socket.CMSG_LEN(MAX_DESCRIPTORS_PER_READ * size)
+            )
         except BlockingIOError:
             return
         except OSError:
@@ -90,7 +92,7 @@
         self._loose += descriptors
         try:
             messages = self._reader.feed(data)
-        except Unreadable as problem:
+        except MessageFormatError as problem:
             log.warning("handover: %s", problem)
             self.close()
             return
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -14,23 +14,23 @@
 from typing import Any
 
 MAGIC, VERSION = b"pLmP", 1
-MAX_TEXT = 8 * 1024 * 1024  # bytes
-_HEAD = struct.Struct(">4sHII")
+MAX_TEXT_BYTES = 8 * 1024 * 1024  # bytes
+_HEADER = struct.Struct(">4sHII")
 
 
-class Unreadable(ValueError):
+class MessageFormatError(ValueError):
     """Bytes that are no message of this version; the text says why."""
 
 
 def encode(kind: str, value: Any = None) -> bytes:
     """The bytes of a message; raises ValueError where it is too long or no JSON."""
     text = json.dumps([kind, value], allow_nan=False, separators=(",", ":")).encode()
-    if len(text) > MAX_TEXT:
+    if len(text) > MAX_TEXT_BYTES:
         raise ValueError(f"a message of {len(text)} bytes")
-    return _HEAD.pack(MAGIC, VERSION, len(text), zlib.crc32(text)) + text
+    return _HEADER.pack(MAGIC, VERSION, len(text), zlib.crc32(text)) + text
 
 
-class Reader:
+class MessageDecoder:
     """Bytes become messages, wherever they are cut."""
 
     def __init__(self) -> None:
@@ -40,29 +40,29 @@
         """The messages that are whole now; raises Unreadable."""
         self._bytes += data
         messages = []
-        while len(self._bytes) >= _HEAD.size:
-            magic, version, length, check = _HEAD.unpack_from(self._bytes)
+        while len(self._bytes) >= _HEADER.size:
+            magic, version, length, check = _HEADER.unpack_from(self._bytes)
             if magic != MAGIC:
-                raise Unreadable("this is no gatekeeper's message")
+                raise MessageFormatError("this is no gatekeeper's message")
             if version != VERSION:
-                raise Unreadable(f"version {version} is not {VERSION}")
-            if length > MAX_TEXT:
-                raise Unreadable(f"a message of {length} bytes")
-            if len(self._bytes) < _HEAD.size + length:
+                raise MessageFormatError(f"version {version} is not {VERSION}")
+            if length > MAX_TEXT_BYTES:
+                raise MessageFormatError(f"a message of {length} bytes")
+            if len(self._bytes) < _HEADER.size + length:
                 break
-            text = bytes(self._bytes[_HEAD.size : _HEAD.size + length])
-            del self._bytes[: _HEAD.size + length]
-            messages.append(_message(text, check))
+            text = bytes(self._bytes[_HEADER.size : _HEADER.size + length])
+            del self._bytes[: _HEADER.size + length]
+            messages.append(_parse_text(text, check))
         return messages
 
 
-def _message(text: bytes, check: int) -> tuple[str, Any]:
+def _parse_text(text: bytes, check: int) -> tuple[str, Any]:
     if zlib.crc32(text) != check:
-        raise Unreadable("the checksum does not match")
+        raise MessageFormatError("the checksum does not match")
     try:
         kind, value = json.loads(text)
     except (ValueError, TypeError, RecursionError) as problem:
-        raise Unreadable("no JSON of ours") from problem
+        raise MessageFormatError("no JSON of ours") from problem
     if not isinstance(kind, str):
-        raise Unreadable("a message without a kind")
+        raise MessageFormatError("a message without a kind")
     return kind, value
--- a/plumpick/gateway/hot_restart/succession.py
+++ b/plumpick/gateway/hot_restart/succession.py
@@ -21,14 +21,17 @@
 
 from plumpick.gateway.hot_restart.channel import Channel
 
-HELLO_S, TAKE_S = 1.0, 2.0  # for an offer; for the state
-REOPEN_S, REOPEN_TRIES = 0.2, 20  # how often it is looked at whether a dead process's socket is in our place
-LONGEST_PATH = 100  # bytes that the address of a Unix socket may have
+OFFER_TIMEOUT_S, STATE_TIMEOUT_S = 1.0, 2.0  # for an offer; for the state
+REOPEN_INTERVAL_S, MAX_REOPEN_ATTEMPTS = (
+    0.2,
+    20,
+)  # how often it is looked at whether a dead process's socket is in our place
+MAX_PATH_BYTES = 100  # bytes that the address of a Unix socket may have
 
 log = logging.getLogger(__name__)
 
 
-class HandoverContext:
+class HotRestartContext:
     """What the handover needs of the process round it."""
 
     def __init__(self, name: str, number: int, gatekeeper: Any, front: Any) -> None:
@@ -49,7 +52,7 @@
             self.server = None
 
 
-class Kin:
+class SiblingChannel:
     """The other process, as the core knows it (door.Sibling)."""
 
     def __init__(self, channel: Channel) -> None:
@@ -65,7 +68,7 @@
         self._channel.tell("ordered", [name, argument])
 
 
-def take_in(context: HandoverContext, kind: str, value: Any) -> bool:
+def handle_sibling_message(context: HotRestartContext, kind: str, value: Any) -> bool:
     """What either process tells the other while both live; False where it is nothing of that."""
     keeper = context.gatekeeper
     try:
@@ -89,15 +92,15 @@
     return True
 
 
-def path_in(folder: str, name: str) -> Path:
+def socket_path(folder: str, name: str) -> Path:
     """Where the socket of a gatekeeper lies."""
     return Path(folder, f"plumpick-{re.sub('[^A-Za-z0-9_-]', '_', name)[:40]}.sock")
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Any:
+def short_address(path: Path) -> Any:
     """An address of the same place that is short enough."""
-    if len(os.fsencode(path)) <= LONGEST_PATH:
+    if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
@@ -107,7 +110,7 @@
         os.close(folder)
 
 
-def _is_ours(plug: socket.socket) -> bool:
+def is_same_user(plug: socket.socket) -> bool:
     """Whether the other side is a process of the same user."""
     _, user, _ = struct.unpack("3i", plug.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(user == os.getuid())
@@ -117,7 +120,7 @@
     """The running process: waits for the next one. `changed` is told when it has handed over, or goes on."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, context: HandoverContext, changed: Callable[[bool], None]
+        self, loop: asyncio.AbstractEventLoop, context: HotRestartContext, changed: Callable[[bool], None]
     ) -> None:
         self._loop, self._context, self._changed = loop, context, changed
         self._plug: socket.socket | None = None
@@ -131,7 +134,7 @@
         plug = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             fresh = path.with_name(f"{path.name}.{os.getpid()}")
-            with _short(fresh) as address:
+            with short_address(fresh) as address:
                 plug.bind(address)
             plug.listen(4)
             os.rename(fresh, path)  # in place of what the process before left there, at one stroke
@@ -150,7 +153,7 @@
             plug, _ = self._plug.accept()
         except OSError:
             return
-        if self._channel is not None or not _is_ours(plug):
+        if self._channel is not None or not is_same_user(plug):
             plug.close()  # one at a time
             return
         self._channel = Channel(self._loop, plug, self._heard, self._gone)
@@ -170,7 +173,7 @@
             channel.tell("offer", {"descriptors": len(plugs)}, [os.dup(plug.fileno()) for plug in plugs])
         elif kind == "take":
             self._hand_over(channel)
-        elif not take_in(context, kind, value):
+        elif not handle_sibling_message(context, kind, value):
             log.warning("handover: %r is unknown", kind)
 
     def _hand_over(self, channel: Channel) -> None:
@@ -187,7 +190,7 @@
                 state["configuration"] = context.versions.estate()
             context.close()
             keeper.peers.mute()
-            keeper.sibling = Kin(channel)
+            keeper.sibling = SiblingChannel(channel)
             channel.tell("state", state)
         except ValueError as problem:  # too long, or not to be had: the next one begins without
             log.error("handover: no state: %s", problem)
@@ -219,7 +222,7 @@
             if self._context.fleet is not None:
                 self._context.fleet.resume()
             self._changed(False)
-            self._open_again(REOPEN_TRIES)
+            self._open_again(MAX_REOPEN_ATTEMPTS)
 
     def _open_again(self, tries: int) -> None:
         """Danger: the process that has gone put its own socket in place of ours, and the next one would find
@@ -233,7 +236,7 @@
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
             probe.setblocking(False)
             try:
-                with _short(self._path) as address:
+                with short_address(self._path) as address:
                     probe.connect(address)
             except (ConnectionRefusedError, FileNotFoundError):
                 self._loop.remove_reader(self._plug)
@@ -244,7 +247,7 @@
             except OSError:
                 pass  # somebody is there, and busy
         if tries:
-            self._loop.call_later(REOPEN_S, self._open_again, tries - 1)
+            self._loop.call_later(REOPEN_INTERVAL_S, self._open_again, tries - 1)
 
     def close(self) -> None:
         """Wait no longer; the path goes if it is still ours."""
@@ -273,7 +276,7 @@
         self._early: list[tuple[str, Any, list[int]]] = []
         self._tasks: set[asyncio.Task[Any]] = set()
         self.channel: Channel | None = None
-        self.context: HandoverContext | None = None
+        self.context: HotRestartContext | None = None
         self.alone = False
         self.left: Callable[[], None] = lambda: None  # told when the other process has gone,
         self.held: Callable[[int], None] = lambda _count: None  # and how many descriptors it has meanwhile
@@ -283,10 +286,10 @@
         """Who runs now, with its sockets; None where there is nobody to be understood."""
         plug = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            plug.settimeout(HELLO_S)
-            with _short(path) as address:
+            plug.settimeout(OFFER_TIMEOUT_S)
+            with short_address(path) as address:
                 plug.connect(address)
-            if not _is_ours(plug):
+            if not is_same_user(plug):
                 raise PermissionError(1, "it is another user's")
         except FileNotFoundError:
             plug.close()
@@ -298,7 +301,7 @@
         successor = cls(loop)
         successor.channel = Channel(loop, plug, successor._heard, successor._gone)
         successor.channel.tell("hello", name)
-        done, _ = await asyncio.wait([successor._offer], timeout=HELLO_S)
+        done, _ = await asyncio.wait([successor._offer], timeout=OFFER_TIMEOUT_S)
         if not done or not successor._offer.result() or successor.listener is None:
             log.warning("handover: no offer at %s: an ordinary start", path)
             successor.channel.close()
@@ -336,7 +339,7 @@
             return
         for descriptor in descriptors:
             os.close(descriptor)
-        take_in(self.context, kind, value)
+        handle_sibling_message(self.context, kind, value)
 
     async def _client(self, plug: socket.socket) -> None:
         """Go on with a connection that the other process had."""
@@ -352,14 +355,14 @@
         """Take over now; the state, or None where there is none to be had."""
         assert self.channel is not None
         self.channel.tell("take")
-        done, _ = await asyncio.wait([self._state], timeout=TAKE_S)
+        done, _ = await asyncio.wait([self._state], timeout=STATE_TIMEOUT_S)
         return self._state.result() if done else None
 
-    def settle(self, context: HandoverContext) -> None:
+    def settle(self, context: HotRestartContext) -> None:
         """From now on the other process is told, and heard."""
         self.context = context
         if not self.alone and self.channel is not None:
-            context.gatekeeper.sibling = Kin(self.channel)
+            context.gatekeeper.sibling = SiblingChannel(self.channel)
         early, self._early = self._early, []
         for kind, value, descriptors in early:
             self._take_in(kind, value, descriptors)
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -10,14 +10,17 @@
 import asyncio
 from typing import Any
 
-from plumpick.gateway.listeners.interface import Operable
-
-MOST, HARD = 12, 40  # connections at a time; those that come at one stroke are all read before some go
-MAX_LINE = 512  # bytes, its end included
-PATIENCE_MS = 5000.0  # for a whole line
-ROOM_AFTER_MS = 5.0  # so long after one too many came, the oldest go
+from plumpick.gateway.listeners.interface import OperatorGateway
+
+MAX_CONNECTIONS, HARD_MAX_CONNECTIONS = (
+    12,
+    40,
+)  # connections at a time; those that come at one stroke are all read before some go
+MAX_LINE_BYTES = 512  # bytes, its end included
+CALL_TIMEOUT_MS = 5000.0  # for a whole line
+EVICTION_DELAY_MS = 5.0  # so long after one too many came, the oldest go
 # And how many arguments each takes, at least and at most.
-CALLS = {
+ARGUMENT_COUNTS = {
     b"READY": (0, 0),
     b"DISABLE": (1, 1),
     b"ENABLE": (1, 1),
@@ -29,7 +32,7 @@
 }
 
 
-class Line:
+class CommandLineReader:
     """The bytes of one call, however they come."""
 
     def __init__(self) -> None:
@@ -38,25 +41,25 @@
     def take(self, data: bytes, ended: bool = False) -> bytes | None:
         """The whole line without its end, or None; raises ValueError where it is too long. A line that is
         ended by the end of the sending is whole too."""
-        self.text += data[: MAX_LINE + 1]
+        self.text += data[: MAX_LINE_BYTES + 1]
         line, end, _ = self.text.partition(b"\n")
-        if len(line) + len(end) > MAX_LINE:
+        if len(line) + len(end) > MAX_LINE_BYTES:
             raise ValueError("the line is too long")
         if end or ended and line:
             return line.removesuffix(b"\r")
         return None
 
 
-def call_of(line: bytes) -> tuple[str, str]:
+def parse_command(line: bytes) -> tuple[str, str]:
     """The call and its argument, if it has one; raises ValueError. Case does not matter in a call, but in
     an id."""
     if not line.isascii() or not line.decode().isprintable():
         raise ValueError("the line holds what is no text")
     word, *arguments = line.split()[:3] or [b""]
     call = word.upper()
-    if call not in CALLS:
-        raise ValueError("no such call; there are " + ", ".join(name.decode() for name in CALLS))
-    least, most = CALLS[call]
+    if call not in ARGUMENT_COUNTS:
+        raise ValueError("no such call; there are " + ", ".join(name.decode() for name in ARGUMENT_COUNTS))
+    least, most = ARGUMENT_COUNTS[call]
     if not least <= len(line.split()) - 1 <= most:
         raise ValueError(
             f"{call.decode()} takes {'one id' if least else 'one word at most' if most else ''}"
@@ -65,11 +68,11 @@
     return call.decode(), arguments[0].decode() if arguments else ""
 
 
-class Caller:
+class AdminConnection:
     """One connection. An asyncio.Protocol by its methods."""
 
-    def __init__(self, front: ManagementFront) -> None:
-        self.front, self.line, self.done = front, Line(), False
+    def __init__(self, front: AdminListener) -> None:
+        self.front, self.line, self.done = front, CommandLineReader(), False
         self.transport: asyncio.Transport | None = None
         self.since_ms = 0.0
 
@@ -103,7 +106,7 @@
                 if ended:
                     self.drop()
                 return
-            wrong, word = self.front.core.call(*call_of(line))
+            wrong, word = self.front.core.call(*parse_command(line))
         except ValueError as problem:
             wrong, word = True, str(problem)
         self.done = True
@@ -121,28 +124,28 @@
             self.transport.abort()
 
 
-class ManagementFront:
+class AdminListener:
     """All connections of operators."""
 
-    def __init__(self, core: Operable) -> None:
+    def __init__(self, core: OperatorGateway) -> None:
         self.core = core
-        self.callers: dict[Caller, None] = {}  # in the order in which they came
+        self.callers: dict[AdminConnection, None] = {}  # in the order in which they came
         self._making_room = False
 
-    def connection(self) -> Caller:
+    def connection(self) -> AdminConnection:
         """One more, for a listener."""
-        return Caller(self)
+        return AdminConnection(self)
 
-    def came(self, caller: Caller) -> None:
+    def came(self, caller: AdminConnection) -> None:
         caller.since_ms = self.core.clock.now()
-        if len(self.callers) >= HARD:
-            self._make_room(HARD - 1)
+        if len(self.callers) >= HARD_MAX_CONNECTIONS:
+            self._make_room(HARD_MAX_CONNECTIONS - 1)
         self.callers[caller] = None
-        if len(self.callers) > MOST and not self._making_room:
+        if len(self.callers) > MAX_CONNECTIONS and not self._making_room:
             self._making_room = True
-            self.core.timers.at(caller.since_ms + ROOM_AFTER_MS, lambda: self._make_room(MOST))
+            self.core.timers.at(caller.since_ms + EVICTION_DELAY_MS, lambda: self._make_room(MAX_CONNECTIONS))
 
-    def left(self, caller: Caller) -> None:
+    def left(self, caller: AdminConnection) -> None:
         self.callers.pop(caller, None)
 
     def _make_room(self, most: int) -> None:
@@ -156,7 +159,7 @@
 
     def sweep(self, now: float) -> None:
         """Close what has had its time."""
-        for caller in [one for one in self.callers if now - one.since_ms > PATIENCE_MS]:
+        for caller in [one for one in self.callers if now - one.since_ms > CALL_TIMEOUT_MS]:
             self.left(caller)
             caller.drop()
 
@@ -167,6 +170,6 @@
             caller.drop()
 
 
-def listening(front: ManagementFront, address: tuple[str, int], loop: asyncio.AbstractEventLoop) -> Any:
+def start_server(front: AdminListener, address: tuple[str, int], loop: asyncio.AbstractEventLoop) -> Any:
     """The listener, to be awaited."""
     return loop.create_server(front.connection, *address, backlog=512, reuse_address=True)
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -8,19 +8,31 @@
 
 import httptools
 
-from plumpick.gateway.listeners.http.validation import BadRequest
+from plumpick.gateway.listeners.http.validation import BadRequestError
 
 if TYPE_CHECKING:
-    from plumpick.gateway.listeners.http.listener import HttpFront
-
-MAX_HEAD, WHOLE_BODY = 16 * 1024, 64 * 1024  # of a request; a larger body goes on while it comes
-MAX_RAW = MAX_HEAD + 8 * WHOLE_BODY  # of one message as it comes, whole: chunks of a byte each take six
-MOST_BODY = 1 << 40  # bytes that a length may tell
-MOST_WAITING = 16  # requests read behind an open one; those of one read that are more end the connection
-PAUSE_MS, PAUSE_MOST_MS = 50.0, 1000.0  # after a bad request nothing is read for so long; doubles each time
-SLOWEST = 32.0  # bytes a millisecond that a body has to come with: half of what the slowest clients do
-
-REASONS = {
+    from plumpick.gateway.listeners.http.listener import HttpListener
+
+MAX_HEAD_BYTES, MAX_BUFFERED_BODY_BYTES = (
+    16 * 1024,
+    64 * 1024,
+)  # of a request; a larger body goes on while it comes
+MAX_RAW_MESSAGE_BYTES = (
+    MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
+)  # of one message as it comes, whole: chunks of a byte each take six
+MAX_BODY_BYTES = 1 << 40  # bytes that a length may tell
+MAX_PIPELINED_REQUESTS = (
+    16  # requests read behind an open one; those of one read that are more end the connection
+)
+FIRST_PAUSE_MS, MAX_PAUSE_MS = (
+    50.0,
+    1000.0,
+)  # after a bad request nothing is read for so long; doubles each time
+MIN_BODY_RATE_BYTES_PER_MS = (
+    32.0  # bytes a millisecond that a body has to come with: half of what the slowest clients do
+)
+
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -33,7 +45,7 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-_KNOWN = {
+_KNOWN_HEADERS = {
     b"x-request-id",
     b"x-tier",
     b"x-api-key",
@@ -48,7 +60,7 @@
 }
 
 
-class Incoming:
+class ParsedRequest:
     """One request as it is read, and until it is answered."""
 
     __slots__ = (
@@ -86,16 +98,16 @@
     came; while one is open nothing more is read than came along with it. An asyncio.Protocol by its methods:
     compiled classes have no parents that are not."""
 
-    def __init__(self, front: HttpFront) -> None:
+    def __init__(self, front: HttpListener) -> None:
         self.front, self.core = front, front.core
         self.transport: asyncio.Transport | None = None
         self.request: Any = None  # taken and not answered yet
         self.parser: Any = httptools.HttpRequestParser(self)
         self.ending = False  # nothing more is read from it
         self.begun = False  # a request is coming in, and none is open
-        self.coming: Incoming | None = None  # the message that is being read
-        self.served: Incoming | None = None  # the one that is open, or was last
-        self.waiting: list[Incoming] = []  # whole, or bad, behind the open one
+        self.coming: ParsedRequest | None = None  # the message that is being read
+        self.served: ParsedRequest | None = None  # the one that is open, or was last
+        self.waiting: list[ParsedRequest] = []  # whole, or bad, behind the open one
         self.unreadable = False  # what comes cannot be read any more
         self.bad_before = 0  # requests that were turned away,
         self.paused = False  # and nothing is read because of the last of them
@@ -127,9 +139,9 @@
         coming = self.coming
         if coming is not None and not coming.bad:
             coming.size += len(data)
-            if coming.in_head and coming.size > MAX_HEAD:
+            if coming.in_head and coming.size > MAX_HEAD_BYTES:
                 self._spoil(coming, 431)
-            elif coming.stream is None and coming.length < 0 and coming.size > MAX_RAW:
+            elif coming.stream is None and coming.length < 0 and coming.size > MAX_RAW_MESSAGE_BYTES:
                 self._spoil(coming, 413)  # also what the parser passes over, such as extensions of chunks
         self._next()
 
@@ -137,10 +149,10 @@
         """What is no HTTP ends the connection, behind the answers that are due before."""
         coming = self.coming
         if coming is None:
-            coming = self.coming = Incoming()
+            coming = self.coming = ParsedRequest()
         self._spoil(coming, 400)
 
-    def _spoil(self, coming: Incoming, status: int) -> None:
+    def _spoil(self, coming: ParsedRequest, status: int) -> None:
         """Nothing more can be read behind a message that is not in order."""
         self.unreadable = True
         coming.bad = coming.bad or status
@@ -179,11 +191,11 @@
     def on_message_begin(self) -> None:
         if self.unreadable:
             return
-        self.coming = Incoming()
+        self.coming = ParsedRequest()
         if self.request is None and not self.waiting and not self.paused:
             self.begun = True
             self.front.begins(self)
-        elif len(self.waiting) >= MOST_WAITING:
+        elif len(self.waiting) >= MAX_PIPELINED_REQUESTS:
             self._spoil(self.coming, 400)
 
     def on_url(self, url: bytes) -> None:
@@ -196,11 +208,11 @@
             return
         coming.head_size += len(name) + len(value)
         if not coming.in_head:  # a trailer says nothing about the request, and must not go on for ever
-            if coming.head_size > MAX_HEAD:
+            if coming.head_size > MAX_HEAD_BYTES:
                 self._spoil(coming, 431)
             return
         name = name.lower()
-        if name in _KNOWN:
+        if name in _KNOWN_HEADERS:
             if name in coming.headers:
                 coming.bad = coming.bad or 400  # two of them: which one counts?
             coming.headers[name] = value.strip(b" \t")  # blanks round a value are none of it (RFC 9110, 5.5)
@@ -217,9 +229,9 @@
             coming.bad = 400  # one of them lies about where the request ends
         elif not length.isdigit():
             coming.bad = 400
-        elif len(length) > 15 or int(length) > MOST_BODY:
+        elif len(length) > 15 or int(length) > MAX_BODY_BYTES:
             coming.bad = 413
-        elif len(coming.url) + coming.head_size > MAX_HEAD:  # one that came at a stroke, end and all
+        elif len(coming.url) + coming.head_size > MAX_HEAD_BYTES:  # one that came at a stroke, end and all
             coming.bad = 431
         if coming.bad:
             self._spoil(coming, coming.bad)
@@ -231,7 +243,7 @@
             and (self.request is None and not self.waiting and self.transport is not None)
         ):
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-        if coming.length > WHOLE_BODY:
+        if coming.length > MAX_BUFFERED_BODY_BYTES:
             self._stream(coming)
         elif coming.length:
             self.front.admission.body_begins(self, self.core.clock.now())
@@ -247,7 +259,7 @@
                 coming.stream.feed(part)
             return
         coming.body += part
-        if len(coming.body) > WHOLE_BODY:
+        if len(coming.body) > MAX_BUFFERED_BODY_BYTES:
             self._stream(coming)
 
     def on_message_complete(self) -> None:
@@ -281,8 +293,8 @@
                 if (
                     coming is None
                     or coming.stream is not None
-                    or len(coming.body) <= WHOLE_BODY
-                    and (coming.length <= WHOLE_BODY or coming.in_head)
+                    or len(coming.body) <= MAX_BUFFERED_BODY_BYTES
+                    and (coming.length <= MAX_BUFFERED_BODY_BYTES or coming.in_head)
                 ):
                     break
                 if not self._stream(coming):  # its turn has come
@@ -301,13 +313,13 @@
                 self._take(coming)
         self._hold_or_go_on()
 
-    def _take(self, coming: Incoming) -> None:
+    def _take(self, coming: ParsedRequest) -> None:
         try:
             self.request = self.front.take(self, coming)
-        except BadRequest as problem:
+        except BadRequestError as problem:
             self._turn_away(problem.status)
 
-    def _stream(self, coming: Incoming) -> bool:
+    def _stream(self, coming: ParsedRequest) -> bool:
         """A body that is too large to be kept: its request is taken now, if it is its turn; whether it is."""
         if self._is_open() or self.waiting or self.ending or self.paused or coming.bad:
             return False
@@ -315,7 +327,7 @@
         self.served = coming
         try:
             self.request = self.front.take(self, coming)
-        except BadRequest as problem:  # the rest of it would be read for nothing
+        except BadRequestError as problem:  # the rest of it would be read for nothing
             self.unreadable, self.begun = True, False
             self.refuse(problem.status)
             return False
@@ -373,10 +385,12 @@
             return
         transport = self.transport
         assert transport is not None
-        transport.write(b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n" % (status, REASONS[status].encode()))
+        transport.write(
+            b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\n\r\n" % (status, REASON_PHRASES[status].encode())
+        )
         transport.pause_reading()
         self.paused = True
-        pause_ms = min(PAUSE_MOST_MS, PAUSE_MS * 2 ** min(self.bad_before, 10))
+        pause_ms = min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** min(self.bad_before, 10))
         self.bad_before += 1
         self.core.timers.at(self.core.clock.now() + pause_ms, self._read_on)
 
@@ -405,7 +419,7 @@
         else:
             head = b"HTTP/1.1 %d %s\r\nContent-Length: %s\r\n%s%s%s\r\n" % (
                 status,
-                REASONS[status].encode(),
+                REASON_PHRASES[status].encode(),
                 length,
                 b"Content-Type: %s\r\n" % kind if kind else b"",
                 b"Retry-After: %.3f\r\n" % (retry_in_ms / 1000) if retry_in_ms else b"",
@@ -485,7 +499,7 @@
         """An error for what cannot be read, and the end of the connection."""
         self._finish(
             b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-            % (status, REASONS[status].encode())
+            % (status, REASON_PHRASES[status].encode())
         )
 
     def _finish(self, data: bytes = b"") -> None:
@@ -511,7 +525,7 @@
 
     def earned_ms(self) -> float:
         """For what has come of a body it may take so much longer."""
-        return self.coming.received / SLOWEST if self.coming is not None else 0.0
+        return self.coming.received / MIN_BODY_RATE_BYTES_PER_MS if self.coming is not None else 0.0
 
     def close_if_idle(self) -> None:
         """Between requests a connection may be closed; not while one is open or coming in."""
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -9,29 +9,32 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from plumpick.gateway.listeners.interface import STILL_MS, SWEEP_MS
+from plumpick.gateway.listeners.interface import STALL_THRESHOLD_MS, SWEEP_INTERVAL_MS
 
 if TYPE_CHECKING:
     from plumpick.gateway.listeners.http.connection import ClientConnection
 
 # Of the descriptors: all of clients; those and what has not gone yet; idle ones that may stay for long; and
 # what is a crowd of those that ask, as clients hold a third at most for requests.
-MOST_PART, HARD_PART, IDLE_PART, CROWD_PART = 0.38, 0.46, 0.02, 0.26
+MAX_CONNECTIONS_RATIO, HARD_MAX_CONNECTIONS_RATIO, MAX_LONG_IDLE_RATIO, CROWDED_RATIO = 0.38, 0.46, 0.02, 0.26
 # Within so long a head must be whole, and so long after it a body, and longer by what has come of it; clients
 # may take 2 s for a head, and are owed an error or a close within 3 s.
-OWED_MS = 2500.0
-OWED_AT_END_MS = 500.0  # and when the gatekeeper ends
-SPARED_MS = 2000.0  # for so long an idle connection is left alone
-QUICK_MS, STOPPED_MS = 100.0, 400.0  # who means to ask begins within so long, and writes on within so long
-CROWDED_MS = 250.0  # or this long, while clients hold nearly all the connections that they may
-IDLE_MS = 60_000.0  # after so long it is closed in any case
-LINGER_MS, LINGER_MOST_MS = 1000.0, 5000.0  # what comes after our end is read; without a byte, in all
-LINGER_AT_END_MS = 200.0  # and when the gatekeeper ends
+REQUEST_TIMEOUT_MS = 2500.0
+SHUTDOWN_REQUEST_TIMEOUT_MS = 500.0  # and when the gatekeeper ends
+MIN_IDLE_MS = 2000.0  # for so long an idle connection is left alone
+NEW_CONNECTION_MS, STOPPED_SENDING_MS = (
+    100.0,
+    400.0,
+)  # who means to ask begins within so long, and writes on within so long
+CROWDED_IDLE_MS = 250.0  # or this long, while clients hold nearly all the connections that they may
+MAX_IDLE_MS = 60_000.0  # after so long it is closed in any case
+LINGER_MS, MAX_LINGER_MS = 1000.0, 5000.0  # what comes after our end is read; without a byte, in all
+SHUTDOWN_LINGER_MS = 200.0  # and when the gatekeeper ends
 # An answer of which nothing more is taken for so long is given up; when the gatekeeper ends.
-UNREAD_MS, UNREAD_AT_END_MS = 10_000.0, 1000.0
+UNREAD_RESPONSE_TIMEOUT_MS, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 10_000.0, 1000.0
 
 
-class Admission:
+class ConnectionAdmission:
     """The connections of clients."""
 
     def __init__(self, sockets: int, now: float = -1.0) -> None:
@@ -45,8 +48,8 @@
 
     def limit(self, sockets: int) -> None:
         """How many descriptors the process may hold; who is over it goes when the next one comes."""
-        self.most, self.hard = int(sockets * MOST_PART), int(sockets * HARD_PART)
-        self.idle_kept, self.crowd = int(sockets * IDLE_PART), int(sockets * CROWD_PART)
+        self.most, self.hard = int(sockets * MAX_CONNECTIONS_RATIO), int(sockets * HARD_MAX_CONNECTIONS_RATIO)
+        self.idle_kept, self.crowd = int(sockets * MAX_LONG_IDLE_RATIO), int(sockets * CROWDED_RATIO)
 
     def __len__(self) -> int:
         return len(self.all)
@@ -68,7 +71,7 @@
         if now < self._look_ms:
             return False
         ended = [client for client in self._owing if not client.begun and has_ended(client)]
-        self._look_ms = now if ended else now + SWEEP_MS
+        self._look_ms = now if ended else now + SWEEP_INTERVAL_MS
         for client in ended:
             self.left(client)
             client.drop()
@@ -106,7 +109,7 @@
     def is_new(self, client: ClientConnection, now: float) -> bool:
         """Whether it has come just now. Danger: its first request may be on its way, and would be lost with
         it where nobody listens any more. Seen: written 0.6 ms before an ending gatekeeper closed it."""
-        return now - self._owing.get(client, -math.inf) <= QUICK_MS
+        return now - self._owing.get(client, -math.inf) <= NEW_CONNECTION_MS
 
     def place(self, spare: int) -> int:
         """How many may stay, where so many descriptors are nobody's."""
@@ -122,10 +125,10 @@
             return
         silent = [one for one in self._owing if not one.begun]
         begun = sorted((one for one in self._owing if one.begun), key=lambda one: one.moved_ms)
-        quiet = [one for one in silent if now - self._owing[one] > QUICK_MS]
-        new = [one for one in silent if now - self._owing[one] <= QUICK_MS]
-        stopped = [one for one in begun if now - one.moved_ms > STOPPED_MS]
-        going = [one for one in begun if now - one.moved_ms <= STOPPED_MS]
+        quiet = [one for one in silent if now - self._owing[one] > NEW_CONNECTION_MS]
+        new = [one for one in silent if now - self._owing[one] <= NEW_CONNECTION_MS]
+        stopped = [one for one in begun if now - one.moved_ms > STOPPED_SENDING_MS]
+        going = [one for one in begun if now - one.moved_ms <= STOPPED_SENDING_MS]
         for client in [*self._leaving, *quiet, *self._idle, *stopped, *new, *going][:over]:
             self.left(client)
             client.drop()
@@ -135,7 +138,7 @@
         on a new connection whether we are up would get no answer, so that has a moment."""
         for client in list(self._idle):
             client.close_if_idle()
-        for client in [one for one, since in self._owing.items() if now - since > CROWDED_MS]:
+        for client in [one for one, since in self._owing.items() if now - since > CROWDED_IDLE_MS]:
             if unheard:
                 client.send_away()
             else:
@@ -143,7 +146,7 @@
 
     def late_ms(self, now: float) -> float:
         """How late the next sweep is; over STILL_MS we stood still for so long."""
-        return now - self._swept_ms - SWEEP_MS if self._swept_ms >= 0 else 0.0
+        return now - self._swept_ms - SWEEP_INTERVAL_MS if self._swept_ms >= 0 else 0.0
 
     def sweep(self, now: float, ending: bool) -> None:
         """Close what has had its time.
@@ -152,12 +155,12 @@
         close connections that hold whole requests. So a stall counts on nobody's time."""
         stood_ms = self.late_ms(now)
         self._swept_ms = now
-        if stood_ms > STILL_MS:
+        if stood_ms > STALL_THRESHOLD_MS:
             for table in (self._owing, self._idle, self._leaving):
                 for client in table:
                     table[client] += stood_ms
             return
-        owed_ms = OWED_AT_END_MS if ending else OWED_MS
+        owed_ms = SHUTDOWN_REQUEST_TIMEOUT_MS if ending else REQUEST_TIMEOUT_MS
         for client in [
             one
             for one, since in self._owing.items()
@@ -165,24 +168,30 @@
         ]:
             client.give_up()
         # Clients hold only so many connections: those that asked once and stay would keep the others out.
-        spared_ms = SPARED_MS if len(self._idle) > self.idle_kept else IDLE_MS
+        spared_ms = MIN_IDLE_MS if len(self._idle) > self.idle_kept else MAX_IDLE_MS
         crowd = len(self.all) - len(self._leaving) - self.crowd
         if crowd > 0:  # a client that means to ask does so at once
-            quiet = [one for one, since in self._owing.items() if not one.begun and now - since > CROWDED_MS]
-            quiet += [one for one, since in self._idle.items() if now - since > CROWDED_MS]
+            quiet = [
+                one for one, since in self._owing.items() if not one.begun and now - since > CROWDED_IDLE_MS
+            ]
+            quiet += [one for one, since in self._idle.items() if now - since > CROWDED_IDLE_MS]
             for client in quiet[:crowd]:
                 client.close_if_idle()
         idle = [one for one, since in self._idle.items() if now - since > spared_ms]
-        for client in idle[: len(self._idle) - self.idle_kept] if spared_ms == SPARED_MS else idle:
+        for client in idle[: len(self._idle) - self.idle_kept] if spared_ms == MIN_IDLE_MS else idle:
             client.close_if_idle()
-        linger_ms, unread_ms = (LINGER_AT_END_MS, UNREAD_AT_END_MS) if ending else (LINGER_MS, UNREAD_MS)
+        linger_ms, unread_ms = (
+            (SHUTDOWN_LINGER_MS, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS)
+            if ending
+            else (LINGER_MS, UNREAD_RESPONSE_TIMEOUT_MS)
+        )
         for client in [one for one, since in self._leaving.items() if now - since > linger_ms]:
             left_over, before = client.unwritten(), client.left_over
             client.left_over = left_over
             if left_over and (left_over != before or now - self._leaving[client] <= unread_ms):
                 if left_over != before:  # its client reads, if slowly: the answer goes on
                     self._leaving[client] = now
-            elif client.heard and now - client.leaving_ms < LINGER_MOST_MS and not ending:
+            elif client.heard and now - client.leaving_ms < MAX_LINGER_MS and not ending:
                 client.heard = False
                 self._leaving[client] = self._leaving.pop(client) + LINGER_MS
             else:
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -5,29 +5,29 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.gateway.listeners.http.connection import ClientConnection, Incoming
-from plumpick.gateway.listeners.http.connection_admission import Admission
-from plumpick.gateway.listeners.http.validation import BadRequest, Forms, path_of
-from plumpick.gateway.listeners.interface import Ask, Core, InUse
+from plumpick.gateway.listeners.http.connection import ClientConnection, ParsedRequest
+from plumpick.gateway.listeners.http.connection_admission import ConnectionAdmission
+from plumpick.gateway.listeners.http.validation import BadRequestError, RequestValidator, origin_form
+from plumpick.gateway.listeners.interface import DuplicateRequestIdError, IncomingRequest, RequestGateway
 from plumpick.policy.draining import AdmissionState
 from plumpick.policy.settings import Settings
 
 
-class HttpFront:
+class HttpListener:
     """All HTTP connections of clients. `has_ended` looks whether a transport's other side has ended it,
     `is_quiet` whether nothing waits on it unread."""
 
     def __init__(
         self,
-        core: Core,
+        core: RequestGateway,
         settings: Settings,
         sockets: int,
         has_ended: Callable[[Any], bool],
         is_quiet: Callable[[Any], bool] = lambda _transport: True,
     ) -> None:
         self.core, self.has_ended, self.looks_quiet = core, has_ended, is_quiet
-        self.admission = Admission(sockets, core.clock.now())
-        self.forms = Forms(settings)
+        self.admission = ConnectionAdmission(sockets, core.clock.now())
+        self.forms = RequestValidator(settings)
         self._making_room = False
 
     def connection(self) -> ClientConnection:
@@ -64,10 +64,10 @@
     def begins(self, client: ClientConnection) -> None:
         self.admission.begins(client, self.core.clock.now())
 
-    def take(self, client: ClientConnection, coming: Incoming) -> Any:
+    def take(self, client: ClientConnection, coming: ParsedRequest) -> Any:
         """A request has come in: whole, or with a body that goes on while it comes, as it is too large to be
         kept. Raises BadRequest."""
-        method, headers, target = coming.method, coming.headers, path_of(coming.url)
+        method, headers, target = coming.method, coming.headers, origin_form(coming.url)
         form = self.forms.read(method, target, headers, bool(coming.body) or not coming.whole)
         if not coming.whole:
             coming.stream = self.core.stream(client, coming.length)
@@ -75,10 +75,12 @@
         try:
             request = self.core.take(
                 client,
-                Ask(*form, method, target, headers.get(b"content-type"), body, coming.came_ms, coming.stream),
+                IncomingRequest(
+                    *form, method, target, headers.get(b"content-type"), body, coming.came_ms, coming.stream
+                ),
             )
-        except InUse as problem:
-            raise BadRequest(str(problem), 409) from problem
+        except DuplicateRequestIdError as problem:
+            raise BadRequestError(str(problem), 409) from problem
         self.admission.asked(client)
         return request
 
@@ -113,7 +115,7 @@
         self.admission.limit(sockets)
 
     def reconfigure(self, settings: Settings) -> None:
-        self.forms = Forms(settings)
+        self.forms = RequestValidator(settings)
 
     def give_idle(self, take: Callable[[Any], None]) -> None:
         """Give the connections on which nothing is open to another process. `take` gets each one's transport
--- /dev/null
+++ b/plumpick/gateway/listeners/http/request_reader.py
@@ -0,0 +1,190 @@
+"""Requests of a client: bytes of its connection become ParsedRequests, checked against the limits.
+
+What cannot be parsed, or is over a limit, ends the connection behind the responses that are due before."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import httptools
+
+from plumpick.gateway.listeners.http.connection_state import ConnectionOwner
+from plumpick.gateway.listeners.http.parsed_request import (
+    KNOWN_HEADERS,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_CONTENT_LENGTH_DIGITS,
+    MAX_HEAD_BYTES,
+    MAX_PIPELINED_REQUESTS,
+    MAX_RAW_MESSAGE_BYTES,
+    ParsedRequest,
+)
+from plumpick.gateway.listeners.http.response_writer import ResponseWriter
+
+
+class RequestReader(ResponseWriter):
+    """The reading half of a connection: callbacks of the transport and of the parser."""
+
+    def __init__(self, listener: ConnectionOwner) -> None:
+        super().__init__(listener)
+        self.parser: Any = httptools.HttpRequestParser(self)
+
+    # -- what the layer above adds
+
+    def start_stream(self, parsed: ParsedRequest) -> bool:
+        """Submit a request whose body is too large to be buffered; whether it is its turn and it is
+        accepted."""
+        raise NotImplementedError
+
+    # -- the transport's callback
+
+    def data_received(self, data: bytes) -> None:
+        """Bytes have come."""
+        if self.is_closing or self.is_unreadable:
+            self.received_while_closing = True
+            return
+        self.last_activity_ms = self.gateway.clock.now()
+        try:
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._reject_unparsable()
+        incoming = self.incoming
+        if incoming is not None and not incoming.error_status:
+            incoming.raw_bytes += len(data)
+            if incoming.in_head and incoming.raw_bytes > MAX_HEAD_BYTES:
+                self._reject_incoming(incoming, 431)
+            elif (
+                incoming.stream is None
+                and incoming.body_length < 0
+                and incoming.raw_bytes > MAX_RAW_MESSAGE_BYTES
+            ):
+                self._reject_incoming(incoming, 413)  # counts what the parser skips, as chunk extensions
+        self.serve_next()
+
+    def _reject_unparsable(self) -> None:
+        """What is not HTTP ends the connection, behind the responses that are due before."""
+        incoming = self.incoming
+        if incoming is None:
+            incoming = ParsedRequest()
+            self.incoming = incoming
+        self._reject_incoming(incoming, 400)
+
+    def _reject_incoming(self, incoming: ParsedRequest, status: int) -> None:
+        """A message is malformed: nothing can be read behind it. An earlier status of it stays."""
+        self.is_unreadable = True
+        incoming.error_status = incoming.error_status or status
+        self.incoming = None
+        if incoming is not self.current:
+            self.pipelined.append(incoming)
+            return
+        # Its body is being streamed: the end of it will not come.
+        if self.open_request is not None:
+            request = self.open_request
+            self.open_request = None
+            self.gateway.on_disconnect(request)
+        self.reject(incoming.error_status)
+
+    # -- the parser's callbacks
+
+    def on_message_begin(self) -> None:
+        """The first byte of a request."""
+        if self.is_unreadable:
+            return
+        self.incoming = ParsedRequest()
+        if self.open_request is None and not self.pipelined and not self.is_paused:
+            self.request_started = True
+            self.listener.on_request_started(self)
+        elif len(self.pipelined) >= MAX_PIPELINED_REQUESTS:
+            self._reject_incoming(self.incoming, 400)
+
+    def on_url(self, url: bytes) -> None:
+        """Some bytes of the target."""
+        if self.incoming is not None:
+            self.incoming.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """A header, or behind a chunked body a trailer: that only counts against the limit."""
+        incoming = self.incoming
+        if incoming is None:
+            return
+        incoming.head_bytes += len(name) + len(value)
+        if not incoming.in_head:
+            if incoming.head_bytes > MAX_HEAD_BYTES:
+                self._reject_incoming(incoming, 431)
+            return
+        name = name.lower()
+        if name in KNOWN_HEADERS:
+            if name in incoming.headers:
+                incoming.error_status = incoming.error_status or 400  # ambiguous
+            incoming.headers[name] = value.strip(b" \t")  # RFC 9110, 5.5
+
+    def on_headers_complete(self) -> None:
+        """The head is complete: what its body will be like is known."""
+        incoming = self.incoming
+        if incoming is None:
+            return
+        incoming.in_head = False
+        headers = incoming.headers
+        incoming.method = self.parser.get_method()
+        incoming.is_http_1_0 = self.parser.get_http_version() == "1.0"
+        self._check_body_framing(incoming)
+        if incoming.error_status:
+            self._reject_incoming(incoming, incoming.error_status)
+            return
+        is_chunked = b"transfer-encoding" in headers
+        incoming.body_length = -1 if is_chunked else int(headers.get(b"content-length", b"0"))
+        self._send_continue(incoming)
+        if incoming.body_length > MAX_BUFFERED_BODY_BYTES:
+            self.start_stream(incoming)
+        elif incoming.body_length:
+            self.listener.admission.on_body_started(self, self.gateway.clock.now())
+
+    def _check_body_framing(self, incoming: ParsedRequest) -> None:
+        """Mark a head that is too large, or leaves open where the request ends."""
+        headers = incoming.headers
+        length = headers.get(b"content-length", b"0")
+        if b"content-length" in headers and b"transfer-encoding" in headers:
+            incoming.error_status = 400  # one of them lies about where the request ends
+        elif not length.isdigit():
+            incoming.error_status = 400
+        elif len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
+            incoming.error_status = 413
+        elif len(incoming.url) + incoming.head_bytes > MAX_HEAD_BYTES:  # it came in one read, end and all
+            incoming.error_status = 431
+
+    def _send_continue(self, incoming: ParsedRequest) -> None:
+        """Ask for the body, if its client waits for that and it is the request's turn."""
+        if incoming.headers.get(b"expect", b"").lower() != b"100-continue" or incoming.is_http_1_0:
+            return
+        if self.open_request is None and not self.pipelined and self.transport is not None:
+            self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+
+    def on_body(self, part: bytes) -> None:
+        """Some bytes of the body."""
+        incoming = self.incoming
+        if incoming is None:
+            return
+        incoming.body_received_bytes += len(part)
+        if incoming.stream is not None:
+            incoming.stream.moved_ms = self.gateway.clock.now()
+            if self.open_request is not None:
+                incoming.stream.feed(part)
+            return
+        incoming.body += part
+        if len(incoming.body) > MAX_BUFFERED_BODY_BYTES:
+            self.start_stream(incoming)
+
+    def on_message_complete(self) -> None:
+        """The last byte of a request."""
+        incoming = self.incoming
+        self.incoming = None
+        if incoming is None:
+            return
+        incoming.is_complete = True
+        incoming.received_ms = self.gateway.clock.now()
+        incoming.keep_alive = self.parser.should_keep_alive()  # the parser knows this here and no later
+        if incoming.stream is None:
+            self.pipelined.append(incoming)
+        elif self.open_request is not None and incoming is self.current:
+            incoming.stream.finish()
+            self.gateway.on_body_complete(self.open_request)
--- a/plumpick/gateway/listeners/http/validation.py
+++ b/plumpick/gateway/listeners/http/validation.py
@@ -10,14 +10,14 @@
 
 from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
-MOST_CUSTOMER = 1 << 33  # a customer is a number below
-_NUMBER = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
-_ID = re.compile(rb"[0-9A-Za-z._~-]{1,64}")
-_CUSTOMER = re.compile(rb"[0-9A-Fa-f]{16}")
-_KEY = re.compile(rb"[!-~]{1,128}")
+MAX_CUSTOMER_ID = 1 << 33  # a customer is a number below
+_UNITS_PATTERN = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
+_REQUEST_ID_PATTERN = re.compile(rb"[0-9A-Za-z._~-]{1,64}")
+_CUSTOMER_ID_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
+_IDEMPOTENCY_KEY_PATTERN = re.compile(rb"[!-~]{1,128}")
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """A request that is turned away; the text names the part at fault."""
 
     def __init__(self, text: str, status: int = 400) -> None:
@@ -25,7 +25,7 @@
         self.status = status
 
 
-class Form(NamedTuple):
+class RequestHead(NamedTuple):
     """What a request says of itself."""
 
     id: bytes
@@ -40,7 +40,7 @@
     key: bytes | None
 
 
-class Forms:
+class RequestValidator:
     """Reads requests by the settings."""
 
     def __init__(self, settings: Settings) -> None:
@@ -48,38 +48,45 @@
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         # A customer's terms are the same every time; the cache is bounded, and what is odd raises.
         self._terms = functools.lru_cache(512)(
-            functools.partial(call_terms, gateways=settings.gateway_count, most_units=settings.max_units)
+            functools.partial(
+                parse_call_terms, gateways=settings.gateway_count, most_units=settings.max_units
+            )
         )
 
-    def read(self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool) -> Form:
+    def read(
+        self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool
+    ) -> RequestHead:
         """The form of a request, its target as a path (`path_of`); raises BadRequest."""
         if not target.startswith(b"/"):
-            raise BadRequest("the target is no path")
+            raise BadRequestError("the target is no path")
         kind = self._kinds.get(target[1:].partition(b"?")[0].partition(b"/")[0])
         if kind is None:
-            raise BadRequest("there is no such class", 404)
+            raise BadRequestError("there is no such class", 404)
         if method not in ((b"GET", b"HEAD") if kind.idempotency is Idempotency.IDEMPOTENT else (b"POST",)):
-            raise BadRequest("the class has another method", 405)
+            raise BadRequestError("the class has another method", 405)
         if has_body and method != b"POST":
-            raise BadRequest("a GET with a body")
+            raise BadRequestError("a GET with a body")
         key = headers.get(b"idempotency-key")
         if kind.idempotency is Idempotency.KEYED:
-            if key is None or not _KEY.fullmatch(key):
-                raise BadRequest("idempotency-key is missing or malformed")
+            if key is None or not _IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
+                raise BadRequestError("idempotency-key is missing or malformed")
         elif key is not None:
-            raise BadRequest("idempotency-key on a class that has none")
-        request_id, customer = header(headers, b"x-request-id"), header(headers, b"x-api-key")
-        if not _ID.fullmatch(request_id):
-            raise BadRequest("x-request-id is malformed")
-        if not _CUSTOMER.fullmatch(customer) or int(customer, 16) >= MOST_CUSTOMER:
-            raise BadRequest("x-api-key is no customer")
-        plan = self._plans.get(header(headers, b"x-tier"))
+            raise BadRequestError("idempotency-key on a class that has none")
+        request_id, customer = (
+            required_header(headers, b"x-request-id"),
+            required_header(headers, b"x-api-key"),
+        )
+        if not _REQUEST_ID_PATTERN.fullmatch(request_id):
+            raise BadRequestError("x-request-id is malformed")
+        if not _CUSTOMER_ID_PATTERN.fullmatch(customer) or int(customer, 16) >= MAX_CUSTOMER_ID:
+            raise BadRequestError("x-api-key is no customer")
+        plan = self._plans.get(required_header(headers, b"x-tier"))
         if plan is None:
-            raise BadRequest("there is no such plan")
-        wait_ms = whole_number(header(headers, b"x-deadline-ms"), 1)
-        units, spread, first = self._terms(header(headers, b"x-call-terms"))
+            raise BadRequestError("there is no such plan")
+        wait_ms = parse_integer(required_header(headers, b"x-deadline-ms"), 1)
+        units, spread, first = self._terms(required_header(headers, b"x-call-terms"))
         # Nobody is kept waiting for longer than the class allows, however long the client would.
-        return Form(
+        return RequestHead(
             request_id,
             customer.decode(),
             kind,
@@ -93,7 +100,7 @@
         )
 
 
-def path_of(target: bytes) -> bytes:
+def origin_form(target: bytes) -> bytes:
     """The path and query of a target; one in absolute form (RFC 9112, 3.2.2) loses scheme and host."""
     if target[:7].lower() == b"http://":
         rest = target[7:]
@@ -104,35 +111,35 @@
     return target
 
 
-def whole_number(text: bytes, least: int, most: float = math.inf) -> int:
+def parse_integer(text: bytes, least: int, most: float = math.inf) -> int:
     """A whole number in plain digits, within bounds."""
     if not text.isdigit() or len(text) > 15 or not least <= int(text) <= most:
-        raise BadRequest(f"{text[:20]!r} is out of place")
+        raise BadRequestError(f"{text[:20]!r} is out of place")
     return int(text)
 
 
-def call_terms(text: bytes, *, gateways: int, most_units: float) -> tuple[float, int, int]:
+def parse_call_terms(text: bytes, *, gateways: int, most_units: float) -> tuple[float, int, int]:
     """Units, spread and first of X-Call-Terms."""
     terms: dict[bytes, bytes] = {}
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name in terms:
-            raise BadRequest("X-Call-Terms names a thing twice")
+            raise BadRequestError("X-Call-Terms names a thing twice")
         terms[name] = value
     if not terms.keys() >= {b"units", b"spread", b"first"}:
-        raise BadRequest("X-Call-Terms cannot be read")
-    if not _NUMBER.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= most_units:
-        raise BadRequest("units are out of range")
+        raise BadRequestError("X-Call-Terms cannot be read")
+    if not _UNITS_PATTERN.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= most_units:
+        raise BadRequestError("units are out of range")
     return (
         float(terms[b"units"]),
-        whole_number(terms[b"spread"], 1, gateways),
-        whole_number(terms[b"first"], 0, gateways - 1),
+        parse_integer(terms[b"spread"], 1, gateways),
+        parse_integer(terms[b"first"], 0, gateways - 1),
     )
 
 
-def header(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
+def required_header(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
     """A header that must be there."""
     value = headers.get(name)
     if not value:
-        raise BadRequest(f"{name.decode()} is missing")
+        raise BadRequestError(f"{name.decode()} is missing")
     return value
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -11,15 +11,15 @@
 from plumpick.policy.draining import AdmissionState
 from plumpick.policy.settings import RequestClass, Settings
 
-SWEEP_MS = 100.0  # how often fronts close what has had its time
-STILL_MS = 100.0  # a sweep so much late: we stood still
+SWEEP_INTERVAL_MS = 100.0  # how often fronts close what has had its time
+STALL_THRESHOLD_MS = 100.0  # a sweep so much late: we stood still
 
 
-class InUse(ValueError):
+class DuplicateRequestIdError(ValueError):
     """The id of a request is that of another; the text says so."""
 
 
-class Ask(NamedTuple):
+class IncomingRequest(NamedTuple):
     """A whole request: what the module decides by, and what a worker is sent."""
 
     id: bytes
@@ -40,7 +40,7 @@
     stream: Any = None  # a `Stream` in place of the body: it goes on while it comes
 
 
-class Stream(Protocol):
+class RequestStream(Protocol):
     """A body that goes on while it comes (upstream/body.py)."""
 
     length: int
@@ -50,7 +50,7 @@
     moved_ms: float
 
 
-class Source(Protocol):
+class PausableSource(Protocol):
     """Where an answer comes from that goes on while it comes."""
 
     def hold(self) -> None:
@@ -60,10 +60,10 @@
         """Give again."""
 
 
-class Asker(Protocol):
+class ResponseSink(Protocol):
     """Who has asked."""
 
-    def begin(self, length: int, kind: bytes, source: Source, mark: int) -> None:
+    def begin(self, length: int, kind: bytes, source: PausableSource, mark: int) -> None:
         """A 200 whose body follows by `part`, until `finish` or `broken`. `length`: -1 if it is not known;
         `mark`: of bytes that may wait to be written before the source is held."""
 
@@ -86,7 +86,7 @@
         """Close at once."""
 
 
-class Front(Protocol):
+class Listener(Protocol):
     """What the core asks of a front."""
 
     def late_ms(self, now: float) -> float:
@@ -115,7 +115,7 @@
         """What is read from now on goes by these; of what is open nothing changes."""
 
 
-class Core(Protocol):
+class RequestGateway(Protocol):
     """What a front asks of the core."""
 
     clock: Clock
@@ -130,13 +130,13 @@
     def has_stalled(self) -> bool:
         """Whether what is read now may have waited for us; timers come before it."""
 
-    def stream(self, giver: Source, length: int) -> Any:
+    def stream(self, giver: PausableSource, length: int) -> Any:
         """A body that goes on while it comes, of so many bytes (-1: not known); a `Stream` that is fed."""
 
     def came_whole(self, request: Any) -> None:
         """The last byte of a request's body has come: its time counts from now on."""
 
-    def take(self, asker: Asker, ask: Ask) -> Any:
+    def take(self, asker: ResponseSink, ask: IncomingRequest) -> Any:
         """A whole request has come in: from here on it is owed one final answer. Raises InUse. What it
         returns names the request to `left`."""
 
@@ -144,7 +144,7 @@
         """Who asked that has gone; a request that has been answered is passed over."""
 
 
-class Operable(Protocol):
+class OperatorGateway(Protocol):
     """What the operators' front asks of the core."""
 
     clock: Clock
@@ -154,7 +154,7 @@
         """Carry out an operator's call; whether that is refused, and what there is to say."""
 
 
-class Sibling(Protocol):
+class SiblingProcess(Protocol):
     """What the core tells another process of the same gatekeeper."""
 
     def heard(self, sender: int, data: bytes) -> None:
@@ -167,7 +167,7 @@
         """An operator's call that is in force here."""
 
 
-class Part(Protocol):
+class ClusterParticipant(Protocol):
     """What the core asks of this process's part in what is done for the whole tier (fleet/runner.py)."""
 
     def heard(self, sender: int, data: bytes) -> None:
@@ -186,7 +186,7 @@
         """The answer to BUDGETS: whether it is refused, and what to say."""
 
 
-class Versioned(Protocol):
+class SettingsSource(Protocol):
     """What the core asks of the source of its settings (configuration/source.py)."""
 
     def line(self) -> str:
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.gateway.config import Address, ConfigError, address_from
+from plumpick.gateway.config import Address, ConfigError, parse_address
 from plumpick.policy.budgets.ledger import INBOX_PER_S
 from plumpick.policy.budgets.matching import Rule
 from plumpick.policy.budgets.terms import Budget, BudgetError, Kind
@@ -242,7 +242,7 @@
     if not 1 <= len(rows) <= MOST_SERVICES:
         raise ConfigError(f"{path}.addresses: {len(rows)} of them; 1 to {MOST_SERVICES} can be named")
     try:
-        addresses = tuple(address_from(row, f"{path}.addresses[{place}]") for place, row in enumerate(rows))
+        addresses = tuple(parse_address(row, f"{path}.addresses[{place}]") for place, row in enumerate(rows))
     except SettingsError as problem:
         raise ConfigError(str(problem)) from problem
     for place, address in enumerate(addresses):
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -10,7 +10,7 @@
 
 from plumpick.gateway.config import Address, Config
 
-MAX_BYTES = 256
+MAX_MESSAGE_BYTES = 256
 
 log = logging.getLogger(__name__)
 
@@ -73,18 +73,18 @@
         """Take in one datagram; the loop calls again at once if there are more."""
         assert self._socket is not None
         try:
-            data, address = self._socket.recvfrom(MAX_BYTES + 1)
+            data, address = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
         except OSError:  # nothing there, or the echo of a message that a peer could not take
             return
         number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_BYTES:  # a stranger is no peer, whatever it says
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # a stranger is no peer, whatever it says
             self._heard(number, data)
 
     def tell(self, receiver: int, data: bytes) -> None:
         """To one gatekeeper by its number, or to all for -1."""
         if self._socket is None:
             return
-        if len(data) > MAX_BYTES:
+        if len(data) > MAX_MESSAGE_BYTES:
             log.error("a message of %d bytes to gatekeeper %d was not sent", len(data), receiver)
             return
         peers = self._config.peers
--- a/plumpick/gateway/platform.py
+++ b/plumpick/gateway/platform.py
@@ -13,17 +13,17 @@
 from typing import Any
 
 from plumpick.gateway.clock import Clock
-from plumpick.gateway.config import Config, load
+from plumpick.gateway.config import Config, load_config
 
 
-def _shows(transport: Any, what: int) -> bool:
+def _polls(transport: Any, what: int) -> bool:
     """Whether the connection's socket shows that now, an error or a break included."""
     watched = select.poll()
     watched.register(transport.get_extra_info("socket").fileno(), what)
     return bool(watched.poll(0))
 
 
-class System:
+class Platform:
     """The real machine."""
 
     def clock(self) -> Clock:
@@ -51,7 +51,7 @@
     @staticmethod
     def is_quiet(transport: Any) -> bool:
         """Whether nothing waits on the connection: bytes, or its end, that the loop may not have read yet."""
-        return not _shows(transport, select.POLLIN)
+        return not _polls(transport, select.POLLIN)
 
     @staticmethod
     def was_reset(transport: Any) -> bool:
@@ -75,7 +75,7 @@
     @staticmethod
     def has_ended(transport: Any) -> bool:
         """Whether the other side has closed the connection, whatever is still unread on it."""
-        return _shows(transport, select.POLLRDHUP)
+        return _polls(transport, select.POLLRDHUP)
 
     def settle(self) -> None:
         """What the start made stays: it need not be looked through again."""
@@ -112,7 +112,7 @@
 
     def reread(self) -> Config:
         """The configuration as its file has it now; raises ConfigError."""
-        return load(os.environ)
+        return load_config(os.environ)
 
     def operator_file(self) -> str:
         """Where the operator's own file is; nothing where there is none."""
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -13,7 +13,7 @@
 import httptools
 
 from plumpick.gateway.clock import Clock, Timer, Timers
-from plumpick.gateway.config import Entry, WorkerList
+from plumpick.gateway.config import WorkerEntry, WorkerList
 from plumpick.gateway.upstream.request_encoding import message_of
 from plumpick.gateway.upstream.streaming_body import WHOLE, Body, Budget
 from plumpick.policy.events import AttemptResult, EndpointState
@@ -418,13 +418,13 @@
 
     __slots__ = ("entry", "idle", "connections", "dialling")
 
-    def __init__(self, entry: Entry) -> None:
+    def __init__(self, entry: WorkerEntry) -> None:
         self.entry = entry
         self.idle: list[WorkerConnection] = []  # the most recently used is last
         self.connections = 0  # open or being opened
         self.dialling: list[Attempt] = []
 
-    def is_same_process(self, entry: Entry) -> bool:
+    def is_same_process(self, entry: WorkerEntry) -> bool:
         return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
 
 
@@ -480,7 +480,7 @@
 
     # -- discovery
 
-    def update(self, news: WorkerList) -> list[Entry]:
+    def update(self, news: WorkerList) -> list[WorkerEntry]:
         """Take in a list. What left service or runs anew loses its idle connections and waiting attempts.
 
         The answer is those that are gone though the list does not say so yet: a new worker has their address,
--- a/plumpick/gateway/upstream/request_encoding.py
+++ b/plumpick/gateway/upstream/request_encoding.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from plumpick.gateway.listeners.interface import Ask
+from plumpick.gateway.listeners.interface import IncomingRequest
 
 
-def head_of(ask: Ask) -> bytes:
+def head_of(ask: IncomingRequest) -> bytes:
     """The head of every attempt for a request, up to the value of its last header, the deadline."""
     parts = [ask.method, b" ", ask.target, b" HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: ", ask.id]
     if ask.key is not None:
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -104,14 +104,14 @@
     """The exit code."""
     from plumpick.gateway import daemon
     from plumpick.gateway.cluster import fenced_effects, lease_runner
-    from plumpick.gateway.platform import System
+    from plumpick.gateway.platform import Platform
     from plumpick.policy.budgets import holder, ledger
     from plumpick.policy.leases import codec
     from plumpick.policy.leases import participant as members
 
     rate = float(os.environ.get("WITNESS_RATE", "1"))
     if rate != 1:
-        System.boottime = lambda self: true_ms() * rate  # type: ignore[method-assign]
+        Platform.boottime = lambda self: true_ms() * rate  # type: ignore[method-assign]
     plant = os.environ.get("WITNESS_PLANT", "")
     if plant:
         where, _, name = plant.rpartition("/")
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from plumpick.gateway.clock import Clock
-from plumpick.gateway.config import Config, config_from
+from plumpick.gateway.config import Config, parse_config
 from plumpick.gateway.daemon import serve
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 from plumpick.rehearsal import scenario as script
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, LOST, Breach
 from plumpick.rehearsal.fleet import Fleet
@@ -47,7 +47,7 @@
         return (UNIX_S + self._process.time()) * 1000
 
 
-class SimulatedSystem(System):
+class SimulatedSystem(Platform):
     """What a simulated gatekeeper takes from its machine."""
 
     def __init__(self, process: Process, reread: Callable[[], Config], watch: Watch | None = None) -> None:
@@ -155,7 +155,7 @@
 
     def read(self, gate: Gatekeeper) -> Config:
         """The configuration as it stands."""
-        return config_from(json.loads(self.files[gate.name]), {})  # type: ignore[attr-defined]
+        return parse_config(json.loads(self.files[gate.name]), {})  # type: ignore[attr-defined]
 
     async def launch(self, gate: Gatekeeper) -> Any:
         self.write(gate)
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -15,7 +15,14 @@
 import tempfile
 from pathlib import Path
 
-from plumpick.gateway.compiled import COMPILER, FILES, FOLDER, SOURCES, TOOLS, digest
+from plumpick.gateway.compiled import (
+    COMPILED_FILES,
+    COMPILED_FOLDER,
+    COMPILER,
+    SOURCE_FOLDER,
+    TOOL_PACKAGES,
+    source_digest,
+)
 
 SECONDS = 600.0  # for each step
 
@@ -42,9 +49,9 @@
         raise NotCompiled((done.stdout.strip().splitlines() or ["no word"])[-1])
 
 
-def compile_to(folder: Path = FOLDER, optimize: int = 2) -> Path:
+def compile_to(folder: Path = COMPILED_FOLDER, optimize: int = 2) -> Path:
     """Compile, unless it has been done; the folder with the result. Raises NotCompiled or OSError."""
-    made = folder / digest()
+    made = folder / source_digest()
     if made.is_dir():
         return made
     compiler = sysconfig.get_config_var("CC") or "cc"
@@ -71,12 +78,19 @@
             scratch,
         )
         build, result = Path(scratch, "build"), Path(scratch, "result")
-        ignored = shutil.ignore_patterns("__pycache__", *TOOLS)
-        shutil.copytree(SOURCES / "plumpick", build / "plumpick", ignore=ignored)
+        ignored = shutil.ignore_patterns("__pycache__", *TOOL_PACKAGES)
+        shutil.copytree(SOURCE_FOLDER / "plumpick", build / "plumpick", ignore=ignored)
         # Danger: what mypy takes to be unreachable is left out of the compiled code. Seen: a look at an
         # attribute that a call in between had changed. So it is an error here, and the plain sources serve.
         _run(
-            [sys.executable, "-m", "mypyc", "--ignore-missing-imports", "--warn-unreachable", *FILES],
+            [
+                sys.executable,
+                "-m",
+                "mypyc",
+                "--ignore-missing-imports",
+                "--warn-unreachable",
+                *COMPILED_FILES,
+            ],
             str(build),
             PYTHONPATH=str(tools),
             MYPYC_OPT_LEVEL=str(optimize),
@@ -86,7 +100,7 @@
             target = result / path.relative_to(build)
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
-        if len(list(result.rglob("*.so"))) != len(FILES) + 1:
+        if len(list(result.rglob("*.so"))) != len(COMPILED_FILES) + 1:
             raise NotCompiled("mypyc left other files than expected")
         for old in folder.iterdir():  # of other sources: only these are of use now
             if old.is_dir() and not old.name.startswith("tmp"):
@@ -97,7 +111,7 @@
 
 def main() -> int:
     """Print what came of it."""
-    folder = Path(sys.argv[1]) if len(sys.argv) > 1 else FOLDER
+    folder = Path(sys.argv[1]) if len(sys.argv) > 1 else COMPILED_FOLDER
     try:
         print(f"decisions compiled: {compile_to(folder).name}")
     except (NotCompiled, OSError) as problem:
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -172,7 +172,7 @@
 
 def main() -> int:
     """Serve as the daemon does, with a record; the exit code."""
-    which = compiled.use()
+    which = compiled.use_compiled_files()
     import uvloop  # only now, as the daemon: what follows imports the decisions
 
     from plumpick.gateway import daemon, discovery
--- a/tests/compatibility/edges.py
+++ b/tests/compatibility/edges.py
@@ -14,7 +14,7 @@
 
 from fakes import config, entry, listing
 
-from plumpick.gateway.config import ConfigError, config_from, worker_list_from
+from plumpick.gateway.config import ConfigError, parse_config, parse_worker_list
 from plumpick.gateway.operator_config import operator_from
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -67,7 +67,7 @@
     """The message for every way to spoil a configuration."""
     rows = {}
     for what, value in spoilt(base_config()):
-        rows[what] = said(lambda value: config_from(value, {}), value, (ValueError, ConfigError))
+        rows[what] = said(lambda value: parse_config(value, {}), value, (ValueError, ConfigError))
     return rows
 
 
@@ -76,9 +76,11 @@
     rows = {}
     for what, value in spoilt(listing(entry("w1", 1234), entry("w2", 1235))):
         skipped = []
-        rows[f"whole {what}"] = said(lambda value: worker_list_from(value, "list"), value, ValueError)
+        rows[f"whole {what}"] = said(lambda value: parse_worker_list(value, "list"), value, ValueError)
         rows[f"skipping {what}"] = [
-            said(lambda value, into=skipped: worker_list_from(value, "list", into.append), value, ValueError),
+            said(
+                lambda value, into=skipped: parse_worker_list(value, "list", into.append), value, ValueError
+            ),
             [str(problem) for problem in skipped],
         ]
     return rows
--- a/tests/configuration/test_source.py
+++ b/tests/configuration/test_source.py
@@ -11,7 +11,7 @@
 from settings_rig import document, published
 
 from plumpick.gateway.clock import Clock, Timers
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import Source, config_with
 from plumpick.policy.dynamic_config import subscriber as plans
 from plumpick.policy.dynamic_config.delta import digest
@@ -23,7 +23,7 @@
     """A gatekeeper that takes over what it is given, unless its class c0 is worth `wrong`."""
 
     def __init__(self, addresses, number=0, wrong=None):
-        self.config = config_from(config(name=f"n{number}"), {})
+        self.config = parse_config(config(name=f"n{number}"), {})
         self.clock, self.taken, self.wrong = Clock(), [], wrong
         self.changed = asyncio.Event()
         loop = asyncio.get_running_loop()
@@ -467,7 +467,7 @@
 
 
 def test_what_a_gatekeeper_has_of_its_own_stays_its_own():
-    mine = config_from(config(name="n2"), {})
+    mine = parse_config(config(name="n2"), {})
     news = config_with(mine, {**published(3), "myNumber": 9, "locality": "z"})
     assert (news.settings.number, news.settings.zone) == (mine.settings.number, mine.settings.zone)
     assert (news.name, news.listen, news.seed) == (mine.name, mine.listen, mine.seed)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -10,10 +10,10 @@
 import httptools
 import uvloop
 
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.gateway import Gatekeeper
-from plumpick.gateway.listeners.http.listener import HttpFront
-from plumpick.gateway.platform import System
+from plumpick.gateway.listeners.http.listener import HttpListener
+from plumpick.gateway.platform import Platform
 from plumpick.policy.actions import FailRequest, StartAttempt
 from plumpick.policy.events import AttemptCompleted, RequestReceived
 
@@ -129,10 +129,10 @@
 
     def __init__(self, script=None, **more):
         self.script = script
-        self.keeper = Gatekeeper(config_from(config(**more), {}), asyncio.get_running_loop(), script)
+        self.keeper = Gatekeeper(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
         config_here = self.keeper.config
-        self.front = HttpFront(
-            self.keeper, config_here.settings, config_here.sockets, System().has_ended, System().is_quiet
+        self.front = HttpListener(
+            self.keeper, config_here.settings, config_here.sockets, Platform().has_ended, Platform().is_quiet
         )
         self.keeper.add(self.front)
         self.keeper.listed(config_here.known)
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -9,7 +9,7 @@
 from test_gatekeeper import later
 
 from plumpick.gateway.daemon import close_listener
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 
 
 def one_worker(scenario):
@@ -135,19 +135,19 @@
             self.dropped = True
 
     from plumpick.gateway.listeners.http.connection_admission import (
-        SWEEP_MS,
-        UNREAD_AT_END_MS,
-        UNREAD_MS,
-        Admission,
+        SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS,
+        SWEEP_INTERVAL_MS,
+        UNREAD_RESPONSE_TIMEOUT_MS,
+        ConnectionAdmission,
     )
 
-    for ending, bound in ((False, UNREAD_MS), (True, UNREAD_AT_END_MS)):
-        stuck, admission = Stuck(), Admission(256, 0.0)
+    for ending, bound in ((False, UNREAD_RESPONSE_TIMEOUT_MS), (True, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS)):
+        stuck, admission = Stuck(), ConnectionAdmission(256, 0.0)
         admission.all[stuck] = None
         admission.leaves(stuck, 0.0)
         now, dropped = 0.0, None
-        while now < 2 * UNREAD_MS and dropped is None:
-            now += SWEEP_MS
+        while now < 2 * UNREAD_RESPONSE_TIMEOUT_MS and dropped is None:
+            now += SWEEP_INTERVAL_MS
             admission.sweep(now, ending)
             dropped = now if stuck.dropped else None
         assert dropped is not None and bound <= dropped <= bound + 2000.0
@@ -159,7 +159,7 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
-            plug = System().listener((HOST, 0), 16)
+            plug = Platform().listener((HOST, 0), 16)
             server = await loop.create_server(gate.front.connection, sock=plug)
             plugs, address = [], plug.getsockname()
             for number in range(8):  # without a turn of the loop
--- a/tests/ownership/test_runner.py
+++ b/tests/ownership/test_runner.py
@@ -10,12 +10,12 @@
 from fakes import HOST, config
 
 from plumpick.gateway.cluster import fenced_effects, lease_runner
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.operator_config import Receiver, operator_from
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 
 
-class Quiet(System):
+class Quiet(Platform):
     """The real machine, with a guard that always is to be had."""
 
     def guard(self, address):
@@ -29,7 +29,7 @@
 def one_gatekeeper():
     value = config()
     value["settings"]["balancers"] = 1
-    return config_from(value, {})
+    return parse_config(value, {})
 
 
 def alone(duties, scenario, **fleet):
--- a/tests/same_actions.py
+++ b/tests/same_actions.py
@@ -12,7 +12,11 @@
 
 
 def main():
-    which = compiled.use(compiled.Path(sys.argv[1])) if len(sys.argv) > 1 else "decisions: plain Python"
+    which = (
+        compiled.use_compiled_files(compiled.Path(sys.argv[1]))
+        if len(sys.argv) > 1
+        else "decisions: plain Python"
+    )
     from benchmarks.gray import world as rig
     from plumpick.policy import controller
     from plumpick.policy.events import (
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,11 +1,11 @@
 """Connections of clients and a stall of our own process: no time of ours counts on theirs."""
 
 from plumpick.gateway.listeners.http.connection_admission import (
-    OWED_MS,
-    QUICK_MS,
-    SPARED_MS,
-    SWEEP_MS,
-    Admission,
+    MIN_IDLE_MS,
+    NEW_CONNECTION_MS,
+    REQUEST_TIMEOUT_MS,
+    SWEEP_INTERVAL_MS,
+    ConnectionAdmission,
 )
 
 
@@ -28,7 +28,7 @@
         self.closed = self.closed or "dropped"
 
 
-def swept(admission, start, until, step=SWEEP_MS):
+def swept(admission, start, until, step=SWEEP_INTERVAL_MS):
     now = start
     while now <= until:
         admission.sweep(now, False)
@@ -36,7 +36,7 @@
 
 
 def crowd(count=20):
-    admission = Admission(100)
+    admission = ConnectionAdmission(100)
     idle, owing = [Client() for _ in range(count)], Client()
     admission.sweep(0.0, False)
     for client in [*idle, owing]:
@@ -52,27 +52,27 @@
     admission, idle, owing = crowd()
     admission.sweep(5000.0, False)
     assert not [client for client in [*idle, owing] if client.closed]
-    swept(admission, 5100.0, 5000.0 + SWEEP_MS * 5)
+    swept(admission, 5100.0, 5000.0 + SWEEP_INTERVAL_MS * 5)
     assert not [client for client in [*idle, owing] if client.closed]
 
 
 def test_who_is_idle_or_owes_a_request_is_closed_in_time_all_the_same():
     admission, idle, owing = crowd()
     admission.sweep(5000.0, False)
-    swept(admission, 5100.0, 5000.0 + SPARED_MS + OWED_MS)
+    swept(admission, 5100.0, 5000.0 + MIN_IDLE_MS + REQUEST_TIMEOUT_MS)
     assert owing.closed == "gave up"
     assert sum(client.closed == "idle" for client in idle) == len(idle) - admission.idle_kept
 
 
 def test_sweeps_in_time_go_by_the_clock():
     admission, idle, owing = crowd()
-    swept(admission, 100.0, OWED_MS + 200.0)
+    swept(admission, 100.0, REQUEST_TIMEOUT_MS + 200.0)
     assert owing.closed == "gave up" and [client for client in idle if client.closed]
 
 
 def test_what_waited_through_a_stall_comes_in_beyond_the_limit_as_far_as_others_leave_room():
     """Found by the simulation (seed 122): those that came last, still waiting, were dropped for the dead."""
-    admission = Admission(100)
+    admission = ConnectionAdmission(100)
     clients = [Client() for _ in range(admission.hard + 10)]
     assert all(admission.came(client, 0.0, 10) for client in clients)
     assert not admission.came(Client(), 0.0, 10)
@@ -85,7 +85,7 @@
 
 def test_where_all_is_full_those_go_whose_clients_have_gone_and_a_crowd_that_stays_is_looked_at_seldom():
     """Found by the simulation (seed 717): a stall of 4.4 s, and the last to come were dropped."""
-    admission, looks = Admission(100), []
+    admission, looks = ConnectionAdmission(100), []
     clients = [Client() for _ in range(admission.hard)]
     gone = set(clients[5:8])
     clients[6].begun = True  # something of it was read: it stays
@@ -110,18 +110,18 @@
     admission.begins(owing, 20.0)
     swept(admission, 100.0, 2000.0)
     admission.body_begins(owing, 2010.0)
-    swept(admission, 2100.0, 2010.0 + OWED_MS - 200.0)
+    swept(admission, 2100.0, 2010.0 + REQUEST_TIMEOUT_MS - 200.0)
     assert not owing.closed
     owing.earned_ms = lambda: 1000.0
-    swept(admission, 2100.0 + OWED_MS, 2010.0 + OWED_MS + 900.0)
+    swept(admission, 2100.0 + REQUEST_TIMEOUT_MS, 2010.0 + REQUEST_TIMEOUT_MS + 900.0)
     assert not owing.closed
-    swept(admission, 2010.0 + OWED_MS + 1000.0, 2010.0 + OWED_MS + 1300.0)
+    swept(admission, 2010.0 + REQUEST_TIMEOUT_MS + 1000.0, 2010.0 + REQUEST_TIMEOUT_MS + 1300.0)
     assert owing.closed == "gave up"
 
 
 def test_in_a_crowd_that_never_finishes_true_clients_that_take_two_seconds_to_write_all_stay():
     """3,000 that say nothing or stop in their head, and 200 that write a piece each 0.2 s for 2 s."""
-    admission, now, waiting, asked, lost = Admission(192), 0.0, [], 0, 0
+    admission, now, waiting, asked, lost = ConnectionAdmission(192), 0.0, [], 0, 0
     admission.sweep(0.0, False)
     for step in range(400):  # of 50 ms
         now = 50.0 * step
@@ -154,5 +154,7 @@
 def test_an_ending_gatekeeper_leaves_a_connection_that_has_just_come_a_moment_to_ask():
     """Found by the simulation (seed 465): its request was 0.6 ms away when its connection was closed."""
     admission, idle, owing = crowd()
-    assert admission.is_new(owing, 10.0 + QUICK_MS) and not admission.is_new(owing, 10.1 + QUICK_MS)
+    assert admission.is_new(owing, 10.0 + NEW_CONNECTION_MS) and not admission.is_new(
+        owing, 10.1 + NEW_CONNECTION_MS
+    )
     assert not any(admission.is_new(client, 20.0) for client in idle)
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -73,18 +73,18 @@
 
 
 def test_files_of_other_sources_are_not_taken(folder, tmp_path, monkeypatch):
-    shutil.copytree(compiled.SOURCES / "plumpick", tmp_path / "tree" / "plumpick")
-    monkeypatch.setattr(compiled, "SOURCES", tmp_path / "tree")
-    before = compiled.digest()
+    shutil.copytree(compiled.SOURCE_FOLDER / "plumpick", tmp_path / "tree" / "plumpick")
+    monkeypatch.setattr(compiled, "SOURCE_FOLDER", tmp_path / "tree")
+    before = compiled.source_digest()
     # Also what is not compiled itself.
     for changed in ("plumpick/gateway/config.py", "plumpick/policy/controller.py"):
         path = tmp_path / "tree" / changed
         path.write_text(path.read_text() + "\n# changed\n")
-        assert compiled.digest() != before
-        before = compiled.digest()
-    assert compiled.use(folder) == "decisions: plain Python"
-    monkeypatch.setattr(compiled, "SOURCES", tmp_path / "none")
-    assert compiled.use(tmp_path) == "decisions: plain Python"
+        assert compiled.source_digest() != before
+        before = compiled.source_digest()
+    assert compiled.use_compiled_files(folder) == "decisions: plain Python"
+    monkeypatch.setattr(compiled, "SOURCE_FOLDER", tmp_path / "none")
+    assert compiled.use_compiled_files(tmp_path) == "decisions: plain Python"
 
 
 @pytest.mark.parametrize("missing", ["compiler", "headers", "package"])
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -24,7 +24,7 @@
 from test_process import UP, free_port, until_up
 
 from plumpick.gateway import daemon
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.policy.events import RequestReceived
 
 
@@ -32,10 +32,10 @@
 def test_all_is_answered_and_we_have_gone_before_sigkill_may_come(deadlines_s):
     """SIGKILL comes no sooner than the longest deadline, of 3 s at most, and 0.7 s more. Connections come for
     up to 0.4 s, and whoever is served last has its whole time, or a second."""
-    serve, end, gone = daemon.ending_of(deadlines_s)
+    serve, end, gone = daemon.shutdown_times(deadlines_s)
     longest, kill = max(deadlines_s), min(max(deadlines_s), 3.0) + 0.7
     assert 0.4 < serve < end < gone < kill
-    assert end - serve >= min(longest, 1.0) * 0.99 or serve == daemon.LEAST_S
+    assert end - serve >= min(longest, 1.0) * 0.99 or serve == daemon.MIN_SERVING_S
     assert end - serve >= 0.2 and kill - end >= 0.2  # room for a last answer to be written, and a busy loop
 
 
@@ -78,7 +78,7 @@
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port = free_port()
             values = {"known": listing(entry("w1", worker.port)), **more}
-            own = config_from({**config(fake.port, port), **values}, {})
+            own = parse_config({**config(fake.port, port), **values}, {})
             task = asyncio.get_running_loop().create_task(daemon.serve(own))
             try:
                 await scenario(port, fake, worker, task)
@@ -86,13 +86,13 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    monkeypatch.setattr(daemon, "ending_of", lambda _deadlines: ending)
+    monkeypatch.setattr(daemon, "shutdown_times", lambda _deadlines: ending)
     run(whole())
 
 
 def test_sigterm_before_the_first_list_ends_it_and_it_is_never_ready(monkeypatch, caplog):
     """It waited for the list, said that it was ready, and counted the time to its end from then."""
-    monkeypatch.setattr(daemon, "FIRST_LIST_S", 1000.0)
+    monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(_port, fake, _worker, task):
         await fake.called()  # and no answer
@@ -122,7 +122,7 @@
 
 def test_the_time_to_the_end_counts_from_the_first_sigterm():
     async def scenario():
-        stop = daemon.Stop(asyncio.get_running_loop())
+        stop = daemon.StopRequest(asyncio.get_running_loop())
         stop.ask()
         first = stop.at_s
         await asyncio.sleep(0.01)
@@ -158,9 +158,9 @@
 
 def test_with_no_list_at_all_it_is_ready_once_the_first_has_come(monkeypatch):
     """It was ready after half a second, and refused every request; a known list serves as before."""
-    assert daemon.FIRST_LIST_S < 1.0 < daemon.NO_LIST_S < 10.0
-    monkeypatch.setattr(daemon, "FIRST_LIST_S", 0.0)
-    monkeypatch.setattr(daemon, "NO_LIST_S", 1000.0)
+    assert daemon.FIRST_LIST_TIMEOUT_S < 1.0 < daemon.ONLY_LIST_TIMEOUT_S < 10.0
+    monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(daemon, "ONLY_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(port, fake, worker, _task):
         _, writer = await fake.called()
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -9,10 +9,10 @@
 from fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
 
 from plumpick.gateway.clock import Timers
-from plumpick.gateway.config import config_from, worker_list_from
-from plumpick.gateway.listeners.http.connection import MOST_WAITING
-from plumpick.gateway.listeners.http.connection_admission import SWEEP_MS
-from plumpick.gateway.platform import System
+from plumpick.gateway.config import parse_config, parse_worker_list
+from plumpick.gateway.listeners.http.connection import MAX_PIPELINED_REQUESTS
+from plumpick.gateway.listeners.http.connection_admission import SWEEP_INTERVAL_MS
+from plumpick.gateway.platform import Platform
 from plumpick.gateway.upstream.connection_pool import LEAST_REST_MS, MOST_RESTING, REST_MS
 from plumpick.policy.actions import CancelAttempt, RejectRequest, SetTimer, StartAttempt
 from plumpick.policy.events import (
@@ -434,7 +434,7 @@
         await exchange(worker, client)
         await gate.script.event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.keeper.listed(worker_list_from(news, "list"))
+        gate.keeper.listed(parse_worker_list(news, "list"))
         fleet = await gate.script.event(EndpointsUpdated)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
@@ -495,7 +495,7 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.keeper.listed(worker_list_from(news, "list"))
+        gate.keeper.listed(parse_worker_list(news, "list"))
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -504,7 +504,7 @@
 def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        gate.keeper.listed(worker_list_from(listing(index=2), "list"))
+        gate.keeper.listed(parse_worker_list(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
@@ -534,7 +534,7 @@
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.keeper.listed(worker_list_from(news, "list"))
+        gate.keeper.listed(parse_worker_list(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
@@ -772,7 +772,7 @@
         (one,) = gate.front.admission.all
         while not one.unreadable:
             await asyncio.sleep(0)
-        assert len(one.waiting) <= MOST_WAITING + 1
+        assert len(one.waiting) <= MAX_PIPELINED_REQUESTS + 1
 
     one_worker(scenario)
 
@@ -786,7 +786,7 @@
 def later(gate, ms):
     """Let so much time go by for the connections of clients, and no stall of ours."""
     admission, now = gate.front.admission, gate.keeper.clock.now() + ms
-    admission._swept_ms = now - SWEEP_MS
+    admission._swept_ms = now - SWEEP_INTERVAL_MS
     admission.sweep(now, gate.keeper.draining)
 
 
@@ -810,7 +810,7 @@
         later(gate, 2000)
         (one,) = gate.front.admission.all
         assert not one.ending
-        later(gate, 3000 - SWEEP_MS)
+        later(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
             told = await client.answer()
         except ConnectionResetError:  # blank lines that were not read yet
@@ -882,7 +882,7 @@
         (one,) = gate.front.admission.all
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
-        while System().is_quiet(one.transport):
+        while Platform().is_quiet(one.transport):
             await asyncio.sleep(0)
         one.close_if_idle()
         one.transport.resume_reading()
@@ -1025,7 +1025,7 @@
     value = config()
     value.update(change)
     with pytest.raises(ValueError, match="config") as told:
-        config_from(json.loads(json.dumps(value)), {})
+        parse_config(json.loads(json.dumps(value)), {})
     assert name in str(told.value)
 
 
@@ -1045,21 +1045,21 @@
     value = config()
     change(value["settings"])
     with pytest.raises(ValueError) as told:
-        config_from(json.loads(json.dumps(value)), {})
+        parse_config(json.loads(json.dumps(value)), {})
     assert key in str(told.value) and "\n" not in str(told.value)
 
 
 def test_the_environment_stands_in_for_what_the_file_lacks():
     value = config()
     del value["name"], value["listen"], value["discovery"]
-    made = config_from(
+    made = parse_config(
         value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
     )
     assert (made.name, made.listen, made.discovery) == ("n7", (HOST, 5), (HOST, 6))
 
 
 def test_a_list_in_discoverys_form():
-    news = worker_list_from(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
+    news = parse_worker_list(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
     server = news.entries[0].server
     assert (news.index, news.complete, news.entries[0].address) == (41, False, (HOST, 5000))
     assert (server.id, server.zone, server.state, server.started_ms) == (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -14,8 +14,14 @@
 from test_process import free_port, start, until_up
 from test_rules import settings
 
-from plumpick.gateway.hot_restart.message import MAGIC, MAX_TEXT, Reader, Unreadable, encode
-from plumpick.gateway.hot_restart.succession import path_in
+from plumpick.gateway.hot_restart.message import (
+    MAGIC,
+    MAX_TEXT_BYTES,
+    MessageDecoder,
+    MessageFormatError,
+    encode,
+)
+from plumpick.gateway.hot_restart.succession import socket_path
 from plumpick.policy import snapshot
 from plumpick.policy.actions import CommandCompleted, SendPeerMessage, StartAttempt, StateExported
 from plumpick.policy.controller import Controller
@@ -38,7 +44,7 @@
 def test_messages_come_whole_wherever_they_are_cut():
     data = encode("hello", "n0") + encode("take") + encode("state", {"a": [1, None, "ä"]})
     for cut in range(len(data)):
-        reader = Reader()
+        reader = MessageDecoder()
         messages = reader.feed(data[:cut]) + reader.feed(data[cut:])
         assert messages == [("hello", "n0"), ("take", None), ("state", {"a": [1, None, "ä"]})]
 
@@ -54,13 +60,13 @@
     ],
 )
 def test_what_is_old_foreign_torn_or_too_long_is_not_believed(data):
-    with pytest.raises(Unreadable):
-        Reader().feed(data)
+    with pytest.raises(MessageFormatError):
+        MessageDecoder().feed(data)
 
 
 def test_a_message_that_is_too_long_is_not_made():
     with pytest.raises(ValueError):
-        encode("state", "x" * MAX_TEXT)
+        encode("state", "x" * MAX_TEXT_BYTES)
 
 
 # -- the module
@@ -397,7 +403,7 @@
 
 @pytest.mark.parametrize("left", ["file", "dead", "foreign"])
 def test_what_was_left_in_tmpdir_leads_to_an_ordinary_start(tmp_path, monkeypatch, left):
-    path = path_in(str(tmp_path), "n0")
+    path = socket_path(str(tmp_path), "n0")
     plug = socket.socket(socket.AF_UNIX)
     if left == "file":
         path.write_text("x")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -6,8 +6,15 @@
 from fakes import HOST, Client, FakeWorker, Gate, answer, config, entry, listing, request, run
 
 from plumpick.cli import main
-from plumpick.gateway.config import config_from, worker_list_from
-from plumpick.gateway.listeners.admin import HARD, MAX_LINE, Line, ManagementFront, call_of, listening
+from plumpick.gateway.config import parse_config, parse_worker_list
+from plumpick.gateway.listeners.admin import (
+    HARD_MAX_CONNECTIONS,
+    MAX_LINE_BYTES,
+    AdminListener,
+    CommandLineReader,
+    parse_command,
+    start_server,
+)
 from plumpick.policy.controller import Controller
 
 UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -33,14 +40,14 @@
     async def whole():
         async with FakeWorker() as worker:
             known = listing(entry("w1", worker.port))
-            given = config_from(config(known=(), **more), {})
+            given = parse_config(config(known=(), **more), {})
             async with Gate(Controller(given.settings, 1), **more) as gate:
-                front = ManagementFront(gate.keeper)
+                front = AdminListener(gate.keeper)
                 loop = asyncio.get_running_loop()
-                server = await listening(front, (HOST, 0), loop)
+                server = await start_server(front, (HOST, 0), loop)
                 gate.operators = front
                 gate.keeper.sweeps.append(front.sweep)
-                gate.keeper.listed(worker_list_from(known, "list"))
+                gate.keeper.listed(parse_worker_list(known, "list"))
                 try:
                     await scenario(server.sockets[0].getsockname()[1], gate, worker)
                 finally:
@@ -61,7 +68,7 @@
     ],
 )
 def test_calls_are_read_whatever_their_case_and_ids_as_they_stand(line, call):
-    assert call_of(line) == call
+    assert parse_command(line) == call
 
 
 @pytest.mark.parametrize(
@@ -80,23 +87,26 @@
 )
 def test_what_is_no_call_is_named(line):
     with pytest.raises(ValueError):
-        call_of(line)
+        parse_command(line)
 
 
 def test_a_line_is_whole_however_its_bytes_come_and_with_either_end():
     for text in (b"DISABLE w1\r\nmore", b"DISABLE w1\nDRAIN\n"):
         for cut in range(1, len(text)):
-            line = Line()
+            line = CommandLineReader()
             told = line.take(text[:cut])
             assert (told if told is not None else line.take(text[cut:])) == b"DISABLE w1"
-    assert Line().take(b"READY", ended=True) == b"READY" and Line().take(b"", ended=True) is None
+    assert (
+        CommandLineReader().take(b"READY", ended=True) == b"READY"
+        and CommandLineReader().take(b"", ended=True) is None
+    )
 
 
 def test_a_line_without_end_is_refused_before_it_fills_anything():
-    line = Line()
+    line = CommandLineReader()
     with pytest.raises(ValueError):
         line.take(b"x" * 1_000_000)
-    assert len(line.text) <= MAX_LINE + 1
+    assert len(line.text) <= MAX_LINE_BYTES + 1
 
 
 def test_each_call_is_answered_and_the_connection_closed():
@@ -129,7 +139,7 @@
         for _, writer in silent[::2]:
             writer.write(b"DISA")
         assert (await say(port, b"READY\n")).startswith("+OK")
-        assert len(gate.operators.callers) <= HARD
+        assert len(gate.operators.callers) <= HARD_MAX_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 import pytest
 from fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, listing, request, run, told
 
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 
 ROOT = pathlib.Path(__file__).parent.parent
 UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -216,7 +216,7 @@
 
 def test_as_many_classes_and_plans_as_may_be_are_taken():
     given = with_settings(config(), classes=many(CLASSES, 65_536), packages=many(PLANS, 4096))
-    taken = config_from(given, {}).settings
+    taken = parse_config(given, {}).settings
     assert (len(taken.classes), len(taken.plans)) == (65_536, 4096)
 
 
--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -13,7 +13,7 @@
 from test_streams import Raw, head_of
 
 from plumpick.gateway import daemon
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.upstream.streaming_body import WHOLE
 from plumpick.policy.controller import Controller
 
@@ -25,7 +25,7 @@
     own = gate.keeper.config
     value = config(known=[], settings=settings())
     change(value["settings"])
-    news = config_from(value, {})
+    news = parse_config(value, {})
     return type(own)(
         **{name: getattr(own, name) for name in own.__dataclass_fields__}
         | {"settings": news.settings, "idle_ms": news.idle_ms, "dial_timeout_ms": news.dial_timeout_ms}
@@ -412,10 +412,10 @@
 
     async def scenario(port, fake, worker, task):
         monkeypatch.setattr(
-            daemon, "ending_of", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
+            daemon, "shutdown_times", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
         )
         monkeypatch.setattr("plumpick.gateway.gateway.Gatekeeper.deadlines_ms", lambda _self: [1234.0])
-        monkeypatch.setattr(daemon, "FIRST_LIST_S", 0.01)
+        monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 0.01)
         while True:
             try:
                 client = await Client().open(port)
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -7,10 +7,10 @@
 from fakes import HOST, FakeDiscovery, answer, config, entry, listing, reset, run, told
 
 from plumpick.gateway.clock import Clock, Timers
-from plumpick.gateway.config import config_from
+from plumpick.gateway.config import parse_config
 from plumpick.gateway.discovery import Discovery
 from plumpick.gateway.peers import Peers
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 
 WATCH = "/discovery/hosts?since={}&timeout_ms=2000"
 
@@ -315,9 +315,9 @@
         addresses[2] = f"{HOST}:1"
         heard = asyncio.Queue()
         peers = Peers(
-            config_from(config(peer_listen=addresses[0], peers=addresses), {}),
+            parse_config(config(peer_listen=addresses[0], peers=addresses), {}),
             lambda number, data: heard.put_nowait((number, data)),
-            System().datagrams,
+            Platform().datagrams,
         )
         peers.open(loop)
         there = (HOST, int(addresses[0].rpartition(":")[2]))
--- a/tests/upstream/test_what_may_have_run.py
+++ b/tests/upstream/test_what_may_have_run.py
@@ -6,7 +6,7 @@
 from fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
 from test_streams import whole_answer
 
-from plumpick.gateway.platform import System
+from plumpick.gateway.platform import Platform
 from plumpick.policy.events import AttemptCompleted, AttemptResult
 
 NOT_RUN = "X-Not-Run: 1\r\n"
@@ -95,7 +95,7 @@
             writer.write(HEAD + b"\r\n" + part)
             await written(writer)
             reset(writer)
-            while not System().has_ended(transport):
+            while not Platform().has_ended(transport):
                 await asyncio.sleep(0)
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
