--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -135,15 +135,15 @@
 
 def answers_twice() -> Swap:
     """Every hundredth answer goes out twice."""
-    right, count = ClientConnection.answer, [0]
+    right, count = ClientConnection.respond, [0]
 
-    def answer(self: ClientConnection, *more: Any, **others: Any) -> None:
+    def respond(self: ClientConnection, *more: Any, **others: Any) -> None:
         right(self, *more, **others)
         count[0] += 1
         if count[0] % 100 == 0 and self.transport is not None:
             self.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 
-    return [(ClientConnection, "answer", answer)]
+    return [(ClientConnection, "respond", respond)]
 
 
 def ends_at_once() -> Swap:
@@ -155,13 +155,13 @@
     """The sweep of connections goes by the clock alone, also after a stall: as it was."""
     right = ConnectionAdmission.sweep
 
-    def sweep(self: ConnectionAdmission, now: float, ending: bool) -> None:
-        self._swept_ms = -1.0
-        right(self, now, ending)
+    def sweep(self: ConnectionAdmission, now: float, is_shutting_down: bool) -> None:
+        self._last_sweep_ms = -1.0
+        right(self, now, is_shutting_down)
 
     def close_if_idle(self: ClientConnection) -> None:
         if self.is_idle():  # and never looks whether something is unread
-            self._finish()
+            self.close_gracefully()
 
     return [(ConnectionAdmission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
 
@@ -234,8 +234,8 @@
 def sends_for_nobody() -> Swap:
     """A request whose client has gone goes on as if it were there."""
     return [
-        (Gatekeeper, "left", lambda self, request: None),
-        (ClientConnection, "has_gone", lambda self: False),
+        (Gatekeeper, "on_disconnect", lambda self, request: None),
+        (ClientConnection, "has_disconnected", lambda self: False),
     ]
 
 
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -107,7 +107,7 @@
     for one in taken:
         try:
             one.setblocking(False)
-            await loop.connect_accepted_socket(front.connection, one)
+            await loop.connect_accepted_socket(front.create_connection, one)
         except OSError as problem:
             log.warning("a connection was lost: %s", problem)
             one.close()
@@ -153,8 +153,8 @@
         from plumpick.gateway.listeners.admin import AdminListener
 
         self._config, self._gatekeeper, self._loop = config, gatekeeper, loop
-        self._calls = AdminListener(gatekeeper)
-        gatekeeper.sweeps.append(self._calls.sweep)
+        self._admin = AdminListener(gatekeeper)
+        gatekeeper.sweeps.append(self._admin.sweep)
         self._context = HotRestartContext(config.name, config.settings.gateway_number, gatekeeper, front)
         self._context.fleet = gatekeeper.fleet
         self._context.versions = gatekeeper.versions
@@ -171,7 +171,7 @@
         from plumpick.gateway.listeners.admin import start_server
 
         assert self._config.management is not None
-        self._server = await start_server(self._calls, self._config.management, self._loop)
+        self._server = await start_server(self._admin, self._config.management, self._loop)
         folder = os.environ.get("TMPDIR")
         if folder:
             self._path = socket_path(folder, self._config.name)
@@ -239,7 +239,7 @@
         self._predecessor.close()
         if self._successor is not None:
             self._successor.close()
-        self._calls.close()
+        self._admin.close()
         if self._server is not None:
             self._server.close()
 
@@ -327,11 +327,11 @@
     if plane is None:
         plug = system.listener(config.listen, LISTEN_BACKLOG)
         server = (
-            await loop.create_server(front.connection, sock=plug, backlog=LISTEN_BACKLOG)
+            await loop.create_server(front.create_connection, sock=plug, backlog=LISTEN_BACKLOG)
             if plug
             else (
                 await loop.create_server(
-                    front.connection, *config.listen, backlog=LISTEN_BACKLOG, reuse_address=True
+                    front.create_connection, *config.listen, backlog=LISTEN_BACKLOG, reuse_address=True
                 )
             )
         )
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -69,8 +69,8 @@
 
 MARGIN_MS = 20.0  # the module is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
-# Of the descriptors. Clients have up to 0.46 (fronts/http/admission.py); the rest, 30 of the smallest limit
-# of 256, is for discovery, peers and the loop itself.
+# Of the descriptors. Clients have up to 0.46 (listeners/http/connection_admission.py); the rest, 30 of the
+# smallest limit of 256, is for discovery, peers and the loop itself.
 WORKER_PART = 0.42
 STREAM_PART = 0.25  # of the memory, for bodies that go on while they come
 STALL_MS = 10_000.0  # an answer of which nothing moved for so long is given up,
@@ -91,7 +91,7 @@
     __slots__ = (
         "id",
         "name",
-        "asker",
+        "sink",
         "head",
         "body",
         "sends",
@@ -106,15 +106,15 @@
     )
 
     def __init__(
-        self, number: int, name: bytes, asker: ResponseSink, head: bytes, ask: IncomingRequest
+        self, number: int, name: bytes, sink: ResponseSink, head: bytes, incoming: IncomingRequest
     ) -> None:
-        self.id, self.name, self.asker, self.head, self.body = number, name, asker, head, ask.body
-        self.stream, self.is_head, self.wait_ms = ask.stream, ask.method == b"HEAD", 0.0
+        self.id, self.name, self.sink, self.head, self.body = number, name, sink, head, incoming.body
+        self.stream, self.is_head, self.wait_ms = incoming.stream, incoming.method == b"HEAD", 0.0
         self.due_ms = math.inf  # it is answered by then; a stream's time has not begun
         self.passing: Attempt | None = None  # whose answer is on its way to the client
         self.sends = 0
         self.guard: Timer | None = None
-        self.plan, self.units = ask.plan, ask.units
+        self.plan, self.units = incoming.plan, incoming.units
 
 
 class Gatekeeper:
@@ -145,16 +145,16 @@
             was_reset=system.was_reset,
         )
         self.peers = Peers(config, self.heard, system.datagrams)
-        self._fronts: list[Listener] = []
+        self._listeners: list[Listener] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
         self._standing = Standing(config.settings.gateway_count, config.settings.gateway_number)
         self.open: dict[int, Request] = {}
         self._streams: dict[Request, None] = {}  # of these, with a body that goes on while it comes
         self.attempts: dict[tuple[int, int], Attempt] = {}  # all that are out, also of ended requests
-        self.ready = self.draining = False
-        self.up = False  # it takes clients, by itself; `ready` is what the front is told
+        self.is_ready = self.is_draining = False
+        self.up = False  # it takes clients, by itself; `ready` is what the listener is told
         self.ending = self.ending_last = False  # told to end; and so late in it that nothing is kept
-        self.door = AdmissionState.OPEN
+        self.admission_state = AdmissionState.OPEN
         # Another process of this gatekeeper, while there are two: it is told what its peers say, the module's
         # word to its own number, and operators' calls.
         self.sibling: SiblingProcess | None = None
@@ -230,7 +230,7 @@
             return
         self.notice(PeerMessageReceived(sender, data))
         if self.sibling is not None:
-            self.sibling.heard(sender, data)
+            self.sibling.on_peer_message(sender, data)
 
     def heard_elsewhere(self, sender: int, data: bytes) -> None:
         """The same, by way of another process of ours, or from that itself."""
@@ -238,12 +238,12 @@
 
     # -- operators
 
-    def call(self, name: str, argument: str) -> tuple[bool, str]:
+    def execute_command(self, name: str, argument: str) -> tuple[bool, str]:
         """An operator's call is in force before this returns: whether it is refused, and what to say."""
         if name == "READY":
             if self.ending or self.succeeded or not self.up:
                 return True, "not up yet" if not self.up else "ending" if self.ending else "handed over"
-            return False, "draining" if self.door else "ready"
+            return False, "draining" if self.admission_state else "ready"
         if name == "CONFIGURATION":
             if self.versions is None:
                 return True, "settings are those of the file: the operator's names no [configuration]"
@@ -254,7 +254,7 @@
             self.fleet.want_turn(False)
         wrong = self.order(name, argument)
         if not wrong and self.sibling is not None:
-            self.sibling.ordered(name, argument)
+            self.sibling.on_operator_command(name, argument)
         what = f"{name}{' ' if argument else ''}{argument}"
         log.info("operator: %s: %s", what, f"refused, {wrong}" if wrong else "done")
         return bool(wrong), wrong or what
@@ -301,8 +301,8 @@
             return wrong
         self.config, self.settings = config, config.settings
         self.workers.reconfigure(config.idle_ms, config.dial_timeout_ms, config.settings.load_report_fields)
-        for front in self._fronts:
-            front.reconfigure(config.settings)
+        for listener in self._listeners:
+            listener.reconfigure(config.settings)
         return ""
 
     def deadlines_ms(self) -> list[float]:
@@ -320,19 +320,19 @@
 
     def _doors(self, action: SetAdmissionState) -> None:
         """Clients are sent away, or taken again."""
-        before, self.door = self.door, action.state
-        if before != self.door and AdmissionState.OPEN in (before, self.door):
-            log.info("clients are %s", "sent away" if self.door else "taken again")
-        if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.door:
+        before, self.admission_state = self.admission_state, action.stage
+        if before != self.admission_state and AdmissionState.OPEN in (before, self.admission_state):
+            log.info("clients are %s", "sent away" if self.admission_state else "taken again")
+        if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.admission_state:
             self._late_end_ms = self.clock.now() + LATE_FOR_MS
-        elif self.door < AdmissionState.BOUNDING_LATE_REQUESTS:
+        elif self.admission_state < AdmissionState.BOUNDING_LATE_REQUESTS:
             self._late_end_ms = math.inf
         self._open_or_not()
 
     def _open_or_not(self) -> None:
         # Who asks the old process of two for its readiness asks the gatekeeper.
-        self.ready = self.up and not self.door and (self.succeeded or not self.ending)
-        self.draining = self.ending_last or self.succeeded or bool(self.door)
+        self.is_ready = self.up and not self.admission_state and (self.succeeded or not self.ending)
+        self.is_draining = self.ending_last or self.succeeded or bool(self.admission_state)
 
     def come_up(self, ending: bool = False) -> None:
         """It takes clients from now on; `ending`: it has been told to end before, and is never ready."""
@@ -376,62 +376,68 @@
 
     def descriptors(self) -> int:
         """How many are held now, but for a few of the program's own."""
-        return self.workers.connections() + sum(front.connections() for front in self._fronts)
+        return self.workers.connections() + sum(listener.connection_count() for listener in self._listeners)
 
     def limit(self, sockets: int) -> None:
         """From now on hold no more descriptors than go with that limit."""
         self.workers.limit(int(sockets * WORKER_PART))
-        for front in self._fronts:
-            front.limit(sockets)
+        for listener in self._listeners:
+            listener.set_descriptor_limit(sockets)
 
-    # -- fronts
+    # -- listeners
 
-    def add(self, front: Listener) -> None:
+    def add(self, listener: Listener) -> None:
         """One more door to ask at."""
-        self._fronts.append(front)
+        self._listeners.append(listener)
 
     def spare_descriptors(self) -> int:
         return self.workers.unused_connections() // 2
 
-    def left(self, request: Request) -> None:
+    def on_disconnect(self, request: Request) -> None:
         if self._close(request):
             self.notice(ClientDisconnected(request.id))
             if request.stream is not None or request.passing is not None:
                 self._call_off(request)
 
-    def take(self, asker: ResponseSink, ask: IncomingRequest) -> Request:
+    def submit(self, sink: ResponseSink, incoming: IncomingRequest) -> Request:
         now = self.clock.now()
         # One id is one request: a second of that name, of whomever, would pass for a copy of the first.
-        if ask.id in self._names or ask.id in self._ended_names[0] or ask.id in self._ended_names[1]:
+        if (
+            incoming.id in self._names
+            or incoming.id in self._ended_names[0]
+            or incoming.id in self._ended_names[1]
+        ):
             raise DuplicateRequestIdError("x-request-id is in use")
         self._serial += 1
         # What is read after a stall of ours may have waited all through it; its client's time ran on.
-        unread_ms = self._unread_ms(now) + now - ask.came_ms  # it may have waited behind another, too
-        wait_ms = max(ask.wait_ms - unread_ms, min(ask.wait_ms, 2 * MARGIN_MS))
+        unread_ms = (
+            self._unread_ms(now) + now - incoming.received_ms
+        )  # it may have waited behind another, too
+        wait_ms = max(incoming.timeout_ms - unread_ms, min(incoming.timeout_ms, 2 * MARGIN_MS))
         end_ms = min(self._end_ms, self._late_end_ms)
         due_ms = min(now + wait_ms, max(end_ms, now + 2 * MARGIN_MS))
-        request = Request(self._serial, ask.id, asker, head_of(ask), ask)
+        request = Request(self._serial, incoming.id, sink, head_of(incoming), incoming)
         request.wait_ms = due_ms - now
-        if ask.stream is None:
+        if incoming.stream is None:
             self._guard(request, due_ms)
         else:
-            ask.stream.moved_ms = now
+            incoming.stream.moved_ms = now
             self._streams[request] = None
             self.workers.budget.streams += 1
         self.open[request.id] = request
-        self._names.add(ask.id)
+        self._names.add(incoming.id)
         # Of what goes on while it comes its time has not begun; the module has to send it soon all the same.
         self.notice(
             RequestReceived(
                 request.id,
-                ask.customer,
-                ask.kind.name,
-                ask.plan,
+                incoming.customer,
+                incoming.request_class.name,
+                incoming.plan,
                 due_ms - MARGIN_MS,
-                ask.units,
-                ask.first,
-                ask.spread,
-                ask.is_repeat,
+                incoming.units,
+                incoming.first,
+                incoming.spread,
+                incoming.is_retry,
             )
         )
         return request
@@ -471,10 +477,10 @@
                 attempt.end(AttemptResult.CANCELLED)
         return True
 
-    def stream(self, giver: PausableSource, length: int) -> Any:
+    def create_request_stream(self, giver: PausableSource, length: int) -> Any:
         return Body(giver, length, self.workers.budget.mark())
 
-    def came_whole(self, request: Request) -> None:
+    def on_body_complete(self, request: Request) -> None:
         """From now on its client waits."""
         if request.id in self.open and request.guard is None and request.passing is None:
             now = self.clock.now()
@@ -491,7 +497,7 @@
                 if stream.held:
                     stream.moved_ms = max(stream.moved_ms, now - UPLOAD_STALL_MS / 2)
                 if now - stream.moved_ms > UPLOAD_STALL_MS and self._close(request):
-                    request.asker.answer(408)
+                    request.sink.respond(408)
                     self.notice(ClientDisconnected(request.id))
                     self._call_off(request)
 
@@ -506,7 +512,7 @@
         """The last guard: the module has not answered, and the client is about to give up, or we end."""
         if self._close(request):
             self._count(request, FAILED)
-            request.asker.answer(504)
+            request.sink.respond(504)
             self.notice(ClientDisconnected(request.id))
             if request.stream is not None:
                 self._call_off(request)
@@ -526,9 +532,9 @@
                 AttemptCompleted(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_STARTED, False)
             )
             return
-        if request.asker.has_gone():  # nothing was read there that would have told it
-            self.left(request)
-            request.asker.drop()
+        if request.sink.has_disconnected():  # nothing was read there that would have told it
+            self.on_disconnect(request)
+            request.sink.abort()
             self.notice(
                 AttemptCompleted(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_STARTED, True)
             )
@@ -571,8 +577,8 @@
             self.workers.budget.streams += 1
         self.notice(ResponseStarted(attempt.request_id, attempt.number, attempt.worker))
         assert attempt.connection is not None
-        request.asker.begin(length, kind, attempt.connection, self.workers.budget.mark())
-        return request.asker
+        request.sink.start_response(length, kind, attempt.connection, self.workers.budget.mark())
+        return request.sink
 
     def _ended(
         self, attempt: Attempt, result: AttemptResult, body: bytes, kind: bytes, load: tuple[float, ...]
@@ -584,7 +590,7 @@
             self._close(request)  # what has begun to leave is the final answer, whole or broken
             self._count(request, SERVED if result is AttemptResult.OK else FAILED)
             if not passed:
-                request.asker.answer(200, body, kind)
+                request.sink.respond(200, body, kind)
         took_ms = (attempt.first_ms if passed else self.clock.now()) - attempt.started_ms
         self.notice(
             AttemptCompleted(
@@ -602,13 +608,13 @@
         request = self.open.get(action.id)
         if request is not None and self._close(request):
             self._count(request, REFUSED)
-            request.asker.answer(503, retry_in_ms=action.retry_after_ms)
+            request.sink.respond(503, retry_after_ms=action.retry_after_ms)
 
     def _fail(self, action: FailRequest) -> None:
         request = self.open.get(action.id)
         if request is not None and self._close(request):
             self._count(request, FAILED)
-            request.asker.answer(502)
+            request.sink.respond(502)
 
     def _cancel(self, action: CancelAttempt) -> None:
         attempt = self.attempts.get((action.id, action.attempt))
@@ -624,7 +630,7 @@
     def _tell(self, action: SendPeerMessage) -> None:
         if action.receiver == self.settings.gateway_number:  # another process of ours
             if self.sibling is not None:
-                self.sibling.said(action.data)
+                self.sibling.on_own_message(action.data)
             return
         self.peers.tell(action.receiver, action.data)
 
@@ -644,7 +650,7 @@
         return self._unread_ms(self.clock.now()) > 0.0
 
     def _late_ms(self, now: float) -> float:
-        return max((front.late_ms(now) for front in self._fronts), default=0.0)
+        return max((listener.sweep_delay_ms(now) for listener in self._listeners), default=0.0)
 
     def _sweep(self) -> None:
         now = self.clock.now()
@@ -656,8 +662,8 @@
             log.warning(line)
         self.timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
         self._stalled(now)
-        for front in self._fronts:
-            front.sweep(now, self.ending_last)
+        for listener in self._listeners:
+            listener.sweep(now, self.ending_last)
         for sweep in self.sweeps:
             sweep(now)
 
@@ -681,18 +687,18 @@
 
     def close_idle(self) -> None:
         """Close the connections on which nothing is open."""
-        for front in self._fronts:
-            front.close_idle()
+        for listener in self._listeners:
+            listener.close_idle()
 
     def is_quiet(self) -> bool:
         """Whether nothing is open and no connection either."""
-        return not self.open and not any(front.busy() for front in self._fronts)
+        return not self.open and not any(listener.has_connections() for listener in self._listeners)
 
     def has_answered(self) -> bool:
         """Whether all that was taken has its answer, which the system has whole."""
-        return not self.open and not any(front.unwritten() for front in self._fronts)
+        return not self.open and not any(listener.has_unwritten_data() for listener in self._listeners)
 
     def busy(self) -> bool:
         """Whether anything taken is not answered, or not yet written out; new idle connections close."""
         self.close_idle()
-        return bool(self.open) or any(front.busy() for front in self._fronts)
+        return bool(self.open) or any(listener.has_connections() for listener in self._listeners)
--- a/plumpick/gateway/hot_restart/succession.py
+++ b/plumpick/gateway/hot_restart/succession.py
@@ -44,7 +44,7 @@
     async def listen(self, loop: asyncio.AbstractEventLoop) -> None:
         """Take clients at the listener."""
         assert self.listener is not None
-        self.server = await loop.create_server(self.front.connection, sock=self.listener.dup())
+        self.server = await loop.create_server(self.front.create_connection, sock=self.listener.dup())
 
     def close(self) -> None:
         if self.server is not None:
@@ -58,13 +58,13 @@
     def __init__(self, channel: Channel) -> None:
         self._channel = channel
 
-    def heard(self, sender: int, data: bytes) -> None:
+    def on_peer_message(self, sender: int, data: bytes) -> None:
         self._channel.tell("heard", [sender, data.hex()])
 
-    def said(self, data: bytes) -> None:
+    def on_own_message(self, data: bytes) -> None:
         self._channel.tell("said", data.hex())
 
-    def ordered(self, name: str, argument: str) -> None:
+    def on_operator_command(self, name: str, argument: str) -> None:
         self._channel.tell("ordered", [name, argument])
 
 
@@ -196,7 +196,7 @@
             log.error("handover: no state: %s", problem)
             channel.tell("state", None)
         log.info("handed over to the next process")
-        context.front.give_idle(lambda transport: self._give(channel, transport))
+        context.front.transfer_idle_connections(lambda transport: self._give(channel, transport))
         keeper.only_finish()
         self.tell_held()
         self._changed(True)
@@ -346,7 +346,7 @@
         assert self.context is not None
         try:
             plug.setblocking(False)
-            await self._loop.connect_accepted_socket(self.context.front.kept_connection, plug)
+            await self._loop.connect_accepted_socket(self.context.front.create_inherited_connection, plug)
         except OSError as problem:
             log.warning("handover: a client's connection was lost: %s", problem)
             plug.close()
--- a/plumpick/gateway/listeners/__init__.py
+++ b/plumpick/gateway/listeners/__init__.py
@@ -1,1 +1,2 @@
-"""Who asks: a package for each protocol. What a front and the core know of one another is in door.py."""
+"""Listeners, a package for each protocol. What a listener and the gateway know of one another is in
+interface.py."""
--- a/plumpick/gateway/listeners/http/__init__.py
+++ b/plumpick/gateway/listeners/http/__init__.py
@@ -1,1 +1,1 @@
-"""Requests over HTTP/1.1: connections, what a request must look like, which connections may stay."""
+"""Requests over HTTP/1.1: connections, what a request has to look like, which connections may stay."""
--- a/plumpick/gateway/listeners/http/connection_state.py
+++ b/plumpick/gateway/listeners/http/connection_state.py
@@ -1,8 +1,8 @@
 """What all parts of a client's connection share: its fields, and what it asks of the listener that owns it.
 
 A connection is built in layers, one a module, each a subclass of the one before: ConnectionState here,
-ResponseWriter, RequestReader, ClientConnection. They are one object, since compiled code calls its own methods
-directly; the transport and the parser see the last layer only."""
+ResponseWriter, RequestReader, ClientConnection. They are one object, since compiled code calls its own
+methods directly; the transport and the parser see the last layer only."""
 
 from __future__ import annotations
 
--- a/plumpick/gateway/listeners/http/parsed_request.py
+++ b/plumpick/gateway/listeners/http/parsed_request.py
@@ -1,7 +1,7 @@
 """One HTTP request while it is read, and the limits on what is read of it.
 
-A request over a limit is marked with the status that rejects it (`error_status`); the connection answers it in
-its turn and then closes."""
+A request over a limit is marked with the status that rejects it (`error_status`); the connection answers it
+in its turn and then closes."""
 
 from __future__ import annotations
 
--- a/plumpick/gateway/listeners/http/response_writer.py
+++ b/plumpick/gateway/listeners/http/response_writer.py
@@ -53,7 +53,8 @@
             return
         # The rest of a body that has not come completely is not read.
         is_cut_short = current is None or not current.is_complete
-        close = self.is_closing or self.gateway.is_draining or is_cut_short or not current.keep_alive  # type: ignore[union-attr]
+        close = self.is_closing or self.gateway.is_draining or is_cut_short
+        close = close or not current.keep_alive  # type: ignore[union-attr]
         length = b"%d" % len(body)
         if status == 200 and current is not None and current.method == b"HEAD":
             length = body
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -1,7 +1,9 @@
-"""The door between fronts and the core: bytes become an `Ask`, which gets one final answer.
+"""The interface between listeners and the gateway: bytes become an IncomingRequest, which gets one final
+response.
 
-A front knows the core by `Core` alone, the core a front by `Front` and who has asked by `Asker`; no front
-knows another."""
+A listener knows the gateway by RequestGateway alone, the gateway a listener by Listener and whoever sent a
+request by ResponseSink; no listener knows another. Beside them are the protocols by which the gateway knows
+the other parts of this process, so that none of them is imported before an operator asks for it."""
 
 from __future__ import annotations
 
@@ -11,37 +13,37 @@
 from plumpick.policy.draining import AdmissionState
 from plumpick.policy.settings import RequestClass, Settings
 
-SWEEP_INTERVAL_MS = 100.0  # how often fronts close what has had its time
-STALL_THRESHOLD_MS = 100.0  # a sweep so much late: we stood still
+SWEEP_INTERVAL_MS = 100.0  # how often listeners close what has had its time
+STALL_THRESHOLD_MS = 100.0  # a sweep so much late: this process stalled
 
 
 class DuplicateRequestIdError(ValueError):
-    """The id of a request is that of another; the text says so."""
+    """The id of a request is that of another one that is open or has just ended; the text says so."""
 
 
 class IncomingRequest(NamedTuple):
-    """A whole request: what the module decides by, and what a worker is sent."""
+    """A validated request: what the policy decides by, and what a worker is sent."""
 
     id: bytes
     customer: str
-    kind: RequestClass
+    request_class: RequestClass
     plan: str
-    wait_ms: float  # that its client waits, from when it was read
+    timeout_ms: float  # how long its client waits, from `received_ms`
     units: float
     spread: int
     first: int
-    is_repeat: bool
-    key: bytes | None
+    is_retry: bool
+    idempotency_key: bytes | None
     method: bytes
     target: bytes
     content_type: bytes | None
     body: bytes
-    came_ms: float  # when its last byte was read; for a stream, its head
-    stream: Any = None  # a `Stream` in place of the body: it goes on while it comes
+    received_ms: float  # when its last byte was read; if its body is streamed, its head
+    stream: Any = None  # a RequestStream in place of the body
 
 
 class RequestStream(Protocol):
-    """A body that goes on while it comes (upstream/body.py)."""
+    """A request's body that goes on while it comes (upstream/streaming_body.py)."""
 
     length: int
     begun: bool
@@ -51,143 +53,148 @@
 
 
 class PausableSource(Protocol):
-    """Where an answer comes from that goes on while it comes."""
+    """Where a streamed body comes from."""
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Give no more for now."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Give again."""
 
 
 class ResponseSink(Protocol):
-    """Who has asked."""
+    """Whoever sent a request: takes its response."""
 
-    def begin(self, length: int, kind: bytes, source: PausableSource, mark: int) -> None:
-        """A 200 whose body follows by `part`, until `finish` or `broken`. `length`: -1 if it is not known;
-        `mark`: of bytes that may wait to be written before the source is held."""
+    def start_response(
+        self, length: int, content_type: bytes, source: PausableSource, high_water_bytes: int
+    ) -> None:
+        """A 200 whose body follows by `write_chunk`, until `finish_response` or `abort_response`. `length`:
+        bytes, -1 if it is not known; `high_water_bytes`: that may wait to be written before the source is
+        paused."""
 
-    def part(self, data: bytes) -> None:
-        """Some more of it."""
+    def write_chunk(self, data: bytes) -> None:
+        """The next bytes of its body."""
 
-    def finish(self) -> None:
-        """That was all."""
+    def finish_response(self) -> None:
+        """The body is complete."""
 
-    def broken(self) -> None:
-        """The rest will not come: it must not look whole."""
+    def abort_response(self) -> None:
+        """The rest will not come: the response must not look complete."""
 
-    def answer(self, status: int, body: bytes = b"", kind: bytes = b"", retry_in_ms: float = 0.0) -> None:
-        """The one final answer: a status of HTTP, and with 200 a worker's whole body and its type."""
+    def respond(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
+    ) -> None:
+        """The one final response: a status of HTTP, and with 200 a worker's complete body and its type."""
 
-    def has_gone(self) -> bool:
-        """Whether who asked has left, though that may not have been read yet."""
+    def has_disconnected(self) -> bool:
+        """Whether the client has left, though that may not have been read yet."""
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         """Close at once."""
 
 
 class Listener(Protocol):
-    """What the core asks of a front."""
+    """What the gateway asks of a listener."""
 
-    def late_ms(self, now: float) -> float:
-        """How late its next sweep is: for so long we may have stood still."""
+    def sweep_delay_ms(self, now: float) -> float:
+        """How late its next sweep is: this process may have stalled for so long."""
 
-    def sweep(self, now: float, ending: bool) -> None:
-        """Close what has had its time; `ending`: the gatekeeper keeps no connection any more. What is idle
-        or unheard closes besides as `Core.door` has it."""
+    def sweep(self, now: float, is_shutting_down: bool) -> None:
+        """Close what has had its time; `is_shutting_down`: the gateway keeps no connection any more. What
+        RequestGateway.admission_state says closes besides."""
 
     def close_idle(self) -> None:
         """Close the connections on which nothing is open."""
 
-    def busy(self) -> bool:
+    def has_connections(self) -> bool:
         """Whether a connection is still open."""
 
-    def unwritten(self) -> bool:
-        """Whether some of an answer is not with the system yet."""
+    def has_unwritten_data(self) -> bool:
+        """Whether some bytes of a response are not with the system yet."""
 
-    def connections(self) -> int:
-        """How many it holds."""
+    def connection_count(self) -> int:
+        """How many connections there are."""
 
-    def limit(self, sockets: int) -> None:
+    def set_descriptor_limit(self, sockets: int) -> None:
         """How many descriptors the process may hold from now on."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """What is read from now on goes by these; of what is open nothing changes."""
+        """Requests that are read from now on go by these; of what is open nothing changes."""
 
 
 class RequestGateway(Protocol):
-    """What a front asks of the core."""
+    """What a listener asks of the gateway."""
 
     clock: Clock
     timers: Timers
-    ready: bool  # what `/up` says
-    draining: bool  # each answer closes its connection
-    door: AdmissionState  # what else is closed
+    is_ready: bool  # the answer to `/up`
+    is_draining: bool  # each response closes its connection
+    admission_state: AdmissionState  # what else is closed
 
     def spare_descriptors(self) -> int:
-        """Descriptors kept for workers that nobody uses now."""
+        """Descriptors reserved for workers that are not used now."""
 
     def has_stalled(self) -> bool:
-        """Whether what is read now may have waited for us; timers come before it."""
+        """Whether what is read now may have waited for this process; timers come before it."""
 
-    def stream(self, giver: PausableSource, length: int) -> Any:
-        """A body that goes on while it comes, of so many bytes (-1: not known); a `Stream` that is fed."""
+    def create_request_stream(self, source: PausableSource, length: int) -> Any:
+        """The RequestStream for a body of so many bytes (-1: not known), to be fed by the caller."""
 
-    def came_whole(self, request: Any) -> None:
-        """The last byte of a request's body has come: its time counts from now on."""
+    def on_body_complete(self, request: Any) -> None:
+        """The last byte of a streamed body has come: the request's time counts from now on."""
 
-    def take(self, asker: ResponseSink, ask: IncomingRequest) -> Any:
-        """A whole request has come in: from here on it is owed one final answer. Raises InUse. What it
-        returns names the request to `left`."""
+    def submit(self, sink: ResponseSink, incoming: IncomingRequest) -> Any:
+        """A request has come: from here on it is owed one final response. Returns its handle for
+        `on_disconnect` and `on_body_complete`; raises DuplicateRequestIdError."""
 
-    def left(self, request: Any) -> None:
-        """Who asked that has gone; a request that has been answered is passed over."""
+    def on_disconnect(self, request: Any) -> None:
+        """The client of that request has left; if it has been answered, nothing happens."""
 
 
 class OperatorGateway(Protocol):
-    """What the operators' front asks of the core."""
+    """What the operators' listener asks of the gateway."""
 
     clock: Clock
     timers: Timers
 
-    def call(self, name: str, argument: str) -> tuple[bool, str]:
-        """Carry out an operator's call; whether that is refused, and what there is to say."""
+    def execute_command(self, name: str, argument: str) -> tuple[bool, str]:
+        """Carry out an operator's command; whether it is rejected, and the text of the reply."""
 
 
 class SiblingProcess(Protocol):
-    """What the core tells another process of the same gatekeeper."""
+    """What the gateway tells another process of the same gateway, while there are two (hot_restart/)."""
 
-    def heard(self, sender: int, data: bytes) -> None:
-        """What a peer has told."""
+    def on_peer_message(self, sender: int, data: bytes) -> None:
+        """A message of a peer has come here."""
 
-    def said(self, data: bytes) -> None:
-        """What the module tells its own number."""
+    def on_own_message(self, data: bytes) -> None:
+        """The policy sends a message to this gateway's own number."""
 
-    def ordered(self, name: str, argument: str) -> None:
-        """An operator's call that is in force here."""
+    def on_operator_command(self, name: str, argument: str) -> None:
+        """An operator's command is in force here."""
 
 
 class ClusterParticipant(Protocol):
-    """What the core asks of this process's part in what is done for the whole tier (fleet/runner.py)."""
+    """What the gateway asks of its part in the work for the whole tier (cluster/lease_runner.py)."""
 
     def heard(self, sender: int, data: bytes) -> None:
-        """Words about leases have come."""
+        """A message about leases has come."""
 
     def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final answer: served (0), refused (1) or failed (2)."""
+        """A request has its final response: served (0), rejected (1) or failed (2)."""
 
     def want_turn(self, wanted: bool) -> str:
-        """Be out when it is our turn, or no longer; what is wrong with that, or nothing."""
+        """Drain when it is this gateway's turn, or no longer; the reason against that, or nothing."""
 
     def status(self, argument: str) -> tuple[bool, str]:
-        """The answer to DUTIES: whether it is refused, and what to say."""
+        """The reply to DUTIES: whether it is rejected, and its text."""
 
     def budgets(self, argument: str) -> tuple[bool, str]:
-        """The answer to BUDGETS: whether it is refused, and what to say."""
+        """The reply to BUDGETS: whether it is rejected, and its text."""
 
 
 class SettingsSource(Protocol):
-    """What the core asks of the source of its settings (configuration/source.py)."""
+    """What the gateway asks of the source of its settings (dynamic_config/client.py)."""
 
     def line(self) -> str:
-        """The answer to CONFIGURATION."""
+        """The reply to CONFIGURATION."""
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -41,13 +41,13 @@
 class Reader(Protocol):
     """Who takes an answer that goes on while it comes."""
 
-    def part(self, data: bytes) -> None:
+    def write_chunk(self, data: bytes) -> None:
         """Some more of the body."""
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """That was all."""
 
-    def broken(self) -> None:
+    def abort_response(self) -> None:
         """The rest will not come."""
 
 
@@ -128,7 +128,7 @@
             self.connection.abandon()
         reader, self.reader = self.reader, None
         if reader is not None and result is not AttemptResult.OK:
-            reader.broken()
+            reader.abort_response()
         done(self, result, body, kind, load)
 
 
@@ -210,11 +210,11 @@
 
     # -- an answer's body that goes on while it comes: its reader
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         if self.transport is not None and not self.closed:
             self.transport.pause_reading()
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         if self.transport is not None and not self.closed:
             self.transport.resume_reading()
 
@@ -303,7 +303,7 @@
         self.body_size += len(part)
         if attempt.reader is not None:
             attempt.moved_ms = self.pool.now()
-            attempt.reader.part(part)
+            attempt.reader.write_chunk(part)
             return
         self.body.append(part)
         if self.body_size > WHOLE:
@@ -327,7 +327,7 @@
             attempt.timer.cancel()
         body, self.body = self.body, []
         for part in body:
-            reader.part(part)
+            reader.write_chunk(part)
 
     def on_message_begin(self) -> None:
         self.excess = self.complete  # a second answer where one was asked for
@@ -381,7 +381,7 @@
         if status == 200:
             reader = attempt.reader
             if reader is not None:
-                reader.finish()
+                reader.finish_response()
             elif attempt.is_head:
                 body = b"%d" % max(0, self.length)  # what it would be long
             attempt.end(AttemptResult.OK, body, self.kind, load)
--- a/plumpick/gateway/upstream/request_encoding.py
+++ b/plumpick/gateway/upstream/request_encoding.py
@@ -5,19 +5,25 @@
 from plumpick.gateway.listeners.interface import IncomingRequest
 
 
-def head_of(ask: IncomingRequest) -> bytes:
+def head_of(incoming: IncomingRequest) -> bytes:
     """The head of every attempt for a request, up to the value of its last header, the deadline."""
-    parts = [ask.method, b" ", ask.target, b" HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: ", ask.id]
-    if ask.key is not None:
-        parts += (b"\r\nIdempotency-Key: ", ask.key)
-    if ask.content_type is not None:
-        parts += (b"\r\nContent-Type: ", ask.content_type)
-    if ask.stream is not None and ask.stream.length < 0:
+    parts = [
+        incoming.method,
+        b" ",
+        incoming.target,
+        b" HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: ",
+        incoming.id,
+    ]
+    if incoming.idempotency_key is not None:
+        parts += (b"\r\nIdempotency-Key: ", incoming.idempotency_key)
+    if incoming.content_type is not None:
+        parts += (b"\r\nContent-Type: ", incoming.content_type)
+    if incoming.stream is not None and incoming.stream.length < 0:
         parts.append(b"\r\nTransfer-Encoding: chunked")
-    elif ask.stream is not None:
-        parts.append(b"\r\nContent-Length: %d" % ask.stream.length)
-    elif ask.method == b"POST":
-        parts.append(b"\r\nContent-Length: %d" % len(ask.body))
+    elif incoming.stream is not None:
+        parts.append(b"\r\nContent-Length: %d" % incoming.stream.length)
+    elif incoming.method == b"POST":
+        parts.append(b"\r\nContent-Length: %d" % len(incoming.body))
     parts.append(b"\r\nX-Deadline-Ms: ")
     return b"".join(parts)
 
--- a/plumpick/gateway/upstream/streaming_body.py
+++ b/plumpick/gateway/upstream/streaming_body.py
@@ -25,10 +25,10 @@
 class Giver(Protocol):
     """Where bytes come from."""
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """Give no more for now."""
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Give again."""
 
 
@@ -92,9 +92,9 @@
     def hold(self) -> None:
         if not self.held and not self.whole:
             self.held = True
-            self.giver.hold()
+            self.giver.pause()
 
     def go_on(self) -> None:
         if self.held:
             self.held = False
-            self.giver.go_on()
+            self.giver.resume()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -139,7 +139,7 @@
         self.server = None
 
     async def __aenter__(self):
-        self.server = await asyncio.get_running_loop().create_server(self.front.connection, HOST, 0)
+        self.server = await asyncio.get_running_loop().create_server(self.front.create_connection, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.keeper.come_up()
         return self
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -34,7 +34,7 @@
         plug = Plug(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
         one.transport.pause_reading()  # as if the loop had not come to it
         plug.send(b"GET /lo")
         writer.write(answer())
@@ -54,9 +54,9 @@
         plug.send(request())
         _, writer = await worker.asked()
         writer.write(answer())
-        (one,) = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
         assert b"200 OK" in await plug.receive()
-        look = gate.front.looks_quiet
+        look = gate.front.has_no_unread_input
 
         def look_and_then(transport):
             quiet = look(transport)
@@ -64,10 +64,10 @@
             assert quiet and not look(transport)  # it is there before the loop turns
             return quiet
 
-        gate.front.looks_quiet = look_and_then
+        gate.front.has_no_unread_input = look_and_then
         one.close_if_idle()
-        gate.front.looks_quiet = look
-        assert one.ending and await plug.receive() == b""
+        gate.front.has_no_unread_input = look
+        assert one.is_closing and await plug.receive() == b""
         plug.close()
         await next_is(worker, gate)
         assert not gate.keeper.open
@@ -102,14 +102,14 @@
         plug = Plug(gate.port, room=4096)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
         small(one)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
-        while not one.ending:
+        while not one.is_closing:
             await asyncio.sleep(0)
         for _ in range(3):  # it is busy for a while
-            assert one.unwritten()
+            assert one.unwritten_bytes()
             later(gate, 1500)
         parts = [await plug.receive()]
         while parts[-1]:
@@ -123,15 +123,15 @@
 
 def test_who_reads_nothing_is_let_go_in_the_end():
     class Stuck:
-        leaving_ms, left_over, heard = 0.0, 0, False
+        closing_since_ms, unwritten_at_last_sweep, received_while_closing = 0.0, 0, False
 
         def __init__(self):
             self.dropped = False
 
-        def unwritten(self):
+        def unwritten_bytes(self):
             return 1000
 
-        def drop(self):
+        def abort(self):
             self.dropped = True
 
     from plumpick.gateway.listeners.http.connection_admission import (
@@ -143,8 +143,8 @@
 
     for ending, bound in ((False, UNREAD_RESPONSE_TIMEOUT_MS), (True, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS)):
         stuck, admission = Stuck(), ConnectionAdmission(256, 0.0)
-        admission.all[stuck] = None
-        admission.leaves(stuck, 0.0)
+        admission.connections[stuck] = None
+        admission.on_closing(stuck, 0.0)
         now, dropped = 0.0, None
         while now < 2 * UNREAD_RESPONSE_TIMEOUT_MS and dropped is None:
             now += SWEEP_INTERVAL_MS
@@ -160,7 +160,7 @@
         loop = asyncio.get_running_loop()
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
             plug = Platform().listener((HOST, 0), 16)
-            server = await loop.create_server(gate.front.connection, sock=plug)
+            server = await loop.create_server(gate.front.create_connection, sock=plug)
             plugs, address = [], plug.getsockname()
             for number in range(8):  # without a turn of the loop
                 one = Plug(address[1])
@@ -187,19 +187,19 @@
         plug, given = Plug(gate.port, room=4096), []
         plug.send(request())
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.all if one.request is not None]
+        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
         small(one)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
-        while one.request is not None:
+        while one.open_request is not None:
             await asyncio.sleep(0)
-        assert one.unwritten()
-        gate.front.give_idle(given.append)
+        assert one.unwritten_bytes()
+        gate.front.transfer_idle_connections(given.append)
         assert not given
         got = b""
         while not got.endswith(body):
             got += await plug.receive()
-        gate.front.give_idle(given.append)
+        gate.front.transfer_idle_connections(given.append)
         assert given == [one.transport]
         plug.close()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -13,18 +13,20 @@
     """What the admission asks of a connection."""
 
     def __init__(self):
-        self.begun, self.heard, self.closed, self.leaving_ms, self.moved_ms = False, False, "", 0.0, 0.0
+        self.request_started = self.received_while_closing = False
+        self.closing_since_ms = self.last_activity_ms = 0.0
+        self.closed = ""
 
     def close_if_idle(self):
         self.closed = self.closed or "idle"
 
-    def give_up(self):
+    def time_out_request(self):
         self.closed = self.closed or "gave up"
 
-    def earned_ms(self):
+    def body_time_allowance_ms(self):
         return 0.0
 
-    def drop(self):
+    def abort(self):
         self.closed = self.closed or "dropped"
 
 
@@ -40,10 +42,10 @@
     idle, owing = [Client() for _ in range(count)], Client()
     admission.sweep(0.0, False)
     for client in [*idle, owing]:
-        assert admission.came(client, 10.0)
+        assert admission.admit(client, 10.0)
     for client in idle:
-        admission.asked(client)
-        admission.answered(client, 20.0)
+        admission.on_request_received(client)
+        admission.on_response_sent(client, 20.0)
     return admission, idle, owing
 
 
@@ -61,7 +63,7 @@
     admission.sweep(5000.0, False)
     swept(admission, 5100.0, 5000.0 + MIN_IDLE_MS + REQUEST_TIMEOUT_MS)
     assert owing.closed == "gave up"
-    assert sum(client.closed == "idle" for client in idle) == len(idle) - admission.idle_kept
+    assert sum(client.closed == "idle" for client in idle) == len(idle) - admission.max_long_idle
 
 
 def test_sweeps_in_time_go_by_the_clock():
@@ -73,46 +75,50 @@
 def test_what_waited_through_a_stall_comes_in_beyond_the_limit_as_far_as_others_leave_room():
     """Found by the simulation (seed 122): those that came last, still waiting, were dropped for the dead."""
     admission = ConnectionAdmission(100)
-    clients = [Client() for _ in range(admission.hard + 10)]
-    assert all(admission.came(client, 0.0, 10) for client in clients)
-    assert not admission.came(Client(), 0.0, 10)
-    for client in clients[-admission.most :]:
-        admission.asked(client)  # it is read: a whole request has come
-    admission.make_room(5000.0)
-    assert len(admission) == admission.most
-    assert [client.closed for client in clients[-admission.most :]] == [""] * admission.most
+    clients = [Client() for _ in range(admission.hard_max_connections + 10)]
+    assert all(admission.admit(client, 0.0, 10) for client in clients)
+    assert not admission.admit(Client(), 0.0, 10)
+    for client in clients[-admission.max_connections :]:
+        admission.on_request_received(client)  # it is read: a whole request has come
+    admission.evict_excess(5000.0)
+    assert len(admission) == admission.max_connections
+    assert [client.closed for client in clients[-admission.max_connections :]] == [
+        ""
+    ] * admission.max_connections
 
 
 def test_where_all_is_full_those_go_whose_clients_have_gone_and_a_crowd_that_stays_is_looked_at_seldom():
     """Found by the simulation (seed 717): a stall of 4.4 s, and the last to come were dropped."""
     admission, looks = ConnectionAdmission(100), []
-    clients = [Client() for _ in range(admission.hard)]
+    clients = [Client() for _ in range(admission.hard_max_connections)]
     gone = set(clients[5:8])
-    clients[6].begun = True  # something of it was read: it stays
+    clients[6].request_started = True  # something of it was read: it stays
 
     def has_ended(client):
         looks.append(client)
         return client in gone and not client.closed
 
-    assert all(admission.came(client, 0.0) for client in clients) and not admission.came(Client(), 0.0)
-    assert admission.drop_ended(0.0, has_ended)
+    assert all(admission.admit(client, 0.0) for client in clients) and not admission.admit(Client(), 0.0)
+    assert admission.evict_disconnected(0.0, has_ended)
     assert [client for client in clients if client.closed == "dropped"] == [clients[5], clients[7]]
-    assert [admission.came(Client(), 0.0) for _ in range(3)] == [True, True, False]
+    assert [admission.admit(Client(), 0.0) for _ in range(3)] == [True, True, False]
     before = len(looks)
-    assert not admission.drop_ended(0.0, has_ended) and not admission.drop_ended(1.0, has_ended)
-    assert len(looks) - before <= admission.hard
+    assert not admission.evict_disconnected(0.0, has_ended) and not admission.evict_disconnected(
+        1.0, has_ended
+    )
+    assert len(looks) - before <= admission.hard_max_connections
 
 
 def test_a_body_has_its_own_time_and_more_for_what_has_come_of_it():
     """Seen: 141 of 1,251 slow requests were cut off 2.2 s after their connection came, in their bodies."""
     admission, _, owing = crowd()
-    owing.begun = True
-    admission.begins(owing, 20.0)
+    owing.request_started = True
+    admission.on_request_started(owing, 20.0)
     swept(admission, 100.0, 2000.0)
-    admission.body_begins(owing, 2010.0)
+    admission.on_body_started(owing, 2010.0)
     swept(admission, 2100.0, 2010.0 + REQUEST_TIMEOUT_MS - 200.0)
     assert not owing.closed
-    owing.earned_ms = lambda: 1000.0
+    owing.body_time_allowance_ms = lambda: 1000.0
     swept(admission, 2100.0 + REQUEST_TIMEOUT_MS, 2010.0 + REQUEST_TIMEOUT_MS + 900.0)
     assert not owing.closed
     swept(admission, 2010.0 + REQUEST_TIMEOUT_MS + 1000.0, 2010.0 + REQUEST_TIMEOUT_MS + 1300.0)
@@ -127,26 +133,26 @@
         now = 50.0 * step
         for number in range(8):  # the crowd
             one = Client()
-            one.begun, one.moved_ms = number % 2 == 0, now
-            admission.came(one, now, 20)
+            one.request_started, one.last_activity_ms = number % 2 == 0, now
+            admission.admit(one, now, 20)
         if step % 2 == 0:
             true = Client()
-            true.begun, true.moved_ms, true.came_ms = True, now, now
-            if admission.came(true, now, 20):
+            true.request_started, true.last_activity_ms, true.came_ms = True, now, now
+            if admission.admit(true, now, 20):
                 waiting.append(true)
             else:
                 lost += 1
         for true in waiting:
             if int(now - true.came_ms) % 200 == 0:
-                true.moved_ms = now
-        admission.make_room(now, 20)
+                true.last_activity_ms = now
+        admission.evict_excess(now, 20)
         if int(now) % 100 == 0:
             admission.sweep(now, False)
         lost += sum(bool(true.closed) for true in waiting)
         waiting = [true for true in waiting if not true.closed]
         for true in [true for true in waiting if now - true.came_ms >= 2000.0]:
             waiting.remove(true)
-            admission.left(true)
+            admission.remove(true)
             asked += 1
     assert lost == 0 and asked >= 150
 
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -48,7 +48,7 @@
     """The whole daemon, on its virtual machine: every step of some seeds."""
     code = (
         "import sys; from pathlib import Path; from plumpick.gateway import compiled\n"
-        "if len(sys.argv) > 1: compiled.use(Path(sys.argv[1]))\n"
+        "if len(sys.argv) > 1: compiled.use_compiled_files(Path(sys.argv[1]))\n"
         "from plumpick.policy import controller\n"
         "from plumpick.simulation.faults import case_of\nfrom plumpick.simulation.world import play\n"
         "print(controller.__file__.endswith('.so'), *(play(case_of(n, 8.0)).digest for n in (1, 2, 3)))"
@@ -62,7 +62,7 @@
     """On real sockets. One is left out: it asks for a weak reference, which compiled objects have not."""
     code = (
         "import sys; from pathlib import Path; from plumpick.gateway import compiled\n"
-        "assert compiled.use(Path(sys.argv[1])).startswith('decisions: compiled')\n"
+        "assert compiled.use_compiled_files(Path(sys.argv[1])).startswith('decisions: compiled')\n"
         "import pytest, plumpick.gateway.gateway, plumpick.gateway.listeners.http.connection as one\n"
         "assert one.__file__.endswith('.so') and plumpick.gateway.gateway.__file__.endswith('.so')\n"
         "sys.exit(pytest.main(['-q', '-p', 'no:cacheprovider', 'tests/test_gatekeeper.py',"
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -10,8 +10,8 @@
 
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import parse_config, parse_worker_list
-from plumpick.gateway.listeners.http.connection import MAX_PIPELINED_REQUESTS
 from plumpick.gateway.listeners.http.connection_admission import SWEEP_INTERVAL_MS
+from plumpick.gateway.listeners.http.parsed_request import MAX_PIPELINED_REQUESTS
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.upstream.connection_pool import LEAST_REST_MS, MOST_RESTING, REST_MS
 from plumpick.policy.actions import CancelAttempt, RejectRequest, SetTimer, StartAttempt
@@ -769,10 +769,10 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request(path="/none") * 300)
-        (one,) = gate.front.admission.all
-        while not one.unreadable:
+        (one,) = gate.front.admission.connections
+        while not one.is_unreadable:
             await asyncio.sleep(0)
-        assert len(one.waiting) <= MAX_PIPELINED_REQUESTS + 1
+        assert len(one.pipelined) <= MAX_PIPELINED_REQUESTS + 1
 
     one_worker(scenario)
 
@@ -786,8 +786,8 @@
 def later(gate, ms):
     """Let so much time go by for the connections of clients, and no stall of ours."""
     admission, now = gate.front.admission, gate.keeper.clock.now() + ms
-    admission._swept_ms = now - SWEEP_INTERVAL_MS
-    admission.sweep(now, gate.keeper.draining)
+    admission._last_sweep_ms = now - SWEEP_INTERVAL_MS
+    admission.sweep(now, gate.keeper.is_draining)
 
 
 @pytest.mark.parametrize(
@@ -804,12 +804,12 @@
 
     async def scenario(worker, gate, client):
         client.send(said)
-        while said.strip() and not any(one.coming for one in gate.front.admission.all):
+        while said.strip() and not any(one.incoming for one in gate.front.admission.connections):
             await asyncio.sleep(0)
         await taken(gate, 1)
         later(gate, 2000)
-        (one,) = gate.front.admission.all
-        assert not one.ending
+        (one,) = gate.front.admission.connections
+        assert not one.is_closing
         later(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
             told = await client.answer()
@@ -862,8 +862,8 @@
         refused = (await gate.client()).send(b"noise\r\n\r\n")
         assert (await refused.answer())[0] == 400
         for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
-            admission.most = most
-            admission.make_room(gate.keeper.clock.now() + 1000.0)
+            admission.max_connections = most
+            admission.evict_excess(gate.keeper.clock.now() + 1000.0)
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
         assert len(admission) == 1 and len(gate.keeper.open) == 1
@@ -879,7 +879,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        (one,) = gate.front.admission.all
+        (one,) = gate.front.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
         while Platform().is_quiet(one.transport):
@@ -897,7 +897,7 @@
     async def scenario(worker, gate, client):
         admission = gate.front.admission
         await taken(gate, 1)
-        crowd = [await gate.client() for _ in range(admission.hard + 20)]
+        crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
         while True:  # at the very limit a new one is dropped, and comes again
             asked = asyncio.ensure_future(worker.asked())
@@ -909,8 +909,8 @@
             late = (await gate.client()).send(request())
         gone.cancel()
         # What comes at a stroke may take what no worker's connection needs; it goes once all are read.
-        assert len(admission) <= admission.hard + gate.keeper.spare_descriptors()
-        while len(admission) > admission.hard:
+        assert len(admission) <= admission.hard_max_connections + gate.keeper.spare_descriptors()
+        while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
         assert len(gate.keeper.open) == 1
         for one in crowd:
@@ -923,7 +923,7 @@
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.idle_kept = 1
+        gate.front.admission.max_long_idle = 1
         first, second = client, await gate.client()
         for one in (first, second):
             one.send(request())
@@ -945,7 +945,7 @@
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.crowd = 1
+        gate.front.admission.crowded_connections = 1
         other = await gate.client()
         for one in (client, other):
             one.send(request())
@@ -973,7 +973,7 @@
         gc.collect()
         gc.disable()
         try:
-            one = weakref.ref(*gate.front.admission.all)
+            one = weakref.ref(*gate.front.admission.connections)
             client.close()
             while one() is not None:
                 await asyncio.sleep(0)
@@ -998,9 +998,9 @@
 def test_readiness_is_told_only_when_ready():
     async def scenario(worker, gate, client):
         up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-        gate.keeper.ready = False
+        gate.keeper.is_ready = False
         assert (await client.send(up).answer())[0] == 503
-        gate.keeper.ready = True
+        gate.keeper.is_ready = True
         assert (await client.send(up).answer())[0] == 200
 
     one_worker(scenario)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -94,19 +94,19 @@
     for text in (b"DISABLE w1\r\nmore", b"DISABLE w1\nDRAIN\n"):
         for cut in range(1, len(text)):
             line = CommandLineReader()
-            told = line.take(text[:cut])
-            assert (told if told is not None else line.take(text[cut:])) == b"DISABLE w1"
+            told = line.feed(text[:cut])
+            assert (told if told is not None else line.feed(text[cut:])) == b"DISABLE w1"
     assert (
-        CommandLineReader().take(b"READY", ended=True) == b"READY"
-        and CommandLineReader().take(b"", ended=True) is None
+        CommandLineReader().feed(b"READY", ended=True) == b"READY"
+        and CommandLineReader().feed(b"", ended=True) is None
     )
 
 
 def test_a_line_without_end_is_refused_before_it_fills_anything():
     line = CommandLineReader()
     with pytest.raises(ValueError):
-        line.take(b"x" * 1_000_000)
-    assert len(line.text) <= MAX_LINE_BYTES + 1
+        line.feed(b"x" * 1_000_000)
+    assert len(line.buffered) <= MAX_LINE_BYTES + 1
 
 
 def test_each_call_is_answered_and_the_connection_closed():
@@ -115,7 +115,7 @@
         assert (await say(port, b"DISABLE w1\r\n")).startswith("+OK")
         assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
         assert (await say(port, b"ENABLE w1", end=True)).startswith("+OK")
-        assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.keeper.ready
+        assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.keeper.is_ready
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
             assert (await say(port, wrong)).startswith("-ERR"), wrong
 
@@ -139,7 +139,7 @@
         for _, writer in silent[::2]:
             writer.write(b"DISA")
         assert (await say(port, b"READY\n")).startswith("+OK")
-        assert len(gate.operators.callers) <= HARD_MAX_CONNECTIONS
+        assert len(gate.operators.connections) <= HARD_MAX_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
 
@@ -149,7 +149,7 @@
 def test_a_caller_that_says_nothing_is_closed_in_time():
     async def scenario(port, gate, _worker):
         reader, writer = await asyncio.open_connection(HOST, port)
-        while not gate.operators.callers:
+        while not gate.operators.connections:
             await asyncio.sleep(0)
         gate.operators.sweep(gate.keeper.clock.now() + 60_000.0)
         assert await Client().open(port) and not await reader.read()
@@ -210,7 +210,7 @@
         slow = await gate.client()
         slow.send(request(deadline=10_000)[:-1])
         await say(port, b"DRAIN\n")
-        while gate.keeper.door < 3:
+        while gate.keeper.admission_state < 3:
             await asyncio.sleep(0.01)
         slow.send(b"\n")
         await worker.asked()
@@ -226,7 +226,7 @@
         await say(port, b"DRAIN\n")
         gate.keeper.leave(2000.0)
         await say(port, b"UNDRAIN\n")
-        assert not gate.keeper.ready  # it ends all the same
+        assert not gate.keeper.is_ready  # it ends all the same
 
     with_office(scenario)
 
--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -113,7 +113,7 @@
     async def scenario(worker, gate, client):
         data = request("00000000000000c1", "/fresh")
         client.send(data[:30])
-        while not any(one.begun for one in gate.front.admission.all):
+        while not any(one.request_started for one in gate.front.admission.connections):
             await asyncio.sleep(0)
         assert put(gate, add(FRESH)) == ""
         client.send(data[30:])
@@ -222,7 +222,7 @@
             keeper.config,
             keeper.settings,
             keeper.controller.settings,
-            gate.front.forms,
+            gate.front.validator,
             keeper.workers._fields,
             keeper.workers._idle_ms,
             keeper.workers._dial_ms,
@@ -233,7 +233,7 @@
             keeper.config,
             keeper.settings,
             keeper.controller.settings,
-            gate.front.forms,
+            gate.front.validator,
             keeper.workers._fields,
             keeper.workers._idle_ms,
             keeper.workers._dial_ms,
@@ -264,11 +264,11 @@
         raise RuntimeError("planted")
 
     async def scenario(worker, gate, client):
-        before, forms = gate.keeper.config, gate.front.forms
+        before, forms = gate.keeper.config, gate.front.validator
         with monkeypatch.context() as planted:
             planted.setattr("plumpick.policy.reconfiguration.apply", fails)
             assert "failed" in put(gate, add(FRESH))
-        assert gate.keeper.config is before and gate.front.forms is forms
+        assert gate.keeper.config is before and gate.front.validator is forms
         assert "planted" in caplog.text
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
@@ -378,7 +378,7 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         gate.keeper.drain()
-        assert put(gate, lambda _: None) == "" and not gate.keeper.ready
+        assert put(gate, lambda _: None) == "" and not gate.keeper.is_ready
 
     one_worker(scenario)
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -181,7 +181,7 @@
                     await writer.drain()
         except TimeoutError:
             pass
-        (one,) = gate.front.admission.all
+        (one,) = gate.front.admission.connections
         assert written < 32 * BIG
         assert one.transport.get_write_buffer_size() <= MOST_MARK + 2**19
         client.close()
@@ -386,10 +386,10 @@
     def __init__(self):
         self.said = []
 
-    def hold(self):
+    def pause(self):
         self.said.append("hold")
 
-    def go_on(self):
+    def resume(self):
         self.said.append("go on")
 
     def part(self, data):
@@ -477,6 +477,9 @@
         for one in crowd:
             one.close()
         assert answers == [200] * 200
-        assert len(gate.front.admission) <= gate.front.admission.hard + gate.keeper.spare_descriptors()
+        assert (
+            len(gate.front.admission)
+            <= gate.front.admission.hard_max_connections + gate.keeper.spare_descriptors()
+        )
 
     one_raw(scenario)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -14,7 +14,6 @@
     "plumpick/policy/budgets/ledger.py",
     "plumpick/policy/controller.py",
     "plumpick/gateway/cluster/lease_runner.py",
-    "plumpick/gateway/listeners/http/connection.py",
     "plumpick/gateway/gateway.py",
     "plumpick/gateway/upstream/connection_pool.py",
 }
@@ -32,11 +31,6 @@
 }
 CIRCLES = {
     ("plumpick.policy.controller", "plumpick.policy.reconfiguration", "plumpick.policy.snapshot"),
-    (
-        "plumpick.gateway.listeners.http.connection",
-        "plumpick.gateway.listeners.http.connection_admission",
-        "plumpick.gateway.listeners.http.listener",
-    ),
     ("plumpick.simulation.loop", "plumpick.simulation.network"),
     (
         "plumpick.capacity.model",
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -129,7 +129,7 @@
 async def gone_unread(gate, client):
     """The client ends its sending, and that is there, unread. (Of a close the answer that is written to it
     would tell by a reset, some time later.)"""
-    (one,) = gate.front.admission.all
+    (one,) = gate.front.admission.connections
     client.writer.write_eof()
     while not Platform().has_ended(one.transport):
         await asyncio.sleep(0)
@@ -148,7 +148,7 @@
             client.send(request("0000000000000001") + request("0000000000000002"))
             _, writer = await worker.asked()
             one = await gone_unread(gate, client)
-            assert one.held and one.request is not None
+            assert one.is_reading_suspended and one.open_request is not None
             writer.write(answer())
             await next_is(worker, gate)
             assert not gate.keeper.open
@@ -192,10 +192,10 @@
             plug = Plug(gate.port)
             plug.send(request())
             came = await gate.script.event(RequestReceived)
-            (one,) = gate.front.admission.all
+            (one,) = gate.front.admission.connections
             plug.close()  # from here on the loop does not turn
             assert Platform().has_ended(one.transport) and came.id in gate.keeper.open
-            gate.front.admission._swept_ms = gate.keeper.clock.now() - 1000.0
+            gate.front.admission._last_sweep_ms = gate.keeper.clock.now() - 1000.0
             gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
             gate.keeper.notice(TimerFired("timer"))
             gate.keeper._turn()
