--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -16,9 +16,9 @@
 from plumpick.capacity.rows import MECHANISMS, NONE, ROWS, Row
 from plumpick.capacity.slopes import LINEAR, Slope
 from plumpick.cli import parser
-from plumpick.gateway.daemon import shutdown_times
 from plumpick.gateway.gateway import WORKER_PART
 from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
+from plumpick.gateway.shutdown import shutdown_times
 from plumpick.policy import endpoint_watch, subsetting, usage_report
 from plumpick.policy.budgets.codec import sharing
 from plumpick.policy.budgets.holder import Share
--- a/plumpick/gateway/hot_restart/__init__.py
+++ b/plumpick/gateway/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes of one gatekeeper during an upgrade: sockets and state passed over."""
+"""Hot restart: from one process of a gateway to the next, without a gap for its clients."""
--- /dev/null
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -0,0 +1,204 @@
+"""The running process of a hot restart: it waits for the next one and hands over to it.
+
+It listens at a Unix socket in $TMPDIR. A new process connects and says HELLO; this one offers its listening
+socket and its datagram socket. When the new one is ready to serve it says TAKE_OVER: in one step this process
+stops accepting clients and receiving from peers, and answers with its state. Then both live: this one
+finishes its requests, and each tells the other what it needs (sibling.py). Should the new one die first, this
+one goes on as before. Where the socket cannot be had, the log says so and a restart is an ordinary one."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import logging
+import os
+import socket
+from collections.abc import Callable, Mapping
+from pathlib import Path
+from typing import Any
+
+from plumpick.gateway.hot_restart.channel import Channel
+from plumpick.gateway.hot_restart.message import MessageKind
+from plumpick.gateway.hot_restart.sibling import HotRestartContext, SiblingChannel, handle_sibling_message
+from plumpick.gateway.hot_restart.socket_path import is_same_user, short_address
+
+# How often it is checked whether a dead process's socket is in the place of ours.
+REOPEN_INTERVAL_S = 0.2
+MAX_REOPEN_ATTEMPTS = 20
+LISTEN_BACKLOG = 4
+
+log = logging.getLogger(__name__)
+
+
+class Predecessor:
+    """`on_change(True)` is called when this process has handed over, `on_change(False)` when it goes on
+    because the next one has died."""
+
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, context: HotRestartContext, on_change: Callable[[bool], None]
+    ) -> None:
+        self._loop = loop
+        self._context = context
+        self._on_change = on_change
+        self._socket: socket.socket | None = None
+        self._path: Path | None = None
+        self._inode = 0  # of the socket's file, as long as it is ours
+        self._channel: Channel | None = None
+        self.is_stopping = False
+
+    # -- the socket
+
+    def open(self, path: Path) -> None:
+        """Wait for the next process at that path."""
+        listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
+            fresh = path.with_name(f"{path.name}.{os.getpid()}")
+            with short_address(fresh) as address:
+                listening.bind(address)
+            listening.listen(LISTEN_BACKLOG)
+            os.rename(fresh, path)  # replaces the socket of the process before in one step
+            self._inode = os.stat(path).st_ino
+        except OSError as problem:
+            log.warning("handover: no socket at %s: %s", path, problem.strerror)
+            listening.close()
+            return
+        listening.setblocking(False)
+        self._socket = listening
+        self._path = path
+        self._loop.add_reader(listening, self._accept)
+
+    def _accept(self) -> None:
+        assert self._socket is not None
+        try:
+            connection, _ = self._socket.accept()
+        except OSError:
+            return
+        if self._channel is not None or not is_same_user(connection):
+            connection.close()  # one at a time
+            return
+        self._channel = Channel(self._loop, connection, self._on_message, self._on_closed)
+
+    def _reopen(self, attempts_left: int) -> None:
+        """Wait at our path again. The process that died put its own socket in place of ours: the next one
+        would find nobody there and start beside this one. It may take a moment to be gone; a process that is
+        alive there keeps the path."""
+        if self.is_stopping or self._channel is not None or self._path is None or self._socket is None:
+            return
+        with contextlib.suppress(FileNotFoundError):
+            if os.stat(self._path).st_ino == self._inode:
+                return
+        if self._is_abandoned(self._path):
+            self._loop.remove_reader(self._socket)
+            self._socket.close()
+            self.open(self._path)
+            log.info("handover: the next process may come here again")
+        elif attempts_left:
+            self._loop.call_later(REOPEN_INTERVAL_S, self._reopen, attempts_left - 1)
+
+    @staticmethod
+    def _is_abandoned(path: Path) -> bool:
+        """Whether no process listens at the path; one that is busy does."""
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+            probe.setblocking(False)
+            try:
+                with short_address(path) as address:
+                    probe.connect(address)
+            except (ConnectionRefusedError, FileNotFoundError):
+                return True
+            except OSError:
+                return False
+        return False
+
+    def close(self) -> None:
+        """Wait no longer; the path goes if it is still ours."""
+        self.is_stopping = True
+        if self._socket is not None and self._path is not None:
+            self._loop.remove_reader(self._socket)
+            self._socket.close()
+            with contextlib.suppress(OSError):  # it has gone, or is another's
+                if os.stat(self._path).st_ino == self._inode:
+                    os.unlink(self._path)
+        if self._channel is not None:
+            self._channel.close()
+
+    # -- the next process
+
+    def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
+        for descriptor in descriptors:  # none are due
+            os.close(descriptor)
+        channel = self._channel
+        if channel is None:
+            return
+        if kind == MessageKind.HELLO:
+            self._offer(channel, value)
+        elif kind == MessageKind.TAKE_OVER:
+            self._hand_over(channel)
+        elif not handle_sibling_message(self._context, kind, value):
+            log.warning("handover: %r is unknown", kind)
+
+    def _offer(self, channel: Channel, name: Any) -> None:
+        """Offer the sockets to a process of the same gateway."""
+        context = self._context
+        if name != context.name or context.listen_socket is None:
+            log.warning("handover: %r has asked %r", name, context.name)
+            channel.close()
+            return
+        sockets = (context.listen_socket, context.gateway.peers.plug)
+        descriptors = [os.dup(one.fileno()) for one in sockets if one is not None]
+        channel.send(MessageKind.OFFER, {"descriptors": len(descriptors)}, descriptors)
+
+    def _hand_over(self, channel: Channel) -> None:
+        context = self._context
+        gateway = context.gateway
+        if gateway.succeeded:
+            return
+        leases = None
+        if context.participant is not None:  # whatever becomes of it, from here on the leases are not ours
+            leases = context.participant.hand_over()
+            context.participant.passed_on = lambda row: channel.send(MessageKind.LEASE_TALLY, row)
+        try:
+            state = self._export_state(leases)
+            context.close()
+            gateway.peers.mute()
+            gateway.sibling = SiblingChannel(channel)
+            channel.send(MessageKind.STATE, state)
+        except ValueError as problem:  # too long, or not to be had: the next process begins without
+            log.error("handover: no state: %s", problem)
+            channel.send(MessageKind.STATE, None)
+        log.info("handed over to the next process")
+        context.listener.transfer_idle_connections(lambda transport: self._transfer(channel, transport))
+        gateway.only_finish()
+        self.send_descriptor_count()
+        self._on_change(True)
+
+    def _export_state(self, leases: Any) -> Mapping[str, Any]:
+        """The state of this process; raises ValueError."""
+        state = {**self._context.gateway.hand_over(), "fleet": leases}
+        if self._context.settings_source is not None:
+            state["configuration"] = self._context.settings_source.estate()
+        return state
+
+    @staticmethod
+    def _transfer(channel: Channel, transport: Any) -> None:
+        descriptor = os.dup(transport.get_extra_info("socket").fileno())
+        channel.send(MessageKind.CLIENT_CONNECTION, {"descriptors": 1}, [descriptor])
+
+    def send_descriptor_count(self) -> None:
+        """Tell the next process how many descriptors this one still holds: the rest is the next one's."""
+        gateway = self._context.gateway
+        if self._channel is not None and gateway.succeeded:
+            self._channel.send(MessageKind.DESCRIPTOR_COUNT, gateway.descriptors())
+
+    def _on_closed(self) -> None:
+        """The next process has gone, before it took over or after."""
+        self._channel = None
+        gateway = self._context.gateway
+        if not gateway.succeeded or self.is_stopping:
+            return
+        log.warning("handover: the next process has gone; this one goes on")
+        gateway.peers.listen()
+        gateway.resume()
+        if self._context.participant is not None:
+            self._context.participant.resume()
+        self._on_change(False)
+        self._reopen(MAX_REOPEN_ATTEMPTS)
--- /dev/null
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -0,0 +1,153 @@
+"""The new process of a hot restart: it takes over from the one that runs (see predecessor.py).
+
+Where nobody runs, or is not understood, `Successor.connect` returns None and the start is an ordinary one;
+the log says why."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import socket
+from collections.abc import Callable, Mapping
+from pathlib import Path
+from typing import Any
+
+from plumpick.gateway.hot_restart.channel import Channel
+from plumpick.gateway.hot_restart.message import MessageKind
+from plumpick.gateway.hot_restart.sibling import HotRestartContext, SiblingChannel, handle_sibling_message
+from plumpick.gateway.hot_restart.socket_path import is_same_user, short_address
+
+OFFER_TIMEOUT_S = 1.0
+STATE_TIMEOUT_S = 2.0
+
+log = logging.getLogger(__name__)
+
+
+class Successor:
+    """The way to the process that runs, with its sockets. `on_alone()` is called when that process has gone,
+    `on_descriptor_count(count)` with how many descriptors it holds meanwhile."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+        self.listen_socket: socket.socket | None = None
+        self.datagram_socket: socket.socket | None = None
+        self.on_alone: Callable[[], None] = lambda: None
+        self.on_descriptor_count: Callable[[int], None] = lambda _count: None
+        self._offer: asyncio.Future[bool] = loop.create_future()
+        self._state: asyncio.Future[Mapping[str, Any] | None] = loop.create_future()
+        self._early_messages: list[tuple[str, Any, list[int]]] = []  # that came before `complete`
+        self._tasks: set[asyncio.Task[Any]] = set()
+        self._channel: Channel | None = None
+        self._context: HotRestartContext | None = None
+        self._is_alone = False
+
+    @classmethod
+    async def connect(cls, loop: asyncio.AbstractEventLoop, path: Path, name: str) -> Successor | None:
+        """The process that runs now, with its sockets; None where there is none to take over from."""
+        connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        try:
+            connection.settimeout(OFFER_TIMEOUT_S)
+            with short_address(path) as address:
+                connection.connect(address)
+            if not is_same_user(connection):
+                raise PermissionError(1, "it is another user's")
+        except FileNotFoundError:
+            connection.close()
+            return None
+        except OSError as problem:
+            log.warning("handover: nobody at %s (%s): an ordinary start", path, problem.strerror or problem)
+            connection.close()
+            return None
+        successor = cls(loop)
+        channel = Channel(loop, connection, successor._on_message, successor._on_closed)
+        successor._channel = channel
+        channel.send(MessageKind.HELLO, name)
+        done, _ = await asyncio.wait([successor._offer], timeout=OFFER_TIMEOUT_S)
+        if not done or not successor._offer.result() or successor.listen_socket is None:
+            log.warning("handover: no offer at %s: an ordinary start", path)
+            channel.close()
+            return None
+        return successor
+
+    async def take_over(self) -> Mapping[str, Any] | None:
+        """Take over now; the state, or None where there is none to be had."""
+        assert self._channel is not None
+        self._channel.send(MessageKind.TAKE_OVER)
+        done, _ = await asyncio.wait([self._state], timeout=STATE_TIMEOUT_S)
+        return self._state.result() if done else None
+
+    def complete(self, context: HotRestartContext) -> None:
+        """From now on each process tells the other what it needs."""
+        self._context = context
+        if not self._is_alone and self._channel is not None:
+            context.gateway.sibling = SiblingChannel(self._channel)
+        early = self._early_messages
+        self._early_messages = []
+        for kind, value, descriptors in early:
+            self._handle(context, kind, value, descriptors)
+        if self._is_alone:
+            self._loop.call_soon(self.on_alone)
+
+    def close(self) -> None:
+        """End the connection to the other process."""
+        if self._channel is not None:
+            self._channel.close()
+
+    # -- the other process
+
+    def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
+        if kind == MessageKind.OFFER and not self._offer.done():
+            self._accept_offer(descriptors)
+        elif kind == MessageKind.STATE and not self._state.done():
+            self._state.set_result(value if isinstance(value, dict) else None)
+        elif self._context is None:
+            self._early_messages.append((kind, value, descriptors))
+        else:
+            self._handle(self._context, kind, value, descriptors)
+
+    def _accept_offer(self, descriptors: list[int]) -> None:
+        sockets = [socket.socket(fileno=descriptor) for descriptor in descriptors]
+        for one in sockets:
+            if one.type == socket.SOCK_STREAM and self.listen_socket is None:
+                self.listen_socket = one
+            elif one.type == socket.SOCK_DGRAM and self.datagram_socket is None:
+                self.datagram_socket = one
+            else:
+                one.close()
+        self._offer.set_result(True)
+
+    def _handle(self, context: HotRestartContext, kind: str, value: Any, descriptors: list[int]) -> None:
+        if kind == MessageKind.DESCRIPTOR_COUNT:
+            self.on_descriptor_count(int(value) if isinstance(value, int) else 0)
+            return
+        if kind == MessageKind.CLIENT_CONNECTION:
+            for descriptor in descriptors:
+                client = socket.socket(fileno=descriptor)
+                task = self._loop.create_task(self._adopt_client(context, client))
+                self._tasks.add(task)
+                task.add_done_callback(self._tasks.discard)
+            return
+        for descriptor in descriptors:
+            os.close(descriptor)
+        handle_sibling_message(context, kind, value)
+
+    async def _adopt_client(self, context: HotRestartContext, client: socket.socket) -> None:
+        """Go on with a client's connection that the other process had."""
+        try:
+            client.setblocking(False)
+            await self._loop.connect_accepted_socket(context.listener.create_inherited_connection, client)
+        except OSError as problem:
+            log.warning("handover: a client's connection was lost: %s", problem)
+            client.close()
+
+    def _on_closed(self) -> None:
+        """The other process has ended, or is not understood."""
+        self._is_alone = True
+        if not self._offer.done():
+            self._offer.set_result(False)
+        if not self._state.done():
+            self._state.set_result(None)
+        if self._context is not None:
+            self._context.gateway.sibling = None
+            self.on_alone()
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -61,10 +61,9 @@
             return
         while self.open_request is None and not self.is_closing and not self.is_paused:
             if not self.pipelined:
-                # A body too large to be buffered may have its turn now.
-                if not self._is_ready_to_stream() or not self.start_stream(self.incoming):  # type: ignore[arg-type]
-                    break
-                continue
+                if self._stream_incoming():  # its turn has come
+                    continue
+                break
             parsed = self.pipelined.pop(0)
             self.request_started = False
             self.current = parsed
@@ -78,14 +77,16 @@
                 self._submit(parsed)
         self.update_reading()
 
-    def _is_ready_to_stream(self) -> bool:
-        """Whether the request that is being read has a body that is known to be too large to be buffered."""
+    def _stream_incoming(self) -> bool:
+        """Stream the request that is being read, if its body is known to be too large to be buffered; whether
+        it is accepted."""
         incoming = self.incoming
         if incoming is None or incoming.stream is not None:
             return False
-        if len(incoming.body) > MAX_BUFFERED_BODY_BYTES:
-            return True
-        return incoming.body_length > MAX_BUFFERED_BODY_BYTES and not incoming.in_head
+        is_announced = incoming.body_length > MAX_BUFFERED_BODY_BYTES and not incoming.in_head
+        if len(incoming.body) <= MAX_BUFFERED_BODY_BYTES and not is_announced:
+            return False
+        return self.start_stream(incoming)
 
     def _submit(self, parsed: ParsedRequest) -> None:
         try:
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -84,11 +84,10 @@
         headers = parsed.headers
         target = origin_form(parsed.url)
         head = self.validator.validate(method, target, headers, bool(parsed.body) or not parsed.is_complete)
-        body = b""
-        if parsed.is_complete:
-            body = bytes(parsed.body)
-        else:
-            parsed.stream = self.gateway.create_request_stream(connection, parsed.body_length)  # type: ignore[arg-type]
+        if not parsed.is_complete:
+            source: Any = connection  # a PausableSource, too
+            parsed.stream = self.gateway.create_request_stream(source, parsed.body_length)
+        body = bytes(parsed.body) if parsed.is_complete else b""
         content_type = headers.get(b"content-type")
         request = IncomingRequest(
             *head, method, target, content_type, body, parsed.received_ms, parsed.stream
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -175,10 +175,10 @@
     which = compiled.use_compiled_files()
     import uvloop  # only now, as the daemon: what follows imports the decisions
 
-    from plumpick.gateway import daemon, discovery
+    from plumpick.gateway import daemon, discovery, process
     from plumpick.policy.controller import Controller
 
-    record, plain = Record(), daemon.Gatekeeper
+    record, plain = Record(), process.Gatekeeper
 
     class Loop(uvloop.Loop):  # type: ignore[misc]
         async def create_connection(self, factory: Any, host: str, port: int) -> Any:
@@ -216,7 +216,7 @@
         record.flush()
 
     discovery.Watch = Watch  # type: ignore[misc]
-    daemon.Gatekeeper = gatekeeper  # type: ignore[assignment,misc]
+    process.Gatekeeper = gatekeeper  # type: ignore[assignment,misc]
     daemon.uvloop = type("Uvloop", (), {"run": staticmethod(run)})  # type: ignore[assignment]
     return daemon.main(which)
 
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -8,8 +8,8 @@
 from fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
 from test_gatekeeper import later
 
-from plumpick.gateway.daemon import close_listener
 from plumpick.gateway.platform import Platform
+from plumpick.gateway.shutdown import close_listener
 
 
 def one_worker(scenario):
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -23,7 +23,7 @@
 )
 from test_process import UP, free_port, until_up
 
-from plumpick.gateway import daemon
+from plumpick.gateway import daemon, management, process, shutdown
 from plumpick.gateway.config import parse_config
 from plumpick.policy.events import RequestReceived
 
@@ -32,10 +32,10 @@
 def test_all_is_answered_and_we_have_gone_before_sigkill_may_come(deadlines_s):
     """SIGKILL comes no sooner than the longest deadline, of 3 s at most, and 0.7 s more. Connections come for
     up to 0.4 s, and whoever is served last has its whole time, or a second."""
-    serve, end, gone = daemon.shutdown_times(deadlines_s)
+    serve, end, gone = shutdown.shutdown_times(deadlines_s)
     longest, kill = max(deadlines_s), min(max(deadlines_s), 3.0) + 0.7
     assert 0.4 < serve < end < gone < kill
-    assert end - serve >= min(longest, 1.0) * 0.99 or serve == daemon.MIN_SERVING_S
+    assert end - serve >= min(longest, 1.0) * 0.99 or serve == shutdown.MIN_SERVING_S
     assert end - serve >= 0.2 and kill - end >= 0.2  # room for a last answer to be written, and a busy loop
 
 
@@ -86,13 +86,13 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    monkeypatch.setattr(daemon, "shutdown_times", lambda _deadlines: ending)
+    monkeypatch.setattr(process, "shutdown_times", lambda _deadlines: ending)
     run(whole())
 
 
 def test_sigterm_before_the_first_list_ends_it_and_it_is_never_ready(monkeypatch, caplog):
     """It waited for the list, said that it was ready, and counted the time to its end from then."""
-    monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(_port, fake, _worker, task):
         await fake.called()  # and no answer
@@ -122,27 +122,27 @@
 
 def test_the_time_to_the_end_counts_from_the_first_sigterm():
     async def scenario():
-        stop = daemon.StopRequest(asyncio.get_running_loop())
-        stop.ask()
-        first = stop.at_s
+        stop = shutdown.StopRequest(asyncio.get_running_loop())
+        stop.request()
+        first = stop.requested_s
         await asyncio.sleep(0.01)
-        stop.ask()
-        assert stop.at_s == first and stop.is_asked()
-        assert await stop.within(asyncio.Event(), 1000.0)
+        stop.request()
+        assert stop.requested_s == first and stop.is_requested()
+        assert await stop.wait_for(asyncio.Event(), 1000.0)
 
     run(scenario())
 
 
 def test_with_operators_too_the_listener_is_emptied_before_it_closes(monkeypatch):
     """A connection that comes in the moment before the close, and of which the loop has not heard."""
-    right, plugs = daemon.close_listener, []
+    right, plugs = shutdown.close_listener, []
 
     async def comes_just_before(loop, server, plug, front):
         plugs.append(Plug(plug.getsockname()[1]))
         plugs[0].send(request())
         await right(loop, server, plug, front)
 
-    monkeypatch.setattr(daemon, "close_listener", comes_just_before)
+    monkeypatch.setattr(management, "close_listener", comes_just_before)
 
     async def scenario(port, fake, worker, _task):
         await until_up(port)
@@ -158,9 +158,9 @@
 
 def test_with_no_list_at_all_it_is_ready_once_the_first_has_come(monkeypatch):
     """It was ready after half a second, and refused every request; a known list serves as before."""
-    assert daemon.FIRST_LIST_TIMEOUT_S < 1.0 < daemon.ONLY_LIST_TIMEOUT_S < 10.0
-    monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 0.0)
-    monkeypatch.setattr(daemon, "ONLY_LIST_TIMEOUT_S", 1000.0)
+    assert process.FIRST_LIST_TIMEOUT_S < 1.0 < process.ONLY_LIST_TIMEOUT_S < 10.0
+    monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(process, "ONLY_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(port, fake, worker, _task):
         _, writer = await fake.called()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
     MessageFormatError,
     encode,
 )
-from plumpick.gateway.hot_restart.succession import socket_path
+from plumpick.gateway.hot_restart.socket_path import socket_path
 from plumpick.policy import snapshot
 from plumpick.policy.actions import CommandCompleted, SendPeerMessage, StartAttempt, StateExported
 from plumpick.policy.controller import Controller
--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -12,7 +12,7 @@
 from test_ending import served
 from test_streams import Raw, head_of
 
-from plumpick.gateway import daemon
+from plumpick.gateway import process
 from plumpick.gateway.config import parse_config
 from plumpick.gateway.upstream.streaming_body import WHOLE
 from plumpick.policy.controller import Controller
@@ -412,10 +412,10 @@
 
     async def scenario(port, fake, worker, task):
         monkeypatch.setattr(
-            daemon, "shutdown_times", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
+            process, "shutdown_times", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
         )
         monkeypatch.setattr("plumpick.gateway.gateway.Gatekeeper.deadlines_ms", lambda _self: [1234.0])
-        monkeypatch.setattr(daemon, "FIRST_LIST_TIMEOUT_S", 0.01)
+        monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 0.01)
         while True:
             try:
                 client = await Client().open(port)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -25,7 +25,6 @@
     "plumpick/policy/controller.py:choose",
     "plumpick/policy/snapshot.py:leave",
     "plumpick/policy/snapshot.py:take_over",
-    "plumpick/gateway/daemon.py:serve",
     "plumpick/gateway/cluster/lease_runner.py:status",
     "plumpick/gateway/gateway.py:__init__",
 }
