--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -152,17 +152,16 @@
         self._streams: dict[Request, None] = {}  # of these, with a body that goes on while it comes
         self.attempts: dict[tuple[int, int], Attempt] = {}  # all that are out, also of ended requests
         self.is_ready = self.is_draining = False
-        self.up = False  # it takes clients, by itself; `ready` is what the listener is told
+        self.up = False  # it takes clients, by itself; `is_ready` is what a listener is told
         self.ending = self.ending_last = False  # told to end; and so late in it that nothing is kept
         self.admission_state = AdmissionState.OPEN
         # Another process of this gatekeeper, while there are two: it is told what its peers say, the module's
         # word to its own number, and operators' calls.
         self.sibling: SiblingProcess | None = None
         self.succeeded = False  # and that one takes the clients now
-        self.fleet: ClusterParticipant | None = (
-            None  # in what is done for the whole tier, where the operator names it
-        )
-        self.versions: SettingsSource | None = None  # of the settings, where the operator names their service
+        # Where the operator names work for the whole tier, and a service of settings.
+        self.fleet: ClusterParticipant | None = None
+        self.versions: SettingsSource | None = None
         self._estate: Mapping[str, Any] | None = None
         self._said: dict[int, str] = {}  # answers to orders, until they are picked up in the same turn
         self._names: set[bytes] = set()  # ids of the open requests, and of those ended of late and before
@@ -320,7 +319,7 @@
 
     def _doors(self, action: SetAdmissionState) -> None:
         """Clients are sent away, or taken again."""
-        before, self.admission_state = self.admission_state, action.stage
+        before, self.admission_state = self.admission_state, action.state
         if before != self.admission_state and AdmissionState.OPEN in (before, self.admission_state):
             log.info("clients are %s", "sent away" if self.admission_state else "taken again")
         if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.admission_state:
@@ -410,9 +409,8 @@
             raise DuplicateRequestIdError("x-request-id is in use")
         self._serial += 1
         # What is read after a stall of ours may have waited all through it; its client's time ran on.
-        unread_ms = (
-            self._unread_ms(now) + now - incoming.received_ms
-        )  # it may have waited behind another, too
+        # It may have waited behind another, too.
+        unread_ms = self._unread_ms(now) + now - incoming.received_ms
         wait_ms = max(incoming.timeout_ms - unread_ms, min(incoming.timeout_ms, 2 * MARGIN_MS))
         end_ms = min(self._end_ms, self._late_end_ms)
         due_ms = min(now + wait_ms, max(end_ms, now + 2 * MARGIN_MS))
