--- a/plumpick/gateway/compiled.py
+++ b/plumpick/gateway/compiled.py
@@ -1,7 +1,8 @@
 """Compiled files in place of the plain ones, where `build` made them: same sources, same actions.
 
 plumpick/tools/compile.py makes them, under the digest of the sources and of this Python, so that files of
-other sources are never taken for these. Nothing is written at run time."""
+other sources are never taken for these. Nothing is written at run time. Where
+none fit, the plain sources serve."""
 
 from __future__ import annotations
 
@@ -15,8 +16,8 @@
 
 SOURCE_FOLDER = Path(plumpick.__path__[0]).parent
 COMPILED_FOLDER = Path(sys.prefix) / "compiled"
-# The types of interface.py stay plain: what an event of a wrong type does has to happen inside the module. So
-# does clock.py, whose clock the simulation stands in for.
+# The types of events and actions stay plain: what an event of a wrong type does has to happen inside the
+# controller. So does clock.py, whose clock the simulation replaces.
 POLICY_FILES = (
     "plumpick/policy/peer_messages.py",
     "plumpick/policy/state.py",
@@ -36,15 +37,10 @@
     "plumpick/gateway/upstream/connection_pool.py",
 )
 COMPILED_FILES = POLICY_FILES + GATEWAY_FILES
-COMPILED_PACKAGES = sorted(
-    {str(Path(name).parent).replace("/", ".") for name in COMPILED_FILES}
-)  # that hold some of them
-TOOL_PACKAGES = {
-    "capacity",
-    "rehearsal",
-    "simulation",
-    "tools",
-}  # of plumpick, that the daemon does not import
+# The packages that hold some of them.
+COMPILED_PACKAGES = sorted({str(Path(name).parent).replace("/", ".") for name in COMPILED_FILES})
+# Packages of plumpick that the daemon does not import.
+TOOL_PACKAGES = {"capacity", "rehearsal", "simulation", "tools"}
 COMPILER = "mypy==2.4.1"  # holds mypyc; it is needed to compile, not to run
 
 
@@ -59,13 +55,13 @@
 
 
 def use_compiled_files(folder: Path = COMPILED_FOLDER) -> str:
-    """Let compiled files serve if they are of these sources, before any of them is imported; returns which
-    do, as the log has it."""
+    """Import compiled files from now on, if they are of these sources; to be called before any of them is
+    imported. Returns a line for the log on which files decide."""
     try:
         made = folder / source_digest()
         if not made.is_dir():
             return "decisions: plain Python"
-    except OSError as problem:  # sources that cannot be read will not import either; that is told there
+    except OSError as problem:  # sources that cannot be read fail at their import, too
         return f"decisions: plain Python ({problem.strerror})"
     for name in COMPILED_PACKAGES:
         package = importlib.import_module(name)
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -1,4 +1,7 @@
-"""What a gatekeeper is told at its start: environment and JSON. What is malformed is named in one line."""
+"""The configuration of a gateway at its start: environment and JSON.
+
+What is malformed raises ConfigError, whose one line names it; a list of workers raises SettingsError, so that
+its reader may go on without it."""
 
 from __future__ import annotations
 
@@ -12,7 +15,12 @@
 from plumpick.policy.settings import Settings
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # host, port
+DEFAULT_SOCKETS = 1024.0
+DEFAULT_MEMORY_MB = 192.0
+DEFAULT_DIAL_TIMEOUT_MS = 250.0
+DEFAULT_IDLE_MS = 15_000.0
+MAX_PORT = 65535
 ENDPOINT_STATES = {
     "ready": EndpointState.READY,
     "draining": EndpointState.DRAINING,
@@ -26,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One worker in discovery's list: what the module learns of it, and where it listens."""
+    """One worker in discovery's list: what the policy sees of it, and where it listens."""
 
     server: Endpoint
     address: Address
@@ -34,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """One answer of discovery: the whole list, or the entries that changed."""
+    """One answer of discovery: the complete list, or the entries that changed since an index."""
 
     index: int
     complete: bool
@@ -43,34 +51,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a gatekeeper is told."""
+    """Everything that a gateway is configured with."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    sockets: int  # descriptors that the process may hold
     settings: Settings
     dial_timeout_ms: float
-    idle_ms: float
-    known: WorkerList
-    peer_listen: Address | None
-    peers: tuple[Address, ...]
-    peers_all: Address | None
-    memory_mb: float = 192.0  # that the process may hold
-    management: Address | None = None  # where operators call; None: nowhere
+    idle_ms: float  # after which a worker closes an idle connection
+    known: WorkerList  # the workers to start with
+    peer_listen: Address | None  # where peers' datagrams come
+    peers: tuple[Address, ...]  # by gateway number
+    peers_all: Address | None  # reaches all peers with one datagram
+    memory_mb: float = DEFAULT_MEMORY_MB  # that the process may hold
+    management: Address | None = None  # where operators' commands come; None: nowhere
 
 
 def parse_address(text: Any, path: str) -> Address:
-    """Host and port of 'host:port'."""
+    """Host and port of 'host:port'; raises SettingsError, which names `path`."""
     host, _, port = str(text).rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{path}: {text!r} is no address")
     return host, int(port)
 
 
 def parse_worker_entry(row: JsonObject) -> WorkerEntry:
-    """One entry of a list in discovery's form."""
+    """One entry of a list in discovery's form; raises SettingsError."""
     status = row.text("status")
     if status not in ENDPOINT_STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
@@ -90,7 +98,7 @@
 ) -> WorkerList:
     """A list in discovery's form; raises SettingsError where it cannot be read.
 
-    With `skipped`, an entry that cannot be read is told there and left out, which ends its worker's use."""
+    With `skipped`, an entry that cannot be read is passed to it and left out, which ends its worker's use."""
     top = JsonObject(value, path)
     entries = []
     for number, row in enumerate(top.items("endpoints")):
@@ -104,7 +112,8 @@
 
 
 def parse_config(value: Any, environment: Mapping[str, str]) -> Config:
-    """The configuration in an object of JSON; the environment stands in for what the object lacks."""
+    """The configuration in an object of JSON; the environment stands in for what the object lacks. Raises
+    SettingsError."""
     top = JsonObject(value, "config")
     settings = top.table("settings")
     limits = settings.table("limits")
@@ -127,21 +136,21 @@
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
         seed=seed_number,
-        sockets=int(top.table("limits", {}).number("sockets", 1024.0)),
+        sockets=int(top.table("limits", {}).number("sockets", DEFAULT_SOCKETS)),
         settings=own,
-        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
-        idle_ms=limits.number("connIdleMs", 15_000.0),
+        dial_timeout_ms=limits.number("dialTimeoutMs", DEFAULT_DIAL_TIMEOUT_MS),
+        idle_ms=limits.number("connIdleMs", DEFAULT_IDLE_MS),
         known=parse_worker_list(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
         peer_listen=parse_address(peer_listen, "config.peer_listen") if peer_listen else None,
         peers=peers,
         peers_all=parse_address(peers_all, "config.peers_all") if peers_all else None,
-        memory_mb=top.table("limits", {}).number("memory_mb", 192.0),
+        memory_mb=top.table("limits", {}).number("memory_mb", DEFAULT_MEMORY_MB),
         management=parse_address(management, "config.management") if management else None,
     )
 
 
 def load_config(environment: Mapping[str, str]) -> Config:
-    """Read the file that BALANCER_CONFIG names."""
+    """Read the file that BALANCER_CONFIG names; raises ConfigError."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -53,8 +53,8 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it requests comes anyway
     try:
         config = load_config(os.environ)
-        cluster_settings = load_cluster_settings(config, Platform().operator_file())
-        settings_service = load_settings_service(config, Platform().operator_file())
+        cluster_settings = load_cluster_settings(config, Platform().operator_config_path())
+        settings_service = load_settings_service(config, Platform().operator_config_path())
     except ConfigError as problem:
         print(f"plumpick: {problem}", file=sys.stderr)
         return EXIT_CONFIG_ERROR
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -140,11 +140,11 @@
             dial_timeout_ms=config.dial_timeout_ms,
             max_connections=int(config.sockets * WORKER_PART),
             report_fields=config.settings.load_report_fields,
-            is_quiet=system.is_quiet,
+            is_quiet=system.has_no_unread_input,
             budget=Budget(int(config.memory_mb * 2**20 * STREAM_PART)),
             was_reset=system.was_reset,
         )
-        self.peers = Peers(config, self.heard, system.datagrams)
+        self.peers = Peers(config, self.heard, system.create_datagram_socket)
         self._listeners: list[Listener] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
         self._standing = Standing(config.settings.gateway_count, config.settings.gateway_number)
@@ -630,7 +630,7 @@
             if self.sibling is not None:
                 self.sibling.on_own_message(action.data)
             return
-        self.peers.tell(action.receiver, action.data)
+        self.peers.send(action.receiver, action.data)
 
     def _ignore(self, _action: Action) -> None:
         """Discovery is watched unasked, and workers may not be probed."""
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -143,7 +143,7 @@
             log.warning("handover: %r has asked %r", name, context.name)
             channel.close()
             return
-        sockets = (context.listen_socket, context.gateway.peers.plug)
+        sockets = (context.listen_socket, context.gateway.peers.bound_socket)
         descriptors = [os.dup(one.fileno()) for one in sockets if one is not None]
         channel.send(MessageKind.OFFER, {"descriptors": len(descriptors)}, descriptors)
 
@@ -159,7 +159,7 @@
         try:
             state = self._export_state(leases)
             context.close()
-            gateway.peers.mute()
+            gateway.peers.stop_receiving()
             gateway.sibling = SiblingChannel(channel)
             channel.send(MessageKind.STATE, state)
         except ValueError as problem:  # too long, or not to be had: the next process begins without
@@ -196,7 +196,7 @@
         if not gateway.succeeded or self.is_stopping:
             return
         log.warning("handover: the next process has gone; this one goes on")
-        gateway.peers.listen()
+        gateway.peers.start_receiving()
         gateway.resume()
         if self._context.participant is not None:
             self._context.participant.resume()
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -91,7 +91,7 @@
         state = await self._successor.take_over()
         if state is not None:
             await self._import_state(state)
-        self._gateway.peers.listen()
+        self._gateway.peers.start_receiving()
         await context.listen(self._loop)
         self._successor.complete(context)
 
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between gatekeepers."""
+"""Datagrams between gateways: unreliable, at most MAX_MESSAGE_BYTES each. What cannot be sent is lost."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 
 
 class Peers:
-    """Tells and hears other gatekeepers; who sent a datagram is known by its address alone.
+    """Sends to and receives from other gateways; the sender of a datagram is known by its address alone.
+    `on_message(sender, data)` gets each; `create_socket` makes an unbound datagram socket.
 
-    On a plain socket: the loop's own datagram transport takes several times as long for each message."""
+    It uses a plain socket: the loop's datagram transport takes several times as long for each message."""
 
     def __init__(
-        self, config: Config, heard: Callable[[int, bytes], None], datagrams: Callable[[], Any]
+        self, config: Config, on_message: Callable[[int, bytes], None], create_socket: Callable[[], Any]
     ) -> None:
-        self._config, self._heard, self._datagrams = config, heard, datagrams
+        self._config = config
+        self._on_message = on_message
+        self._create_socket = create_socket
         self._numbers = {
             address: number
             for number, address in enumerate(config.peers)
@@ -32,56 +35,57 @@
         self._loop: asyncio.AbstractEventLoop | None = None
         self._socket: Any = None
 
-    def open(self, loop: asyncio.AbstractEventLoop, plug: Any = None, shared: bool = False) -> None:
-        """Listen, where the configuration has peers. `plug`: a bound socket that another process listened at;
-        nothing is heard there before `listen`. `shared`: another process may listen at the same address."""
+    def open(self, loop: asyncio.AbstractEventLoop, inherited: Any = None, shared: bool = False) -> None:
+        """Open the socket, where the configuration has peers; raises OSError. `inherited`: a bound socket of
+        another process; nothing is received there before `start_receiving`. `shared`: another process may
+        bind the same address."""
         if self._config.peer_listen is None:
-            if plug is not None:
-                plug.close()
+            if inherited is not None:
+                inherited.close()
             return
-        given = plug is not None
-        plug = plug if given else self._datagrams()
+        sock = inherited if inherited is not None else self._create_socket()
         try:
-            plug.setblocking(False)
-            if shared and not given:
-                plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-            if not given:
-                plug.bind(self._config.peer_listen)
+            sock.setblocking(False)
+            if inherited is None:
+                if shared:
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+                sock.bind(self._config.peer_listen)
         except OSError:
-            plug.close()
+            sock.close()
             raise
-        self._loop, self._socket = loop, plug
-        if not given:
-            self.listen()
+        self._loop = loop
+        self._socket = sock
+        if inherited is None:
+            self.start_receiving()
 
-    def listen(self) -> None:
-        """Hear what comes; also again, after `mute`."""
+    def start_receiving(self) -> None:
+        """Receive; also again, after `stop_receiving`."""
         if self._socket is not None and self._loop is not None:
             self._loop.add_reader(self._socket, self._read)
 
-    def mute(self) -> None:
-        """Hear nothing more: another process does. What is told still goes out."""
+    def stop_receiving(self) -> None:
+        """Receive nothing more: another process does. Sending goes on."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
     @property
-    def plug(self) -> Any:
+    def bound_socket(self) -> Any:
         """The socket, for another process; None where there is none."""
         return self._socket
 
     def _read(self) -> None:
-        """Take in one datagram; the loop calls again at once if there are more."""
+        """Receive one datagram; the loop calls again at once if there are more."""
         assert self._socket is not None
         try:
             data, address = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
         except OSError:  # nothing there, or the echo of a message that a peer could not take
             return
         number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # a stranger is no peer, whatever it says
-            self._heard(number, data)
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # anything else is not from a peer
+            self._on_message(number, data)
 
-    def tell(self, receiver: int, data: bytes) -> None:
-        """To one gatekeeper by its number, or to all for -1."""
+    def send(self, receiver: int, data: bytes) -> None:
+        """To one gateway by its number, or to all for -1."""
         if self._socket is None:
             return
         if len(data) > MAX_MESSAGE_BYTES:
@@ -98,6 +102,7 @@
                 pass  # a peer that is down, or a full buffer: lost, as any datagram may be
 
     def close(self) -> None:
+        """Close the socket."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -53,7 +53,11 @@
         self._loop = asyncio.get_running_loop()
         self._gateway = Gatekeeper(config, self._loop, system=platform)
         self._listener = HttpListener(
-            self._gateway, config.settings, config.sockets, platform.has_ended, platform.is_quiet
+            self._gateway,
+            config.settings,
+            config.sockets,
+            platform.has_peer_closed,
+            platform.has_no_unread_input,
         )
         self._gateway.add(self._listener)
         self._participant: Any = None
@@ -87,7 +91,7 @@
         if self._management is None:
             await self._listen()
         await self._wait_for_first_answers()
-        self._platform.settle()
+        self._platform.freeze_startup_objects()
         if self._management is not None and not self._stop.is_requested():
             await self._management.serve()
         self._gateway.come_up(self._stop.is_requested())
@@ -117,7 +121,7 @@
     async def _listen(self) -> None:
         """Accept clients, where no management plane does that."""
         create = self._listener.create_connection
-        self._listen_socket = self._platform.listener(self._config.listen, LISTEN_BACKLOG)
+        self._listen_socket = self._platform.create_listener(self._config.listen, LISTEN_BACKLOG)
         if self._listen_socket is not None:
             self._server = await self._loop.create_server(
                 create, sock=self._listen_socket, backlog=LISTEN_BACKLOG
@@ -182,7 +186,7 @@
     from plumpick.gateway.cluster.lease_runner import Runner
 
     participant = Runner(
-        config, settings, loop, platform, gateway.peers.tell, lambda name: gateway.order(name, "")
+        config, settings, loop, platform, gateway.peers.send, lambda name: gateway.order(name, "")
     )
     if settings.budgets:
         gateway.controller.admits = participant.admits
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -27,7 +27,7 @@
         if not await _reload_config(config, discovery, platform) or participant is None:
             continue
         try:
-            settings = await asyncio.to_thread(load_cluster_settings, config, platform.operator_file())
+            settings = await asyncio.to_thread(load_cluster_settings, config, platform.operator_config_path())
         except ConfigError as problem:
             log.error("the operator's settings stay as they were: %s", problem)
             continue
@@ -38,7 +38,7 @@
 async def _reload_config(config: Config, discovery: Discovery, platform: Platform) -> bool:
     """Go to discovery's address of the file as it is now; whether the file can be used."""
     try:
-        new = await asyncio.to_thread(platform.reread)
+        new = await asyncio.to_thread(platform.reload_config)
     except ConfigError as problem:
         log.error("the configuration stays as it was: %s", problem)
         return False
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -56,14 +56,14 @@
     def clock(self) -> Clock:
         return SimulatedClock(self.process)
 
-    def datagrams(self) -> Any:
+    def create_datagram_socket(self) -> Any:
         return Plug(self.process.machine.network, self.process)
 
-    def listener(self, address: tuple[str, int], backlog: int) -> None:
+    def create_listener(self, address: tuple[str, int], backlog: int) -> None:
         """The virtual machine's listeners have no backlog: who connects is there at once."""
 
     @staticmethod
-    def is_quiet(transport: Any) -> bool:
+    def has_no_unread_input(transport: Any) -> bool:
         return bool(transport.is_quiet())
 
     @staticmethod
@@ -72,7 +72,7 @@
         return False
 
     @staticmethod
-    def has_ended(transport: Any) -> bool:
+    def has_peer_closed(transport: Any) -> bool:
         return bool(transport.has_ended())
 
     def boottime(self) -> float:
@@ -93,10 +93,10 @@
         """A process of a gatekeeper is the only one of its number."""
         return Plug(self.process.machine.network, self.process)
 
-    def settle(self) -> None:
+    def freeze_startup_objects(self) -> None:
         """The collector has nothing to do with the run."""
 
-    def reread(self) -> Config:
+    def reload_config(self) -> Config:
         return self._reread()
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -132,7 +132,11 @@
         self.keeper = Gatekeeper(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
         config_here = self.keeper.config
         self.front = HttpListener(
-            self.keeper, config_here.settings, config_here.sockets, Platform().has_ended, Platform().is_quiet
+            self.keeper,
+            config_here.settings,
+            config_here.sockets,
+            Platform().has_peer_closed,
+            Platform().has_no_unread_input,
         )
         self.keeper.add(self.front)
         self.keeper.listed(config_here.known)
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -159,7 +159,7 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
-            plug = Platform().listener((HOST, 0), 16)
+            plug = Platform().create_listener((HOST, 0), 16)
             server = await loop.create_server(gate.front.create_connection, sock=plug)
             plugs, address = [], plug.getsockname()
             for number in range(8):  # without a turn of the loop
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -882,7 +882,7 @@
         (one,) = gate.front.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
-        while Platform().is_quiet(one.transport):
+        while Platform().has_no_unread_input(one.transport):
             await asyncio.sleep(0)
         one.close_if_idle()
         one.transport.resume_reading()
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -317,7 +317,7 @@
         peers = Peers(
             parse_config(config(peer_listen=addresses[0], peers=addresses), {}),
             lambda number, data: heard.put_nowait((number, data)),
-            Platform().datagrams,
+            Platform().create_datagram_socket,
         )
         peers.open(loop)
         there = (HOST, int(addresses[0].rpartition(":")[2]))
@@ -325,10 +325,10 @@
         peer.sendto(bytes(257), there)
         peer.sendto(b"hello", there)
         assert await heard.get() == (1, b"hello") and heard.empty()
-        peers.tell(1, bytes(257))  # too long: not sent
-        peers.tell(9, b"nobody")
-        peers.tell(-1, b"all")  # no such address in this configuration
-        peers.tell(1, b"back")
+        peers.send(1, bytes(257))  # too long: not sent
+        peers.send(9, b"nobody")
+        peers.send(-1, b"all")  # no such address in this configuration
+        peers.send(1, b"back")
         assert await loop.sock_recv(peer, 300) == b"back"
         peers.close()
         peer.close()
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -131,7 +131,7 @@
     would tell by a reset, some time later.)"""
     (one,) = gate.front.admission.connections
     client.writer.write_eof()
-    while not Platform().has_ended(one.transport):
+    while not Platform().has_peer_closed(one.transport):
         await asyncio.sleep(0)
     return one
 
@@ -194,7 +194,7 @@
             came = await gate.script.event(RequestReceived)
             (one,) = gate.front.admission.connections
             plug.close()  # from here on the loop does not turn
-            assert Platform().has_ended(one.transport) and came.id in gate.keeper.open
+            assert Platform().has_peer_closed(one.transport) and came.id in gate.keeper.open
             gate.front.admission._last_sweep_ms = gate.keeper.clock.now() - 1000.0
             gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
             gate.keeper.notice(TimerFired("timer"))
--- a/tests/upstream/test_what_may_have_run.py
+++ b/tests/upstream/test_what_may_have_run.py
@@ -95,7 +95,7 @@
             writer.write(HEAD + b"\r\n" + part)
             await written(writer)
             reset(writer)
-            while not Platform().has_ended(transport):
+            while not Platform().has_peer_closed(transport):
                 await asyncio.sleep(0)
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
