--- a/benchmarks/budgets/trial.py
+++ b/benchmarks/budgets/trial.py
@@ -13,7 +13,7 @@
 from benchmarks.budgets.plants import CASE_OF
 from benchmarks.trials import to_the_end
 from plumpick.policy.budgets import codec
-from plumpick.policy.leases.codec import Kind, decode
+from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.supervisor import free_port
@@ -171,7 +171,11 @@
 
         def hook(_sender: int, receiver: int, data: bytes) -> float:
             word = decode(data)
-            share = word is not None and word.kind is Kind.NOTE and word.note[:1] == bytes([codec.SHARE])
+            share = (
+                word is not None
+                and word.kind is MessageKind.PAYLOAD
+                and word.payload[:1] == bytes([codec.SHARE])
+            )
             return by(receiver) if share else 0.0
 
         self.tier.relay.hook = hook
--- a/benchmarks/budgets/ways.py
+++ b/benchmarks/budgets/ways.py
@@ -23,7 +23,7 @@
 from plumpick.policy.budgets.holder import Bucket
 from plumpick.policy.budgets.ledger import INBOX_PER_S, Book
 from plumpick.policy.budgets.terms import WITHIN, Budget, Kind
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.terms import LeaseTerms
 
 STEP_MS, SECONDS, WARM_S = 20.0, 40.0, 6.0
 SHARE_MS = 1200.0
@@ -178,7 +178,7 @@
         self.world = world
         self.share_ms = max(SHARE_MS, 2000.0 * world.count / INBOX_PER_S)
         self.term_ms = self.share_ms / WITHIN
-        self.terms = Terms(tuple(range(min(3, world.count))), slots=1, term_ms=self.term_ms)
+        self.terms = LeaseTerms(tuple(range(min(3, world.count))), slots=1, term_ms=self.term_ms)
         self.books = [self._book(number) for number in range(world.count)]
         self.lives, self.token, self.owner = list(range(world.count)), 0, -1
         self.born = [0] * world.count
@@ -204,10 +204,10 @@
                 self.born[number], self.lives[number] = born, self.lives[number] + 1000
                 self.books[number] = self._book(number)
         # A majority of the voters has to be there, and to hear the owner.
-        voters = [one for one in self.terms.voters if world.up[one]]
+        voters = [one for one in self.terms.acceptors if world.up[one]]
         cut = self.owner >= 0 and 2 * sum(
             (one in world.side) == (self.owner in world.side) for one in voters
-        ) <= len(self.terms.voters)
+        ) <= len(self.terms.acceptors)
         if self.owner >= 0 and (not world.up[self.owner] or cut):
             if world.up[self.owner]:
                 self.books[self.owner].lost(0)
@@ -218,7 +218,7 @@
                 for one in range(world.count)
                 if world.up[one]
                 and 2 * sum((voter in world.side) == (one in world.side) for voter in voters)
-                > len(self.terms.voters)
+                > len(self.terms.acceptors)
             ]
             if able:
                 self.owner, self.token = able[0], self.token + 1
@@ -242,7 +242,7 @@
                     )
 
     def _hear(self, sender: int, life: int, receiver: int, note: bytes) -> None:
-        knows = self.owner if receiver in self.terms.voters and self.owner >= 0 else None
+        knows = self.owner if receiver in self.terms.acceptors and self.owner >= 0 else None
         self.books[receiver].heard(
             self.world.now, sender, life, note, self.lives[receiver], lambda _slot: knows
         )
--- a/benchmarks/ownership/plants.py
+++ b/benchmarks/ownership/plants.py
@@ -7,17 +7,17 @@
 from typing import Any
 
 from plumpick.policy.leases import participant as members
-from plumpick.policy.leases.lease_holder import Holder
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.lease_holder import LeaseHolder
+from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.simulation.exploration import leases
 
 
 def _voter(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "Voter", bug)
+    return lambda: setattr(members, "Acceptor", bug)
 
 
 def _holder(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "Holder", bug)
+    return lambda: setattr(members, "LeaseHolder", bug)
 
 
 def _looks_never() -> None:
@@ -32,12 +32,12 @@
 
 def _never_outdoes() -> None:
     """What a receiver says of larger tokens is not heard, and tokens begin at nothing."""
-    Holder.outdo = lambda self, now_ms, lease, counter: None  # type: ignore[method-assign]
+    LeaseHolder.on_larger_token = lambda self, *_: None  # type: ignore[method-assign]
 
 
 def _alone() -> None:
     """One voter's word is enough."""
-    Terms.majority = property(lambda self: 1)  # type: ignore[assignment, misc]
+    LeaseTerms.quorum = property(lambda self: 1)  # type: ignore[assignment, misc]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -12,7 +12,7 @@
 
 from benchmarks.ownership.plants import CASE_OF
 from benchmarks.trials import to_the_end
-from plumpick.policy.leases.codec import Kind, decode
+from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Judged, Tier, TooLate, judge
@@ -152,10 +152,14 @@
             ) -> float | None:
                 word = decode(data)
                 if receiver == number:
-                    return part * self.term_s * 1000 if word is not None and word.kind is Kind.ANSWER else 0.0
+                    return (
+                        part * self.term_s * 1000
+                        if word is not None and word.kind is MessageKind.RESPONSE
+                        else 0.0
+                    )
                 if sender != number:
                     return 0.0
-                if word is None or word.kind is not Kind.ASK:
+                if word is None or word.kind is not MessageKind.REQUEST:
                     return None
                 if receiver in passed or word.serial > min(passed.values(), default=word.serial):
                     return None
@@ -198,7 +202,7 @@
 
         def hook(sender: int, receiver: int, data: bytes) -> float:
             word = decode(data)
-            if sender == one and word is not None and word.kind is Kind.GIVE:
+            if sender == one and word is not None and word.kind is MessageKind.RELEASE:
                 gives.append((receiver, data))
             return 0.0
 
--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -28,10 +28,12 @@
 
     from plumpick.policy.scheduled_tasks import Duties, Duty
 
-    rig = Rig(1, gateways=gateways, term_ms=6000, slots=SLOTS, voters=(0, gateways // 3, 2 * gateways // 3))
+    rig = Rig(
+        1, gateways=gateways, term_ms=6000, slots=SLOTS, acceptors=(0, gateways // 3, 2 * gateways // 3)
+    )
     rig.delay, rig.loss = (2.0, 40.0), 0.03
     rig.run(90_000, judge=False)
-    voters, owners = set(rig.terms.voters), {rig.holder(lease) for lease in range(SLOTS)}
+    voters, owners = set(rig.terms.acceptors), {rig.holder(lease) for lease in range(SLOTS)}
     sent: dict[int, list[int]] = defaultdict(lambda: [0, 0])
     taken: dict[int, int] = defaultdict(int)
     cpu: dict[int, float] = defaultdict(float)
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -26,20 +26,26 @@
 from plumpick.policy.budgets.ledger import Book
 from plumpick.policy.budgets.matching import Matching
 from plumpick.policy.events import RequestReceived
-from plumpick.policy.leases.lease_holder import Gained, Lost, Refused, Yield
-from plumpick.policy.leases.participant import (
-    Came,
+from plumpick.policy.leases.actions import (
+    DeliverPayload,
+    LeaseAcquired,
+    LeaseDenied,
+    LeaseLost,
+    LeaseYieldRequested,
+    LossReason,
+    SendMessage,
+    WriteLog,
+)
+from plumpick.policy.leases.events import (
     Event,
-    Give,
-    Leaving,
-    Member,
-    Note,
-    Outdone,
-    Say,
-    Tell,
-    WantTurn,
+    LargerTokenSeen,
+    MessageReceived,
+    ReleaseRequested,
+    RestartPermitWanted,
+    ShutdownStarted,
 )
-from plumpick.policy.leases.rate_limit import Pace
+from plumpick.policy.leases.participant import LeaseParticipant
+from plumpick.policy.leases.rate_limit import PeerRateLimit
 from plumpick.policy.scheduled_tasks import Duties
 
 STILL_MS = 1000.0  # a stall of so long is worth a line
@@ -67,7 +73,7 @@
         self._config, self._settings, self._loop, self._system = config, settings, loop, system
         self._tell, self._order = tell, order
         self._chance = Random(config.seed ^ 0xD5)
-        self._pace = Pace()
+        self._rate_limit = PeerRateLimit()
         self._receivers = {one.duty.name: one for one in settings.duties}
         self._tallies = {
             one.duty.name: usage_report.Tally(one.duty.period_ms, system.unix_ms())
@@ -79,7 +85,7 @@
         self._duties = Duties(tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance)
         self.book: Book | None = None  # and in budgets, where some are named
         self._matching = Matching([one.rule for one in settings.budgets])
-        self.member: Member | None = None  # this process's part in the leases
+        self.member: LeaseParticipant | None = None  # this process's part in the leases
         self._runs: dict[str, asyncio.Task[None]] = {}  # by duty
         self._gathering: dict[
             str, tuple[int, usage_report.Gathering]
@@ -98,7 +104,7 @@
     def open(self, state: dict[str, Any] | None = None) -> None:
         """Take part, from the state of the process before if there is one."""
         now = self._system.boottime()
-        self.member = Member(
+        self.member = LeaseParticipant(
             self._settings.terms,
             self._config.settings.gateway_number,
             self._config.settings.gateway_count,
@@ -106,7 +112,7 @@
             self._chance,
             now,
             self._system.unix_ms(),
-            votes=False,
+            accepts=False,
         )
         if self._settings.budgets:
             self.book = Book(
@@ -126,7 +132,7 @@
         self._try_guard(first=True)
         if state is not None:
             try:
-                self.member.inherit(now, state["leases"], votes=self._guard is not None)
+                self.member.restore(now, state["leases"], accepts=self._guard is not None)
                 for name, rows in state["use"].items():
                     if name in self._tallies:
                         self._tallies[name].inherit(rows)
@@ -144,7 +150,7 @@
         """Two processes with one voter's number would each give its word, and each spend a budget's floor:
         one of them has to wait."""
         self._guard_timer = None
-        member, votes = self.member, self._config.settings.gateway_number in self._settings.terms.voters
+        member, votes = self.member, self._config.settings.gateway_number in self._settings.terms.acceptors
         if member is None or member.closed or not (votes or self.book):
             return
         self._guard = self._system.guard(self._config.peer_listen)
@@ -156,7 +162,7 @@
                 )
             self._guard_timer = self._loop.call_later(GUARD_S, self._try_guard)
             return
-        member.vote(self._system.boottime())
+        member.become_acceptor(self._system.boottime())
         if self.book is not None:
             self.book.open_floors(self._system.boottime())
         if not first:
@@ -176,13 +182,13 @@
         self._duties.leave()
         if self.book is not None:
             self.book.yields(set(range(self._settings.terms.slots)))
-        self._step([Leaving()])
+        self._step([ShutdownStarted()])
 
     def hand_over(self) -> dict[str, Any]:
         """What the next process goes on from; this one has no part any more."""
         assert self.member is not None
         state = {
-            "leases": self.member.estate(),
+            "leases": self.member.capture(),
             "drained": self.turn_drained,
             "use": {name: tally.estate() for name, tally in self._tallies.items()},
         }
@@ -215,7 +221,7 @@
 
     def heard(self, sender: int, data: bytes) -> None:
         """A datagram about leases has come."""
-        self._step([Came(sender, data)])
+        self._step([MessageReceived(sender, data)])
 
     def count(self, plan: str, outcome: int, units: float) -> None:
         """A request has its final answer."""
@@ -235,9 +241,9 @@
 
     def want_turn(self, wanted: bool) -> str:
         """Be out when it is our turn, or no longer; what is wrong with that, or nothing."""
-        if not self._settings.terms.turns:
+        if not self._settings.terms.restart_permits:
             return "there are no turns: fleet.turns in the operator's file is 0"
-        self._step([WantTurn(wanted)])
+        self._step([RestartPermitWanted(wanted)])
         return ""
 
     # -- a step
@@ -253,7 +259,7 @@
         try:
             now = system.boottime()
             if self.book is not None:
-                member.holder.lent = self.book.lent(now)
+                member.holder.pinned = self.book.lent(now)
             if now - self._due_ms > STILL_MS:
                 log.warning("duties: this process stood still for %.1f s", (now - self._due_ms) / 1000)
             todo: list[Event] | None = events or []
@@ -265,7 +271,7 @@
                     self._duties.kept = self.book.lent(now)
                 for act in self._duties.handle(now, system.unix_ms()):
                     if isinstance(act, plans.GiveBack):
-                        gives.append(Give(act.slot))
+                        gives.append(ReleaseRequested(act.slot))
                     else:
                         self._run_or_stop(act)
                 todo = gives or None
@@ -286,20 +292,20 @@
             delay_ms = math.ceil(min(60_000.0, max(1.0, self._due_ms - now)))
             self._timer = self._loop.call_later(delay_ms / 1000, self._step)
 
-    def _say(self, now: float, tell: Tell, leases: bool = False) -> None:
-        if self._pace.allows(now, tell.receiver, leases):
+    def _say(self, now: float, tell: SendMessage, leases: bool = False) -> None:
+        if self._rate_limit.allow(now, tell.receiver, leases):
             self._tell(tell.receiver, tell.data)
 
     def _carry(self, now: float, action: Any) -> None:  # noqa: C901  (to be split by concern)
         terms = self._settings.terms
         match action:
-            case Tell():
+            case SendMessage():
                 self._say(now, action, leases=True)
-            case Note():
+            case DeliverPayload():
                 self._note(now, action)
-            case Say():
-                (log.warning if action.warning else log.info)(action.text)
-            case Gained():
+            case WriteLog():
+                (log.warning if action.is_warning else log.info)(action.text)
+            case LeaseAcquired():
                 if action.lease >= terms.slots:
                     self._out(action.token)
                     return
@@ -313,23 +319,26 @@
                 self._duties.gained(now, action.lease, action.token)
                 if self.book is not None:
                     self.book.gained(now, action.lease, action.token)
-            case Lost():
+            case LeaseLost():
                 log.info(
-                    "duties: slot %d is no longer ours, token %x: %s", action.lease, action.token, action.why
+                    "duties: slot %d is no longer ours, token %x: %s",
+                    action.lease,
+                    action.token,
+                    action.reason,
                 )
                 if action.lease >= terms.slots:
-                    self._back(action.why)
+                    self._back(action.reason)
                 else:
                     if self.book is not None:
                         self.book.lost(action.lease)
-                    self._duties.lost(now, action.lease, action.why)
-            case Yield():
+                    self._duties.lost(now, action.lease, action.reason)
+            case LeaseYieldRequested():
                 if action.lease < terms.slots:
                     self._duties.yields(action.lease)
                     if self.book is not None:
                         self.book.yields({action.lease})
-            case Refused():
-                log.debug("duties: slot %d was not to be had: %s", action.lease, action.why)
+            case LeaseDenied():
+                log.debug("duties: slot %d was not to be had: %s", action.lease, action.reason)
 
     # -- budgets
 
@@ -386,9 +395,17 @@
             notes, book.to_send = book.to_send, []
             for number, data in notes:
                 if number == self._config.settings.gateway_number:
-                    book.heard(now, number, member.life, data, member.life, self._holder_of, self._end_of)
+                    book.heard(
+                        now,
+                        number,
+                        member.incarnation,
+                        data,
+                        member.incarnation,
+                        self._holder_of,
+                        self._end_of,
+                    )
                 else:
-                    self._say(now, member.note(now, number, data))
+                    self._say(now, member.payload_message(now, number, data))
         for line in book.faults:
             log.warning("duties: %s", line)
         book.faults.clear()
@@ -398,15 +415,15 @@
         member = self.member
         grant = (
             None
-            if member is None or member.voter is None
-            else (member.voter.holder(self._system.boottime(), slot))
+            if member is None or member.acceptor is None
+            else (member.acceptor.active_grant(self._system.boottime(), slot))
         )
         return None if grant is None else grant.owner[0]
 
     def _end_of(self, slot: int) -> float:
         """When our lease on a slot ends, by our clock."""
         held = None if self.member is None else self.member.holder.held.get(slot)
-        return -math.inf if held is None else held.asked_ms + self._settings.terms.term_ms
+        return -math.inf if held is None else held.requested_ms + self._settings.terms.term_ms
 
     # -- turns for planned restarts
 
@@ -417,11 +434,11 @@
         if wrong:
             log.warning("duties: DRAIN: %s", wrong)
 
-    def _back(self, why: str) -> None:
+    def _back(self, why: LossReason) -> None:
         if not self.turn_drained:
             return
         self.turn_drained = False
-        if why != "given back":
+        if why is not LossReason.RELEASED:
             log.warning("duties: our turn has ended (%s): clients are taken again", why)
         wrong = self._order("UNDRAIN")
         if wrong:
@@ -435,7 +452,7 @@
         if member is None or member.closed:
             return False
         held, now = member.holder.held.get(slot), self._system.boottime()
-        return held is not None and held.token == token and now < member.holder.stop_ms(slot)
+        return held is not None and held.token == token and now < member.holder.usable_until_ms(slot)
 
     def _run_or_stop(self, act: Any) -> None:
         name = act.duty.name
@@ -482,7 +499,7 @@
         else:
             log.debug("duties: %s, period %d: done, token %x", name, start.period, start.token)
         self._duties.ended(self._system.boottime(), name, start.period, wrong)
-        self._step([Outdone(start.slot, outdone)] if outdone is not None else [])
+        self._step([LargerTokenSeen(start.slot, outdone)] if outdone is not None else [])
 
     # -- the fleet's use
 
@@ -501,7 +518,7 @@
                         assert said is not None
                         gathering.heard(number, said)
                 else:
-                    self._say(now, member.note(now, number, usage_report.asking(tag, period)))
+                    self._say(now, member.payload_message(now, number, usage_report.asking(tag, period)))
             await asyncio.sleep(GATHER_S)
         sums, gaps = gathering.result(settings.duty.period_ms)
         span_ms = settings.duty.period_ms
@@ -526,11 +543,17 @@
     def _told(self, name: str, tag: int, period: int) -> list[bytes]:
         return usage_report.telling(tag, period, *self._tallies[name].told(self._system.unix_ms(), period))
 
-    def _note(self, now: float, note: Note) -> None:
+    def _note(self, now: float, note: DeliverPayload) -> None:
         if note.data[:1] in SHARES:
             if self.book is not None and self.member is not None:
                 self.book.heard(
-                    now, note.sender, note.life, note.data, self.member.life, self._holder_of, self._end_of
+                    now,
+                    note.sender,
+                    note.incarnation,
+                    note.data,
+                    self.member.incarnation,
+                    self._holder_of,
+                    self._end_of,
                 )
             return
         said, member = usage_report.read(note.data), self.member
@@ -539,7 +562,7 @@
             return
         if said.kind == usage_report.ASK:
             for data in self._told(name, said.tag, said.period):
-                self._say(now, member.note(now, note.sender, data))
+                self._say(now, member.payload_message(now, note.sender, data))
             return
         period, gathering = self._gathering.get(name, (-1, None))
         if gathering is not None and period == said.period:
@@ -606,27 +629,27 @@
                         lease,
                         self._config.settings.gateway_number,
                         f"{held.token:x}",
-                        round(now - held.since_ms),
-                        round(holder.stop_ms(lease) - now),
+                        round(now - held.acquired_ms),
+                        round(holder.usable_until_ms(lease) - now),
                         "",
                     ]
                 )
                 continue
-            grant = member.voter.holder(now, lease) if member.voter is not None else None
+            grant = member.acceptor.active_grant(now, lease) if member.acceptor is not None else None
             if grant is not None:
                 leases.append(
-                    [lease, grant.owner[0], f"{grant.token:x}", None, round(grant.until_ms - now), ""]
+                    [lease, grant.owner[0], f"{grant.token:x}", None, round(grant.expires_ms - now), ""]
                 )
             else:
-                why = member.refusals.get(lease, "")
-                if member.voter is not None and now < member.voter.silent_until_ms:
+                why = member.not_held_reasons.get(lease, "")
+                if member.acceptor is not None and now < member.acceptor.silent_until_ms:
                     why = "this voter is silent after its start"
                 leases.append([lease, None, "", None, None, why])
         return False, json.dumps(
             {
                 "gatekeeper": self._config.name,
-                "voters": list(terms.voters),
-                "votes": member.voter is not None,
+                "voters": list(terms.acceptors),
+                "votes": member.acceptor is not None,
                 "slots": terms.slots,
                 "pages": max(1, math.ceil(len(names) / PAGE)),
                 "leases": leases,
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -13,7 +13,7 @@
 from plumpick.policy.budgets.ledger import INBOX_PER_S
 from plumpick.policy.budgets.matching import Rule
 from plumpick.policy.budgets.terms import Budget, BudgetError, Kind
-from plumpick.policy.leases.terms import Terms, TermsError
+from plumpick.policy.leases.terms import LeaseTerms, LeaseTermsError
 from plumpick.policy.scheduled_tasks import Duty
 from plumpick.policy.settings_parser import SettingsError
 from plumpick.policy.usage_report import longest_ms
@@ -53,7 +53,7 @@
 class FleetSettings:
     """What is done on behalf of the fleet."""
 
-    terms: Terms
+    terms: LeaseTerms
     duties: tuple[DutySettings, ...]
     budgets: tuple[BudgetSettings, ...] = ()
     share_ms: float = 2000.0  # so long a share of a budget lasts
@@ -210,7 +210,7 @@
     if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
         raise ConfigError(f"{path}.voters: {voters} are not all numbers from 0 to {gateways - 1}")
     try:
-        terms = Terms(
+        terms = LeaseTerms(
             tuple(voters),
             keys.get("slots", int, 12),
             keys.get("turns", int, 0),
@@ -224,7 +224,7 @@
                 )
             ),
         )
-    except TermsError as problem:
+    except LeaseTermsError as problem:
         raise ConfigError(f"{path}.{problem}") from problem
     return FleetSettings(terms, duties, budgets, share_ms)
 
--- a/plumpick/policy/budgets/bounds.py
+++ b/plumpick/policy/budgets/bounds.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from plumpick.policy.budgets.terms import Budget, ends_within, longer
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.terms import LeaseTerms
 
 WINDOWS_S = (1.0, 10.0, 60.0)
 VACANT_TERMS = 2.0  # within so many lease terms a slot has a next owner (ownership, promise 4)
@@ -26,18 +26,18 @@
     sure: float
 
 
-def gap_s(terms: Terms, share_ms: float) -> float:
+def gap_s(terms: LeaseTerms, share_ms: float) -> float:
     """How long at most floors alone serve after a divider's death, while a majority of voters hear one
     another: the vacancy, and a share's term more where shares may outlive leases."""
-    wait_ms = 0.0 if ends_within(share_ms, terms.term_ms) else longer(share_ms, terms.drift)
+    wait_ms = 0.0 if ends_within(share_ms, terms.term_ms) else longer(share_ms, terms.drift_ratio)
     return (VACANT_TERMS * terms.term_ms + wait_ms) / 1000
 
 
-def table(budget: Budget, gateways: int, terms: Terms, share_ms: float) -> list[BudgetBound]:
+def table(budget: Budget, gateways: int, terms: LeaseTerms, share_ms: float) -> list[BudgetBound]:
     """All states and windows. A burst that is there at the window's begin is not counted as sure, and where a
     part of the burst holds no whole request nothing is (divider.Divider._in_turn)."""
     rows = []
-    slower = 1 / (1 + terms.drift)
+    slower = 1 / (1 + terms.drift_ratio)
     floors = sum(budget.floor_of(number, gateways) for number in range(gateways)) * slower
     one = budget.floor_of(gateways - 1, gateways) * slower
     whole = floors + budget.lendable(gateways) * slower
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from plumpick.policy.budgets.holder import Share
-from plumpick.policy.leases.codec import MAX_NOTE
+from plumpick.policy.leases.codec import MAX_PAYLOAD_BYTES
 
 # The first byte; the notes of use begin otherwise (usage.py).
 ASK, SHARE, WHERE, MINE, FIGURES = 0x21, 0x22, 0x23, 0x24, 0x25
@@ -19,8 +19,8 @@
 _SHARE_ROW = struct.Struct(">HIdddI")  # budget, serial, amount, burst, level, mark
 _WHERE = struct.Struct(">BHH")  # kind, slot, number of who has it
 _FIGURES = struct.Struct(">BHdd")  # kind, budget, whole, burst
-ASK_ROWS = (MAX_NOTE - 1) // _ASK_ROW.size
-SHARE_ROWS = (MAX_NOTE - _SHARE_HEAD.size) // _SHARE_ROW.size
+ASK_ROWS = (MAX_PAYLOAD_BYTES - 1) // _ASK_ROW.size
+SHARE_ROWS = (MAX_PAYLOAD_BYTES - _SHARE_HEAD.size) // _SHARE_ROW.size
 
 
 @dataclass(frozen=True, slots=True)
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -20,7 +20,7 @@
 from plumpick.policy.budgets.codec import Asked, Figures, Shares, Where, asking, figures, read, sharing, where
 from plumpick.policy.budgets.holder import Askings, RateHolder, Share
 from plumpick.policy.budgets.terms import Budget, ends_within
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.policy.scheduled_tasks import slot_of
 
 ASK_PART = 0.25  # of a share's term, between two askings; where more is wanted,
@@ -77,7 +77,7 @@
         budgets: tuple[Budget, ...],
         number: int,
         gateways: int,
-        terms: Terms,
+        terms: LeaseTerms,
         share_ms: float,
         chance: Random,
         now_ms: float,
@@ -89,7 +89,7 @@
                 place,
                 slot_of(budget.name, terms.slots),
                 budget,
-                RateHolder(budget, number, gateways, now_ms, share_ms, terms.drift),
+                RateHolder(budget, number, gateways, now_ms, share_ms, terms.drift_ratio),
                 Askings(),
             )
             for place, budget in enumerate(budgets)
@@ -112,7 +112,7 @@
         self._hurry_ms, self._hurried = self._gap_ms, False  # the least pause before an early one
         self._at: dict[int, int] = {}  # slot: who is thought to have it
         self._unanswered: dict[int, int] = {}  # slot: askings since the last answer
-        self._turn = chance.randrange(len(terms.voters))  # which voter is asked next
+        self._turn = chance.randrange(len(terms.acceptors))  # which voter is asked next
         self._ask_ms = math.inf
         self.to_send: list[tuple[int, bytes]] = []  # notes: to whom, what
         self.faults: list[str] = []  # lines for the log
@@ -180,7 +180,13 @@
         for name in self._by_slot.get(slot, ()):
             self.mine[name].lower.clear()
             self.dividers[name] = Divider(
-                self.mine[name].own, self.gateways, now_ms, token, self.share_ms, self.terms.drift, from_ms
+                self.mine[name].own,
+                self.gateways,
+                now_ms,
+                token,
+                self.share_ms,
+                self.terms.drift_ratio,
+                from_ms,
             )
 
     def yields(self, slots: set[int]) -> None:
@@ -418,8 +424,8 @@
         if number is not None and tried < TRIES:
             return number
         self._at.pop(slot, None)
-        self._turn = (self._turn + 1) % len(self.terms.voters)
-        return self.terms.voters[self._turn]
+        self._turn = (self._turn + 1) % len(self.terms.acceptors)
+        return self.terms.acceptors[self._turn]
 
     def next_ms(self) -> float:
         """When `due` has something to do, or a slot can be given back."""
--- a/plumpick/policy/leases/__init__.py
+++ b/plumpick/policy/leases/__init__.py
@@ -1,6 +1,6 @@
-"""Leases and tokens: who owns a duty of the fleet, until when, under which token. No I/O, no clock.
+"""Leases with fencing tokens: which gateway owns a scheduled task or a budget, until when, under which token.
 
-terms.py: the figures that bind; words.py: bytes; voter.py: one voter's word; caller.py: whom a voter asks
-to take what is free; holder.py: what this process holds and asks for; rates.py: clocks that run too far
-apart; member.py: all of it together, events in, actions out. docs/design/ownership.md numbers the promises
-and says why."""
+No I/O and no clock. terms.py: the agreed parameters, and tokens; codec.py: the datagrams; acceptor.py: one
+acceptor's votes; nomination.py: whom an acceptor invites to take a free lease; lease_holder.py: what this
+process holds and requests; clock_rates.py: clocks that drift too far apart; participant.py: all of it behind
+`LeaseParticipant.handle(now_ms, events) -> actions`. docs/design/ownership.md numbers the guarantees."""
--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -1,107 +1,123 @@
-"""One voter's word on each lease: it gives it to one at a time, and keeps it for longer than who has it
-counts.
+"""One acceptor's votes: it grants each lease to one process at a time, for longer than that process counts.
 
-Guards against: a voter that comes back and has forgotten what it gave (silent for the longest term); words
-that come late, twice or in another order (each asking has a serial, which only grows in a life); a token
-that comes back smaller (who asks has to be above all that this life of the voter has given)."""
+Guards against: an acceptor that restarts and has forgotten its grants (it grants nothing for the longest
+term); messages that come late, twice or out of order (each request has a serial, which only grows in an
+incarnation); a token that gets smaller (a request has to be above all that this incarnation of the acceptor
+has granted)."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from plumpick.policy.leases.codec import NOBODY, Verdict
-from plumpick.policy.leases.terms import Terms, counter_of, owner_of, token_of
+from plumpick.policy.leases.codec import NO_HOLDER, LeaseVote, Vote
+from plumpick.policy.leases.terms import LeaseTerms, fencing_token, token_counter, token_owner
 
-FRESH_MS = 1000.0
+RECENT_GRANT_MS = 1000.0
 
-Owner = tuple[int, int]  # number, life
+Owner = tuple[int, int]  # gateway's number, incarnation
 
 
 @dataclass(slots=True)
 class Grant:
-    """The word that was given."""
+    """A lease that this acceptor has granted."""
 
     token: int
-    serial: int  # of the asking that it answered last
-    until_ms: float
-    since_ms: float = 0.0
+    serial: int  # of the latest request that it answered
+    expires_ms: float
+    granted_ms: float = 0.0
 
     @property
     def owner(self) -> Owner:
-        return owner_of(self.token)
+        """To whom it is granted."""
+        return token_owner(self.token)
 
 
-class Voter:
-    """Tables: one entry for each lease, of which there are `terms.leases`; they stay."""
+class Acceptor:
+    """Owns one grant, highest token and last release for each lease, of which there are `terms.leases`."""
 
-    def __init__(self, terms: Terms, now_ms: float) -> None:
+    def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         self._terms = terms
         self.silent_until_ms = now_ms + terms.silence_ms
         self.grants: dict[int, Grant] = {}
-        self.highest: dict[int, int] = {}  # the largest token given in this life
-        self.given_back: dict[int, tuple[Owner, int]] = {}  # the last one's, with the serial of its word
+        self.highest_tokens: dict[int, int] = {}  # granted in this incarnation
+        self.releases: dict[int, tuple[Owner, int]] = {}  # the last one, and its serial
 
-    def ask(
+    def on_request(
         self, now_ms: float, lease: int, owner: Owner, counter: int, serial: int
-    ) -> tuple[Verdict, int, int] | None:
-        """The verdict, the counter to be above, and the number of who has the lease. None: it is no asking of
-        now, and there is nothing to say."""
+    ) -> LeaseVote | None:
+        """The vote on a request to grant or renew a lease; None: it is stale or invalid, and gets no
+        reply."""
         if not 0 <= lease < self._terms.leases or not 0 < counter < 1 << 48:
             return None
         if now_ms < self.silent_until_ms:
-            return Verdict.SILENT, 0, NOBODY
-        back = self.given_back.get(lease)
-        if back is not None and back[0] == owner and serial <= back[1]:
-            return None  # it has said since that it does not want it
-        grant, token = self.holder(now_ms, lease), token_of(counter, *owner)
+            return LeaseVote(lease, Vote.SILENT, False, 0, NO_HOLDER)
+        if self._is_released_since(lease, owner, serial):
+            return None
+        grant = self.active_grant(now_ms, lease)
+        highest = self.highest_tokens.get(lease, 0)
         if grant is not None and grant.owner != owner:
-            return Verdict.HELD, counter_of(self.highest.get(lease, 0)), grant.owner[0]
-        highest = self.highest.get(lease, 0)
+            recent = self._is_recent(now_ms, grant)
+            return LeaseVote(lease, Vote.HELD_BY_OTHER, recent, token_counter(highest), grant.owner[0])
+        token = fencing_token(counter, *owner)
         if token < highest:
-            return Verdict.BEHIND, counter_of(highest), grant.owner[0] if grant else NOBODY
+            holder = grant.owner[0] if grant else NO_HOLDER
+            return LeaseVote(lease, Vote.STALE_COUNTER, False, token_counter(highest), holder)
+        self._grant(now_ms, lease, grant, token, serial)
+        return LeaseVote(lease, Vote.GRANTED, False, counter, owner[0])
+
+    def _is_released_since(self, lease: int, owner: Owner, serial: int) -> bool:
+        """Whether the owner released the lease after this request."""
+        release = self.releases.get(lease)
+        return release is not None and release[0] == owner and serial <= release[1]
+
+    def _grant(self, now_ms: float, lease: int, grant: Grant | None, token: int, serial: int) -> None:
         if grant is None:
             grant = self.grants[lease] = Grant(token, serial, 0.0, now_ms)
-        grant.token, grant.serial = token, max(grant.serial, serial)
-        grant.until_ms = max(grant.until_ms, now_ms + self._terms.voter_ms())
-        self.highest[lease] = token
-        return Verdict.YES, counter, owner[0]
+        grant.token = token
+        grant.serial = max(grant.serial, serial)
+        grant.expires_ms = max(grant.expires_ms, now_ms + self._terms.acceptor_hold_ms())
+        self.highest_tokens[lease] = token
 
-    def is_fresh(self, now_ms: float, lease: int) -> bool:
-        """Whether who has our word has it since just now: it may not have a majority yet."""
-        grant = self.grants.get(lease)
-        return grant is not None and now_ms - grant.since_ms < FRESH_MS
+    def _is_recent(self, now_ms: float, grant: Grant) -> bool:
+        """Whether the holder may not have its quorum yet."""
+        return now_ms - grant.granted_ms < RECENT_GRANT_MS
 
-    def give(self, lease: int, owner: Owner, serial: int) -> bool:
-        """Whether the lease came free. One that was asked for anew meanwhile stays."""
+    def on_release(self, lease: int, owner: Owner, serial: int) -> bool:
+        """Whether the release freed the lease. A grant that was requested anew since then stays."""
         if not 0 <= lease < self._terms.leases:
             return False
-        grant, back = self.grants.get(lease), self.given_back.get(lease)
+        grant = self.grants.get(lease)
+        release = self.releases.get(lease)
         if grant is not None and grant.owner == owner and serial < grant.serial:
             return False
-        if back is None or back[0] != owner or back[1] < serial:
-            self.given_back[lease] = owner, serial
+        if release is None or release[0] != owner or release[1] < serial:
+            self.releases[lease] = owner, serial
         if grant is None or grant.owner != owner:
             return False
         del self.grants[lease]
         return True
 
-    def holder(self, now_ms: float, lease: int) -> Grant | None:
-        """Who has our word, if it has not ended."""
+    def active_grant(self, now_ms: float, lease: int) -> Grant | None:
+        """The grant of a lease, unless it has expired."""
         grant = self.grants.get(lease)
-        return grant if grant is not None and now_ms < grant.until_ms else None
+        return grant if grant is not None and now_ms < grant.expires_ms else None
+
+    def expire_grants(self, now_ms: float) -> set[Owner]:
+        """Drop the grants that have expired; whose they were. None while this acceptor is silent."""
+        if now_ms < self.silent_until_ms:
+            return set()
+        expired = [lease for lease, grant in self.grants.items() if now_ms >= grant.expires_ms]
+        return {self.grants.pop(lease).owner for lease in expired}
 
-    def free(self, now_ms: float) -> tuple[list[int], set[Owner]]:
-        """The slots that nobody has our word for (none while we are silent), and who let one of them end
-        without a word. A word that has ended is forgotten here."""
+    def free_slots(self, now_ms: float) -> list[int]:
+        """The slots that this acceptor has granted to nobody; none while it is silent."""
         if now_ms < self.silent_until_ms:
-            return [], set()
-        ended = [lease for lease, grant in self.grants.items() if now_ms >= grant.until_ms]
-        gone = {self.grants.pop(lease).owner for lease in ended}
-        return [lease for lease in range(self._terms.slots) if lease not in self.grants], gone
-
-    def next_ms(self, now_ms: float) -> float:
-        """When something may come free by its end."""
-        ends = [grant.until_ms for grant in self.grants.values() if grant.until_ms > now_ms]
+            return []
+        return [lease for lease in range(self._terms.slots) if lease not in self.grants]
+
+    def next_due_ms(self, now_ms: float) -> float:
+        """When a lease may become free because a grant expires or the silence ends."""
+        times = [grant.expires_ms for grant in self.grants.values() if grant.expires_ms > now_ms]
         if now_ms < self.silent_until_ms:
-            ends.append(self.silent_until_ms)
-        return min(ends, default=float("inf"))
+            times.append(self.silent_until_ms)
+        return min(times, default=float("inf"))
--- a/plumpick/policy/leases/codec.py
+++ b/plumpick/policy/leases/codec.py
@@ -1,7 +1,8 @@
-"""The bytes that gatekeepers send each other about leases, at most 256.
+"""The datagrams that gateways send each other about leases, at most 256 bytes each.
 
-Each begins with MAGIC, which no version of the quotas' messages does (messages.py), so that a process that
-knows nothing of leases throws it away as unreadable."""
+Each begins with MAGIC, with which no message about quotas begins (peer_messages.py), so that a process
+without leases drops it as unreadable. `decode` returns None for bytes that are no such message; the caller
+drops them."""
 
 from __future__ import annotations
 
@@ -9,97 +10,119 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from plumpick.policy.leases.terms import MOST_LEASES
+from plumpick.policy.leases.terms import MAX_LEASES
 
 MAGIC = 0xD5
-MAX_BYTES = 256
-_HEAD = struct.Struct(">BBHIIII")  # magic, kind, digest, life, serial, clock, life of who is answered
-_ASKED = struct.Struct(">HHI")  # lease, and the counter in two parts
-_ANSWERED = struct.Struct(">HBHIH")  # lease, verdict, the counter in two parts, number of who has it
-MAX_NOTE = MAX_BYTES - _HEAD.size
-NOBODY = 0xFFFF
-
-
-class Kind(IntEnum):
-    """What a message is for."""
-
-    ASK = 1  # to a voter: I want these leases, or to keep them
-    GIVE = 2  # to a voter: I want them no longer
-    ANSWER = 3  # from a voter
-    CALL = 4  # from a voter: these are free; take them
-    HERE = 5  # to a voter: I am there; serial 1: and leaving
-    NOTE = 6  # business of a duty: `note`
-
-
-class Verdict(IntEnum):
-    """A voter's word on one lease."""
-
-    YES = 0
-    HELD = 1  # another has it
-    BEHIND = 2  # the counter is not above the one told
-    SILENT = 3  # it may have given its word in a life that it has forgotten
-
-
-class Word(NamedTuple):
-    """One message."""
-
-    kind: Kind
-    digest: int
-    life: int  # of the sender
-    serial: int  # of an asking; an answer has its asking's
-    clock: int  # the sender's, in ms, modulo 2^32
-    to_life: int = 0  # of who is answered
-    asked: tuple[tuple[int, int], ...] = ()  # lease, counter; for CALL the counter is 0
-    # Lease, verdict, whether somebody better is there (YES) or the holder is fresh (HELD), counter, holder.
-    answered: tuple[tuple[int, Verdict, bool, int, int], ...] = ()
-    note: bytes = b""
-
-
-def encode(word: Word) -> bytes:
-    """The message."""
-    parts = [
-        _HEAD.pack(
-            MAGIC, word.kind, word.digest, word.life, word.serial, word.clock & 0xFFFFFFFF, word.to_life
-        )
-    ]
-    parts += [
-        _ASKED.pack(lease, counter >> 32, counter & 0xFFFFFFFF) for lease, counter in word.asked[:MOST_LEASES]
+MAX_MESSAGE_BYTES = 256
+NO_HOLDER = 0xFFFF  # in place of a gateway's number
+_HEADER = struct.Struct(">BBHIIII")  # magic, kind, digest, incarnation, serial, clock, to_incarnation
+_REQUEST = struct.Struct(">HHI")  # lease, and the counter in two parts
+_VOTE = struct.Struct(">HBHIH")  # lease, vote and flag, the counter in two parts, holder
+MAX_PAYLOAD_BYTES = MAX_MESSAGE_BYTES - _HEADER.size
+_VOTE_MASK = 0x7F
+_FLAG_SHIFT = 7
+_UINT32_MASK = 0xFFFFFFFF
+
+
+class MessageKind(IntEnum):
+    """What a message is for; the values are on the wire."""
+
+    REQUEST = 1  # to an acceptor: grant me these leases, or renew them
+    RELEASE = 2  # to an acceptor: I no longer want them
+    RESPONSE = 3  # from an acceptor
+    NOMINATE = 4  # from an acceptor: these slots are free; request them
+    HEARTBEAT = 5  # to an acceptor: I am up; serial 1: and shutting down
+    PAYLOAD = 6  # data of a scheduled task or a budget
+
+
+class Vote(IntEnum):
+    """An acceptor's vote on one lease; the values are on the wire."""
+
+    GRANTED = 0
+    HELD_BY_OTHER = 1
+    STALE_COUNTER = 2  # the counter is below that of a token granted before
+    SILENT = 3  # it has just started, and may have forgotten a grant
+
+
+class LeaseVote(NamedTuple):
+    """One row of a response.
+
+    `flag`: for GRANTED, whether a preferred gateway is up; for HELD_BY_OTHER, whether the grant is recent."""
+
+    lease: int
+    vote: Vote
+    flag: bool
+    counter: int
+    holder: int
+
+
+class Message(NamedTuple):
+    """One message. `clock_ms` is the sender's clock modulo 2^32."""
+
+    kind: MessageKind
+    terms_digest: int
+    incarnation: int  # the sender's
+    serial: int  # of a request; a response repeats its request's
+    clock_ms: int
+    to_incarnation: int = 0  # of a response's receiver
+    requested: tuple[tuple[int, int], ...] = ()  # lease, counter; 0 in a RELEASE or a NOMINATE
+    votes: tuple[LeaseVote, ...] = ()
+    payload: bytes = b""
+
+
+def encode(message: Message) -> bytes:
+    """The message's bytes; leases over MAX_LEASES are left out."""
+    header = _HEADER.pack(
+        MAGIC,
+        message.kind,
+        message.terms_digest,
+        message.incarnation,
+        message.serial,
+        message.clock_ms & _UINT32_MASK,
+        message.to_incarnation,
+    )
+    requested = [
+        _REQUEST.pack(lease, counter >> 32, counter & _UINT32_MASK)
+        for lease, counter in message.requested[:MAX_LEASES]
     ]
-    parts += [
-        _ANSWERED.pack(lease, verdict | better << 7, counter >> 32, counter & 0xFFFFFFFF, holder)
-        for lease, verdict, better, counter, holder in word.answered[:MOST_LEASES]
+    votes = [
+        _VOTE.pack(lease, vote | flag << _FLAG_SHIFT, counter >> 32, counter & _UINT32_MASK, holder)
+        for lease, vote, flag, counter, holder in message.votes[:MAX_LEASES]
     ]
-    return b"".join([*parts, word.note])
+    return b"".join([header, *requested, *votes, message.payload])
+
+
+def decode(data: bytes) -> Message | None:
+    """The message in these bytes, or None when they hold none."""
+    if not _HEADER.size <= len(data) <= MAX_MESSAGE_BYTES:
+        return None
+    if data[0] != MAGIC or data[1] not in _KINDS:
+        return None
+    _, kind, digest, incarnation, serial, clock_ms, to_incarnation = _HEADER.unpack_from(data)
+    message = Message(MessageKind(kind), digest, incarnation, serial, clock_ms, to_incarnation)
+    body = data[_HEADER.size :]
+    if kind == MessageKind.PAYLOAD:
+        return message._replace(payload=body)
+    if kind == MessageKind.RESPONSE:
+        votes = _decode_votes(body)
+        return None if votes is None else message._replace(votes=votes)
+    if len(body) % _REQUEST.size:
+        return None
+    requested = tuple((lease, high << 32 | low) for lease, high, low in _REQUEST.iter_unpack(body))
+    return message._replace(requested=requested)
 
 
-def decode(data: bytes) -> Word | None:
-    """The message in these bytes, or None where they are none."""
-    if not _HEAD.size <= len(data) <= MAX_BYTES or data[0] != MAGIC or data[1] not in _KINDS:
+def _decode_votes(body: bytes) -> tuple[LeaseVote, ...] | None:
+    if len(body) % _VOTE.size:
         return None
-    _, kind, digest, life, serial, clock, to_life = _HEAD.unpack_from(data)
-    head = (Kind(kind), digest, life, serial, clock, to_life)
-    body = data[_HEAD.size :]
-    if kind == Kind.NOTE:
-        return Word(*head, note=body)
-    if kind == Kind.ANSWER:
-        if len(body) % _ANSWERED.size:
-            return None
-        rows = list(_ANSWERED.iter_unpack(body))
-        if any(row[1] & 0x7F not in _VERDICTS for row in rows):
-            return None
-        return Word(
-            *head,
-            answered=tuple(
-                (lease, Verdict(verdict & 0x7F), bool(verdict >> 7), high << 32 | low, holder)
-                for lease, verdict, high, low, holder in rows
-            ),
-        )
-    if len(body) % _ASKED.size:
+    rows = list(_VOTE.iter_unpack(body))
+    if any(row[1] & _VOTE_MASK not in _VOTES for row in rows):
         return None
-    return Word(
-        *head, asked=tuple((lease, high << 32 | low) for lease, high, low in _ASKED.iter_unpack(body))
+    return tuple(
+        LeaseVote(lease, Vote(vote & _VOTE_MASK), bool(vote >> _FLAG_SHIFT), high << 32 | low, holder)
+        for lease, vote, high, low, holder in rows
     )
 
 
-_KINDS = frozenset(int(kind) for kind in Kind)
-_VERDICTS = frozenset(int(verdict) for verdict in Verdict)
+_KINDS = frozenset(int(kind) for kind in MessageKind)
+_VOTES = frozenset(int(vote) for vote in Vote)
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -1,310 +1,340 @@
-"""What this process holds, and what it asks for: its end counts from when it asked, and only for that asking.
+"""The leases that this process holds and requests. A lease's end counts from the request that renewed it.
 
-Guards against: an answer to another asking than the open one (thrown away, whatever it says); a stall
-(what has ended goes first, before anything that came meanwhile is looked at); a renewal after the end
-(there is none: what has ended is taken anew, under a larger token); a vote that nobody needs (given back,
-so that others need not wait)."""
+Guards against: a response to another request than the pending one (dropped, whatever it says); a stall (what
+has expired is dropped before anything that came meanwhile is looked at); a renewal after the end (there is
+none: what has expired is acquired anew, under a larger token); grants that nobody needs (released, so that
+others need not wait)."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass, field
 
-from plumpick.policy.leases.codec import NOBODY, Verdict, Word
-from plumpick.policy.leases.terms import COUNTER_MOST, Terms, counter_of, rank, token_of
+from plumpick.policy.leases.actions import (
+    DenialReason,
+    LeaseAcquired,
+    LeaseChange,
+    LeaseDenied,
+    LeaseLost,
+    LeaseYieldRequested,
+    LossReason,
+)
+from plumpick.policy.leases.codec import NO_HOLDER, LeaseVote, Message, Vote
+from plumpick.policy.leases.terms import (
+    MAX_COUNTER,
+    LeaseTerms,
+    fencing_token,
+    rendezvous_rank,
+    token_counter,
+)
 
 RESEND_MS = 150.0  # doubled each time
-TAKE_MS = 1000.0  # a taking that has no majority by then gives its votes back: another may have the rest
-TRIES = 3  # with a larger counter, at one call
+ACQUISITION_TIMEOUT_MS = 1000.0  # without a quorum by then its grants are released: another may have the rest
+MAX_ACQUISITION_RETRIES = 3  # with a larger counter, for one nomination
+RENEWAL_DIVISOR = 3  # a lease is renewed after a third of its term; a request may take as long
 
 
 @dataclass(slots=True)
-class Held:
+class HeldLease:
     """A lease that this process holds."""
 
     token: int
-    asked_ms: float  # when that was asked which gave it last
-    since_ms: float
-    yielding: bool = False  # somebody settled should have it: nothing new begins
+    requested_ms: float  # of the request that renewed it last: its term counts from then
+    acquired_ms: float
+    yielding: bool = False  # a preferred gateway is up: nothing new begins
 
 
 @dataclass(slots=True)
-class Asking:
-    """One question to all voters, about several leases. Its end counts from `asked_ms`, however often
-    sent."""
-
-    serial: int
-    asked_ms: float
-    leases: dict[int, int]  # those not settled yet, with their counters
-    taking: bool
-    tries: int = 0
-    yes: dict[int, set[int]] = field(default_factory=dict)
-    no: dict[int, dict[int, Verdict]] = field(default_factory=dict)
-    better: dict[int, int] = field(default_factory=dict)
-    resend_ms: float = 0.0
-    wait_ms: float = RESEND_MS
-
-
-@dataclass(frozen=True, slots=True)
-class Gained:
-    """From now on this process owns the lease, until `stop_ms` unless it is kept. `why` for staff."""
-
-    lease: int
-    token: int
-    stop_ms: float
-
-
-@dataclass(frozen=True, slots=True)
-class Lost:
-    """It owns it no longer; `why` for staff."""
-
-    lease: int
-    token: int
-    why: str
-
-
-@dataclass(frozen=True, slots=True)
-class Yield:
-    """Somebody who should have the lease is there: give it back when nothing runs."""
-
-    lease: int
+class LeaseRequest:
+    """One request to all acceptors, for several leases, that may be sent several times.
 
+    A lease that it gains ends a term after `requested_ms`, however often it was sent."""
 
-@dataclass(frozen=True, slots=True)
-class Refused:
-    """An asking for a lease did not get it; `why` for staff."""
-
-    lease: int
-    why: str
-
-
-Change = Gained | Lost | Yield | Refused
-
-
-class Holder:
-    """Tables: one entry for each lease held or asked for; there are `terms.leases`."""
-
-    def __init__(self, terms: Terms, number: int, life: int, counter: int) -> None:
-        self._terms, self.number, self.life = terms, number, life
-        self.counter = counter  # every token told or heard of has one up to here
+    serial: int
+    requested_ms: float
+    counters: dict[int, int]  # by lease; those that are not decided yet
+    is_acquisition: bool  # or a renewal
+    retries: int = 0
+    grants: dict[int, set[int]] = field(default_factory=dict)  # by lease: acceptors
+    denials: dict[int, dict[int, Vote]] = field(default_factory=dict)  # by lease and acceptor
+    preferred_others: dict[int, int] = field(default_factory=dict)  # by lease: grants with that flag
+    resend_at_ms: float = 0.0
+    resend_interval_ms: float = RESEND_MS
+
+
+class LeaseHolder:
+    """Owns one entry for each lease held or requested, of which there are `terms.leases`.
+
+    `changes`, `to_send` and `to_release` are its outbox: the caller empties them."""
+
+    def __init__(self, terms: LeaseTerms, gateway: int, incarnation: int, counter: int) -> None:
+        """`counter`: tokens begin above it."""
+        self._terms = terms
+        self.gateway = gateway
+        self.incarnation = incarnation
+        self.counter = counter  # no token that was granted or seen has a larger one
         self.serial = 0
-        self.held: dict[int, Held] = {}
-        self.open: dict[int, Asking] = {}  # by lease
-        self.changes: list[Change] = []
-        self.to_send: list[Asking] = []  # to the voters that have not said yes
-        self.to_give: dict[int, None] = {}  # leases to be given back to all voters
-        self.lent: frozenset[int] = frozenset()  # leases that may not end before their time (budgets)
+        self.held: dict[int, HeldLease] = {}
+        self.pending: dict[int, LeaseRequest] = {}  # by lease
+        self.changes: list[LeaseChange] = []
+        self.to_send: list[LeaseRequest] = []  # to the acceptors that have not granted it
+        self.to_release: dict[int, None] = {}  # leases, at all acceptors
+        self.pinned: frozenset[int] = (
+            frozenset()
+        )  # leases that must not be released before their end (budgets)
 
     # -- what is held
 
-    def stop_ms(self, lease: int) -> float:
-        """Until then work under the lease may begin; -inf where it is not held."""
+    def usable_until_ms(self, lease: int) -> float:
+        """Until when work under the lease may begin; -inf when it is not held."""
         held = self.held.get(lease)
-        return -math.inf if held is None else held.asked_ms + self._terms.term_ms - self._terms.guard_ms
+        return -math.inf if held is None else held.requested_ms + self._terms.term_ms - self._terms.guard_ms
 
     def expire(self, now_ms: float) -> None:
-        """Let go of what has ended. Comes before all else at any time that is new."""
-        for lease in [lease for lease in self.held if now_ms >= self.stop_ms(lease)]:
-            self._lose(lease, "no majority of the voters answered in time")
-            self._drop_asking(lease)
+        """Drop the leases that have expired. Called before all else whenever time has passed."""
+        for lease in [lease for lease in self.held if now_ms >= self.usable_until_ms(lease)]:
+            self._lose(lease, LossReason.NO_QUORUM)
+            self._drop_pending(lease)
 
-    def _lose(self, lease: int, why: str) -> None:
-        self.changes.append(Lost(lease, self.held.pop(lease).token, why))
+    def _lose(self, lease: int, reason: LossReason) -> None:
+        self.changes.append(LeaseLost(lease, self.held.pop(lease).token, reason))
 
-    def _drop_asking(self, lease: int) -> None:
-        asking = self.open.pop(lease, None)
-        if asking is not None:
-            asking.leases.pop(lease, None)
+    def _drop_pending(self, lease: int) -> None:
+        request = self.pending.pop(lease, None)
+        if request is not None:
+            request.counters.pop(lease, None)
 
-    # -- asking
+    # -- requests
 
     def next_counter(self, least: int = 0) -> int:
-        """One that no token of this life had, nor any that it heard of."""
-        self.counter = min(max(self.counter + 1, least), COUNTER_MOST)
+        """A counter that no token of this incarnation had, nor any token that it has seen."""
+        self.counter = min(max(self.counter + 1, least), MAX_COUNTER)
         return self.counter
 
-    def learn(self, counter: int) -> None:
-        """A token with that counter is about."""
-        self.counter = max(self.counter, min(counter, COUNTER_MOST - 1))
+    def observe_counter(self, counter: int) -> None:
+        """A token with that counter exists: ours have to be larger."""
+        self.counter = max(self.counter, min(counter, MAX_COUNTER - 1))
 
-    def take(self, now_ms: float, leases: list[int], tries: int = 0) -> None:
-        """Ask for those that are neither held nor asked for."""
-        wanted = [
-            lease
-            for lease in leases
-            if lease not in self.held and lease not in self.open and 0 <= lease < self._terms.leases
-        ]
+    def acquire(self, now_ms: float, leases: list[int], retries: int = 0) -> None:
+        """Request those leases that are neither held nor requested."""
+        wanted = [lease for lease in leases if self._can_acquire(lease)]
         if wanted:
-            self._ask(now_ms, {lease: self.next_counter() for lease in wanted}, True, tries)
+            counters = {lease: self.next_counter() for lease in wanted}
+            self._request(now_ms, counters, is_acquisition=True, retries=retries)
+
+    def _can_acquire(self, lease: int) -> bool:
+        if lease in self.held or lease in self.pending:
+            return False
+        return 0 <= lease < self._terms.leases
+
+    def _renewal_ms(self, held: HeldLease) -> float:
+        return held.requested_ms + self._terms.term_ms / RENEWAL_DIVISOR
 
     def renew(self, now_ms: float) -> None:
-        """Ask for what is held and due, all in one question."""
-        due = {
-            lease: counter_of(held.token)
+        """Request the renewal of all held leases that are due for it, together."""
+        counters = {
+            lease: token_counter(held.token)
             for lease, held in self.held.items()
-            if lease not in self.open and now_ms >= held.asked_ms + self._terms.term_ms / 3
+            if lease not in self.pending and now_ms >= self._renewal_ms(held)
         }
-        if due:
-            self._ask(now_ms, due, False, 0)
+        if counters:
+            self._request(now_ms, counters, is_acquisition=False, retries=0)
 
-    def _ask(self, now_ms: float, leases: dict[int, int], taking: bool, tries: int) -> None:
+    def _request(self, now_ms: float, counters: dict[int, int], is_acquisition: bool, retries: int) -> None:
         self.serial += 1
-        asking = Asking(self.serial, now_ms, leases, taking, tries, resend_ms=now_ms + RESEND_MS)
-        for lease in leases:
-            self.open[lease] = asking
-        self.to_send.append(asking)
-
-    def answered(self, now_ms: float, voter: int, word: Word) -> Asking | None:
-        """A voter's answer; the asking that it answers, if that is open."""
-        if voter not in self._terms.voters or word.to_life != self.life:
-            return None
-        for lease, verdict, _, counter, _ in word.answered:
-            held = self.held.get(lease)
-            if verdict is Verdict.BEHIND and held is not None and counter > counter_of(held.token):
-                # Danger: that voter would refuse each renewal, take the lease for free, and call for ever.
-                self.outdo(now_ms, lease, counter, "a voter knows a larger token")
-        for asking in self.open.values():
-            if asking.serial == word.serial:
-                break
-        else:
-            return None
-        for lease, verdict, better, counter, other in word.answered:
-            self.learn(counter)
-            if lease not in asking.leases or voter in asking.yes.get(lease, ()):
-                continue
-            if verdict is Verdict.YES:
-                asking.no.get(lease, {}).pop(voter, None)  # it was held until just now
-                asking.yes.setdefault(lease, set()).add(voter)
-                asking.better[lease] = asking.better.get(lease, 0) + better
-            else:
-                asking.no.setdefault(lease, {})[voter] = verdict
-                if asking.taking and verdict is Verdict.BEHIND:
-                    self._failed(now_ms, asking, lease)  # at once with a larger counter
-                    continue
-                if (
-                    asking.taking
-                    and verdict is Verdict.HELD
-                    and better
-                    and other != NOBODY
-                    and (rank(lease, other), other) < (rank(lease, self.number), self.number)
-                ):
-                    # Danger: two who were called at one time, each with its own vote, would wait for the
-                    # other's. Who comes first in the order goes on asking, the other gives its votes back
-                    # at once.
-                    self._failed(now_ms, asking, lease)
-                    continue
-            self._settle(now_ms, asking, lease)
-        return asking
-
-    def waits_for(self, asking: Asking, voter: int) -> dict[int, int]:
-        """What that voter has not said yes to: it may, when asked again."""
+        request = LeaseRequest(
+            self.serial, now_ms, counters, is_acquisition, retries, resend_at_ms=now_ms + RESEND_MS
+        )
+        for lease in counters:
+            self.pending[lease] = request
+        self.to_send.append(request)
+
+    def missing_grants(self, request: LeaseRequest, acceptor: int) -> dict[int, int]:
+        """The leases, with their counters, that an acceptor has not granted: it may, when asked again."""
         return {
             lease: counter
-            for lease, counter in asking.leases.items()
-            if voter not in asking.yes.get(lease, ())
+            for lease, counter in request.counters.items()
+            if acceptor not in request.grants.get(lease, ())
         }
 
-    def _until_ms(self, asking: Asking) -> float:
-        """When an asking is given up."""
-        most_ms = self._terms.term_ms / 3
-        return asking.asked_ms + (min(TAKE_MS, most_ms) if asking.taking else most_ms)
+    # -- responses
+
+    def on_response(self, now_ms: float, acceptor: int, message: Message) -> LeaseRequest | None:
+        """Count an acceptor's votes; the request that they answer, if it is pending."""
+        if acceptor not in self._terms.acceptors or message.to_incarnation != self.incarnation:
+            return None
+        self._reacquire_stale(now_ms, message.votes)
+        request = self._pending_with(message.serial)
+        if request is None:
+            return None
+        for vote in message.votes:
+            self._count_vote(now_ms, request, acceptor, vote)
+        return request
+
+    def _reacquire_stale(self, now_ms: float, votes: tuple[LeaseVote, ...]) -> None:
+        """Give up leases whose token is smaller than one that the acceptor has granted.
 
-    def _settle(self, now_ms: float, asking: Asking, lease: int) -> None:
+        It would reject each renewal, count the lease as free, and nominate for it for ever."""
+        for lease, vote, _, counter, _ in votes:
+            held = self.held.get(lease)
+            if vote is Vote.STALE_COUNTER and held is not None and counter > token_counter(held.token):
+                self.on_larger_token(now_ms, lease, counter, LossReason.LARGER_TOKEN_AT_ACCEPTOR)
+
+    def _pending_with(self, serial: int) -> LeaseRequest | None:
+        for request in self.pending.values():
+            if request.serial == serial:
+                return request
+        return None
+
+    def _count_vote(self, now_ms: float, request: LeaseRequest, acceptor: int, vote: LeaseVote) -> None:
+        lease = vote.lease
+        self.observe_counter(vote.counter)
+        if lease not in request.counters or acceptor in request.grants.get(lease, ()):
+            return
+        if vote.vote is Vote.GRANTED:
+            request.denials.get(lease, {}).pop(acceptor, None)  # another held it until just now
+            request.grants.setdefault(lease, set()).add(acceptor)
+            request.preferred_others[lease] = request.preferred_others.get(lease, 0) + vote.flag
+        else:
+            request.denials.setdefault(lease, {})[acceptor] = vote.vote
+            if request.is_acquisition and self._fails_acquisition(vote):
+                self._fail(now_ms, request, lease)
+                return
+        self._settle(now_ms, request, lease)
+
+    def _fails_acquisition(self, vote: LeaseVote) -> bool:
+        """Whether one denial is enough to give up: to retry at once, or to make way for another.
+
+        Two that were nominated at the same time, each with its own acceptor's grant, would wait for the
+        other's. The preferred one goes on, the other releases its grants at once."""
+        if vote.vote is Vote.STALE_COUNTER:
+            return True
+        if vote.vote is not Vote.HELD_BY_OTHER or not vote.flag or vote.holder == NO_HOLDER:
+            return False
+        return self._preference(vote.lease, vote.holder) < self._preference(vote.lease, self.gateway)
+
+    @staticmethod
+    def _preference(lease: int, gateway: int) -> tuple[int, int]:
+        return rendezvous_rank(lease, gateway), gateway
+
+    def _deadline_ms(self, request: LeaseRequest) -> float:
+        """When a request is given up."""
+        timeout_ms = self._terms.term_ms / RENEWAL_DIVISOR
+        if request.is_acquisition:
+            timeout_ms = min(ACQUISITION_TIMEOUT_MS, timeout_ms)
+        return request.requested_ms + timeout_ms
+
+    def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+        """Decide a lease as soon as a quorum has granted it, or can no longer do so."""
         terms = self._terms
-        if len(asking.yes.get(lease, ())) >= terms.majority:
-            counter = asking.leases[lease]
-            self._drop_asking(lease)
-            if asking.taking:
-                self._gain(now_ms, asking, lease, counter)
+        if len(request.grants.get(lease, ())) >= terms.quorum:
+            counter = request.counters[lease]
+            self._drop_pending(lease)
+            if request.is_acquisition:
+                self._gain(now_ms, request, lease, counter)
             else:
-                held = self.held[lease]
-                held.asked_ms = asking.asked_ms
-                if asking.better[lease] >= terms.majority and not held.yielding:
-                    held.yielding = True
-                    self.changes.append(Yield(lease))
-        elif len(asking.no.get(lease, ())) > len(terms.voters) - terms.majority:
-            self._failed(now_ms, asking, lease)
-
-    def _gain(self, now_ms: float, asking: Asking, lease: int, counter: int) -> None:
-        end_ms = asking.asked_ms + self._terms.term_ms
-        if now_ms >= end_ms - self._terms.guard_ms:  # so late that nothing could begin
-            self.to_give[lease] = None
+                self._extend(request, lease)
+        elif len(request.denials.get(lease, ())) > len(terms.acceptors) - terms.quorum:
+            self._fail(now_ms, request, lease)
+
+    def _gain(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
+        end_ms = request.requested_ms + self._terms.term_ms
+        if now_ms >= end_ms - self._terms.guard_ms:  # too late to begin anything
+            self.to_release[lease] = None
             return
-        token = token_of(counter, self.number, self.life)
-        self.held[lease] = Held(token, asking.asked_ms, now_ms)
-        self.changes.append(Gained(lease, token, self.stop_ms(lease)))
-
-    def _failed(self, now_ms: float, asking: Asking, lease: int) -> None:
-        """A majority cannot be had with this asking."""
-        verdicts = set(asking.no.get(lease, {}).values())
-        self._drop_asking(lease)
-        if not asking.taking:
-            self._lose(lease, "the voters gave it to another")
+        token = fencing_token(counter, self.gateway, self.incarnation)
+        self.held[lease] = HeldLease(token, request.requested_ms, now_ms)
+        self.changes.append(LeaseAcquired(lease, token, self.usable_until_ms(lease)))
+
+    def _extend(self, request: LeaseRequest, lease: int) -> None:
+        held = self.held[lease]
+        held.requested_ms = request.requested_ms
+        if request.preferred_others[lease] >= self._terms.quorum and not held.yielding:
+            held.yielding = True
+            self.changes.append(LeaseYieldRequested(lease))
+
+    def _fail(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+        """The request cannot gain this lease any more."""
+        denials = request.denials.get(lease, {})
+        votes = set(denials.values())
+        self._drop_pending(lease)
+        if not request.is_acquisition:
+            self._lose(lease, LossReason.GRANTED_TO_OTHER)
             return
-        if len(asking.no.get(lease, {})) < len(self._terms.voters):  # a yes is there, or may still come
-            self.to_give[lease] = None
-        if Verdict.BEHIND in verdicts and Verdict.HELD not in verdicts and asking.tries < TRIES:
-            self.take(now_ms, [lease], asking.tries + 1)
+        if len(denials) < len(self._terms.acceptors):  # a grant is there, or may still come
+            self.to_release[lease] = None
+        if Vote.HELD_BY_OTHER in votes:
+            reason = DenialReason.HELD_BY_OTHER
+        elif Vote.STALE_COUNTER in votes and request.retries < MAX_ACQUISITION_RETRIES:
+            self.acquire(now_ms, [lease], request.retries + 1)
             return
-        why = (
-            "another has it"
-            if Verdict.HELD in verdicts
-            else "voters are silent after their start"
-            if Verdict.SILENT in verdicts
-            else "its token is not large enough"
-        )
-        self.changes.append(Refused(lease, why))
+        elif Vote.SILENT in votes:
+            reason = DenialReason.ACCEPTORS_SILENT
+        else:
+            reason = DenialReason.STALE_COUNTER
+        self.changes.append(LeaseDenied(lease, reason))
+
+    # -- release
 
-    def give(self, lease: int, why: str) -> None:
-        """Let go of a lease that is held or asked for, and say so to the voters."""
-        self._drop_asking(lease)
+    def release(self, lease: int) -> None:
+        """Drop a lease that is held or requested, and release it at the acceptors."""
+        self._drop_pending(lease)
         if lease in self.held:
-            self._lose(lease, why)
-        self.to_give[lease] = None
+            self._lose(lease, LossReason.RELEASED)
+        self.to_release[lease] = None
 
-    def gives(self) -> list[int]:
-        """What is to be given back now. Danger: the word counts for all that was asked before it, so what is
-        asked for anew is left out: its asking takes the place of the old one. And what was lent under a lease
-        counts on its end: such a one is not given back, it ends by its time."""
+    def releasable(self) -> list[int]:
+        """Which of `to_release` to release now.
+
+        A release covers every request sent before it. So a lease that is requested anew is left out: the new
+        request replaces the old one. A pinned lease is never released: what was lent under it counts on its
+        end."""
         return [
             lease
-            for lease in self.to_give
-            if lease not in self.open and lease not in self.held and lease not in self.lent
+            for lease in self.to_release
+            if lease not in self.pending and lease not in self.held and lease not in self.pinned
         ]
 
-    def outdo(
-        self, now_ms: float, lease: int, counter: int, why: str = "a receiver knows a larger token"
+    def on_larger_token(
+        self,
+        now_ms: float,
+        lease: int,
+        counter: int,
+        reason: LossReason = LossReason.LARGER_TOKEN_AT_RECEIVER,
     ) -> None:
-        """A larger token is about: what is held is taken anew, above that one."""
-        self.learn(counter)
+        """A token with that counter exists: a held lease with a smaller one is acquired anew, above it."""
+        self.observe_counter(counter)
         held = self.held.get(lease)
-        if held is not None and counter >= counter_of(held.token):
-            self._lose(lease, why)
-            self._drop_asking(lease)
-            self.take(now_ms, [lease])
+        if held is not None and counter >= token_counter(held.token):
+            self._lose(lease, reason)
+            self._drop_pending(lease)
+            self.acquire(now_ms, [lease])
 
     # -- time
 
-    def tick(self, now_ms: float) -> None:
-        """What is due: the end of an asking, its sending anew, renewals. After `expire`."""
-        for asking in {id(asking): asking for asking in self.open.values()}.values():
-            if now_ms >= self._until_ms(asking):
-                for lease in list(asking.leases):
-                    self._drop_asking(lease)
-                    if asking.taking:
-                        self.to_give[lease] = None
-                        self.changes.append(Refused(lease, "no majority of the voters answered"))
-            elif now_ms >= asking.resend_ms:
-                asking.wait_ms *= 2
-                asking.resend_ms = now_ms + asking.wait_ms
-                self.to_send.append(asking)
+    def on_timer(self, now_ms: float) -> None:
+        """Give up requests, send them again, and renew, whatever is due. Called after `expire`."""
+        for request in {id(request): request for request in self.pending.values()}.values():
+            if now_ms >= self._deadline_ms(request):
+                self._time_out(request)
+            elif now_ms >= request.resend_at_ms:
+                request.resend_interval_ms *= 2
+                request.resend_at_ms = now_ms + request.resend_interval_ms
+                self.to_send.append(request)
         self.renew(now_ms)
 
-    def next_ms(self) -> float:
-        """When something is due."""
-        times = [min(asking.resend_ms, self._until_ms(asking)) for asking in self.open.values()]
+    def _time_out(self, request: LeaseRequest) -> None:
+        for lease in list(request.counters):
+            self._drop_pending(lease)
+            if request.is_acquisition:
+                self.to_release[lease] = None
+                self.changes.append(LeaseDenied(lease, DenialReason.NO_QUORUM))
+
+    def next_due_ms(self) -> float:
+        """When `expire` or `on_timer` has something to do."""
+        times = [min(request.resend_at_ms, self._deadline_ms(request)) for request in self.pending.values()]
         for lease, held in self.held.items():
-            times.append(self.stop_ms(lease))
-            if lease not in self.open:
-                times.append(held.asked_ms + self._terms.term_ms / 3)
+            times.append(self.usable_until_ms(lease))
+            if lease not in self.pending:
+                times.append(self._renewal_ms(held))
         return min(times, default=math.inf)
--- a/plumpick/policy/leases/rate_limit.py
+++ b/plumpick/policy/leases/rate_limit.py
@@ -1,25 +1,29 @@
-"""Words about leases and budgets to one gatekeeper, held to a part of the 60 messages a second that it takes
-in: the quotas' business goes first. What is over is dropped, as any datagram may be.
+"""Limits the messages about leases and budgets to each peer: a token bucket a peer.
 
-Danger: words about shares are many where all want more than there is, and a lease that cannot be renewed
-among them ends, and with it what is lent under it. So of the burst a part is kept for words about leases."""
+A gateway takes in 60 messages a second; the quotas' messages must not be crowded out. What is over the limit
+is not sent, as if the datagram were lost: the callers' retransmissions repair it.
+
+Messages about budgets are many when all want more than there is. If they crowded out a lease's renewal, the
+lease and all that is lent under it would end; so a part of the burst is reserved for messages about
+leases."""
 
 from __future__ import annotations
 
-RATE_PER_S, BURST = 15.0, 12.0
-KEPT = 6.0  # of the burst, for words about leases
+RATE_PER_S = 15.0
+BURST_MESSAGES = 12.0
+RESERVED_FOR_LEASES_MESSAGES = 6.0  # of the burst
 
 
-class Pace:
-    """Table: one bucket for each gatekeeper."""
+class PeerRateLimit:
+    """Owns one bucket for each peer."""
 
     def __init__(self) -> None:
-        self._left: dict[int, tuple[float, float]] = {}
-
-    def allows(self, now_ms: float, receiver: int, leases: bool = True) -> bool:
-        """Whether one more may go there now; `leases`: it is about them."""
-        left, at_ms = self._left.get(receiver, (BURST, now_ms))
-        left = min(BURST, left + max(0.0, now_ms - at_ms) / 1000 * RATE_PER_S)
-        allowed = left >= (1 if leases else 1 + KEPT)
-        self._left[receiver] = (left - allowed, now_ms)
+        self._buckets: dict[int, tuple[float, float]] = {}  # by peer: level, and when it was computed
+
+    def allow(self, now_ms: float, receiver: int, is_lease_message: bool = True) -> bool:
+        """Whether one more message may go to that peer now; it is counted, then."""
+        level, at_ms = self._buckets.get(receiver, (BURST_MESSAGES, now_ms))
+        level = min(BURST_MESSAGES, level + max(0.0, now_ms - at_ms) / 1000 * RATE_PER_S)
+        allowed = level >= (1 if is_lease_message else 1 + RESERVED_FOR_LEASES_MESSAGES)
+        self._buckets[receiver] = (level - allowed, now_ms)
         return allowed
--- a/plumpick/policy/leases/terms.py
+++ b/plumpick/policy/leases/terms.py
@@ -1,4 +1,7 @@
-"""The figures that bind everybody who has a part in leases, and tokens."""
+"""The parameters that all participants of the leases must share, and fencing tokens.
+
+Fails with LeaseTermsError when the parameters contradict each other; the caller reports the text, which
+begins with the operator's key, and does not start."""
 
 from __future__ import annotations
 
@@ -7,93 +10,110 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-MOST_LEASES = 20  # of them in one message of 256 bytes (words.py)
-LIFE_BITS, NUMBER_BITS = 32, 16
-COUNTER_MOST = (1 << 48) - 1
+MAX_LEASES = 20  # of them in one message of 256 bytes (codec.py)
+INCARNATION_BITS = 32
+GATEWAY_BITS = 16
+MAX_COUNTER = (1 << 48) - 1
+MIN_TERM_MS = 500.0
+MAX_TERM_MS = 600_000.0
+MAX_DRIFT_RATIO = 0.2
+GUARD_RATIO = 0.1  # of the term
 
 
-class TermsError(ValueError):
-    """Figures that cannot hold; the text names the key."""
+class LeaseTermsError(ValueError):
+    """Parameters that contradict each other; the text begins with the operator's key."""
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """Alike at everybody who has a part; times in milliseconds.
+class LeaseTerms:
+    """The same at every participant; times in milliseconds. Raises LeaseTermsError.
 
-    Raises TermsError. Leases are numbered: first `slots`, onto which duties are hashed and which voters
-    give to whom they choose, then `turns`, which are given to who asks."""
+    Leases are numbered: first the `slots`, onto which scheduled tasks are hashed and which acceptors offer to
+    the gateways that they prefer, then the `restart_permits`, which are granted to whoever requests them."""
 
-    voters: tuple[int, ...]  # numbers of gatekeepers
+    acceptors: tuple[int, ...]  # numbers of gateways
     slots: int = 12
-    turns: int = 0
+    restart_permits: int = 0
     term_ms: float = 6000.0
-    drift: float = 0.01  # a clock runs so much too fast or too slow, at most
-    longest_ms: float = 0.0  # the longest term that a process before may have had; 0: `term_ms`
-    text: str = ""  # what else has to be alike: the duties
+    drift_ratio: float = 0.01  # by how much a clock runs too fast or too slow at most
+    longest_past_term_ms: float = 0.0  # the longest term of any earlier process; 0: `term_ms`
+    shared_settings: str = ""  # whatever else has to be the same everywhere: tasks and budgets
 
     def __post_init__(self) -> None:
-        if not self.voters or len(set(self.voters)) < len(self.voters):
-            raise TermsError("voters: at least one, and none twice")
-        if any(not 0 <= voter < 1 << NUMBER_BITS for voter in self.voters):
-            raise TermsError("voters: no such number")
-        if self.slots < 1 or self.turns < 0 or self.slots + self.turns > MOST_LEASES:
-            raise TermsError(f"slots: 1 to {MOST_LEASES}, the turns included")
-        if not 500.0 <= self.term_ms <= 600_000.0:
-            raise TermsError("term_ms: from 500 to 600000")
-        if not 0.0 <= self.drift <= 0.2:
-            raise TermsError("drift: from 0 to 0.2")
-        if self.longest_ms and self.longest_ms < self.term_ms:
-            raise TermsError("longest_ms: under term_ms")
+        if not self.acceptors or len(set(self.acceptors)) < len(self.acceptors):
+            raise LeaseTermsError("voters: at least one, and none twice")
+        if any(not 0 <= acceptor < 1 << GATEWAY_BITS for acceptor in self.acceptors):
+            raise LeaseTermsError("voters: no such number")
+        if self.slots < 1 or self.restart_permits < 0 or self.leases > MAX_LEASES:
+            raise LeaseTermsError(f"slots: 1 to {MAX_LEASES}, the turns included")
+        if not MIN_TERM_MS <= self.term_ms <= MAX_TERM_MS:
+            raise LeaseTermsError("term_ms: from 500 to 600000")
+        if not 0.0 <= self.drift_ratio <= MAX_DRIFT_RATIO:
+            raise LeaseTermsError("drift: from 0 to 0.2")
+        if self.longest_past_term_ms and self.longest_past_term_ms < self.term_ms:
+            raise LeaseTermsError("longest_ms: under term_ms")
 
     @property
     def leases(self) -> int:
-        return self.slots + self.turns
+        """How many leases there are."""
+        return self.slots + self.restart_permits
 
     @property
-    def majority(self) -> int:
-        return len(self.voters) // 2 + 1
+    def quorum(self) -> int:
+        """How many acceptors have to grant a lease: a majority."""
+        return len(self.acceptors) // 2 + 1
 
     @property
     def guard_ms(self) -> float:
-        """So long before its end a holder begins nothing more (promise 5)."""
-        return self.term_ms * 0.1
+        """How long before the end of its lease a holder stops beginning work (promise 5)."""
+        return self.term_ms * GUARD_RATIO
+
+    def acceptor_hold_ms(self, term_ms: float = 0.0) -> float:
+        """How long an acceptor keeps a grant after its response.
 
-    def voter_ms(self, term_ms: float = 0.0) -> float:
-        """How long a voter keeps its word after it answered: the holder's term, which counts from when it
-        asked, with its clock slow and the voter's fast (Gray and Cheriton 1989, section 5)."""
-        return (term_ms or self.term_ms) * (1 + self.drift) / (1 - self.drift) + 1.0
+        That is the holder's term, which counts from its request, with the holder's clock slow and the
+        acceptor's fast (Gray and Cheriton 1989, section 5)."""
+        return (term_ms or self.term_ms) * (1 + self.drift_ratio) / (1 - self.drift_ratio) + 1.0
 
     @property
     def silence_ms(self) -> float:
-        """How long a voter that has forgotten everything says nothing."""
-        return self.voter_ms(self.longest_ms)
+        """How long an acceptor grants nothing after its start: it may have forgotten its grants."""
+        return self.acceptor_hold_ms(self.longest_past_term_ms)
 
     @property
     def digest(self) -> int:
-        """Stands for all that has to be alike; two bytes."""
-        rows = (self.voters, self.slots, self.turns, self.term_ms, self.drift, self.text)
+        """Sixteen bits of all that has to be the same at every participant."""
+        rows = (
+            self.acceptors,
+            self.slots,
+            self.restart_permits,
+            self.term_ms,
+            self.drift_ratio,
+            self.shared_settings,
+        )
         return zlib.crc32(repr(rows).encode()) & 0xFFFF
 
 
-def token_of(counter: int, number: int, life: int) -> int:
-    """A fencing token (Burrows 2006, sequencers): a later owner's is larger, and no two processes have
+def fencing_token(counter: int, gateway: int, incarnation: int) -> int:
+    """A fencing token (Burrows 2006, sequencers): a later owner's is larger, and no two processes share
     one."""
-    return counter << NUMBER_BITS + LIFE_BITS | number << LIFE_BITS | life
+    return counter << GATEWAY_BITS + INCARNATION_BITS | gateway << INCARNATION_BITS | incarnation
 
 
-def counter_of(token: int) -> int:
+def token_counter(token: int) -> int:
     """The part of a token that grows."""
-    return token >> NUMBER_BITS + LIFE_BITS
+    return token >> GATEWAY_BITS + INCARNATION_BITS
 
 
-def owner_of(token: int) -> tuple[int, int]:
-    """The number and the life of who has this token."""
-    return token >> LIFE_BITS & (1 << NUMBER_BITS) - 1, token & (1 << LIFE_BITS) - 1
+def token_owner(token: int) -> tuple[int, int]:
+    """The gateway's number and the incarnation to which this token was granted."""
+    return token >> INCARNATION_BITS & (1 << GATEWAY_BITS) - 1, token & (1 << INCARNATION_BITS) - 1
 
 
 @lru_cache(maxsize=8192)
-def rank(lease: int, number: int) -> int:
-    """The smaller, the sooner that gatekeeper is to have the lease (rendezvous hashing, Thaler and
-    Ravishankar 1998): one more or less moves only what it has."""
-    # Not a CRC: it is linear, so that who is first for one lease is first for most.
-    return int.from_bytes(blake2b(b"%d/%d" % (lease, number), digest_size=8).digest())
+def rendezvous_rank(lease: int, gateway: int) -> int:
+    """How far back a gateway is among the candidates for a lease: the smallest is preferred.
+
+    Rendezvous hashing (Thaler and Ravishankar 1998): one gateway more or less moves only its own leases."""
+    # A CRC is linear: whoever is first for one lease would be first for most.
+    return int.from_bytes(blake2b(b"%d/%d" % (lease, gateway), digest_size=8).digest())
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -54,7 +54,7 @@
         held = (
             {}
             if member.closed
-            else {lease: (one.token, one.asked_ms) for lease, one in member.holder.held.items()}
+            else {lease: (one.token, one.requested_ms) for lease, one in member.holder.held.items()}
         )
         for lease, (token, _) in list(self._held.items()):
             if lease not in held or held[lease][0] != token:
@@ -118,15 +118,18 @@
         importlib.import_module(f"benchmarks.{where or 'ownership'}.plants").plant(name)
     if os.environ.get("WITNESS_HINT"):
         first = 1 if os.path.exists(os.environ["WITNESS_FILE"]) else 10**6
-        begin = members.Member.__init__
+        begin = members.LeaseParticipant.__init__
 
         def begins(self: Any, *arguments: Any, **more: Any) -> None:
             begin(self, *arguments, **more)
             self.holder.counter = first
 
-        members.Member.__init__ = begins  # type: ignore[method-assign]
+        members.LeaseParticipant.__init__ = begins  # type: ignore[method-assign]
     recorder = Ledger(os.environ["WITNESS_FILE"], rate)
-    inner, inherit, estate = members.Member.handle, members.Member.inherit, members.Member.estate
+    participant = members.LeaseParticipant
+    inner = participant.handle
+    restore = participant.restore
+    capture = participant.capture
 
     def handle(self: Any, now_ms: float, events: Any = ()) -> Any:
         actions = inner(self, now_ms, events)
@@ -134,19 +137,17 @@
         return actions
 
     def inherited(self: Any, *arguments: Any, **more: Any) -> None:
-        inherit(self, *arguments, **more)
+        restore(self, *arguments, **more)
         recorder.look(self)
 
     def left(self: Any) -> Any:
-        state = estate(self)
+        state = capture(self)
         recorder.look(self)
         return state
 
-    members.Member.handle, members.Member.inherit, members.Member.estate = (  # type: ignore[method-assign]
-        handle,
-        inherited,
-        left,
-    )
+    participant.handle = handle  # type: ignore[method-assign]
+    participant.restore = inherited  # type: ignore[method-assign]
+    participant.capture = left  # type: ignore[method-assign]
     spend = ledger.Book.spend
 
     def spent(self: Any, now_ms: float, wanted: Any) -> bool:
@@ -196,12 +197,12 @@
 
         await send(receiver, duty, period, token, body, looks)
 
-    lease_runner.effects.send = witnessed
+    fenced_effects.send = witnessed
     say = lease_runner.Runner._say
 
     def said(self: Any, now: float, tell: Any, leases: bool = False) -> None:
         word = None if leases else codec.decode(tell.data)
-        share = word is not None and word.note[:1] == lease_runner.SHARES[1]
+        share = word is not None and word.payload[:1] == lease_runner.SHARES[1]
         if share:
             obey("before-share", signal.SIGKILL)
         say(self, now, tell, leases)
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -109,7 +109,7 @@
                 continue
             clock_ms = process.time() * 1000
             for lease, held in member.holder.held.items():
-                if clock_ms >= held.asked_ms + member.terms.term_ms:
+                if clock_ms >= held.requested_ms + member.terms.term_ms:
                     continue
                 self.owners.add(held.token)
                 if lease in holders:
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -1,10 +1,10 @@
-"""Ownership, explored: two contenders, two or three voters, one lease, a receiver with a fence.
+"""Ownership, explored: two contenders, two or three acceptors, one lease, a receiver with a fence.
 
-Every word that was sent stays on its way until it is delivered, however late (a loss is a word that never
-is); it may be delivered and stay, so that it comes again. Time passes by half a term, at the worst rates:
-contenders' clocks slow, voters' fast. A contender looks at its clock before an effect; the effect comes to
-the receiver at any time after. Anybody may be restarted, and has forgotten everything; counters begin at
-nothing, so nothing rests on time of day."""
+Every message that was sent stays on its way until it is delivered, however late (a loss is a message that
+never is); it may be delivered and stay, so that it comes again. Time passes by half a term, at the worst
+rates: contenders' clocks slow, acceptors' fast. A contender looks at its clock before an effect; the effect
+comes to the receiver at any time after. Anybody may be restarted, and has forgotten everything; counters
+begin at nothing, so nothing rests on time of day."""
 
 from __future__ import annotations
 
@@ -14,104 +14,112 @@
 from typing import Any
 
 from plumpick.gateway.cluster.fence import Fence
-from plumpick.policy.leases.acceptor import Grant, Voter
-from plumpick.policy.leases.codec import NOBODY, Kind, Verdict, Word
-from plumpick.policy.leases.lease_holder import Asking, Gained, Holder
-from plumpick.policy.leases.terms import Terms, counter_of
+from plumpick.policy.leases.acceptor import Acceptor, Grant
+from plumpick.policy.leases.actions import LeaseAcquired
+from plumpick.policy.leases.codec import NO_HOLDER, LeaseVote, Message, MessageKind, Vote
+from plumpick.policy.leases.lease_holder import LeaseHolder, LeaseRequest
+from plumpick.policy.leases.terms import LeaseTerms, token_counter
 from plumpick.simulation.exploration.search import fork_of, name_of
 
 TERM_MS, DRIFT, PART = 1000.0, 0.01, 0.52  # PART of a term passes at once, unless another is named
 LEASE, DUTY = 0, "duty"
 
 
-def _fork_holder(holder: Holder) -> Holder:
-    askings = {id(asking): _fork_asking(asking) for asking in holder.open.values()}
+def _fork_holder(holder: LeaseHolder) -> LeaseHolder:
+    requests = {id(request): _fork_request(request) for request in holder.pending.values()}
     return fork_of(
         holder,
         changes=[],
         to_send=[],
-        to_give={},
+        to_release={},
         held={lease: replace(held) for lease, held in holder.held.items()},
-        open={lease: askings[id(asking)] for lease, asking in holder.open.items()},
+        pending={lease: requests[id(request)] for lease, request in holder.pending.items()},
     )
 
 
-def _fork_asking(one: Asking) -> Asking:
-    return Asking(
+def _fork_request(one: LeaseRequest) -> LeaseRequest:
+    return LeaseRequest(
         one.serial,
-        one.asked_ms,
-        dict(one.leases),
-        one.taking,
-        one.tries,
-        {lease: set(voters) for lease, voters in one.yes.items()},
-        {lease: dict(said) for lease, said in one.no.items()},
-        dict(one.better),
-        one.resend_ms,
-        one.wait_ms,
+        one.requested_ms,
+        dict(one.counters),
+        one.is_acquisition,
+        one.retries,
+        {lease: set(acceptors) for lease, acceptors in one.grants.items()},
+        {lease: dict(votes) for lease, votes in one.denials.items()},
+        dict(one.preferred_others),
+        one.resend_at_ms,
+        one.resend_interval_ms,
     )
 
 
-def _fork_voter(voter: Voter) -> Voter:
+def _fork_acceptor(acceptor: Acceptor) -> Acceptor:
     return fork_of(
-        voter,
-        grants={lease: Grant(one.token, one.serial, one.until_ms) for lease, one in voter.grants.items()},
-        highest=dict(voter.highest),
-        given_back=dict(voter.given_back),
+        acceptor,
+        grants={
+            lease: Grant(one.token, one.serial, one.expires_ms) for lease, one in acceptor.grants.items()
+        },
+        highest_tokens=dict(acceptor.highest_tokens),
+        releases=dict(acceptor.releases),
     )
 
 
-def _holder_key(holder: Holder) -> Any:
+def _holder_key(holder: LeaseHolder) -> Any:
     return (
-        holder.life,
+        holder.incarnation,
         holder.counter,
         holder.serial,
-        tuple((held.token, held.asked_ms) for held in holder.held.values()),
+        tuple((held.token, held.requested_ms) for held in holder.held.values()),
         tuple(
             (
                 one.serial,
-                one.asked_ms,
-                one.taking,
-                tuple(one.leases.items()),
-                one.resend_ms,
-                one.tries,
-                tuple(sorted(one.yes.get(LEASE, ()))),
-                tuple(sorted(one.no.get(LEASE, {}).items())),
+                one.requested_ms,
+                one.is_acquisition,
+                tuple(one.counters.items()),
+                one.resend_at_ms,
+                one.retries,
+                tuple(sorted(one.grants.get(LEASE, ()))),
+                tuple(sorted(one.denials.get(LEASE, {}).items())),
             )
-            for one in holder.open.values()
+            for one in holder.pending.values()
         ),
     )
 
 
-def _voter_key(voter: Voter) -> Any:
-    grants = tuple((one.token, one.serial, one.until_ms) for one in voter.grants.values())
-    return voter.silent_until_ms, grants, tuple(voter.highest.items()), tuple(voter.given_back.items())
+def _acceptor_key(acceptor: Acceptor) -> Any:
+    grants = tuple((one.token, one.serial, one.expires_ms) for one in acceptor.grants.values())
+    return (
+        acceptor.silent_until_ms,
+        grants,
+        tuple(acceptor.highest_tokens.items()),
+        tuple(acceptor.releases.items()),
+    )
 
 
 class Leases:
     """A state. `restarts`, `doubles`, `effects` and `gives` are how many a history may have. Holders and
-    voters are shared with the state that it was forked from until they change."""
+    acceptors are shared with the state that it was forked from until they change."""
 
     def __init__(
         self,
-        voters: int = 3,
+        acceptors: int = 3,
         restarts: int = 1,
         doubles: int = 1,
         effects: int = 2,
         gives: int = 1,
         part: float = PART,
-        holder: type[Holder] = Holder,
-        voter: type[Voter] = Voter,
+        holder: type[LeaseHolder] = LeaseHolder,
+        acceptor: type[Acceptor] = Acceptor,
         fence: type[Fence] = Fence,
     ) -> None:
-        self.make, self.part = (holder, voter), part
-        self.terms = Terms(tuple(range(voters)), 1, 0, TERM_MS, DRIFT)
+        self.make, self.part = (holder, acceptor), part
+        self.terms = LeaseTerms(tuple(range(acceptors)), 1, 0, TERM_MS, DRIFT)
         self.now = 0.0
         self.left = {"restart": restarts, "double": doubles, "effect": effects, "give": gives}
-        self.voters = [voter(self.terms, -10 * TERM_MS) for _ in range(voters)]
+        self.acceptors = [acceptor(self.terms, -10 * TERM_MS) for _ in range(acceptors)]
         self.holders = [holder(self.terms, number, number + 1, 0) for number in range(2)]
-        self.voter_keys = [_voter_key(one) for one in self.voters]
+        self.acceptor_keys = [_acceptor_key(one) for one in self.acceptors]
         self.holder_keys = [_holder_key(one) for one in self.holders]
-        self.lives = 2
+        self.incarnations = 2
         self.fence = fence()
         self.on_the_way: list[tuple[Any, ...]] = []
         self.taken = 0  # the largest token whose effect the receiver took
@@ -123,9 +131,9 @@
         return fork_of(
             self,
             left=dict(self.left),
-            voters=list(self.voters),
+            acceptors=list(self.acceptors),
             holders=list(self.holders),
-            voter_keys=list(self.voter_keys),
+            acceptor_keys=list(self.acceptor_keys),
             holder_keys=list(self.holder_keys),
             on_the_way=list(self.on_the_way),
         )
@@ -137,26 +145,26 @@
 
     def moves(self) -> Iterator[str]:  # noqa: C901  (to be split by concern)
         for number, holder in enumerate(self.holders):
-            if not holder.held and not holder.open:
+            if not holder.held and not holder.pending:
                 yield f"take {number}"
-            elif self._clock(True) >= holder.next_ms():
+            elif self._clock(True) >= holder.next_due_ms():
                 yield f"tick {number}"
             if holder.held:
                 if self.left["give"]:
                     yield f"give {number}"
-                if self.left["effect"] and self._clock(True) < holder.stop_ms(LEASE):
+                if self.left["effect"] and self._clock(True) < holder.usable_until_ms(LEASE):
                     yield f"effect {number}"
             if self.left["restart"]:
                 yield f"restart contender {number}"
         if self.left["restart"]:
-            for number in range(len(self.voters)):
+            for number in range(len(self.acceptors)):
                 yield f"restart voter {number}"
-        for place, word in enumerate(self.on_the_way):
-            if place and word == self.on_the_way[place - 1]:
+        for place, message in enumerate(self.on_the_way):
+            if place and message == self.on_the_way[place - 1]:
                 continue
-            yield f"deliver {name_of(word)}"
+            yield f"deliver {name_of(message)}"
             if self.left["double"]:
-                yield f"double {name_of(word)}"
+                yield f"double {name_of(message)}"
         if self.now < 4 * TERM_MS:
             yield "wait"
 
@@ -168,26 +176,26 @@
             self.left["restart"] -= 1
             who, which = rest.split()
             if who == "voter":
-                self._voter(int(which), self.make[1](self.terms, self._clock(False)))
+                self._acceptor(int(which), self.make[1](self.terms, self._clock(False)))
             else:
-                self.lives += 1
-                self.holders[int(which)] = self.make[0](self.terms, int(which), self.lives, 0)
+                self.incarnations += 1
+                self.holders[int(which)] = self.make[0](self.terms, int(which), self.incarnations, 0)
                 self._flush(int(which))
         elif kind in ("deliver", "double"):
-            word = next(word for word in self.on_the_way if name_of(word) == rest)
+            message = next(message for message in self.on_the_way if name_of(message) == rest)
             if kind == "double":
                 self.left["double"] -= 1
             else:
-                self.on_the_way.remove(word)
-            self._deliver(word)
+                self.on_the_way.remove(message)
+            self._deliver(message)
         else:
             self._contender(kind, int(rest))
         self._judge()
 
-    def _voter(self, number: int, voter: Voter) -> None:
-        self.voters[number], self.voter_keys[number] = voter, _voter_key(voter)
+    def _acceptor(self, number: int, acceptor: Acceptor) -> None:
+        self.acceptors[number], self.acceptor_keys[number] = acceptor, _acceptor_key(acceptor)
 
-    def _holder(self, number: int) -> Holder:
+    def _holder(self, number: int) -> LeaseHolder:
         holder = self.holders[number] = _fork_holder(self.holders[number])
         return holder
 
@@ -200,63 +208,65 @@
         holder = self._holder(number)
         holder.expire(now)
         if kind == "take":
-            holder.take(now, [LEASE])
+            holder.acquire(now, [LEASE])
         elif kind == "give":
             self.left["give"] -= 1
-            holder.give(LEASE, "given back")
-        holder.tick(now)
+            holder.release(LEASE)
+        holder.on_timer(now)
         self._flush(number)
 
-    def _send(self, *word: Any) -> None:
-        insort(self.on_the_way, word, key=name_of)
+    def _send(self, *message: Any) -> None:
+        insort(self.on_the_way, message, key=name_of)
 
     def _flush(self, number: int) -> None:
         holder = self.holders[number]
-        while holder.changes or holder.to_give or holder.to_send:
+        while holder.changes or holder.to_release or holder.to_send:
             for change in holder.changes:
-                if isinstance(change, Gained):
+                if isinstance(change, LeaseAcquired):
                     if change.token in self.gained:
                         self.wrong = "a token is used twice"
                     self.gained |= {change.token}
             holder.changes = []
-            gives, holder.to_give = holder.gives(), {}
+            gives, holder.to_release = holder.releasable(), {}
             if gives:
                 holder.serial += 1
-                for voter in range(len(self.voters)):
-                    self._send("give", number, voter, holder.serial, holder.life)
-            askings, holder.to_send = holder.to_send, []
-            for asking in askings:
-                for voter in range(len(self.voters)):
-                    for counter in holder.waits_for(asking, voter).values():
-                        self._send("ask", number, voter, asking.serial, holder.life, counter)
+                for acceptor in range(len(self.acceptors)):
+                    self._send("give", number, acceptor, holder.serial, holder.incarnation)
+            requests, holder.to_send = holder.to_send, []
+            for request in requests:
+                for acceptor in range(len(self.acceptors)):
+                    for counter in holder.missing_grants(request, acceptor).values():
+                        self._send("ask", number, acceptor, request.serial, holder.incarnation, counter)
         self.holder_keys[number] = _holder_key(holder)
 
-    def _deliver(self, word: tuple[Any, ...]) -> None:
-        kind, number = word[0], word[1]
+    def _deliver(self, message: tuple[Any, ...]) -> None:
+        kind, number = message[0], message[1]
         if kind == "effect":
-            token = word[2]
+            token = message[2]
             self.fence = fork_of(self.fence, _highest=dict(self.fence._highest))
             if self.fence.admit(DUTY, token):
                 if token < self.taken:
                     self.wrong = "an effect is taken after one with a larger token"
                 self.taken = max(self.taken, token)
         elif kind == "answer":
-            _, _, voter, serial, life, verdict, highest = word
+            _, _, acceptor, serial, incarnation, vote, highest = message
             holder, now = self._holder(number), self._clock(True)
             holder.expire(now)
-            row = (LEASE, Verdict(verdict), False, highest, NOBODY)
-            holder.answered(now, voter, Word(Kind.ANSWER, 0, 0, serial, 0, life, answered=(row,)))
+            row = LeaseVote(LEASE, Vote(vote), False, highest, NO_HOLDER)
+            holder.on_response(
+                now, acceptor, Message(MessageKind.RESPONSE, 0, 0, serial, 0, incarnation, votes=(row,))
+            )
             self._flush(number)
         else:
-            place, serial, owner = word[2], word[3], (number, word[4])
-            voter = _fork_voter(self.voters[place])
+            place, serial, owner = message[2], message[3], (number, message[4])
+            acceptor = _fork_acceptor(self.acceptors[place])
             if kind == "give":
-                voter.give(LEASE, owner, serial)
+                acceptor.on_release(LEASE, owner, serial)
             else:
-                said = voter.ask(self._clock(False), LEASE, owner, word[5], serial)
-                if said is not None:
-                    self._send("answer", number, place, serial, owner[1], int(said[0]), said[1])
-            self._voter(place, voter)
+                vote = acceptor.on_request(self._clock(False), LEASE, owner, message[5], serial)
+                if vote is not None:
+                    self._send("answer", number, place, serial, owner[1], int(vote.vote), vote.counter)
+            self._acceptor(place, acceptor)
 
     # -- promises
 
@@ -264,7 +274,7 @@
         holders = 0
         for holder in self.holders:
             for held in holder.held.values():
-                if self.now < (held.asked_ms + TERM_MS) / (1 - DRIFT):
+                if self.now < (held.requested_ms + TERM_MS) / (1 - DRIFT):
                     holders += 1
                     if held.token in self.over:
                         self.wrong = self.wrong or "a lease that had ended goes on under the same token"
@@ -287,7 +297,7 @@
             self.wrong,
             self.fence.highest(DUTY),
             tuple(self.holder_keys),
-            tuple(self.voter_keys),
+            tuple(self.acceptor_keys),
         )
 
 
@@ -310,16 +320,16 @@
 )
 BEGINS: dict[str, tuple[str, ...]] = {
     "nothing": (),  # nobody has asked
-    "held": HELD,  # the first contender holds the lease, by the first two voters
+    "held": HELD,  # the first contender holds the lease, by the first two acceptors
     "given": (*HELD, "give 0"),  # and has just given it back: its words are on their way
     "renewed-late": RENEWED_LATE,  # it has asked to renew, and the answers are on their way for long
     "taken-again": TAKEN_AGAIN,  # it gave it back and has it anew; the words that gave it are on their way
 }
 
 
-def begin(name: str, voters: int, **more: Any) -> Leases:
+def begin(name: str, acceptors: int, **more: Any) -> Leases:
     """A state to explore from."""
-    state = Leases(voters, **more)
+    state = Leases(acceptors, **more)
     for move in BEGINS[name]:
         state.play(move)
     return state
@@ -328,80 +338,80 @@
 # -- planted bugs, each a way in which a lease can be got wrong
 
 
-class ForgetsSilence(Voter):
-    """A voter that speaks at once after its start."""
+class ForgetsSilence(Acceptor):
+    """An acceptor that votes at once after its start."""
 
-    def __init__(self, terms: Terms, now_ms: float) -> None:
+    def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         super().__init__(terms, now_ms)
         self.silent_until_ms = now_ms
 
 
-class CountsFromAnswer(Holder):
-    """The lease's end counts from the answer, not from the asking."""
+class CountsFromAnswer(LeaseHolder):
+    """The lease's end counts from the answer, not from the request."""
 
-    def _settle(self, now_ms: float, asking: Asking, lease: int) -> None:
-        if len(asking.yes.get(lease, ())) >= self._terms.majority:
-            asking.asked_ms = now_ms
-        super()._settle(now_ms, asking, lease)
+    def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+        if len(request.grants.get(lease, ())) >= self._terms.quorum:
+            request.requested_ms = now_ms
+        super()._settle(now_ms, request, lease)
 
 
-class TokenTwice(Holder):
+class TokenTwice(LeaseHolder):
     """It takes the lease anew under the token that it had."""
 
     def next_counter(self, least: int = 0) -> int:
         return max(1, self.counter)
 
 
-class RenewsAfterTheEnd(Holder):
+class RenewsAfterTheEnd(LeaseHolder):
     """What has ended is not let go of while an answer may still come."""
 
     def expire(self, now_ms: float) -> None:
-        if not self.open:
+        if not self.pending:
             super().expire(now_ms)
 
 
-class BelievesLateAnswers(Holder):
-    """An answer to any asking counts for the open one."""
+class BelievesLateAnswers(LeaseHolder):
+    """An answer to any request counts for the open one."""
 
-    def answered(self, now_ms: float, voter: int, word: Word) -> Asking | None:
-        for asking in self.open.values():
-            word = word._replace(serial=asking.serial)
-        return super().answered(now_ms, voter, word)
+    def on_response(self, now_ms: float, acceptor: int, message: Message) -> LeaseRequest | None:
+        for request in self.pending.values():
+            message = message._replace(serial=request.serial)
+        return super().on_response(now_ms, acceptor, message)
 
 
 class FenceByCounter(Fence):
     """A fence that takes an equal token of another owner."""
 
     def admit(self, duty: str, token: int) -> bool:
-        if counter_of(token) == counter_of(self.highest(duty)):
+        if token_counter(token) == token_counter(self.highest(duty)):
             return True
         return super().admit(duty, token)
 
 
-class GivesWhatIsAsked(Holder):
-    """A word that gives back is sent behind a new asking for the same lease."""
+class GivesWhatIsAsked(LeaseHolder):
+    """A release is sent behind a new request for the same lease."""
 
-    def gives(self) -> list[int]:
-        return list(self.to_give)
+    def releasable(self) -> list[int]:
+        return list(self.to_release)
 
 
-class BelievesLateGives(Voter):
-    """A word that gives back counts also where the lease was asked for since."""
+class BelievesLateGives(Acceptor):
+    """A release counts also where the lease was requested since."""
 
-    def give(self, lease: int, owner: tuple[int, int], serial: int) -> bool:
+    def on_release(self, lease: int, owner: tuple[int, int], serial: int) -> bool:
         grant = self.grants.get(lease)
         if grant is not None and grant.owner == owner:
             serial = max(serial, grant.serial)
-        return super().give(lease, owner, serial)
+        return super().on_release(lease, owner, serial)
 
 
 PLANTS: dict[str, dict[str, Any]] = {
-    "forgets-silence": {"voter": ForgetsSilence},
+    "forgets-silence": {"acceptor": ForgetsSilence},
     "counts-from-answer": {"holder": CountsFromAnswer},
     "token-twice": {"holder": TokenTwice},
     "renews-after-the-end": {"holder": RenewsAfterTheEnd},
     "believes-late-answers": {"holder": BelievesLateAnswers},
     "fence-takes-equal": {"fence": FenceByCounter},
     "gives-what-is-asked": {"holder": GivesWhatIsAsked},
-    "believes-late-gives": {"voter": BelievesLateGives},
+    "believes-late-gives": {"acceptor": BelievesLateGives},
 }
--- a/tests/budgets/test_book.py
+++ b/tests/budgets/test_book.py
@@ -19,11 +19,11 @@
 from plumpick.policy.budgets.ledger import Book
 from plumpick.policy.budgets.matching import Matching, Rule
 from plumpick.policy.budgets.terms import Budget, Kind
-from plumpick.policy.leases.codec import MAX_NOTE
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.codec import MAX_PAYLOAD_BYTES
+from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.tools.budgets import lines
 
-TERMS = Terms((0, 1, 2), slots=4, term_ms=1200.0, drift=0.01)
+TERMS = LeaseTerms((0, 1, 2), slots=4, term_ms=1200.0, drift_ratio=0.01)
 SHARE_MS = 1000.0
 ONE = Budget("one", Kind.RATE, 60.0, burst=30.0, floor=0.3)
 
@@ -55,7 +55,7 @@
     def deliver(self, sender, receiver, note):
         if {sender, receiver} & self.deaf and sender != receiver:
             return
-        voter = receiver in TERMS.voters
+        voter = receiver in TERMS.acceptors
         self.books[receiver].heard(
             self.now,
             sender,
@@ -82,7 +82,7 @@
                 for number, book in enumerate(self.books):
                     notes, book.to_send = book.to_send, []
                     for receiver, note in notes:
-                        assert len(note) <= MAX_NOTE
+                        assert len(note) <= MAX_PAYLOAD_BYTES
                         self.deliver(number, receiver, note)
         return got
 
@@ -322,14 +322,14 @@
         assert {row.budget for _, note in notes for row in codec.read(note)} == plain
 
 
-@given(st.binary(max_size=MAX_NOTE))
+@given(st.binary(max_size=MAX_PAYLOAD_BYTES))
 def test_no_bytes_make_the_book_fall(data):
     tier = Tier()
     tier.own(0)
     tier.step(1200)
     for first in (b"", *(bytes([kind]) for kind in (codec.ASK, codec.SHARE, codec.WHERE, codec.MINE))):
-        tier.deliver(1, 0, (first + data)[:MAX_NOTE])
-        tier.deliver(1, 2, (first + data)[:MAX_NOTE])
+        tier.deliver(1, 0, (first + data)[:MAX_PAYLOAD_BYTES])
+        tier.deliver(1, 2, (first + data)[:MAX_PAYLOAD_BYTES])
 
 
 def test_words_come_as_they_went_to_the_last_bit():
@@ -339,7 +339,7 @@
     shares = [(n, Share(n, 1 << 90 | 7, 0.1 * n, 1 / 3, 2 / 3), 9 * n) for n in range(20)]
     said = [codec.read(note) for note in codec.sharing(9, 1 << 90 | 7, shares)]
     assert [row for one in said for row in one.rows] == shares and {one.life for one in said} == {9}
-    assert all(len(note) <= MAX_NOTE for note in notes + codec.sharing(9, 1, shares))
+    assert all(len(note) <= MAX_PAYLOAD_BYTES for note in notes + codec.sharing(9, 1, shares))
     assert codec.read(codec.where(3, 4)) == codec.Where(3, 4)
     for asks in (False, True):
         said = codec.Figures(7, 0.1, 1 / 3, asks)
--- a/tests/budgets/test_within_leases.py
+++ b/tests/budgets/test_within_leases.py
@@ -10,11 +10,11 @@
 from plumpick.policy.budgets.allocator import Divider
 from plumpick.policy.budgets.ledger import Book
 from plumpick.policy.budgets.terms import Budget, Kind, ends_within, longer
-from plumpick.policy.leases.lease_holder import Held, Holder
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases.lease_holder import HeldLease, LeaseHolder
+from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.policy.scheduled_tasks import Duties, Duty, GiveBack
 
-TERMS = Terms((0, 1, 2), slots=1, term_ms=2000.0, drift=0.01)
+TERMS = LeaseTerms((0, 1, 2), slots=1, term_ms=2000.0, drift_ratio=0.01)
 SHARE_MS = 1000.0
 ONE = Budget("one", Kind.RATE, 60.0, burst=12.0, floor=0.2)
 
@@ -89,13 +89,13 @@
 
 
 def test_words_that_give_back_leave_out_what_was_lent_under():
-    holder = Holder(TERMS, 0, 7, 1)
-    holder.held[0] = Held(9, 0.0, 0.0)
-    holder.lent = frozenset({0})
-    holder.give(0, "given back")
-    assert holder.gives() == []
-    holder.lent = frozenset()
-    assert holder.gives() == [0]
+    holder = LeaseHolder(TERMS, 0, 7, 1)
+    holder.held[0] = HeldLease(9, 0.0, 0.0)
+    holder.pinned = frozenset({0})
+    holder.release(0)
+    assert holder.releasable() == []
+    holder.pinned = frozenset()
+    assert holder.releasable() == [0]
 
 
 class World:
--- a/tests/ownership/ownership_rig.py
+++ b/tests/ownership/ownership_rig.py
@@ -5,9 +5,10 @@
 import itertools
 import random
 
-from plumpick.policy.leases.lease_holder import Gained, Lost, Yield
-from plumpick.policy.leases.participant import Came, Give, Member, Tell
-from plumpick.policy.leases.terms import Terms, owner_of
+from plumpick.policy.leases.actions import LeaseAcquired, LeaseLost, LeaseYieldRequested, SendMessage
+from plumpick.policy.leases.events import MessageReceived, ReleaseRequested
+from plumpick.policy.leases.participant import LeaseParticipant
+from plumpick.policy.leases.terms import LeaseTerms, token_owner
 
 UNIX_MS = 1.8e12
 
@@ -56,9 +57,9 @@
 
 
 class Rig:
-    def __init__(self, seed, gateways=3, make=Member, drift=0.0, **terms):
+    def __init__(self, seed, gateways=3, make=LeaseParticipant, drift=0.0, **terms):
         self.rng, self.now, self.gateways, self.make = random.Random(seed), 0.0, gateways, make
-        self.terms = Terms(**{"voters": (0, 1, 2), "slots": 3, **terms})
+        self.terms = LeaseTerms(**{"acceptors": (0, 1, 2), "slots": 3, **terms})
         self.drift, self.loss, self.twice, self.delay = drift, 0.0, 0.0, (1.0, 5.0)
         self.cut = lambda sender, receiver, data: False
         self._heap, self._serial = [], itertools.count()
@@ -82,26 +83,26 @@
         self.at(self.now + ms, call)
 
     def acts(self, process, action):
-        if isinstance(action, Tell):
+        if isinstance(action, SendMessage):
             self.sent += 1
             if self.cut(process.number, action.receiver, action.data) or self.rng.random() < self.loss:
                 return
             for _ in range(1 + (self.rng.random() < self.twice)):
                 self.later(self.rng.uniform(*self.delay), lambda: self._deliver(process.number, action))
-        elif isinstance(action, Gained):
+        elif isinstance(action, LeaseAcquired):
             self.gained.append((self.now, process.number, action.lease, action.token))
             self.log.append((round(self.now), process.number, "gained", action.lease))
-        elif isinstance(action, Lost):
+        elif isinstance(action, LeaseLost):
             self.lost.append((self.now, process.number, action.lease, action.token))
-            self.log.append((round(self.now), process.number, "lost", action.lease, action.why))
-        elif isinstance(action, Yield):
-            process.handle([Give(action.lease)])
+            self.log.append((round(self.now), process.number, "lost", action.lease, action.reason))
+        elif isinstance(action, LeaseYieldRequested):
+            process.handle([ReleaseRequested(action.lease)])
 
     def _deliver(self, sender, action):
         to = self.processes[action.receiver]
         if to is not None:
             self.took_in[action.receiver] = self.took_in.get(action.receiver, 0) + 1
-            to.handle([Came(sender, action.data)])
+            to.handle([MessageReceived(sender, action.data)])
 
     def kill(self, number):
         self.processes[number].dead = True
@@ -129,7 +130,7 @@
             if process.dead or process.member.closed:
                 continue
             for lease, held in process.member.holder.held.items():
-                if self.now < process.true(held.asked_ms + self.terms.term_ms):
+                if self.now < process.true(held.requested_ms + self.terms.term_ms):
                     holders.setdefault(lease, []).append((process.number, process.life))
         for lease, who in holders.items():
             if len(who) > 1:
@@ -142,7 +143,7 @@
             (
                 process.number
                 for process in self.processes
-                if process is not None and process.clock() < process.member.holder.stop_ms(lease)
+                if process is not None and process.clock() < process.member.holder.usable_until_ms(lease)
             ),
             None,
         )
@@ -199,4 +200,4 @@
 
 
 def owner(token):
-    return owner_of(token)
+    return token_owner(token)
--- a/tests/ownership/test_fences_and_settings.py
+++ b/tests/ownership/test_fences_and_settings.py
@@ -57,7 +57,7 @@
         fleet(DUTY, {**DUTY, "name": "two", "fenced": False, "repeatable": True}, turns=1), 3
     ).fleet
     assert [one.duty.name for one in got.duties] == ["use", "two"]
-    assert got.duties[0].receiver.address == ("127.0.0.1", 9) and got.terms.turns == 1
+    assert got.duties[0].receiver.address == ("127.0.0.1", 9) and got.terms.restart_permits == 1
     assert operator_from({}, 3).fleet is None
 
 
--- a/tests/ownership/test_tier.py
+++ b/tests/ownership/test_tier.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks.ownership.trial import DUTIES, play
-from plumpick.policy.leases.terms import rank
+from plumpick.policy.leases.terms import rendezvous_rank
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Judged, Tier, judge
 from plumpick.tools.call import ask
@@ -148,7 +148,7 @@
             await tier.taken(["use"], 20)
             # It has settled: the best placed one has it, and no voter has said of a larger token, of one that
             # asked in vain at the start, when it was renewed.
-            best = min(range(3), key=lambda number: rank(one_slot(), number))
+            best = min(range(3), key=lambda number: rendezvous_rank(one_slot(), number))
 
             def renewed():
                 rows = [row for row in tier.look() if row[0] == "held" and row[4] == one_slot()]
--- a/tests/simulation/test_simulated_duties.py
+++ b/tests/simulation/test_simulated_duties.py
@@ -27,7 +27,7 @@
 
 
 def test_a_voter_that_forgets_its_silence_is_found(monkeypatch):
-    monkeypatch.setattr(participant, "Voter", ForgetsSilence)
+    monkeypatch.setattr(participant, "Acceptor", ForgetsSilence)
     assert any(play(cut_off_and_forgotten(gate)).rule == "one-owner" for gate in range(3))
 
 
