--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -26,7 +26,7 @@
     """One size."""
     from ownership_rig import Rig
 
-    from plumpick.policy.scheduled_tasks import Duties, Duty
+    from plumpick.policy.scheduled_tasks import ScheduledTask, StartRun, TaskScheduler
 
     rig = Rig(
         1, gateways=gateways, term_ms=6000, slots=SLOTS, acceptors=(0, gateways // 3, 2 * gateways // 3)
@@ -50,10 +50,10 @@
     rig.acts = acts
     plans = {}
     for process in rig.processes:
-        rows = tuple(Duty(f"d{place}", "call", 60_000.0, 5000.0, 0) for place in range(number))
-        plan = plans[process.number] = Duties(rows, SLOTS, random.Random(process.number))
+        rows = tuple(ScheduledTask(f"d{place}", "call", 60_000.0, 5000.0, 0) for place in range(number))
+        plan = plans[process.number] = TaskScheduler(rows, SLOTS, random.Random(process.number))
         for lease, held in process.member.holder.held.items():
-            plan.gained(0.0, lease, held.token)
+            plan.on_slot_acquired(0.0, lease, held.token)
         handle = process.member.handle
 
         def timed(now_ms: float, events: Any = (), handle: Any = handle, place: int = process.number) -> Any:
@@ -69,9 +69,9 @@
         t = 0.0
         while t < SECONDS * 1000:
             for act in plan.handle(t, 1.8e12 + t):
-                if hasattr(act, "token"):
-                    plan.ended(t + 1, act.duty.name, act.period, "")
-            t = max(t + 1, min(plan.next_ms(), SECONDS * 1000.0))
+                if isinstance(act, StartRun):
+                    plan.on_run_completed(t + 1, act.task.name, act.period)
+            t = max(t + 1, min(plan.next_due_ms(), SECONDS * 1000.0))
         cpu[place] += time.process_time() - begin
 
     def mean(values: list[float]) -> float:
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -50,7 +50,7 @@
     "process": "plumpick/gateway/daemon.py, serve",
     "leases": "plumpick/policy/leases/acceptor.py",
     "holding": "plumpick/policy/leases/lease_holder.py",
-    "gathering": "plumpick/policy/usage_report.py, Gathering",
+    "gathering": "plumpick/policy/usage_report.py, UsageCollection",
     "dividing": "plumpick/policy/budgets/allocator.py, Divider",
     "share": "plumpick/gateway/operator_config.py, _fleet",
     "watching": "plumpick/policy/endpoint_watch.py, Watching",
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -46,7 +46,7 @@
 )
 from plumpick.policy.leases.participant import LeaseParticipant
 from plumpick.policy.leases.rate_limit import PeerRateLimit
-from plumpick.policy.scheduled_tasks import Duties
+from plumpick.policy.scheduled_tasks import TaskScheduler
 
 STILL_MS = 1000.0  # a stall of so long is worth a line
 GUARD_S = 0.5  # the place of a voter that another process has is tried for again so often
@@ -76,19 +76,21 @@
         self._rate_limit = PeerRateLimit()
         self._receivers = {one.duty.name: one for one in settings.duties}
         self._tallies = {
-            one.duty.name: usage_report.Tally(one.duty.period_ms, system.unix_ms())
+            one.duty.name: usage_report.UsageCounter(one.duty.period_ms, system.unix_ms())
             for one in settings.duties
             if one.duty.kind == USE
         }
         self._tags = {zlib.crc32(name.encode()): name for name in self._tallies}
         self._plans = [plan.name for plan in config.settings.plans]
-        self._duties = Duties(tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance)
+        self._duties = TaskScheduler(
+            tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance
+        )
         self.book: Book | None = None  # and in budgets, where some are named
         self._matching = Matching([one.rule for one in settings.budgets])
         self.member: LeaseParticipant | None = None  # this process's part in the leases
         self._runs: dict[str, asyncio.Task[None]] = {}  # by duty
         self._gathering: dict[
-            str, tuple[int, usage_report.Gathering]
+            str, tuple[int, usage_report.UsageCollection]
         ] = {}  # by duty: the period, and what came
         self._timer: asyncio.TimerHandle | None = None
         self._due_ms = math.inf
@@ -135,9 +137,9 @@
                 self.member.restore(now, state["leases"], accepts=self._guard is not None)
                 for name, rows in state["use"].items():
                     if name in self._tallies:
-                        self._tallies[name].inherit(rows)
+                        self._tallies[name].restore(rows)
                 for lease, held in self.member.holder.held.items():
-                    self._duties.gained(now, lease, held.token)
+                    self._duties.on_slot_acquired(now, lease, held.token)
                     if self.book is not None:
                         self.book.gained(now, lease, held.token)
                 self.turn_drained = bool(state["drained"])
@@ -179,7 +181,7 @@
     def leave(self) -> None:
         """The process will end: give back what is held, each lease when nothing of it runs. A turn is
         kept, for it is this gatekeeper that will be out."""
-        self._duties.leave()
+        self._duties.yield_all()
         if self.book is not None:
             self.book.yields(set(range(self._settings.terms.slots)))
         self._step([ShutdownStarted()])
@@ -190,7 +192,7 @@
         state = {
             "leases": self.member.capture(),
             "drained": self.turn_drained,
-            "use": {name: tally.estate() for name, tally in self._tallies.items()},
+            "use": {name: tally.capture() for name, tally in self._tallies.items()},
         }
         if self.book is not None:
             state["budgets"] = self.book.estate(self._system.boottime())
@@ -212,7 +214,7 @@
     def resume(self) -> None:
         """The next process has died: begin anew. What was handed over ends by its time."""
         self.passed_on = None
-        self._duties = Duties(
+        self._duties = TaskScheduler(
             tuple(one.duty for one in self._settings.duties), self._settings.terms.slots, self._chance
         )
         self.open()
@@ -235,7 +237,7 @@
     def counted_elsewhere(self, value: Any) -> None:
         """The same, by the process before; raises ValueError or TypeError."""
         plan, outcome, units = value
-        if outcome not in (usage_report.SERVED, usage_report.REFUSED, usage_report.FAILED):
+        if outcome not in (usage_report.SERVED, usage_report.REJECTED, usage_report.FAILED):
             raise ValueError(f"{outcome!r} is no outcome")
         self.count(str(plan), outcome, float(units))
 
@@ -268,9 +270,9 @@
                     self._carry(now, action)
                 gives: list[Event] = []
                 if self.book is not None:
-                    self._duties.kept = self.book.lent(now)
+                    self._duties.pinned_slots = self.book.lent(now)
                 for act in self._duties.handle(now, system.unix_ms()):
-                    if isinstance(act, plans.GiveBack):
+                    if isinstance(act, plans.ReleaseSlot):
                         gives.append(ReleaseRequested(act.slot))
                     else:
                         self._run_or_stop(act)
@@ -282,7 +284,7 @@
 
     def _arm(self, now: float) -> None:
         assert self.member is not None
-        self._due_ms = min(self.member.due_ms, self._duties.next_ms())
+        self._due_ms = min(self.member.due_ms, self._duties.next_due_ms())
         if self.book is not None:
             self._due_ms = min(self._due_ms, self.book.next_ms())
         if self._timer is not None:
@@ -309,14 +311,14 @@
                 if action.lease >= terms.slots:
                     self._out(action.token)
                     return
-                names = [name for name, work in self._duties.work.items() if work.slot == action.lease]
+                names = [name for name, work in self._duties.tasks.items() if work.slot == action.lease]
                 log.info(
                     "duties: slot %d is ours, token %x: %s",
                     action.lease,
                     action.token,
                     ", ".join(names[:8]) or "no duty",
                 )
-                self._duties.gained(now, action.lease, action.token)
+                self._duties.on_slot_acquired(now, action.lease, action.token)
                 if self.book is not None:
                     self.book.gained(now, action.lease, action.token)
             case LeaseLost():
@@ -331,10 +333,10 @@
                 else:
                     if self.book is not None:
                         self.book.lost(action.lease)
-                    self._duties.lost(now, action.lease, action.reason)
+                    self._duties.on_slot_lost(now, action.lease, action.reason)
             case LeaseYieldRequested():
                 if action.lease < terms.slots:
-                    self._duties.yields(action.lease)
+                    self._duties.yield_slot(action.lease)
                     if self.book is not None:
                         self.book.yields({action.lease})
             case LeaseDenied():
@@ -455,18 +457,18 @@
         return held is not None and held.token == token and now < member.holder.usable_until_ms(slot)
 
     def _run_or_stop(self, act: Any) -> None:
-        name = act.duty.name
-        if isinstance(act, plans.Start):
+        name = act.task.name
+        if isinstance(act, plans.StartRun):
             self._runs[name] = self._loop.create_task(self._run(self._receivers[name], act))
-        elif isinstance(act, plans.Stop):
-            log.warning("duties: %s, period %d: stopped, %s", name, act.period, act.why)
+        elif isinstance(act, plans.StopRun):
+            log.warning("duties: %s, period %d: stopped, %s", name, act.period, act.reason)
             run = self._runs.pop(name, None)
             if run is not None:
                 run.cancel()
         else:
-            log.warning("duties: %s, period %d: no run of ours (%s)", name, act.period, act.why)
+            log.warning("duties: %s, period %d: no run of ours (%s)", name, act.period, act.reason)
 
-    async def _run(self, settings: DutySettings, start: plans.Start) -> None:
+    async def _run(self, settings: DutySettings, start: plans.StartRun) -> None:
         """One run; whatever becomes of it is told to the decisions."""
         name, wrong = settings.duty.name, ""
         outdone: int | None = None
@@ -498,27 +500,33 @@
             log.warning("duties: %s, period %d: %s", name, start.period, wrong)
         else:
             log.debug("duties: %s, period %d: done, token %x", name, start.period, start.token)
-        self._duties.ended(self._system.boottime(), name, start.period, wrong)
+        now = self._system.boottime()
+        if wrong:
+            self._duties.on_run_failed(now, name, start.period, wrong)
+        else:
+            self._duties.on_run_completed(now, name, start.period)
         self._step([LargerTokenSeen(start.slot, outdone)] if outdone is not None else [])
 
     # -- the fleet's use
 
-    async def _gather(self, settings: DutySettings, start: plans.Start) -> dict[str, Any]:
+    async def _gather(self, settings: DutySettings, start: plans.StartRun) -> dict[str, Any]:
         """What all gatekeepers did in the period, and what is not known."""
         name, period, member = settings.duty.name, start.period, self.member
         assert member is not None
-        gathering = usage_report.Gathering(self._config.settings.gateway_count, self._system.boottime())
+        gathering = usage_report.UsageCollection(self._config.settings.gateway_count, self._system.boottime())
         self._gathering[name] = period, gathering
         tag = zlib.crc32(name.encode())
-        while not gathering.over(now := self._system.boottime()):
-            for number in gathering.due(now):
+        while not gathering.is_over(now := self._system.boottime()):
+            for number in gathering.gateways_to_poll(now):
                 if number == self._config.settings.gateway_number:
                     for data in self._told(name, tag, period):
-                        said = usage_report.read(data)
+                        said = usage_report.decode(data)
                         assert said is not None
-                        gathering.heard(number, said)
+                        gathering.on_report(number, said)
                 else:
-                    self._say(now, member.payload_message(now, number, usage_report.asking(tag, period)))
+                    self._say(
+                        now, member.payload_message(now, number, usage_report.encode_request(tag, period))
+                    )
             await asyncio.sleep(GATHER_S)
         sums, gaps = gathering.result(settings.duty.period_ms)
         span_ms = settings.duty.period_ms
@@ -541,7 +549,9 @@
         }
 
     def _told(self, name: str, tag: int, period: int) -> list[bytes]:
-        return usage_report.telling(tag, period, *self._tallies[name].told(self._system.unix_ms(), period))
+        return usage_report.encode_report(
+            tag, period, self._tallies[name].usage(self._system.unix_ms(), period)
+        )
 
     def _note(self, now: float, note: DeliverPayload) -> None:
         if note.data[:1] in SHARES:
@@ -556,17 +566,17 @@
                     self._end_of,
                 )
             return
-        said, member = usage_report.read(note.data), self.member
+        said, member = usage_report.decode(note.data), self.member
         name = self._tags.get(said.tag) if said is not None else None
         if said is None or name is None or member is None:
             return
-        if said.kind == usage_report.ASK:
+        if said.kind == usage_report.KIND_REQUEST:
             for data in self._told(name, said.tag, said.period):
                 self._say(now, member.payload_message(now, note.sender, data))
             return
         period, gathering = self._gathering.get(name, (-1, None))
         if gathering is not None and period == said.period:
-            gathering.heard(note.sender, said)
+            gathering.on_report(note.sender, said)
 
     # -- staff
 
@@ -607,17 +617,17 @@
             return True, "another process has the duties"
         page = int(argument) if argument.isdigit() else 0
         now, terms, holder = self._system.boottime(), self._settings.terms, member.holder
-        names = sorted(self._duties.work)
+        names = sorted(self._duties.tasks)
         rows = []
         for name in names[page * PAGE : (page + 1) * PAGE]:
-            work = self._duties.work[name]
-            last = work.last
+            work = self._duties.tasks[name]
+            last = work.last_run
             rows.append(
                 [
                     name,
                     work.slot,
-                    work.running,
-                    None if last is None else [last.period, round(last.took_ms, 1), last.what[:60]],
+                    work.running_period,
+                    None if last is None else [last.period, round(last.duration_ms, 1), last.outcome[:60]],
                 ]
             )
         leases = []
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -14,9 +14,9 @@
 from plumpick.policy.budgets.matching import Rule
 from plumpick.policy.budgets.terms import Budget, BudgetError, Kind
 from plumpick.policy.leases.terms import LeaseTerms, LeaseTermsError
-from plumpick.policy.scheduled_tasks import Duty
+from plumpick.policy.scheduled_tasks import ScheduledTask
 from plumpick.policy.settings_parser import SettingsError
-from plumpick.policy.usage_report import longest_ms
+from plumpick.policy.usage_report import max_collection_ms
 
 MOST_DUTIES, MOST_BUDGETS = 2000, 2000
 MOST_SERVICES = 8
@@ -37,7 +37,7 @@
 class DutySettings:
     """A duty and its receiver."""
 
-    duty: Duty
+    duty: ScheduledTask
     receiver: Receiver
 
 
@@ -134,7 +134,7 @@
     least = max(1.0, gateways / 10) if kind == USE else 0.1
     period = keys.seconds("period_s", least, 86_400 * 31)
     # So long a run may take: to gather from dead ones too, to connect, and to wait for the answer.
-    needs = 0.05 if kind == CALL else longest_ms(gateways) / 1000 + 1.0
+    needs = 0.05 if kind == CALL else max_collection_ms(gateways) / 1000 + 1.0
     limit = keys.seconds("limit_s", needs, 86_400, max(period / 1000, 5.0, needs + 4.0))
     catch_up = keys.get("catch_up", int, 2)
     if not 0 <= catch_up <= 7:
@@ -145,7 +145,7 @@
             "name the duty repeatable if that does no harm"
         )
     receiver = _receiver(keys.get("receiver", str), f"{path}.receiver")
-    return DutySettings(Duty(name, kind, period, limit, catch_up, kind == USE), receiver)
+    return DutySettings(ScheduledTask(name, kind, period, limit, catch_up, kind == USE), receiver)
 
 
 def _names(keys: _Keys, key: str) -> frozenset[str]:
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -1,207 +1,252 @@
-"""The fleet's use in a period: what one gatekeeper counted, and how the owner gathers it. No I/O, no clock.
+"""The fleet's usage in a period: what each gateway counted, and how the owner collects it. No I/O, no clock.
 
-Each gatekeeper counts by period and plan and keeps the last few. The owner asks each for a period that is
-over, a few a second, and again what does not answer; what nobody tells is stated as a gap, never guessed.
-A gatekeeper that began within the period says from when on it counted: the time before is a gap, too."""
+Each gateway counts by period and plan, and keeps the last few periods. The owner polls each gateway for a
+period that is over, a few a second, with retries; what nobody reports is stated as a gap, never guessed. A
+gateway that started within the period says from when on it counted: the time before is a gap, too."""
 
 from __future__ import annotations
 
 import math
 import struct
 from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
-KEPT = 10  # periods
-SERVED, REFUSED, FAILED = 0, 1, 2
-ASK_EACH_MS = 50.0  # the owner asks one gatekeeper in so long, which then takes in 20 answers a second
-ASK_AGAIN_MS, TRIES = 300.0, 4  # the wait grows by as much each time: 3 s until one is given up
-_NOTE = struct.Struct(">BIQIBB")  # kind, the duty's tag, period, counted from that ms of it on, part, parts
-_ROW = struct.Struct(">BIIII")  # plan, served, refused, failed, units x 16
-ROWS = 12  # in a note
-ASK, TOLD = 1, 2
-NOTHING = 0xFFFFFFFF  # in place of the ms: the period is not known here
+MAX_PERIODS = 10  # that a gateway keeps
+SERVED = 0  # outcomes of a request, as in plumpick/gateway/gateway.py
+REJECTED = 1
+FAILED = 2
+POLL_INTERVAL_MS = 50.0  # the owner polls one gateway in so long, and takes in 20 reports a second
+RETRY_MS = 300.0  # the wait grows by as much each time: a gateway is given up after 3 s
+MAX_ATTEMPTS = 4
+MAX_POLL_DEBT = 2  # polls that may be made up for after a delay
+MAX_ROWS_PER_MESSAGE = 12
+NOT_COUNTED = 0xFFFFFFFF  # in place of a time: the gateway knows nothing of the period
+KIND_REQUEST = 1
+KIND_REPORT = 2
+_HEADER = struct.Struct(">BIQIBB")  # kind, the task's tag, period, counted from that ms of it, part, parts
+_ROW = struct.Struct(">BIIII")  # plan, served, rejected, failed, units x 16
+_UNIT_SCALE = 16
+_UINT32_MAX = 0xFFFFFFFF
 
-Row = list[float]  # served, refused, failed, units
+UsageRow = list[float]  # served, rejected, failed, units
 
 
-class Tally:
-    """What this gatekeeper counted. Table: `KEPT` periods, each with the plans that occurred."""
+class UsageSnapshotError(ValueError):
+    """Counts of the process before that cannot be used; the text says why."""
 
-    def __init__(self, period_ms: float, born_unix_ms: float) -> None:
-        self.period_ms, self.born_unix_ms = period_ms, born_unix_ms
-        self.periods: dict[int, dict[int, Row]] = {}
+
+class PeriodUsage(NamedTuple):
+    """What one gateway counted in a period, by plan; `counted_from_ms` of the period on, or NOT_COUNTED."""
+
+    counted_from_ms: int
+    rows: dict[int, UsageRow]
+
+
+class UsageGap(NamedTuple):
+    """From when to when of the period it is not known what a gateway did."""
+
+    gateway: int
+    from_ms: float
+    until_ms: float
+
+
+class FleetUsage(NamedTuple):
+    """The sums of a period by plan, and what is missing from them."""
+
+    totals: dict[int, UsageRow]
+    gaps: list[UsageGap]
+
+
+class UsageCounter:
+    """What this gateway counted. Owns MAX_PERIODS periods, each with the plans that occurred in it."""
+
+    def __init__(self, period_ms: float, started_unix_ms: float) -> None:
+        self.period_ms = period_ms
+        self.started_unix_ms = started_unix_ms
+        self.periods: dict[int, dict[int, UsageRow]] = {}
 
     def count(self, unix_ms: float, plan: int, outcome: int, units: float) -> None:
-        """One request has its final answer."""
+        """One request has its final outcome."""
         period = int(unix_ms // self.period_ms)
         rows = self.periods.get(period)
         if rows is None:
             rows = self.periods[period] = {}
-            for old in sorted(self.periods)[:-KEPT]:
+            for old in sorted(self.periods)[:-MAX_PERIODS]:
                 del self.periods[old]
         row = rows.setdefault(plan, [0, 0, 0, 0.0])
         row[outcome] += 1
         if outcome == SERVED:
             row[3] += units
 
-    def told(self, unix_ms: float, period: int) -> tuple[int, dict[int, Row]]:
-        """From which ms of the period on it was counted, and the rows; NOTHING where it is not over, or too
-        old, or this process began after it."""
+    def usage(self, unix_ms: float, period: int) -> PeriodUsage:
+        """What was counted in a period; NOT_COUNTED while it is not over, or when it is too old, or over
+        before this process started."""
         newest = int(unix_ms // self.period_ms)
-        since_ms = max(0.0, self.born_unix_ms - period * self.period_ms)
-        if not newest - KEPT < period < newest or since_ms >= self.period_ms:
-            return NOTHING, {}
-        return math.ceil(since_ms), self.periods.get(period, {})
+        counted_from_ms = max(0.0, self.started_unix_ms - period * self.period_ms)
+        if not newest - MAX_PERIODS < period < newest or counted_from_ms >= self.period_ms:
+            return PeriodUsage(NOT_COUNTED, {})
+        return PeriodUsage(math.ceil(counted_from_ms), self.periods.get(period, {}))
 
-    def estate(self) -> dict[str, object]:
-        """For the next process of this gatekeeper."""
+    def capture(self) -> dict[str, object]:
+        """The state for the next process of this gateway, for JSON."""
         return {
-            "born": self.born_unix_ms,
+            "born": self.started_unix_ms,
             "periods": [
                 [period, [[plan, *row] for plan, row in rows.items()]]
                 for period, rows in self.periods.items()
             ],
         }
 
-    def inherit(self, state: dict[str, object]) -> None:
-        """Go on from there; raises ValueError, TypeError or KeyError."""
-        born = float(state["born"])  # type: ignore[arg-type]
-        periods = {
-            int(period): {int(plan): [float(value) for value in row] for plan, *row in rows}
-            for period, rows in state["periods"]
-        }  # type: ignore[attr-defined]
+    def restore(self, state: dict[str, Any]) -> None:
+        """Go on from a captured state; raises UsageSnapshotError, and then nothing has changed."""
+        try:
+            started_unix_ms = float(state["born"])
+            periods = {
+                int(period): {int(plan): [float(value) for value in row] for plan, *row in rows}
+                for period, rows in state["periods"]
+            }
+        except (KeyError, TypeError, ValueError) as problem:
+            raise UsageSnapshotError(str(problem)) from problem
         if any(len(row) != 4 for rows in periods.values() for row in rows.values()):
-            raise ValueError("a row of use is no row")
-        self.born_unix_ms, self.periods = born, periods
-
-
-def asking(tag: int, period: int) -> bytes:
-    """The note that asks for a period."""
-    return _NOTE.pack(ASK, tag, period, 0, 0, 1)
-
-
-def telling(tag: int, period: int, since_ms: int, rows: dict[int, Row]) -> list[bytes]:
-    """The notes that tell it."""
-    plans = sorted(rows)
-    parts = max(1, math.ceil(len(plans) / ROWS))
-    return [
-        _NOTE.pack(TOLD, tag, period, since_ms, part, parts)
-        + b"".join(
-            _ROW.pack(
-                plan,
-                *(min(0xFFFFFFFF, int(value)) for value in rows[plan][:3]),
-                min(0xFFFFFFFF, round(rows[plan][3] * 16)),
-            )
-            for plan in plans[part * ROWS : (part + 1) * ROWS]
-        )
-        for part in range(parts)
-    ]
+            raise UsageSnapshotError("a row of use is no row")
+        self.started_unix_ms = started_unix_ms
+        self.periods = periods
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A note, read."""
+class UsageMessage:
+    """A request for a period of a task, or one part of a report."""
 
     kind: int
     tag: int
     period: int
-    since_ms: int
+    counted_from_ms: int
     part: int
     parts: int
-    rows: dict[int, Row]
+    rows: dict[int, UsageRow]
+
+
+def encode_request(tag: int, period: int) -> bytes:
+    """The message that requests a period; `tag` stands for the task."""
+    return _HEADER.pack(KIND_REQUEST, tag, period, 0, 0, 1)
+
+
+def encode_report(tag: int, period: int, usage: PeriodUsage) -> list[bytes]:
+    """The messages that report a period."""
+    plans = sorted(usage.rows)
+    parts = max(1, math.ceil(len(plans) / MAX_ROWS_PER_MESSAGE))
+    messages = []
+    for part in range(parts):
+        header = _HEADER.pack(KIND_REPORT, tag, period, usage.counted_from_ms, part, parts)
+        first = part * MAX_ROWS_PER_MESSAGE
+        rows = [_encode_row(plan, usage.rows[plan]) for plan in plans[first : first + MAX_ROWS_PER_MESSAGE]]
+        messages.append(header + b"".join(rows))
+    return messages
 
 
-def read(data: bytes) -> Said | None:
-    """The note in these bytes, or None."""
-    if len(data) < _NOTE.size or (len(data) - _NOTE.size) % _ROW.size or data[0] not in (ASK, TOLD):
+def _encode_row(plan: int, row: UsageRow) -> bytes:
+    counts = (min(_UINT32_MAX, int(value)) for value in row[:3])
+    return _ROW.pack(plan, *counts, min(_UINT32_MAX, round(row[3] * _UNIT_SCALE)))
+
+
+def decode(data: bytes) -> UsageMessage | None:
+    """The message in these bytes, or None when they hold none."""
+    if len(data) < _HEADER.size or (len(data) - _HEADER.size) % _ROW.size:
+        return None
+    if data[0] not in (KIND_REQUEST, KIND_REPORT):
         return None
-    kind, tag, period, since_ms, part, parts = _NOTE.unpack_from(data)
+    kind, tag, period, counted_from_ms, part, parts = _HEADER.unpack_from(data)
     if not part < parts:
         return None
-    return Said(
-        kind,
-        tag,
-        period,
-        since_ms,
-        part,
-        parts,
-        {
-            plan: [served, refused, failed, units / 16]
-            for plan, served, refused, failed, units in _ROW.iter_unpack(data[_NOTE.size :])
-        },
-    )
+    rows = {
+        plan: [served, rejected, failed, units / _UNIT_SCALE]
+        for plan, served, rejected, failed, units in _ROW.iter_unpack(data[_HEADER.size :])
+    }
+    return UsageMessage(kind, tag, period, counted_from_ms, part, parts, rows)
 
 
 @dataclass(slots=True)
-class _Asked:
-    tries: int = 0
+class _GatewayReport:
+    """What one gateway has reported so far."""
+
+    attempts: int = 0
     next_ms: float = 0.0
-    since_ms: int = -1
-    parts: dict[int, dict[int, Row]] = field(default_factory=dict)
-    count: int = 0
+    counted_from_ms: int = -1
+    parts: dict[int, dict[int, UsageRow]] = field(default_factory=dict)
+    part_count: int = 0
 
     @property
-    def whole(self) -> bool:
-        return self.count > 0 and len(self.parts) == self.count
+    def is_complete(self) -> bool:
+        return self.part_count > 0 and len(self.parts) == self.part_count
+
+    def is_given_up(self, now_ms: float) -> bool:
+        return self.attempts >= MAX_ATTEMPTS and now_ms >= self.next_ms
 
 
-def longest_ms(gateways: int) -> float:
-    """How long a gathering takes at most, where nobody answers."""
-    return ASK_AGAIN_MS * TRIES * (TRIES + 1) / 2 + gateways * TRIES * ASK_EACH_MS
+def max_collection_ms(gateways: int) -> float:
+    """How long a collection takes when nobody reports."""
+    return RETRY_MS * MAX_ATTEMPTS * (MAX_ATTEMPTS + 1) / 2 + gateways * MAX_ATTEMPTS * POLL_INTERVAL_MS
 
 
-class Gathering:
-    """The owner's side, for one duty and one period. Table: one entry for each gatekeeper."""
+class UsageCollection:
+    """The owner's side, for one task and one period. Owns one entry for each gateway."""
 
     def __init__(self, gateways: int, now_ms: float) -> None:
-        self._asked = {number: _Asked() for number in range(gateways)}
+        self._reports = {gateway: _GatewayReport() for gateway in range(gateways)}
         self._next_ms = now_ms
 
-    def heard(self, sender: int, said: Said) -> None:
-        """A gatekeeper tells its part."""
-        one = self._asked.get(sender)
-        if one is None or one.whole:
+    def on_report(self, sender: int, message: UsageMessage) -> None:
+        """A gateway has reported a part."""
+        report = self._reports.get(sender)
+        if report is None or report.is_complete:
             return
-        if (said.since_ms, said.parts) != (one.since_ms, one.count):  # it is another life's
-            one.since_ms, one.count = said.since_ms, said.parts
-            one.parts = {}
-        one.parts[said.part] = said.rows
-
-    def due(self, now_ms: float) -> list[int]:
-        """Whom to ask now, few at a time."""
-        whom: list[int] = []
+        if (message.counted_from_ms, message.parts) != (report.counted_from_ms, report.part_count):
+            # Another incarnation's: the parts do not belong together.
+            report.counted_from_ms = message.counted_from_ms
+            report.part_count = message.parts
+            report.parts = {}
+        report.parts[message.part] = message.rows
+
+    def gateways_to_poll(self, now_ms: float) -> list[int]:
+        """Whom to request it from now, a few at a time."""
+        gateways: list[int] = []
         waiting = sorted(
-            (one.next_ms, number)
-            for number, one in self._asked.items()
-            if not one.whole and one.tries < TRIES
+            (report.next_ms, gateway)
+            for gateway, report in self._reports.items()
+            if not report.is_complete and report.attempts < MAX_ATTEMPTS
         )
-        for next_ms, number in waiting:
+        for next_ms, gateway in waiting:
             if next_ms > now_ms or self._next_ms > now_ms:
                 break
-            one = self._asked[number]
-            one.tries += 1
-            one.next_ms = now_ms + ASK_AGAIN_MS * one.tries
-            self._next_ms = max(self._next_ms, now_ms - 2 * ASK_EACH_MS) + ASK_EACH_MS
-            whom.append(number)
-        return whom
-
-    def over(self, now_ms: float) -> bool:
-        """Whether all have told it, or will not."""
-        return all(one.whole or one.tries >= TRIES and now_ms >= one.next_ms for one in self._asked.values())
-
-    def result(self, period_ms: float) -> tuple[dict[int, Row], list[tuple[int, float, float]]]:
-        """The sums by plan, and the gaps: gatekeeper, and from which to which ms of the period it is not
-        known what it did."""
-        sums: dict[int, Row] = {}
-        gaps: list[tuple[int, float, float]] = []
-        for number, one in self._asked.items():
-            if not one.whole or one.since_ms == NOTHING:
-                gaps.append((number, 0.0, period_ms))
+            report = self._reports[gateway]
+            report.attempts += 1
+            report.next_ms = now_ms + RETRY_MS * report.attempts
+            earliest_ms = now_ms - MAX_POLL_DEBT * POLL_INTERVAL_MS
+            self._next_ms = max(self._next_ms, earliest_ms) + POLL_INTERVAL_MS
+            gateways.append(gateway)
+        return gateways
+
+    def is_over(self, now_ms: float) -> bool:
+        """Whether every gateway has reported, or was given up."""
+        return all(report.is_complete or report.is_given_up(now_ms) for report in self._reports.values())
+
+    def result(self, period_ms: float) -> FleetUsage:
+        """What was collected, by plan, and the gaps in it."""
+        totals: dict[int, UsageRow] = {}
+        gaps: list[UsageGap] = []
+        for gateway, report in self._reports.items():
+            if not report.is_complete or report.counted_from_ms == NOT_COUNTED:
+                gaps.append(UsageGap(gateway, 0.0, period_ms))
                 continue
-            if one.since_ms:
-                gaps.append((number, 0.0, float(one.since_ms)))
-            for rows in one.parts.values():
-                for plan, row in rows.items():
-                    total = sums.setdefault(plan, [0, 0, 0, 0.0])
-                    for place, value in enumerate(row):
-                        total[place] += value
-        return sums, gaps
+            if report.counted_from_ms:
+                gaps.append(UsageGap(gateway, 0.0, float(report.counted_from_ms)))
+            for rows in report.parts.values():
+                _add(totals, rows)
+        return FleetUsage(totals, gaps)
+
+
+def _add(totals: dict[int, UsageRow], rows: dict[int, UsageRow]) -> None:
+    for plan, row in rows.items():
+        total = totals.setdefault(plan, [0, 0, 0, 0.0])
+        for place, value in enumerate(row):
+            total[place] += value
--- a/tests/budgets/test_within_leases.py
+++ b/tests/budgets/test_within_leases.py
@@ -12,7 +12,7 @@
 from plumpick.policy.budgets.terms import Budget, Kind, ends_within, longer
 from plumpick.policy.leases.lease_holder import HeldLease, LeaseHolder
 from plumpick.policy.leases.terms import LeaseTerms
-from plumpick.policy.scheduled_tasks import Duties, Duty, GiveBack
+from plumpick.policy.scheduled_tasks import ReleaseSlot, ScheduledTask, TaskScheduler
 
 TERMS = LeaseTerms((0, 1, 2), slots=1, term_ms=2000.0, drift_ratio=0.01)
 SHARE_MS = 1000.0
@@ -52,21 +52,21 @@
 
 
 def test_a_lease_under_which_something_is_lent_is_given_back_when_that_has_ended():
-    book, work = owner(), Duties((Duty("d", "call", 1000.0, 500.0),), 1, random.Random(1))
+    book, work = owner(), TaskScheduler((ScheduledTask("d", "call", 1000.0, 500.0),), 1, random.Random(1))
     until = 100.0 + longer(SHARE_MS, 0.01)
     assert book.lent(200.0) == {0} and book.lent(until) == frozenset()
-    work.gained(0.0, 0, 5)
-    for name in [act.duty.name for act in work.handle(1.0, 1000.0)]:
-        work.ended(2.0, name, 1, "")
-    work.leave()
+    work.on_slot_acquired(0.0, 0, 5)
+    for name in [act.task.name for act in work.handle(1.0, 1000.0)]:
+        work.on_run_completed(2.0, name, 1)
+    work.yield_all()
     book.yields({0})
-    work.kept = book.lent(200.0)
-    assert not [act for act in work.handle(200.0, 1200.0) if isinstance(act, GiveBack)]
+    work.pinned_slots = book.lent(200.0)
+    assert not [act for act in work.handle(200.0, 1200.0) if isinstance(act, ReleaseSlot)]
     assert book.next_ms() <= until
     book.due(until)  # a run of the slot may go on for longer: that is no reason to wake up again and again
     assert book.next_ms() == float("inf")
-    work.kept = book.lent(until)
-    assert [act for act in work.handle(until, 2200.0) if isinstance(act, GiveBack)]
+    work.pinned_slots = book.lent(until)
+    assert [act for act in work.handle(until, 2200.0) if isinstance(act, ReleaseSlot)]
     asker = Book((ONE,), 1, 3, TERMS, SHARE_MS, random.Random(2), 0.0)
     asker.spend(300.0, [("one", 99.0)])
     asker.due(300.0)
