--- a/benchmarks/ownership/plants.py
+++ b/benchmarks/ownership/plants.py
@@ -22,12 +22,12 @@
 
 def _looks_never() -> None:
     """An effect goes out though the clock says that its lease has ended."""
-    from plumpick.gateway.cluster.lease_runner import Runner
+    from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
-    def may(self: Any, slot: int, token: int) -> bool:
-        return slot in self.member.holder.held
+    def may_act(self: Any, slot: int, token: int) -> bool:
+        return slot in self.participant.holder.held
 
-    Runner.may = may  # type: ignore[method-assign]
+    LeaseRunner._may_act = may_act  # type: ignore[method-assign]
 
 
 def _never_outdoes() -> None:
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -1,38 +1,37 @@
-"""The runner: leases and duties on the daemon's loop, sockets and clock. It decides nothing.
+"""Leases and scheduled tasks on the daemon's loop, sockets and clock. It decides nothing.
 
-Each time it runs, it hands the time and what came to `Member` (who owns what) and to `Duties` (what runs
-when), and carries out what they say. The clock is one that goes on while the process or the machine stands
-still; it is looked at again as the last thing before an effect is written. That may not be enough (the
-process may stand still just then): what makes a late effect harmless is its receiver's fence."""
+Each step hands the time and what came to `LeaseParticipant` (who owns what) and to `TaskScheduler` (what runs
+when), and carries out what they say. The clock is one that goes on while the process or the machine is
+suspended; it is looked at again as the last thing before an effect is written. That may not be enough (the
+process may be suspended just then): what makes a late effect harmless is its receiver's fence."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import logging
 import math
-import zlib
 from collections.abc import Callable
 from random import Random
 from typing import Any
 
-from plumpick.gateway.cluster import fenced_effects
+from plumpick.gateway.cluster import status
+from plumpick.gateway.cluster.budget_spending import PAYLOAD_KINDS, BudgetSpending
+from plumpick.gateway.cluster.fenced_effects import EffectError, StaleTokenError
+from plumpick.gateway.cluster.planned_restart import PlannedRestart
+from plumpick.gateway.cluster.process_guard import ProcessGuard
+from plumpick.gateway.cluster.task_runs import TaskRuns
+from plumpick.gateway.cluster.usage_collector import UsageCollector
 from plumpick.gateway.config import Config
-from plumpick.gateway.operator_config import USE, DutySettings, FleetSettings
+from plumpick.gateway.operator_config import FleetSettings
 from plumpick.gateway.platform import System
-from plumpick.policy import scheduled_tasks as plans
-from plumpick.policy import usage_report
-from plumpick.policy.budgets import codec as shares
-from plumpick.policy.budgets.ledger import Book
-from plumpick.policy.budgets.matching import Matching
-from plumpick.policy.events import RequestReceived
 from plumpick.policy.leases.actions import (
+    Action,
     DeliverPayload,
     LeaseAcquired,
+    LeaseChange,
     LeaseDenied,
     LeaseLost,
     LeaseYieldRequested,
-    LossReason,
     SendMessage,
     WriteLog,
 )
@@ -46,19 +45,21 @@
 )
 from plumpick.policy.leases.participant import LeaseParticipant
 from plumpick.policy.leases.rate_limit import PeerRateLimit
-from plumpick.policy.scheduled_tasks import TaskScheduler
+from plumpick.policy.scheduled_tasks import ReleaseSlot, ReportMissedRun, StartRun, StopRun, TaskScheduler
 
-STILL_MS = 1000.0  # a stall of so long is worth a line
-GUARD_S = 0.5  # the place of a voter that another process has is tried for again so often
-GATHER_S = 0.02
-PAGE = 16  # duties, or budgets, in an answer to staff
-SHARES = (bytes([shares.ASK]), bytes([shares.SHARE]), bytes([shares.WHERE]))
+STALL_MS = 1000.0  # a step that comes so late is logged
+MIN_TIMER_MS = 1.0
+MAX_TIMER_MS = 60_000.0
+MAX_LOGGED_TASKS = 8
+SEED_MASK = 0xD5
 
 log = logging.getLogger(__name__)
 
 
-class Runner:
-    """One process's part in what is done for the fleet."""
+class LeaseRunner:
+    """One process's part in what is done for the whole tier; owns its timer and its parts.
+
+    `participant` is None before `start`; from `capture` or `close` on it is closed, and nothing happens."""
 
     def __init__(
         self,
@@ -66,604 +67,312 @@
         settings: FleetSettings,
         loop: asyncio.AbstractEventLoop,
         system: System,
-        tell: Callable[[int, bytes], None],
-        order: Callable[[str], str],
+        send_datagram: Callable[[int, bytes], None],
+        command: Callable[[str], str],
     ) -> None:
-        """`tell` sends a datagram to a gatekeeper; `order` is an operator's DRAIN or UNDRAIN."""
-        self._config, self._settings, self._loop, self._system = config, settings, loop, system
-        self._tell, self._order = tell, order
-        self._chance = Random(config.seed ^ 0xD5)
+        """`send_datagram` sends to a gateway; `command` carries out an operator's DRAIN or UNDRAIN, and
+        gives the error's text or nothing."""
+        self._config = config
+        self._settings = settings
+        self._loop = loop
+        self._system = system
+        self._send_datagram = send_datagram
+        self._chance = Random(config.seed ^ SEED_MASK)
         self._rate_limit = PeerRateLimit()
-        self._receivers = {one.duty.name: one for one in settings.duties}
-        self._tallies = {
-            one.duty.name: usage_report.UsageCounter(one.duty.period_ms, system.unix_ms())
-            for one in settings.duties
-            if one.duty.kind == USE
-        }
-        self._tags = {zlib.crc32(name.encode()): name for name in self._tallies}
-        self._plans = [plan.name for plan in config.settings.plans]
-        self._duties = TaskScheduler(
-            tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance
+        self._scheduler = self._new_scheduler()
+        self.participant: LeaseParticipant | None = None
+        self.usage = UsageCollector(config, settings, system, self._send_payload)
+        self.budgets = BudgetSpending(config, settings, system.boottime, self._wake, self._send_payload)
+        self._runs = TaskRuns(
+            config.name, settings.duties, loop, self._may_act, self.usage.collect, self._on_run_end
         )
-        self.book: Book | None = None  # and in budgets, where some are named
-        self._matching = Matching([one.rule for one in settings.budgets])
-        self.member: LeaseParticipant | None = None  # this process's part in the leases
-        self._runs: dict[str, asyncio.Task[None]] = {}  # by duty
-        self._gathering: dict[
-            str, tuple[int, usage_report.UsageCollection]
-        ] = {}  # by duty: the period, and what came
+        self._restart = PlannedRestart(command)
+        self._guard = ProcessGuard(loop, lambda: system.guard(config.peer_listen), self._on_guard_acquired)
         self._timer: asyncio.TimerHandle | None = None
         self._due_ms = math.inf
-        self._guard: Any = None  # while it is held no other process of this machine has our number's vote
-        self._guard_timer: asyncio.TimerHandle | None = None
-        self._stepping = False
+        self._is_stepping = False
         system.takes_part(self)
-        self.passed_on: Callable[[list[Any]], None] | None = None  # what is counted goes to another process
-        self.turn_drained = False
+
+    def _new_scheduler(self) -> TaskScheduler:
+        tasks = tuple(one.duty for one in self._settings.duties)
+        return TaskScheduler(tasks, self._settings.terms.slots, self._chance)
 
     # -- start and end
 
-    def open(self, state: dict[str, Any] | None = None) -> None:
+    def start(self, state: dict[str, Any] | None = None) -> None:
         """Take part, from the state of the process before if there is one."""
-        now = self._system.boottime()
-        self.member = LeaseParticipant(
+        now_ms = self._system.boottime()
+        participant = self.participant = LeaseParticipant(
             self._settings.terms,
             self._config.settings.gateway_number,
             self._config.settings.gateway_count,
             self._system.life(),
             self._chance,
-            now,
+            now_ms,
             self._system.unix_ms(),
             accepts=False,
         )
-        if self._settings.budgets:
-            self.book = Book(
-                tuple(one.budget for one in self._settings.budgets),
-                self._config.settings.gateway_number,
-                self._config.settings.gateway_count,
-                self._settings.terms,
-                self._settings.share_ms,
-                self._chance,
-                now,
-            )
-        if state is not None and self.book is not None:
-            try:
-                self.book.inherit(now, state.get("budgets", {}))
-            except (ValueError, KeyError, TypeError) as problem:
-                log.warning("budgets: what the process before left cannot be used: %s", problem)
-        self._try_guard(first=True)
+        self.budgets.start(now_ms, participant, self._chance)
         if state is not None:
-            try:
-                self.member.restore(now, state["leases"], accepts=self._guard is not None)
-                for name, rows in state["use"].items():
-                    if name in self._tallies:
-                        self._tallies[name].restore(rows)
-                for lease, held in self.member.holder.held.items():
-                    self._duties.on_slot_acquired(now, lease, held.token)
-                    if self.book is not None:
-                        self.book.gained(now, lease, held.token)
-                self.turn_drained = bool(state["drained"])
-                log.info("duties: %d leases taken over from the process before", len(self.member.holder.held))
-            except (ValueError, KeyError, TypeError) as problem:
-                log.warning("duties: %s; this process begins anew", problem)
+            self.budgets.restore(now_ms, state)
+        self._acquire_guard(participant)
+        if state is not None:
+            self._restore(now_ms, participant, state)
         self._step()
 
-    def _try_guard(self, first: bool = False) -> None:
-        """Two processes with one voter's number would each give its word, and each spend a budget's floor:
-        one of them has to wait."""
-        self._guard_timer = None
-        member, votes = self.member, self._config.settings.gateway_number in self._settings.terms.acceptors
-        if member is None or member.closed or not (votes or self.book):
+    def _restore(self, now_ms: float, participant: LeaseParticipant, state: dict[str, Any]) -> None:
+        """Go on from the state of the process before, as far as it can be used."""
+        try:
+            participant.restore(now_ms, state["leases"], accepts=self._guard.is_held)
+            self.usage.restore(state["use"])
+            for lease, held in participant.holder.held.items():
+                self._on_slot_acquired(now_ms, lease, held.token)
+            self._restart.drained = bool(state["drained"])
+            log.info("duties: %d leases taken over from the process before", len(participant.holder.held))
+        except (ValueError, KeyError, TypeError) as problem:
+            log.warning("duties: %s; this process begins anew", problem)
+
+    def _acquire_guard(self, participant: LeaseParticipant) -> None:
+        is_acceptor = participant.gateway in participant.terms.acceptors
+        if not is_acceptor and self.budgets.book is None:
             return
-        self._guard = self._system.guard(self._config.peer_listen)
-        if self._guard is None:
-            if first:
-                log.warning(
-                    "duties: another process of this number %s; this one waits until it has ended",
-                    "votes" if votes else "has the floors of its budgets",
-                )
-            self._guard_timer = self._loop.call_later(GUARD_S, self._try_guard)
+        if self._guard.acquire():
+            self._on_sole_process(participant)
             return
-        member.become_acceptor(self._system.boottime())
-        if self.book is not None:
-            self.book.open_floors(self._system.boottime())
-        if not first:
+        log.warning(
+            "duties: another process of this number %s; this one waits until it has ended",
+            "votes" if is_acceptor else "has the floors of its budgets",
+        )
+
+    def _on_guard_acquired(self) -> None:
+        if self.participant is not None and not self.participant.closed:
+            self._on_sole_process(self.participant)
             self._step()
 
-    def _drop_guard(self) -> None:
-        if self._guard_timer is not None:
-            self._guard_timer.cancel()
-            self._guard_timer = None
-        if self._guard is not None:
-            self._guard.close()
-            self._guard = None
-
-    def leave(self) -> None:
-        """The process will end: give back what is held, each lease when nothing of it runs. A turn is
-        kept, for it is this gatekeeper that will be out."""
-        self._duties.yield_all()
-        if self.book is not None:
-            self.book.yields(set(range(self._settings.terms.slots)))
+    def _on_sole_process(self, participant: LeaseParticipant) -> None:
+        now_ms = self._system.boottime()
+        participant.become_acceptor(now_ms)
+        self.budgets.open_floors(now_ms)
+
+    def begin_shutdown(self) -> None:
+        """The process will end: release each lease when nothing of it runs. A restart permit is kept: it is
+        this gateway that will be out."""
+        self._scheduler.yield_all()
+        self.budgets.yield_slots(set(range(self._settings.terms.slots)))
         self._step([ShutdownStarted()])
 
-    def hand_over(self) -> dict[str, Any]:
-        """What the next process goes on from; this one has no part any more."""
-        assert self.member is not None
+    def capture(self) -> dict[str, Any]:
+        """What the next process goes on from; this one takes no part any more."""
+        assert self.participant is not None
         state = {
-            "leases": self.member.capture(),
-            "drained": self.turn_drained,
-            "use": {name: tally.capture() for name, tally in self._tallies.items()},
+            "leases": self.participant.capture(),
+            "drained": self._restart.drained,
+            "use": self.usage.capture(),
         }
-        if self.book is not None:
-            state["budgets"] = self.book.estate(self._system.boottime())
+        if self.budgets.book is not None:
+            state["budgets"] = self.budgets.book.estate(self._system.boottime())
         self.close()
         return state
 
     def close(self) -> None:
-        """No part any more, from now on."""
-        if self.member is not None:
-            self.member.closed = True
+        """Take no part any more, from now on."""
+        if self.participant is not None:
+            self.participant.closed = True
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        for run in self._runs.values():
-            run.cancel()
-        self._runs.clear()
-        self._drop_guard()
-
-    def resume(self) -> None:
-        """The next process has died: begin anew. What was handed over ends by its time."""
-        self.passed_on = None
-        self._duties = TaskScheduler(
-            tuple(one.duty for one in self._settings.duties), self._settings.terms.slots, self._chance
-        )
-        self.open()
+        self._runs.cancel_all()
+        self._guard.release()
+
+    def resume_after_failed_handover(self) -> None:
+        """The next process has died: begin anew. What was passed on ends by its time."""
+        self.usage.forward = None
+        self._scheduler = self._new_scheduler()
+        self.start()
+
+    def reconfigure(self, settings: FleetSettings) -> None:
+        """The operator's file was read anew."""
+        if self.budgets.reconfigure(settings):
+            self._step()
 
-    # -- in
+    # -- events
 
-    def heard(self, sender: int, data: bytes) -> None:
-        """A datagram about leases has come."""
+    def on_datagram(self, sender: int, data: bytes) -> None:
+        """A datagram about leases has come from a gateway."""
         self._step([MessageReceived(sender, data)])
 
-    def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final answer."""
-        if self.passed_on is not None:
-            self.passed_on([plan, outcome, units])
-            return
-        number = self._plans.index(plan) if plan in self._plans else 255
-        for tally in self._tallies.values():
-            tally.count(self._system.unix_ms(), number, outcome, units)
-
-    def counted_elsewhere(self, value: Any) -> None:
-        """The same, by the process before; raises ValueError or TypeError."""
-        plan, outcome, units = value
-        if outcome not in (usage_report.SERVED, usage_report.REJECTED, usage_report.FAILED):
-            raise ValueError(f"{outcome!r} is no outcome")
-        self.count(str(plan), outcome, float(units))
-
-    def want_turn(self, wanted: bool) -> str:
-        """Be out when it is our turn, or no longer; what is wrong with that, or nothing."""
+    def want_restart_permit(self, wanted: bool) -> str:
+        """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
         if not self._settings.terms.restart_permits:
             return "there are no turns: fleet.turns in the operator's file is 0"
         self._step([RestartPermitWanted(wanted)])
         return ""
 
+    def _on_run_end(self, start: StartRun, error: EffectError | None) -> None:
+        now_ms = self._system.boottime()
+        name = start.task.name
+        if error is None:
+            self._scheduler.on_run_completed(now_ms, name, start.period)
+        else:
+            self._scheduler.on_run_failed(now_ms, name, start.period, str(error))
+        events: list[Event] = []
+        if isinstance(error, StaleTokenError):
+            events.append(LargerTokenSeen(start.slot, error.token))
+        self._step(events)
+
     # -- a step
 
     def _step(self, events: list[Event] | None = None) -> None:
-        member, system = self.member, self._system
-        if member is None or member.closed:
+        """Hand the time and the events to the decisions, and carry out what they say."""
+        participant = self.participant
+        if participant is None or participant.closed:
             return
-        if self._stepping:  # carried out within a step: an order, an end
+        if self._is_stepping:  # an operator's command or a run's end, from within a step
             self._loop.call_soon(self._step, events)
             return
-        self._stepping = True
+        self._is_stepping = True
         try:
-            now = system.boottime()
-            if self.book is not None:
-                member.holder.pinned = self.book.lent(now)
-            if now - self._due_ms > STILL_MS:
-                log.warning("duties: this process stood still for %.1f s", (now - self._due_ms) / 1000)
-            todo: list[Event] | None = events or []
-            while todo is not None:
-                for action in member.handle(now, todo):
-                    self._carry(now, action)
-                gives: list[Event] = []
-                if self.book is not None:
-                    self._duties.pinned_slots = self.book.lent(now)
-                for act in self._duties.handle(now, system.unix_ms()):
-                    if isinstance(act, plans.ReleaseSlot):
-                        gives.append(ReleaseRequested(act.slot))
-                    else:
-                        self._run_or_stop(act)
-                todo = gives or None
-            self._share(now)
+            now_ms = self._system.boottime()
+            participant.holder.pinned = self.budgets.pinned_slots(now_ms)
+            if now_ms - self._due_ms > STALL_MS:
+                log.warning("duties: this process stood still for %.1f s", (now_ms - self._due_ms) / 1000)
+            self._decide(now_ms, participant, events or [])
+            self.budgets.on_timer(now_ms)
         finally:
-            self._stepping = False
-        self._arm(now)
-
-    def _arm(self, now: float) -> None:
-        assert self.member is not None
-        self._due_ms = min(self.member.due_ms, self._duties.next_due_ms())
-        if self.book is not None:
-            self._due_ms = min(self._due_ms, self.book.next_ms())
+            self._is_stepping = False
+        self._set_timer(now_ms, participant)
+
+    def _decide(self, now_ms: float, participant: LeaseParticipant, events: list[Event]) -> None:
+        """Until the scheduler releases no more slots."""
+        while True:
+            for action in participant.handle(now_ms, events):
+                self._carry_out(now_ms, action)
+            self._scheduler.pinned_slots = self.budgets.pinned_slots(now_ms)
+            events = self._schedule(now_ms)
+            if not events:
+                return
+
+    def _schedule(self, now_ms: float) -> list[Event]:
+        """Start and stop runs; the releases that are due."""
+        releases: list[Event] = []
+        for action in self._scheduler.handle(now_ms, self._system.unix_ms()):
+            match action:
+                case ReleaseSlot():
+                    releases.append(ReleaseRequested(action.slot))
+                case StartRun():
+                    self._runs.start(action)
+                case StopRun():
+                    self._runs.stop(action)
+                case ReportMissedRun():
+                    name, period, reason = action.task.name, action.period, action.reason
+                    log.warning("duties: %s, period %d: no run of ours (%s)", name, period, reason)
+        return releases
+
+    def _set_timer(self, now_ms: float, participant: LeaseParticipant) -> None:
+        due_ms = min(participant.due_ms, self._scheduler.next_due_ms(), self.budgets.next_due_ms())
+        self._due_ms = self.budgets.timer_ms = due_ms
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
-        if self._due_ms < math.inf:
-            delay_ms = math.ceil(min(60_000.0, max(1.0, self._due_ms - now)))
+        if due_ms < math.inf:
+            delay_ms = math.ceil(min(MAX_TIMER_MS, max(MIN_TIMER_MS, due_ms - now_ms)))
             self._timer = self._loop.call_later(delay_ms / 1000, self._step)
 
-    def _say(self, now: float, tell: SendMessage, leases: bool = False) -> None:
-        if self._rate_limit.allow(now, tell.receiver, leases):
-            self._tell(tell.receiver, tell.data)
+    def _wake(self, due_ms: float) -> None:
+        """Step sooner: a budget's timer is due before the one that is set."""
+        if self.participant is None or self.participant.closed:
+            return
+        self._due_ms = self.budgets.timer_ms = due_ms
+        self._loop.call_soon(self._step)
 
-    def _carry(self, now: float, action: Any) -> None:  # noqa: C901  (to be split by concern)
-        terms = self._settings.terms
+    # -- actions
+
+    def _carry_out(self, now_ms: float, action: Action) -> None:
         match action:
             case SendMessage():
-                self._say(now, action, leases=True)
+                self.send_message(now_ms, action, is_lease_message=True)
             case DeliverPayload():
-                self._note(now, action)
+                self._on_payload(now_ms, action)
             case WriteLog():
-                (log.warning if action.is_warning else log.info)(action.text)
+                log.log(logging.WARNING if action.is_warning else logging.INFO, action.text)
+            case _:
+                self._on_lease_change(now_ms, action)
+
+    def _on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
+        if payload.data[:1] in PAYLOAD_KINDS:
+            self.budgets.on_payload(now_ms, payload)
+        else:
+            self.usage.on_payload(now_ms, payload)
+
+    def _on_lease_change(self, now_ms: float, change: LeaseChange) -> None:
+        is_slot = change.lease < self._settings.terms.slots
+        match change:
+            case LeaseAcquired() if is_slot:
+                self._log_acquired(change)
+                self._on_slot_acquired(now_ms, change.lease, change.token)
             case LeaseAcquired():
-                if action.lease >= terms.slots:
-                    self._out(action.token)
-                    return
-                names = [name for name, work in self._duties.tasks.items() if work.slot == action.lease]
-                log.info(
-                    "duties: slot %d is ours, token %x: %s",
-                    action.lease,
-                    action.token,
-                    ", ".join(names[:8]) or "no duty",
-                )
-                self._duties.on_slot_acquired(now, action.lease, action.token)
-                if self.book is not None:
-                    self.book.gained(now, action.lease, action.token)
+                self._restart.on_permit_acquired(change.token)
             case LeaseLost():
-                log.info(
-                    "duties: slot %d is no longer ours, token %x: %s",
-                    action.lease,
-                    action.token,
-                    action.reason,
-                )
-                if action.lease >= terms.slots:
-                    self._back(action.reason)
-                else:
-                    if self.book is not None:
-                        self.book.lost(action.lease)
-                    self._duties.on_slot_lost(now, action.lease, action.reason)
-            case LeaseYieldRequested():
-                if action.lease < terms.slots:
-                    self._duties.yield_slot(action.lease)
-                    if self.book is not None:
-                        self.book.yields({action.lease})
+                self._on_lease_lost(now_ms, change, is_slot)
+            case LeaseYieldRequested() if is_slot:
+                self._scheduler.yield_slot(change.lease)
+                self.budgets.yield_slots({change.lease})
             case LeaseDenied():
-                log.debug("duties: slot %d was not to be had: %s", action.lease, action.reason)
-
-    # -- budgets
-
-    def change(self, settings: FleetSettings) -> None:
-        """The operator's file was read anew: wholes and bursts of budgets change in service, what else is
-        another takes effect at the next start. That is said."""
-        old, new = self._settings, tuple(one.budget for one in settings.budgets)
-        if (settings.terms, settings.duties, settings.share_ms, [one.rule for one in settings.budgets]) != (
-            old.terms,
-            old.duties,
-            old.share_ms,
-            [one.rule for one in old.budgets],
-        ):
-            log.warning(
-                "duties: what else than wholes and bursts of budgets has changed in the operator's "
-                "file takes effect at the next start"
-            )
-        elif self.book is not None and new != tuple(one.budget for one in old.budgets):
-            self.book.change(self._system.boottime(), new)
-            self._settings = settings
-            log.info(
-                "duties: budgets have other figures: %s",
-                ", ".join(
-                    f"{one.name} whole {one.whole:g}, burst {one.burst:g}"
-                    for one in new
-                    if one not in {row.budget for row in old.budgets}
-                )[:500],
-            )
-            self._step()
-
-    def admits(self, arrival: RequestReceived) -> bool:
-        """Whether a request may go on by the budgets that are for it; it has spent of them, then."""
-        wanted = self._matching.of(arrival.class_name, arrival.plan_name, arrival.customer, arrival.units)
-        return not wanted or self.spends(wanted)
-
-    def spends(self, wanted: list[tuple[str, float]]) -> bool:
-        """The same, for so many units of each of these budgets."""
-        book = self.book
-        if book is None:  # Danger: clients come before the part in the fleet's work is opened
-            return False
-        met = book.spend(self._system.boottime(), wanted)
-        if book.next_ms() < self._due_ms and self.member is not None and not self.member.closed:
-            self._due_ms = book.next_ms()
-            self._loop.call_soon(self._step)
-        return met
-
-    def _share(self, now: float) -> None:
-        """What is to be asked and said of budgets."""
-        book, member = self.book, self.member
-        if book is None or member is None or member.closed:
+                log.debug("duties: slot %d was not to be had: %s", change.lease, change.reason)
+
+    def _on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
+        self._scheduler.on_slot_acquired(now_ms, slot, token)
+        self.budgets.on_slot_acquired(now_ms, slot, token)
+
+    def _log_acquired(self, change: LeaseAcquired) -> None:
+        names = [name for name, state in self._scheduler.tasks.items() if state.slot == change.lease]
+        shown = ", ".join(names[:MAX_LOGGED_TASKS]) or "no duty"
+        log.info("duties: slot %d is ours, token %x: %s", change.lease, change.token, shown)
+
+    def _on_lease_lost(self, now_ms: float, change: LeaseLost, is_slot: bool) -> None:
+        lease, token, reason = change.lease, change.token, change.reason
+        log.info("duties: slot %d is no longer ours, token %x: %s", lease, token, reason)
+        if not is_slot:
+            self._restart.on_permit_lost(reason)
             return
-        book.due(now)
-        while book.to_send:
-            notes, book.to_send = book.to_send, []
-            for number, data in notes:
-                if number == self._config.settings.gateway_number:
-                    book.heard(
-                        now,
-                        number,
-                        member.incarnation,
-                        data,
-                        member.incarnation,
-                        self._holder_of,
-                        self._end_of,
-                    )
-                else:
-                    self._say(now, member.payload_message(now, number, data))
-        for line in book.faults:
-            log.warning("duties: %s", line)
-        book.faults.clear()
-
-    def _holder_of(self, slot: int) -> int | None:
-        """Who has a slot, where we vote on it."""
-        member = self.member
-        grant = (
-            None
-            if member is None or member.acceptor is None
-            else (member.acceptor.active_grant(self._system.boottime(), slot))
-        )
-        return None if grant is None else grant.owner[0]
-
-    def _end_of(self, slot: int) -> float:
-        """When our lease on a slot ends, by our clock."""
-        held = None if self.member is None else self.member.holder.held.get(slot)
-        return -math.inf if held is None else held.requested_ms + self._settings.terms.term_ms
-
-    # -- turns for planned restarts
+        self.budgets.on_slot_lost(lease)
+        self._scheduler.on_slot_lost(now_ms, lease, reason)
 
-    def _out(self, token: int) -> None:
-        log.info("duties: it is our turn to be out, token %x", token)
-        self.turn_drained = True
-        wrong = self._order("DRAIN")
-        if wrong:
-            log.warning("duties: DRAIN: %s", wrong)
-
-    def _back(self, why: LossReason) -> None:
-        if not self.turn_drained:
-            return
-        self.turn_drained = False
-        if why is not LossReason.RELEASED:
-            log.warning("duties: our turn has ended (%s): clients are taken again", why)
-        wrong = self._order("UNDRAIN")
-        if wrong:
-            log.warning("duties: UNDRAIN: %s", wrong)
+    def send_message(self, now_ms: float, message: SendMessage, is_lease_message: bool = False) -> None:
+        """Send a message to a gateway, unless that one has had too many."""
+        if self._rate_limit.allow(now_ms, message.receiver, is_lease_message):
+            self._send_datagram(message.receiver, message.data)
 
-    # -- runs
+    def _send_payload(self, now_ms: float, receiver: int, payload: bytes) -> None:
+        if self.participant is not None:
+            self.send_message(now_ms, self.participant.payload_message(now_ms, receiver, payload))
 
-    def may(self, slot: int, token: int) -> bool:
+    def _may_act(self, slot: int, token: int) -> bool:
         """Whether work under this token may go on, by the clock as it is now."""
-        member = self.member
-        if member is None or member.closed:
+        participant = self.participant
+        if participant is None or participant.closed:
             return False
-        held, now = member.holder.held.get(slot), self._system.boottime()
-        return held is not None and held.token == token and now < member.holder.usable_until_ms(slot)
-
-    def _run_or_stop(self, act: Any) -> None:
-        name = act.task.name
-        if isinstance(act, plans.StartRun):
-            self._runs[name] = self._loop.create_task(self._run(self._receivers[name], act))
-        elif isinstance(act, plans.StopRun):
-            log.warning("duties: %s, period %d: stopped, %s", name, act.period, act.reason)
-            run = self._runs.pop(name, None)
-            if run is not None:
-                run.cancel()
-        else:
-            log.warning("duties: %s, period %d: no run of ours (%s)", name, act.period, act.reason)
-
-    async def _run(self, settings: DutySettings, start: plans.StartRun) -> None:
-        """One run; whatever becomes of it is told to the decisions."""
-        name, wrong = settings.duty.name, ""
-        outdone: int | None = None
-        try:
-            body = await self._gather(settings, start) if settings.duty.kind == USE else {}
-            await fenced_effects.send(
-                settings.receiver,
-                name,
-                start.period,
-                start.token,
-                {"duty": name, "period": start.period, "gatekeeper": self._config.name, **body},
-                lambda: self.may(start.slot, start.token),
-            )
-        except fenced_effects.Outdone as problem:
-            outdone, wrong = problem.token, str(problem)
-        except fenced_effects.Failed as problem:
-            wrong = str(problem)
-        except fenced_effects.Ended:
-            wrong = "its lease had ended before the effect was written"
-        except Exception as problem:  # a run that raises must end neither the others nor the leases
-            wrong = f"{type(problem).__name__}: {problem}"
-            log.exception("duties: %s, period %d raised", name, start.period)
-        finally:
-            self._gathering.pop(name, None)
-        if self._runs.get(name) is not asyncio.current_task():
-            return  # it was stopped, or another run has begun since
-        del self._runs[name]
-        if wrong:
-            log.warning("duties: %s, period %d: %s", name, start.period, wrong)
-        else:
-            log.debug("duties: %s, period %d: done, token %x", name, start.period, start.token)
-        now = self._system.boottime()
-        if wrong:
-            self._duties.on_run_failed(now, name, start.period, wrong)
-        else:
-            self._duties.on_run_completed(now, name, start.period)
-        self._step([LargerTokenSeen(start.slot, outdone)] if outdone is not None else [])
-
-    # -- the fleet's use
-
-    async def _gather(self, settings: DutySettings, start: plans.StartRun) -> dict[str, Any]:
-        """What all gatekeepers did in the period, and what is not known."""
-        name, period, member = settings.duty.name, start.period, self.member
-        assert member is not None
-        gathering = usage_report.UsageCollection(self._config.settings.gateway_count, self._system.boottime())
-        self._gathering[name] = period, gathering
-        tag = zlib.crc32(name.encode())
-        while not gathering.is_over(now := self._system.boottime()):
-            for number in gathering.gateways_to_poll(now):
-                if number == self._config.settings.gateway_number:
-                    for data in self._told(name, tag, period):
-                        said = usage_report.decode(data)
-                        assert said is not None
-                        gathering.on_report(number, said)
-                else:
-                    self._say(
-                        now, member.payload_message(now, number, usage_report.encode_request(tag, period))
-                    )
-            await asyncio.sleep(GATHER_S)
-        sums, gaps = gathering.result(settings.duty.period_ms)
-        span_ms = settings.duty.period_ms
-        return {
-            "from_ms": period * span_ms,
-            "until_ms": (period + 1) * span_ms,
-            "plans": [
-                {
-                    "plan": self._plans[plan] if plan < len(self._plans) else "other",
-                    "served": int(row[0]),
-                    "refused": int(row[1]),
-                    "failed": int(row[2]),
-                    "units": row[3],
-                }
-                for plan, row in sorted(sums.items())
-            ],
-            "gaps": [
-                {"gatekeeper": number, "from_ms": begin, "until_ms": end} for number, begin, end in gaps
-            ],
-        }
-
-    def _told(self, name: str, tag: int, period: int) -> list[bytes]:
-        return usage_report.encode_report(
-            tag, period, self._tallies[name].usage(self._system.unix_ms(), period)
-        )
+        held = participant.holder.held.get(slot)
+        if held is None or held.token != token:
+            return False
+        return self._system.boottime() < participant.holder.usable_until_ms(slot)
 
-    def _note(self, now: float, note: DeliverPayload) -> None:
-        if note.data[:1] in SHARES:
-            if self.book is not None and self.member is not None:
-                self.book.heard(
-                    now,
-                    note.sender,
-                    note.incarnation,
-                    note.data,
-                    self.member.incarnation,
-                    self._holder_of,
-                    self._end_of,
-                )
-            return
-        said, member = usage_report.decode(note.data), self.member
-        name = self._tags.get(said.tag) if said is not None else None
-        if said is None or name is None or member is None:
-            return
-        if said.kind == usage_report.KIND_REQUEST:
-            for data in self._told(name, said.tag, said.period):
-                self._say(now, member.payload_message(now, note.sender, data))
-            return
-        period, gathering = self._gathering.get(name, (-1, None))
-        if gathering is not None and period == said.period:
-            gathering.on_report(note.sender, said)
-
-    # -- staff
-
-    def budgets(self, argument: str) -> tuple[bool, str]:
-        """The answer to BUDGETS [PAGE]: one line of JSON."""
-        book, page = self.book, int(argument) if argument.isdigit() else 0
-        if book is None or self.member is None or self.member.closed:
-            return True, "no budgets are named here" if book is None else "another process has the budgets"
-        rows = book.rows(self._system.boottime())
-        return False, json.dumps(
-            {
-                "gatekeeper": self._config.name,
-                "pages": max(1, math.ceil(len(rows) / PAGE)),
-                "budgets": [
-                    {
-                        "name": row.name,
-                        "whole": row.whole,
-                        "floor": round(row.floor, 6),
-                        "lent": round(row.lent, 6),
-                        "until_ms": row.until_ms and round(row.until_ms),
-                        "left": round(row.level, 3),
-                        "demand": round(row.demand, 3),
-                        "unmet": row.unmet,
-                        "divider": row.divider,
-                        "token": f"{row.token:x}",
-                        "out": None if row.out is None else round(row.out, 6),
-                    }
-                    for row in rows[page * PAGE : (page + 1) * PAGE]
-                ],
-            },
-            separators=(",", ":"),
-        )
+    # -- operators
 
-    def status(self, argument: str) -> tuple[bool, str]:
-        """The answer to DUTIES [PAGE]: one line of JSON."""
-        member = self.member
-        if member is None or member.closed:
+    def tasks_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to DUTIES [PAGE]: whether the command is rejected, and one line."""
+        if self.participant is None or self.participant.closed:
             return True, "another process has the duties"
-        page = int(argument) if argument.isdigit() else 0
-        now, terms, holder = self._system.boottime(), self._settings.terms, member.holder
-        names = sorted(self._duties.tasks)
-        rows = []
-        for name in names[page * PAGE : (page + 1) * PAGE]:
-            work = self._duties.tasks[name]
-            last = work.last_run
-            rows.append(
-                [
-                    name,
-                    work.slot,
-                    work.running_period,
-                    None if last is None else [last.period, round(last.duration_ms, 1), last.outcome[:60]],
-                ]
-            )
-        leases = []
-        for lease in range(terms.leases if not page else 0):
-            held = holder.held.get(lease)
-            if held is not None:
-                leases.append(
-                    [
-                        lease,
-                        self._config.settings.gateway_number,
-                        f"{held.token:x}",
-                        round(now - held.acquired_ms),
-                        round(holder.usable_until_ms(lease) - now),
-                        "",
-                    ]
-                )
-                continue
-            grant = member.acceptor.active_grant(now, lease) if member.acceptor is not None else None
-            if grant is not None:
-                leases.append(
-                    [lease, grant.owner[0], f"{grant.token:x}", None, round(grant.expires_ms - now), ""]
-                )
-            else:
-                why = member.not_held_reasons.get(lease, "")
-                if member.acceptor is not None and now < member.acceptor.silent_until_ms:
-                    why = "this voter is silent after its start"
-                leases.append([lease, None, "", None, None, why])
-        return False, json.dumps(
-            {
-                "gatekeeper": self._config.name,
-                "voters": list(terms.acceptors),
-                "votes": member.acceptor is not None,
-                "slots": terms.slots,
-                "pages": max(1, math.ceil(len(names) / PAGE)),
-                "leases": leases,
-                "duties": rows,
-            },
-            separators=(",", ":"),
-        )
+        now_ms = self._system.boottime()
+        page = status.page_of(argument)
+        return False, status.tasks_reply(self._config.name, self.participant, self._scheduler, now_ms, page)
+
+    def budgets_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to BUDGETS [PAGE]: whether the command is rejected, and one line."""
+        book = self.budgets.book
+        if book is None:
+            return True, "no budgets are named here"
+        if self.participant is None or self.participant.closed:
+            return True, "another process has the budgets"
+        page = status.page_of(argument)
+        return False, status.budgets_reply(self._config.name, book, self._system.boottime(), page)
--- /dev/null
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -0,0 +1,150 @@
+"""The fleet's usage on the daemon's loop: counts requests, answers polls, collects a period for its owner.
+
+Raises UsageSnapshotError for counts of the process before that cannot be used. What a gateway does not report
+in time is a gap of the result."""
+
+from __future__ import annotations
+
+import asyncio
+import zlib
+from collections.abc import Callable
+from typing import Any
+
+from plumpick.gateway.config import Config
+from plumpick.gateway.operator_config import USE, FleetSettings
+from plumpick.gateway.platform import System
+from plumpick.policy import usage_report
+from plumpick.policy.leases.actions import DeliverPayload
+from plumpick.policy.scheduled_tasks import StartRun
+from plumpick.policy.usage_report import FleetUsage, UsageCollection, UsageCounter, UsageMessage
+
+STEP_S = 0.02
+OTHER_PLAN = 255  # a plan that the settings do not name
+OUTCOMES = (usage_report.SERVED, usage_report.REJECTED, usage_report.FAILED)
+
+
+class UsageCollector:
+    """Owns one counter for each task that reports usage, and one collection for each that runs."""
+
+    def __init__(
+        self,
+        config: Config,
+        settings: FleetSettings,
+        system: System,
+        send_payload: Callable[[float, int, bytes], None],
+    ) -> None:
+        """`send_payload(now_ms, receiver, payload)` sends a message to a gateway."""
+        self._config = config
+        self._system = system
+        self._send_payload = send_payload
+        self._plans = [plan.name for plan in config.settings.plans]
+        self._counters = {
+            one.duty.name: UsageCounter(one.duty.period_ms, system.unix_ms())
+            for one in settings.duties
+            if one.duty.kind == USE
+        }
+        self._names_by_tag = {_tag(name): name for name in self._counters}
+        self._collections: dict[str, tuple[int, UsageCollection]] = {}  # by task: the period, and what came
+        self.forward: Callable[[list[Any]], None] | None = None  # counts go to the next process
+
+    # -- counting
+
+    def count(self, plan: str, outcome: int, units: float) -> None:
+        """A request has its final outcome, one of OUTCOMES."""
+        if self.forward is not None:
+            self.forward([plan, outcome, units])
+            return
+        number = self._plans.index(plan) if plan in self._plans else OTHER_PLAN
+        for counter in self._counters.values():
+            counter.count(self._system.unix_ms(), number, outcome, units)
+
+    def count_forwarded(self, value: Any) -> None:
+        """Count what the process before has forwarded; raises ValueError or TypeError."""
+        plan, outcome, units = value
+        if outcome not in OUTCOMES:
+            raise ValueError(f"{outcome!r} is no outcome")
+        self.count(str(plan), outcome, float(units))
+
+    def capture(self) -> dict[str, Any]:
+        """The counts for the next process, by task."""
+        return {name: counter.capture() for name, counter in self._counters.items()}
+
+    def restore(self, state: dict[str, Any]) -> None:
+        """Go on from the counts of the process before; raises UsageSnapshotError."""
+        for name, rows in state.items():
+            if name in self._counters:
+                self._counters[name].restore(rows)
+
+    # -- polls
+
+    def on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
+        """A poll, or a report that was polled for, has come; what is neither is dropped."""
+        message = usage_report.decode(payload.data)
+        name = self._names_by_tag.get(message.tag) if message is not None else None
+        if message is None or name is None:
+            return
+        if message.kind == usage_report.KIND_REQUEST:
+            for data in self._report(name, message.period):
+                self._send_payload(now_ms, payload.sender, data)
+            return
+        self._on_report(name, payload.sender, message)
+
+    def _on_report(self, name: str, sender: int, message: UsageMessage) -> None:
+        period, collection = self._collections.get(name, (-1, None))
+        if collection is not None and period == message.period:
+            collection.on_report(sender, message)
+
+    def _report(self, name: str, period: int) -> list[bytes]:
+        usage = self._counters[name].usage(self._system.unix_ms(), period)
+        return usage_report.encode_report(_tag(name), period, usage)
+
+    # -- collection
+
+    async def collect(self, start: StartRun) -> dict[str, Any]:
+        """What all gateways did in the period, and what is not known: an effect's body."""
+        name = start.task.name
+        collection = UsageCollection(self._config.settings.gateway_count, self._system.boottime())
+        self._collections[name] = start.period, collection
+        try:
+            while not collection.is_over(now_ms := self._system.boottime()):
+                for gateway in collection.gateways_to_poll(now_ms):
+                    self._poll(now_ms, name, start.period, gateway, collection)
+                await asyncio.sleep(STEP_S)
+        finally:
+            self._collections.pop(name, None)
+        return self._body(start, collection.result(start.task.period_ms))
+
+    def _poll(self, now_ms: float, name: str, period: int, gateway: int, collection: UsageCollection) -> None:
+        if gateway != self._config.settings.gateway_number:
+            self._send_payload(now_ms, gateway, usage_report.encode_request(_tag(name), period))
+            return
+        for data in self._report(name, period):
+            message = usage_report.decode(data)
+            assert message is not None
+            collection.on_report(gateway, message)
+
+    def _body(self, start: StartRun, usage: FleetUsage) -> dict[str, Any]:
+        period_ms = start.task.period_ms
+        return {
+            "from_ms": start.period * period_ms,
+            "until_ms": (start.period + 1) * period_ms,
+            "plans": [
+                {
+                    "plan": self._plans[plan] if plan < len(self._plans) else "other",
+                    "served": int(served),
+                    "refused": int(rejected),
+                    "failed": int(failed),
+                    "units": units,
+                }
+                for plan, (served, rejected, failed, units) in sorted(usage.totals.items())
+            ],
+            "gaps": [
+                {"gatekeeper": gap.gateway, "from_ms": gap.from_ms, "until_ms": gap.until_ms}
+                for gap in usage.gaps
+            ],
+        }
+
+
+def _tag(name: str) -> int:
+    """What stands for a task in messages."""
+    return zlib.crc32(name.encode())
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -131,7 +131,7 @@
             log.error("the operator's settings stay as they were: %s", problem)
             continue
         if fleet is not None:
-            part.change(fleet)
+            part.reconfigure(fleet)
 
 
 class ManagementPlane:
@@ -255,13 +255,13 @@
     settings: Any, config: Config, loop: asyncio.AbstractEventLoop, system: System, gatekeeper: Gatekeeper
 ) -> Any:
     """The gatekeeper's part in what is done for the whole tier; imported only where the operator names it."""
-    from plumpick.gateway.cluster.lease_runner import Runner
+    from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
-    part = Runner(
+    part = LeaseRunner(
         config, settings, loop, system, gatekeeper.peers.tell, lambda name: gatekeeper.order(name, "")
     )
     if settings.budgets:
-        gatekeeper.controller.admits = part.admits
+        gatekeeper.controller.admits = part.budgets.admit
     return part
 
 
@@ -336,14 +336,14 @@
         await plane.serve()
     gatekeeper.come_up(stop.is_asked())
     if part is not None:
-        part.open(plane.leases if plane is not None else None)
+        part.start(plane.leases if plane is not None else None)
     log.info("gatekeeper %s is up", config.name)
 
     await stop.wait()
     serve_s, end_s, gone_s = ending_of(ms / 1000 for ms in gatekeeper.deadlines_ms())
     gatekeeper.leave((stop.at_s + end_s - loop.time()) * 1000)
     if part is not None:
-        part.leave()
+        part.begin_shutdown()
     if plane is None:
         await asyncio.sleep(max(0.0, stop.at_s + serve_s - loop.time()))
         await close_listener(loop, server, plug, front)
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -222,7 +222,7 @@
     def heard(self, sender: int, data: bytes) -> None:
         """A peer has told something."""
         if self.fleet is not None and data[:1] == LEASES:
-            self.fleet.heard(sender, data)
+            self.fleet.on_datagram(sender, data)
             return
         self.notice(PeerMessageReceived(sender, data))
         if self.sibling is not None:
@@ -247,7 +247,7 @@
         if name in ("DUTIES", "BUDGETS") or name == "DRAIN" and argument:
             return self._fleet_call(name, argument)
         if name == "UNDRAIN" and self.fleet is not None:
-            self.fleet.want_turn(False)
+            self.fleet.want_restart_permit(False)
         wrong = self.order(name, argument)
         if not wrong and self.sibling is not None:
             self.sibling.ordered(name, argument)
@@ -259,12 +259,12 @@
         if self.fleet is None:
             return True, "nothing is done for the fleet here: the operator's file names no duties"
         if name == "DUTIES":
-            return self.fleet.status(argument)
+            return self.fleet.tasks_status(argument)
         if name == "BUDGETS":
-            return self.fleet.budgets(argument)
+            return self.fleet.budgets_status(argument)
         if argument.upper() != "FLEET":
             return True, "DRAIN takes FLEET, or nothing more"
-        wrong = self.fleet.want_turn(True)
+        wrong = self.fleet.want_restart_permit(True)
         log.info("operator: DRAIN FLEET: %s", f"refused, {wrong}" if wrong else "waits for a turn")
         return bool(wrong), wrong or "DRAIN FLEET: when it is our turn"
 
@@ -446,7 +446,7 @@
     def _count(self, request: Request, outcome: int) -> None:
         """A request that has been closed: how it ended."""
         if self.fleet is not None:
-            self.fleet.count(request.plan, outcome, request.units)
+            self.fleet.usage.count(request.plan, outcome, request.units)
 
     def _close(self, request: Request) -> bool:
         """Take a request off the table; False if it has had its final answer before."""
--- a/plumpick/gateway/hot_restart/succession.py
+++ b/plumpick/gateway/hot_restart/succession.py
@@ -33,7 +33,7 @@
 
     def __init__(self, name: str, number: int, gatekeeper: Any, front: Any) -> None:
         self.name, self.number, self.gatekeeper, self.front = name, number, gatekeeper, front
-        self.fleet: Any = None  # this process's part in what is done for the tier (fleet/runner.py)
+        self.fleet: Any = None  # this process's part in what is done for the tier (cluster/lease_runner.py)
         self.versions: Any = None  # the source of its settings (configuration/source.py)
         self.listener: socket.socket | None = None  # ours to keep: the server has a copy
         self.server: Any = None
@@ -81,7 +81,7 @@
                 log.warning("handover: %s %s: %s", name, argument, wrong)
         elif kind == "counted":
             if context.fleet is not None:
-                context.fleet.counted_elsewhere(value)
+                context.fleet.usage.count_forwarded(value)
         else:
             return False
     except (ValueError, TypeError) as problem:
@@ -179,8 +179,8 @@
             return
         leases = None
         if context.fleet is not None:  # whatever becomes of it, from here on they are not ours
-            leases = context.fleet.hand_over()
-            context.fleet.passed_on = lambda row: channel.tell("counted", row)
+            leases = context.fleet.capture()
+            context.fleet.usage.forward = lambda row: channel.tell("counted", row)
         try:
             state = {**keeper.hand_over(), "fleet": leases}
             if context.versions is not None:
@@ -217,7 +217,7 @@
             keeper.peers.listen()
             keeper.resume()
             if self._context.fleet is not None:
-                self._context.fleet.resume()
+                self._context.fleet.resume_after_failed_handover()
             self._changed(False)
             self._open_again(REOPEN_TRIES)
 
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -167,23 +167,31 @@
         """An operator's call that is in force here."""
 
 
+class RequestCounter(Protocol):
+    """Counts requests for the fleet's usage (cluster/usage_collector.py)."""
+
+    def count(self, plan: str, outcome: int, units: float) -> None:
+        """A request has its final outcome: served (0), rejected (1) or failed (2)."""
+
+
 class Part(Protocol):
-    """What the core asks of this process's part in what is done for the whole tier (fleet/runner.py)."""
+    """This process's part in what is done for the whole tier (cluster/lease_runner.py)."""
 
-    def heard(self, sender: int, data: bytes) -> None:
-        """Words about leases have come."""
+    @property
+    def usage(self) -> RequestCounter:
+        """Where requests are counted."""
 
-    def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final answer: served (0), refused (1) or failed (2)."""
+    def on_datagram(self, sender: int, data: bytes) -> None:
+        """A datagram about leases has come from a gateway."""
 
-    def want_turn(self, wanted: bool) -> str:
-        """Be out when it is our turn, or no longer; what is wrong with that, or nothing."""
+    def want_restart_permit(self, wanted: bool) -> str:
+        """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
 
-    def status(self, argument: str) -> tuple[bool, str]:
-        """The answer to DUTIES: whether it is refused, and what to say."""
+    def tasks_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to DUTIES: whether the command is rejected, and one line."""
 
-    def budgets(self, argument: str) -> tuple[bool, str]:
-        """The answer to BUDGETS: whether it is refused, and what to say."""
+    def budgets_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to BUDGETS: whether the command is rejected, and one line."""
 
 
 class Versioned(Protocol):
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -92,7 +92,7 @@
                 pass  # it is being written
             for name, rate in wanted.items():
                 for _ in range(int(rate * DEMAND_STEP_S + chance.random())):
-                    part.spends([(name, 1.0)])
+                    part.budgets.spend([(name, 1.0)])
             part._loop.call_later(DEMAND_STEP_S, step)
 
         part._loop.call_soon(step)
@@ -103,7 +103,7 @@
 def main() -> int:  # noqa: C901, PLR0915  (to be split by concern)
     """The exit code."""
     from plumpick.gateway import daemon
-    from plumpick.gateway.cluster import fenced_effects, lease_runner
+    from plumpick.gateway.cluster import budget_spending, fenced_effects, lease_runner
     from plumpick.gateway.platform import System
     from plumpick.policy.budgets import holder, ledger
     from plumpick.policy.leases import codec
@@ -182,34 +182,35 @@
         recorder.write("figures", [[one.name, one.whole, one.burst] for one in budgets])
 
     ledger.Book.change = changed  # type: ignore[method-assign]
+    runner = lease_runner.LeaseRunner
     if os.environ.get("WITNESS_DEMAND"):
-        lease_runner.Runner.open = clients_of(lease_runner.Runner.open)  # type: ignore[method-assign]
+        runner.start = clients_of(runner.start)  # type: ignore[method-assign]
     send = fenced_effects.send
 
-    async def witnessed(receiver: Any, duty: str, period: int, token: int, body: Any, may: Any) -> None:
+    async def witnessed(receiver: Any, task: str, period: int, token: int, body: Any, may_write: Any) -> None:
         def looks() -> bool:
             obey("before", signal.SIGSTOP)
-            yes = bool(may())
+            yes = bool(may_write())
             if yes:
-                recorder.write("effect", duty, period, token)
+                recorder.write("effect", task, period, token)
                 obey("after", signal.SIGSTOP)
             return yes
 
-        await send(receiver, duty, period, token, body, looks)
+        await send(receiver, task, period, token, body, looks)
 
     fenced_effects.send = witnessed
-    say = lease_runner.Runner._say
+    send_message = runner.send_message
 
-    def said(self: Any, now: float, tell: Any, leases: bool = False) -> None:
-        word = None if leases else codec.decode(tell.data)
-        share = word is not None and word.payload[:1] == lease_runner.SHARES[1]
+    def sent(self: Any, now_ms: float, message: Any, is_lease_message: bool = False) -> None:
+        decoded = None if is_lease_message else codec.decode(message.data)
+        share = decoded is not None and decoded.payload[:1] == budget_spending.SHARE_KIND
         if share:
             obey("before-share", signal.SIGKILL)
-        say(self, now, tell, leases)
+        send_message(self, now_ms, message, is_lease_message)
         if share:
             obey("after-share", signal.SIGKILL)
 
-    lease_runner.Runner._say = said  # type: ignore[method-assign]
+    runner.send_message = sent  # type: ignore[method-assign]
     recorder.write("life", os.environ.get("BALANCER_NAME", ""))
     return daemon.main()
 
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -85,10 +85,10 @@
         """A process has a part from now on."""
         self._parts = [(one, its) for one, its in self._parts if not one.dead]
         self._parts.append((process, part))
-        spends = part.spends
+        spend = part.budgets.spend
 
         def spent(wanted: list[tuple[str, float]]) -> bool:
-            met = bool(spends(wanted))
+            met = bool(spend(wanted))
             self.turned_back += not met
             for name, units in wanted if met else ():
                 over = self.wholes[name].spent(self._now(), units)
@@ -96,7 +96,7 @@
                     self._over = self._over or f"budget {name}: {over:.4f} units over burst + rate x W"
             return met
 
-        part.spends = spent
+        part.budgets.spend = spent
 
     def broken(self) -> Breach | None:
         """Whether two hold a lease now, or more of a budget is spent than there is."""
@@ -104,12 +104,12 @@
             return Breach(WHOLE, self._now(), "budgets", self._over, False)
         holders: dict[int, int] = {}
         for process, part in self._parts:
-            member = part.member
-            if process.dead or member is None or member.closed or not member.holder.held:
+            participant = part.participant
+            if process.dead or participant is None or participant.closed or not participant.holder.held:
                 continue
             clock_ms = process.time() * 1000
-            for lease, held in member.holder.held.items():
-                if clock_ms >= held.requested_ms + member.terms.term_ms:
+            for lease, held in participant.holder.held.items():
+                if clock_ms >= held.requested_ms + participant.terms.term_ms:
                     continue
                 self.owners.add(held.token)
                 if lease in holders:
--- a/tests/ownership/test_runner.py
+++ b/tests/ownership/test_runner.py
@@ -40,7 +40,7 @@
             {"fleet": {"voters": [0], "slots": 2, "term_s": 0.5, "duty": duties, **fleet}}, 1
         ).fleet
         orders = []
-        part = lease_runner.Runner(
+        part = lease_runner.LeaseRunner(
             one_gatekeeper(),
             settings,
             asyncio.get_running_loop(),
@@ -48,10 +48,10 @@
             lambda *_: None,
             lambda name: orders.append(name) or "",
         )
-        part.open()
+        part.start()
         try:
             async with asyncio.timeout(20):
-                while len(part.member.holder.held) < 2:
+                while len(part.participant.holder.held) < 2:
                     await asyncio.sleep(0.01)
                 await scenario(part, orders)
         finally:
@@ -95,7 +95,7 @@
 
     async def scenario(part, _orders):
         await until(lambda: runs["works"] >= 5 and runs["raises"] >= 2 and len(cancelled) >= 2)
-        assert len(part.member.holder.held) == 2
+        assert len(part.participant.holder.held) == 2
 
     alone([duty("raises"), duty("hangs", limit_s=0.3), duty("works")], scenario)
 
@@ -114,18 +114,18 @@
 
     async def scenario(part, _orders):
         await until(lambda: begun)  # a task that is cancelled before it ran has nothing to look at
-        part.hand_over()
+        part.capture()
         await until(lambda: looked)
-        assert looked == [False] and not part.may(0, 0)
+        assert looked == [False] and not part._may_act(0, 0)
 
     alone([duty("one", period_s=60)], scenario)
 
 
 def test_a_turn_drains_and_its_end_takes_clients_again():
     async def scenario(part, orders):
-        assert part.want_turn(True) == ""
+        assert part.want_restart_permit(True) == ""
         await until(lambda: orders == ["DRAIN"])
-        part.want_turn(False)
+        part.want_restart_permit(False)
         await until(lambda: orders == ["DRAIN", "UNDRAIN"])
 
     alone([], scenario, turns=1)
@@ -141,11 +141,11 @@
 
         server = await asyncio.start_server(answer, HOST, 0)
         port = server.sockets[0].getsockname()[1]
-        with pytest.raises(fenced_effects.Ended):
+        with pytest.raises(fenced_effects.LeaseEndedError):
             await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: False)
         await until(lambda: came)
         assert came == [b""]
-        with pytest.raises(fenced_effects.Failed):  # it closes without an answer
+        with pytest.raises(fenced_effects.ReceiverError):  # it closes without an answer
             await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: True)
         server.close()
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -13,7 +13,6 @@
 LARGE_MODULES = {
     "plumpick/policy/budgets/ledger.py",
     "plumpick/policy/controller.py",
-    "plumpick/gateway/cluster/lease_runner.py",
     "plumpick/gateway/listeners/http/connection.py",
     "plumpick/gateway/gateway.py",
     "plumpick/gateway/upstream/connection_pool.py",
@@ -27,7 +26,6 @@
     "plumpick/policy/snapshot.py:leave",
     "plumpick/policy/snapshot.py:take_over",
     "plumpick/gateway/daemon.py:serve",
-    "plumpick/gateway/cluster/lease_runner.py:status",
     "plumpick/gateway/gateway.py:__init__",
 }
 CIRCLES = {
