--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests/ownership"))
+sys.path.insert(0, str(Path(__file__).resolve().parents[1] / "tests"))
 
 SIZES, DUTIES, SECONDS, SLOTS = (3, 10, 30, 100, 200), (10, 1000), 60, 12
 INBOX = 60  # messages a second that a gatekeeper takes in
@@ -24,7 +24,7 @@
 
 def play(gateways: int, number: int) -> dict[str, Any]:
     """One size."""
-    from ownership_rig import Rig
+    from support.lease_tier import Rig
 
     from plumpick.policy.scheduled_tasks import ScheduledTask, StartRun, TaskScheduler
 
--- /dev/null
+++ b/tests/gateway/cluster/test_cluster_startup.py
@@ -0,0 +1,49 @@
+"""The daemon's start with and without what is done for the whole tier."""
+
+import json
+import os
+import subprocess
+import sys
+
+import pytest
+from fakes import config
+
+
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        ("[fleet]\nvoters = [0]\nslot = 3\n", "fleet.slot: no such key"),
+        ("[fleet]\nvoters = [7]\n", "fleet.voters"),
+    ],
+)
+def test_invalid_operators_settings_exit_with_2_and_one_line(tmp_path, text, key):
+    (tmp_path / "config.json").write_text(json.dumps(config()))
+    (tmp_path / "operator.toml").write_text(text)
+    done = subprocess.run(
+        [sys.executable, "-m", "plumpick"],
+        env={
+            **os.environ,
+            "PYTHONPATH": os.pathsep.join(sys.path),
+            "BALANCER_CONFIG": str(tmp_path / "config.json"),
+            "PLUMPICK_OPERATOR": str(tmp_path / "operator.toml"),
+        },
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
+    assert done.returncode == 2 and key in done.stderr and len(done.stderr.splitlines()) == 1
+
+
+def test_the_cluster_is_not_imported_without_operators_settings():
+    code = (
+        "import sys; import plumpick.gateway.daemon; "
+        "print([m for m in sys.modules if m.startswith('plumpick') and "
+        "any(w in m for w in ('leases', 'cluster', 'operator', 'scheduled_tasks', 'usage'))])"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code],
+        env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
+        capture_output=True,
+        text=True,
+    )
+    assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/ownership/test_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -1,21 +1,16 @@
-"""The runner on the daemon's loop: runs that raise or never end, and settings that cannot be used."""
+"""The lease runner on a loop: runs that raise or never end, lost leases, planned restarts."""
 
 import asyncio
-import json
-import os
-import subprocess
-import sys
 
-import pytest
 from fakes import HOST, config
 
 from plumpick.gateway.cluster import fenced_effects, lease_runner
 from plumpick.gateway.config import config_from
-from plumpick.gateway.operator_config import Receiver, operator_from
+from plumpick.gateway.operator_config import operator_from
 from plumpick.gateway.platform import System
 
 
-class Quiet(System):
+class PlatformWithGuard(System):
     """The real machine, with a guard that always is to be had."""
 
     def guard(self, address):
@@ -32,7 +27,7 @@
     return config_from(value, {})
 
 
-def alone(duties, scenario, **fleet):
+def run_alone(duties, scenario, **fleet):
     """A tier of one, whose voter is itself; `scenario(part, told)` once it owns all slots."""
 
     async def whole():
@@ -44,7 +39,7 @@
             one_gatekeeper(),
             settings,
             asyncio.get_running_loop(),
-            Quiet(),
+            PlatformWithGuard(),
             lambda *_: None,
             lambda name: orders.append(name) or "",
         )
@@ -76,7 +71,7 @@
         await asyncio.sleep(0.01)
 
 
-def test_a_run_that_raises_and_one_that_never_ends_leave_the_others_and_the_leases_alone(monkeypatch):
+def test_runs_that_raise_or_never_end_do_not_affect_others_or_the_leases(monkeypatch):
     runs = {"raises": 0, "hangs": 0, "works": 0}
     cancelled = []
 
@@ -97,10 +92,10 @@
         await until(lambda: runs["works"] >= 5 and runs["raises"] >= 2 and len(cancelled) >= 2)
         assert len(part.participant.holder.held) == 2
 
-    alone([duty("raises"), duty("hangs", limit_s=0.3), duty("works")], scenario)
+    run_alone([duty("raises"), duty("hangs", limit_s=0.3), duty("works")], scenario)
 
 
-def test_what_runs_when_the_lease_is_lost_is_ended_and_writes_nothing(monkeypatch):
+def test_a_run_is_cancelled_with_its_lease_and_may_not_write(monkeypatch):
     begun, looked = [], []
 
     async def send(receiver, name, period, token, body, may):
@@ -118,75 +113,14 @@
         await until(lambda: looked)
         assert looked == [False] and not part._may_act(0, 0)
 
-    alone([duty("one", period_s=60)], scenario)
+    run_alone([duty("one", period_s=60)], scenario)
 
 
-def test_a_turn_drains_and_its_end_takes_clients_again():
+def test_a_restart_permit_drains_and_its_release_undrains():
     async def scenario(part, orders):
         assert part.want_restart_permit(True) == ""
         await until(lambda: orders == ["DRAIN"])
         part.want_restart_permit(False)
         await until(lambda: orders == ["DRAIN", "UNDRAIN"])
 
-    alone([], scenario, turns=1)
-
-
-def test_an_effect_is_not_written_when_its_lease_ended_while_the_connection_came_up():
-    async def scenario():
-        came = []
-
-        async def answer(reader, writer):
-            came.append(await reader.read(100))
-            writer.close()
-
-        server = await asyncio.start_server(answer, HOST, 0)
-        port = server.sockets[0].getsockname()[1]
-        with pytest.raises(fenced_effects.LeaseEndedError):
-            await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: False)
-        await until(lambda: came)
-        assert came == [b""]
-        with pytest.raises(fenced_effects.ReceiverError):  # it closes without an answer
-            await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: True)
-        server.close()
-
-    asyncio.run(scenario())
-
-
-@pytest.mark.parametrize(
-    ("text", "key"),
-    [
-        ("[fleet]\nvoters = [0]\nslot = 3\n", "fleet.slot: no such key"),
-        ("[fleet]\nvoters = [7]\n", "fleet.voters"),
-    ],
-)
-def test_settings_that_cannot_be_used_end_the_program_with_2_and_one_line(tmp_path, text, key):
-    (tmp_path / "config.json").write_text(json.dumps(config()))
-    (tmp_path / "operator.toml").write_text(text)
-    done = subprocess.run(
-        [sys.executable, "-m", "plumpick"],
-        env={
-            **os.environ,
-            "PYTHONPATH": os.pathsep.join(sys.path),
-            "BALANCER_CONFIG": str(tmp_path / "config.json"),
-            "PLUMPICK_OPERATOR": str(tmp_path / "operator.toml"),
-        },
-        capture_output=True,
-        text=True,
-        timeout=60,
-    )
-    assert done.returncode == 2 and key in done.stderr and len(done.stderr.splitlines()) == 1
-
-
-def test_what_is_off_is_not_imported():
-    code = (
-        "import sys; import plumpick.gateway.daemon; "
-        "print([m for m in sys.modules if m.startswith('plumpick') and "
-        "any(w in m for w in ('leases', 'cluster', 'operator', 'scheduled_tasks', 'usage'))])"
-    )
-    done = subprocess.run(
-        [sys.executable, "-c", code],
-        env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
-        capture_output=True,
-        text=True,
-    )
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    run_alone([], scenario, turns=1)
--- /dev/null
+++ b/tests/policy/leases/test_lease_codec.py
@@ -0,0 +1,51 @@
+"""The datagrams about leases, and bytes that are none."""
+
+import random
+
+import pytest
+
+from plumpick.policy.leases.codec import MAX_MESSAGE_BYTES, Message, MessageKind, Vote, decode, encode
+from plumpick.policy.leases.events import (
+    MessageReceived,
+)
+from plumpick.policy.leases.participant import LeaseParticipant
+from plumpick.policy.leases.terms import (
+    LeaseTerms,
+)
+
+
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\xd5",
+        b"\x03" * 40,
+        b"\xd5\x09" + b"\0" * 40,
+        b"\xd5\x03" + b"\0" * 19,
+        b"\xd5\x01" + b"\0" * 300,
+        bytes(range(256)),
+    ],
+)
+def test_bytes_that_are_no_message_change_nothing(data):
+    assert decode(data) is None
+    member = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
+    member.handle(0.0, [MessageReceived(1, data), MessageReceived(77, data)])
+    assert not member.holder.pending
+
+
+def test_messages_hold_all_leases_in_256_bytes_and_decode_as_encoded():
+    leases = tuple((lease, (1 << 48) - 1 - lease) for lease in range(20))
+    asked = Message(MessageKind.REQUEST, 65535, 2**32 - 1, 2**32 - 1, 2**32 - 1, 0, leases)
+    answered = Message(
+        MessageKind.RESPONSE,
+        1,
+        2,
+        3,
+        4,
+        5,
+        votes=tuple(
+            (lease, Vote.HELD_BY_OTHER, bool(lease % 2), counter, 65535) for lease, counter in leases
+        ),
+    )
+    for word in (asked, answered):
+        assert len(encode(word)) <= MAX_MESSAGE_BYTES and decode(encode(word)) == word
--- /dev/null
+++ b/tests/policy/test_usage_report.py
@@ -0,0 +1,91 @@
+"""The fleet's usage: counting, messages, collection."""
+
+import pytest
+
+from plumpick.policy.usage_report import (
+    FAILED,
+    KIND_REQUEST,
+    MAX_ATTEMPTS,
+    MAX_PERIODS,
+    NOT_COUNTED,
+    REJECTED,
+    SERVED,
+    PeriodUsage,
+    UsageCollection,
+    UsageCounter,
+    UsageSnapshotError,
+    decode,
+    encode_report,
+    encode_request,
+)
+
+
+def test_usage_is_reported_for_past_periods_and_from_when_it_was_counted():
+    counter = UsageCounter(1000.0, 500.0)
+    counter.count(600.0, 0, SERVED, 2.5)
+    counter.count(700.0, 0, REJECTED, 9.0)
+    counter.count(1500.0, 3, FAILED, 1.0)
+    assert counter.usage(900.0, 0) == (NOT_COUNTED, {})  # not over
+    assert counter.usage(1600.0, 0) == (500, {0: [1, 1, 0, 2.5]})
+    assert counter.usage(2600.0, 1) == (0, {3: [0, 0, 1, 0.0]})
+    for period in range(2, 40):
+        counter.count(period * 1000.0, 0, SERVED, 1.0)
+    assert len(counter.periods) == MAX_PERIODS and counter.usage(39_000.0, 1)[0] == NOT_COUNTED
+    other = UsageCounter(1000.0, 30_000.0)
+    other.restore(counter.capture())
+    assert other.usage(39_000.0, 38) == counter.usage(39_000.0, 38)
+    with pytest.raises(UsageSnapshotError):
+        other.restore({"born": 1.0, "periods": [[1, [[0, 1]]]]})
+
+
+def test_messages_decode_as_encoded_and_other_bytes_are_none():
+    rows = {plan: [plan, 2, 3, 0.5] for plan in range(15)}
+    parts = [decode(data) for data in encode_report(9, 77, PeriodUsage(250, rows))]
+    assert {plan: row for part in parts for plan, row in part.rows.items()} == rows
+    assert all((part.tag, part.period, part.counted_from_ms, part.parts) == (9, 77, 250, 2) for part in parts)
+    assert decode(encode_request(9, 77)).kind == KIND_REQUEST
+    assert all(
+        decode(data) is None
+        for data in (b"", b"\x01", b"\x07" * 19, encode_report(9, 7, PeriodUsage(0, rows))[0] + b"x")
+    )
+
+
+def collect(gateways, answers, lost=lambda number, tries: False):
+    """Sums and gaps where `answers[number]` is what each would tell; None: it is dead."""
+    collection, t, asked = UsageCollection(gateways, 0.0), 0.0, {}
+    times = []
+    while not collection.is_over(t):
+        for number in collection.gateways_to_poll(t):
+            asked[number] = asked.get(number, 0) + 1
+            times.append(t)
+            if answers[number] is not None and not lost(number, asked[number]):
+                for data in encode_report(1, 5, PeriodUsage(*answers[number])):
+                    collection.on_report(number, decode(data))
+        t += 10.0
+    return collection.result(1000.0), asked, times
+
+
+def test_reports_are_added_up_and_missing_ones_are_gaps():
+    answers = [
+        (0, {0: [1, 0, 0, 1.0]}),
+        None,
+        (400, {0: [2, 1, 0, 2.0], 1: [1, 0, 0, 4.0]}),
+        (NOT_COUNTED, {}),
+    ]
+    (sums, gaps), asked, _ = collect(4, answers)
+    assert sums == {0: [3, 1, 0, 3.0], 1: [1, 0, 0, 4.0]}
+    assert gaps == [(1, 0.0, 1000.0), (2, 0.0, 400.0), (3, 0.0, 1000.0)]
+    assert asked == {0: 1, 1: MAX_ATTEMPTS, 2: 1, 3: 1}
+
+
+def test_a_lost_report_is_polled_again_and_counts_once():
+    answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(3)]
+    (sums, gaps), asked, _ = collect(3, answers, lambda number, tries: number == 1 and tries < 3)
+    assert sums == {0: [3, 0, 0, 3.0]} and not gaps and asked[1] == 3
+
+
+def test_two_hundred_gateways_are_polled_at_twenty_a_second():
+    answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(200)]
+    (sums, _), _, times = collect(200, answers)
+    assert sums[0][0] == 200
+    assert max(sum(begin <= t < begin + 1000 for t in times) for begin in times) <= 24
