--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -24,22 +24,22 @@
 
 def play(gateways: int, number: int) -> dict[str, Any]:
     """One size."""
-    from support.lease_tier import Rig
+    from support.lease_tier import LeaseTier
 
     from plumpick.policy.scheduled_tasks import ScheduledTask, StartRun, TaskScheduler
 
-    rig = Rig(
+    tier = LeaseTier(
         1, gateways=gateways, term_ms=6000, slots=SLOTS, acceptors=(0, gateways // 3, 2 * gateways // 3)
     )
-    rig.delay, rig.loss = (2.0, 40.0), 0.03
-    rig.run(90_000, judge=False)
-    voters, owners = set(rig.terms.acceptors), {rig.holder(lease) for lease in range(SLOTS)}
+    tier.delay, tier.loss = (2.0, 40.0), 0.03
+    tier.run(90_000, judge=False)
+    voters, owners = set(tier.terms.acceptors), {tier.holder(lease) for lease in range(SLOTS)}
     sent: dict[int, list[int]] = defaultdict(lambda: [0, 0])
     taken: dict[int, int] = defaultdict(int)
     cpu: dict[int, float] = defaultdict(float)
-    inner = rig.acts
+    inner = tier.carry_out
 
-    def acts(process: Any, action: Any) -> None:
+    def carry_out(process: Any, action: Any) -> None:
         data = getattr(action, "data", None)
         if data is not None and hasattr(action, "receiver"):
             sent[process.number][0] += 1
@@ -47,14 +47,14 @@
             taken[action.receiver] += 1
         inner(process, action)
 
-    rig.acts = acts
+    tier.carry_out = carry_out
     plans = {}
-    for process in rig.processes:
+    for process in tier.processes:
         rows = tuple(ScheduledTask(f"d{place}", "call", 60_000.0, 5000.0, 0) for place in range(number))
         plan = plans[process.number] = TaskScheduler(rows, SLOTS, random.Random(process.number))
-        for lease, held in process.member.holder.held.items():
+        for lease, held in process.participant.holder.held.items():
             plan.on_slot_acquired(0.0, lease, held.token)
-        handle = process.member.handle
+        handle = process.participant.handle
 
         def timed(now_ms: float, events: Any = (), handle: Any = handle, place: int = process.number) -> Any:
             begin = time.process_time()
@@ -62,8 +62,8 @@
             cpu[place] += time.process_time() - begin
             return actions
 
-        process.member.handle = timed
-    rig.run(SECONDS * 1000, judge=False)
+        process.participant.handle = timed
+    tier.run(SECONDS * 1000, judge=False)
     for place, plan in plans.items():  # each duty of its slots once in the minute
         begin = time.process_time()
         t = 0.0
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -31,7 +31,7 @@
         (15, 3, ["three-stops", "moving-split", "deaf"]),
     ],
 )
-def test_no_promise_breaks_whatever_breaks(seed, gatekeepers, cases):
+def test_no_guarantee_is_broken_under_faults(seed, gatekeepers, cases):
     assert trial(seed, gatekeepers, cases).broken == []
 
 
@@ -42,11 +42,11 @@
     assert trial(21, 3, [case], plant=plant).broken
 
 
-def test_without_its_fence_a_receiver_takes_what_a_late_owner_sends():
+def test_a_receiver_without_a_fence_takes_late_effects():
     assert trial(22, 3, ["stops-after-the-look"], fenced=False).judged.out_of_order
 
 
-def test_the_judge_sees_an_overlap_a_double_and_a_late_effect():
+def test_the_judge_reports_overlaps_and_late_effects():
     held = [["held", 10.0, 0, 1, 0, 7, 5.0, 100.0], ["held", 60.0, 1, 2, 0, 9, 55.0, 160.0]]
     assert judge(held, []).overlaps
     assert not judge([*held, ["lost", 50.0, 0, 1, 0, 7]], []).overlaps
@@ -64,7 +64,7 @@
     )
 
 
-def test_the_fleets_use_goes_out_once_a_period_and_what_a_dead_one_counted_is_a_gap():
+def test_usage_is_sent_once_a_period_with_a_gap_for_a_dead_gateway():
     async def scenario():
         tier = use_tier()
         try:
@@ -102,7 +102,7 @@
     return slot_of("use", 4)
 
 
-def test_staff_see_who_holds_what_and_one_gatekeeper_at_a_time_is_out():
+def test_operators_see_leases_and_one_gateway_at_a_time_is_drained():
     async def scenario():
         tier = use_tier(management=True)
         try:
@@ -138,11 +138,11 @@
     asyncio.run(scenario())
 
 
-def test_an_upgrade_hands_the_leases_over_and_a_second_process_by_mistake_has_no_vote():
+def test_a_hot_restart_keeps_leases_and_a_stray_process_does_not_vote():
     async def scenario():
         tier = use_tier(management=True)
         tier.fleet["term_s"] = 3.0  # so that none ends by itself on a busy machine
-        news = []
+        processes = []
         try:
             await tier.start()
             await tier.taken(["use"], 20)
@@ -162,7 +162,7 @@
 
             tier.calls[owner] = free_port()
             process = await tier.supervisor.launch(gate)
-            news.append(process)
+            processes.append(process)
             await tier.until(
                 lambda: any(
                     row[0] == "held" and row[3] == process.pid and row[5] == token for row in tier.look()
@@ -191,7 +191,7 @@
             tier.supervisor.environment_of = lambda one: {**environment(one), "TMPDIR": str(stray)}
             tier.calls[owner] = free_port()
             other = await tier.supervisor.launch(gate)
-            news.append(other)
+            processes.append(other)
             await tier.until(
                 lambda: "another process of this number votes" in (gate.folder / "log").read_text(),
                 10,
@@ -199,7 +199,7 @@
             )
             assert calls
         finally:
-            for process in news:
+            for process in processes:
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
@@ -209,7 +209,7 @@
     asyncio.run(scenario())
 
 
-def test_clocks_further_apart_than_stated_are_said_by_the_program():
+def test_clocks_beyond_the_drift_are_logged():
     async def said(rates):
         tier = Tier(
             3,
@@ -240,7 +240,7 @@
     assert asyncio.run(said([0.99, 1.0, 1.01])) == [0, 0, 0]
 
 
-def test_half_of_the_tier_with_other_duties_is_told_in_one_line_and_does_no_harm():
+def test_a_gateway_with_other_terms_is_logged_once_and_holds_nothing():
     async def scenario():
         tier = Tier(
             3,
--- a/tests/policy/leases/test_acceptor.py
+++ b/tests/policy/leases/test_acceptor.py
@@ -9,7 +9,9 @@
 
 def test_grants_outlast_the_slowest_holder_and_silence_covers_the_longest_term():
     terms = LeaseTerms((0,), term_ms=1000, drift_ratio=0.01, longest_past_term_ms=5000)
-    assert terms.acceptor_hold_ms() / 1.01 >= 1000 / 0.99  # by true time: a fast voter against a slow holder
+    assert (
+        terms.acceptor_hold_ms() / 1.01 >= 1000 / 0.99
+    )  # by true time: a fast acceptor against a slow holder
     assert terms.silence_ms / 1.01 >= 5000 / 0.99
     acceptor = Acceptor(terms, 0.0)
     assert acceptor.on_request(terms.silence_ms - 1, 0, (1, 1), 1, 1).vote is Vote.SILENT
--- a/tests/policy/leases/test_lease_codec.py
+++ b/tests/policy/leases/test_lease_codec.py
@@ -28,9 +28,9 @@
 )
 def test_bytes_that_are_no_message_change_nothing(data):
     assert decode(data) is None
-    member = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
-    member.handle(0.0, [MessageReceived(1, data), MessageReceived(77, data)])
-    assert not member.holder.pending
+    participant = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
+    participant.handle(0.0, [MessageReceived(1, data), MessageReceived(77, data)])
+    assert not participant.holder.pending
 
 
 def test_messages_hold_all_leases_in_256_bytes_and_decode_as_encoded():
@@ -47,5 +47,5 @@
             (lease, Vote.HELD_BY_OTHER, bool(lease % 2), counter, 65535) for lease, counter in leases
         ),
     )
-    for word in (asked, answered):
-        assert len(encode(word)) <= MAX_MESSAGE_BYTES and decode(encode(word)) == word
+    for message in (asked, answered):
+        assert len(encode(message)) <= MAX_MESSAGE_BYTES and decode(encode(message)) == message
--- a/tests/policy/leases/test_lease_participant.py
+++ b/tests/policy/leases/test_lease_participant.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.lease_tier import Rig
+from support.lease_tier import LeaseTier
 
 from plumpick.policy.leases.actions import LeaseAcquired, LeaseLost, SendMessage, WriteLog
 from plumpick.policy.leases.codec import Message, MessageKind, Vote, decode, encode
@@ -21,141 +21,143 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_no_two_processes_hold_a_lease_under_any_faults(seed):
-    rig = Rig(seed, gateways=(3, 5, 7)[seed % 3], drift=0.01, acceptors=(0, 1, 2), term_ms=2000)
-    rig.faults(20)
-    rig.run(26_000)
-    assert not rig.overlaps and rig.gained
+    tier = LeaseTier(seed, gateways=(3, 5, 7)[seed % 3], drift=0.01, acceptors=(0, 1, 2), term_ms=2000)
+    tier.draw_faults(20)
+    tier.run(26_000)
+    assert not tier.overlaps and tier.acquired
     tokens = {}
-    for _, number, lease, token in rig.gained:
+    for _, number, lease, token in tier.acquired:
         assert token_owner(token)[0] == number and token not in tokens.setdefault(lease, set())
         tokens[lease].add(token)
-    rig.cut, rig.loss, rig.twice, rig.delay = lambda a, b, data: False, 0.0, 0.0, (1.0, 5.0)
-    for number, process in enumerate(rig.processes):
+    tier.drops, tier.loss, tier.duplication, tier.delay = lambda a, b, data: False, 0.0, 0.0, (1.0, 5.0)
+    for number, process in enumerate(tier.processes):
         if process is None:
-            rig.start(number)
-    assert rig.until(lambda: all(rig.holder(lease) is not None for lease in range(3)), 12_000) is not None
+            tier.start(number)
+    assert (
+        tier.run_until(lambda: all(tier.holder(lease) is not None for lease in range(3)), 12_000) is not None
+    )
 
 
 def test_a_dead_holders_lease_is_reacquired_within_two_terms_and_1_2_in_the_median():
     took = []
     for seed in range(40):
-        rig = Rig(seed, gateways=5, term_ms=6000)
-        rig.delay, rig.loss = (2.0, 40.0), 0.03
-        rig.run(16_000 + rig.rng.uniform(0, 3000), judge=False)
-        rig.kill(rig.holder(0))
-        took.append(rig.until(lambda rig=rig: rig.holder(0) is not None, 30_000) / 6000)
+        tier = LeaseTier(seed, gateways=5, term_ms=6000)
+        tier.delay, tier.loss = (2.0, 40.0), 0.03
+        tier.run(16_000 + tier.rng.uniform(0, 3000), judge=False)
+        tier.kill(tier.holder(0))
+        took.append(tier.run_until(lambda tier=tier: tier.holder(0) is not None, 30_000) / 6000)
     assert sorted(took)[20] <= 1.2 and max(took) <= 2.0
 
 
 @pytest.mark.parametrize("lost", range(24))
 def test_a_lease_is_reacquired_whichever_one_message_is_lost(lost):
-    rig = Rig(5, gateways=3, term_ms=2000)
-    rig.run(6000)
-    rig.kill(rig.holder(0))
+    tier = LeaseTier(5, gateways=3, term_ms=2000)
+    tier.run(6000)
+    tier.kill(tier.holder(0))
     count = [0]
 
-    def cut(sender, receiver, data):
+    def drops(sender, receiver, data):
         if decode(data).kind is MessageKind.HEARTBEAT:
             return False
         count[0] += 1
         return count[0] == lost + 1
 
-    rig.cut = cut
-    assert rig.until(lambda: rig.holder(0) is not None, 8000) is not None and not rig.overlaps
+    tier.drops = drops
+    assert tier.run_until(lambda: tier.holder(0) is not None, 8000) is not None and not tier.overlaps
 
 
 def test_a_holder_without_a_quorum_drops_its_lease_before_its_end_and_reports_why():
-    rig = Rig(1, gateways=5, term_ms=2000)
-    rig.run(6000)
-    owner = rig.holder(0)
-    process = rig.processes[owner]
-    rig.cut = lambda a, b, data: owner in (a, b)
-    end = process.true(process.member.holder.held[0].requested_ms + 2000)
-    rig.run(3000)
-    t, number, lease, _ = next(row for row in rig.lost if row[1] == owner and row[2] == 0)
+    tier = LeaseTier(1, gateways=5, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    process = tier.processes[owner]
+    tier.drops = lambda a, b, data: owner in (a, b)
+    end = process.true_time(process.participant.holder.held[0].requested_ms + 2000)
+    tier.run(3000)
+    t, number, lease, _ = next(row for row in tier.lost if row[1] == owner and row[2] == 0)
     assert t <= end - 0.09 * 2000
-    assert any("no majority" in str(row[-1]) for row in rig.log if row[1] == owner and row[2] == "lost")
-    assert rig.holder(0) not in (None, owner) and not rig.overlaps
+    assert any("no majority" in str(row[-1]) for row in tier.log if row[1] == owner and row[2] == "lost")
+    assert tier.holder(0) not in (None, owner) and not tier.overlaps
 
 
-@pytest.mark.parametrize("voters", [(0, 1, 2), (0, 1, 2, 3, 4)])
-def test_leases_stay_where_they_are_when_a_minority_of_acceptors_dies(voters):
-    rig = Rig(2, gateways=7, term_ms=2000, acceptors=voters)
-    rig.run(6000)
-    owners = {lease: rig.holder(lease) for lease in range(3)}
-    dead = [voter for voter in voters if voter not in owners.values()][: len(voters) // 2]
-    for voter in dead:
-        rig.kill(voter)
-    before = len(rig.lost)
-    rig.run(10_000)
-    assert dead and len(rig.lost) == before and {lease: rig.holder(lease) for lease in range(3)} == owners
+@pytest.mark.parametrize("acceptors", [(0, 1, 2), (0, 1, 2, 3, 4)])
+def test_leases_stay_where_they_are_when_a_minority_of_acceptors_dies(acceptors):
+    tier = LeaseTier(2, gateways=7, term_ms=2000, acceptors=acceptors)
+    tier.run(6000)
+    owners = {lease: tier.holder(lease) for lease in range(3)}
+    dead = [acceptor for acceptor in acceptors if acceptor not in owners.values()][: len(acceptors) // 2]
+    for acceptor in dead:
+        tier.kill(acceptor)
+    before = len(tier.lost)
+    tier.run(10_000)
+    assert dead and len(tier.lost) == before and {lease: tier.holder(lease) for lease in range(3)} == owners
 
 
 def test_a_stalled_holder_drops_its_lease_before_it_reads_messages():
-    rig = Rig(3, gateways=3, term_ms=2000)
-    rig.run(6000)
-    owner = rig.holder(0)
-    process = rig.processes[owner]
-    rig.still(owner, 4000)
-    rig.run(3900)
-    assert rig.holder(0) not in (None, owner) and process.waiting
-    first = process.member.handle(process.clock() + 200, process.waiting)[0]
+    tier = LeaseTier(3, gateways=3, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    process = tier.processes[owner]
+    tier.stall(owner, 4000)
+    tier.run(3900)
+    assert tier.holder(0) not in (None, owner) and process.waiting
+    first = process.participant.handle(process.clock() + 200, process.waiting)[0]
     assert isinstance(first, LeaseLost)
 
 
 def test_tokens_grow_past_the_receivers_when_all_restart_with_counters_at_zero():
-    rig = Rig(4, gateways=3, term_ms=2000)
-    rig.run(6000)
-    known = max(token for _, _, lease, token in rig.gained if lease == 0)  # what the receiver knows
+    tier = LeaseTier(4, gateways=3, term_ms=2000)
+    tier.run(6000)
+    known = max(token for _, _, lease, token in tier.acquired if lease == 0)  # what the receiver knows
     for number in range(3):
-        rig.kill(number)
-    rig.run(500)
+        tier.kill(number)
+    tier.run(500)
     for number in range(3):
-        rig.start(number).member.holder.counter = 0
-    assert rig.until(lambda: rig.holder(0) is not None, 6000) is not None
-    process = rig.processes[rig.holder(0)]
-    assert process.member.holder.held[0].token < known
+        tier.start(number).participant.holder.counter = 0
+    assert tier.run_until(lambda: tier.holder(0) is not None, 6000) is not None
+    process = tier.processes[tier.holder(0)]
+    assert process.participant.holder.held[0].token < known
     process.handle([LargerTokenSeen(0, known)])  # the receiver refuses it and says why
-    assert rig.until(lambda: rig.holder(0) is not None, 3000) is not None
-    assert rig.processes[rig.holder(0)].member.holder.held[0].token > known and not rig.overlaps
+    assert tier.run_until(lambda: tier.holder(0) is not None, 3000) is not None
+    assert tier.processes[tier.holder(0)].participant.holder.held[0].token > known and not tier.overlaps
 
 
 def test_a_restart_moves_only_preferred_leases_and_a_death_only_its_own():
-    rig = Rig(6, gateways=6, term_ms=2000, slots=12)
-    rig.run(14_000)
-    before = {lease: rig.holder(lease) for lease in range(12)}
+    tier = LeaseTier(6, gateways=6, term_ms=2000, slots=12)
+    tier.run(14_000)
+    before = {lease: tier.holder(lease) for lease in range(12)}
     assert before == {
         lease: min(range(6), key=lambda n, lease=lease: rendezvous_rank(lease, n)) for lease in range(12)
     }
     gone = before[0]
-    rig.kill(gone)
-    rig.run(8000)
-    after = {lease: rig.holder(lease) for lease in range(12)}
+    tier.kill(gone)
+    tier.run(8000)
+    after = {lease: tier.holder(lease) for lease in range(12)}
     assert None not in after.values()
     assert all(after[lease] == before[lease] for lease in before if before[lease] != gone)
-    rig.start(gone)
-    rig.run(20_000)
-    assert {lease: rig.holder(lease) for lease in range(12)} == before and not rig.overlaps
+    tier.start(gone)
+    tier.run(20_000)
+    assert {lease: tier.holder(lease) for lease in range(12)} == before and not tier.overlaps
 
 
 def test_messages_under_other_terms_are_ignored_and_logged_once():
-    member = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
+    participant = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
     other = encode(
         Message(MessageKind.NOMINATE, LeaseTerms((0, 1, 2), slots=3).digest, 9, 0, 0, requested=((0, 0),))
     )
-    said = [
+    logged = [
         action
         for _ in range(3)
-        for action in member.handle(10.0, [MessageReceived(1, other)])
+        for action in participant.handle(10.0, [MessageReceived(1, other)])
         if isinstance(action, WriteLog)
     ]
-    assert len(said) == 1 and "gatekeeper 1" in said[0].text and not member.holder.pending
+    assert len(logged) == 1 and "gatekeeper 1" in logged[0].text and not participant.holder.pending
 
 
 def test_a_response_to_an_earlier_incarnation_is_ignored():
     terms = LeaseTerms((0, 1, 2))
-    member = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0, accepts=False)
-    tells = member.handle(
+    participant = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0, accepts=False)
+    tells = participant.handle(
         0.0,
         [
             MessageReceived(
@@ -171,9 +173,9 @@
         )
     )
     for life, gains in ((2, 0), (1, 1)):  # of a life before, then of this one
-        words = [
+        responses = [
             MessageReceived(
-                voter,
+                acceptor,
                 encode(
                     Message(
                         MessageKind.RESPONSE,
@@ -186,42 +188,42 @@
                     )
                 ),
             )
-            for voter in (1, 2)
+            for acceptor in (1, 2)
         ]
-        assert sum(isinstance(one, LeaseAcquired) for one in member.handle(1.0, words)) == gains
+        assert sum(isinstance(one, LeaseAcquired) for one in participant.handle(1.0, responses)) == gains
 
 
 def test_no_lease_is_held_while_a_quorum_is_down_and_all_are_when_it_is_back():
-    rig = Rig(11, gateways=5, term_ms=2000)
-    rig.run(6000)
+    tier = LeaseTier(11, gateways=5, term_ms=2000)
+    tier.run(6000)
     for number in (0, 1):
-        rig.kill(number)
-    rig.run(3000)
+        tier.kill(number)
+    tier.run(3000)
     for _ in range(55):
-        rig.run(1000)
-        assert rig.holder(0) is None
+        tier.run(1000)
+        assert tier.holder(0) is None
     for number in (0, 1):
-        rig.start(number)
-    took = rig.until(lambda: all(rig.holder(lease) is not None for lease in range(3)), 10_000)
-    assert took is not None and took <= 2 * 2000 and not rig.overlaps
+        tier.start(number)
+    took = tier.run_until(lambda: all(tier.holder(lease) is not None for lease in range(3)), 10_000)
+    assert took is not None and took <= 2 * 2000 and not tier.overlaps
 
 
 def test_leases_stay_where_they_are_when_an_acceptor_is_cut_off_one_way():
     for way in (0, 1):
-        rig = Rig(12 + way, gateways=5, term_ms=2000)
-        rig.run(6000)
-        owners = {lease: rig.holder(lease) for lease in range(3)}
-        voter = next(number for number in (0, 1, 2) if number not in owners.values())
-        rig.cut = lambda a, b, data, voter=voter, way=way: voter == (a, b)[way]
-        before = len(rig.lost)
-        rig.run(15_000)
-        assert len(rig.lost) == before and not rig.overlaps
+        tier = LeaseTier(12 + way, gateways=5, term_ms=2000)
+        tier.run(6000)
+        owners = {lease: tier.holder(lease) for lease in range(3)}
+        acceptor = next(number for number in (0, 1, 2) if number not in owners.values())
+        tier.drops = lambda a, b, data, acceptor=acceptor, way=way: acceptor == (a, b)[way]
+        before = len(tier.lost)
+        tier.run(15_000)
+        assert len(tier.lost) == before and not tier.overlaps
 
 
 def test_a_lease_is_kept_by_renewals_under_the_same_token():
-    rig = Rig(14, gateways=3, term_ms=2000)
-    rig.run(6000)
-    owner = rig.holder(0)
-    token = rig.processes[owner].member.holder.held[0].token
-    rig.run(20_000)
-    assert rig.holder(0) == owner and rig.processes[owner].member.holder.held[0].token == token
+    tier = LeaseTier(14, gateways=3, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    token = tier.processes[owner].participant.holder.held[0].token
+    tier.run(20_000)
+    assert tier.holder(0) == owner and tier.processes[owner].participant.holder.held[0].token == token
--- a/tests/policy/leases/test_lease_snapshot.py
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from support.lease_tier import Rig
+from support.lease_tier import LeaseTier
 
 from plumpick.policy.leases.codec import Vote
 from plumpick.policy.leases.events import (
@@ -16,18 +16,18 @@
 
 
 def test_a_hot_restart_keeps_one_holder_and_never_has_two():
-    rig = Rig(9, gateways=3, term_ms=2000)
-    rig.run(6000)
-    owner = rig.holder(0)
-    old = rig.processes[owner]
-    state = old.member.capture()
-    assert old.member.handle(old.clock(), [ReleaseRequested(0)]) == [] and old.member.closed
-    news = LeaseParticipant(rig.terms, owner, 3, 12345, random.Random(3), old.clock(), 0.0)
-    news.restore(old.clock(), state)
-    old.member = news
-    before = len(rig.gained)
-    rig.run(10_000)
-    assert rig.holder(0) == owner and len(rig.gained) == before and not rig.overlaps
+    tier = LeaseTier(9, gateways=3, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    old = tier.processes[owner]
+    state = old.participant.capture()
+    assert old.participant.handle(old.clock(), [ReleaseRequested(0)]) == [] and old.participant.closed
+    new = LeaseParticipant(tier.terms, owner, 3, 12345, random.Random(3), old.clock(), 0.0)
+    new.restore(old.clock(), state)
+    old.participant = new
+    before = len(tier.acquired)
+    tier.run(10_000)
+    assert tier.holder(0) == owner and len(tier.acquired) == before and not tier.overlaps
     with pytest.raises(ValueError, match="cannot be used"):
         LeaseParticipant(LeaseTerms((0,)), 0, 1, 1, random.Random(1), 0.0, 0.0).restore(
             0.0, state
--- a/tests/policy/leases/test_nomination.py
+++ b/tests/policy/leases/test_nomination.py
@@ -1,6 +1,6 @@
 """Whom acceptors nominate for free slots."""
 
-from support.lease_tier import Rig
+from support.lease_tier import LeaseTier
 
 from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.leases.nomination import Nominator
@@ -10,27 +10,27 @@
 
 
 def test_an_acceptor_with_a_larger_token_of_nobody_stops_nominating():
-    rig = Rig(10, gateways=6, term_ms=2000)
-    rig.run(6000)
-    owner = rig.holder(0)
-    acceptor = rig.processes[next(number for number in (0, 1, 2) if number != owner)].member.acceptor
+    tier = LeaseTier(10, gateways=6, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    acceptor = tier.processes[next(number for number in (0, 1, 2) if number != owner)].participant.acceptor
     acceptor.grants.pop(0)  # as after another's asking that found no majority and was given back
     acceptor.highest_tokens[0] += 10 << 48
-    rig.run(4000)
+    tier.run(4000)
     calls = []
-    rig.cut = lambda a, b, data: calls.append(data) if decode(data).kind is MessageKind.NOMINATE else False
-    rig.run(10_000)
-    assert not calls and rig.holder(0) is not None and not rig.overlaps
+    tier.drops = lambda a, b, data: calls.append(data) if decode(data).kind is MessageKind.NOMINATE else False
+    tier.run(10_000)
+    assert not calls and tier.holder(0) is not None and not tier.overlaps
 
 
 def test_all_slots_have_a_holder_within_two_terms_when_140_of_200_die_at_once():
-    rig = Rig(7, gateways=200, term_ms=6000, slots=16, acceptors=(0, 70, 140))
-    rig.delay = (2.0, 40.0)
-    rig.run(30_000, judge=False)
-    dead = rig.rng.sample([number for number in range(200) if number not in (0, 70)], 140)
+    tier = LeaseTier(7, gateways=200, term_ms=6000, slots=16, acceptors=(0, 70, 140))
+    tier.delay = (2.0, 40.0)
+    tier.run(30_000, judge=False)
+    dead = tier.rng.sample([number for number in range(200) if number not in (0, 70)], 140)
     for number in dead:
-        rig.kill(number)
-    took = rig.until(lambda: all(rig.holder(lease) is not None for lease in range(16)), 20_000)
+        tier.kill(number)
+    took = tier.run_until(lambda: all(tier.holder(lease) is not None for lease in range(16)), 20_000)
     assert took is not None and took <= 12_000
 
 
--- a/tests/simulation/test_leases_explored.py
+++ b/tests/simulation/test_leases_explored.py
@@ -177,12 +177,12 @@
 }
 
 
-def test_each_planted_bug_has_its_history():
+def test_each_mutant_has_a_history():
     assert set(HISTORIES) == set(PLANTS)
 
 
 @pytest.mark.parametrize("name", sorted(HISTORIES))
-def test_the_history_of_a_planted_bug_breaks_a_promise_and_the_program_keeps_it(name):
+def test_a_mutants_history_breaks_a_guarantee_that_the_program_keeps(name):
     voters, most, promise, history = HISTORIES[name]
     limits = {"restarts": 0, "doubles": 0, "effects": 0, "gives": 0, **most}
     assert replay(Leases(voters, **limits, **PLANTS[name]), history) == promise
@@ -194,19 +194,19 @@
 
 
 @pytest.mark.parametrize("name", sorted(BEGINS))
-def test_no_order_of_events_breaks_a_promise(name):
+def test_no_order_of_events_breaks_a_guarantee(name):
     found = explore(begin(name, 3), 5)
     assert not found.broken and found.depth == 5 and found.states > 2000
 
 
-def test_the_search_finds_a_shortest_history_by_itself():
+def test_the_search_finds_a_shortest_history():
     found = explore(
         begin("held", 3, restarts=1, doubles=0, effects=0, gives=0, **PLANTS["forgets-silence"]), 9
     )
     assert found.broken == TWO and len(found.history) == 6
 
 
-def test_the_search_finds_a_late_word_that_gives_back_believed():
+def test_the_search_finds_a_late_release_that_is_believed():
     found = explore(
         begin("taken-again", 2, restarts=0, doubles=0, effects=0, gives=1, **PLANTS["believes-late-gives"]), 9
     )
@@ -214,6 +214,6 @@
     assert [*TAKEN_AGAIN, *found.history] == HISTORIES["believes-late-gives"][3]
 
 
-def test_a_history_that_cannot_be_is_an_error():
+def test_an_impossible_history_is_an_error():
     with pytest.raises(ValueError, match="cannot happen"):
         replay(Leases(2), ["deliver answer 0 0 1 1 0 1"])
