--- a/benchmarks/ownership/plants.py
+++ b/benchmarks/ownership/plants.py
@@ -6,18 +6,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.policy.leases import participant as members
+from plumpick.policy.leases import participant
 from plumpick.policy.leases.lease_holder import LeaseHolder
 from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.simulation.exploration import leases
 
 
 def _voter(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "Acceptor", bug)
+    return lambda: setattr(participant, "Acceptor", bug)
 
 
 def _holder(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "LeaseHolder", bug)
+    return lambda: setattr(participant, "LeaseHolder", bug)
 
 
 def _looks_never() -> None:
--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -65,7 +65,7 @@
         )
 
     def restore(self, now_ms: float, state: dict[str, Any]) -> None:
-        """Go on from what the process before left, if that can be used."""
+        """Continue from what the process before left, if that can be used."""
         if self.book is None:
             return
         try:
--- a/plumpick/gateway/cluster/fence.py
+++ b/plumpick/gateway/cluster/fence.py
@@ -6,7 +6,7 @@
 Task and period are the key of an effect: whether it was taken before is for the receiver's own records.
 Guards against: a process that was suspended between its last look at the clock and the effect (its token is
 smaller by now); a torn or corrupt file (a FenceError, never the beginning of a new count: the receiver must
-admit nothing until staff have restored the file)."""
+admit nothing until an operator has restored the file)."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FenceError(Exception):
-    """The fence's file cannot be used; the text says why. Nothing may be admitted without it."""
+    """The fence's file cannot be used; the text gives the reason. Nothing may be admitted without it."""
 
 
 class Fence:
--- a/plumpick/gateway/cluster/fenced_effects.py
+++ b/plumpick/gateway/cluster/fenced_effects.py
@@ -29,11 +29,11 @@
 
 
 class EffectError(Exception):
-    """The effect is not known to be taken; the text says why. The run has failed, and is retried."""
+    """The effect is not known to be taken; the text gives the reason. The run has failed, and is retried."""
 
 
 class StaleTokenError(EffectError):
-    """The receiver knows a larger token, `token`: the lease has to be acquired anew, above it."""
+    """The receiver knows a larger token, `token`: the lease has to be acquired again, above it."""
 
     def __init__(self, token: int) -> None:
         super().__init__(f"the receiver knows the larger token {token:x}")
@@ -87,7 +87,7 @@
 async def send(
     receiver: Receiver, task: str, period: int, token: int, body: Any, may_write: Callable[[], bool]
 ) -> None:
-    """Have the effect taken; returns once the receiver has said so. Raises EffectError.
+    """Have the effect taken; returns once the receiver has confirmed it. Raises EffectError.
 
     `may_write` looks at the clock: it is called last, when all that is left is to write."""
     request = encode_request(receiver, task, period, token, body)
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -1,7 +1,7 @@
 """Leases and scheduled tasks on the daemon's loop, sockets and clock. It decides nothing.
 
 Each step hands the time and what came to `LeaseParticipant` (who owns what) and to `TaskScheduler` (what runs
-when), and carries out what they say. The clock is one that goes on while the process or the machine is
+when), and carries out what they say. The clock keeps running while the process or the machine is
 suspended; it is looked at again as the last thing before an effect is written. That may not be enough (the
 process may be suspended just then): what makes a late effect harmless is its receiver's fence."""
 
@@ -121,7 +121,7 @@
         self._step()
 
     def _restore(self, now_ms: float, participant: LeaseParticipant, state: dict[str, Any]) -> None:
-        """Go on from the state of the process before, as far as it can be used."""
+        """Continue from the state of the process before, as far as it can be used."""
         try:
             participant.restore(now_ms, state["leases"], accepts=self._guard.is_held)
             self.usage.restore(state["use"])
@@ -162,7 +162,7 @@
         self._step([ShutdownStarted()])
 
     def capture(self) -> dict[str, Any]:
-        """What the next process goes on from; this one takes no part any more."""
+        """What the next process continues from; this one takes no part any more."""
         assert self.participant is not None
         state = {
             "leases": self.participant.capture(),
@@ -185,13 +185,13 @@
         self._guard.release()
 
     def resume_after_failed_handover(self) -> None:
-        """The next process has died: begin anew. What was passed on ends by its time."""
+        """The next process has died: start again. What was passed on ends by its time."""
         self.usage.forward = None
         self._scheduler = self._new_scheduler()
         self.start()
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """The operator's file was read anew."""
+        """The operator's file was read again."""
         if self.budgets.reconfigure(settings):
             self._step()
 
@@ -264,8 +264,8 @@
                 case StopRun():
                     self._runs.stop(action)
                 case ReportMissedRun():
-                    name, period, reason = action.task.name, action.period, action.reason
-                    log.warning("duties: %s, period %d: no run of ours (%s)", name, period, reason)
+                    missed = "duties: %s, period %d: no run of ours (%s)"
+                    log.warning(missed, action.task.name, action.period, action.reason)
         return releases
 
     def _set_timer(self, now_ms: float, participant: LeaseParticipant) -> None:
@@ -330,8 +330,9 @@
         log.info("duties: slot %d is ours, token %x: %s", change.lease, change.token, shown)
 
     def _on_lease_lost(self, now_ms: float, change: LeaseLost, is_slot: bool) -> None:
-        lease, token, reason = change.lease, change.token, change.reason
-        log.info("duties: slot %d is no longer ours, token %x: %s", lease, token, reason)
+        lease = change.lease
+        reason = change.reason
+        log.info("duties: slot %d is no longer ours, token %x: %s", lease, change.token, reason)
         if not is_slot:
             self._restart.on_permit_lost(reason)
             return
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -70,7 +70,7 @@
         return {name: counter.capture() for name, counter in self._counters.items()}
 
     def restore(self, state: dict[str, Any]) -> None:
-        """Go on from the counts of the process before; raises UsageSnapshotError."""
+        """Continue from the counts of the process before; raises UsageSnapshotError."""
         for name, rows in state.items():
             if name in self._counters:
                 self._counters[name].restore(rows)
--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -83,7 +83,7 @@
         return now_ms - grant.granted_ms < RECENT_GRANT_MS
 
     def on_release(self, lease: int, owner: Owner, serial: int) -> bool:
-        """Whether the release freed the lease. A grant that was requested anew since then stays."""
+        """Whether the release freed the lease. A grant that was requested again since then stays."""
         if not 0 <= lease < self._terms.leases:
             return False
         grant = self.grants.get(lease)
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -1,9 +1,9 @@
 """The leases that this process holds and requests. A lease's end counts from the request that renewed it.
 
-Guards against: a response to another request than the pending one (dropped, whatever it says); a stall (what
-has expired is dropped before anything that came meanwhile is looked at); a renewal after the end (there is
-none: what has expired is acquired anew, under a larger token); grants that nobody needs (released, so that
-others need not wait)."""
+Guards against: a response to another request than the pending one (dropped, whatever it contains); a stall
+(what has expired is dropped before anything that came meanwhile is looked at); a renewal after the end (there
+is none: what has expired is acquired again, under a larger token); grants that nobody needs (released, so
+that others need not wait)."""
 
 from __future__ import annotations
 
@@ -206,7 +206,7 @@
         """Whether one denial is enough to give up: to retry at once, or to make way for another.
 
         Two that were nominated at the same time, each with its own acceptor's grant, would wait for the
-        other's. The preferred one goes on, the other releases its grants at once."""
+        other's. The preferred one continues, the other releases its grants at once."""
         if vote.vote is Vote.STALE_COUNTER:
             return True
         if vote.vote is not Vote.HELD_BY_OTHER or not vote.flag or vote.holder == NO_HOLDER:
@@ -286,7 +286,7 @@
     def releasable(self) -> list[int]:
         """Which of `to_release` to release now.
 
-        A release covers every request sent before it. So a lease that is requested anew is left out: the new
+        A release covers every request sent before it. So a lease that is requested again is left out: the new
         request replaces the old one. A pinned lease is never released: what was lent under it counts on its
         end."""
         return [
@@ -302,7 +302,7 @@
         counter: int,
         reason: LossReason = LossReason.LARGER_TOKEN_AT_RECEIVER,
     ) -> None:
-        """A token with that counter exists: a held lease with a smaller one is acquired anew, above it."""
+        """A token with that counter exists: a held lease with a smaller one is acquired again, above it."""
         self.observe_counter(counter)
         held = self.held.get(lease)
         if held is not None and counter >= token_counter(held.token):
--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -1,9 +1,9 @@
 """One gateway's part in the leases: events in, messages and changes of its leases out.
 
 `LeaseParticipant.handle(now_ms, events) -> actions` is the only way in, and `due_ms` says when it wants to be
-called again. `now_ms` is a clock that goes on while the machine or the process is suspended. It always does,
-in this order: drop what has expired; read what came; do what is due. Nothing that peers send raises: what
-cannot be read is dropped."""
+called again. `now_ms` is a clock that keeps running while the machine or the process is suspended. It always
+does, in this order: drop what has expired; read what came; do what is due. Nothing that peers send raises:
+what cannot be read is dropped."""
 
 from __future__ import annotations
 
@@ -318,14 +318,14 @@
     # -- hot restart
 
     def capture(self) -> dict[str, Any]:
-        """What the next process goes on from. From here on this one holds, sends and reads nothing: whatever
-        becomes of the state, no lease is ever held by both."""
+        """What the next process continues from. From here on this one holds, sends and reads nothing:
+        whatever becomes of the state, no lease is ever held by both."""
         state = snapshot.capture(self.terms, self.holder, self.permits.wanted, self.acceptor)
         self.closed = True
         return state
 
     def restore(self, now_ms: float, state: dict[str, Any], accepts: bool = True) -> None:
-        """Go on from a state of the process before, as acceptor too if it `accepts`.
+        """Continue from a state of the process before, as acceptor too if it `accepts`.
 
         Raises LeaseSnapshotError where that cannot be, and then nothing has changed."""
         captured = snapshot.parse(self.terms, state)
--- a/plumpick/policy/leases/snapshot.py
+++ b/plumpick/policy/leases/snapshot.py
@@ -13,11 +13,11 @@
 from plumpick.policy.leases.lease_holder import HeldLease, LeaseHolder
 from plumpick.policy.leases.terms import LeaseTerms
 
-SERIALS_SKIPPED = 1000  # the next process goes on so much further: no response to the last one is its own
+SERIALS_SKIPPED = 1000  # the next process continues so much further: no response to the last one is its own
 
 
 class LeaseSnapshotError(ValueError):
-    """A state that cannot be used; the text says why."""
+    """A state that cannot be used; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     releases: dict[int, tuple[Owner, int]]
 
     def restore(self, acceptor: Acceptor) -> None:
-        """Let an acceptor go on from here."""
+        """Let an acceptor continue from here."""
         acceptor.silent_until_ms = self.silent_until_ms
         acceptor.grants = self.grants
         acceptor.highest_tokens = self.highest_tokens
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParticipantSnapshot:
-    """What a participant goes on from."""
+    """What a participant continues from."""
 
     incarnation: int
     serial: int
@@ -49,7 +49,7 @@
     acceptor: AcceptorSnapshot | None
 
     def restore(self, holder: LeaseHolder) -> None:
-        """Let a lease holder go on from here."""
+        """Let a lease holder continue from here."""
         holder.incarnation = self.incarnation
         holder.serial = self.serial
         holder.held = self.held
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -122,7 +122,7 @@
 class TaskScheduler:
     """Decides on runs; owns one entry for each task that the settings name.
 
-    Times are in milliseconds by a clock that goes on while the process is suspended."""
+    Times are in milliseconds by a clock that keeps running while the process is suspended."""
 
     def __init__(self, tasks: tuple[ScheduledTask, ...], slots: int, chance: Random) -> None:
         self._chance = chance
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -32,7 +32,7 @@
 
 
 class UsageSnapshotError(ValueError):
-    """Counts of the process before that cannot be used; the text says why."""
+    """Counts of the process before that cannot be used; the text gives the reason."""
 
 
 class PeriodUsage(NamedTuple):
@@ -98,7 +98,7 @@
         }
 
     def restore(self, state: dict[str, Any]) -> None:
-        """Go on from a captured state; raises UsageSnapshotError, and then nothing has changed."""
+        """Continue from a captured state; raises UsageSnapshotError, and then nothing has changed."""
         try:
             started_unix_ms = float(state["born"])
             periods = {
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -107,7 +107,7 @@
     from plumpick.gateway.platform import System
     from plumpick.policy.budgets import holder, ledger
     from plumpick.policy.leases import codec
-    from plumpick.policy.leases import participant as members
+    from plumpick.policy.leases.participant import LeaseParticipant
 
     rate = float(os.environ.get("WITNESS_RATE", "1"))
     if rate != 1:
@@ -118,18 +118,17 @@
         importlib.import_module(f"benchmarks.{where or 'ownership'}.plants").plant(name)
     if os.environ.get("WITNESS_HINT"):
         first = 1 if os.path.exists(os.environ["WITNESS_FILE"]) else 10**6
-        begin = members.LeaseParticipant.__init__
+        begin = LeaseParticipant.__init__
 
         def begins(self: Any, *arguments: Any, **more: Any) -> None:
             begin(self, *arguments, **more)
             self.holder.counter = first
 
-        members.LeaseParticipant.__init__ = begins  # type: ignore[method-assign]
+        LeaseParticipant.__init__ = begins  # type: ignore[method-assign]
     recorder = Ledger(os.environ["WITNESS_FILE"], rate)
-    participant = members.LeaseParticipant
-    inner = participant.handle
-    restore = participant.restore
-    capture = participant.capture
+    inner = LeaseParticipant.handle
+    restore = LeaseParticipant.restore
+    capture = LeaseParticipant.capture
 
     def handle(self: Any, now_ms: float, events: Any = ()) -> Any:
         actions = inner(self, now_ms, events)
@@ -145,9 +144,9 @@
         recorder.look(self)
         return state
 
-    participant.handle = handle  # type: ignore[method-assign]
-    participant.restore = inherited  # type: ignore[method-assign]
-    participant.capture = left  # type: ignore[method-assign]
+    LeaseParticipant.handle = handle  # type: ignore[method-assign]
+    LeaseParticipant.restore = inherited  # type: ignore[method-assign]
+    LeaseParticipant.capture = left  # type: ignore[method-assign]
     spend = ledger.Book.spend
 
     def spent(self: Any, now_ms: float, wanted: Any) -> bool:
--- a/tests/policy/leases/test_acceptor.py
+++ b/tests/policy/leases/test_acceptor.py
@@ -2,9 +2,7 @@
 
 from plumpick.policy.leases.acceptor import Acceptor
 from plumpick.policy.leases.codec import Vote
-from plumpick.policy.leases.terms import (
-    LeaseTerms,
-)
+from plumpick.policy.leases.terms import LeaseTerms
 
 
 def test_grants_outlast_the_slowest_holder_and_silence_covers_the_longest_term():
--- a/tests/policy/leases/test_lease_codec.py
+++ b/tests/policy/leases/test_lease_codec.py
@@ -5,13 +5,9 @@
 import pytest
 
 from plumpick.policy.leases.codec import MAX_MESSAGE_BYTES, Message, MessageKind, Vote, decode, encode
-from plumpick.policy.leases.events import (
-    MessageReceived,
-)
+from plumpick.policy.leases.events import MessageReceived
 from plumpick.policy.leases.participant import LeaseParticipant
-from plumpick.policy.leases.terms import (
-    LeaseTerms,
-)
+from plumpick.policy.leases.terms import LeaseTerms
 
 
 @pytest.mark.parametrize(
--- a/tests/policy/leases/test_lease_participant.py
+++ b/tests/policy/leases/test_lease_participant.py
@@ -7,16 +7,9 @@
 
 from plumpick.policy.leases.actions import LeaseAcquired, LeaseLost, SendMessage, WriteLog
 from plumpick.policy.leases.codec import Message, MessageKind, Vote, decode, encode
-from plumpick.policy.leases.events import (
-    LargerTokenSeen,
-    MessageReceived,
-)
+from plumpick.policy.leases.events import LargerTokenSeen, MessageReceived
 from plumpick.policy.leases.participant import LeaseParticipant
-from plumpick.policy.leases.terms import (
-    LeaseTerms,
-    rendezvous_rank,
-    token_owner,
-)
+from plumpick.policy.leases.terms import LeaseTerms, rendezvous_rank, token_owner
 
 
 @pytest.mark.parametrize("seed", range(24))
--- a/tests/policy/leases/test_lease_snapshot.py
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -6,13 +6,10 @@
 from support.lease_tier import LeaseTier
 
 from plumpick.policy.leases.codec import Vote
-from plumpick.policy.leases.events import (
-    ReleaseRequested,
-)
+from plumpick.policy.leases.events import ReleaseRequested
 from plumpick.policy.leases.participant import LeaseParticipant
-from plumpick.policy.leases.terms import (
-    LeaseTerms,
-)
+from plumpick.policy.leases.snapshot import LeaseSnapshotError
+from plumpick.policy.leases.terms import LeaseTerms
 
 
 def test_a_hot_restart_keeps_one_holder_and_never_has_two():
@@ -28,7 +25,7 @@
     before = len(tier.acquired)
     tier.run(10_000)
     assert tier.holder(0) == owner and len(tier.acquired) == before and not tier.overlaps
-    with pytest.raises(ValueError, match="cannot be used"):
+    with pytest.raises(LeaseSnapshotError, match="cannot be used"):
         LeaseParticipant(LeaseTerms((0,)), 0, 1, 1, random.Random(1), 0.0, 0.0).restore(
             0.0, state
         )  # other settings
--- a/tests/policy/leases/test_nomination.py
+++ b/tests/policy/leases/test_nomination.py
@@ -4,9 +4,7 @@
 
 from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.leases.nomination import Nominator
-from plumpick.policy.leases.terms import (
-    LeaseTerms,
-)
+from plumpick.policy.leases.terms import LeaseTerms
 
 
 def test_an_acceptor_with_a_larger_token_of_nobody_stops_nominating():
--- a/tests/policy/leases/test_restart_permits.py
+++ b/tests/policy/leases/test_restart_permits.py
@@ -2,9 +2,7 @@
 
 from support.lease_tier import LeaseTier
 
-from plumpick.policy.leases.events import (
-    RestartPermitWanted,
-)
+from plumpick.policy.leases.events import RestartPermitWanted
 
 
 def test_permits_bound_who_is_out_and_a_dead_holders_permit_becomes_free():
