--- a/benchmarks/budgets/plants.py
+++ b/benchmarks/budgets/plants.py
@@ -8,26 +8,26 @@
 from typing import Any
 
 from plumpick.policy.budgets import ledger as books
-from plumpick.policy.budgets.allocator import Divider
-from plumpick.policy.budgets.holder import Askings, Bucket, RateHolder, Share
-from plumpick.policy.budgets.ledger import Book
+from plumpick.policy.budgets.allocator import BudgetAllocator
+from plumpick.policy.budgets.holder import Grant, LocalRateLimiter, PendingRequests, TokenBucket
+from plumpick.policy.budgets.ledger import BudgetLedger
 
 
 def _gives_before_the_end() -> None:
     """A lease is given back, or ends, before what was lent under it."""
-    Book.lent = lambda self, now_ms: frozenset()  # type: ignore[method-assign]
-    ask = Divider.ask
+    BudgetLedger.lent = lambda self, now_ms: frozenset()  # type: ignore[method-assign]
+    ask = BudgetAllocator.ask
 
-    def asked(self: Any, *arguments: Any) -> Share | None:
+    def asked(self: Any, *arguments: Any) -> Grant | None:
         return ask(self, *arguments[:8])
 
-    Divider.ask = asked  # type: ignore[method-assign]
+    BudgetAllocator.ask = asked  # type: ignore[method-assign]
 
 
-class ForgetsWhatIsOut(Divider):
+class ForgetsWhatIsOut(BudgetAllocator):
     """Each asking is answered as if nothing were lent to others, neither of the rate nor of the burst."""
 
-    def _rate(self, now_ms: float, number: int, life: int, holder: Any, serial: int) -> Share:
+    def _rate(self, now_ms: float, number: int, life: int, holder: Any, serial: int) -> Grant:
         all_of_them, self._holders = self._holders, {(number, life): holder}
         try:
             return super()._rate(now_ms, number, life, holder, serial)
@@ -35,47 +35,47 @@
             self._holders = all_of_them
 
 
-class BelievesALateShare(RateHolder):
+class BelievesALateShare(LocalRateLimiter):
     """A share's end counts from when it comes, whenever it was asked for, and an old one is taken too."""
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         self.serial = min(self.serial, share.serial - 1)
         self.token = min(self.token, share.token)
         return super().lend(now_ms, share, now_ms)
 
 
-class LevelTwice(RateHolder):
+class LevelTwice(LocalRateLimiter):
     """A share that comes twice gives its level and its cap twice."""
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         if asked_ms is not None and share.serial == self.serial:
             self.lent.cap += share.burst
             self.lent.level += max(share.level, share.burst)
         return super().lend(now_ms, share, asked_ms)
 
 
-class FillsOverAStall(RateHolder):
+class FillsOverAStall(LocalRateLimiter):
     """What is lent has no end, and fills for all the time that went by."""
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         taken = super().lend(now_ms, share, asked_ms)
         self.lent.until_ms = math.inf
         self.lent.cap = max(self.lent.cap, share.amount * 60)
         return taken
 
 
-class FloorTwice(RateHolder):
+class FloorTwice(LocalRateLimiter):
     """The floor is everybody's, and what is lent is the whole."""
 
     def __init__(self, budget: Any, number: int, gateways: int, now_ms: float, *more: Any) -> None:
         super().__init__(budget, number, gateways, now_ms, *more)
-        self.floor = Bucket(now_ms, budget.whole * budget.floor, budget.burst)
+        self.floor = TokenBucket(now_ms, budget.whole * budget.floor, budget.burst)
         self.floor.level = budget.burst
 
 
 def _hands_over_and_keeps() -> None:
     """What passes to the next process stays here, too, and the old one goes on to spend."""
-    estate = Book.estate
+    estate = BudgetLedger.estate
 
     def kept(self: Any, now_ms: float) -> dict[str, Any]:
         rows = {name: (mine.holder.lent, mine.holder.floor) for name, mine in self.mine.items()}
@@ -84,10 +84,10 @@
             self.mine[name].holder.lent, self.mine[name].holder.floor = lent, floor
         return state
 
-    Book.estate = kept  # type: ignore[method-assign]
+    BudgetLedger.estate = kept  # type: ignore[method-assign]
 
 
-class KeepsTheOldWhole(Divider):
+class KeepsTheOldWhole(BudgetAllocator):
     """It goes on with the figures that it began with, also where they were lowered."""
 
     def change(self, now_ms: float, budget: Any) -> None:
@@ -95,16 +95,16 @@
 
 
 def _divider(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(books, "Divider", bug)
+    return lambda: setattr(books, "BudgetAllocator", bug)
 
 
 def _holder(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(books, "RateHolder", bug)
+    return lambda: setattr(books, "LocalRateLimiter", bug)
 
 
 def _late() -> None:
     """The table of askings does not matter to it: any serial is one that was asked."""
-    Askings.asked_ms = lambda self, serial: 0.0  # type: ignore[method-assign]
+    PendingRequests.asked_ms = lambda self, serial: 0.0  # type: ignore[method-assign]
     _holder(BelievesALateShare)()
 
 
--- a/benchmarks/budgets/trial.py
+++ b/benchmarks/budgets/trial.py
@@ -171,7 +171,7 @@
 
         def hook(_sender: int, receiver: int, data: bytes) -> float:
             word = decode(data)
-            share = word is not None and word.kind is Kind.NOTE and word.note[:1] == bytes([codec.SHARE])
+            share = word is not None and word.kind is Kind.NOTE and word.note[:1] == bytes([codec.GRANT])
             return by(receiver) if share else 0.0
 
         self.tier.relay.hook = hook
--- a/benchmarks/budgets/ways.py
+++ b/benchmarks/budgets/ways.py
@@ -20,9 +20,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.policy.budgets.holder import Bucket
-from plumpick.policy.budgets.ledger import INBOX_PER_S, Book
-from plumpick.policy.budgets.terms import WITHIN, Budget, Kind
+from plumpick.policy.budgets.budget import MAX_GRANT_TO_LEASE_RATIO, Budget, BudgetKind
+from plumpick.policy.budgets.holder import TokenBucket
+from plumpick.policy.budgets.ledger import MAX_REPORTS_PER_S, BudgetLedger
 from plumpick.policy.leases.terms import Terms
 
 STEP_MS, SECONDS, WARM_S = 20.0, 40.0, 6.0
@@ -90,7 +90,8 @@
     def __init__(self, world: World) -> None:
         self.world, budget = world, world.budget
         self.buckets = [
-            Bucket(0.0, budget.whole / world.count, budget.burst / world.count) for _ in range(world.count)
+            TokenBucket(0.0, budget.whole / world.count, budget.burst / world.count)
+            for _ in range(world.count)
         ]
         self.born = [0] * world.count
 
@@ -148,7 +149,7 @@
 
     def __init__(self, world: World, fails_open: bool) -> None:
         self.world, self.open = world, fails_open
-        self.bucket = Bucket(0.0, world.budget.whole, world.budget.burst)
+        self.bucket = TokenBucket(0.0, world.budget.whole, world.budget.burst)
         self.delay_ms = 2 * sum(DELAY_MS) / 2
         self.born = 0
 
@@ -176,16 +177,16 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.share_ms = max(SHARE_MS, 2000.0 * world.count / INBOX_PER_S)
-        self.term_ms = self.share_ms / WITHIN
+        self.share_ms = max(SHARE_MS, 2000.0 * world.count / MAX_REPORTS_PER_S)
+        self.term_ms = self.share_ms / MAX_GRANT_TO_LEASE_RATIO
         self.terms = Terms(tuple(range(min(3, world.count))), slots=1, term_ms=self.term_ms)
         self.books = [self._book(number) for number in range(world.count)]
         self.lives, self.token, self.owner = list(range(world.count)), 0, -1
         self.born = [0] * world.count
         self.vacant_ms = 0.0
 
-    def _book(self, number: int) -> Book:
-        book = Book(
+    def _book(self, number: int) -> BudgetLedger:
+        book = BudgetLedger(
             (self.world.budget,),
             number,
             self.world.count,
@@ -273,7 +274,7 @@
     """One way, one world."""
     world = World(count, seed, budget, fault == "deaths", fault == "split")
     one, demand = WAYS[way](world), random.Random(f"{seed}/demand")
-    ideal = Bucket(0.0, budget.whole, budget.burst, budget.burst)
+    ideal = TokenBucket(0.0, budget.whole, budget.burst, budget.burst)
     level, level_ms, over = budget.burst, 0.0, 0.0
     used = known = wanted = wrongly = 0
     weight = [demand.random() ** 3 for _ in range(count)]
@@ -322,7 +323,7 @@
     given = parser.parse_args()
     for count in given.sizes:
         whole = given.whole or 20.0 * count
-        budget = Budget("one", Kind.RATE, whole, burst=whole / 2, floor=given.floor)
+        budget = Budget("one", BudgetKind.RATE, whole, burst=whole / 2, floor=given.floor)
         for what, fault in CONDITIONS.items():
             for way in WAYS:
                 row = play(way, count, given.seed, budget, fault)
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -18,9 +18,9 @@
 from benchmarks.slopes.fold import CLASSES, Fold, Load, servers, settings
 from plumpick.gateway.config import config_from, worker_list_from
 from plumpick.policy.actions import SendPeerMessage, SetTimer, StartAttempt
-from plumpick.policy.budgets.allocator import Divider
-from plumpick.policy.budgets.ledger import INBOX_PER_S
-from plumpick.policy.budgets.terms import Budget, Kind
+from plumpick.policy.budgets.allocator import BudgetAllocator
+from plumpick.policy.budgets.budget import Budget, BudgetKind
+from plumpick.policy.budgets.ledger import MAX_REPORTS_PER_S
 from plumpick.policy.controller import Controller
 from plumpick.policy.events import (
     AttemptCompleted,
@@ -329,18 +329,18 @@
 SHARE_MS, DRIFT = 60_000.0, 0.01
 
 
-def _divider(gateways: int) -> Divider:
+def _divider(gateways: int) -> BudgetAllocator:
     """Of one budget, which all ask for more than their floor; so often as they may together."""
-    budget = Budget("any", Kind.RATE, 2.0 * gateways, 4.0 * gateways)
-    divider = Divider(budget, gateways, 0.0, 1, SHARE_MS, DRIFT, 0.0)
+    budget = Budget("any", BudgetKind.RATE, 2.0 * gateways, 4.0 * gateways)
+    divider = BudgetAllocator(budget, gateways, 0.0, 1, SHARE_MS, DRIFT, 0.0)
     for serial in (1, 2):
         for number in range(gateways):
             _ask(divider, gateways, number, serial)
     return divider
 
 
-def _ask(divider: Divider, gateways: int, number: int, serial: int) -> object:
-    now_ms = ((serial - 1) * gateways + number) * 1000 / INBOX_PER_S
+def _ask(divider: BudgetAllocator, gateways: int, number: int, serial: int) -> object:
+    now_ms = ((serial - 1) * gateways + number) * 1000 / MAX_REPORTS_PER_S
     demand = 1.0 + number % 5  # more than there is, in all
     return divider.ask(now_ms, number, 1, serial, demand, demand / 2, serial - 1, 1.0)
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -20,9 +20,9 @@
 from plumpick.gateway.gateway import WORKER_PART
 from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
 from plumpick.policy import endpoint_watch, subsetting, usage_report
-from plumpick.policy.budgets.codec import sharing
-from plumpick.policy.budgets.holder import Share
-from plumpick.policy.budgets.ledger import INBOX_PER_S
+from plumpick.policy.budgets.codec import encode_grants
+from plumpick.policy.budgets.holder import Grant
+from plumpick.policy.budgets.ledger import MAX_REPORTS_PER_S
 from plumpick.policy.controller import HOLD_PINGS, ping_ms
 from plumpick.policy.dynamic_config import subscriber, version_store
 from plumpick.policy.reconfiguration import refusal
@@ -110,10 +110,10 @@
         "home_lost_s": HOLD_PINGS * ping_ms(tier) / 1000,
         "gather_each_ms": usage_report.ASK_EACH_MS,
         "gather_longest_s": usage_report.longest_ms(gatekeepers) / 1000,
-        "askings_per_s": INBOX_PER_S,
-        "share_least_s": 2 * gatekeepers / INBOX_PER_S,
+        "askings_per_s": MAX_REPORTS_PER_S,
+        "share_least_s": 2 * gatekeepers / MAX_REPORTS_PER_S,
         "share_most_s": SHARE_MOST_S,
-        "share_bytes": float(len(sharing(0, 0, [(0, Share(0, 0, 0, 0, 0), 0)])[0])),
+        "share_bytes": float(len(encode_grants(0, 0, [(0, Grant(0, 0, 0, 0, 0), 0)])[0])),
         "slots": float(default.terms.slots),
         "term_s": default.terms.term_ms / 1000,
         "share_default_s": default.share_ms / 1000,
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -51,7 +51,7 @@
     "leases": "plumpick/policy/leases/acceptor.py",
     "holding": "plumpick/policy/leases/lease_holder.py",
     "gathering": "plumpick/policy/usage_report.py, Gathering",
-    "dividing": "plumpick/policy/budgets/allocator.py, Divider",
+    "dividing": "plumpick/policy/budgets/allocator.py, BudgetAllocator",
     "share": "plumpick/gateway/operator_config.py, _fleet",
     "watching": "plumpick/policy/endpoint_watch.py, Watching",
     "estate": "plumpick/policy/snapshot.py, leave and take_over",
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -23,8 +23,8 @@
 from plumpick.policy import scheduled_tasks as plans
 from plumpick.policy import usage_report
 from plumpick.policy.budgets import codec as shares
-from plumpick.policy.budgets.ledger import Book
-from plumpick.policy.budgets.matching import Matching
+from plumpick.policy.budgets.ledger import BudgetLedger
+from plumpick.policy.budgets.matching import BudgetMatcher
 from plumpick.policy.events import RequestReceived
 from plumpick.policy.leases.lease_holder import Gained, Lost, Refused, Yield
 from plumpick.policy.leases.participant import (
@@ -46,7 +46,7 @@
 GUARD_S = 0.5  # the place of a voter that another process has is tried for again so often
 GATHER_S = 0.02
 PAGE = 16  # duties, or budgets, in an answer to staff
-SHARES = (bytes([shares.ASK]), bytes([shares.SHARE]), bytes([shares.WHERE]))
+SHARES = (bytes([shares.DEMAND_REPORT]), bytes([shares.GRANT]), bytes([shares.ALLOCATOR_HINT]))
 
 log = logging.getLogger(__name__)
 
@@ -77,8 +77,8 @@
         self._tags = {zlib.crc32(name.encode()): name for name in self._tallies}
         self._plans = [plan.name for plan in config.settings.plans]
         self._duties = Duties(tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance)
-        self.book: Book | None = None  # and in budgets, where some are named
-        self._matching = Matching([one.rule for one in settings.budgets])
+        self.book: BudgetLedger | None = None  # and in budgets, where some are named
+        self._matching = BudgetMatcher([one.rule for one in settings.budgets])
         self.member: Member | None = None  # this process's part in the leases
         self._runs: dict[str, asyncio.Task[None]] = {}  # by duty
         self._gathering: dict[
@@ -109,7 +109,7 @@
             votes=False,
         )
         if self._settings.budgets:
-            self.book = Book(
+            self.book = BudgetLedger(
                 tuple(one.budget for one in self._settings.budgets),
                 self._config.settings.gateway_number,
                 self._config.settings.gateway_count,
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from plumpick.gateway.config import Address, ConfigError, address_from
-from plumpick.policy.budgets.ledger import INBOX_PER_S
-from plumpick.policy.budgets.matching import Rule
-from plumpick.policy.budgets.terms import Budget, BudgetError, Kind
+from plumpick.policy.budgets.budget import Budget, BudgetError, BudgetKind
+from plumpick.policy.budgets.ledger import MAX_REPORTS_PER_S
+from plumpick.policy.budgets.matching import BudgetRule
 from plumpick.policy.leases.terms import Terms, TermsError
 from plumpick.policy.scheduled_tasks import Duty
 from plumpick.policy.settings_parser import SettingsError
@@ -46,7 +46,7 @@
     """A budget, and the requests that it is for."""
 
     budget: Budget
-    rule: Rule
+    rule: BudgetRule
 
 
 @dataclass(frozen=True, slots=True)
@@ -162,14 +162,19 @@
         raise ConfigError(f"{path}.counts: {counts!r} is none of {REQUESTS}, {UNITS}")
     try:
         budget = Budget(
-            name, Kind.RATE, keys.get("whole", float), keys.get("burst", float), keys.get("floor", float, 0.3)
+            name,
+            BudgetKind.RATE,
+            keys.get("whole", float),
+            keys.get("burst", float),
+            keys.get("floor", float, 0.3),
         )
     except BudgetError as problem:
         raise ConfigError(f"{path}: {problem}") from problem
     if budget.burst < 1:
         raise ConfigError(f"{path}.burst: {budget.burst:g} is under 1: no request would ever go on")
     return BudgetSettings(
-        budget, Rule(name, counts == UNITS, *(_names(keys, key) for key in ("classes", "plans", "firms")))
+        budget,
+        BudgetRule(name, counts == UNITS, *(_names(keys, key) for key in ("classes", "plans", "firms"))),
     )
 
 
@@ -200,11 +205,11 @@
     _once([one.budget.name for one in budgets], f"{path}.budget")
     budgets = tuple(sorted(budgets, key=lambda one: one.budget.name))
     share_ms = keys.seconds("share_s", 0.2, SHARE_MOST_S, min(SHARE_MOST_S, max(2.0, gateways / 8)))
-    if budgets and share_ms < 2 * 1000 * gateways / INBOX_PER_S:
+    if budgets and share_ms < 2 * 1000 * gateways / MAX_REPORTS_PER_S:
         raise ConfigError(
             f"{path}.share_s: {share_ms / 1000:g} is too short for {gateways} gatekeepers: all "
-            f"ask one of them, which takes in {INBOX_PER_S:g} askings a second; at least "
-            f"{2 * gateways / INBOX_PER_S:g}"
+            f"ask one of them, which takes in {MAX_REPORTS_PER_S:g} askings a second; at least "
+            f"{2 * gateways / MAX_REPORTS_PER_S:g}"
         )
     voters = keys.get("voters", list)
     if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
--- a/plumpick/policy/budgets/allocator.py
+++ b/plumpick/policy/budgets/allocator.py
@@ -10,16 +10,16 @@
 import math
 from dataclasses import dataclass, field
 
-from plumpick.policy.budgets.fair_share import divide, divide_whole
-from plumpick.policy.budgets.holder import Bucket, Share
-from plumpick.policy.budgets.terms import Budget, Kind, longer
+from plumpick.policy.budgets.budget import Budget, BudgetKind, longest_duration_ms
+from plumpick.policy.budgets.fair_share import max_min_integer_shares, max_min_shares
+from plumpick.policy.budgets.holder import Grant, TokenBucket
 
-TURN_TERMS = 2.0  # so long a burst that others wait for stays with one
-QUIET_TERMS = 2.0  # who has not asked for so long is forgotten, when nothing of it is out
+BURST_TURN_TERMS = 2.0  # so long a burst that others wait for stays with one
+HOLDER_EXPIRY_TERMS = 2.0  # who has not asked for so long is forgotten, when nothing of it is out
 
 
 @dataclass(slots=True)
-class _Given:
+class OutstandingGrant:
     """One share that was sent."""
 
     serial: int
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class _Holder:
+class GrantHolder:
     """A gatekeeper's life, as the divider knows it."""
 
     asked_ms: float
@@ -40,7 +40,7 @@
     need: float = 0.0  # units that one request takes
     waits_ms: float = math.inf  # since when it waits for a burst that one request fits in
     turn_ms: float = -math.inf  # when it got one
-    given: list[_Given] = field(default_factory=list)
+    given: list[OutstandingGrant] = field(default_factory=list)
 
     def out(self, now_ms: float) -> float:
         """What counts as lent to it."""
@@ -52,7 +52,7 @@
         return max([0.0, *(one.burst for one in self.given if now_ms < one.until_ms)])
 
 
-class Divider:
+class BudgetAllocator:
     """Table: one entry for each life of a gatekeeper that asked of late or has something out."""
 
     def __init__(
@@ -68,14 +68,14 @@
         """Of the owner of the duty, from when it became that. `from_ms`: by then all that was lent before has
         ended, where that is known; else a share's term from now."""
         self.budget, self.token = budget, token
-        self._gateways, self._keep_ms = gateways, longer(term_ms, drift)
+        self._gateways, self._keep_ms = gateways, longest_duration_ms(term_ms, drift)
         self.from_ms = now_ms + self._keep_ms if from_ms is None else max(now_ms, from_ms)
         self.lent_until_ms = -math.inf  # the last end of a share
         self._lendable = budget.lendable(gateways)
         self._burst = budget.lendable_burst
-        self._holders: dict[tuple[int, int], _Holder] = {}
+        self._holders: dict[tuple[int, int], GrantHolder] = {}
         self._slower = 1 / (1 + drift)
-        self._pool = Bucket(self.from_ms, self._lendable * self._slower, self._burst)  # empty at first
+        self._pool = TokenBucket(self.from_ms, self._lendable * self._slower, self._burst)  # empty at first
 
     def change(self, now_ms: float, budget: Budget) -> None:
         """Other figures from now on. What is out beyond a lower whole is out until its end; meanwhile nothing
@@ -93,7 +93,7 @@
 
     def _forget(self, now_ms: float) -> None:
         for key, holder in list(self._holders.items()):
-            if now_ms - holder.asked_ms > QUIET_TERMS * self._keep_ms and holder.out(now_ms) == 0:
+            if now_ms - holder.asked_ms > HOLDER_EXPIRY_TERMS * self._keep_ms and holder.out(now_ms) == 0:
                 del self._holders[key]
 
     def ask(
@@ -107,7 +107,7 @@
         has_serial: int,
         need: float = 0.0,
         end_ms: float = math.inf,
-    ) -> Share | None:
+    ) -> Grant | None:
         """The answer to an asking: a share, or None where it is an old one or the divider may not lend yet.
         `has_serial`: of the share that it has; what it was given before that is its no more. `need`: units
         that one request of its takes, of a rate. `end_ms`: of the lease under which this is lent; no share
@@ -115,14 +115,14 @@
         if not 0 <= number < self._gateways or now_ms < self.from_ms or now_ms + self._keep_ms > end_ms:
             return None
         self._forget(now_ms)
-        holder = self._holders.setdefault((number, life), _Holder(now_ms))
+        holder = self._holders.setdefault((number, life), GrantHolder(now_ms))
         if serial <= holder.serial:
             return None
         holder.asked_ms, holder.serial, holder.demand = now_ms, serial, max(0.0, demand)
         holder.need = need
         holder.holding, holder.holding_until_ms = max(0.0, holding), now_ms + self._keep_ms
         holder.given = [one for one in holder.given if one.serial >= has_serial and now_ms < one.until_ms]
-        if self.budget.kind is Kind.STOCK:
+        if self.budget.kind is BudgetKind.STOCK:
             return self._lend(now_ms, holder, serial, self._stock(now_ms, number, life, holder))
         return self._rate(now_ms, number, life, holder, serial)
 
@@ -133,18 +133,18 @@
         for (one, _), holder in self._holders.items():
             if now_ms - holder.asked_ms <= self._keep_ms and holder.asked_ms >= newest.get(one, -1e18):
                 newest[one], demands[one] = holder.asked_ms, holder.demand
-        if self.budget.kind is Kind.STOCK:
-            return float(divide_whole(int(self._lendable), demands).get(number, 0))
-        return divide(self._lendable, demands).get(number, 0.0)
+        if self.budget.kind is BudgetKind.STOCK:
+            return float(max_min_integer_shares(int(self._lendable), demands).get(number, 0))
+        return max_min_shares(self._lendable, demands).get(number, 0.0)
 
-    def _free(self, now_ms: float, besides: _Holder) -> float:
+    def _free(self, now_ms: float, besides: GrantHolder) -> float:
         """What is lent to nobody else."""
         return self._lendable - sum(one.out(now_ms) for one in self._holders.values() if one is not besides)
 
-    def _stock(self, now_ms: float, number: int, life: int, holder: _Holder) -> float:
+    def _stock(self, now_ms: float, number: int, life: int, holder: GrantHolder) -> float:
         return max(0.0, min(self._fair(now_ms, number, life), float(int(self._free(now_ms, holder)))))
 
-    def _rate(self, now_ms: float, number: int, life: int, holder: _Holder, serial: int) -> Share:
+    def _rate(self, now_ms: float, number: int, life: int, holder: GrantHolder, serial: int) -> Grant:
         self._pool.fill(now_ms)
         amount = max(0.0, min(self._fair(now_ms, number, life), self._free(now_ms, holder)))
         before = holder.burst(now_ms)
@@ -162,7 +162,7 @@
         self._settle(now_ms)
         level = min(self._pool.level, max(0.0, burst - before))
         self._pool.level = min(self._pool.level - level, self._pool.cap)
-        return Share(share.serial, share.token, share.amount, share.burst, level)
+        return Grant(share.serial, share.token, share.amount, share.burst, level)
 
     def _settle(self, now_ms: float) -> None:
         """The pool keeps what is not lent: it fills at that rate, up to that part of the burst. What a holder
@@ -171,7 +171,7 @@
         lent_burst = sum(one.burst(now_ms) for one in self._holders.values())
         self._pool.cap = max(0.0, self._burst - lent_burst)
 
-    def _in_turn(self, now_ms: float, holder: _Holder, before: float, free: float) -> tuple[float, float]:
+    def _in_turn(self, now_ms: float, holder: GrantHolder, before: float, free: float) -> tuple[float, float]:
         """Amount and burst where a fair part of the burst holds no whole request; `free`: of the burst, what
         nobody else has.
 
@@ -183,9 +183,9 @@
         """
         fit = max(1, int(self._burst / holder.need))
         each = self._lendable / fit
-        slow = each * TURN_TERMS * self._keep_ms / 1000 < holder.need
+        slow = each * BURST_TURN_TERMS * self._keep_ms / 1000 < holder.need
         amount = 0.0 if slow else min(holder.demand, max(0.0, self._free(now_ms, holder)), each)
-        if before and not slow and now_ms - holder.turn_ms < TURN_TERMS * self._keep_ms:
+        if before and not slow and now_ms - holder.turn_ms < BURST_TURN_TERMS * self._keep_ms:
             return amount, min(before, holder.need, free)
         if holder.waits_ms == math.inf:
             holder.waits_ms = now_ms
@@ -198,7 +198,9 @@
         holder.waits_ms, holder.turn_ms = math.inf, now_ms
         return amount, holder.need
 
-    def _lend(self, now_ms: float, holder: _Holder, serial: int, amount: float, burst: float = 0.0) -> Share:
+    def _lend(
+        self, now_ms: float, holder: GrantHolder, serial: int, amount: float, burst: float = 0.0
+    ) -> Grant:
         self.lent_until_ms = now_ms + self._keep_ms
-        holder.given.append(_Given(serial, amount, burst, self.lent_until_ms))
-        return Share(serial, self.token, amount, burst)
+        holder.given.append(OutstandingGrant(serial, amount, burst, self.lent_until_ms))
+        return Grant(serial, self.token, amount, burst)
--- a/plumpick/policy/budgets/bounds.py
+++ b/plumpick/policy/budgets/bounds.py
@@ -8,11 +8,11 @@
 
 from dataclasses import dataclass
 
-from plumpick.policy.budgets.terms import Budget, ends_within, longer
+from plumpick.policy.budgets.budget import Budget, grants_end_within_lease, longest_duration_ms
 from plumpick.policy.leases.terms import Terms
 
 WINDOWS_S = (1.0, 10.0, 60.0)
-VACANT_TERMS = 2.0  # within so many lease terms a slot has a next owner (ownership, promise 4)
+MAX_VACANCY_TERMS = 2.0  # within so many lease terms a slot has a next owner (ownership, promise 4)
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,14 +26,18 @@
     sure: float
 
 
-def gap_s(terms: Terms, share_ms: float) -> float:
+def max_vacancy_s(terms: Terms, share_ms: float) -> float:
     """How long at most floors alone serve after a divider's death, while a majority of voters hear one
     another: the vacancy, and a share's term more where shares may outlive leases."""
-    wait_ms = 0.0 if ends_within(share_ms, terms.term_ms) else longer(share_ms, terms.drift)
-    return (VACANT_TERMS * terms.term_ms + wait_ms) / 1000
+    wait_ms = (
+        0.0
+        if grants_end_within_lease(share_ms, terms.term_ms)
+        else longest_duration_ms(share_ms, terms.drift)
+    )
+    return (MAX_VACANCY_TERMS * terms.term_ms + wait_ms) / 1000
 
 
-def table(budget: Budget, gateways: int, terms: Terms, share_ms: float) -> list[BudgetBound]:
+def bounds_of(budget: Budget, gateways: int, terms: Terms, share_ms: float) -> list[BudgetBound]:
     """All states and windows. A burst that is there at the window's begin is not counted as sure, and where a
     part of the burst holds no whole request nothing is (divider.Divider._in_turn)."""
     rows = []
@@ -42,7 +46,7 @@
     one = budget.floor_of(gateways - 1, gateways) * slower
     whole = floors + budget.lendable(gateways) * slower
     for window in WINDOWS_S:
-        away = min(window, gap_s(terms, share_ms))
+        away = min(window, max_vacancy_s(terms, share_ms))
         for state, sure in (
             ("in service, all want more", whole * window),
             ("the divider dies", floors * away + whole * (window - away)),
--- a/plumpick/policy/budgets/terms.py
+++ b/plumpick/policy/budgets/budget.py
@@ -8,7 +8,7 @@
 from enum import IntEnum
 
 
-class Kind(IntEnum):
+class BudgetKind(IntEnum):
     """What is divided."""
 
     RATE = 1
@@ -28,14 +28,14 @@
     long a unit of a stock may go on after its process has ended."""
 
     name: str
-    kind: Kind
+    kind: BudgetKind
     whole: float
     burst: float = 0.0
     floor: float = 0.3
     outlives_ms: float = 0.0
 
     def __post_init__(self) -> None:
-        if not 0 <= self.whole < 1e9 or self.kind is Kind.STOCK and self.whole != int(self.whole):
+        if not 0 <= self.whole < 1e9 or self.kind is BudgetKind.STOCK and self.whole != int(self.whole):
             raise BudgetError(f"{self.name}: whole: {self.whole} is none")
         if not 0 <= self.floor <= 1:
             raise BudgetError(f"{self.name}: floor: from 0 to 1")
@@ -45,7 +45,7 @@
     def floor_of(self, number: int, gateways: int) -> float:
         """What is a gatekeeper's by its number; in whole units for a stock, the first numbers having one
         more."""
-        if self.kind is Kind.RATE:
+        if self.kind is BudgetKind.RATE:
             return self.whole * self.floor / gateways
         units = int(self.whole * self.floor)
         return units // gateways + (number < units % gateways)
@@ -73,16 +73,18 @@
         return self.burst * (1 - self.floor) if self.whole else 0.0
 
 
-WITHIN = 0.6  # of a lease's term: a share of at most so long ends within the lease under which it is lent
+MAX_GRANT_TO_LEASE_RATIO = (
+    0.6  # of a lease's term: a share of at most so long ends within the lease under which it is lent
+)
 
 
-def ends_within(share_ms: float, term_ms: float) -> bool:
+def grants_end_within_lease(share_ms: float, term_ms: float) -> bool:
     """Whether no share outlives its divider's lease. A lease is renewed after a third of its term, so that
     two thirds are always left; then a next divider has nothing to wait for."""
-    return share_ms <= WITHIN * term_ms
+    return share_ms <= MAX_GRANT_TO_LEASE_RATIO * term_ms
 
 
-def longer(term_ms: float, drift: float) -> float:
+def longest_duration_ms(term_ms: float, drift: float) -> float:
     """How long the divider counts what a holder counts `term_ms` of, by clocks that are off by `drift`
     each."""
     return term_ms * (1 + drift) / (1 - drift) + 1.0
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -9,22 +9,24 @@
 import struct
 from dataclasses import dataclass
 
-from plumpick.policy.budgets.holder import Share
+from plumpick.policy.budgets.holder import Grant
 from plumpick.policy.leases.codec import MAX_NOTE
 
 # The first byte; the notes of use begin otherwise (usage.py).
-ASK, SHARE, WHERE, MINE, FIGURES = 0x21, 0x22, 0x23, 0x24, 0x25
-_ASK_ROW = struct.Struct(">HIfdIfI")  # budget, serial, demand, holding, serial of the share held, need, mark
-_SHARE_HEAD = struct.Struct(">BI16s")  # kind, life of who asked, the divider's token
-_SHARE_ROW = struct.Struct(">HIdddI")  # budget, serial, amount, burst, level, mark
-_WHERE = struct.Struct(">BHH")  # kind, slot, number of who has it
-_FIGURES = struct.Struct(">BHdd")  # kind, budget, whole, burst
-ASK_ROWS = (MAX_NOTE - 1) // _ASK_ROW.size
-SHARE_ROWS = (MAX_NOTE - _SHARE_HEAD.size) // _SHARE_ROW.size
+DEMAND_REPORT, GRANT, ALLOCATOR_HINT, LIMITS_QUERY, LIMITS = 0x21, 0x22, 0x23, 0x24, 0x25
+_REPORT_ROW = struct.Struct(
+    ">HIfdIfI"
+)  # budget, serial, demand, holding, serial of the share held, need, mark
+_GRANT_HEADER = struct.Struct(">BI16s")  # kind, life of who asked, the divider's token
+_GRANT_ROW = struct.Struct(">HIdddI")  # budget, serial, amount, burst, level, mark
+_HINT = struct.Struct(">BHH")  # kind, slot, number of who has it
+_LIMITS = struct.Struct(">BHdd")  # kind, budget, whole, burst
+REPORTS_PER_MESSAGE = (MAX_NOTE - 1) // _REPORT_ROW.size
+GRANTS_PER_MESSAGE = (MAX_NOTE - _GRANT_HEADER.size) // _GRANT_ROW.size
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class DemandReport:
     """One asking: `holding` units a second are lent to who asks, the last share that it took is
     `has_serial`, and one request takes up to `need` units. `mark` stands for the figures that its settings
     have."""
@@ -39,15 +41,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class GrantMessage:
     """The answer to a life, under the divider's token."""
 
     life: int
-    rows: list[tuple[int, Share, int]]  # the budget's place, the share, the mark of the figures it goes by
+    rows: list[tuple[int, Grant, int]]  # the budget's place, the share, the mark of the figures it goes by
 
 
 @dataclass(frozen=True, slots=True)
-class Where:
+class AllocatorHint:
     """A voter's word on who divides what lies on a slot."""
 
     slot: int
@@ -55,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class LimitsMessage:
     """What somebody's settings have of a budget (`asks`: and what does the divider go by?), or what its
     divider goes by."""
 
@@ -65,12 +67,12 @@
     asks: bool
 
 
-def asking(rows: list[Asked]) -> list[bytes]:
+def encode_demand_reports(rows: list[DemandReport]) -> list[bytes]:
     """The notes that ask."""
     return [
-        bytes([ASK])
+        bytes([DEMAND_REPORT])
         + b"".join(
-            _ASK_ROW.pack(
+            _REPORT_ROW.pack(
                 one.budget,
                 one.serial,
                 min(one.demand, 3e38),
@@ -79,63 +81,63 @@
                 min(one.need, 3e38),
                 one.mark,
             )
-            for one in rows[begin : begin + ASK_ROWS]
+            for one in rows[begin : begin + REPORTS_PER_MESSAGE]
         )
-        for begin in range(0, len(rows), ASK_ROWS)
+        for begin in range(0, len(rows), REPORTS_PER_MESSAGE)
     ]
 
 
-def sharing(life: int, token: int, rows: list[tuple[int, Share, int]]) -> list[bytes]:
+def encode_grants(life: int, token: int, rows: list[tuple[int, Grant, int]]) -> list[bytes]:
     """The notes that answer."""
     return [
-        _SHARE_HEAD.pack(SHARE, life, token.to_bytes(16, "big"))
+        _GRANT_HEADER.pack(GRANT, life, token.to_bytes(16, "big"))
         + b"".join(
-            _SHARE_ROW.pack(budget, one.serial, one.amount, one.burst, one.level, mark)
-            for budget, one, mark in rows[begin : begin + SHARE_ROWS]
+            _GRANT_ROW.pack(budget, one.serial, one.amount, one.burst, one.level, mark)
+            for budget, one, mark in rows[begin : begin + GRANTS_PER_MESSAGE]
         )
-        for begin in range(0, len(rows), SHARE_ROWS)
+        for begin in range(0, len(rows), GRANTS_PER_MESSAGE)
     ]
 
 
-def where(slot: int, number: int) -> bytes:
+def encode_allocator_hint(slot: int, number: int) -> bytes:
     """The note of a voter."""
-    return _WHERE.pack(WHERE, slot, number)
+    return _HINT.pack(ALLOCATOR_HINT, slot, number)
 
 
-def figures(said: Figures) -> bytes:
+def encode_limits(said: LimitsMessage) -> bytes:
     """The note of figures."""
-    return _FIGURES.pack(MINE if said.asks else FIGURES, said.budget, said.whole, said.burst)
+    return _LIMITS.pack(LIMITS_QUERY if said.asks else LIMITS, said.budget, said.whole, said.burst)
 
 
-def read(data: bytes) -> list[Asked] | Shares | Where | Figures | None:
+def decode(data: bytes) -> list[DemandReport] | GrantMessage | AllocatorHint | LimitsMessage | None:
     """The note in these bytes; None where they are none, or of what no gatekeeper says."""
     kind = data[0] if data else 0
-    if kind == WHERE and len(data) == _WHERE.size:
-        return Where(*_WHERE.unpack(data)[1:])
-    if kind in (MINE, FIGURES) and len(data) == _FIGURES.size:
-        _, budget, whole, burst = _FIGURES.unpack(data)
-        return Figures(budget, whole, burst, kind == MINE) if _sound(whole, burst) else None
-    if kind == ASK and (len(data) - 1) % _ASK_ROW.size == 0:
-        asked = [Asked(*row) for row in _ASK_ROW.iter_unpack(data[1:])]
-        return asked if all(_sound(one.demand, one.holding, one.need) for one in asked) else None
+    if kind == ALLOCATOR_HINT and len(data) == _HINT.size:
+        return AllocatorHint(*_HINT.unpack(data)[1:])
+    if kind in (LIMITS_QUERY, LIMITS) and len(data) == _LIMITS.size:
+        _, budget, whole, burst = _LIMITS.unpack(data)
+        return LimitsMessage(budget, whole, burst, kind == LIMITS_QUERY) if _are_valid(whole, burst) else None
+    if kind == DEMAND_REPORT and (len(data) - 1) % _REPORT_ROW.size == 0:
+        asked = [DemandReport(*row) for row in _REPORT_ROW.iter_unpack(data[1:])]
+        return asked if all(_are_valid(one.demand, one.holding, one.need) for one in asked) else None
     if (
-        kind == SHARE
-        and len(data) >= _SHARE_HEAD.size
-        and (len(data) - _SHARE_HEAD.size) % _SHARE_ROW.size == 0
+        kind == GRANT
+        and len(data) >= _GRANT_HEADER.size
+        and (len(data) - _GRANT_HEADER.size) % _GRANT_ROW.size == 0
     ):
-        _, life, token = _SHARE_HEAD.unpack_from(data)
-        rows = list(_SHARE_ROW.iter_unpack(data[_SHARE_HEAD.size :]))
-        if not all(_sound(*row[2:5]) for row in rows):
+        _, life, token = _GRANT_HEADER.unpack_from(data)
+        rows = list(_GRANT_ROW.iter_unpack(data[_GRANT_HEADER.size :]))
+        if not all(_are_valid(*row[2:5]) for row in rows):
             return None
-        return Shares(
+        return GrantMessage(
             life,
             [
-                (budget, Share(serial, int.from_bytes(token, "big"), *parts), mark)
+                (budget, Grant(serial, int.from_bytes(token, "big"), *parts), mark)
                 for budget, serial, *parts, mark in rows
             ],
         )
     return None
 
 
-def _sound(*values: float) -> bool:
+def _are_valid(*values: float) -> bool:
     return all(math.isfinite(value) and value >= 0 for value in values)
--- a/plumpick/policy/budgets/fair_share.py
+++ b/plumpick/policy/budgets/fair_share.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 
 
-def divide(
+def max_min_shares(
     whole: float, demands: Mapping[int, float], weights: Mapping[int, float] | None = None
 ) -> dict[int, float]:
     """The parts, by number; their sum is at most the whole, each at most its demand. Weights are 1 unless
@@ -33,10 +33,10 @@
     return parts
 
 
-def divide_whole(whole: int, demands: Mapping[int, float]) -> dict[int, int]:
+def max_min_integer_shares(whole: int, demands: Mapping[int, float]) -> dict[int, int]:
     """The same in whole units, where a unit cannot be split: what rounding leaves goes one each to who is
     left wanting most, the lower number first."""
-    parts = divide(
+    parts = max_min_shares(
         whole,
         {
             number: math.ceil(demand) if demand > 0 and math.isfinite(demand) else 0.0
--- a/plumpick/policy/budgets/holder.py
+++ b/plumpick/policy/budgets/holder.py
@@ -10,14 +10,14 @@
 import math
 from dataclasses import dataclass
 
-from plumpick.policy.budgets.terms import Budget, Kind
+from plumpick.policy.budgets.budget import Budget, BudgetKind
 
-OPEN_MOST = 16  # askings whose answers may still come
-DEMAND_MS = 300.0  # what is asked for counts over so long, and the time before as long
+MAX_PENDING_REQUESTS = 16  # askings whose answers may still come
+DEMAND_WINDOW_MS = 300.0  # what is asked for counts over so long, and the time before as long
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class Grant:
     """What a divider lends: `amount` units (a second) until one term after the asking, with `level` units
     of a rate to begin with."""
 
@@ -28,7 +28,7 @@
     level: float = 0.0
 
 
-class Askings:
+class PendingRequests:
     """When each was asked; only these may be answered. Table: `OPEN_MOST` entries, the oldest leaves."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         """The serial of a new asking."""
         self._serial += 1
         self._asked[self._serial] = now_ms
-        if len(self._asked) > OPEN_MOST:
+        if len(self._asked) > MAX_PENDING_REQUESTS:
             del self._asked[next(iter(self._asked))]
         return self._serial
 
@@ -53,10 +53,10 @@
     def inherit(self, rows: list[list[float]]) -> None:
         """Raises ValueError or TypeError, and then nothing has changed."""
         (serial, _), *asked = [(int(one), float(ms)) for one, ms in rows]
-        self._serial, self._asked = serial, dict(asked[-OPEN_MOST:])
+        self._serial, self._asked = serial, dict(asked[-MAX_PENDING_REQUESTS:])
 
 
-class Bucket:
+class TokenBucket:
     """Units that fill at a rate up to a cap, not beyond `until_ms`."""
 
     __slots__ = ("rate_per_s", "cap", "level", "until_ms", "_at_ms")
@@ -80,20 +80,20 @@
         return self.level if now_ms < self.until_ms else 0.0
 
 
-class RateHolder:
+class LocalRateLimiter:
     """One gatekeeper's side of a rate."""
 
     def __init__(
         self, budget: Budget, number: int, gateways: int, now_ms: float, term_ms: float, drift: float
     ) -> None:
         """`drift`: a clock that runs so much too fast fills no more than is due."""
-        assert budget.kind is Kind.RATE
+        assert budget.kind is BudgetKind.RATE
         self.budget, self.term_ms, self._slower = budget, term_ms, 1 / (1 + drift)
         self._number, self._gateways = number, gateways
-        self.floor = Bucket(
+        self.floor = TokenBucket(
             now_ms, budget.floor_of(number, gateways) * self._slower, budget.floor_burst(gateways)
         )
-        self.lent = Bucket(now_ms, 0.0, 0.0, until_ms=now_ms)
+        self.lent = TokenBucket(now_ms, 0.0, 0.0, until_ms=now_ms)
         self.serial, self.token, self._amount = 0, 0, 0.0
         self._wanted, self._since_ms, self._demand, self._before = 0.0, now_ms, 0.0, 0.0
         self._largest, self.need = 0.0, 0.0  # units of one request, of late
@@ -132,8 +132,8 @@
     def demand(self, now_ms: float) -> float:
         """Units a second beyond the floor, of late."""
         passed = now_ms - self._since_ms
-        if passed >= DEMAND_MS:
-            self._before = self._demand if passed < 2 * DEMAND_MS else 0.0
+        if passed >= DEMAND_WINDOW_MS:
+            self._before = self._demand if passed < 2 * DEMAND_WINDOW_MS else 0.0
             self._demand = self._wanted / passed * 1000
             self._wanted, self._since_ms = 0.0, now_ms
             # Danger: demand is remembered for longer than its requests' size would be: with no size it is
@@ -141,16 +141,16 @@
             self.need = self._largest if self._largest or not (self._demand or self._before) else self.need
             self._largest = 0.0
         self.need = max(self.need, self._largest)
-        so_far = self._wanted / DEMAND_MS * 1000
+        so_far = self._wanted / DEMAND_WINDOW_MS * 1000
         return max(0.0, max(self._demand, self._before, so_far) - self.floor.rate_per_s)
 
     def wants(self, now_ms: float) -> bool:
         """Whether more than the floor is wanted; as `demand`, at less cost while it is not."""
         if (
-            now_ms - self._since_ms < DEMAND_MS
+            now_ms - self._since_ms < DEMAND_WINDOW_MS
             and not self._demand
             and not self._before
-            and (self._wanted * 1000 <= self.floor.rate_per_s * DEMAND_MS)
+            and (self._wanted * 1000 <= self.floor.rate_per_s * DEMAND_WINDOW_MS)
         ):
             return False
         return self.demand(now_ms) > 0
@@ -166,7 +166,7 @@
 
     def open_floor(self, now_ms: float) -> None:
         """It fills from now on; what time went by before is lost."""
-        self.floor = Bucket(now_ms, self.floor.rate_per_s, self.floor.cap, self.floor.level)
+        self.floor = TokenBucket(now_ms, self.floor.rate_per_s, self.floor.cap, self.floor.level)
 
     def estate(self, now_ms: float) -> list[float]:
         """What the next process of this gatekeeper goes on from; nothing is left here."""
@@ -181,8 +181,8 @@
             self.floor.level,
             now_ms,
         ]
-        self.lent = Bucket(now_ms, 0.0, 0.0, until_ms=now_ms)
-        self.floor = Bucket(now_ms, 0.0, 0.0)
+        self.lent = TokenBucket(now_ms, 0.0, 0.0, until_ms=now_ms)
+        self.floor = TokenBucket(now_ms, 0.0, 0.0)
         return state
 
     def inherit(self, now_ms: float, state: list[float], token: int) -> None:
@@ -194,17 +194,17 @@
         if until_ms - left_ms > self.term_ms or not math.isfinite(amount + cap):
             raise ValueError("a share longer than its term")
         self.serial, self.token, self._amount = int(serial), token, amount
-        self.lent = Bucket(left_ms, amount * self._slower, cap, level, until_ms)
+        self.lent = TokenBucket(left_ms, amount * self._slower, cap, level, until_ms)
         self.floor.level = min(self.floor.cap, floor)
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         """Whether the share is taken: it answers an open asking, later than the one that is held."""
         if asked_ms is None or share.serial <= self.serial or share.token < self.token:
             return False
         level = self.lent.has(now_ms)
         self.serial, self.token = share.serial, share.token
         self._amount = share.amount
-        self.lent = Bucket(
+        self.lent = TokenBucket(
             now_ms,
             share.amount * self._slower,
             share.burst,
@@ -214,11 +214,11 @@
         return True
 
 
-class StockHolder:
+class LocalConcurrencyLimiter:
     """One gatekeeper's side of a stock."""
 
     def __init__(self, budget: Budget, number: int, gateways: int, now_ms: float, term_ms: float) -> None:
-        assert budget.kind is Kind.STOCK
+        assert budget.kind is BudgetKind.STOCK
         self.budget, self.term_ms = budget, term_ms
         self._floor, self._floor_from_ms = int(budget.floor_of(number, gateways)), now_ms + budget.outlives_ms
         self.out_of_floor = self.out_of_lent = 0
@@ -260,7 +260,7 @@
         """What counts as lent to it: its share, or more where more is still out of a larger one before."""
         return float(max(self._share if now_ms < self._until_ms else 0, self.out_of_lent))
 
-    def lend(self, _now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, _now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         """Whether the share is taken: it answers an open asking, later than the one that is held."""
         if asked_ms is None or share.serial <= self.serial or share.token < self.token:
             return False
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -16,30 +16,40 @@
 from random import Random
 from typing import Any
 
-from plumpick.policy.budgets.allocator import Divider
-from plumpick.policy.budgets.codec import Asked, Figures, Shares, Where, asking, figures, read, sharing, where
-from plumpick.policy.budgets.holder import Askings, RateHolder, Share
-from plumpick.policy.budgets.terms import Budget, ends_within
+from plumpick.policy.budgets.allocator import BudgetAllocator
+from plumpick.policy.budgets.budget import Budget, grants_end_within_lease
+from plumpick.policy.budgets.codec import (
+    AllocatorHint,
+    DemandReport,
+    GrantMessage,
+    LimitsMessage,
+    decode,
+    encode_allocator_hint,
+    encode_demand_reports,
+    encode_grants,
+    encode_limits,
+)
+from plumpick.policy.budgets.holder import Grant, LocalRateLimiter, PendingRequests
 from plumpick.policy.leases.terms import Terms
 from plumpick.policy.scheduled_tasks import slot_of
 
-ASK_PART = 0.25  # of a share's term, between two askings; where more is wanted,
-ASK_LEAST_MS = 100.0  # that soon,
-INBOX_PER_S = 30.0  # and so seldom that all gatekeepers together ask one of them no more often
-TRIES = 2  # askings without an answer after which who was asked is not thought to divide
-TOLD_TERMS = 10.0  # a line of the log for what is turned back at most so often
-LINGER_TERMS = 2.0  # so long after its last demand a budget is still asked for
+REPORT_INTERVAL_RATIO = 0.25  # of a share's term, between two askings; where more is wanted,
+MIN_REPORT_INTERVAL_MS = 100.0  # that soon,
+MAX_REPORTS_PER_S = 30.0  # and so seldom that all gatekeepers together ask one of them no more often
+MAX_UNANSWERED_REPORTS = 2  # askings without an answer after which who was asked is not thought to divide
+REJECTION_LOG_TERMS = 10.0  # a line of the log for what is turned back at most so often
+DEMAND_MEMORY_TERMS = 2.0  # so long after its last demand a budget is still asked for
 
 
 @dataclass(slots=True)
-class _Mine:
+class LocalBudget:
     """One budget at this gatekeeper."""
 
     place: int
     slot: int
     own: Budget  # as the settings have it
-    holder: RateHolder
-    askings: Askings
+    holder: LocalRateLimiter
+    askings: PendingRequests
     wanted_ms: float = -math.inf  # when more than the floor was last wanted
     unmet: int = 0  # requests turned back since the last line of the log
     first_ms: float = math.inf  # when more than the floor was first wanted
@@ -51,7 +61,7 @@
 
 
 @dataclass(slots=True)
-class Row:
+class BudgetStatus:
     """What staff want to know of one budget."""
 
     name: str
@@ -67,7 +77,7 @@
     out: float | None  # lent to all, where we divide
 
 
-class Book:
+class BudgetLedger:
     """Tables: one entry for each budget that the settings name, another for each that we divide, and who is
     thought to have a slot. `_wanted` is an index by demand: budgets of which more than the floor was wanted
     of late, each until it has not been for `LINGER_TERMS`."""
@@ -85,12 +95,12 @@
         self.number, self.gateways, self.terms, self.share_ms = number, gateways, terms, share_ms
         self._chance = chance
         self.mine = {
-            budget.name: _Mine(
+            budget.name: LocalBudget(
                 place,
                 slot_of(budget.name, terms.slots),
                 budget,
-                RateHolder(budget, number, gateways, now_ms, share_ms, terms.drift),
-                Askings(),
+                LocalRateLimiter(budget, number, gateways, now_ms, share_ms, terms.drift),
+                PendingRequests(),
             )
             for place, budget in enumerate(budgets)
         }
@@ -102,13 +112,15 @@
         for mine in self.mine.values():  # closed until it is known that nobody else has our number
             mine.holder.close_floor(now_ms)
         self.floors = False
-        self.dividers: dict[str, Divider] = {}
-        self._within = ends_within(share_ms, terms.term_ms)
+        self.dividers: dict[str, BudgetAllocator] = {}
+        self._within = grants_end_within_lease(share_ms, terms.term_ms)
         self._lent_ms: dict[int, float] = {}  # slot: when the last share that was lent here ends
         self._closing: set[int] = set()  # slots that are to be given back: nothing more is lent
-        self._gap_ms = max(ASK_LEAST_MS, 1000 * gateways / INBOX_PER_S)
+        self._gap_ms = max(MIN_REPORT_INTERVAL_MS, 1000 * gateways / MAX_REPORTS_PER_S)
         self._asked_ms = -math.inf
-        self._every_ms = max(self._gap_ms, ASK_PART * share_ms)  # between two askings in ordinary times
+        self._every_ms = max(
+            self._gap_ms, REPORT_INTERVAL_RATIO * share_ms
+        )  # between two askings in ordinary times
         self._hurry_ms, self._hurried = self._gap_ms, False  # the least pause before an early one
         self._at: dict[int, int] = {}  # slot: who is thought to have it
         self._unanswered: dict[int, int] = {}  # slot: askings since the last answer
@@ -139,13 +151,13 @@
             self._note(now_ms, mine, met)
         return met
 
-    def _note(self, now_ms: float, mine: _Mine, met: bool) -> None:
+    def _note(self, now_ms: float, mine: LocalBudget, met: bool) -> None:
         """What a request wants is met, or not: ask, if it is more than the floor."""
         if not met:
             mine.unmet += 1
             self._soon(now_ms)  # a share that has room may be had by now
         if mine.holder.wants(now_ms):
-            if now_ms - mine.wanted_ms > LINGER_TERMS * self.share_ms:
+            if now_ms - mine.wanted_ms > DEMAND_MEMORY_TERMS * self.share_ms:
                 self._ask_ms = min(self._ask_ms, now_ms)  # it begins: ask at once
                 self._hurry_ms = self._gap_ms
             mine.wanted_ms, mine.first_ms = now_ms, min(mine.first_ms, now_ms)
@@ -179,7 +191,7 @@
         from_ms = max(now_ms, self._lent_ms.get(slot, now_ms)) if self._within else None
         for name in self._by_slot.get(slot, ()):
             self.mine[name].lower.clear()
-            self.dividers[name] = Divider(
+            self.dividers[name] = BudgetAllocator(
                 self.mine[name].own, self.gateways, now_ms, token, self.share_ms, self.terms.drift, from_ms
             )
 
@@ -214,8 +226,8 @@
     ) -> None:
         """A note has come. `holder_of` tells, at a voter, who has a slot; `end_of` when our lease on one that
         we have ends, by our clock."""
-        said = read(data)
-        if isinstance(said, Where):
+        said = decode(data)
+        if isinstance(said, AllocatorHint):
             # Danger: a voter may know no more than that we had it once, and then each would ask itself.
             if (
                 said.number != self.number
@@ -226,16 +238,16 @@
                     self._unanswered[said.slot] = 0
                     self._ask_ms = min(self._ask_ms, now_ms)
                 self._at[said.slot] = said.number
-        elif isinstance(said, Shares):
+        elif isinstance(said, GrantMessage):
             if said.life == our_life:
                 self._take(now_ms, sender, said)
-        elif isinstance(said, Figures):
+        elif isinstance(said, LimitsMessage):
             if said.budget < len(self._names):
                 self._figures(now_ms, sender, self.mine[self._names[said.budget]], said)
         elif said is not None:
             self._asked(now_ms, sender, life, said, holder_of, end_of)
 
-    def _take(self, now_ms: float, sender: int, said: Shares) -> None:
+    def _take(self, now_ms: float, sender: int, said: GrantMessage) -> None:
         for place, share, mark in said.rows:
             if place >= len(self._names):
                 continue
@@ -249,12 +261,12 @@
                         mine.holder.change(now_ms, mine.own)
                 elif mark != mine.holder.budget.mark or mine.told is None:
                     self.to_send.append(
-                        (sender, figures(Figures(place, mine.own.whole, mine.own.burst, True)))
+                        (sender, encode_limits(LimitsMessage(place, mine.own.whole, mine.own.burst, True)))
                     )
                 if share.burst < before / 2:  # what it was before is out until we say that we have this one
                     self._soon(now_ms)
 
-    def _figures(self, now_ms: float, sender: int, mine: _Mine, said: Figures) -> None:
+    def _figures(self, now_ms: float, sender: int, mine: LocalBudget, said: LimitsMessage) -> None:
         """Somebody's settings have other figures than those that its divider goes by: the lower hold."""
         name, own = mine.own.name, mine.own
         if not said.asks:  # what the divider goes by
@@ -268,7 +280,9 @@
                 mine.lower[sender] = said.whole, said.burst, mark, now_ms
                 self._lowest(now_ms, mine)
             goes_by = divider.budget
-            self.to_send.append((sender, figures(Figures(mine.place, goes_by.whole, goes_by.burst, False))))
+            self.to_send.append(
+                (sender, encode_limits(LimitsMessage(mine.place, goes_by.whole, goes_by.burst, False)))
+            )
         if (said.whole, said.burst) not in (mine.said, (own.whole, own.burst)):
             mine.said = said.whole, said.burst
             self.faults.append(
@@ -276,12 +290,12 @@
                 f"gatekeeper {own.whole:.6g}, {own.burst:.6g}: the lower hold"
             )
 
-    def _lowest(self, now_ms: float, mine: _Mine) -> None:
+    def _lowest(self, now_ms: float, mine: LocalBudget) -> None:
         """Divide the lowest that anybody has who asked of late."""
         divider = self.dividers[mine.own.name]
         lowest = mine.own
         for number, (whole, burst, _, at_ms) in list(mine.lower.items()):
-            if now_ms - at_ms > LINGER_TERMS * self.share_ms:
+            if now_ms - at_ms > DEMAND_MEMORY_TERMS * self.share_ms:
                 del mine.lower[number]
             else:
                 lowest = lowest.lowered(whole, burst)
@@ -310,11 +324,11 @@
         now_ms: float,
         sender: int,
         life: int,
-        rows: list[Asked],
+        rows: list[DemandReport],
         holder_of: Callable[[int], int | None],
         end_of: Callable[[int], float],
     ) -> None:
-        shares: dict[int, list[tuple[int, Share, int]]] = {}  # by token
+        shares: dict[int, list[tuple[int, Grant, int]]] = {}  # by token
         others: set[int] = set()
         for row in rows:
             if row.budget >= len(self._names):
@@ -350,12 +364,12 @@
             if share is not None:
                 shares.setdefault(divider.token, []).append((row.budget, share, divider.budget.mark))
         for token, parts in shares.items():
-            for note in sharing(life, token, parts):
+            for note in encode_grants(life, token, parts):
                 self.to_send.append((sender, note))
         for slot in sorted(others):
             number = holder_of(slot)
             if number is not None and number != sender:
-                self.to_send.append((sender, where(slot, number)))
+                self.to_send.append((sender, encode_allocator_hint(slot, number)))
 
     # -- time
 
@@ -369,18 +383,18 @@
         self._ask_ms, self._asked_ms = math.inf, now_ms
         self._hurry_ms = min(2 * self._hurry_ms, self._every_ms) if self._hurried else self._gap_ms
         self._hurried = False
-        rows: dict[int, list[Asked]] = {}  # by whom to ask
+        rows: dict[int, list[DemandReport]] = {}  # by whom to ask
         slots: dict[int, int] = {}
         for name in list(self._wanted):
             mine = self.mine[name]
-            if now_ms - mine.wanted_ms > LINGER_TERMS * self.share_ms:
+            if now_ms - mine.wanted_ms > DEMAND_MEMORY_TERMS * self.share_ms:
                 del self._wanted[name]
                 continue
             if mine.slot not in slots:
                 slots[mine.slot] = self._whom(mine.slot)
             holder = mine.holder
             rows.setdefault(slots[mine.slot], []).append(
-                Asked(
+                DemandReport(
                     mine.place,
                     mine.askings.ask(now_ms),
                     holder.demand(now_ms),
@@ -392,7 +406,7 @@
             )
             if (
                 mine.unmet
-                and now_ms - self._told.get(name, -math.inf) > TOLD_TERMS * self.share_ms
+                and now_ms - self._told.get(name, -math.inf) > REJECTION_LOG_TERMS * self.share_ms
                 and (now_ms - mine.first_ms > self.share_ms)
             ):  # a start begins with nothing
                 self._told[name] = now_ms
@@ -403,7 +417,7 @@
                 )
                 mine.unmet = 0
         for number, asked in rows.items():
-            for note in asking(asked):
+            for note in encode_demand_reports(asked):
                 self.to_send.append((number, note))
         if rows:
             self._ask_ms = now_ms + self._every_ms * self._chance.uniform(0.9, 1.1)
@@ -415,7 +429,7 @@
             return number
         tried = self._unanswered.get(slot, 0)
         self._unanswered[slot] = tried + 1
-        if number is not None and tried < TRIES:
+        if number is not None and tried < MAX_UNANSWERED_REPORTS:
             return number
         self._at.pop(slot, None)
         self._turn = (self._turn + 1) % len(self.terms.voters)
@@ -438,14 +452,14 @@
 
     # -- staff
 
-    def rows(self, now_ms: float) -> list[Row]:
+    def rows(self, now_ms: float) -> list[BudgetStatus]:
         """All budgets, by name."""
         rows = []
         for name, mine in sorted(self.mine.items()):
             holder, divider = mine.holder, self.dividers.get(name)
             left_ms = holder.lent.until_ms - now_ms
             rows.append(
-                Row(
+                BudgetStatus(
                     name,
                     holder.budget.whole,
                     holder.floor.rate_per_s,
--- a/plumpick/policy/budgets/matching.py
+++ b/plumpick/policy/budgets/matching.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rule:
+class BudgetRule:
     """One budget's requests: of any of these, where some are named; `by_units`: a request takes its units,
     not one."""
 
@@ -27,18 +27,18 @@
         )
 
 
-class Matching:
+class BudgetMatcher:
     """Tables: rules by firm, as the settings name them; and one entry for each class and plan that occurs,
     which the platform's settings name."""
 
-    def __init__(self, rules: list[Rule]) -> None:
+    def __init__(self, rules: list[BudgetRule]) -> None:
         self._general = [rule for rule in rules if not rule.firms]
-        self._by_firm: dict[str, list[Rule]] = {}
+        self._by_firm: dict[str, list[BudgetRule]] = {}
         for rule in rules:
             for firm in rule.firms:
                 self._by_firm.setdefault(firm, []).append(rule)
         # What a request takes where no rule counts units, whether one does, and the rules.
-        self._known: dict[tuple[str, str], tuple[list[tuple[str, float]], bool, list[Rule]]] = {}
+        self._known: dict[tuple[str, str], tuple[list[tuple[str, float]], bool, list[BudgetRule]]] = {}
 
     def of(self, class_name: str, plan_name: str, firm: str, units: float) -> list[tuple[str, float]]:
         """The budgets, and what the request takes of each; not to be changed."""
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -147,7 +147,7 @@
         inherited,
         left,
     )
-    spend = ledger.Book.spend
+    spend = ledger.BudgetLedger.spend
 
     def spent(self: Any, now_ms: float, wanted: Any) -> bool:
         met = bool(spend(self, now_ms, wanted))
@@ -156,8 +156,8 @@
                 recorder.write("spent", name, units, recorder.true(now_ms))
         return met
 
-    ledger.Book.spend = spent  # type: ignore[method-assign]
-    lend, change = holder.RateHolder.lend, ledger.Book.change
+    ledger.BudgetLedger.spend = spent  # type: ignore[method-assign]
+    lend, change = holder.LocalRateLimiter.lend, ledger.BudgetLedger.change
 
     def lent(self: Any, now_ms: float, share: Any, asked_ms: Any) -> bool:
         taken = bool(lend(self, now_ms, share, asked_ms))
@@ -174,13 +174,13 @@
             )
         return taken
 
-    holder.RateHolder.lend = lent  # type: ignore[method-assign]
+    holder.LocalRateLimiter.lend = lent  # type: ignore[method-assign]
 
     def changed(self: Any, now_ms: float, budgets: Any) -> None:
         change(self, now_ms, budgets)
         recorder.write("figures", [[one.name, one.whole, one.burst] for one in budgets])
 
-    ledger.Book.change = changed  # type: ignore[method-assign]
+    ledger.BudgetLedger.change = changed  # type: ignore[method-assign]
     if os.environ.get("WITNESS_DEMAND"):
         lease_runner.Runner.open = clients_of(lease_runner.Runner.open)  # type: ignore[method-assign]
     send = fenced_effects.send
--- a/plumpick/simulation/exploration/shares.py
+++ b/plumpick/simulation/exploration/shares.py
@@ -11,13 +11,13 @@
 from collections.abc import Hashable, Iterator
 from typing import Any
 
-from plumpick.policy.budgets.allocator import Divider, _Given, _Holder
-from plumpick.policy.budgets.holder import Askings, Share, StockHolder
-from plumpick.policy.budgets.terms import Budget, Kind
+from plumpick.policy.budgets.allocator import BudgetAllocator, GrantHolder, OutstandingGrant
+from plumpick.policy.budgets.budget import Budget, BudgetKind
+from plumpick.policy.budgets.holder import Grant, LocalConcurrencyLimiter, PendingRequests
 from plumpick.simulation.exploration.search import fork_of, name_of
 
 TERM_MS, DRIFT, PART, WHOLE = 1000.0, 0.01, 0.52, 2
-BUDGET = Budget("units", Kind.STOCK, WHOLE, floor=0.0)
+BUDGET = Budget("units", BudgetKind.STOCK, WHOLE, floor=0.0)
 
 
 class Shares:
@@ -28,14 +28,14 @@
         dividers: int = 1,
         restarts: int = 1,
         doubles: int = 1,
-        holder: type[StockHolder] = StockHolder,
-        divider: type[Divider] = Divider,
+        holder: type[LocalConcurrencyLimiter] = LocalConcurrencyLimiter,
+        divider: type[BudgetAllocator] = BudgetAllocator,
     ) -> None:
         self.make = (holder, divider)
         self.left = {"divider": dividers, "restart": restarts, "double": doubles}
         self.now = 0.0
         self.holders = [holder(BUDGET, number, 2, 0.0, TERM_MS) for number in range(2)]
-        self.askings = [Askings() for _ in range(2)]
+        self.askings = [PendingRequests() for _ in range(2)]
         self.lives = [1, 2]
         self.divider = divider(BUDGET, 2, -10 * TERM_MS, 1, TERM_MS, DRIFT)
         self.on_the_way: list[tuple[Any, ...]] = []
@@ -46,13 +46,13 @@
         divider = fork_of(
             self.divider,
             _holders={
-                key: _Holder(
+                key: GrantHolder(
                     one.asked_ms,
                     one.serial,
                     one.demand,
                     one.holding,
                     one.holding_until_ms,
-                    [_Given(row.serial, row.amount, row.burst, row.until_ms) for row in one.given],
+                    [OutstandingGrant(row.serial, row.amount, row.burst, row.until_ms) for row in one.given],
                 )
                 for key, one in self.divider._holders.items()
             },
@@ -109,7 +109,7 @@
             number = int(rest)
             self.lives[number] += 2
             self.holders[number] = self.make[0](BUDGET, number, 2, self._slow(), TERM_MS)
-            self.askings[number] = Askings()
+            self.askings[number] = PendingRequests()
         elif kind == "ask":
             number, holder = int(rest), self.holders[int(rest)]
             serial = self.askings[number].ask(self._slow())
@@ -145,7 +145,7 @@
             _, number, life, serial, token, amount = word
             if self.lives[number] == life:
                 self.holders[number].lend(
-                    self._slow(), Share(serial, token, float(amount)), self.askings[number].asked_ms(serial)
+                    self._slow(), Grant(serial, token, float(amount)), self.askings[number].asked_ms(serial)
                 )
 
     def broken(self) -> str:
@@ -182,7 +182,7 @@
 # -- planted bugs
 
 
-class GivesBeforeTheEnd(Divider):
+class GivesBeforeTheEnd(BudgetAllocator):
     """A next divider lends at once."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -190,26 +190,28 @@
         self.from_ms -= 10 * TERM_MS
 
 
-class ForgetsWhatIsOut(Divider):
+class ForgetsWhatIsOut(BudgetAllocator):
     """Only the last share of each holder counts."""
 
-    def _lend(self, now_ms: float, holder: _Holder, serial: int, amount: float, burst: float = 0.0) -> Share:
+    def _lend(
+        self, now_ms: float, holder: GrantHolder, serial: int, amount: float, burst: float = 0.0
+    ) -> Grant:
         holder.given.clear()
         holder.holding = 0.0
         return super()._lend(now_ms, holder, serial, amount, burst)
 
 
-class BelievesALateShare(StockHolder):
+class BelievesALateShare(LocalConcurrencyLimiter):
     """A share's end counts from when it came."""
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         return super().lend(now_ms, share, now_ms)
 
 
-class TakesAnOldShare(StockHolder):
+class TakesAnOldShare(LocalConcurrencyLimiter):
     """A share of an earlier asking takes the place of a later one's."""
 
-    def lend(self, now_ms: float, share: Share, asked_ms: float | None) -> bool:
+    def lend(self, now_ms: float, share: Grant, asked_ms: float | None) -> bool:
         self.serial = min(self.serial, share.serial - 1)
         return super().lend(now_ms, share, asked_ms)
 
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -13,8 +13,8 @@
 from plumpick.cli import EXIT_HELD, EXIT_USAGE
 from plumpick.gateway.config import ConfigError
 from plumpick.gateway.operator_config import FleetSettings, load
-from plumpick.policy.budgets.bounds import BudgetBound, gap_s
-from plumpick.policy.budgets.bounds import table as budget_table
+from plumpick.policy.budgets.bounds import BudgetBound, max_vacancy_s
+from plumpick.policy.budgets.bounds import bounds_of as budget_table
 from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, held_s, table
 from plumpick.policy.settings import Settings
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
@@ -77,7 +77,7 @@
         return ["no budgets are named"]
     lines = [
         "budgets: `most` is never passed; `sure` can be spent where so much is wanted",
-        f"after a divider's death floors alone for {gap_s(fleet.terms, fleet.share_ms):g} s at most",
+        f"after a divider's death floors alone for {max_vacancy_s(fleet.terms, fleet.share_ms):g} s at most",
         f"{'budget':<20}{'state':<28}{'window':>8}{'most':>12}{'sure':>12}",
     ]
     return lines + [
--- a/tests/budgets/budget_rig.py
+++ b/tests/budgets/budget_rig.py
@@ -6,9 +6,9 @@
 import itertools
 import random
 
-from plumpick.policy.budgets.allocator import Divider
-from plumpick.policy.budgets.holder import Askings, RateHolder, StockHolder
-from plumpick.policy.budgets.terms import Kind
+from plumpick.policy.budgets.allocator import BudgetAllocator
+from plumpick.policy.budgets.budget import BudgetKind
+from plumpick.policy.budgets.holder import LocalConcurrencyLimiter, LocalRateLimiter, PendingRequests
 
 ASK_MS, TERM_MS, DRIFT, STEP_MS, LIFE_MS = 300.0, 2000.0, 0.01, 20.0, 150.0
 
@@ -27,11 +27,15 @@
 
     def __init__(self, rig, number):
         self.rig, self.number, self.clock, self.life = rig, number, Clock(rig), rig.rng.getrandbits(32)
-        make, more = (RateHolder, (DRIFT,)) if rig.budget.kind is Kind.RATE else (StockHolder, ())
+        make, more = (
+            (LocalRateLimiter, (DRIFT,))
+            if rig.budget.kind is BudgetKind.RATE
+            else (LocalConcurrencyLimiter, ())
+        )
         self.holder = rig.make.get("holder", make)(
             rig.budget, number, rig.gateways, self.clock(), TERM_MS, *more
         )
-        self.askings, self.dead, self.still_until, self.want = Askings(), False, 0.0, rig.want
+        self.askings, self.dead, self.still_until, self.want = PendingRequests(), False, 0.0, rig.want
         self.waiting = []
         rig.at(rig.now + rig.rng.uniform(0, ASK_MS), self.ask)
         rig.at(rig.now + rig.rng.uniform(0, STEP_MS), self.step)
@@ -69,7 +73,7 @@
             return
         rig, now = self.rig, self.clock()
         for _ in range(self.want(self.number, rig.now)):
-            if rig.budget.kind is Kind.RATE:
+            if rig.budget.kind is BudgetKind.RATE:
                 if self.holder.spend(now, rig.units):
                     rig.spent(rig.units)
             else:
@@ -114,7 +118,7 @@
         """Another owner of the duty: from a moment at which nobody else's lease lasts."""
         self.token += 1
         clock = Clock(self)
-        self.divider = self.make.get("divider", Divider)(
+        self.divider = self.make.get("divider", BudgetAllocator)(
             self.budget, self.gateways, clock(), self.token, TERM_MS, DRIFT
         )
         self.divider_clock = clock
@@ -140,7 +144,7 @@
 
     def judge(self):
         self.most_out = max(self.most_out, self.out)
-        if self.budget.kind is Kind.STOCK and self.out > self.budget.whole:
+        if self.budget.kind is BudgetKind.STOCK and self.out > self.budget.whole:
             self.over.append((round(self.now, 1), self.out))
 
     def kill(self, number):
--- a/tests/budgets/test_book.py
+++ b/tests/budgets/test_book.py
@@ -14,18 +14,18 @@
 from plumpick.gateway.config import ConfigError
 from plumpick.gateway.operator_config import operator_from
 from plumpick.policy.budgets import codec
-from plumpick.policy.budgets.bounds import table
-from plumpick.policy.budgets.holder import Share
-from plumpick.policy.budgets.ledger import Book
-from plumpick.policy.budgets.matching import Matching, Rule
-from plumpick.policy.budgets.terms import Budget, Kind
+from plumpick.policy.budgets.bounds import bounds_of
+from plumpick.policy.budgets.budget import Budget, BudgetKind
+from plumpick.policy.budgets.holder import Grant
+from plumpick.policy.budgets.ledger import BudgetLedger
+from plumpick.policy.budgets.matching import BudgetMatcher, BudgetRule
 from plumpick.policy.leases.codec import MAX_NOTE
 from plumpick.policy.leases.terms import Terms
 from plumpick.tools.budgets import lines
 
 TERMS = Terms((0, 1, 2), slots=4, term_ms=1200.0, drift=0.01)
 SHARE_MS = 1000.0
-ONE = Budget("one", Kind.RATE, 60.0, burst=30.0, floor=0.3)
+ONE = Budget("one", BudgetKind.RATE, 60.0, burst=30.0, floor=0.3)
 
 
 class Tier:
@@ -38,7 +38,9 @@
         self.lives = [100 + number for number in range(count)]
 
     def book(self, number, open_floors=True):
-        book = Book(self.budgets, number, self.count, TERMS, SHARE_MS, random.Random(number), self.now)
+        book = BudgetLedger(
+            self.budgets, number, self.count, TERMS, SHARE_MS, random.Random(number), self.now
+        )
         if open_floors:
             book.open_floors(self.now)
         return book
@@ -157,7 +159,7 @@
 
 
 def test_where_all_want_more_than_there_is_nobody_asks_more_and_more():
-    tier = Tier((ONE, Budget("thin", Kind.RATE, 6.0, burst=2.0, floor=0.0)), 3)
+    tier = Tier((ONE, Budget("thin", BudgetKind.RATE, 6.0, burst=2.0, floor=0.0)), 3)
     tier.own(0)
     asked = []
     for t in range(0, 20_000, 20):
@@ -207,13 +209,13 @@
     tier.own(0)
     tier.step(3000, [0, 200, 0])
     holder = tier.books[1].mine["one"].holder
-    share = Share(holder.serial + 1, tier.token, 50.0, 20.0, 20.0)
+    share = Grant(holder.serial + 1, tier.token, 50.0, 20.0, 20.0)
     tier.books[1].mine["one"].askings.ask(tier.now)
     before = holder.holding(tier.now)
-    (note,) = codec.sharing(99, tier.token, [(0, share, ONE.mark)])
+    (note,) = codec.encode_grants(99, tier.token, [(0, share, ONE.mark)])
     tier.deliver(0, 1, note)
     assert holder.holding(tier.now) == before
-    (note,) = codec.sharing(tier.lives[1], tier.token, [(0, share, ONE.mark)])
+    (note,) = codec.encode_grants(tier.lives[1], tier.token, [(0, share, ONE.mark)])
     tier.deliver(0, 1, note)
     assert holder.holding(tier.now) == 50.0
 
@@ -261,7 +263,7 @@
 
 
 def test_a_request_takes_of_all_its_budgets_or_of_none():
-    tier = Tier((ONE, Budget("none", Kind.RATE, 0.0, burst=1.0)))
+    tier = Tier((ONE, Budget("none", BudgetKind.RATE, 0.0, burst=1.0)))
     tier.step(1000)
     book = tier.books[0]
     level = book.mine["one"].holder.has(tier.now)
@@ -278,39 +280,39 @@
 
 
 def test_ten_thousand_budgets_in_few_words_and_only_those_in_demand():
-    tier = Tier([Budget(f"firm-{n}", Kind.RATE, 30.0, burst=30.0) for n in range(10_000)])
+    tier = Tier([Budget(f"firm-{n}", BudgetKind.RATE, 30.0, burst=30.0) for n in range(10_000)])
     tier.own(0)
     book = tier.books[1]
     tier.now = 1.0
     for number in range(20):
         book.spend(tier.now, [(f"firm-{number}", 100.0)])
     book.due(tier.now)
-    rows = sum(len(codec.read(note)) for _, note in book.to_send)
-    assert rows == 20 and len(book.to_send) <= 4 + 20 // codec.ASK_ROWS + 1
+    rows = sum(len(codec.decode(note)) for _, note in book.to_send)
+    assert rows == 20 and len(book.to_send) <= 4 + 20 // codec.REPORTS_PER_MESSAGE + 1
     book.to_send.clear()
     book.due(1e9)
     assert not book.to_send and book.next_ms() == float("inf")  # nothing is wanted: nothing is said
 
 
 def test_ten_thousand_shares_that_end_in_one_millisecond_leave_nothing_and_wake_nobody_for_each():
-    budgets = [Budget(f"b{n:05}", Kind.RATE, 10.0, burst=10.0, floor=0.0) for n in range(10_000)]
-    book = Book(tuple(budgets), 1, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
+    budgets = [Budget(f"b{n:05}", BudgetKind.RATE, 10.0, burst=10.0, floor=0.0) for n in range(10_000)]
+    book = BudgetLedger(tuple(budgets), 1, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
     for mine in book.mine.values():
         serial = mine.askings.ask(100.0)
-        assert mine.holder.lend(120.0, Share(serial, 1 << 90, 10.0, 10.0, 10.0), 100.0)
+        assert mine.holder.lend(120.0, Grant(serial, 1 << 90, 10.0, 10.0, 10.0), 100.0)
     assert all(mine.holder.has(100.0 + SHARE_MS - 0.01) == 10.0 for mine in book.mine.values())
     assert book.next_ms() == float("inf")  # time is looked at where a unit is spent
     end = 100.0 + SHARE_MS
     assert not any(book.spend(end, [(one.name, 1.0)]) for one in budgets[::7])
     assert all(mine.holder.has(end) == 0 and mine.holder.holding(end) == 0 for mine in book.mine.values())
     book.due(end)
-    assert sum(len(codec.read(note)) for _, note in book.to_send) == len(budgets[::7])  # those in demand
+    assert sum(len(codec.decode(note)) for _, note in book.to_send) == len(budgets[::7])  # those in demand
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(0, 900)), max_size=30))
 def test_the_index_by_demand_asks_for_what_a_look_at_all_budgets_would(steps):
-    budgets = tuple(Budget(f"b{n}", Kind.RATE, 3.0, burst=3.0, floor=0.5) for n in range(10))
-    book, now = Book(budgets, 0, 3, TERMS, SHARE_MS, random.Random(1), 0.0), 0.0
+    budgets = tuple(Budget(f"b{n}", BudgetKind.RATE, 3.0, burst=3.0, floor=0.5) for n in range(10))
+    book, now = BudgetLedger(budgets, 0, 3, TERMS, SHARE_MS, random.Random(1), 0.0), 0.0
     for number, wait in steps:
         now += wait
         book.spend(now, [(f"b{number}", 2.0)])
@@ -319,7 +321,7 @@
         plain = {mine.place for mine in book.mine.values() if now - mine.wanted_ms <= 2 * SHARE_MS}
         book.due(now)
         notes, book.to_send = book.to_send, []
-        assert {row.budget for _, note in notes for row in codec.read(note)} == plain
+        assert {row.budget for _, note in notes for row in codec.decode(note)} == plain
 
 
 @given(st.binary(max_size=MAX_NOTE))
@@ -327,31 +329,39 @@
     tier = Tier()
     tier.own(0)
     tier.step(1200)
-    for first in (b"", *(bytes([kind]) for kind in (codec.ASK, codec.SHARE, codec.WHERE, codec.MINE))):
+    for first in (
+        b"",
+        *(
+            bytes([kind])
+            for kind in (codec.DEMAND_REPORT, codec.GRANT, codec.ALLOCATOR_HINT, codec.LIMITS_QUERY)
+        ),
+    ):
         tier.deliver(1, 0, (first + data)[:MAX_NOTE])
         tier.deliver(1, 2, (first + data)[:MAX_NOTE])
 
 
 def test_words_come_as_they_went_to_the_last_bit():
-    rows = [codec.Asked(n, n + 1, 0.5 * n, 0.1 * n, n, 1.0, 7 * n) for n in range(25)]
-    notes = codec.asking(rows)
-    assert [one for note in notes for one in codec.read(note)] == rows
-    shares = [(n, Share(n, 1 << 90 | 7, 0.1 * n, 1 / 3, 2 / 3), 9 * n) for n in range(20)]
-    said = [codec.read(note) for note in codec.sharing(9, 1 << 90 | 7, shares)]
+    rows = [codec.DemandReport(n, n + 1, 0.5 * n, 0.1 * n, n, 1.0, 7 * n) for n in range(25)]
+    notes = codec.encode_demand_reports(rows)
+    assert [one for note in notes for one in codec.decode(note)] == rows
+    shares = [(n, Grant(n, 1 << 90 | 7, 0.1 * n, 1 / 3, 2 / 3), 9 * n) for n in range(20)]
+    said = [codec.decode(note) for note in codec.encode_grants(9, 1 << 90 | 7, shares)]
     assert [row for one in said for row in one.rows] == shares and {one.life for one in said} == {9}
-    assert all(len(note) <= MAX_NOTE for note in notes + codec.sharing(9, 1, shares))
-    assert codec.read(codec.where(3, 4)) == codec.Where(3, 4)
+    assert all(len(note) <= MAX_NOTE for note in notes + codec.encode_grants(9, 1, shares))
+    assert codec.decode(codec.encode_allocator_hint(3, 4)) == codec.AllocatorHint(3, 4)
     for asks in (False, True):
-        said = codec.Figures(7, 0.1, 1 / 3, asks)
-        assert codec.read(codec.figures(said)) == said
-    assert codec.read(codec.figures(codec.Figures(7, float("nan"), 1.0, True))) is None
+        said = codec.LimitsMessage(7, 0.1, 1 / 3, asks)
+        assert codec.decode(codec.encode_limits(said)) == said
+    assert codec.decode(codec.encode_limits(codec.LimitsMessage(7, float("nan"), 1.0, True))) is None
 
 
 NAMES = st.sampled_from(["a", "b", "c"])
 SETS = st.frozensets(NAMES, max_size=2)
 
 
-@given(st.lists(st.builds(Rule, NAMES, st.booleans(), SETS, SETS, SETS), max_size=8), NAMES, NAMES, NAMES)
+@given(
+    st.lists(st.builds(BudgetRule, NAMES, st.booleans(), SETS, SETS, SETS), max_size=8), NAMES, NAMES, NAMES
+)
 def test_the_tables_match_as_a_look_at_every_budget_does(rules, class_name, plan, firm):
     plain = [
         (rule.name, 3.0 if rule.by_units else 1.0)
@@ -361,7 +371,7 @@
             for some, what in ((rule.classes, class_name), (rule.plans, plan), (rule.firms, firm))
         )
     ]
-    matching = Matching(rules)
+    matching = BudgetMatcher(rules)
     for _ in range(2):
         assert sorted(matching.of(class_name, plan, firm, 3.0)) == sorted(plain)
 
@@ -472,7 +482,7 @@
     tier.step(1000, [200, 200, 200])
     sure = next(
         row.sure
-        for row in table(ONE, 3, TERMS, SHARE_MS)
+        for row in bounds_of(ONE, 3, TERMS, SHARE_MS)
         if row.state == "no majority of voters" and row.window_s == 10.0
     )
     got = sum(tier.step(10_000, [200, 200, 200]))
--- a/tests/budgets/test_budget_tier.py
+++ b/tests/budgets/test_budget_tier.py
@@ -8,7 +8,7 @@
 
 from benchmarks.budgets.trial import BUDGETS, Trial, audit, play
 from plumpick.gateway.operator_config import operator_from
-from plumpick.policy.budgets.bounds import table
+from plumpick.policy.budgets.bounds import bounds_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Tier
 from plumpick.tools.budgets import fetch, lines
@@ -64,7 +64,7 @@
             one = operator.budgets[0].budget
             sure = next(
                 row.sure
-                for row in table(one, 3, operator.terms, operator.share_ms)
+                for row in bounds_of(one, 3, operator.terms, operator.share_ms)
                 if row.state == "cut off alone" and row.window_s == 1.0
             )
             assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + one.floor_burst(3) + 1
--- a/tests/budgets/test_within_leases.py
+++ b/tests/budgets/test_within_leases.py
@@ -7,24 +7,24 @@
 import pytest
 
 from benchmarks.budgets.trial import audit
-from plumpick.policy.budgets.allocator import Divider
-from plumpick.policy.budgets.ledger import Book
-from plumpick.policy.budgets.terms import Budget, Kind, ends_within, longer
+from plumpick.policy.budgets.allocator import BudgetAllocator
+from plumpick.policy.budgets.budget import Budget, BudgetKind, grants_end_within_lease, longest_duration_ms
+from plumpick.policy.budgets.ledger import BudgetLedger
 from plumpick.policy.leases.lease_holder import Held, Holder
 from plumpick.policy.leases.terms import Terms
 from plumpick.policy.scheduled_tasks import Duties, Duty, GiveBack
 
 TERMS = Terms((0, 1, 2), slots=1, term_ms=2000.0, drift=0.01)
 SHARE_MS = 1000.0
-ONE = Budget("one", Kind.RATE, 60.0, burst=12.0, floor=0.2)
+ONE = Budget("one", BudgetKind.RATE, 60.0, burst=12.0, floor=0.2)
 
 
 def divider(**more):
-    return Divider(ONE, 3, 0.0, 1, SHARE_MS, 0.01, **more)
+    return BudgetAllocator(ONE, 3, 0.0, 1, SHARE_MS, 0.01, **more)
 
 
 def test_nothing_is_lent_that_would_end_after_the_lease():
-    one, keep = divider(from_ms=0.0), longer(SHARE_MS, 0.01)
+    one, keep = divider(from_ms=0.0), longest_duration_ms(SHARE_MS, 0.01)
     assert one.ask(100.0, 0, 7, 1, 50.0, 0.0, 0, 1.0, 100.0 + keep - 1) is None
     assert one.ask(100.0, 0, 7, 1, 50.0, 0.0, 0, 1.0, 100.0 + keep) is not None
     assert one.lent_until_ms == 100.0 + keep
@@ -33,17 +33,17 @@
 
 @pytest.mark.parametrize(("share", "within"), [(1200.0, True), (1300.0, False)])
 def test_a_share_of_up_to_three_fifths_of_a_lease_ends_within_it(share, within):
-    assert ends_within(share, 2000.0) == within
-    book = Book((ONE,), 0, 3, TERMS, share, random.Random(1), 0.0)
+    assert grants_end_within_lease(share, 2000.0) == within
+    book = BudgetLedger((ONE,), 0, 3, TERMS, share, random.Random(1), 0.0)
     book.gained(10.0, 0, 5)
     assert (book.dividers["one"].from_ms == 10.0) == within
 
 
 def owner():
-    book = Book((ONE,), 0, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
+    book = BudgetLedger((ONE,), 0, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
     book.gained(0.0, 0, 5)
     for number in (1, 2):
-        asker = Book((ONE,), number, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
+        asker = BudgetLedger((ONE,), number, 3, TERMS, SHARE_MS, random.Random(1), 0.0)
         asker.spend(100.0, [("one", 99.0)])
         asker.due(100.0)
         for _, note in asker.to_send:
@@ -53,7 +53,7 @@
 
 def test_a_lease_under_which_something_is_lent_is_given_back_when_that_has_ended():
     book, work = owner(), Duties((Duty("d", "call", 1000.0, 500.0),), 1, random.Random(1))
-    until = 100.0 + longer(SHARE_MS, 0.01)
+    until = 100.0 + longest_duration_ms(SHARE_MS, 0.01)
     assert book.lent(200.0) == {0} and book.lent(until) == frozenset()
     work.gained(0.0, 0, 5)
     for name in [act.duty.name for act in work.handle(1.0, 1000.0)]:
@@ -67,7 +67,7 @@
     assert book.next_ms() == float("inf")
     work.kept = book.lent(until)
     assert [act for act in work.handle(until, 2200.0) if isinstance(act, GiveBack)]
-    asker = Book((ONE,), 1, 3, TERMS, SHARE_MS, random.Random(2), 0.0)
+    asker = BudgetLedger((ONE,), 1, 3, TERMS, SHARE_MS, random.Random(2), 0.0)
     asker.spend(300.0, [("one", 99.0)])
     asker.due(300.0)
     book.to_send.clear()
@@ -80,12 +80,14 @@
     book = owner()
     book.lost(0)
     book.gained(150.0, 0, 6)
-    assert book.dividers["one"].from_ms == 100.0 + longer(SHARE_MS, 0.01)
+    assert book.dividers["one"].from_ms == 100.0 + longest_duration_ms(SHARE_MS, 0.01)
     state = book.estate(160.0)
-    new = Book((ONE,), 0, 3, TERMS, SHARE_MS, random.Random(3), 160.0)
+    new = BudgetLedger((ONE,), 0, 3, TERMS, SHARE_MS, random.Random(3), 160.0)
     new.inherit(160.0, state)
     new.gained(160.0, 0, 6)
-    assert new.dividers["one"].from_ms == 100.0 + longer(SHARE_MS, 0.01) and new.lent(170.0) == {0}
+    assert new.dividers["one"].from_ms == 100.0 + longest_duration_ms(SHARE_MS, 0.01) and new.lent(170.0) == {
+        0
+    }
 
 
 def test_words_that_give_back_leave_out_what_was_lent_under():
@@ -102,7 +104,7 @@
     """Books with clocks of their own; a lease that its owner renews while it can, and that a next one gets
     when it has ended, or was given back with nothing lent under it."""
 
-    def __init__(self, seed, count=3, book=Book, budget=ONE, moves=False):
+    def __init__(self, seed, count=3, book=BudgetLedger, budget=ONE, moves=False):
         self.moves = moves  # all demand is at one, and at another every 400 ms
         self.chance, self.now, self.count, self.make, self.budget = (
             random.Random(seed),
@@ -243,14 +245,14 @@
     assert not world.run(30_000) and len(world.rows) > 0.25 * 60 * 30
 
 
-class GivesBackAtOnce(Book):
+class GivesBackAtOnce(BudgetLedger):
     """A lease is given back while shares that count on it are out."""
 
     def lent(self, now_ms):
         return frozenset()
 
 
-class LendsBeyond(Book):
+class LendsBeyond(BudgetLedger):
     """Shares that end after the lease."""
 
     def heard(self, now_ms, sender, life, data, our_life, holder_of, end_of):
@@ -259,6 +261,6 @@
 
 @pytest.mark.parametrize("bug", [GivesBackAtOnce, LendsBeyond])
 def test_a_planted_bug_is_found(bug):
-    lent = Budget("one", Kind.RATE, 60.0, burst=6.0, floor=0.0)
+    lent = Budget("one", BudgetKind.RATE, 60.0, burst=6.0, floor=0.0)
     assert any(World(seed, 3, bug, lent, moves=True).run(30_000) for seed in range(60))
-    assert not any(World(seed, 3, Book, lent, moves=True).run(30_000) for seed in range(10))
+    assert not any(World(seed, 3, BudgetLedger, lent, moves=True).run(30_000) for seed in range(10))
--- a/tests/simulation/test_simulated_duties.py
+++ b/tests/simulation/test_simulated_duties.py
@@ -49,7 +49,7 @@
 
 
 def test_a_floor_that_is_counted_twice_is_found(monkeypatch):
-    monkeypatch.setattr(ledger, "RateHolder", FloorTwice)
+    monkeypatch.setattr(ledger, "LocalRateLimiter", FloorTwice)
     result = play(replace(case_of(4, 10.0), budgets=3))
     assert result.rule == "whole" and "over burst + rate x W" in result.text
 
