--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -18,7 +18,7 @@
 from plumpick.cli import parser
 from plumpick.gateway.daemon import ending_of
 from plumpick.gateway.gateway import WORKER_PART
-from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
+from plumpick.gateway.operator_config import MAX_CONFIGURATION_SERVICES, MAX_GRANT_TERM_S, operator_from
 from plumpick.policy import endpoint_watch, subsetting, usage_report
 from plumpick.policy.budgets.codec import encode_grants
 from plumpick.policy.budgets.grant import Grant
@@ -113,7 +113,7 @@
         "gather_longest_s": usage_report.longest_ms(gatekeepers) / 1000,
         "askings_per_s": MAX_REPORTS_PER_S,
         "share_least_s": 2 * gatekeepers / MAX_REPORTS_PER_S,
-        "share_most_s": SHARE_MOST_S,
+        "share_most_s": MAX_GRANT_TERM_S,
         "share_bytes": float(len(encode_grants(0, 0, [GrantRow(0, Grant(0, 0, 0, 0, 0), 0)])[0])),
         "slots": float(default.terms.slots),
         "term_s": default.terms.term_ms / 1000,
@@ -130,7 +130,7 @@
         "version_worst_s": subscriber.worst_ms(SILENT) / 1000,
         "versions_kept": float(version_store.KEPT),
         "connections_most": float(MOST_CONNECTIONS),
-        "services_most": float(MOST_SERVICES),
+        "services_most": float(MAX_CONFIGURATION_SERVICES),
     }
 
 
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -52,7 +52,7 @@
     "holding": "plumpick/policy/leases/lease_holder.py",
     "gathering": "plumpick/policy/usage_report.py, Gathering",
     "dividing": "plumpick/policy/budgets/allocator.py, BudgetAllocator",
-    "share": "plumpick/gateway/operator_config.py, _fleet",
+    "share": "plumpick/gateway/operator_config.py, _grant_term_ms",
     "watching": "plumpick/policy/endpoint_watch.py, Watching",
     "estate": "plumpick/policy/snapshot.py, leave and take_over",
     "settings": "plumpick/policy/settings_parser.py, parse_settings",
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -18,7 +18,7 @@
 
 from plumpick.gateway.cluster import fenced_effects
 from plumpick.gateway.config import Config
-from plumpick.gateway.operator_config import USE, DutySettings, FleetSettings
+from plumpick.gateway.operator_config import USE, FleetSettings, ScheduledTaskSettings
 from plumpick.gateway.platform import System
 from plumpick.policy import scheduled_tasks as plans
 from plumpick.policy import usage_report
@@ -68,15 +68,17 @@
         self._tell, self._order = tell, order
         self._chance = Random(config.seed ^ 0xD5)
         self._pace = Pace()
-        self._receivers = {one.duty.name: one for one in settings.duties}
+        self._receivers = {one.task.name: one for one in settings.scheduled_tasks}
         self._tallies = {
-            one.duty.name: usage_report.Tally(one.duty.period_ms, system.unix_ms())
-            for one in settings.duties
-            if one.duty.kind == USE
+            one.task.name: usage_report.Tally(one.task.period_ms, system.unix_ms())
+            for one in settings.scheduled_tasks
+            if one.task.kind == USE
         }
         self._tags = {zlib.crc32(name.encode()): name for name in self._tallies}
         self._plans = [plan.name for plan in config.settings.plans]
-        self._duties = Duties(tuple(one.duty for one in settings.duties), settings.terms.slots, self._chance)
+        self._duties = Duties(
+            tuple(one.task for one in settings.scheduled_tasks), settings.terms.slots, self._chance
+        )
         self.book: BudgetLedger | None = None  # and in budgets, where some are named
         self._matching = BudgetMatcher([one.rule for one in settings.budgets])
         self.member: Member | None = None  # this process's part in the leases
@@ -207,7 +209,9 @@
         """The next process has died: begin anew. What was handed over ends by its time."""
         self.passed_on = None
         self._duties = Duties(
-            tuple(one.duty for one in self._settings.duties), self._settings.terms.slots, self._chance
+            tuple(one.task for one in self._settings.scheduled_tasks),
+            self._settings.terms.slots,
+            self._chance,
         )
         self.open()
 
@@ -339,12 +343,12 @@
         old, new = self._settings, tuple(one.budget for one in settings.budgets)
         if (
             settings.terms,
-            settings.duties,
+            settings.scheduled_tasks,
             settings.grant_term_ms,
             [one.rule for one in settings.budgets],
         ) != (
             old.terms,
-            old.duties,
+            old.scheduled_tasks,
             old.grant_term_ms,
             [one.rule for one in old.budgets],
         ):
@@ -458,12 +462,12 @@
         else:
             log.warning("duties: %s, period %d: no run of ours (%s)", name, act.period, act.why)
 
-    async def _run(self, settings: DutySettings, start: plans.Start) -> None:
+    async def _run(self, settings: ScheduledTaskSettings, start: plans.Start) -> None:
         """One run; whatever becomes of it is told to the decisions."""
-        name, wrong = settings.duty.name, ""
+        name, wrong = settings.task.name, ""
         outdone: int | None = None
         try:
-            body = await self._gather(settings, start) if settings.duty.kind == USE else {}
+            body = await self._gather(settings, start) if settings.task.kind == USE else {}
             await fenced_effects.send(
                 settings.receiver,
                 name,
@@ -495,9 +499,9 @@
 
     # -- the fleet's use
 
-    async def _gather(self, settings: DutySettings, start: plans.Start) -> dict[str, Any]:
+    async def _gather(self, settings: ScheduledTaskSettings, start: plans.Start) -> dict[str, Any]:
         """What all gatekeepers did in the period, and what is not known."""
-        name, period, member = settings.duty.name, start.period, self.member
+        name, period, member = settings.task.name, start.period, self.member
         assert member is not None
         gathering = usage_report.Gathering(self._config.settings.gateway_count, self._system.boottime())
         self._gathering[name] = period, gathering
@@ -512,8 +516,8 @@
                 else:
                     self._say(now, member.note(now, number, usage_report.asking(tag, period)))
             await asyncio.sleep(GATHER_S)
-        sums, gaps = gathering.result(settings.duty.period_ms)
-        span_ms = settings.duty.period_ms
+        sums, gaps = gathering.result(settings.task.period_ms)
+        span_ms = settings.task.period_ms
         return {
             "from_ms": period * span_ms,
             "until_ms": (period + 1) * span_ms,
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -1,13 +1,16 @@
-"""The operator's own file: TOML, each key checked by its name. `$PLUMPICK_OPERATOR` names it; without one
-nothing of what it switches on is there, nor imported. deploy/operator.toml explains each key."""
+"""The operator's own file, TOML, as types. `$PLUMPICK_OPERATOR` names it; without one, nothing that it
+switches on is there or imported. deploy/operator.toml explains each key; this module maps each to a field.
+
+A file that cannot be used raises OperatorConfigError, a ConfigError, with one line that names the key: at the
+start the process exits, and after SIGHUP it goes on by the settings before."""
 
 from __future__ import annotations
 
 import tomllib
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 from plumpick.gateway.config import Address, ConfigError, address_from
 from plumpick.policy.budgets.budget import Budget, BudgetKind
@@ -19,26 +22,55 @@
 from plumpick.policy.settings_parser import SettingsError
 from plumpick.policy.usage_report import longest_ms
 
-MOST_DUTIES, MOST_BUDGETS = 2000, 2000
-MOST_SERVICES = 8
-SHARE_MOST_S = 60.0
-CALL, USE = "call", "use"
-REQUESTS, UNITS = "requests", "units"
+# Of the file.
+MAX_SCHEDULED_TASKS = 2000
+MAX_BUDGETS = 2000
+MAX_CONFIGURATION_SERVICES = 8
+MAX_NAME_LENGTH = 64
+
+# Of a scheduled task.
+CALL = "call"  # a kind: POST an empty object to the receiver
+USE = "use"  # a kind: collect the usage of all gateways and POST that
+MIN_CALL_PERIOD_S = 0.1
+MIN_USE_PERIOD_S = 1.0
+USE_GATEWAYS_PER_S = 10  # how many gateways a collection asks in a second
+MAX_PERIOD_S = 86_400.0 * 31
+MAX_TIME_LIMIT_S = 86_400.0
+MIN_CALL_TIME_LIMIT_S = 0.05
+MAX_CATCH_UP_PERIODS = 7
+
+# Of a budget.
+REQUESTS = "requests"  # a value of `counts`
+UNITS = "units"  # the other
+MIN_GRANT_TERM_S = 0.2
+MAX_GRANT_TERM_S = 60.0
+REPORTS_PER_GRANT_TERM = 2  # that the allocator must be able to accept from each gateway
+
+_Settings = TypeVar("_Settings")
+
+
+class OperatorConfigError(ConfigError):
+    """The operator's file cannot be used. The text begins with the path of the key."""
+
+    @classmethod
+    def at(cls, path: str, problem: object) -> OperatorConfigError:
+        """What is wrong with the key, or the file, of that path."""
+        return cls(f"{path}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
 class Receiver:
-    """Where a duty's effect goes: a POST over HTTP."""
+    """Where the effect of a scheduled task goes: a POST over HTTP."""
 
     address: Address
     path: str
 
 
 @dataclass(frozen=True, slots=True)
-class DutySettings:
-    """A duty and its receiver."""
+class ScheduledTaskSettings:
+    """A scheduled task and its receiver."""
 
-    duty: Duty
+    task: Duty
     receiver: Receiver
 
 
@@ -52,228 +84,267 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What is done on behalf of the fleet."""
+    """What gateways do together: the table `fleet`."""
 
     terms: Terms
-    duties: tuple[DutySettings, ...]
-    budgets: tuple[BudgetSettings, ...] = ()
-    grant_term_ms: float = 2000.0  # so long a share of a budget lasts
+    scheduled_tasks: tuple[ScheduledTaskSettings, ...]
+    budgets: tuple[BudgetSettings, ...] = ()  # by name
+    grant_term_ms: float = 2000.0
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigurationSettings:
-    """Where versions of the settings come from."""
+class ConfigurationServiceSettings:
+    """The services that versions of the settings come from: the table `configuration`."""
 
     addresses: tuple[Address, ...]
-    silent_ms: float
+    silent_ms: float  # without a word from any service for so long, a warning is logged
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
-    """All of the file."""
+class OperatorConfig:
+    """The whole file; None for a table that is not there."""
 
     fleet: FleetSettings | None = None
-    configuration: ConfigurationSettings | None = None
+    configuration: ConfigurationServiceSettings | None = None
 
 
-class _Keys:
-    """One table; what is wrong is told with the key's path."""
+def load(path: str, gateways: int) -> OperatorConfig:
+    """Read the file, for a fleet of so many gateways. Raises OperatorConfigError."""
+    try:
+        return operator_from(tomllib.loads(Path(path).read_text(encoding="utf-8")), gateways)
+    except OSError as problem:
+        raise OperatorConfigError(f"cannot read {path}: {problem.strerror}") from problem
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
+        raise OperatorConfigError.at(path, f"no TOML: {problem}") from problem
+    except OperatorConfigError as problem:
+        raise OperatorConfigError.at(path, problem) from problem
+
+
+def operator_from(value: Any, gateways: int) -> OperatorConfig:
+    """The settings in a document of TOML, for a fleet of so many gateways. Raises OperatorConfigError."""
+    table = _Table(value, "operator", {"fleet", "configuration"})
+    fleet = table.value.get("fleet")
+    configuration = table.value.get("configuration")
+    return OperatorConfig(
+        None if fleet is None else _fleet(fleet, gateways),
+        None if configuration is None else _configuration(configuration),
+    )
+
+
+def budgets_identity(budgets: tuple[BudgetSettings, ...]) -> str:
+    """What all gateways must have alike of their budgets, as part of the digest in their messages: gateways
+    with other names or guaranteed ratios reject each other's. Limits and bursts may differ for a while."""
+    return repr([(one.budget.name, one.budget.guaranteed_ratio) for one in budgets])
+
+
+class _Table:
+    """One table of the file. Its methods raise OperatorConfigError with the path of the key."""
 
     def __init__(self, value: Any, path: str, known: set[str]) -> None:
         if not isinstance(value, Mapping):
-            raise ConfigError(f"{path}: is no table")
+            raise OperatorConfigError.at(path, "is no table")
         for key in value:
             if key not in known:
-                raise ConfigError(f"{path}.{key}: no such key; there are {', '.join(sorted(known))}")
-        self.value, self.path = value, path
+                text = f"no such key; there are {', '.join(sorted(known))}"
+                raise OperatorConfigError.at(f"{path}.{key}", text)
+        self.value = value
+        self.path = path
+
+    def error(self, key: str, problem: object) -> OperatorConfigError:
+        """What is wrong with that key."""
+        return OperatorConfigError.at(f"{self.path}.{key}", problem)
 
     def get(self, key: str, kind: type, default: Any = None) -> Any:
+        """The value of a key, of that type; an integer will do for a float."""
         value = self.value.get(key, default)
         if value is None:
-            raise ConfigError(f"{self.path}.{key}: is missing")
+            raise self.error(key, "is missing")
         if kind is float and type(value) is int:
             value = float(value)
         if type(value) is not kind:
-            raise ConfigError(f"{self.path}.{key}: {value!r} is no {kind.__name__}")
+            raise self.error(key, f"{value!r} is no {kind.__name__}")
         return value
 
-    def seconds(self, key: str, least: float, most: float, default: float | None = None) -> float:
-        """In milliseconds."""
-        value = self.get(key, float, default)
-        if not least <= value <= most:
-            raise ConfigError(f"{self.path}.{key}: {value:g} is not from {least:g} to {most:g}")
+    def milliseconds(self, key: str, min_s: float, max_s: float, default_s: float | None = None) -> float:
+        """The value of a key that is in seconds, in milliseconds."""
+        value = self.get(key, float, default_s)
+        if not min_s <= value <= max_s:
+            raise self.error(key, f"{value:g} is not from {min_s:g} to {max_s:g}")
         return float(value) * 1000
 
+    def choice(self, key: str, choices: tuple[str, ...], default: str | None = None) -> str:
+        """The value of a key that is one of these words."""
+        value: str = self.get(key, str, default)
+        if value not in choices:
+            raise self.error(key, f"{value!r} is none of {', '.join(choices)}")
+        return value
 
-def _receiver(text: str, path: str) -> Receiver:
-    if not text.startswith("http://"):
-        raise ConfigError(f"{path}: {text!r} does not begin with http://")
-    place, _, rest = text.removeprefix("http://").partition("/")
-    host, _, port = place.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{path}: {text!r} has no host:port")
-    if not (text.isascii() and text.isprintable()) or " " in text:
-        raise ConfigError(f"{path}: {text!r} is no address")
-    return Receiver((host, int(port)), "/" + rest)
+    def name(self) -> str:
+        """The value of the key `name`."""
+        name: str = self.get("name", str)
+        allowed = all(char.isascii() and (char.isalnum() or char in "-_.") for char in name)
+        if not name or len(name) > MAX_NAME_LENGTH or not allowed:
+            raise self.error("name", f"{name!r} is not 1 to 64 letters, digits, '-', '_' and '.'")
+        return name
+
+    def names(self, key: str) -> frozenset[str]:
+        """The value of a key that is a list of names; empty where it is not there."""
+        rows = self.get(key, list, [])
+        if not all(isinstance(row, str) and row for row in rows):
+            raise self.error(key, f"{rows} are not all names")
+        return frozenset(rows)
+
+    def rows(
+        self, key: str, max_rows: int, row_from: Callable[[Any, str], _Settings]
+    ) -> tuple[_Settings, ...]:
+        """The rows of an array of tables, each read by `row_from(row, path)`."""
+        rows = self.get(key, list, [])
+        if len(rows) > max_rows:
+            raise self.error(key, f"{len(rows)} of them; {max_rows} is the most")
+        return tuple(row_from(row, f"{self.path}.{key}[{index}]") for index, row in enumerate(rows))
+
+
+def _fleet(value: Any, gateways: int) -> FleetSettings:
+    table = _Table(
+        value,
+        "fleet",
+        {"voters", "slots", "turns", "term_s", "drift", "longest_term_s", "duty", "budget", "share_s"},
+    )
+    tasks = table.rows("duty", MAX_SCHEDULED_TASKS, lambda row, path: _scheduled_task(row, path, gateways))
+    _check_unique([one.task.name for one in tasks], "fleet.duty")
+    budgets = table.rows("budget", MAX_BUDGETS, _budget)
+    _check_unique([one.budget.name for one in budgets], "fleet.budget")
+    budgets = tuple(sorted(budgets, key=lambda one: one.budget.name))
+    grant_term_ms = _grant_term_ms(table, gateways, bool(budgets))
+    voters = table.get("voters", list)
+    if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
+        raise table.error("voters", f"{voters} are not all numbers from 0 to {gateways - 1}")
+    try:
+        terms = Terms(
+            tuple(voters),
+            table.get("slots", int, 12),
+            table.get("turns", int, 0),
+            table.milliseconds("term_s", 0.5, 600, 6.0),
+            table.get("drift", float, 0.01),
+            table.milliseconds("longest_term_s", 0.0, 600, 0.0),
+            _identity(tasks, budgets, grant_term_ms),
+        )
+    except TermsError as problem:  # its text begins with the key
+        raise OperatorConfigError(f"fleet.{problem}") from problem
+    return FleetSettings(terms, tasks, budgets, grant_term_ms)
 
 
-def _name(keys: _Keys) -> str:
-    name: str = keys.get("name", str)
-    if not name or len(name) > 64 or not all(c.isascii() and (c.isalnum() or c in "-_.") for c in name):
-        raise ConfigError(f"{keys.path}.name: {name!r} is not 1 to 64 letters, digits, '-', '_' and '.'")
-    return name
+def _identity(
+    tasks: tuple[ScheduledTaskSettings, ...], budgets: tuple[BudgetSettings, ...], grant_term_ms: float
+) -> str:
+    """What all gateways must have alike beside the terms of leases."""
+    periods = sorted((one.task.name, one.task.kind, one.task.period_ms) for one in tasks)
+    return repr((periods, *([budgets_identity(budgets), grant_term_ms] if budgets else [])))
 
 
-def _duty(value: Any, path: str, gateways: int) -> DutySettings:
-    keys = _Keys(
+def _scheduled_task(value: Any, path: str, gateways: int) -> ScheduledTaskSettings:
+    table = _Table(
         value, path, {"name", "kind", "period_s", "limit_s", "catch_up", "receiver", "fenced", "repeatable"}
     )
-    name, kind = _name(keys), keys.get("kind", str)
-    if kind not in (CALL, USE):
-        raise ConfigError(f"{path}.kind: {kind!r} is none of {CALL}, {USE}")
-    # To collect from all of a large tier takes its time: so many are asked a second.
-    least = max(1.0, gateways / 10) if kind == USE else 0.1
-    period = keys.seconds("period_s", least, 86_400 * 31)
-    # So long a run may take: to gather from dead ones too, to connect, and to wait for the answer.
-    needs = 0.05 if kind == CALL else longest_ms(gateways) / 1000 + 1.0
-    limit = keys.seconds("limit_s", needs, 86_400, max(period / 1000, 5.0, needs + 4.0))
-    catch_up = keys.get("catch_up", int, 2)
-    if not 0 <= catch_up <= 7:
-        raise ConfigError(f"{path}.catch_up: {catch_up} is not from 0 to 7")
-    if not keys.get("fenced", bool, False) and not keys.get("repeatable", bool, False):
-        raise ConfigError(
-            f"{path}.fenced: a receiver without a fence takes what a late owner sends; "
-            "name the duty repeatable if that does no harm"
+    name = table.name()
+    kind = table.choice("kind", (CALL, USE))
+    min_period_s = MIN_CALL_PERIOD_S
+    min_limit_s = MIN_CALL_TIME_LIMIT_S
+    if kind == USE:
+        min_period_s = max(MIN_USE_PERIOD_S, gateways / USE_GATEWAYS_PER_S)
+        # To collect from gateways that do not answer, too, and to send the result.
+        min_limit_s = longest_ms(gateways) / 1000 + 1.0
+    period_ms = table.milliseconds("period_s", min_period_s, MAX_PERIOD_S)
+    default_limit_s = max(period_ms / 1000, 5.0, min_limit_s + 4.0)
+    limit_ms = table.milliseconds("limit_s", min_limit_s, MAX_TIME_LIMIT_S, default_limit_s)
+    catch_up = table.get("catch_up", int, 2)
+    if not 0 <= catch_up <= MAX_CATCH_UP_PERIODS:
+        raise table.error("catch_up", f"{catch_up} is not from 0 to {MAX_CATCH_UP_PERIODS}")
+    if not table.get("fenced", bool, False) and not table.get("repeatable", bool, False):
+        raise table.error(
+            "fenced",
+            "a receiver without a fence takes what a late owner sends; "
+            "name the duty repeatable if that does no harm",
         )
-    receiver = _receiver(keys.get("receiver", str), f"{path}.receiver")
-    return DutySettings(Duty(name, kind, period, limit, catch_up, kind == USE), receiver)
+    receiver = _receiver(table.get("receiver", str), f"{path}.receiver")
+    return ScheduledTaskSettings(Duty(name, kind, period_ms, limit_ms, catch_up, kind == USE), receiver)
 
 
-def _names(keys: _Keys, key: str) -> frozenset[str]:
-    rows = keys.get(key, list, [])
-    if not all(isinstance(row, str) and row for row in rows):
-        raise ConfigError(f"{keys.path}.{key}: {rows} are not all names")
-    return frozenset(rows)
+def _receiver(text: str, path: str) -> Receiver:
+    if not text.startswith("http://"):
+        raise OperatorConfigError.at(path, f"{text!r} does not begin with http://")
+    authority, _, rest = text.removeprefix("http://").partition("/")
+    host, _, port = authority.rpartition(":")
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
+        raise OperatorConfigError.at(path, f"{text!r} has no host:port")
+    if not (text.isascii() and text.isprintable()) or " " in text:
+        raise OperatorConfigError.at(path, f"{text!r} is no address")
+    return Receiver((host, int(port)), "/" + rest)
 
 
 def _budget(value: Any, path: str) -> BudgetSettings:
-    keys = _Keys(value, path, {"name", "whole", "burst", "floor", "counts", "classes", "plans", "firms"})
-    name, counts = _name(keys), keys.get("counts", str, REQUESTS)
-    if counts not in (REQUESTS, UNITS):
-        raise ConfigError(f"{path}.counts: {counts!r} is none of {REQUESTS}, {UNITS}")
+    table = _Table(value, path, {"name", "whole", "burst", "floor", "counts", "classes", "plans", "firms"})
+    name = table.name()
+    counts = table.choice("counts", (REQUESTS, UNITS), REQUESTS)
     try:
         budget = Budget(
             name,
             BudgetKind.RATE,
-            keys.get("whole", float),
-            keys.get("burst", float),
-            keys.get("floor", float, 0.3),
+            limit=table.get("whole", float),
+            burst=table.get("burst", float),
+            guaranteed_ratio=table.get("floor", float, 0.3),
         )
     except BudgetError as problem:
-        raise ConfigError(f"{path}: {problem}") from problem
+        raise OperatorConfigError.at(path, problem) from problem
     if budget.burst < 1:
-        raise ConfigError(f"{path}.burst: {budget.burst:g} is under 1: no request would ever go on")
-    return BudgetSettings(
-        budget,
-        BudgetRule(name, counts == UNITS, *(_names(keys, key) for key in ("classes", "plans", "firms"))),
+        raise table.error("burst", f"{budget.burst:g} is under 1: no request would ever go on")
+    rule = BudgetRule(
+        name,
+        charges_units=counts == UNITS,
+        classes=table.names("classes"),
+        plans=table.names("plans"),
+        customers=table.names("firms"),
     )
+    return BudgetSettings(budget, rule)
 
 
-def _once(rows: list[str], path: str) -> None:
-    seen: set[str] = set()
-    for number, name in enumerate(rows):
-        if name in seen:
-            raise ConfigError(f"{path}[{number}].name: {name!r} is named twice")
-        seen.add(name)
-
-
-def _fleet(value: Any, gateways: int) -> FleetSettings:
-    path = "fleet"
-    keys = _Keys(
-        value,
-        path,
-        {"voters", "slots", "turns", "term_s", "drift", "longest_term_s", "duty", "budget", "share_s"},
-    )
-    rows = keys.get("duty", list, [])
-    if len(rows) > MOST_DUTIES:
-        raise ConfigError(f"{path}.duty: {len(rows)} of them; {MOST_DUTIES} is the most")
-    duties = tuple(_duty(row, f"{path}.duty[{number}]", gateways) for number, row in enumerate(rows))
-    _once([one.duty.name for one in duties], f"{path}.duty")
-    rows = keys.get("budget", list, [])
-    if len(rows) > MOST_BUDGETS:
-        raise ConfigError(f"{path}.budget: {len(rows)} of them; {MOST_BUDGETS} is the most")
-    budgets = tuple(_budget(row, f"{path}.budget[{number}]") for number, row in enumerate(rows))
-    _once([one.budget.name for one in budgets], f"{path}.budget")
-    budgets = tuple(sorted(budgets, key=lambda one: one.budget.name))
-    share_ms = keys.seconds("share_s", 0.2, SHARE_MOST_S, min(SHARE_MOST_S, max(2.0, gateways / 8)))
-    if budgets and share_ms < 2 * 1000 * gateways / MAX_REPORTS_PER_S:
-        raise ConfigError(
-            f"{path}.share_s: {share_ms / 1000:g} is too short for {gateways} gatekeepers: all "
+def _grant_term_ms(table: _Table, gateways: int, has_budgets: bool) -> float:
+    """How long grants last: long enough for one allocator to accept the reports of all gateways."""
+    default_s = min(MAX_GRANT_TERM_S, max(2.0, gateways / 8))
+    grant_term_ms = table.milliseconds("share_s", MIN_GRANT_TERM_S, MAX_GRANT_TERM_S, default_s)
+    if has_budgets and grant_term_ms < REPORTS_PER_GRANT_TERM * 1000 * gateways / MAX_REPORTS_PER_S:
+        raise table.error(
+            "share_s",
+            f"{grant_term_ms / 1000:g} is too short for {gateways} gatekeepers: all "
             f"ask one of them, which takes in {MAX_REPORTS_PER_S:g} askings a second; at least "
-            f"{2 * gateways / MAX_REPORTS_PER_S:g}"
+            f"{REPORTS_PER_GRANT_TERM * gateways / MAX_REPORTS_PER_S:g}",
         )
-    voters = keys.get("voters", list)
-    if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
-        raise ConfigError(f"{path}.voters: {voters} are not all numbers from 0 to {gateways - 1}")
-    try:
-        terms = Terms(
-            tuple(voters),
-            keys.get("slots", int, 12),
-            keys.get("turns", int, 0),
-            keys.seconds("term_s", 0.5, 600, 6.0),
-            keys.get("drift", float, 0.01),
-            keys.seconds("longest_term_s", 0.0, 600, 0.0),
-            repr(
-                (
-                    sorted((one.duty.name, one.duty.kind, one.duty.period_ms) for one in duties),
-                    *([budgets_text(budgets), share_ms] if budgets else []),
-                )
-            ),
-        )
-    except TermsError as problem:
-        raise ConfigError(f"{path}.{problem}") from problem
-    return FleetSettings(terms, duties, budgets, share_ms)
+    return grant_term_ms
 
 
-def budgets_text(budgets: tuple[BudgetSettings, ...]) -> str:
-    """What all gatekeepers must have alike of them: two with other names or floors do not hear one another.
-    Wholes and bursts may differ for a while; the lower hold."""
-    return repr([(one.budget.name, one.budget.guaranteed_ratio) for one in budgets])
-
-
-def _configuration(value: Any) -> ConfigurationSettings:
-    path = "configuration"
-    keys = _Keys(value, path, {"addresses", "silent_s"})
-    rows = keys.get("addresses", list)
-    if not 1 <= len(rows) <= MOST_SERVICES:
-        raise ConfigError(f"{path}.addresses: {len(rows)} of them; 1 to {MOST_SERVICES} can be named")
-    try:
-        addresses = tuple(address_from(row, f"{path}.addresses[{place}]") for place, row in enumerate(rows))
-    except SettingsError as problem:
-        raise ConfigError(str(problem)) from problem
-    for place, address in enumerate(addresses):
-        if address in addresses[:place]:
-            raise ConfigError(f"{path}.addresses[{place}]: {rows[place]!r} is named twice")
-    return ConfigurationSettings(addresses, keys.seconds("silent_s", 5.0, 86_400.0, 30.0))
-
-
-def operator_from(value: Any, gateways: int) -> Operator:
-    """The settings in a table of TOML, for a tier of so many gatekeepers; raises ConfigError."""
-    keys = _Keys(value, "operator", {"fleet", "configuration"})
-    fleet, configuration = keys.value.get("fleet"), keys.value.get("configuration")
-    return Operator(
-        None if fleet is None else _fleet(fleet, gateways),
-        None if configuration is None else _configuration(configuration),
-    )
+def _check_unique(names: list[str], path: str) -> None:
+    seen: set[str] = set()
+    for index, name in enumerate(names):
+        if name in seen:
+            raise OperatorConfigError.at(f"{path}[{index}].name", f"{name!r} is named twice")
+        seen.add(name)
 
 
-def load(path: str, gateways: int) -> Operator:
-    """Read the file; raises ConfigError with one line."""
+def _configuration(value: Any) -> ConfigurationServiceSettings:
+    table = _Table(value, "configuration", {"addresses", "silent_s"})
+    rows = table.get("addresses", list)
+    if not 1 <= len(rows) <= MAX_CONFIGURATION_SERVICES:
+        text = f"{len(rows)} of them; 1 to {MAX_CONFIGURATION_SERVICES} can be named"
+        raise table.error("addresses", text)
     try:
-        return operator_from(tomllib.loads(Path(path).read_text(encoding="utf-8")), gateways)
-    except OSError as problem:
-        raise ConfigError(f"cannot read {path}: {problem.strerror}") from problem
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise ConfigError(f"{path}: no TOML: {problem}") from problem
-    except ConfigError as problem:
-        raise ConfigError(f"{path}: {problem}") from problem
+        addresses = tuple(
+            address_from(row, f"configuration.addresses[{index}]") for index, row in enumerate(rows)
+        )
+    except SettingsError as problem:  # its text begins with the path
+        raise OperatorConfigError(str(problem)) from problem
+    for index, address in enumerate(addresses):
+        if address in addresses[:index]:
+            raise OperatorConfigError.at(
+                f"configuration.addresses[{index}]", f"{rows[index]!r} is named twice"
+            )
+    return ConfigurationServiceSettings(addresses, table.milliseconds("silent_s", 5.0, 86_400.0, 30.0))
--- a/tests/ownership/test_fences_and_settings.py
+++ b/tests/ownership/test_fences_and_settings.py
@@ -56,8 +56,8 @@
     got = operator_from(
         fleet(DUTY, {**DUTY, "name": "two", "fenced": False, "repeatable": True}, turns=1), 3
     ).fleet
-    assert [one.duty.name for one in got.duties] == ["use", "two"]
-    assert got.duties[0].receiver.address == ("127.0.0.1", 9) and got.terms.turns == 1
+    assert [one.task.name for one in got.scheduled_tasks] == ["use", "two"]
+    assert got.scheduled_tasks[0].receiver.address == ("127.0.0.1", 9) and got.terms.turns == 1
     assert operator_from({}, 3).fleet is None
 
 
@@ -97,4 +97,4 @@
 def test_the_shipped_file_with_every_key_explained_is_read_and_has_all_keys():
     text = (ROOT / "deploy/operator.toml").read_text()
     got = operator_from(tomllib.loads(text), 3).fleet
-    assert got is not None and len(got.duties) >= 2
+    assert got is not None and len(got.scheduled_tasks) >= 2
