--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -1,5 +1,7 @@
-"""`plumpick budgets ADDRESS ...`: what each gatekeeper may spend of the fleet's budgets; over several, the
-sum."""
+"""`plumpick budgets ADDRESS ...`: what each gateway may spend of fleet-wide budgets, and the sums.
+
+It asks each management address in turn, so that sums are not those of one moment. The first address that does
+not answer, or not with budgets, ends the command with one line on standard error."""
 
 from __future__ import annotations
 
@@ -10,50 +12,64 @@
 
 from plumpick.tools.call import address_of, pages
 
+EXIT_OK = 0
+EXIT_REJECTED = 1  # a gateway answered that it has no budgets
+EXIT_UNREACHABLE = 2
+
+HEADER = (
+    f"{'budget':<20} {'whole':>9} {'floor':>9} {'lent':>9} {'until':>7} "
+    f"{'left':>9} {'demand':>9} {'unmet':>6}  divider"
+)
+
 
-def fetch(address: tuple[str, int]) -> dict[str, Any]:
-    """All of its answer; raises OSError or ValueError (the text says what it answered)."""
+def fetch_budgets(address: tuple[str, int]) -> dict[str, Any]:
+    """The whole answer of the gateway at a management address. Raises OSError, or ValueError with what it
+    answered instead."""
     return pages(address, "BUDGETS", "budgets")
 
 
-def lines(rows: list[dict[str, Any]]) -> list[str]:
-    """For a person: a table of each gatekeeper, and of the tier where there are several."""
-    out = []
-    for one in rows:
-        out += [
-            f"{one['gatekeeper']}:",
-            f"{'budget':<20} {'whole':>9} {'floor':>9} {'lent':>9} {'until':>7} "
-            f"{'left':>9} {'demand':>9} {'unmet':>6}  divider",
-        ]
-        for row in one["budgets"]:
-            until = "-" if row["until_ms"] is None else f"{row['until_ms'] / 1000:.1f} s"
-            divider = "not known" if row["divider"] is None else f"n{row['divider']}, token {row['token']}"
-            out.append(
-                f"{row['name']:<20} {row['whole']:>9g} {row['floor']:>9.4g} {row['lent']:>9.4g} "
-                f"{until:>7} {row['left']:>9.4g} {row['demand']:>9.4g} {row['unmet']:>6}  {divider}"
-                + ("" if row["out"] is None else f", here: {row['out']:.6g} lent to all")
-            )
-    if len(rows) > 1:
-        out.append("all of these, in turn and so not at one moment:")
-        names = sorted({row["name"] for one in rows for row in one["budgets"]})
-        for name in names:
-            mine = [row for one in rows for row in one["budgets"] if row["name"] == name]
-            out.append(
-                f"{name:<20} whole {max(row['whole'] for row in mine):g}, floors and shares "
-                f"{sum(row['floor'] + row['lent'] for row in mine):.6g}, "
-                f"demand {sum(row['demand'] for row in mine):.4g}"
-            )
-    return out
-
-
-def budgets(given: argparse.Namespace) -> int:
-    """0; 1 where one answers that it has no budgets; 2 where there is no answer."""
-    rows = []
-    for address in given.address:
+def table_lines(answers: list[dict[str, Any]]) -> list[str]:
+    """The answers as text: a table for each gateway and, where there are several, the sums by budget."""
+    lines = []
+    for answer in answers:
+        lines += [f"{answer['gatekeeper']}:", HEADER, *map(_budget_line, answer["budgets"])]
+    if len(answers) > 1:
+        lines.append("all of these, in turn and so not at one moment:")
+        lines += _sum_lines([row for answer in answers for row in answer["budgets"]])
+    return lines
+
+
+def _budget_line(row: dict[str, Any]) -> str:
+    expires = "-" if row["until_ms"] is None else f"{row['until_ms'] / 1000:.1f} s"
+    allocator = "not known" if row["divider"] is None else f"n{row['divider']}, token {row['token']}"
+    granted_to_all = "" if row["out"] is None else f", here: {row['out']:.6g} lent to all"
+    return (
+        f"{row['name']:<20} {row['whole']:>9g} {row['floor']:>9.4g} {row['lent']:>9.4g} "
+        f"{expires:>7} {row['left']:>9.4g} {row['demand']:>9.4g} {row['unmet']:>6}  {allocator}"
+        f"{granted_to_all}"
+    )
+
+
+def _sum_lines(rows: list[dict[str, Any]]) -> list[str]:
+    lines = []
+    for name in sorted({row["name"] for row in rows}):
+        same = [row for row in rows if row["name"] == name]
+        lines.append(
+            f"{name:<20} whole {max(row['whole'] for row in same):g}, floors and shares "
+            f"{sum(row['floor'] + row['lent'] for row in same):.6g}, "
+            f"demand {sum(row['demand'] for row in same):.4g}"
+        )
+    return lines
+
+
+def budgets(arguments: argparse.Namespace) -> int:
+    """Run the command; the exit code."""
+    answers = []
+    for address in arguments.address:
         try:
-            rows.append(fetch(address_of(address)))
+            answers.append(fetch_budgets(address_of(address)))
         except (ValueError, OSError) as problem:
             print(f"plumpick budgets: {address}: {problem}", file=sys.stderr)
-            return 1 if str(problem).startswith("-ERR") else 2
-    print(json.dumps(rows) if given.json else "\n".join(lines(rows)))
-    return 0
+            return EXIT_REJECTED if str(problem).startswith("-ERR") else EXIT_UNREACHABLE
+    print(json.dumps(answers) if arguments.json else "\n".join(table_lines(answers)))
+    return EXIT_OK
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -1,5 +1,5 @@
-"""Budgets by several processes of the program as `run` starts it, with faults between them; what all of them
-spent is added up on the machine's one clock."""
+"""Budgets by several processes as `run` starts them, with faults between them; what all of them spent is
+added up on the machine's one clock."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 from plumpick.policy.budgets.bounds import bounds_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Tier
-from plumpick.tools.budgets import fetch, lines
+from plumpick.tools.budgets import fetch_budgets, table_lines
 
 
 @pytest.mark.parametrize(
@@ -23,17 +23,17 @@
         (14, 3, ["figures", "divider-dies-lending"]),
     ],
 )
-def test_never_more_than_the_whole_whatever_breaks(seed, gatekeepers, cases):
+def test_limit_is_never_passed_whatever_fails(seed, gatekeepers, cases):
     outcome = asyncio.run(play(seed, gatekeepers, only=cases))
     assert outcome.over == [] and outcome.spent > 100  # how soon all is back the benchmark tells
 
 
 @pytest.mark.parametrize("plant", ["returns-twice", "fills-over-a-stall"])
-def test_a_planted_bug_is_found(plant):
+def test_mutant_passes_the_limit(plant):
     assert asyncio.run(play(21, 3, plant, cases=1)).over
 
 
-def test_where_all_demand_is_cut_off_from_the_divider_its_floor_serves_and_the_rest_rests():
+def test_gateway_cut_off_from_the_allocator_serves_by_its_guaranteed_limit():
     """As stated beforehand: `plumpick bounds --operator`, "cut off alone"."""
 
     async def scenario():
@@ -58,16 +58,16 @@
                 lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "seconds cut off"
             )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
-            operator = operator_from(
+            fleet = operator_from(
                 {"fleet": {"voters": [0, 1, 2], "term_s": 2.0, "share_s": 1.0, "budget": [BUDGETS[0]]}}, 3
             ).fleet
-            one = operator.budgets[0].budget
+            budget = fleet.budgets[0].budget
             sure = next(
                 row.sure
-                for row in bounds_of(one, 3, operator.terms, operator.share_ms)
+                for row in bounds_of(budget, 3, fleet.terms, fleet.grant_term_ms)
                 if row.state == "cut off alone" and row.window_s == 1.0
             )
-            assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + one.floor_burst(3) + 1
+            assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + budget.guaranteed_burst(3) + 1
             tier.relay.sides = []
             await tier.until(
                 lambda: sum(units for t, units in trial.spent("exports") if t > machine_ms() - 1000) > 40,
@@ -80,7 +80,7 @@
     asyncio.run(scenario())
 
 
-def test_the_audit_goes_by_the_figures_of_each_moment():
+def test_audit_goes_by_the_limits_of_each_moment():
     rows = [(0.0, 1.0)] * 5 + [(1000.0, 1.0)] * 7
     assert len(audit(rows, 2.0, 5.0)) == 5
     assert len(audit(rows, 2.0, 5.0, [(500.0, 12.0, 5.0)])) == 2
@@ -90,7 +90,7 @@
     assert not audit([(0.0, 1.0), (400.0, 1.0), (1000.0, 1.0), (2000.0, 1.0)], 2.0, 5.0, lower)
 
 
-def test_the_audit_sees_one_unit_too_many_in_any_window():
+def test_audit_sees_one_unit_too_many_in_any_window():
     rows = [(0.0, 1.0)] * 5 + [(1000.0, 1.0)] * 2
     assert not audit(rows, 2.0, 5.0)
     assert len(audit([*rows, (1000.0, 1.0)], 2.0, 5.0)) == 1
@@ -98,7 +98,7 @@
     assert not audit([], 1.0, 1.0)
 
 
-def test_clients_requests_spend_the_budget_of_their_class_and_are_turned_back_at_once_beyond_it():
+def test_requests_spend_the_budget_of_their_class_and_are_rejected_at_once_beyond_it():
     async def scenario():
         tier = Tier(
             3,
@@ -134,13 +134,13 @@
             assert not audit(trial.spent("looks"), 8.0, 6.0) and not trial.spent("none")
             await asyncio.gather(*asking)
             assert len(answered) > 24 and {status for status, *_ in answered} <= {503, 504}
-            rows = [await asyncio.to_thread(fetch, ("127.0.0.1", port)) for port in tier.calls]
-            assert "looks" in "\n".join(lines(rows)) and len(rows) == 3
+            rows = [await asyncio.to_thread(fetch_budgets, ("127.0.0.1", port)) for port in tier.calls]
+            assert "looks" in "\n".join(table_lines(rows)) and len(rows) == 3
         finally:
             await tier.close()
 
     asyncio.run(scenario())
 
 
-def test_the_trials_budgets_want_one_request_at_least():
+def test_budgets_of_the_trials_hold_one_request_at_least():
     assert all(one["burst"] >= 1 for one in BUDGETS)
--- a/tests/tools/test_budgets_command.py
+++ b/tests/tools/test_budgets_command.py
@@ -7,7 +7,7 @@
 from support.ledger_fleet import LedgerFleet
 
 from plumpick.cli import main
-from plumpick.tools.budgets import lines
+from plumpick.tools.budgets import table_lines
 
 
 def test_table_names_allocator_token_and_sums():
@@ -37,7 +37,7 @@
                 ],
             }
         )
-    text = "\n".join(lines(rows))
+    text = "\n".join(table_lines(rows))
     assert "n0, token 1, here: 42 lent to all" in text and "whole 60, floors and shares 59.8" in text
 
 
