--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -197,7 +197,7 @@
 
         await send(receiver, duty, period, token, body, looks)
 
-    lease_runner.effects.send = witnessed
+    fenced_effects.send = witnessed
     say = lease_runner.Runner._say
 
     def said(self: Any, now: float, tell: Any, leases: bool = False) -> None:
