--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -14,14 +14,15 @@
 from plumpick.gateway.config import Config
 from plumpick.gateway.operator_config import FleetSettings
 from plumpick.policy.budgets import codec
-from plumpick.policy.budgets.ledger import Book
-from plumpick.policy.budgets.matching import Matching
+from plumpick.policy.budgets.ledger import BudgetLedger
+from plumpick.policy.budgets.matching import BudgetMatcher
 from plumpick.policy.events import RequestReceived
 from plumpick.policy.leases.actions import DeliverPayload
 from plumpick.policy.leases.participant import LeaseParticipant
 
-SHARE_KIND = bytes([codec.SHARE])
-PAYLOAD_KINDS = (bytes([codec.ASK]), SHARE_KIND, bytes([codec.WHERE]))  # first bytes of its messages
+GRANT_KIND = bytes([codec.GRANT])
+# The first bytes of its messages.
+PAYLOAD_KINDS = (bytes([codec.DEMAND_REPORT]), GRANT_KIND, bytes([codec.ALLOCATOR_HINT]))
 MAX_LOGGED_CHARACTERS = 500
 
 log = logging.getLogger(__name__)
@@ -44,37 +45,37 @@
         self._clock = clock
         self._wake = wake
         self._send_payload = send_payload
-        self._matching = Matching([one.rule for one in settings.budgets])
+        self._matcher = BudgetMatcher([one.rule for one in settings.budgets])
         self._participant: LeaseParticipant | None = None
-        self.book: Book | None = None
+        self.ledger: BudgetLedger | None = None
         self.timer_ms = math.inf  # when `on_timer` will be called
 
     def start(self, now_ms: float, participant: LeaseParticipant, chance: Random) -> None:
-        """Take part; no floor is spent before `open_floors`."""
+        """Take part; no guaranteed limit is spent before `resume_guaranteed`."""
         self._participant = participant
         if not self._settings.budgets:
             return
-        self.book = Book(
+        self.ledger = BudgetLedger(
             tuple(one.budget for one in self._settings.budgets),
             self._config.settings.gateway_number,
             self._config.settings.gateway_count,
             self._settings.terms,
-            self._settings.share_ms,
+            self._settings.grant_term_ms,
             chance,
             now_ms,
         )
 
     def restore(self, now_ms: float, state: dict[str, Any]) -> None:
         """Continue from what the process before left, if that can be used."""
-        if self.book is None:
+        if self.ledger is None:
             return
         try:
-            self.book.inherit(now_ms, state.get("budgets", {}))
+            self.ledger.import_state(now_ms, state.get("budgets", {}))
         except (ValueError, KeyError, TypeError) as problem:
             log.warning("budgets: what the process before left cannot be used: %s", problem)
 
     def reconfigure(self, settings: FleetSettings) -> bool:
-        """Take other wholes and bursts of budgets in service; whether there were any. What else has changed
+        """Take other limits and bursts of budgets in service; whether there were any. What else has changed
         takes effect at the next start, which is logged."""
         old = self._settings
         old_budgets = tuple(one.budget for one in old.budgets)
@@ -85,29 +86,31 @@
                 "file takes effect at the next start"
             )
             return False
-        if self.book is None or new_budgets == old_budgets:
+        if self.ledger is None or new_budgets == old_budgets:
             return False
-        self.book.change(self._clock(), new_budgets)
+        self.ledger.set_limits(self._clock(), new_budgets)
         self._settings = settings
         changed = [one for one in new_budgets if one not in old_budgets]
-        figures = ", ".join(f"{one.name} whole {one.whole:g}, burst {one.burst:g}" for one in changed)
+        figures = ", ".join(f"{one.name} whole {one.limit:g}, burst {one.burst:g}" for one in changed)
         log.info("duties: budgets have other figures: %s", figures[:MAX_LOGGED_CHARACTERS])
         return True
 
     # -- requests
 
     def admit(self, request: RequestReceived) -> bool:
-        """Whether a request may go on by the budgets that are for it; it has spent of them, then."""
-        wanted = self._matching.of(request.class_name, request.plan_name, request.customer, request.units)
-        return not wanted or self.spend(wanted)
-
-    def spend(self, wanted: list[tuple[str, float]]) -> bool:
-        """The same, for so many units of each of these budgets."""
-        book = self.book
-        if book is None:  # clients may come before this process takes part
+        """Whether a request may go on by the budgets that are for it; it has been charged to them, then."""
+        charges = self._matcher.charges_for(
+            request.class_name, request.plan_name, request.customer, request.units
+        )
+        return not charges or self.spend(charges)
+
+    def spend(self, charges: list[tuple[str, float]]) -> bool:
+        """The same for these charges: budgets, and units of each."""
+        ledger = self.ledger
+        if ledger is None:  # clients may come before this process takes part
             return False
-        met = book.spend(self._clock(), wanted)
-        due_ms = book.next_ms()
+        met = ledger.try_spend(self._clock(), charges)
+        due_ms = ledger.next_timer_ms()
         if due_ms < self.timer_ms:
             self._wake(due_ms)
         return met
@@ -115,38 +118,38 @@
     # -- leases and messages
 
     def pinned_slots(self, now_ms: float) -> frozenset[int]:
-        """The slots whose leases must not be released yet: something is lent under them."""
-        return frozenset() if self.book is None else self.book.lent(now_ms)
+        """The slots whose leases must not be released yet: grants under them have not ended."""
+        return frozenset() if self.ledger is None else self.ledger.slots_with_grants(now_ms)
 
     def on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
-        """This process divides the slot's budgets from now on."""
-        if self.book is not None:
-            self.book.gained(now_ms, slot, token)
+        """This process allocates the slot's budgets from now on."""
+        if self.ledger is not None:
+            self.ledger.on_lease_acquired(now_ms, slot, token)
 
     def on_slot_lost(self, slot: int) -> None:
-        """It divides them no longer."""
-        if self.book is not None:
-            self.book.lost(slot)
+        """It allocates them no longer."""
+        if self.ledger is not None:
+            self.ledger.on_lease_lost(slot)
 
     def yield_slots(self, slots: set[int]) -> None:
-        """Lend nothing more under these slots: their leases are to be released."""
-        if self.book is not None:
-            self.book.yields(slots)
+        """Grant nothing more under these slots: their leases are to be released."""
+        if self.ledger is not None:
+            self.ledger.stop_granting(slots)
 
-    def open_floors(self, now_ms: float) -> None:
-        """Floors may be spent from now on: no other process of this gateway spends them."""
-        if self.book is not None:
-            self.book.open_floors(now_ms)
+    def resume_guaranteed(self, now_ms: float) -> None:
+        """Guaranteed limits may be spent from now on: no other process of this gateway spends them."""
+        if self.ledger is not None:
+            self.ledger.resume_guaranteed(now_ms)
 
     def on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
         """A message about budgets has come."""
         self._deliver(now_ms, payload.sender, payload.incarnation, payload.data)
 
     def _deliver(self, now_ms: float, sender: int, incarnation: int, data: bytes) -> None:
-        if self.book is None or self._participant is None:
+        if self.ledger is None or self._participant is None:
             return
         own_incarnation = self._participant.incarnation
-        self.book.heard(
+        self.ledger.on_message(
             now_ms, sender, incarnation, data, own_incarnation, self._holder_of, self._lease_end_ms
         )
 
@@ -165,30 +168,30 @@
     # -- timers
 
     def on_timer(self, now_ms: float) -> None:
-        """Send what is to be requested and lent."""
-        book = self.book
+        """Send reports and grants that are due."""
+        ledger = self.ledger
         participant = self._participant
-        if book is None or participant is None or participant.closed:
+        if ledger is None or participant is None or participant.closed:
             return
-        book.due(now_ms)
-        while book.to_send:
-            messages = book.to_send
-            book.to_send = []
+        ledger.on_timer(now_ms)
+        while ledger.outbox:
+            messages = ledger.outbox
+            ledger.outbox = []
             for receiver, data in messages:
                 if receiver == self._config.settings.gateway_number:
                     self._deliver(now_ms, receiver, participant.incarnation, data)
                 else:
                     self._send_payload(now_ms, receiver, data)
-        for line in book.faults:
+        for line in ledger.warnings:
             log.warning("duties: %s", line)
-        book.faults.clear()
+        ledger.warnings.clear()
 
     def next_due_ms(self) -> float:
         """When `on_timer` has something to do."""
-        return math.inf if self.book is None else self.book.next_ms()
+        return math.inf if self.ledger is None else self.ledger.next_timer_ms()
 
 
 def _fixed_settings(settings: FleetSettings) -> tuple[Any, ...]:
     """What cannot change in service."""
     rules = [one.rule for one in settings.budgets]
-    return settings.terms, settings.duties, settings.share_ms, rules
+    return settings.terms, settings.scheduled_tasks, settings.grant_term_ms, rules
--- a/plumpick/gateway/cluster/process_guard.py
+++ b/plumpick/gateway/cluster/process_guard.py
@@ -1,7 +1,8 @@
-"""One process of a gateway at a time votes on leases and spends the budgets' floors.
+"""One process of a gateway at a time votes on leases and spends the budgets' guaranteed limits.
 
 Two processes with one gateway's number, as when one is started before the other has ended, would both grant
-leases and both spend each floor. The guard is the platform's: it ends with its process, however that ends."""
+leases and both spend each guaranteed limit. The guard is the platform's: it ends with its process, however
+that ends."""
 
 from __future__ import annotations
 
--- a/plumpick/gateway/cluster/status.py
+++ b/plumpick/gateway/cluster/status.py
@@ -8,7 +8,7 @@
 import math
 from typing import Any
 
-from plumpick.policy.budgets.ledger import Book
+from plumpick.policy.budgets.ledger import BudgetLedger
 from plumpick.policy.leases.participant import LeaseParticipant
 from plumpick.policy.scheduled_tasks import TaskScheduler, TaskState
 
@@ -33,25 +33,25 @@
     return json.dumps(reply, separators=(",", ":"))
 
 
-def budgets_reply(gateway_name: str, book: Book, now_ms: float, page: int) -> str:
+def budgets_reply(gateway_name: str, ledger: BudgetLedger, now_ms: float, page: int) -> str:
     """The reply to BUDGETS."""
-    rows = book.rows(now_ms)
+    rows = ledger.status(now_ms)
     reply = {
         "gatekeeper": gateway_name,
         "pages": _pages(len(rows)),
         "budgets": [
             {
                 "name": row.name,
-                "whole": row.whole,
-                "floor": round(row.floor, 6),
-                "lent": round(row.lent, 6),
-                "until_ms": row.until_ms and round(row.until_ms),
-                "left": round(row.level, 3),
+                "whole": row.limit,
+                "floor": round(row.guaranteed, 6),
+                "lent": round(row.granted, 6),
+                "until_ms": row.expires_in_ms and round(row.expires_in_ms),
+                "left": round(row.available, 3),
                 "demand": round(row.demand, 3),
-                "unmet": row.unmet,
-                "divider": row.divider,
-                "token": f"{row.token:x}",
-                "out": None if row.out is None else round(row.out, 6),
+                "unmet": row.rejected,
+                "divider": row.allocator,
+                "token": f"{row.fencing_token:x}",
+                "out": None if row.granted_to_all is None else round(row.granted_to_all, 6),
             }
             for row in _page(rows, page)
         ],
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -39,9 +39,9 @@
         self._send_payload = send_payload
         self._plans = [plan.name for plan in config.settings.plans]
         self._counters = {
-            one.duty.name: UsageCounter(one.duty.period_ms, system.unix_ms())
-            for one in settings.duties
-            if one.duty.kind == USE
+            one.task.name: UsageCounter(one.task.period_ms, system.unix_ms())
+            for one in settings.scheduled_tasks
+            if one.task.kind == USE
         }
         self._names_by_tag = {_tag(name): name for name in self._counters}
         self._collections: dict[str, tuple[int, UsageCollection]] = {}  # by task: the period, and what came
