--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -18,11 +18,12 @@
 from plumpick.cli import parser
 from plumpick.gateway.daemon import ending_of
 from plumpick.gateway.gateway import WORKER_PART
-from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
+from plumpick.gateway.operator_config import MAX_CONFIGURATION_SERVICES, MAX_GRANT_TERM_S, operator_from
 from plumpick.policy import endpoint_watch, subsetting, usage_report
-from plumpick.policy.budgets.codec import sharing
-from plumpick.policy.budgets.holder import Share
-from plumpick.policy.budgets.ledger import INBOX_PER_S
+from plumpick.policy.budgets.codec import encode_grants
+from plumpick.policy.budgets.grant import Grant
+from plumpick.policy.budgets.messages import GrantRow
+from plumpick.policy.budgets.report_schedule import MAX_REPORTS_PER_S
 from plumpick.policy.dynamic_config import subscriber, version_store
 from plumpick.policy.errors import ReconfigurationError
 from plumpick.policy.quota.liveness import SILENCE_HEARTBEATS, heartbeat_ms
@@ -119,13 +120,13 @@
         "home_lost_s": SILENCE_HEARTBEATS * heartbeat_ms(tier) / 1000,
         "gather_each_ms": usage_report.POLL_INTERVAL_MS,
         "gather_longest_s": usage_report.max_collection_ms(gatekeepers) / 1000,
-        "askings_per_s": INBOX_PER_S,
-        "share_least_s": 2 * gatekeepers / INBOX_PER_S,
-        "share_most_s": SHARE_MOST_S,
-        "share_bytes": float(len(sharing(0, 0, [(0, Share(0, 0, 0, 0, 0), 0)])[0])),
+        "askings_per_s": MAX_REPORTS_PER_S,
+        "share_least_s": 2 * gatekeepers / MAX_REPORTS_PER_S,
+        "share_most_s": MAX_GRANT_TERM_S,
+        "share_bytes": float(len(encode_grants(0, 0, [GrantRow(0, Grant(0, 0, 0, 0, 0), 0)])[0])),
         "slots": float(default.terms.slots),
         "term_s": default.terms.term_ms / 1000,
-        "share_default_s": default.share_ms / 1000,
+        "share_default_s": default.grant_term_ms / 1000,
         "agent_watch_ms": endpoint_watch.WATCH_MS,
         "agent_worst_s": endpoint_watch.worst_ms(False) / 1000,
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_MS,
@@ -138,7 +139,7 @@
         "version_worst_s": subscriber.worst_ms(SILENT) / 1000,
         "versions_kept": float(version_store.KEPT),
         "connections_most": float(MOST_CONNECTIONS),
-        "services_most": float(MOST_SERVICES),
+        "services_most": float(MAX_CONFIGURATION_SERVICES),
     }
 
 
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -84,7 +84,7 @@
         self.usage = UsageCollector(config, settings, system, self._send_payload)
         self.budgets = BudgetSpending(config, settings, system.boottime, self._wake, self._send_payload)
         self._runs = TaskRuns(
-            config.name, settings.duties, loop, self._may_act, self.usage.collect, self._on_run_end
+            config.name, settings.scheduled_tasks, loop, self._may_act, self.usage.collect, self._on_run_end
         )
         self._restart = PlannedRestart(command)
         self._guard = ProcessGuard(loop, lambda: system.guard(config.peer_listen), self._on_guard_acquired)
@@ -94,7 +94,7 @@
         system.takes_part(self)
 
     def _new_scheduler(self) -> TaskScheduler:
-        tasks = tuple(one.duty for one in self._settings.duties)
+        tasks = tuple(one.task for one in self._settings.scheduled_tasks)
         return TaskScheduler(tasks, self._settings.terms.slots, self._chance)
 
     # -- start and end
@@ -134,7 +134,7 @@
 
     def _acquire_guard(self, participant: LeaseParticipant) -> None:
         is_acceptor = participant.gateway in participant.terms.acceptors
-        if not is_acceptor and self.budgets.book is None:
+        if not is_acceptor and self.budgets.ledger is None:
             return
         if self._guard.acquire():
             self._on_sole_process(participant)
@@ -152,7 +152,7 @@
     def _on_sole_process(self, participant: LeaseParticipant) -> None:
         now_ms = self._system.boottime()
         participant.become_acceptor(now_ms)
-        self.budgets.open_floors(now_ms)
+        self.budgets.resume_guaranteed(now_ms)
 
     def begin_shutdown(self) -> None:
         """The process will end: release each lease when nothing of it runs. A restart permit is kept: it is
@@ -169,8 +169,8 @@
             "drained": self._restart.drained,
             "use": self.usage.capture(),
         }
-        if self.budgets.book is not None:
-            state["budgets"] = self.budgets.book.estate(self._system.boottime())
+        if self.budgets.ledger is not None:
+            state["budgets"] = self.budgets.ledger.export_state(self._system.boottime())
         self.close()
         return state
 
@@ -370,10 +370,10 @@
 
     def budgets_status(self, argument: str) -> tuple[bool, str]:
         """The reply to BUDGETS [PAGE]: whether the command is rejected, and one line."""
-        book = self.budgets.book
-        if book is None:
+        ledger = self.budgets.ledger
+        if ledger is None:
             return True, "no budgets are named here"
         if self.participant is None or self.participant.closed:
             return True, "another process has the budgets"
         page = status.page_of(argument)
-        return False, status.budgets_reply(self._config.name, book, self._system.boottime(), page)
+        return False, status.budgets_reply(self._config.name, ledger, self._system.boottime(), page)
--- a/plumpick/gateway/cluster/task_runs.py
+++ b/plumpick/gateway/cluster/task_runs.py
@@ -12,7 +12,7 @@
 
 from plumpick.gateway.cluster import fenced_effects
 from plumpick.gateway.cluster.fenced_effects import EffectError
-from plumpick.gateway.operator_config import USE, DutySettings
+from plumpick.gateway.operator_config import USE, ScheduledTaskSettings
 from plumpick.policy.scheduled_tasks import StartRun, StopRun
 
 log = logging.getLogger(__name__)
@@ -24,7 +24,7 @@
     def __init__(
         self,
         gateway_name: str,
-        settings: tuple[DutySettings, ...],
+        settings: tuple[ScheduledTaskSettings, ...],
         loop: asyncio.AbstractEventLoop,
         may_act: Callable[[int, int], bool],
         collect_usage: Callable[[StartRun], Awaitable[dict[str, Any]]],
@@ -32,7 +32,7 @@
     ) -> None:
         """`may_act(slot, token)`: whether an effect may be written now; `on_end`: a run is over."""
         self._gateway_name = gateway_name
-        self._receivers = {one.duty.name: one.receiver for one in settings}
+        self._receivers = {one.task.name: one.receiver for one in settings}
         self._loop = loop
         self._may_act = may_act
         self._collect_usage = collect_usage
--- a/tests/gateway/cluster/test_cluster_settings.py
+++ b/tests/gateway/cluster/test_cluster_settings.py
@@ -22,8 +22,8 @@
     got = operator_from(
         fleet(DUTY, {**DUTY, "name": "two", "fenced": False, "repeatable": True}, turns=1), 3
     ).fleet
-    assert [one.duty.name for one in got.duties] == ["use", "two"]
-    assert got.duties[0].receiver.address == ("127.0.0.1", 9) and got.terms.restart_permits == 1
+    assert [one.task.name for one in got.scheduled_tasks] == ["use", "two"]
+    assert got.scheduled_tasks[0].receiver.address == ("127.0.0.1", 9) and got.terms.restart_permits == 1
     assert operator_from({}, 3).fleet is None
 
 
@@ -63,4 +63,4 @@
 def test_the_shipped_operators_file_is_valid():
     text = (ROOT / "deploy/operator.toml").read_text()
     got = operator_from(tomllib.loads(text), 3).fleet
-    assert got is not None and len(got.duties) >= 2
+    assert got is not None and len(got.scheduled_tasks) >= 2
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -11,13 +11,11 @@
 # Modules and functions that are larger, and circles of imports, until they are split: each has to leave
 # this list once it no longer needs it.
 LARGE_MODULES = {
-    "plumpick/policy/budgets/ledger.py",
     "plumpick/gateway/listeners/http/connection.py",
     "plumpick/gateway/gateway.py",
     "plumpick/gateway/upstream/connection_pool.py",
 }
 LARGE_FUNCTIONS = {
-    "plumpick/policy/budgets/ledger.py:_asked",
     "plumpick/policy/dynamic_config/version_store.py:summary",
     "plumpick/gateway/daemon.py:serve",
     "plumpick/gateway/gateway.py:__init__",
