--- a/benchmarks/ownership/plants.py
+++ b/benchmarks/ownership/plants.py
@@ -6,38 +6,38 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.policy.leases import participant as members
-from plumpick.policy.leases.lease_holder import Holder
-from plumpick.policy.leases.terms import Terms
+from plumpick.policy.leases import participant
+from plumpick.policy.leases.lease_holder import LeaseHolder
+from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.simulation.exploration import leases
 
 
 def _voter(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "Voter", bug)
+    return lambda: setattr(participant, "Acceptor", bug)
 
 
 def _holder(bug: type[Any]) -> Callable[[], None]:
-    return lambda: setattr(members, "Holder", bug)
+    return lambda: setattr(participant, "LeaseHolder", bug)
 
 
 def _looks_never() -> None:
     """An effect goes out though the clock says that its lease has ended."""
-    from plumpick.gateway.cluster.lease_runner import Runner
+    from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
-    def may(self: Any, slot: int, token: int) -> bool:
-        return slot in self.member.holder.held
+    def may_act(self: Any, slot: int, token: int) -> bool:
+        return slot in self.participant.holder.held
 
-    Runner.may = may  # type: ignore[method-assign]
+    LeaseRunner._may_act = may_act  # type: ignore[method-assign]
 
 
 def _never_outdoes() -> None:
     """What a receiver says of larger tokens is not heard, and tokens begin at nothing."""
-    Holder.outdo = lambda self, now_ms, lease, counter: None  # type: ignore[method-assign]
+    LeaseHolder.on_larger_token = lambda self, *_: None  # type: ignore[method-assign]
 
 
 def _alone() -> None:
     """One voter's word is enough."""
-    Terms.majority = property(lambda self: 1)  # type: ignore[assignment, misc]
+    LeaseTerms.quorum = property(lambda self: 1)  # type: ignore[assignment, misc]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -17,17 +17,18 @@
 from plumpick.capacity.slopes import LINEAR, Slope
 from plumpick.cli import parser
 from plumpick.gateway.gateway import WORKER_PART
-from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
+from plumpick.gateway.operator_config import MAX_CONFIGURATION_SERVICES, MAX_GRANT_TERM_S, operator_from
 from plumpick.gateway.shutdown import shutdown_times
 from plumpick.policy import endpoint_watch, subsetting, usage_report
-from plumpick.policy.budgets.codec import sharing
-from plumpick.policy.budgets.holder import Share
-from plumpick.policy.budgets.ledger import INBOX_PER_S
-from plumpick.policy.controller import HOLD_PINGS, ping_ms
+from plumpick.policy.budgets.codec import encode_grants
+from plumpick.policy.budgets.grant import Grant
+from plumpick.policy.budgets.messages import GrantRow
+from plumpick.policy.budgets.report_schedule import MAX_REPORTS_PER_S
 from plumpick.policy.dynamic_config import subscriber, version_store
-from plumpick.policy.reconfiguration import refusal
-from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
-from plumpick.policy.settings_parser import MAX_CLASSES
+from plumpick.policy.errors import ReconfigurationError
+from plumpick.policy.quota.liveness import SILENCE_HEARTBEATS, heartbeat_ms
+from plumpick.policy.reconfiguration import check
+from plumpick.policy.settings import MAX_CLASSES, Idempotency, Plan, RequestClass, Settings
 from plumpick.tools.configuration_service import MOST_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
@@ -79,6 +80,15 @@
     return float(given.in_force_in)
 
 
+def needs_restart(before: Settings, after: Settings) -> bool:
+    """Whether the program takes over such settings only by a restart."""
+    try:
+        check(before, after)
+    except ReconfigurationError:
+        return True
+    return False
+
+
 def constants(sizes: Mapping[str, float]) -> dict[str, float]:
     """What the program's own text says at these sizes."""
     gatekeepers = int(sizes["gatekeepers"])
@@ -104,19 +114,19 @@
         replace(tier, plans=(*tier.plans, Plan("other"))),
     )
     return {
-        "arc_workers": math.ceil(sizes["workers"] * subsetting.share(sizes["workers"], gatekeepers)),
+        "arc_workers": math.ceil(sizes["workers"] * subsetting.subset_ratio(sizes["workers"], gatekeepers)),
         "worker_part": WORKER_PART,
         "classes_most": float(MAX_CLASSES),
-        "home_lost_s": HOLD_PINGS * ping_ms(tier) / 1000,
-        "gather_each_ms": usage_report.ASK_EACH_MS,
-        "gather_longest_s": usage_report.longest_ms(gatekeepers) / 1000,
-        "askings_per_s": INBOX_PER_S,
-        "share_least_s": 2 * gatekeepers / INBOX_PER_S,
-        "share_most_s": SHARE_MOST_S,
-        "share_bytes": float(len(sharing(0, 0, [(0, Share(0, 0, 0, 0, 0), 0)])[0])),
+        "home_lost_s": SILENCE_HEARTBEATS * heartbeat_ms(tier) / 1000,
+        "gather_each_ms": usage_report.POLL_INTERVAL_MS,
+        "gather_longest_s": usage_report.max_collection_ms(gatekeepers) / 1000,
+        "askings_per_s": MAX_REPORTS_PER_S,
+        "share_least_s": 2 * gatekeepers / MAX_REPORTS_PER_S,
+        "share_most_s": MAX_GRANT_TERM_S,
+        "share_bytes": float(len(encode_grants(0, 0, [GrantRow(0, Grant(0, 0, 0, 0, 0), 0)])[0])),
         "slots": float(default.terms.slots),
         "term_s": default.terms.term_ms / 1000,
-        "share_default_s": default.share_ms / 1000,
+        "share_default_s": default.grant_term_ms / 1000,
         "agent_watch_ms": endpoint_watch.WATCH_MS,
         "agent_worst_s": endpoint_watch.worst_ms(False) / 1000,
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_MS,
@@ -124,12 +134,12 @@
         "shared_worst_s": endpoint_watch.worst_ms(True) / 1000,
         "ending_s": shutdown_times([math.inf])[2],  # of classes with long deadlines
         # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
-        "restarts_a_version": float(any(refusal(tier, other) for other in others)),
+        "restarts_a_version": float(any(needs_restart(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_ms(1) / 1000, _publish_s()),
         "version_worst_s": subscriber.worst_ms(SILENT) / 1000,
         "versions_kept": float(version_store.KEPT),
         "connections_most": float(MOST_CONNECTIONS),
-        "services_most": float(MOST_SERVICES),
+        "services_most": float(MAX_CONFIGURATION_SERVICES),
     }
 
 
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -46,7 +46,7 @@
     WatchEndpoints,
 )
 from plumpick.policy.controller import Controller
-from plumpick.policy.draining import LATE_FOR_MS, AdmissionState
+from plumpick.policy.draining import LATE_REQUEST_TIME_MS, AdmissionState
 from plumpick.policy.events import (
     AttemptCompleted,
     AttemptResult,
@@ -65,7 +65,7 @@
     SettingsChanged,
     TimerFired,
 )
-from plumpick.policy.health_status import Standing
+from plumpick.policy.health_status import QuotaHealth
 
 MARGIN_MS = 20.0  # the module is told a deadline so much earlier: the wire and our timers take their time
 GUARD_MS = 5.0  # so long before the client gives up it is answered, come what may
@@ -147,7 +147,7 @@
         self.peers = Peers(config, self.heard, system.create_datagram_socket)
         self._listeners: list[Listener] = []
         self.sweeps: list[Callable[[float], None]] = []  # of others that have to be looked after as often
-        self._standing = Standing(config.settings.gateway_count, config.settings.gateway_number)
+        self._standing = QuotaHealth(config.settings.gateway_count, config.settings.gateway_number)
         self.open: dict[int, Request] = {}
         self._streams: dict[Request, None] = {}  # of these, with a body that goes on while it comes
         self.attempts: dict[tuple[int, int], Attempt] = {}  # all that are out, also of ended requests
@@ -225,7 +225,7 @@
     def heard(self, sender: int, data: bytes) -> None:
         """A peer has told something."""
         if self.fleet is not None and data[:1] == LEASES:
-            self.fleet.heard(sender, data)
+            self.fleet.on_datagram(sender, data)
             return
         self.notice(PeerMessageReceived(sender, data))
         if self.sibling is not None:
@@ -250,7 +250,7 @@
         if name in ("DUTIES", "BUDGETS") or name == "DRAIN" and argument:
             return self._fleet_call(name, argument)
         if name == "UNDRAIN" and self.fleet is not None:
-            self.fleet.want_turn(False)
+            self.fleet.want_restart_permit(False)
         wrong = self.order(name, argument)
         if not wrong and self.sibling is not None:
             self.sibling.on_operator_command(name, argument)
@@ -262,12 +262,12 @@
         if self.fleet is None:
             return True, "nothing is done for the fleet here: the operator's file names no duties"
         if name == "DUTIES":
-            return self.fleet.status(argument)
+            return self.fleet.tasks_status(argument)
         if name == "BUDGETS":
-            return self.fleet.budgets(argument)
+            return self.fleet.budgets_status(argument)
         if argument.upper() != "FLEET":
             return True, "DRAIN takes FLEET, or nothing more"
-        wrong = self.fleet.want_turn(True)
+        wrong = self.fleet.want_restart_permit(True)
         log.info("operator: DRAIN FLEET: %s", f"refused, {wrong}" if wrong else "waits for a turn")
         return bool(wrong), wrong or "DRAIN FLEET: when it is our turn"
 
@@ -323,7 +323,7 @@
         if before != self.admission_state and AdmissionState.OPEN in (before, self.admission_state):
             log.info("clients are %s", "sent away" if self.admission_state else "taken again")
         if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.admission_state:
-            self._late_end_ms = self.clock.now() + LATE_FOR_MS
+            self._late_end_ms = self.clock.now() + LATE_REQUEST_TIME_MS
         elif self.admission_state < AdmissionState.BOUNDING_LATE_REQUESTS:
             self._late_end_ms = math.inf
         self._open_or_not()
@@ -454,7 +454,7 @@
     def _count(self, request: Request, outcome: int) -> None:
         """A request that has been closed: how it ended."""
         if self.fleet is not None:
-            self.fleet.count(request.plan, outcome, request.units)
+            self.fleet.usage.count(request.plan, outcome, request.units)
 
     def _close(self, request: Request) -> bool:
         """Take a request off the table; False if it has had its final answer before."""
@@ -655,7 +655,7 @@
         late_ms = self._late_ms(now)
         if late_ms > STALL_THRESHOLD_MS:
             self._stood_ms, self._stood_until_ms = late_ms, now + MARGIN_MS
-        line = self._standing.look(now, self.controller.silent_homes())
+        line = self._standing.update(now, self.controller.unresponsive_owners())
         if line:
             log.warning(line)
         self.timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -154,8 +154,8 @@
             return
         leases = None
         if context.participant is not None:  # whatever becomes of it, from here on the leases are not ours
-            leases = context.participant.hand_over()
-            context.participant.passed_on = lambda row: channel.send(MessageKind.LEASE_TALLY, row)
+            leases = context.participant.capture()
+            context.participant.usage.forward = lambda row: channel.send(MessageKind.LEASE_TALLY, row)
         try:
             state = self._export_state(leases)
             context.close()
@@ -199,6 +199,6 @@
         gateway.peers.start_receiving()
         gateway.resume()
         if self._context.participant is not None:
-            self._context.participant.resume()
+            self._context.participant.resume_after_failed_handover()
         self._on_change(False)
         self._reopen(MAX_REOPEN_ATTEMPTS)
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -70,7 +70,7 @@
             _execute_command(context, value)
         elif kind == MessageKind.LEASE_TALLY:
             if context.participant is not None:
-                context.participant.counted_elsewhere(value)
+                context.participant.usage.count_forwarded(value)
         else:
             return False
     except (ValueError, TypeError) as problem:
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -174,23 +174,31 @@
         """An operator's command is in force here."""
 
 
+class RequestCounter(Protocol):
+    """Counts requests for the fleet's usage (cluster/usage_collector.py)."""
+
+    def count(self, plan: str, outcome: int, units: float) -> None:
+        """A request has its final outcome: served (0), rejected (1) or failed (2)."""
+
+
 class ClusterParticipant(Protocol):
-    """What the gateway asks of its part in the work for the whole tier (cluster/lease_runner.py)."""
+    """This process's part in what is done for the whole tier (cluster/lease_runner.py)."""
 
-    def heard(self, sender: int, data: bytes) -> None:
-        """A message about leases has come."""
+    @property
+    def usage(self) -> RequestCounter:
+        """Where requests are counted."""
 
-    def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final response: served (0), rejected (1) or failed (2)."""
+    def on_datagram(self, sender: int, data: bytes) -> None:
+        """A datagram about leases has come from a gateway."""
 
-    def want_turn(self, wanted: bool) -> str:
-        """Drain when it is this gateway's turn, or no longer; the reason against that, or nothing."""
+    def want_restart_permit(self, wanted: bool) -> str:
+        """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
 
-    def status(self, argument: str) -> tuple[bool, str]:
-        """The reply to DUTIES: whether it is rejected, and its text."""
+    def tasks_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to DUTIES: whether the command is rejected, and one line."""
 
-    def budgets(self, argument: str) -> tuple[bool, str]:
-        """The reply to BUDGETS: whether it is rejected, and its text."""
+    def budgets_status(self, argument: str) -> tuple[bool, str]:
+        """The reply to BUDGETS: whether the command is rejected, and one line."""
 
 
 class SettingsSource(Protocol):
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -97,7 +97,7 @@
         self._gateway.come_up(self._stop.is_requested())
         if self._participant is not None:
             leases = self._management.inherited_leases if self._management is not None else None
-            self._participant.open(leases)
+            self._participant.start(leases)
         log.info("gatekeeper %s is up", self._config.name)
 
     def _start_tasks(self) -> None:
@@ -153,7 +153,7 @@
         serving_s, answered_s, exit_s = shutdown_times(ms / 1000 for ms in gateway.deadlines_ms())
         gateway.leave((stopped_s + answered_s - loop.time()) * 1000)
         if self._participant is not None:
-            self._participant.leave()
+            self._participant.begin_shutdown()
         if self._management is None:
             await asyncio.sleep(max(0.0, stopped_s + serving_s - loop.time()))
             await close_listener(loop, self._server, self._listen_socket, self._listener)
@@ -183,13 +183,13 @@
     settings: Any, config: Config, loop: asyncio.AbstractEventLoop, platform: Platform, gateway: Gatekeeper
 ) -> Any:
     """The gateway's part in the work for the whole tier; imported only where the operator names some."""
-    from plumpick.gateway.cluster.lease_runner import Runner
+    from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
-    participant = Runner(
+    participant = LeaseRunner(
         config, settings, loop, platform, gateway.peers.send, lambda name: gateway.order(name, "")
     )
     if settings.budgets:
-        gateway.controller.admits = participant.admits
+        gateway.controller.limit_by_budgets(participant.budgets.admit)
     return participant
 
 
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -32,7 +32,7 @@
             log.error("the operator's settings stay as they were: %s", problem)
             continue
         if settings is not None:
-            participant.change(settings)
+            participant.reconfigure(settings)
 
 
 async def _reload_config(config: Config, discovery: Discovery, platform: Platform) -> bool:
--- /dev/null
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -0,0 +1,48 @@
+"""What one process of a gateway passes to the next."""
+
+import random
+
+import pytest
+from support.lease_tier import LeaseTier
+
+from plumpick.policy.leases.codec import Vote
+from plumpick.policy.leases.events import ReleaseRequested
+from plumpick.policy.leases.participant import LeaseParticipant
+from plumpick.policy.leases.snapshot import LeaseSnapshotError
+from plumpick.policy.leases.terms import LeaseTerms
+
+
+def test_a_hot_restart_keeps_one_holder_and_never_has_two():
+    tier = LeaseTier(9, gateways=3, term_ms=2000)
+    tier.run(6000)
+    owner = tier.holder(0)
+    old = tier.processes[owner]
+    state = old.participant.capture()
+    assert old.participant.handle(old.clock(), [ReleaseRequested(0)]) == [] and old.participant.closed
+    new = LeaseParticipant(tier.terms, owner, 3, 12345, random.Random(3), old.clock(), 0.0)
+    new.restore(old.clock(), state)
+    old.participant = new
+    before = len(tier.acquired)
+    tier.run(10_000)
+    assert tier.holder(0) == owner and len(tier.acquired) == before and not tier.overlaps
+    with pytest.raises(LeaseSnapshotError, match="cannot be used"):
+        LeaseParticipant(LeaseTerms((0,)), 0, 1, 1, random.Random(1), 0.0, 0.0).restore(
+            0.0, state
+        )  # other settings
+
+
+def test_a_restored_acceptor_keeps_its_grants_and_a_fresh_one_is_silent():
+    terms = LeaseTerms((0, 1, 2), term_ms=1000)
+    old = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0)
+    old.acceptor.silent_until_ms = 0.0
+    assert old.acceptor.on_request(1.0, 0, (1, 5), 7, 1).vote is Vote.GRANTED
+    state = old.capture()
+    new = LeaseParticipant(terms, 0, 3, 2, random.Random(1), 10.0, 0.0)
+    new.restore(10.0, state)
+    assert new.acceptor.on_request(20.0, 0, (2, 6), 9, 1).vote is Vote.HELD_BY_OTHER
+    assert (
+        LeaseParticipant(terms, 0, 3, 2, random.Random(1), 10.0, 0.0)
+        .acceptor.on_request(20.0, 0, (2, 6), 9, 1)
+        .vote
+        is Vote.SILENT
+    )
