--- a/tests/test_admission.py
+++ b/tests/gateway/listeners/http/test_connection_admission.py
@@ -49,7 +49,7 @@
     return admission, idle, owing
 
 
-def test_after_a_stall_nobody_is_closed_for_what_was_not_read_meanwhile():
+def test_stall_of_this_process_does_not_count_on_any_connections_time():
     """Their requests may wait unread. Found by the simulation: they were closed, and the requests lost."""
     admission, idle, owing = crowd()
     admission.sweep(5000.0, False)
@@ -58,7 +58,7 @@
     assert not [client for client in [*idle, owing] if client.closed]
 
 
-def test_who_is_idle_or_owes_a_request_is_closed_in_time_all_the_same():
+def test_idle_and_silent_connections_are_closed_in_time_after_a_stall():
     admission, idle, owing = crowd()
     admission.sweep(5000.0, False)
     swept(admission, 5100.0, 5000.0 + MIN_IDLE_MS + REQUEST_TIMEOUT_MS)
@@ -66,13 +66,13 @@
     assert sum(client.closed == "idle" for client in idle) == len(idle) - admission.max_long_idle
 
 
-def test_sweeps_in_time_go_by_the_clock():
+def test_sweep_without_stall_goes_by_the_clock():
     admission, idle, owing = crowd()
     swept(admission, 100.0, REQUEST_TIMEOUT_MS + 200.0)
     assert owing.closed == "gave up" and [client for client in idle if client.closed]
 
 
-def test_what_waited_through_a_stall_comes_in_beyond_the_limit_as_far_as_others_leave_room():
+def test_connections_beyond_the_limit_are_admitted_while_descriptors_are_spare():
     """Found by the simulation (seed 122): those that came last, still waiting, were dropped for the dead."""
     admission = ConnectionAdmission(100)
     clients = [Client() for _ in range(admission.hard_max_connections + 10)]
@@ -87,7 +87,7 @@
     ] * admission.max_connections
 
 
-def test_where_all_is_full_those_go_whose_clients_have_gone_and_a_crowd_that_stays_is_looked_at_seldom():
+def test_at_the_hard_limit_disconnected_clients_are_evicted_and_others_checked_rarely():
     """Found by the simulation (seed 717): a stall of 4.4 s, and the last to come were dropped."""
     admission, looks = ConnectionAdmission(100), []
     clients = [Client() for _ in range(admission.hard_max_connections)]
@@ -109,7 +109,7 @@
     assert len(looks) - before <= admission.hard_max_connections
 
 
-def test_a_body_has_its_own_time_and_more_for_what_has_come_of_it():
+def test_time_for_a_body_starts_after_its_head_and_grows_with_received_bytes():
     """Seen: 141 of 1,251 slow requests were cut off 2.2 s after their connection came, in their bodies."""
     admission, _, owing = crowd()
     owing.request_started = True
@@ -125,7 +125,7 @@
     assert owing.closed == "gave up"
 
 
-def test_in_a_crowd_that_never_finishes_true_clients_that_take_two_seconds_to_write_all_stay():
+def test_slow_but_sending_clients_stay_in_a_crowd_that_never_completes_requests():
     """3,000 that say nothing or stop in their head, and 200 that write a piece each 0.2 s for 2 s."""
     admission, now, waiting, asked, lost = ConnectionAdmission(192), 0.0, [], 0, 0
     admission.sweep(0.0, False)
@@ -157,7 +157,7 @@
     assert lost == 0 and asked >= 150
 
 
-def test_an_ending_gatekeeper_leaves_a_connection_that_has_just_come_a_moment_to_ask():
+def test_new_connection_may_still_send_a_request_while_the_gateway_shuts_down():
     """Found by the simulation (seed 465): its request was 0.6 ms away when its connection was closed."""
     admission, idle, owing = crowd()
     assert admission.is_new(owing, 10.0 + NEW_CONNECTION_MS) and not admission.is_new(
--- a/tests/fronts/test_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -26,7 +26,7 @@
     writer.write(answer())
 
 
-def test_an_answer_before_a_close_is_not_erased_by_what_has_not_been_read():
+def test_response_is_delivered_when_connection_closes_over_unread_bytes():
     """Closed over unread bytes a connection is reset; `Connection: close` closed so, at once."""
 
     async def scenario(worker, gate, client):
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("late", [b"GET /look HT", request("00000000000000ee")], ids=["half a line", "whole"])
-def test_what_comes_between_the_look_and_the_close_of_an_idle_connection_is_never_taken(late):
+def test_request_that_arrives_while_an_idle_connection_closes_is_never_submitted(late):
     """Its client reads a clean end and asks anew; it is neither reset nor sent on."""
 
     async def scenario(worker, gate, client):
@@ -75,7 +75,7 @@
     one_worker(scenario)
 
 
-def test_many_that_rest_are_told_to_go_at_one_stroke_while_they_ask():
+def test_idle_connections_closed_together_end_cleanly_while_their_clients_send():
     async def scenario(worker, gate, client):
         clients = [client] + [await gate.client() for _ in range(20)]
         for one in clients:
@@ -94,7 +94,7 @@
     one_worker(scenario)
 
 
-def test_a_client_that_reads_slowly_gets_all_of_the_answer_before_its_connection_closes():
+def test_slow_reader_gets_the_whole_response_before_its_connection_closes():
     """Seen by reading: whatever was not written 1 s after the answer's end was cut off."""
 
     async def scenario(worker, gate, client):
@@ -121,7 +121,7 @@
     one_worker(scenario)
 
 
-def test_who_reads_nothing_is_let_go_in_the_end():
+def test_connection_whose_client_reads_nothing_is_aborted_after_the_unread_timeout():
     class Stuck:
         closing_since_ms, unwritten_at_last_sweep, received_while_closing = 0.0, 0, False
 
@@ -153,7 +153,7 @@
         assert dropped is not None and bound <= dropped <= bound + 2000.0
 
 
-def test_connections_that_the_system_has_accepted_are_served_when_the_listener_closes():
+def test_connections_in_the_backlog_are_served_when_the_listener_closes():
     """They wait in the listener's backlog, unseen by us; closed with it they are reset."""
 
     async def scenario():
@@ -179,7 +179,7 @@
     run(scenario())
 
 
-def test_a_connection_whose_answer_is_not_written_out_is_not_given_to_the_next_process():
+def test_connection_with_unwritten_response_is_not_transferred_to_the_next_process():
     """What is not with the system yet does not pass over with the descriptor."""
 
     async def scenario(worker, gate, client):
