--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements: one command a figure."""
--- a/benchmarks/ownership/__init__.py
+++ b/benchmarks/ownership/__init__.py
@@ -0,0 +1,1 @@
+"""Trials of leases by real processes with faults between them."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m benchmarks.scale`."""
+
 import sys
 
 from benchmarks.scale.commands import main
--- a/plumpick/cli.py
+++ b/plumpick/cli.py
@@ -18,6 +18,7 @@
     """One line for what is wrong with the call, and exit code 2."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
+        """Print the message and end with the exit code of a wrong call."""
         print(f"{self.prog}: {message}", file=sys.stderr)
         raise SystemExit(EXIT_USAGE)
 
--- a/plumpick/policy/dynamic_config/version_store.py
+++ b/plumpick/policy/dynamic_config/version_store.py
@@ -57,7 +57,7 @@
         self._answers: dict[tuple[int, str], bytes] = {}
 
     @property
-    def newest(self) -> Content | None:
+    def newest(self) -> Content | None:  # noqa: D102
         return self.kept[max(self.kept)].content if self.kept else None
 
     def publish(self, now: float, value: Any) -> str:
--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -1,13 +1,14 @@
-"""The bytes that gateways send each other, at most 256: quota business and sightings of servers.
+"""The bytes that gateways send each other, at most 256: quota messages and outlier reports.
 
-Version 4. Its head holds a digest of the names of classes and plans in their order: an index means nothing to
-a gateway with others, so their messages are dropped, as those of another version are. An index takes as many
-bytes as the settings need.
+Version 4. The head holds a digest of the names of classes and plans in their order: an index means nothing to
+a gateway with other names, so its messages are dropped, as those of another version are. An index takes as
+many bytes as the settings need.
 
-Names travel as tags, which may meet. Of 40,000 customers two share a tag with a chance of 3 in a million;
-they are then one to a home that both have, if their plan is the same as well. The tags are no secret: who may
-choose names can make two meet. Of 5,900 servers two share one with a chance of 0.4 %; of such a pair no
-peer's word is taken (by_tag). A server that the sender knows and we do not yet may share one with ours."""
+Names travel as tags, which may collide. Of 40,000 customers two share a tag with a chance of 3 in a million;
+an owner of both takes them for one, if their plan is the same as well. The tags are no secret: who may choose
+names can make two collide. Of 5,900 endpoints two share one with a chance of 0.4 %; of such a pair no peer's
+report counts (endpoints_by_tag). An endpoint that the sender knows and we do not yet may share one with ours.
+"""
 
 from __future__ import annotations
 
@@ -26,42 +27,57 @@
 
 MAX_BYTES = 256
 VERSION = 4
-_HEAD = "<BIHHB"  # version, digest of names, boot number, room of the sender x 64, items
-_ITEM = "<BIHHHH"  # kind and set, tag (low, high), serial, units x 16, asked a second x 16; then both indexes
-_SIGHTING = "<I"  # server tag; then class and grade
-MAX_OUTLIER_REPORTS, MAX_ENCODED_SET_SIZE = 4, 15
-_GRADES = 16  # of a sighting
-_LOW = 0xFFFFFFFF
+MAX_OUTLIER_REPORTS = 4
+MAX_ENCODED_SET_SIZE = 15
+UNITS_SCALE = 16  # a unit, and one a second, in the numbers sent
+CAPACITY_SCALE = 64
+MAX_NUMBER = 0xFFFF
+TAG_LOW_BITS = 32
+_TAG_LOW_MASK = 0xFFFFFFFF
+_HEAD = "<BIHHB"  # version, digest of names, incarnation, capacity, number of quota messages
+_QUOTA_MESSAGE = "<BIHHHH"  # kind and set size, tag (low, high), serial, units, demand; then both indexes
+_OUTLIER_REPORT = "<I"  # endpoint tag; then class and grade
+_KIND_SHIFT = 4
+_SET_SIZE_MASK = 15
+_GRADES = 16  # of an outlier report
+_FAILED_GRADE = 15
+_USUAL_GRADE = 4  # as fast as usual; two grades for each doubling
+_GRADES_PER_DOUBLING = 2
+_MIN_LATENCY_RATIO = 0.25
+_MAX_LATENCY_RATIO = 32.0
 
 
 class QuotaMessageKind(IntEnum):
-    """What an item says."""
+    """What a quota message says."""
 
-    GRANT_REQUEST = 1  # to the home: may so many units go on?
-    GRANT = 2  # from the home: they may
-    QUEUED = 3  # from the home: heard, but not now
-    SPENT = 4  # to the home: they went on without a grant
-    RETURNED = 5  # to the home: not needed, or no longer out
-    RETRY_GRANT_REQUEST = 6  # an ASK for a client's repeat
-    DENIED = 7  # from the home: not in any time that is of use
-    LATE = 8  # to the home: a SPENT once more, since it may not have been heard
+    GRANT_REQUEST = 1  # to the owner: may so many units be spent?
+    GRANT = 2  # from the owner: they may
+    QUEUED = 3  # from the owner: not yet
+    SPENT = 4  # to the owner: they were spent without a grant
+    RETURNED = 5  # to the owner: not used, or no longer in flight
+    RETRY_GRANT_REQUEST = 6  # a GRANT_REQUEST for a client's retry
+    DENIED = 7  # from the owner: not in any time that is of use
+    LATE = 8  # to the owner: a SPENT once more, since it may not have been heard
+
+
+_KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
 
 
 class QuotaMessage(NamedTuple):
-    """One piece of business about one try of a customer."""
+    """One message about the units of one request."""
 
     kind: QuotaMessageKind
     customer_tag: int
     serial: int
     units: float
-    demand_per_s: float  # of the sender; from a home, of the whole set
+    demand_per_s: float  # units asked of the sender; from an owner, of the whole set
     class_index: int
     plan_index: int
-    gateway_set_size: int = 1  # gateways of the customer's set; 0 where it is wider than MAX_SPREAD
+    gateway_set_size: int = 1  # of the customer; 0 where it is over MAX_ENCODED_SET_SIZE
 
 
 class OutlierReport(NamedTuple):
-    """How one attempt at a server went at the sender."""
+    """How one attempt at an endpoint went at the sender."""
 
     endpoint_tag: int
     class_index: int
@@ -69,139 +85,155 @@
 
 
 class PeerMessage(NamedTuple):
-    """One message."""
+    """All that one datagram holds."""
 
     incarnation: int
-    capacity: float
+    capacity: float  # of the sender's concurrency limit
     quota_messages: tuple[QuotaMessage, ...]
     outlier_reports: tuple[OutlierReport, ...]
 
 
-_FAILED, _EVEN = 15, 4  # grades: failed; as fast as usual, with two grades for each doubling
+def outlier_report(endpoint_id: str, class_index: int, latency_ratio: float) -> OutlierReport:
+    """What was seen of an endpoint: the latency against the usual one, or inf for a failure."""
+    if latency_ratio == math.inf:
+        return OutlierReport(endpoint_tag(endpoint_id), class_index, _FAILED_GRADE)
+    bounded = max(_MIN_LATENCY_RATIO, min(_MAX_LATENCY_RATIO, latency_ratio))
+    grade = _USUAL_GRADE + round(_GRADES_PER_DOUBLING * math.log2(bounded))
+    return OutlierReport(endpoint_tag(endpoint_id), class_index, grade)
 
 
-def outlier_report(server: str, class_index: int, ratio: float) -> OutlierReport:
-    """What was seen of a server: the answer time against the usual, or inf for a failure."""
-    grade = _FAILED if ratio == math.inf else _EVEN + round(2 * math.log2(max(0.25, min(32.0, ratio))))
-    return OutlierReport(endpoint_tag(server), class_index, grade)
-
-
-def latency_ratio_of(seen: OutlierReport) -> float:
-    """The answer time against the usual that a sighting tells, inf for a failure."""
-    return math.inf if seen.grade == _FAILED else 2 ** ((seen.grade - _EVEN) / 2)
+def latency_ratio_of(report: OutlierReport) -> float:
+    """The latency against the usual one that a report tells, inf for a failure."""
+    if report.grade == _FAILED_GRADE:
+        return math.inf
+    return 2 ** ((report.grade - _USUAL_GRADE) / _GRADES_PER_DOUBLING)
 
 
 def customer_tag(customer: str) -> int:
     """A short stand-in for a customer's name, 48 bits; the same at every gateway. The lower 32 are those of
-    version 3, by which homes go (place_of): a roll moves no home, so that no firm has two meanwhile."""
+    version 3, by which quota owners go: a rolling upgrade moves no owner, so that no customer has two."""
     name = customer.encode()
-    return int.from_bytes(hashlib.blake2b(name, digest_size=2).digest(), "little") << 32 | zlib.crc32(name)
+    high = int.from_bytes(hashlib.blake2b(name, digest_size=2).digest(), "little")
+    return high << TAG_LOW_BITS | zlib.crc32(name)
 
 
-def owner_position(tag: int, spread: int) -> int:
-    """The place of a customer's home in its set."""
-    return (tag & _LOW) % spread
+def owner_position(tag: int, set_size: int) -> int:
+    """The place of a customer's quota owner in its set of gateways."""
+    return (tag & _TAG_LOW_MASK) % set_size
 
 
-def endpoint_tag(server: str) -> int:
-    """A short stand-in for a server's id, 32 bits."""
-    return zlib.crc32(server.encode(errors="surrogatepass"))
+def endpoint_tag(endpoint_id: str) -> int:
+    """A short stand-in for an endpoint's id, 32 bits."""
+    return zlib.crc32(endpoint_id.encode(errors="surrogatepass"))
 
 
-def endpoints_by_tag(known: Mapping[str, T]) -> dict[int, T]:
-    """The servers by their tags. Two that share one are left out: a word on it may be on the other."""
-    tags = {name: endpoint_tag(name) for name in known}
+def endpoints_by_tag(tracked: Mapping[str, T]) -> dict[int, T]:
+    """The endpoints by their tags, without those that share one: a report on it may be on the other."""
+    tags = {name: endpoint_tag(name) for name in tracked}
     holders = Counter(tags.values())
-    return {tag: known[name] for name, tag in tags.items() if holders[tag] == 1}
+    return {tag: tracked[name] for name, tag in tags.items() if holders[tag] == 1}
 
 
 def _clip(value: float) -> int:
-    return round(value) if 0 <= value <= 0xFFFF else 0xFFFF if value > 0 else 0
+    """A number as it is sent: rounded, and cut to what two bytes hold."""
+    if 0 <= value <= MAX_NUMBER:
+        return round(value)
+    return MAX_NUMBER if value > 0 else 0
 
 
 def _width(count: int) -> str:
-    """The struct letter of the least unsigned number that tells so many apart."""
-    return "B" if count <= 1 << 8 else "H" if count <= 1 << 16 else "I"
+    """The struct letter of the smallest unsigned number that tells so many apart."""
+    if count <= 1 << 8:
+        return "B"
+    return "H" if count <= 1 << 16 else "I"
 
 
 class PeerMessageCodec:
     """Messages to bytes and back, between gateways of the same classes and plans."""
 
     def __init__(self, settings: Settings) -> None:
-        self.classes, self.plans = len(settings.classes), len(settings.plans)
-        names = ascii(([kind.name for kind in settings.classes], [plan.name for plan in settings.plans]))
+        self.class_count = len(settings.classes)
+        self.plan_count = len(settings.plans)
+        class_names = [request_class.name for request_class in settings.classes]
+        names = ascii((class_names, [plan.name for plan in settings.plans]))
         digest = hashlib.blake2b(names.encode(), digest_size=4).digest()
-        self.version, self.digest = VERSION, int.from_bytes(digest, "little")
+        self.version = VERSION
+        self.digest = int.from_bytes(digest, "little")
         self._head = struct.Struct(_HEAD)
-        self._item = struct.Struct(_ITEM + _width(self.classes * self.plans))
-        self._sighting = struct.Struct(_SIGHTING + _width(self.classes * _GRADES))
-        room = MAX_BYTES - self._head.size - MAX_OUTLIER_REPORTS * self._sighting.size
-        self.max_quota_messages = room // self._item.size
+        self._quota_message = struct.Struct(_QUOTA_MESSAGE + _width(self.class_count * self.plan_count))
+        self._outlier_report = struct.Struct(_OUTLIER_REPORT + _width(self.class_count * _GRADES))
+        space = MAX_BYTES - self._head.size - MAX_OUTLIER_REPORTS * self._outlier_report.size
+        self.max_quota_messages = space // self._quota_message.size
 
     def encode(
-        self, boot: int, room: float, items: list[QuotaMessage], sightings: list[OutlierReport]
+        self,
+        incarnation: int,
+        capacity: float,
+        quota_messages: list[QuotaMessage],
+        outlier_reports: list[OutlierReport],
     ) -> bytes:
-        """The message; items and sightings beyond what it holds are left out. Raises ValueError where an
-        index is none of the settings': packed all the same, it would be another class's."""
-        items, sightings = items[: self.max_quota_messages], sightings[:MAX_OUTLIER_REPORTS]
-        parts = [self._head.pack(self.version, self.digest, boot & 0xFFFF, _clip(room * 64), len(items))]
-        for item in items:
-            if not (0 <= item.class_index < self.classes and 0 <= item.plan_index < self.plans):
-                raise ValueError(f"no index of class and plan: {item!r}")
-            kind = item.kind << 4 | (
-                item.gateway_set_size if item.gateway_set_size <= MAX_ENCODED_SET_SIZE else 0
-            )
-            parts.append(
-                self._item.pack(
-                    kind,
-                    item.customer_tag & _LOW,
-                    item.customer_tag >> 32,
-                    item.serial & 0xFFFF,
-                    _clip(item.units * 16),
-                    _clip(item.demand_per_s * 16),
-                    item.class_index * self.plans + item.plan_index,
-                )
-            )
-        for seen in sightings:
-            if not (0 <= seen.class_index < self.classes and 0 <= seen.grade < _GRADES):
-                raise ValueError(f"no index of a class, or no grade: {seen!r}")
-            parts.append(self._sighting.pack(seen.endpoint_tag, seen.class_index * _GRADES + seen.grade))
+        """The bytes of a message; what it has no space for is left out. Raises ValueError where an index is
+        none of the settings': packed all the same, it would be another class's."""
+        quota_messages = quota_messages[: self.max_quota_messages]
+        number, count = incarnation & MAX_NUMBER, len(quota_messages)
+        parts = [self._head.pack(self.version, self.digest, number, _clip(capacity * CAPACITY_SCALE), count)]
+        parts += map(self._pack_quota_message, quota_messages)
+        parts += map(self._pack_outlier_report, outlier_reports[:MAX_OUTLIER_REPORTS])
         return b"".join(parts)
 
+    def _pack_quota_message(self, message: QuotaMessage) -> bytes:
+        is_class = 0 <= message.class_index < self.class_count
+        if not (is_class and 0 <= message.plan_index < self.plan_count):
+            raise ValueError(f"no index of class and plan: {message!r}")
+        is_small = message.gateway_set_size <= MAX_ENCODED_SET_SIZE
+        set_size = message.gateway_set_size if is_small else 0
+        return self._quota_message.pack(
+            message.kind << _KIND_SHIFT | set_size,
+            message.customer_tag & _TAG_LOW_MASK,
+            message.customer_tag >> TAG_LOW_BITS,
+            message.serial & MAX_NUMBER,
+            _clip(message.units * UNITS_SCALE),
+            _clip(message.demand_per_s * UNITS_SCALE),
+            message.class_index * self.plan_count + message.plan_index,
+        )
+
+    def _pack_outlier_report(self, report: OutlierReport) -> bytes:
+        if not (0 <= report.class_index < self.class_count and 0 <= report.grade < _GRADES):
+            raise ValueError(f"no index of a class, or no grade: {report!r}")
+        return self._outlier_report.pack(report.endpoint_tag, report.class_index * _GRADES + report.grade)
+
     def decode(self, data: bytes) -> PeerMessage | None:
         """The message in these bytes, or None where they cannot be read."""
         if len(data) < self._head.size or len(data) > MAX_BYTES:
             return None
-        version, digest, boot, room, count = self._head.unpack_from(data)
-        body = self._head.size + count * self._item.size
+        version, digest, incarnation, capacity, count = self._head.unpack_from(data)
         if version != self.version or digest != self.digest:
             return None
-        if len(data) < body or (len(data) - body) % self._sighting.size:
+        reports_at = self._head.size + count * self._quota_message.size
+        if len(data) < reports_at or (len(data) - reports_at) % self._outlier_report.size:
             return None
-        rows = list(self._item.iter_unpack(data[self._head.size : body]))
-        seen = list(self._sighting.iter_unpack(data[body:]))
-        if any(row[0] >> 4 not in _KINDS or row[6] >= self.classes * self.plans for row in rows):
+        message_rows = list(self._quota_message.iter_unpack(data[self._head.size : reports_at]))
+        report_rows = list(self._outlier_report.iter_unpack(data[reports_at:]))
+        indexes = self.class_count * self.plan_count
+        if any(row[0] >> _KIND_SHIFT not in _KINDS or row[6] >= indexes for row in message_rows):
             return None
-        if any(packed >= self.classes * _GRADES for _, packed in seen):
+        if any(packed >= self.class_count * _GRADES for _, packed in report_rows):
             return None
-        return PeerMessage(
-            boot,
-            room / 64,
-            tuple(
-                QuotaMessage(
-                    QuotaMessageKind(kind >> 4),
-                    high << 32 | low,
-                    serial,
-                    units / 16,
-                    asked / 16,
-                    index // self.plans,
-                    index % self.plans,
-                    kind & 15,
-                )
-                for kind, low, high, serial, units, asked, index in rows
-            ),
-            tuple(OutlierReport(server, packed // _GRADES, packed % _GRADES) for server, packed in seen),
+        messages = tuple(self._unpacked_message(row) for row in message_rows)
+        reports = tuple(
+            OutlierReport(tag, packed // _GRADES, packed % _GRADES) for tag, packed in report_rows
+        )
+        return PeerMessage(incarnation, capacity / CAPACITY_SCALE, messages, reports)
+
+    def _unpacked_message(self, row: tuple[int, ...]) -> QuotaMessage:
+        kind_and_size, tag_low, tag_high, serial, units, demand, index = row
+        return QuotaMessage(
+            QuotaMessageKind(kind_and_size >> _KIND_SHIFT),
+            tag_high << TAG_LOW_BITS | tag_low,
+            serial,
+            units / UNITS_SCALE,
+            demand / UNITS_SCALE,
+            index // self.plan_count,
+            index % self.plan_count,
+            kind_and_size & _SET_SIZE_MASK,
         )
-
-
-_KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -1,9 +1,9 @@
-"""How far quotas and ceilings can be passed, from the settings alone: no I/O, no clock.
+"""How far quotas and hard limits can be passed, from the settings alone.
 
 Every figure is an upper bound on the units that all gateways together grant one customer of a plan within a
-window, beyond `burst + rate x window` (its quota) or `ceiling burst + ceiling rate x window` (its ceiling).
-The derivation stands in docs/design/quotas.md; each term here names the line of `control.py` that keeps it.
-A customer is taken to name one set of gateways, as the protocol has it.
+window, beyond `burst + rate x window` (its quota) or the same of its hard limit. The derivation stands in
+docs/design/quotas.md; each term here names the method that keeps it. A customer is taken to name one set of
+gateways, as the protocol has it.
 """
 
 from __future__ import annotations
@@ -56,9 +56,10 @@
 def held_s(settings: Settings) -> float:
     """For how long at most after its units are drawn a try comes whole to its first server, in seconds.
 
-    `Controller.on_arrival` puts "hopeless" on the agenda: by then it is sent on or refused, and that is
-    before the aim (the deadline, where late answers have worth). Its time counts from the arrival and units
-    are drawn later, so this is more than can be. On top come attempts that found no connection."""
+    `RequestLifecycle._schedule_ends` sets a FIRST_ATTEMPT timer: by then it is forwarded or rejected, and
+    that is before the objective (the deadline, where late answers have value). Its time counts from the
+    request's arrival and units are charged later, so this is more than can be. On top come attempts that
+    found no connection."""
     longest_ms = max(
         kind.deadline_ms
         if kind.late_priority_weight > 0
@@ -95,32 +96,32 @@
         raise BoundsError("restarts and windows are not below nothing")
     if not plan.rate_per_s:
         return 0.0
-    # What each gateway may draw without asking (Quota.account: own never holds more; Quota.unanswered: one
-    # request of any size on credit). The home hears of it (SPENT) and its store goes below nothing for it.
-    # What was drawn before the window may be sent on in it.
+    # What each gateway may spend without asking (QuotaRequester._fill: local_units never holds more;
+    # on_grant_timeout: one request of any size without a grant). The owner hears of it (SPENT) and its ledger
+    # goes below 0 for it. What was spent before the window may be forwarded in it.
     own = count * (LOCAL_BURST_RATIO * plan.burst + settings.max_units) + plan.rate_per_s * held_s(settings)
     if situation is Situation.SERVICE:
         return own
     if situation is Situation.LOSS:
-        # A SPENT that is lost is booked nowhere: of the draws of all own buckets, which fill at the quota's
+        # A SPENT that is lost is charged nowhere: of what all own buckets spend, which fill at the quota's
         # rate in sum, and of what they held.
         return own + loss * (own + plan.rate_per_s * window_s)
     if situation in (Situation.ONE_HOME, Situation.ALL_HOMES):
-        # Quota.at_home: a new store is full. A customer has one home, so all restarting is one for it. What
-        # its gateways drew while it was away is booked nowhere, but nor did the home grant then.
+        # QuotaOwner._ledger_for: a new ledger is full. A customer has one owner, so all restarting is one for
+        # it. What its gateways spent while it was away is charged nowhere, but nor did the owner grant then.
         return own + restarts * plan.burst
-    # A split: the far side lives on own buckets, which fill at their part of the quota. From HOLD_PINGS after
-    # the last word on that is the even part (Quota.account), and the home keeps as much back
-    # (Quota.part_here); their last words may lie one apart (Quota.ping), and two more where signs
-    # were lost. Before that, the far side's parts make the quota at most.
+    # A split: the far side lives on own buckets, which fill at their part of the quota. From
+    # SILENCE_HEARTBEATS after the last message on that is the even part (QuotaRequester._fill), and the owner
+    # withholds as much (QuotaOwner.granted_ratio); their last messages may lie one apart, and two more where
+    # heartbeats were lost. Before that, the far side's parts make the quota at most.
     cut_off = count - 1 if far is None else far
     if not 0 <= cut_off < max(2, count):
         raise BoundsError(f"far: {cut_off} of {count} gateways")
     if not cut_off:
         return own
     unsure_s = min(window_s, (SILENCE_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
-    # Among many gateways only those that asked a home of late give it life signs, so a firm that goes to a
-    # gateway new to it has its even part there besides.
+    # Among many gateways only those that asked an owner of late send it heartbeats, so a customer that goes
+    # to a gateway new to it has its even part there besides.
     new = 0.0 if settings.gateway_count - 1 <= MAX_ALL_TO_ALL else (window_s - unsure_s) * cut_off / count
     return own + plan.rate_per_s * (unsure_s + new)
 
@@ -148,10 +149,10 @@
 def beyond_ceiling(plan: Plan, settings: Settings, window_s: float) -> float:
     """Units sent on beyond the ceiling, in any situation.
 
-    Its parts are split for good (HOME_CEILING at the home, REST_CEILING evenly over the set), begin empty
-    with every process (`Store.ceiling`, `Account.ceiling`) and are never given back, so no loss, split or
+    Its parts are divided for good (OWNER_RATIO at the owner, SET_RATIO evenly over the set), begin empty with
+    every process (`hard_limit_units` of ledgers and accounts) and are never given back, so no loss, split or
     restart grants more. What was drawn may be sent on later, and comes on top of what the window itself
-    fills, so the parts make only CEILING_USE of the ceiling together."""
+    fills, so the parts make only USED_RATIO of the hard limit together."""
     if window_s <= 0:
         raise BoundsError("windows are not below nothing")
     allowed = plan.hard_limit_burst + plan.hard_limit_per_s * window_s
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -1,7 +1,8 @@
-"""The settings: how the object that a gateway is told at its start becomes the module's types.
+"""Reads the settings from the platform's JSON: its keys are mapped to the types of settings.py here, and
+nowhere else.
 
-Shared by the simulator's adapter and the gatekeeper. Nothing here decides anything.
-"""
+The simulator's wire and the daemon share it. What cannot be right is told by a SettingsError that names the
+key."""
 
 from __future__ import annotations
 
@@ -47,6 +48,7 @@
         return value
 
     def number(self, key: str, fallback: float | None = None) -> float:
+        """A finite number; raises SettingsError. Without `fallback` the key must be there."""
         try:
             value = float(self._get(key, (int, float), fallback))
         except OverflowError:  # JSON knows whole numbers of any length
@@ -63,21 +65,27 @@
         return value
 
     def text(self, key: str, fallback: str | None = None) -> str:
+        """A text; raises SettingsError."""
         return self._get(key, (str,), fallback)
 
     def flag(self, key: str, fallback: bool | None = None) -> bool:
+        """A truth value; raises SettingsError."""
         return bool(self._get(key, (bool, int), fallback))
 
     def table(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
+        """An object; raises SettingsError."""
         return JsonObject(self._get(key, (dict,), fallback), f"{self.path}.{key}")
 
     def items(self, key: str) -> list[Any]:
+        """A list; raises SettingsError."""
         return self._get(key, (list,), None)
 
     def rows(self, key: str) -> list[JsonObject]:
+        """A list of objects; raises SettingsError."""
         return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
 
     def words(self, key: str) -> tuple[str, ...]:
+        """A list of texts, empty where the key is missing; raises SettingsError."""
         return tuple(str(word) for word in self._get(key, (list,), []))
 
 
