--- a/tests/compatibility/oracle.py
+++ b/tests/compatibility/oracle.py
@@ -15,10 +15,10 @@
     tests = Path(__file__).resolve().parents[1]
     sys.path[:0] = [str(tests.parent), str(tests)]
 
-from compatibility import edges, fleets, histories, snapshots
+from compatibility import config_histories, config_wire, edges, fleets, histories, snapshots
 
 FOLDER = Path(__file__).with_name("recorded")
-HISTORY_SEEDS, FLEET_SEEDS, SNAPSHOT_SEEDS = range(200), range(60), range(12)
+HISTORY_SEEDS, FLEET_SEEDS, SNAPSHOT_SEEDS, CONFIG_SEEDS = range(200), range(60), range(12), range(60)
 SHOWN = 10  # differences that are printed
 
 
@@ -46,6 +46,8 @@
             "fleets": played(pool, fleets.digest_of, FLEET_SEEDS),
             "histories": played(pool, histories.digest_of, HISTORY_SEEDS),
             "edges": edges.all_of_them(),
+            "config_decisions": played(pool, config_histories.digests_of, CONFIG_SEEDS),
+            "config_replies": config_wire.replies(),
         }
 
 
@@ -68,6 +70,9 @@
         found += differences(recorded(name), json.loads(json.dumps(value)), name)
     saved = recorded("snapshots")
     found += differences(saved["digests"], snapshots.digests(saved), "snapshots")
+    left = recorded("config_state")
+    taken_up = json.loads(json.dumps(config_wire.inherited(left["state"])))
+    found += differences(left["taken_up"], taken_up, "config_state")
     return found
 
 
@@ -76,6 +81,7 @@
     for name, value in current().items():
         keep(name, value)
     keep("snapshots", snapshots.recorded(SNAPSHOT_SEEDS))
+    keep("config_state", config_wire.left_behind())
 
 
 def main():
--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -3,11 +3,21 @@
 import json
 
 import pytest
-from compatibility import edges, fleets, histories, oracle, snapshots
+from compatibility import (
+    config_histories,
+    config_wire,
+    dynamic_config,
+    edges,
+    fleets,
+    histories,
+    oracle,
+    snapshots,
+)
 
 from plumpick.policy import controller
 
 SOME_HISTORIES, SOME_FLEETS = range(0, 200, 5), range(0, 60, 6)
+SOME_CONFIG = range(0, 60, 6)
 
 
 def test_the_decisions_of_recorded_histories_are_the_same():
@@ -42,6 +52,35 @@
     assert not list(oracle.differences(oracle.recorded("edges")[name], now))
 
 
+def test_decisions_on_versions_of_the_settings_and_on_watches_of_discovery_are_the_same():
+    before = oracle.recorded("config_decisions")
+    for seed in SOME_CONFIG:
+        assert not list(oracle.differences(before[str(seed)], config_histories.digests_of(seed))), seed
+
+
+def test_versions_of_the_settings_and_discovery_have_the_same_bytes_lines_and_exit_codes():
+    now = json.loads(json.dumps(config_wire.replies()))
+    assert not list(oracle.differences(oracle.recorded("config_replies"), now))
+
+
+def test_a_version_that_an_earlier_program_left_is_taken_up_as_before():
+    left = oracle.recorded("config_state")
+    now = json.loads(json.dumps(config_wire.inherited(left["state"])))
+    assert left["taken_up"]["versions"].count(left["state"]["version"]) >= 1
+    assert not list(oracle.differences(left["taken_up"], now))
+
+
+@pytest.mark.parametrize("part", ["SUBSCRIBER_CONSTANT", "STORE_CONSTANT", "WATCH_CONSTANT"])
+def test_a_change_of_one_constant_of_settings_or_discovery_is_found(monkeypatch, part):
+    module, name = getattr(dynamic_config, part)
+    value = getattr(module, name)
+    monkeypatch.setattr(module, name, value + 1 if isinstance(value, int) else value * 1.2)
+    before = oracle.recorded("config_decisions")
+    assert any(
+        list(oracle.differences(before[str(seed)], config_histories.digests_of(seed))) for seed in SOME_CONFIG
+    )
+
+
 def test_a_change_of_one_constant_is_found(monkeypatch):
     monkeypatch.setattr(controller, "FAIL_WEIGHT", controller.FAIL_WEIGHT * 1.01)
     assert any(is_changed(seed) for seed in SOME_HISTORIES)
