--- a/benchmarks/configuration/plants.py
+++ b/benchmarks/configuration/plants.py
@@ -8,118 +8,124 @@
 from typing import Any
 
 from plumpick.gateway.dynamic_config import client
-from plumpick.policy.dynamic_config import subscriber
-from plumpick.policy.dynamic_config.delta import applied
-from plumpick.policy.dynamic_config.subscriber import Content, Offer, Versions, Wish
+from plumpick.policy.dynamic_config.delta import apply_changes
+from plumpick.policy.dynamic_config.errors import DeltaError, InvalidUpdateError
+from plumpick.policy.dynamic_config.subscriber import Assessment, ConfigSubscriber
+from plumpick.policy.dynamic_config.updates import SettingsVersion, VersionUpdate
 
 
 def _takes_an_older() -> None:
     """Whatever comes is news."""
-    wish = Versions.wish
+    assess = ConfigSubscriber.assess
 
-    def any_is_news(self: Any, offer: Offer) -> Wish:
-        found = wish(self, offer)
-        return Wish.READ if found is Wish.OLD else found
+    def any_is_wanted(self: Any, update: VersionUpdate) -> Assessment:
+        found = assess(self, update)
+        return Assessment.WANTED if found is Assessment.OUTDATED else found
 
-    def take(self: Any, now: float, content: Content, problem: str) -> str:
-        self._heard(now)
-        self._want_whole, self._had_news = False, True
-        if problem:
-            self._refuse(content.version, content.digest, problem)
-            return problem
-        self.staged = content
-        return ""
+    def on_version_read(self: Any, now_ms: float, version: SettingsVersion) -> None:
+        self._on_response(now_ms)
+        self._wants_snapshot = False
+        self._had_update = True
 
-    Versions.wish, Versions.take = any_is_news, take  # type: ignore[method-assign]
+    def stage(self: Any, now_ms: float, version: SettingsVersion) -> None:
+        self._on_version_read(now_ms, version)
+        self.staged = version
 
+    ConfigSubscriber.assess = any_is_wanted  # type: ignore[method-assign]
+    ConfigSubscriber._on_version_read = on_version_read  # type: ignore[method-assign]
+    ConfigSubscriber.stage = stage  # type: ignore[method-assign]
 
-def _unchecked(offer: Offer, base: Content, same_base: bool) -> Content:
-    if offer.settings is not None:
-        settings = offer.settings
-    elif same_base and (offer.base, offer.base_digest) != (base.version, base.digest):
-        raise subscriber.Unusable("changes from another base")
+
+def _unchecked(update: VersionUpdate, base: SettingsVersion, same_base: bool) -> SettingsVersion:
+    if update.settings is not None:
+        settings = update.settings
+    elif same_base and not update.applies_to(base):
+        raise InvalidUpdateError("changes from another base")
     else:
         try:
-            settings = applied(base.settings, offer.changes)
-        except subscriber.DeltaError as problem:
-            raise subscriber.Unusable(str(problem)) from problem
-    return Content(offer.version, offer.digest, offer.in_force_ms, settings)
+            settings = apply_changes(base.settings, update.changes)
+        except DeltaError as problem:
+            raise InvalidUpdateError(str(problem)) from problem
+    return SettingsVersion(update.number, update.digest, update.activates_at_ms, settings)
 
 
 def _any_base() -> None:
     """Changes are applied to what is at hand, and the result is believed."""
-    wish = Versions.wish
+    assess = ConfigSubscriber.assess
 
-    def wishes(self: Any, offer: Offer) -> Wish:
-        found = wish(self, offer)
-        return Wish.READ if found is Wish.WHOLE else found
+    def any_base_fits(self: Any, update: VersionUpdate) -> Assessment:
+        found = assess(self, update)
+        return Assessment.WANTED if found is Assessment.BASE_MISMATCH else found
 
-    Versions.wish = wishes  # type: ignore[method-assign]
-    client.read = lambda offer, base: _unchecked(offer, base, False)
+    ConfigSubscriber.assess = any_base_fits  # type: ignore[method-assign]
+    client.resolve_update = lambda update, base: _unchecked(update, base, False)
 
 
 def _no_digest() -> None:
     """The digest is taken as told."""
-    client.read = lambda offer, base: _unchecked(offer, base, True)
+    client.resolve_update = lambda update, base: _unchecked(update, base, True)
 
 
 def _in_part() -> None:
     """Of a bad version what can be read is taken."""
-    checked = client.checked
+    usable_config = client.usable_config
 
-    def lenient(config: Any, content: Content) -> Any:
-        made, wrong = checked(config, content)
-        if not wrong:
-            return made, wrong
+    def lenient(config: Any, version: SettingsVersion) -> Any:
+        try:
+            return usable_config(config, version)
+        except client.UnusableSettingsError:
+            pass
         good = {
             "balancers": config.settings.gateways,
             "packages": [],
             "rules": {},
             "limits": {},
-            **{key: value for key, value in content.settings.items() if value},
+            **{key: value for key, value in version.settings.items() if value},
         }
         parts = replace(config.settings, tick_ms=float(good.get("tickMs", 1.0)) + 1.0)
-        return replace(config, settings=parts), ""
+        return replace(config, settings=parts)
 
-    client.checked = lenient
+    client.usable_config = lenient
 
 
 def _at_receipt() -> None:
     """A version comes into force when it comes."""
-    take = Versions.take
+    stage = ConfigSubscriber.stage
 
-    def takes(self: Any, now: float, content: Content, problem: str) -> str:
-        object.__setattr__(content, "in_force_ms", 0.0)
-        return take(self, now, content, problem)
+    def stage_for_now(self: Any, now_ms: float, version: SettingsVersion) -> None:
+        object.__setattr__(version, "activates_at_ms", 0.0)
+        stage(self, now_ms, version)
 
-    Versions.take = takes  # type: ignore[method-assign]
+    ConfigSubscriber.stage = stage_for_now  # type: ignore[method-assign]
 
 
 def _forgets_refusals() -> None:
     """What was refused is asked for again, at once."""
-    Versions._refuse = lambda self, version, its, why: None  # type: ignore[method-assign]
+    ConfigSubscriber._reject = lambda self, number, digest, reason: None  # type: ignore[method-assign]
 
 
 def _keeps_the_staged() -> None:
     """While one is staged no other is taken."""
-    take = Versions.take
+    stage = ConfigSubscriber.stage
 
-    def takes(self: Any, now: float, content: Content, problem: str) -> str:
-        if self.staged is not None and not problem:
-            self._heard(now)
-            return ""
-        return take(self, now, content, problem)
+    def stage_unless_one_is(self: Any, now_ms: float, version: SettingsVersion) -> None:
+        if self.staged is not None:
+            self._on_response(now_ms)
+            return
+        stage(self, now_ms, version)
 
-    Versions.take = takes  # type: ignore[method-assign]
+    ConfigSubscriber.stage = stage_unless_one_is  # type: ignore[method-assign]
 
 
 def _stays() -> None:
     """An address is asked for good, whatever becomes of it."""
 
-    def move(self: Any) -> None:
-        self._quiet, self._goes_on, self._had_news = 0, False, False
+    def use_the_same(self: Any) -> None:
+        self._unchanged_watches = 0
+        self._may_watch = False
+        self._had_update = False
 
-    Versions._move = move  # type: ignore[method-assign]
+    ConfigSubscriber._use_next_address = use_the_same  # type: ignore[method-assign]
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/benchmarks/configuration/size.py
+++ b/benchmarks/configuration/size.py
@@ -25,12 +25,18 @@
 from benchmarks.trials import quantile
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import config_from
-from plumpick.gateway.dynamic_config.client import Source, _read, _short_turns
-from plumpick.policy.dynamic_config.delta import canonical, changes_between, digest
-from plumpick.policy.dynamic_config.subscriber import Content, Versions, offer_from
+from plumpick.gateway.dynamic_config.client import (
+    ConfigClient,
+    UnusableSettingsError,
+    _short_switch_interval,
+    prepare_version,
+)
+from plumpick.policy.dynamic_config.delta import canonical_json, changes_between, settings_digest
+from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber
+from plumpick.policy.dynamic_config.updates import SettingsVersion, parse_update
 from plumpick.rehearsal.surroundings import HOST
-from plumpick.tools.configuration import ask
-from plumpick.tools.configuration_service import PATH, Service
+from plumpick.tools.configuration import call_service
+from plumpick.tools.configuration_service import PATH, VersionService
 
 TICK_S = 0.001
 REST_S = 20.0
@@ -67,7 +73,7 @@
 
 
 def document(version: int, value: dict[str, Any], at_ms: float = 0.0) -> dict[str, Any]:
-    return {"version": version, "digest": digest(value), "in_force_ms": at_ms, "settings": value}
+    return {"version": version, "digest": settings_digest(value), "in_force_ms": at_ms, "settings": value}
 
 
 def bytes_of(value: dict[str, Any]) -> dict[str, int]:
@@ -76,13 +82,13 @@
     for kind in ("one figure", "one class more", "one class gone", "a hundred figures"):
         after = changed(value, kind)
         found[kind] = len(
-            canonical(
+            canonical_json(
                 {
                     "version": 2,
-                    "digest": digest(after),
+                    "digest": settings_digest(after),
                     "in_force_ms": unix_ms(),
                     "base": 1,
-                    "base_digest": digest(value),
+                    "base_digest": settings_digest(value),
                     "changes": changes_between(value, after),
                 }
             )
@@ -106,7 +112,7 @@
     each millisecond: ms until it is read, and by how much a turn came late."""
     base = config_from(Trial(1, 3, "", Path("."))._config(0), {})
     after = changed(value, "one figure")
-    held = Content(1, digest(value), 0.0, value)
+    held = SettingsVersion(1, settings_digest(value), 0.0, value)
     rows = {
         "whole": json.dumps(document(2, after)).encode(),
         "change": json.dumps(
@@ -134,13 +140,13 @@
         await asyncio.sleep(0.2)
         late.clear()
         begin = time.perf_counter()
-        with _short_turns():
-            offer = await asyncio.to_thread(lambda data=data: offer_from(json.loads(data)))
-            _, _, wrong = await asyncio.to_thread(_read, offer, held, base)
+        with _short_switch_interval():
+            update = await asyncio.to_thread(lambda data=data: parse_update(json.loads(data)))
+            prepared = await asyncio.to_thread(prepare_version, update, held, base)
         spent = (time.perf_counter() - begin) * 1000
         await asyncio.sleep(0.02)
         task.cancel()
-        assert not wrong, wrong
+        assert not isinstance(prepared.config, UnusableSettingsError), prepared.config
         found[name] = {
             "read_ms": round(spent, 1),
             "late_p50_ms": round(quantile(late, 0.5), 2),
@@ -163,17 +169,18 @@
         timers: Timers,
         forced: list[tuple[int, float]],
     ) -> None:
-        self.source = Source(
+        self.client = ConfigClient(
             config, (address,), 30_000.0, lambda _config: "", clock, timers, random.Random(number)
         )
-        self.source.versions = Versions(number, count, 1, random.Random(number), clock.now())
-        put = self.source.versions.put
+        rng = random.Random(number)
+        self.client.subscriber = ConfigSubscriber(number, count, 1, rng, clock.now())
+        on_activated = self.client.subscriber.on_activated
 
-        def puts(content: Content, problem: str) -> None:
-            put(content, problem)
-            forced.append((content.version, time.time() * 1000))
+        def activated(version: SettingsVersion) -> None:
+            on_activated(version)
+            forced.append((version.number, time.time() * 1000))
 
-        self.source.versions.put = puts  # type: ignore[method-assign]
+        self.client.subscriber.on_activated = activated  # type: ignore[method-assign]
 
 
 def watchers(numbers: list[int], count: int, port: int, last: int, wire: Any) -> None:
@@ -187,7 +194,7 @@
         for number in numbers:
             row = {**base, "name": f"n{number}", "settings": {**base["settings"], "myNumber": number}}
             hollow = Hollow(number, count, (HOST, port), config_from(row, {}), clock, timers, forced)
-            tasks.append(asyncio.create_task(hollow.source.run()))
+            tasks.append(asyncio.create_task(hollow.client.run()))
         end = time.monotonic() + 120
         while sum(version == last for version, _ in forced) < len(numbers) and time.monotonic() < end:
             await asyncio.sleep(0.02)
@@ -199,12 +206,12 @@
     wire.send(asyncio.run(all_of_them()))
 
 
-class Counted(Service):
+class Counted(VersionService):
     """A service that counts what it reads, too."""
 
     bytes_in = 0
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         inner = reader.read
 
         async def read(most: int = -1) -> bytes:
@@ -213,7 +220,7 @@
             return data
 
         reader.read = read  # type: ignore[method-assign]
-        await super()._serve(reader, writer)
+        await super()._serve_connection(reader, writer)
 
 
 async def crowd(count: int, value: dict[str, Any], later_ms: float) -> dict[str, Any]:
@@ -223,7 +230,7 @@
     wires, processes = [], []
     context = multiprocessing.get_context("spawn")
     place = (HOST, service.port)
-    await asyncio.to_thread(ask, place, "PUT", PATH, document(1, value))
+    await asyncio.to_thread(call_service, place, "PUT", PATH, document(1, value))
     for part in range(WATCHER_PROCESSES):
         ours, theirs = context.Pipe()
         numbers = list(range(part, count, WATCHER_PROCESSES))
@@ -233,11 +240,11 @@
         processes.append(process)
     begin = time.monotonic()
     while (
-        sum(one.in_force == 1 for one in service.shelf.watchers.values()) < count
+        sum(one.active_version == 1 for one in service.store.subscribers.values()) < count
         and time.monotonic() - begin < 90
     ):
         await asyncio.sleep(0.05)
-    listening = sum(one.in_force == 1 for one in service.shelf.watchers.values())
+    listening = sum(one.active_version == 1 for one in service.store.subscribers.values())
     whole_bytes = service.bytes_out
     await asyncio.sleep(5.0)
     calls, sent, got, cpu = service.calls, service.bytes_out, service.bytes_in, time.process_time()
@@ -250,7 +257,7 @@
     }
     after = changed(value, "one figure")
     sent, cpu, t = service.bytes_out, time.process_time(), unix_ms()
-    await asyncio.to_thread(ask, place, "PUT", PATH, document(2, after, t + later_ms))
+    await asyncio.to_thread(call_service, place, "PUT", PATH, document(2, after, t + later_ms))
     put_ms = unix_ms() - t
     rows: list[tuple[int, float]] = []
     for wire in wires:
@@ -333,7 +340,10 @@
 
 
 async def _status(trial: Trial) -> list[dict[str, Any]]:
-    return [(await asyncio.to_thread(ask, (HOST, port), "GET", f"{PATH}/status"))[1] for port in trial.ports]
+    return [
+        (await asyncio.to_thread(call_service, (HOST, port), "GET", f"{PATH}/status"))[1]
+        for port in trial.ports
+    ]
 
 
 async def _plain(trial: Trial) -> asyncio.subprocess.Process:
--- a/benchmarks/configuration/trial.py
+++ b/benchmarks/configuration/trial.py
@@ -24,13 +24,13 @@
 from benchmarks.trials import to_the_end
 from plumpick.gateway.config import config_from
 from plumpick.gateway.dynamic_config.client import config_with
-from plumpick.policy.dynamic_config.delta import digest
-from plumpick.policy.dynamic_config.subscriber import TOLD_MS
-from plumpick.policy.dynamic_config.version_store import summary
+from plumpick.policy.dynamic_config.delta import settings_digest
+from plumpick.policy.dynamic_config.rollout_report import report_rollout
+from plumpick.policy.dynamic_config.subscriber import ACTIVATION_DEADLINE_MS
 from plumpick.policy.settings_parser import SettingsError
 from plumpick.rehearsal.supervisor import StartFailed, free_port
 from plumpick.rehearsal.surroundings import HOST
-from plumpick.tools.configuration import Failed, ask
+from plumpick.tools.configuration import ServiceCallError, call_service
 from plumpick.tools.configuration_service import PATH
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -316,16 +316,16 @@
         self.published[self.number] = Published(mark, now + later_ms, now)
         return {
             "version": self.number,
-            "digest": digest(settings),
+            "digest": settings_digest(settings),
             "in_force_ms": now + later_ms,
             "settings": settings,
         }
 
     async def put(self, value: dict[str, Any], places: tuple[int, ...] = (0, 1)) -> None:
         for place in places:
-            with contextlib.suppress(Failed, TimeoutError):  # it is down, or stands still
+            with contextlib.suppress(ServiceCallError, TimeoutError):  # it is down, or stands still
                 await asyncio.wait_for(
-                    asyncio.to_thread(ask, (HOST, self.ports[place]), "PUT", PATH, value), 3.0
+                    asyncio.to_thread(call_service, (HOST, self.ports[place]), "PUT", PATH, value), 3.0
                 )
 
     def _next(self) -> dict[str, Any]:
@@ -462,22 +462,24 @@
             return {self.names[place] for place, gate in enumerate(self.gates) if gate.pid not in have}
 
         wanted = {self.names[still]} if still >= 0 else set()
-        await self.until(lambda: lack() <= wanted, (begin + TOLD_MS - unix_ms()) / 1000, "")
+        await self.until(lambda: lack() <= wanted, (begin + ACTIVATION_DEADLINE_MS - unix_ms()) / 1000, "")
         wrong = [
-            f"{name} lacks version {last} {TOLD_MS / 1000:g} s after it was published"
+            f"{name} lacks version {last} {ACTIVATION_DEADLINE_MS / 1000:g} s after it was published"
             for name in sorted(lack() - wanted)
         ]
         if still >= 0:
-            await asyncio.sleep(max(0.0, begin + TOLD_MS + 2500 - unix_ms()) / 1000)
+            await asyncio.sleep(max(0.0, begin + ACTIVATION_DEADLINE_MS + 2500 - unix_ms()) / 1000)
             states = [
-                (await asyncio.to_thread(ask, (HOST, self.ports[place]), "GET", f"{PATH}/status"))[1]
+                (await asyncio.to_thread(call_service, (HOST, self.ports[place]), "GET", f"{PATH}/status"))[1]
                 for place in alive
             ]
-            lines, _ = summary(states)
+            lines = report_rollout(states).lines
             if not any(self.names[still] in line or f"by number: {still}" in line for line in lines):
                 wrong.append(f"status does not name {self.names[still]}: {lines}")
             self.gates[still].send_signal(signal.SIGCONT)
-            if not await self.until(lambda: self.names[still] not in lack(), TOLD_MS / 1000, ""):
+            if not await self.until(
+                lambda: self.names[still] not in lack(), ACTIVATION_DEADLINE_MS / 1000, ""
+            ):
                 wrong.append(f"{self.names[still]} lacks version {last} after it went on")
         times = [
             row[1] - begin
--- a/benchmarks/configuration/witness.py
+++ b/benchmarks/configuration/witness.py
@@ -26,9 +26,9 @@
 def main() -> int:
     """The exit code."""
     from plumpick.gateway import daemon
-    from plumpick.gateway.dynamic_config.client import Source
+    from plumpick.gateway.dynamic_config.client import ConfigClient
     from plumpick.gateway.gateway import Gatekeeper
-    from plumpick.policy.dynamic_config.subscriber import Versions
+    from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber
 
     if os.environ.get("WITNESS_PLANT"):
         from benchmarks.configuration.plants import plant
@@ -40,31 +40,30 @@
         os.write(file, (json.dumps([kind, time.time() * 1000, os.getpid(), *parts]) + "\n").encode())
 
     given = [""]
-    inner, take, put, ask = Gatekeeper.reconfigure, Versions.take, Versions.put, Source._call
+    inner, fetch = Gatekeeper.reconfigure, ConfigClient._fetch
+    stage, on_activated = ConfigSubscriber.stage, ConfigSubscriber.on_activated
 
     def reconfigure(self: Any, config: Any) -> str:
         wrong = inner(self, config)
         given[0] = mark_of(replace(self.config, settings=self.controller.settings))
         return wrong
 
-    def takes(self: Any, now: float, content: Any, problem: str) -> str:
-        wrong = take(self, now, content, problem)
-        if not wrong:
-            write("took", content.version)
-        return wrong
+    def stages(self: Any, now_ms: float, version: Any) -> None:
+        stage(self, now_ms, version)
+        write("took", version.number)
 
-    def puts(self: Any, content: Any, problem: str) -> None:
-        put(self, content, problem)
-        if not problem:
-            write("force", content.version, given[0])
+    def activated(self: Any, version: Any) -> None:
+        on_activated(self, version)
+        write("force", version.number, given[0])
 
-    async def asks(self: Any, call: Any) -> bytes:
-        write("asked", call.address)
-        return await ask(self, call)
+    async def fetches(self: Any, request: Any) -> bytes:
+        write("asked", request.address_index)
+        return await fetch(self, request)
 
     Gatekeeper.reconfigure = reconfigure  # type: ignore[method-assign]
-    Versions.take, Versions.put = takes, puts  # type: ignore[method-assign]
-    Source._call = asks  # type: ignore[method-assign]
+    ConfigSubscriber.stage = stages  # type: ignore[method-assign]
+    ConfigSubscriber.on_activated = activated  # type: ignore[method-assign]
+    ConfigClient._fetch = fetches  # type: ignore[method-assign]
     return daemon.main()
 
 
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -18,10 +18,10 @@
 from benchmarks.configuration.trial import Trial
 from benchmarks.slopes.decisions import cpu_ms
 from plumpick.gateway.config import config_from
-from plumpick.gateway.dynamic_config.client import _read
+from plumpick.gateway.dynamic_config.client import UnusableSettingsError, prepare_version
 from plumpick.policy.actions import CommandCompleted
-from plumpick.policy.dynamic_config.delta import canonical, changes_between, digest
-from plumpick.policy.dynamic_config.subscriber import Content, offer_from
+from plumpick.policy.dynamic_config.delta import canonical_json, changes_between, settings_digest
+from plumpick.policy.dynamic_config.updates import SettingsVersion, parse_update
 from plumpick.policy.events import SettingsChanged
 from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
@@ -85,8 +85,8 @@
     """What the daemon does with an answer, in its thread."""
     value = wide(int(classes), PLANS, 3)
     after, config = changed(value, "one class more"), config_from(Trial(1, 3, "", Path("."))._config(0), {})
-    held = Content(1, digest(value), 0.0, value)
-    data = canonical(
+    held = SettingsVersion(1, settings_digest(value), 0.0, value)
+    data = canonical_json(
         {
             **document(2, after),
             "settings": None,
@@ -97,9 +97,9 @@
     )
 
     def read() -> None:
-        _, _, wrong = _read(offer_from(json.loads(data)), held, config)
-        if wrong:
-            raise RuntimeError(wrong)
+        prepared = prepare_version(parse_update(json.loads(data)), held, config)
+        if isinstance(prepared.config, UnusableSettingsError):
+            raise prepared.config
 
     return median(cpu_ms(read) for _ in range(REPEATS))
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -28,7 +28,7 @@
 from plumpick.policy.reconfiguration import refusal
 from plumpick.policy.settings import Idempotency, Plan, RequestClass, Settings
 from plumpick.policy.settings_parser import MAX_CLASSES
-from plumpick.tools.configuration_service import MOST_CONNECTIONS
+from plumpick.tools.configuration_service import MAX_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
 SETS = (3, 20)  # of which words were measured at several rates
@@ -117,18 +117,18 @@
         "slots": float(default.terms.slots),
         "term_s": default.terms.term_ms / 1000,
         "share_default_s": default.share_ms / 1000,
-        "agent_watch_ms": endpoint_watch.WATCH_MS,
-        "agent_worst_s": endpoint_watch.worst_ms(False) / 1000,
-        "shared_watch_ms": endpoint_watch.SHARED_WATCH_MS,
-        "shared_round_ms": endpoint_watch.ROUND_MS,
-        "shared_worst_s": endpoint_watch.worst_ms(True) / 1000,
+        "agent_watch_ms": endpoint_watch.AGENT_WATCH_TIMEOUT_MS,
+        "agent_worst_s": endpoint_watch.worst_notification_ms(False) / 1000,
+        "shared_watch_ms": endpoint_watch.SHARED_WATCH_TIMEOUT_MS,
+        "shared_round_ms": endpoint_watch.MAX_ROUND_MS,
+        "shared_worst_s": endpoint_watch.worst_notification_ms(True) / 1000,
         "ending_s": ending_of([math.inf])[2],  # of classes with long deadlines
         # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
         "restarts_a_version": float(any(refusal(tier, other) for other in others)),
-        "version_in_force_s": max(subscriber.worst_ms(1) / 1000, _publish_s()),
-        "version_worst_s": subscriber.worst_ms(SILENT) / 1000,
-        "versions_kept": float(version_store.KEPT),
-        "connections_most": float(MOST_CONNECTIONS),
+        "version_in_force_s": max(subscriber.worst_notification_ms(1) / 1000, _publish_s()),
+        "version_worst_s": subscriber.worst_notification_ms(SILENT) / 1000,
+        "versions_kept": float(version_store.MAX_VERSIONS),
+        "connections_most": float(MAX_CONNECTIONS),
         "services_most": float(MOST_SERVICES),
     }
 
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -53,16 +53,16 @@
     "gathering": "plumpick/policy/usage_report.py, Gathering",
     "dividing": "plumpick/policy/budgets/allocator.py, Divider",
     "share": "plumpick/gateway/operator_config.py, _fleet",
-    "watching": "plumpick/policy/endpoint_watch.py, Watching",
+    "watching": "plumpick/policy/endpoint_watch.py, EndpointWatch",
     "estate": "plumpick/policy/snapshot.py, leave and take_over",
     "settings": "plumpick/policy/settings_parser.py, parse_settings",
     "file": "plumpick/gateway/config.py, load",  # what stands there is in force at the next start
     # Settings in force without a restart: off unless the operator's file names a [configuration].
-    "versions": "plumpick/gateway/dynamic_config/client.py, Source",
+    "versions": "plumpick/gateway/dynamic_config/client.py, ConfigClient",
     "change": "plumpick/policy/reconfiguration.py, apply",
-    "waits": "plumpick/policy/dynamic_config/subscriber.py, Versions",
-    "versions' service": "plumpick/tools/configuration_service.py, Service",
-    "kept versions": "plumpick/policy/dynamic_config/version_store.py, Shelf",
+    "waits": "plumpick/policy/dynamic_config/subscriber.py, ConfigSubscriber",
+    "versions' service": "plumpick/tools/configuration_service.py, VersionService",
+    "kept versions": "plumpick/policy/dynamic_config/version_store.py, VersionStore",
     "publishing": "plumpick/tools/configuration.py, publish and status",
     "services": NONE,  # pools of workers, with routes to them
     "calls to all": NONE,  # one call that reaches all gatekeepers
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -18,11 +18,11 @@
 import uvloop
 
 from plumpick.gateway.config import Config, ConfigError, load
-from plumpick.gateway.discovery import Discovery
+from plumpick.gateway.discovery import DiscoveryClient
 from plumpick.gateway.gateway import Gatekeeper
 from plumpick.gateway.listeners.http.listener import HttpFront
 from plumpick.gateway.platform import System
-from plumpick.policy.endpoint_watch import Watching
+from plumpick.policy.endpoint_watch import EndpointWatch
 
 FIRST_LIST_S = 0.5  # how long the first whole list is waited for; after that the known one has to do,
 NO_LIST_S = 8.0  # where there is one: without any each request would be refused. Ready within 10 s still
@@ -106,7 +106,7 @@
 
 
 async def reload(
-    config: Config, discovery: Discovery, asked: asyncio.Event, system: System, part: Any
+    config: Config, discovery: DiscoveryClient, asked: asyncio.Event, system: System, part: Any
 ) -> None:
     """Read the configuration anew whenever that is asked for, and the operator's own file. What can change in
     service is discovery's address, and the wholes and bursts of budgets; a file that cannot be used changes
@@ -122,7 +122,7 @@
         log.info("the configuration was read anew: discovery at %s:%d", *news.discovery)
         if replace(news, discovery=config.discovery, seed=config.seed, known=config.known) != config:
             log.warning("what else has changed in the configuration takes effect at the next start")
-        discovery.move(news.discovery)
+        discovery.change_address(news.discovery)
         if part is None:
             continue
         try:
@@ -190,7 +190,7 @@
                 self.leases = state.get("fleet")
                 versions = self._context.versions
                 if versions is not None and state.get("configuration") is not None:
-                    await versions.inherit(state["configuration"])  # what it left is of these settings
+                    await versions.import_state(state["configuration"])  # what it left is of these settings
                 self._gatekeeper.inherit(
                     {key: value for key, value in state.items() if key not in ("fleet", "configuration")}
                 )
@@ -266,10 +266,10 @@
 
 
 def versions_of(settings: Any, config: Config, gatekeeper: Gatekeeper) -> Any:
-    """The source of the gatekeeper's settings; imported only where the operator names one."""
-    from plumpick.gateway.dynamic_config.client import source_of
+    """The client of the services of settings; imported only where the operator names one."""
+    from plumpick.gateway.dynamic_config.client import client_for
 
-    return source_of(config, settings, gatekeeper)
+    return client_for(config, settings, gatekeeper)
 
 
 async def serve(  # noqa: C901, PLR0915  (to be split by concern)
@@ -299,10 +299,10 @@
         await plane.open()
     shared, known = config.settings.must_subscribe, config.known.entries
     sharers, rng = config.settings.gateways if shared else 0, random.Random(config.seed)
-    discovery = Discovery(
+    discovery = DiscoveryClient(
         config.discovery,
         gatekeeper.listed,
-        lambda index: Watching(sharers, index, rng, config.settings.number),
+        lambda index: EndpointWatch(sharers, index, rng, config.settings.number),
         gatekeeper.clock.now,
         config.known.index if known else None,
     )
@@ -327,9 +327,11 @@
         )
     # There a watch says nothing while nothing has changed.
     wait_s = FIRST_LIST_S if known else NO_LIST_S
-    if not (shared and known) and not await stop.within(discovery.listed, wait_s):
+    if not (shared and known) and not await stop.within(discovery.has_snapshot, wait_s):
         log.warning("discovery is silent; starting with the known list")
-    if versions is not None and not await stop.within(versions.answered, versions.first_s):
+    if versions is not None and not await stop.within(
+        versions.has_response, versions.first_response_timeout_s
+    ):
         log.warning("no service of settings answers; starting with the file's")
     system.settle()
     if plane is not None and not stop.is_asked():
--- a/plumpick/gateway/discovery.py
+++ b/plumpick/gateway/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: a watch for changes of the list of workers, for as long as the gatekeeper runs."""
+"""The client of discovery: a watch of the endpoint list for as long as the gateway runs.
+
+What is asked and when is decided by plumpick/policy/endpoint_watch.py. A failed call is logged once, and
+again after the next success; the list at hand stays in use meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -8,233 +12,197 @@
 import random
 from collections.abc import Callable
 
-import httptools
-
 from plumpick.gateway.config import Address, WorkerList, worker_list_from
+from plumpick.gateway.http_client import CallFailedError, HttpConnection, HttpResponse, call_errors
 from plumpick.policy import endpoint_watch
-from plumpick.policy.endpoint_watch import Watching
+from plumpick.policy.endpoint_watch import EndpointWatch, EndpointWatchError, EndpointWatchRequest
 from plumpick.policy.settings_parser import SettingsError
 
 PATH = "/discovery/hosts"
-LEAST_GAP_S = 0.05  # between answers that bring nothing, should they come at once
-FAULT_WAIT_S = 0.5  # after a fault of ours
-MAX_ANSWER = 8 * 1024 * 1024
+MIN_EMPTY_INTERVAL_S = 0.05  # between answers that bring nothing, should they come at once
+FAULT_BACKOFF_S = 0.5  # after a fault of our own
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
+READ_BYTES = 64 * 1024
 
 log = logging.getLogger(__name__)
 
 
-class CallFailed(Exception):
-    """A call of discovery came to nothing; the text tells why. `waited`: its connection was up, and its
-    answer did not come in time."""
-
-    def __init__(self, text: str, waited: bool = False) -> None:
-        super().__init__(text)
-        self.waited = waited
-
-
-class Answer:
-    """What the parser of an answer collects."""
-
-    def __init__(self) -> None:
-        self.parts: list[bytes] = []
-        self.complete = self.keep = self.in_body = self.has_length = False
-        self.parser = httptools.HttpResponseParser(self)
-
-    def on_header(self, name: bytes, _value: bytes) -> None:
-        self.has_length = self.has_length or name.lower() in (b"content-length", b"transfer-encoding")
-
-    def on_headers_complete(self) -> None:
-        self.in_body = True
-
-    def on_body(self, part: bytes) -> None:
-        self.parts.append(part)
-
-    def on_message_complete(self) -> None:
-        self.complete = True
-        self.keep = self.parser.should_keep_alive()  # the parser knows this here and no later
-
-    def ended(self) -> bool:
-        """The connection has ended; whether that is the answer's end. (A reset never is.)"""
-        self.complete = self.complete or self.in_body and not self.has_length
-        return self.complete
-
-
-class Watch:
-    """The watch at one address; `took` is given all that it was told."""
+class AddressWatch:
+    """The watch at one address. `on_list` is given each list that comes, `now_ms` is the clock of `watch`."""
 
     def __init__(
         self,
         address: Address,
-        plan: Watching,
-        now: Callable[[], float],
-        took: Callable[[Watch, WorkerList], None],
+        watch: EndpointWatch,
+        now_ms: Callable[[], float],
+        on_list: Callable[[AddressWatch, WorkerList], None],
     ) -> None:
-        self.address, self._plan, self._now, self._took = address, plan, now, took
-        self._reader: asyncio.StreamReader | None = None
-        self._writer: asyncio.StreamWriter | None = None
-        self._quiet = False  # a failure has been logged, and no success since
-        self._skipped = False  # an entry that cannot be read has been logged
+        self.address = address
+        self._watch = watch
+        self._now_ms = now_ms
+        self._on_list = on_list
+        self._connection = HttpConnection()
+        self._has_logged_failure = False  # and no call has succeeded since
+        self._has_logged_bad_entry = False
 
     async def run(self) -> None:
-        """Watch until cancelled; a fault of ours must not end it for good."""
+        """Watch until cancelled; a fault of our own must not end it for good."""
         while True:
             try:
-                await self._watch()
-            except Exception:  # whatever it was: without the watch nothing is told any more
+                await self._call_in_turn()
+            except Exception:  # whatever it was: without the watch no change is notified any more
                 log.exception("the watch of discovery failed")
-            self._plan.afresh()
-            await asyncio.sleep(FAULT_WAIT_S)
+            self._watch.reset()
+            await asyncio.sleep(FAULT_BACKOFF_S)
 
-    async def _watch(self) -> None:
-        """Ask and watch, as the plan has it."""
-        loop, plan = asyncio.get_running_loop(), self._plan
+    async def _call_in_turn(self) -> None:
+        """Call as the watch says, until a fault."""
+        loop = asyncio.get_running_loop()
         try:
             while True:
-                call = plan.next(self._now())
-                if call.after_ms:
-                    await asyncio.sleep(call.after_ms / 1000)
-                asked_s, target = loop.time(), PATH
-                if call.since is not None:
-                    target = f"{PATH}?since={call.since}&timeout_ms={call.wait_ms:.0f}"
-                try:
-                    news = await self._call(target, call.within_ms / 1000)
-                    problem = plan.answered(news.index, news.complete)
-                except CallFailed as failure:
-                    problem = plan.failed(str(failure), failure.waited)
-                if problem:
-                    self._hang_up()
-                    if not self._quiet:
-                        log.warning("discovery: %s", problem)
-                    self._quiet = True
+                request = self._watch.next_request(self._now_ms())
+                if request.delay_ms:
+                    await asyncio.sleep(request.delay_ms / 1000)
+                started_s = loop.time()
+                update = await self._call(request)
+                if update is None:
                     continue
-                self._quiet = False
-                self._took(self, news)
-                if not news.entries and loop.time() - asked_s < LEAST_GAP_S:
-                    await asyncio.sleep(LEAST_GAP_S)
+                self._has_logged_failure = False
+                self._on_list(self, update)
+                if not update.entries and loop.time() - started_s < MIN_EMPTY_INTERVAL_S:
+                    await asyncio.sleep(MIN_EMPTY_INTERVAL_S)
         finally:
-            self._hang_up()
+            self._connection.abort()
 
-    def _skip(self, problem: SettingsError) -> None:
+    async def _call(self, request: EndpointWatchRequest) -> WorkerList | None:
+        """The list that comes; None where none came that can be used."""
+        try:
+            update = await self._fetch(_target_of(request), request.response_timeout_ms / 1000)
+            self._watch.on_response(update.index, update.complete)
+            return update
+        except CallFailedError as failure:
+            self._watch.on_call_failed(failure.timed_out)
+            self._on_failure(failure)
+        except EndpointWatchError as problem:
+            self._on_failure(problem)
+        return None
+
+    def _on_failure(self, problem: Exception) -> None:
+        self._connection.abort()
+        if not self._has_logged_failure:
+            log.warning("discovery: %s", problem)
+        self._has_logged_failure = True
+
+    def _on_bad_entry(self, problem: SettingsError) -> None:
         """One entry that cannot be read is no reason to do without the others."""
-        if not self._skipped:
+        if not self._has_logged_bad_entry:
             log.warning("discovery: left out: %s", problem)
-        self._skipped = True
+        self._has_logged_bad_entry = True
 
-    async def _call(self, target: str, limit_s: float) -> WorkerList:
-        try:
-            async with asyncio.timeout(limit_s):
-                return worker_list_from(json.loads(await self._get(target)), "list", self._skip)
-        except TimeoutError as problem:
-            raise CallFailed("no answer in time", waited=self._writer is not None) from problem
-        except SettingsError as problem:
-            raise CallFailed(str(problem)) from problem
-        except (ValueError, RecursionError) as problem:
-            raise CallFailed("an answer that is no JSON") from problem
-        except httptools.HttpParserError as problem:
-            raise CallFailed("an answer that is no HTTP") from problem
-        except OSError as problem:
-            raise CallFailed(f"the connection failed: {problem}") from problem
+    async def _fetch(self, target: str, timeout_s: float) -> WorkerList:
+        """The list that discovery answers with; raises CallFailedError."""
+        with call_errors(self._connection):
+            try:
+                async with asyncio.timeout(timeout_s):
+                    body = await self._get(target)
+                    return worker_list_from(json.loads(body), "list", self._on_bad_entry)
+            except SettingsError as problem:
+                raise CallFailedError(str(problem)) from problem
+            except (ValueError, RecursionError) as problem:
+                raise CallFailedError("an answer that is no JSON") from problem
 
     async def _get(self, target: str) -> bytes:
-        if self._writer is None:
-            async with asyncio.timeout(endpoint_watch.CALL_MS / 1000):
-                self._reader, self._writer = await asyncio.open_connection(*self.address)
-        assert self._reader is not None
-        host = f"{self.address[0]}:{self.address[1]}"
-        self._writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-        answer = Answer()
-        size = 0
-        while not answer.complete:
-            data = await self._reader.read(64 * 1024)
-            size += len(data)
-            if not data:
-                if answer.ended():
-                    break
-                raise CallFailed("the connection ended")
-            if size > MAX_ANSWER:
-                raise CallFailed("an answer without end")
-            answer.parser.feed_data(data)
-        if answer.parser.get_status_code() != 200:
-            raise CallFailed(f"status {answer.parser.get_status_code()}")
-        if not answer.keep:
-            self._hang_up()
-        return b"".join(answer.parts)
-
-    def _hang_up(self) -> None:
-        if self._writer is not None:
-            self._writer.transport.abort()
-        self._reader = self._writer = None
-
-
-def _agent(index: int | None) -> Watching:
-    return Watching(0, index, random.Random(0))  # an agent of our own: no chance in it
-
-
-class Discovery:
-    """Watches the list of workers and passes on all that it is told.
-
-    `plan`: what is asked, and when, of an address of which we have that version of the list. `now`: a clock
-    in ms that all gatekeepers share, which only a shared service needs."""
+        connection = self._connection
+        if not connection.is_open:
+            async with asyncio.timeout(endpoint_watch.RESPONSE_TIMEOUT_MS / 1000):
+                await connection.open(self.address)
+        connection.send_get(target)
+        response = HttpResponse(MAX_RESPONSE_BYTES)
+        while not response.is_complete:
+            response.feed(await connection.read(READ_BYTES))
+        return connection.finish(response, (200,))
+
+
+def _target_of(request: EndpointWatchRequest) -> str:
+    if request.since_index is None:
+        return PATH
+    return f"{PATH}?since={request.since_index}&timeout_ms={request.watch_timeout_ms:.0f}"
+
+
+def _agent_watch(index: int | None) -> EndpointWatch:
+    """The watch of an agent beside this gateway: nothing in it is drawn."""
+    return EndpointWatch(0, index, random.Random(0))
+
+
+class DiscoveryClient:
+    """Watches the endpoint list and passes on every update.
+
+    `new_watch`: the watch of an address, given the index of the list at hand. `now_ms`: a clock that all
+    gateways share, which only a shared service needs.
+    """
 
     def __init__(
         self,
         address: Address,
-        told: Callable[[WorkerList], None],
-        plan: Callable[[int | None], Watching] = _agent,
-        now: Callable[[], float] = lambda: 0.0,
+        on_update: Callable[[WorkerList], None],
+        new_watch: Callable[[int | None], EndpointWatch] = _agent_watch,
+        now_ms: Callable[[], float] = lambda: 0.0,
         index: int | None = None,
     ) -> None:
-        self._told, self._plan, self._now = told, plan, now
-        self._serving = Watch(address, plan(index), now, self._take)  # the one that tells us
-        self._coming: Watch | None = None  # the one that will, once it has told its whole list
-        self._tasks: dict[Watch, asyncio.Task[None]] = {}
-        self._runs = False
-        self.listed = asyncio.Event()  # the first whole list has come
-
-    def move(self, address: Address) -> None:
-        """From now on ask at another address. Danger: the one before may have told a change that we have not
-        read, and the new one may be dead or silent. So the one before is listened to until the new one has
-        told its whole list."""
-        if address == (self._coming or self._serving).address:
+        self._on_update = on_update
+        self._new_watch = new_watch
+        self._now_ms = now_ms
+        self._current = AddressWatch(address, new_watch(index), now_ms, self._on_list)
+        self._next: AddressWatch | None = None  # takes over with its first snapshot
+        self._tasks: dict[AddressWatch, asyncio.Task[None]] = {}
+        self._is_running = False
+        self.has_snapshot = asyncio.Event()  # the first one has come
+
+    def change_address(self, address: Address) -> None:
+        """From now on ask at another address. The one before may have sent a change that was not read yet,
+        and the new one may be dead or silent: the old watch goes on until the new one has a snapshot."""
+        if address == (self._next or self._current).address:
             return
-        if self._coming is not None:
-            self._stop(self._coming)
-            self._coming = None
-        if address != self._serving.address:
-            self._coming = Watch(address, self._plan(None), self._now, self._take)
-            self._start(self._coming)
+        if self._next is not None:
+            self._stop(self._next)
+            self._next = None
+        if address != self._current.address:
+            self._next = AddressWatch(address, self._new_watch(None), self._now_ms, self._on_list)
+            self._start(self._next)
 
     async def run(self) -> None:
         """Watch until cancelled, at every address that there is to ask."""
-        self._runs = True
-        self._start(self._serving)
-        if self._coming is not None:
-            self._start(self._coming)
+        self._is_running = True
+        self._start(self._current)
+        if self._next is not None:
+            self._start(self._next)
         try:
             await asyncio.get_running_loop().create_future()
         finally:
-            self._runs = False
+            self._is_running = False
             tasks = list(self._tasks.values())
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def _start(self, watch: Watch) -> None:
-        if self._runs:
-            task = self._tasks[watch] = asyncio.get_running_loop().create_task(watch.run())
+    def _start(self, watch: AddressWatch) -> None:
+        if self._is_running:
+            task = asyncio.get_running_loop().create_task(watch.run())
+            self._tasks[watch] = task
             task.add_done_callback(lambda _task: self._tasks.pop(watch, None))
 
-    def _stop(self, watch: Watch) -> None:
+    def _stop(self, watch: AddressWatch) -> None:
         if watch in self._tasks:
             self._tasks[watch].cancel()
 
-    def _take(self, watch: Watch, news: WorkerList) -> None:
-        if watch is self._coming:  # it has begun with its whole list
-            self._stop(self._serving)
-            self._serving, self._coming = watch, None
-        elif watch is not self._serving:
+    def _on_list(self, watch: AddressWatch, update: WorkerList) -> None:
+        if watch is self._next:  # its first list is a snapshot
+            self._stop(self._current)
+            self._current = watch
+            self._next = None
+        elif watch is not self._current:
             return
-        if news.entries or news.complete:
-            self._told(news)
-        if news.complete:
-            self.listed.set()
+        if update.entries or update.complete:
+            self._on_update(update)
+        if update.complete:
+            self.has_snapshot.set()
--- a/plumpick/gateway/dynamic_config/__init__.py
+++ b/plumpick/gateway/dynamic_config/__init__.py
@@ -1,2 +1,4 @@
-"""Settings in force without a restart: versions from a service. Nothing here is imported unless the
-operator's own file has a [configuration]."""
+"""Settings that become active without a restart, as versions from a service.
+
+Nothing here is imported unless the operator's own file has a [configuration].
+"""
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -1,8 +1,12 @@
-"""Asks services for settings, reads what they answer, and puts it in force at its time. It decides nothing
-(plumpick/policy/dynamic_config/subscriber.py does).
+"""The client of the services of settings: asks for versions, reads what comes, and activates each at its
+time.
 
-What is long is read and checked in a thread. Danger: meanwhile another version may come into force or be
-handed down by the process before; `Versions.take` and `put` look again."""
+What is asked and which version is taken is decided by plumpick/policy/dynamic_config/subscriber.py. A failed
+call, a bad answer and a rejected version leave the active settings as they are, and are logged.
+
+Long answers are read and checked in a thread. Meanwhile another version may become active or be handed over
+by the previous process; the subscriber checks again.
+"""
 
 from __future__ import annotations
 
@@ -13,66 +17,90 @@
 import sys
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 from urllib.parse import urlencode
 
-import httptools
-
 from plumpick.gateway.clock import Clock, Timer, Timers
 from plumpick.gateway.config import Address, Config
-from plumpick.gateway.discovery import Answer, CallFailed
-from plumpick.policy.dynamic_config import subscriber as plans
+from plumpick.gateway.http_client import (
+    CallFailedError,
+    HttpConnection,
+    HttpResponse,
+    call_errors,
+    host_of,
+)
+from plumpick.policy.dynamic_config import subscriber as protocol
 from plumpick.policy.dynamic_config.delta import Settings
-from plumpick.policy.dynamic_config.subscriber import (
-    Content,
-    Offer,
-    Unusable,
-    Versions,
-    Wish,
-    offer_from,
-    read,
+from plumpick.policy.dynamic_config.errors import (
+    DynamicConfigError,
+    InvalidUpdateError,
+    VersionNotStagedError,
+)
+from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber, ConfigWatchRequest
+from plumpick.policy.dynamic_config.updates import (
+    OWN_FILE,
+    SettingsVersion,
+    VersionUpdate,
+    parse_update,
+    resolve_update,
 )
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 PATH = "/configuration"
-MOST_ANSWER = 64 * 2**20  # bytes
-MOST_ESTATE = 4 * 2**20  # bytes of settings that pass to the next process; longer ones it asks for
-FIRST_S = 1.0  # a start waits so long for the first answer, and then serves with its own file's settings
-# While a thread reads, the loop waits so long for each of its turns, not the interpreter's 5 ms: with 11,000
-# classes it would turn 5 ms late for 0.15 s or more. Seen: 0.7 ms with this.
-SWITCH_S = 0.0005
-FAULT_WAIT_S = 0.5  # after a fault of ours
-REPORT_S = 30.0  # what goes wrong in the same way is logged once, and again after so long
+MAX_RESPONSE_BYTES = 64 * 2**20
+READ_BYTES = 256 * 1024
+MAX_STATE_BYTES = 4 * 2**20  # of settings handed to the next process; it asks a service for longer ones
+FIRST_RESPONSE_TIMEOUT_S = 1.0  # then a start goes on with its own file's settings
+# While a thread reads, the event loop waits so long for each of its turns, not the interpreter's 5 ms.
+SWITCH_INTERVAL_S = 0.0005
+FAULT_BACKOFF_S = 0.5  # after a fault of our own
+LOG_INTERVAL_S = 30.0  # the same problem is logged once, and again after so long
 
 log = logging.getLogger(__name__)
 
 
+class UnusableSettingsError(Exception):
+    """Published settings that this gateway cannot work by; one line."""
+
+
+@dataclass(frozen=True, slots=True)
+class PreparedVersion:
+    """A version that was read, with the configuration that it makes of this gateway's own, or why it does
+    not."""
+
+    version: SettingsVersion
+    config: Config | UnusableSettingsError
+
+
 def config_with(config: Config, settings: Settings) -> Config:
-    """The configuration with published settings, this gatekeeper's own keys kept; raises SettingsError."""
-    whole = {**settings, "myNumber": config.settings.number, "locality": config.settings.zone}
-    news, limits = parse_settings(whole, "settings"), JsonObject(whole, "settings").table("limits")
-    if config.peers and len(config.peers) != news.gateways:
-        raise SettingsError(f"settings.balancers: {news.gateways}, and there are {len(config.peers)} peers")
+    """The configuration with published settings, this gateway's own keys kept; raises SettingsError."""
+    own = {"myNumber": config.settings.number, "locality": config.settings.zone}
+    combined = {**settings, **own}
+    parsed = parse_settings(combined, "settings")
+    limits = JsonObject(combined, "settings").table("limits")
+    if config.peers and len(config.peers) != parsed.gateways:
+        raise SettingsError(f"settings.balancers: {parsed.gateways}, and there are {len(config.peers)} peers")
     return replace(
         config,
-        settings=news,
+        settings=parsed,
         dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
         idle_ms=limits.number("connIdleMs", 15_000.0),
     )
 
 
-def checked(config: Config, content: Content) -> tuple[Config | None, str]:
-    """The configuration that a version makes, or what is wrong with it: one line."""
+def usable_config(config: Config, version: SettingsVersion) -> Config:
+    """The configuration that a version makes; raises UnusableSettingsError."""
     try:
-        return config_with(config, content.settings), ""
+        return config_with(config, version.settings)
     except (SettingsError, ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
-        return None, str(problem).partition("\n")[0] or repr(problem)
+        line = str(problem).partition("\n")[0] or repr(problem)
+        raise UnusableSettingsError(line) from problem
 
 
-class Source:
-    """One gatekeeper's source of settings. `reconfigure` takes a configuration over, or says in one line what
-    is wrong: then nothing has changed. `silent_ms`: a service silent for longer is worth a line."""
+class ConfigClient:
+    """One gateway's client. `reconfigure` takes a configuration over, or returns one line on what is wrong:
+    then nothing has changed. `silent_ms`: services that are silent for longer are logged."""
 
     def __init__(
         self,
@@ -84,257 +112,264 @@
         timers: Timers,
         rng: random.Random,
     ) -> None:
-        self._config, self._addresses, self._silent_ms = config, addresses, silent_ms
-        self._reconfigure, self._clock, self._timers = reconfigure, clock, timers
-        self.versions = Versions(
+        self._config = config
+        self._addresses = addresses
+        self._silent_ms = silent_ms
+        self._reconfigure = reconfigure
+        self._clock = clock
+        self._timers = timers
+        self.subscriber = ConfigSubscriber(
             config.settings.number, config.settings.gateways, len(addresses), rng, clock.now()
         )
-        self._ready: dict[int, Config] = {}  # of the staged version alone
-        self._timer: Timer | None = None
-        self._reader: asyncio.StreamReader | None = None
-        self._writer: asyncio.StreamWriter | None = None
-        self._at = -1  # the address of the connection
-        self._problem, self._problem_ms = "", 0.0  # that was logged last
+        self._staged_configs: dict[int, Config] = {}  # by number; of the staged version alone
+        self._activation: Timer | None = None
+        self._connection = HttpConnection()
+        self._logged_problem = ""  # the last one
+        self._logged_problem_ms = 0.0
         self._is_silent = False
-        self.first_s = FIRST_S
-        self.answered = asyncio.Event()  # a first answer has come, and what it brought is staged
+        self.first_response_timeout_s = FIRST_RESPONSE_TIMEOUT_S
+        self.has_response = asyncio.Event()  # a first answer has come, and what it brought is staged
 
-    # -- the service
+    # -- calls
 
     async def run(self) -> None:
-        """Ask until cancelled; a fault of ours must not end it for good."""
+        """Call until cancelled; a fault of our own must not end it for good."""
         try:
             while True:
                 try:
-                    await self._ask()
-                except Exception:  # whatever it was: without this nothing is told any more
+                    await self._call_once()
+                except Exception:  # whatever it was: without this no version is notified any more
                     log.exception("asking for the configuration failed")
-                    self.versions.failed("")
-                    self._hang_up()
-                    await asyncio.sleep(FAULT_WAIT_S)
+                    self.subscriber.on_call_failed()
+                    self._connection.abort()
+                    await asyncio.sleep(FAULT_BACKOFF_S)
         finally:
-            self._hang_up()
-            if self._timer is not None:
-                self._timer.cancel()
-
-    async def _ask(self) -> None:
-        versions, now = self.versions, self._clock.now
-        call = versions.next(now())
-        if call.after_ms:
-            await asyncio.sleep(call.after_ms / 1000)
-        begin = now()
+            self._connection.abort()
+            if self._activation is not None:
+                self._activation.cancel()
+
+    async def _call_once(self) -> None:
+        request = self.subscriber.next_request(self._clock.now())
+        if request.delay_ms:
+            await asyncio.sleep(request.delay_ms / 1000)
+        started_ms = self._clock.now()
         try:
-            data = await self._call(call)
-            problem = await self._take(data) if data else versions.quiet(now(), call, now() - begin)
-        except CallFailed as failure:
-            problem = versions.failed(str(failure))
-        if problem:
-            self._hang_up()
-            self._report(f"{_text(self._addresses[call.address])}: {problem}")
+            body = await self._fetch(request)
+            if body:
+                await self._on_update(body)
+            else:
+                now_ms = self._clock.now()
+                self.subscriber.on_unchanged(now_ms, request, now_ms - started_ms)
+        except CallFailedError as failure:
+            self.subscriber.on_call_failed()
+            self._on_failure(request, failure)
+        except DynamicConfigError as problem:
+            self._on_failure(request, problem)
         else:
-            self.answered.set()
-        silent_ms = now() - versions.heard_ms
-        if (silent_ms > self._silent_ms) != self._is_silent:
-            self._is_silent = not self._is_silent
+            self.has_response.set()
+        self._log_silence()
+
+    def _on_failure(self, request: ConfigWatchRequest, problem: Exception) -> None:
+        self._connection.abort()
+        self._log_problem(f"{host_of(self._addresses[request.address_index])}: {problem}")
+
+    def _log_problem(self, problem: str) -> None:
+        now_ms = self._clock.now()
+        if problem != self._logged_problem or now_ms - self._logged_problem_ms > LOG_INTERVAL_S * 1000:
+            self._logged_problem = problem
+            self._logged_problem_ms = now_ms
+            log.warning("configuration: %s", problem)
+
+    def _log_silence(self) -> None:
+        """Log when the services fall silent, and when one answers again."""
+        silent_ms = self._clock.now() - self.subscriber.last_response_ms
+        is_silent = silent_ms > self._silent_ms
+        if is_silent == self._is_silent:
+            return
+        self._is_silent = is_silent
+        if is_silent:
             log.warning(
-                "configuration: %s",
-                f"no service heard for {silent_ms / 1000:.0f} s; version {versions.in_force.version} stays"
-                if self._is_silent
-                else "heard again",
+                "configuration: no service heard for %.0f s; version %d stays",
+                silent_ms / 1000,
+                self.subscriber.active.number,
             )
+        else:
+            log.warning("configuration: heard again")
 
-    def _report(self, problem: str) -> None:
-        if problem != self._problem or self._clock.now() - self._problem_ms > REPORT_S * 1000:
-            self._problem, self._problem_ms = problem, self._clock.now()
-            log.warning("configuration: %s", problem)
+    async def _fetch(self, request: ConfigWatchRequest) -> bytes:
+        """The body of the answer; empty where there is no newer version. Raises CallFailedError."""
+        with call_errors(self._connection):
+            async with asyncio.timeout(protocol.RESPONSE_TIMEOUT_MS / 1000):
+                await self._connection.open(self._addresses[request.address_index])
+            target = f"{PATH}?{urlencode(self._query_of(request))}"
+            return await self._get(target, request.response_timeout_ms / 1000)
 
-    async def _call(self, call: plans.Call) -> bytes:
-        """The body of the answer; nothing where there is no news. Raises CallFailed."""
-        words = {
-            "since": call.since,
-            "digest": call.digest,
+    def _query_of(self, request: ConfigWatchRequest) -> dict[str, Any]:
+        return {
+            "since": request.since_number,
+            "digest": request.since_digest,
             "name": self._config.name,
             "number": self._config.settings.number,
-            "in_force": call.in_force,
-            "have": call.in_force_digest,
-            "staged": call.staged,
-            "refused": call.refused,
-            "why": call.why,
-            "timeout_ms": f"{call.wait_ms:.0f}",
+            "in_force": request.active_number,
+            "have": request.active_digest,
+            "staged": request.staged_number,
+            "refused": request.rejected_number,
+            "why": request.rejection_reason,
+            "timeout_ms": f"{request.watch_timeout_ms:.0f}",
         }
-        try:
-            async with asyncio.timeout(plans.ASK_MS / 1000):
-                await self._connect(call.address)
-            return await self._get(f"{PATH}?{urlencode(words)}", call.within_ms / 1000)
-        except TimeoutError as problem:
-            raise CallFailed("no answer in time", waited=self._writer is not None) from problem
-        except httptools.HttpParserError as problem:
-            raise CallFailed("an answer that is no HTTP") from problem
-        except OSError as problem:
-            raise CallFailed(f"the connection failed: {problem}") from problem
-
-    async def _connect(self, place: int) -> None:
-        if self._writer is not None and self._at != place:
-            self._hang_up()
-        if self._writer is None:
-            self._reader, self._writer = await asyncio.open_connection(*self._addresses[place])
-            self._at = place
-
-    async def _get(self, target: str, within_s: float) -> bytes:
-        assert self._reader is not None and self._writer is not None
-        host = _text(self._addresses[self._at])
-        self._writer.write(f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
-        answer, size, loop = Answer(), 0, asyncio.get_running_loop()
-        end_s = loop.time() + within_s
-        while not answer.complete:
+
+    async def _get(self, target: str, timeout_s: float) -> bytes:
+        self._connection.send_get(target)
+        response = HttpResponse(MAX_RESPONSE_BYTES)
+        loop = asyncio.get_running_loop()
+        end_s = loop.time() + timeout_s
+        while not response.is_complete:
             async with asyncio.timeout(max(0.0, end_s - loop.time())):
-                data = await self._reader.read(256 * 1024)
-            if not size:  # it has begun: a long one takes its time
-                end_s = loop.time() + max(within_s, plans.ANSWER_MS / 1000)
-            size += len(data)
-            if not data:
-                if answer.ended():
-                    break
-                raise CallFailed("the connection ended")
-            if size > MOST_ANSWER:
-                raise CallFailed("an answer without end")
-            answer.parser.feed_data(data)
-        if answer.parser.get_status_code() not in (200, 204):
-            raise CallFailed(f"status {answer.parser.get_status_code()}")
-        if not answer.keep:
-            self._hang_up()
-        return b"".join(answer.parts)
-
-    def _hang_up(self) -> None:
-        if self._writer is not None:
-            self._writer.transport.abort()
-        self._reader = self._writer = None
-
-    # -- what comes
-
-    async def _take(self, data: bytes) -> str:
-        """What is wrong with an answer, or nothing."""
-        versions, now = self.versions, self._clock.now
+                data = await self._connection.read(READ_BYTES)
+            if not response.received_bytes:  # it has begun: a long one takes its time
+                end_s = loop.time() + max(timeout_s, protocol.BODY_TIMEOUT_MS / 1000)
+            response.feed(data)
+        return self._connection.finish(response, (200, 204))
+
+    # -- versions
+
+    async def _on_update(self, body: bytes) -> None:
+        """Read an answer and stage its version; raises DynamicConfigError where the answer is bad.
+
+        A version that is not staged is only logged: the service is well, whatever it has.
+        """
         try:
-            with _short_turns():
-                offer = await asyncio.to_thread(_offer, data)
-                wish = versions.wish(offer)
-                if wish is not Wish.READ:
-                    return versions.declined(now(), offer, wish)
-                content, config, wrong = await asyncio.to_thread(_read, offer, versions.newest, self._config)
-        except Unusable as problem:
-            return versions.unusable(str(problem))
-        problem = versions.take(now(), content, wrong)
-        if versions.staged is content and config is not None:
-            self._ready = {content.version: config}
-            self._arm()
-        elif problem:
+            with _short_switch_interval():
+                update = await asyncio.to_thread(_decode_update, body)
+                self.subscriber.require_wanted(update)
+                prepared = await asyncio.to_thread(
+                    prepare_version, update, self.subscriber.newest, self._config
+                )
+        except InvalidUpdateError:
+            self.subscriber.on_invalid_update()
+            raise
+        try:
+            self._stage(prepared)
+        except VersionNotStagedError as problem:
             log.error("configuration: %s", problem)
-        return ""  # the service is well, whatever it has
 
-    def _arm(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        staged = self.versions.staged
+    def _stage(self, prepared: PreparedVersion) -> None:
+        version = prepared.version
+        if isinstance(prepared.config, UnusableSettingsError):
+            self.subscriber.reject(self._clock.now(), version, str(prepared.config))
+            return
+        self.subscriber.stage(self._clock.now(), version)
+        if self.subscriber.staged is version:
+            self._staged_configs = {version.number: prepared.config}
+            self._schedule_activation()
+
+    def _schedule_activation(self) -> None:
+        if self._activation is not None:
+            self._activation.cancel()
+            self._activation = None
+        staged = self.subscriber.staged
         if staged is None:
             return
-        if staged.in_force_ms <= self._clock.now():
-            self._put_due()
+        if staged.activates_at_ms <= self._clock.now():
+            self._activate_due()
         else:
-            self._timer = self._timers.at(staged.in_force_ms, self._put_due)
+            self._activation = self._timers.at(staged.activates_at_ms, self._activate_due)
 
-    def _put_due(self) -> None:
+    def _activate_due(self) -> None:
         """The staged version's time has come."""
-        content = self.versions.due(self._clock.now())
-        if content is not None:
-            config = self._ready.pop(content.version)
-            self._put(content, config)
+        version = self.subscriber.due_version(self._clock.now())
+        if version is not None:
+            config = self._staged_configs.pop(version.number)
+            self._activate(version, config)
 
-    def _put(self, content: Content, config: Config) -> None:
+    def _activate(self, version: SettingsVersion, config: Config) -> None:
         try:
             problem = self._reconfigure(config)
-        except Exception as fault:  # of ours: the version is not taken, and requests go on
-            log.exception("version %d could not be taken over", content.version)
+        except Exception as fault:  # of our own: the version is rejected, and requests go on
+            log.exception("version %d could not be taken over", version.number)
             problem = f"it could not be taken over: {fault!r}"
-        self.versions.put(content, problem)
         if problem:
-            log.error("configuration: version %d is refused: %s", content.version, problem)
+            self.subscriber.on_activation_failed(version, problem)
+            log.error("configuration: version %d is refused: %s", version.number, problem)
         else:
-            log.info("configuration: version %d %s is in force", content.version, content.digest[:12])
+            self.subscriber.on_activated(version)
+            log.info("configuration: version %d %s is in force", version.number, version.digest[:12])
 
-    # -- two processes of this gatekeeper
+    # -- hot restart
 
-    def estate(self) -> dict[str, Any] | None:
-        """The version in force, for the next process; None where it is too long, or our own file's."""
-        held = self.versions.in_force
-        if not held.version or len(json.dumps(held.settings)) > MOST_ESTATE:
+    def export_state(self) -> dict[str, Any] | None:
+        """The active version, for the next process; None where it is too long, or that of the own file."""
+        active = self.subscriber.active
+        if not active.number or len(json.dumps(active.settings)) > MAX_STATE_BYTES:
             return None
         return {
-            "version": held.version,
-            "digest": held.digest,
-            "in_force_ms": held.in_force_ms,
-            "settings": held.settings,
+            "version": active.number,
+            "digest": active.digest,
+            "in_force_ms": active.activates_at_ms,
+            "settings": active.settings,
         }
 
-    async def inherit(self, value: Any) -> None:
-        """What the process before had in force, unless as new a one is here."""
+    async def import_state(self, value: Any) -> None:
+        """Activate what the previous process had active, unless one as new is active here."""
         try:
-            content, config, wrong = await asyncio.to_thread(
-                lambda: _read(offer_from(value), Content(0, "", 0.0, {}), self._config)
+            prepared = await asyncio.to_thread(
+                lambda: prepare_version(parse_update(value), OWN_FILE, self._config)
             )
-        except Unusable as problem:
+        except InvalidUpdateError as problem:
             log.warning("configuration: what the process before left cannot be used: %s", problem)
             return
-        if wrong or config is None:
-            log.warning("configuration: version %d of the process before: %s", content.version, wrong)
-        elif self.versions.outdone(content):
-            self._put(content, config)
-            self._arm()
-
-    # -- staff
-
-    def line(self) -> str:
-        """The answer to CONFIGURATION."""
-        return self.versions.line(self._clock.now())
-
-
-@contextmanager
-def _short_turns() -> Iterator[None]:
-    """A thread of ours works beside the loop."""
-    before = sys.getswitchinterval()
-    sys.setswitchinterval(min(before, SWITCH_S))
-    try:
-        yield
-    finally:
-        sys.setswitchinterval(before)
+        version = prepared.version
+        if isinstance(prepared.config, UnusableSettingsError):
+            log.warning(
+                "configuration: version %d of the process before: %s", version.number, prepared.config
+            )
+        elif self.subscriber.is_newer_than_active(version):
+            self._activate(version, prepared.config)
+            self._schedule_activation()
 
+    # -- for operators
 
-def _text(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
+    def status_line(self) -> str:
+        """The answer to the operators' call CONFIGURATION."""
+        return self.subscriber.status_line(self._clock.now())
 
 
-def _offer(data: bytes) -> Offer:
+def prepare_version(update: VersionUpdate, base: SettingsVersion, config: Config) -> PreparedVersion:
+    """Read and check a version, in a thread beside the event loop; raises InvalidUpdateError."""
+    version = resolve_update(update, base)
     try:
-        value = json.loads(data)
-    except (ValueError, RecursionError) as problem:
-        raise Unusable("an answer that is no JSON") from problem
-    return offer_from(value)
-
+        return PreparedVersion(version, usable_config(config, version))
+    except UnusableSettingsError as problem:
+        return PreparedVersion(version, problem)
 
-def _read(offer: Offer, base: Content, config: Config) -> tuple[Content, Config | None, str]:
-    content = read(offer, base)
-    return content, *checked(config, content)
 
-
-def source_of(config: Config, settings: Any, keeper: Any) -> Source:
-    """The source that the operator's [configuration] names, for a gatekeeper."""
-    return Source(
+def client_for(config: Config, settings: Any, gateway: Any) -> ConfigClient:
+    """The client of the services in the operator's [configuration], for a gateway."""
+    return ConfigClient(
         config,
         settings.addresses,
         settings.silent_ms,
-        keeper.reconfigure,
-        keeper.clock,
-        keeper.timers,
+        gateway.reconfigure,
+        gateway.clock,
+        gateway.timers,
         random.Random(config.seed ^ 0xC0F),
     )
+
+
+@contextmanager
+def _short_switch_interval() -> Iterator[None]:
+    """A thread of our own works beside the event loop."""
+    interval_s = sys.getswitchinterval()
+    sys.setswitchinterval(min(interval_s, SWITCH_INTERVAL_S))
+    try:
+        yield
+    finally:
+        sys.setswitchinterval(interval_s)
+
+
+def _decode_update(body: bytes) -> VersionUpdate:
+    try:
+        value = json.loads(body)
+    except (ValueError, RecursionError) as problem:
+        raise InvalidUpdateError("an answer that is no JSON") from problem
+    return parse_update(value)
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -243,7 +243,7 @@
         if name == "CONFIGURATION":
             if self.versions is None:
                 return True, "settings are those of the file: the operator's names no [configuration]"
-            return False, self.versions.line()
+            return False, self.versions.status_line()
         if name in ("DUTIES", "BUDGETS") or name == "DRAIN" and argument:
             return self._fleet_call(name, argument)
         if name == "UNDRAIN" and self.fleet is not None:
--- a/plumpick/gateway/hot_restart/succession.py
+++ b/plumpick/gateway/hot_restart/succession.py
@@ -34,7 +34,7 @@
     def __init__(self, name: str, number: int, gatekeeper: Any, front: Any) -> None:
         self.name, self.number, self.gatekeeper, self.front = name, number, gatekeeper, front
         self.fleet: Any = None  # this process's part in what is done for the tier (fleet/runner.py)
-        self.versions: Any = None  # the source of its settings (configuration/source.py)
+        self.versions: Any = None  # the client of its settings (dynamic_config/client.py)
         self.listener: socket.socket | None = None  # ours to keep: the server has a copy
         self.server: Any = None
 
@@ -184,7 +184,7 @@
         try:
             state = {**keeper.hand_over(), "fleet": leases}
             if context.versions is not None:
-                state["configuration"] = context.versions.estate()
+                state["configuration"] = context.versions.export_state()
             context.close()
             keeper.peers.mute()
             keeper.sibling = Kin(channel)
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -187,7 +187,7 @@
 
 
 class Versioned(Protocol):
-    """What the core asks of the source of its settings (configuration/source.py)."""
+    """What the core asks of the client of its settings (dynamic_config/client.py)."""
 
-    def line(self) -> str:
+    def status_line(self) -> str:
         """The answer to CONFIGURATION."""
--- a/plumpick/policy/dynamic_config/__init__.py
+++ b/plumpick/policy/dynamic_config/__init__.py
@@ -1,2 +1,4 @@
-"""Which version of the settings is in force: what a gatekeeper takes, and when; what a service answers. No
-I/O and no clock."""
+"""Versioned settings: which version a gateway makes active and when, and what a service of versions answers.
+
+No I/O and no clock: plumpick/gateway/dynamic_config/ is a gateway's client, plumpick/tools/ has the service.
+"""
--- a/plumpick/policy/dynamic_config/subscriber.py
+++ b/plumpick/policy/dynamic_config/subscriber.py
@@ -1,309 +1,298 @@
-"""One gatekeeper's side: which version of the settings is in force, which is staged and from when, which were
-refused and why; what to ask next, of whom, when, and what to tell.
+"""One gateway's subscription to its settings: which version is active, which is staged and from when, which
+were rejected and why; what to ask next, of which address and when, and what to report with it.
 
-A version comes into force whole or not at all, and numbers only go up: to go back, the old content is
-published under a new number. Danger: what an answer says was true when it left. It may come late, twice, or
-behind a newer one, and between looking at it and taking it another may have been taken: `take` looks again.
+A version becomes active entirely or not at all, and numbers only go up: to go back, the old settings are
+published under a new number. An answer was true when it was sent. It may arrive late, twice or behind a newer
+one, and another may have been staged while it was read: `stage` checks again.
 
-Time. A change is told at once to a watch that waits for it. A watch that has fallen silent ends after WAIT_MS
-+ SPARE_MS; then the next address is asked for what there is, within ASK_MS, and so on: `worst_ms` is the sum.
-550 gatekeepers whose service died have each their own slot in a round, by number, that doubles."""
+Time. A waiting watch is answered at once when a version is published. A silent watch ends after
+WATCH_TIMEOUT_MS + WATCH_GRACE_MS; then the next address is asked for what there is, within
+RESPONSE_TIMEOUT_MS, and so on: `worst_notification_ms` is the sum. After failures each gateway calls in a
+slot of its own, by its number, within a backoff that doubles, so that 550 gateways whose service died do not
+call at once.
+
+It raises DynamicConfigError for what it refuses; the failure is counted by then, and the caller only logs it.
+"""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
-
-from plumpick.policy.dynamic_config.delta import DeltaError, Settings, applied, digest, shared
-
-TOLD_MS = 6000.0  # the operators' term, from publishing to in force everywhere
-WAIT_MS, SPARE_MS = 2000.0, 500.0  # a watch; and so much later it is broken
-ASK_MS = 1000.0  # to connect; and for what is answered at once
-NOW_MS = 1.0  # how long a first call of an address waits
-ANSWER_MS = 3000.0  # for the rest of a long answer, once it has begun
-FIRST_ROUND_MS, MOST_ROUND_MS = 100.0, 2000.0  # between calls that fail; doubled each time
-GAP_MS = 20.0  # after news: a service that always has some is not asked without a pause
-STAY = 10  # quiet watches at one address; then another is asked: it may have heard of more
-MOST_AHEAD_MS = 86_400_000.0  # a version that is to come into force later than this is refused
-MOST_REFUSED = 16  # remembered; the lowest number leaves
-MOST_WHY = 200  # characters of a reason
-MOST_VERSION = 2**53  # JSON numbers are whole up to here
-
-
-def worst_ms(silent: int) -> float:
-    """From a change to its being told, where so many addresses in turn are silent and the next is not."""
-    rounds = (2 * min(MOST_ROUND_MS, FIRST_ROUND_MS * 2.0**place) for place in range(silent))
-    return (WAIT_MS + SPARE_MS if silent else 0.0) + sum(rounds) + max(0, silent - 1) * ASK_MS
-
 
-class Unusable(ValueError):
-    """An answer of a service that cannot be taken for what it says; says nothing of the version."""
-
-
-@dataclass(frozen=True, slots=True)
-class Offer:
-    """An answer: the whole settings, or the changes from a base."""
-
-    version: int
-    digest: str
-    in_force_ms: float  # Unix ms
-    settings: Settings | None
-    changes: Any = None
-    base: int = 0
-    base_digest: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class Content:
-    """A version with its settings, which are never changed. Version 0: those of the gatekeeper's own file."""
-
-    version: int
-    digest: str
-    in_force_ms: float
-    settings: Settings
+from plumpick.policy.dynamic_config.errors import (
+    EarlyResponseError,
+    UpdateDeclinedError,
+    VersionNotStagedError,
+)
+from plumpick.policy.dynamic_config.updates import OWN_FILE, SettingsVersion, VersionUpdate
+
+ACTIVATION_DEADLINE_MS = 6000.0  # the operators' term, from publishing to active everywhere
+WATCH_TIMEOUT_MS = 2000.0
+WATCH_GRACE_MS = 500.0  # a watch that is so much late is broken
+RESPONSE_TIMEOUT_MS = 1000.0  # to connect, and for what is answered at once
+IMMEDIATE_WATCH_MS = 1.0  # how long the first watch at an address waits
+BODY_TIMEOUT_MS = 3000.0  # for the rest of a long answer, once it has begun
+INITIAL_BACKOFF_MS = 100.0
+MAX_BACKOFF_MS = 2000.0
+MIN_WATCH_INTERVAL_MS = 20.0  # after an update: a service that always has one is not asked in a tight loop
+MAX_UNCHANGED_WATCHES = 10  # at one address; another one may know of a newer version
+MAX_ACTIVATION_DELAY_MS = 86_400_000.0  # a version that is to become active later is rejected
+MAX_REJECTED_VERSIONS = 16  # the lowest number is forgotten first
+MAX_REASON_CHARS = 200
+
+
+def worst_notification_ms(silent_addresses: int) -> float:
+    """From publishing to notification, where so many addresses in turn are silent and the next one
+    answers."""
+    backoffs = (
+        2 * min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0**failures) for failures in range(silent_addresses)
+    )
+    broken_watch_ms = WATCH_TIMEOUT_MS + WATCH_GRACE_MS if silent_addresses else 0.0
+    return broken_watch_ms + sum(backoffs) + max(0, silent_addresses - 1) * RESPONSE_TIMEOUT_MS
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """A version that is not taken, and why: one line."""
+class RejectedVersion:
+    """A version that is never made active here, and why: one line."""
 
     digest: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """What to ask, of which address, after how long; and what to tell with it."""
-
-    address: int
-    after_ms: float
-    wait_ms: float  # so long the service may wait for news
-    within_ms: float  # when its answer is overdue
-    since: int  # the newest version that we have,
-    digest: str  # and its digest: the base for a delta; "": send the whole
-    in_force: int
-    in_force_digest: str
-    staged: int  # 0: none
-    refused: int  # the highest that was refused: neither it nor what is older is wanted; 0: none
-    why: str
-
-
-class Wish(Enum):
-    """What to do with an offer."""
-
-    READ = "read"
-    OLD = "an older version, or the one at hand"
-    BEFORE = "a version that was refused before"
-    CONFLICT = "another digest under a number at hand"
-    WHOLE = "changes from another base"
-
-
-def _whole_number(value: Any, least: int) -> int:
-    if type(value) is not int or not least <= value <= MOST_VERSION:
-        raise Unusable(f"{value!r:.40} is no version")
-    return int(value)
-
-
-def _digest(value: Any) -> str:
-    if not isinstance(value, str) or len(value) != 64 or set(value) - set("0123456789abcdef"):
-        raise Unusable(f"{value!r:.80} is no digest")
-    return value
-
-
-def offer_from(value: Any) -> Offer:
-    """An offer in the service's JSON; raises Unusable."""
-    if not isinstance(value, dict):
-        raise Unusable("an answer that is no object")
-    at_ms = value.get("in_force_ms")
-    if type(at_ms) not in (int, float) or not 0 <= at_ms <= MOST_VERSION:
-        raise Unusable("in_force_ms is no time")
-    version, its = _whole_number(value.get("version"), 1), _digest(value.get("digest"))
-    settings, changes = value.get("settings"), value.get("changes")
-    if isinstance(settings, dict):
-        return Offer(version, its, float(at_ms), shared(settings))
-    if not isinstance(changes, dict):
-        raise Unusable("neither settings nor changes")
-    return Offer(
-        version,
-        its,
-        float(at_ms),
-        None,
-        changes,
-        _whole_number(value.get("base"), 1),
-        _digest(value.get("base_digest")),
-    )
-
-
-def read(offer: Offer, base: Content) -> Content:
-    """The settings that an offer makes of its base, with the digest that it names; raises Unusable."""
-    try:
-        if offer.settings is not None:
-            settings = offer.settings
-        elif (offer.base, offer.base_digest) != (base.version, base.digest):
-            raise Unusable("changes from another base")
-        else:
-            settings = applied(base.settings, offer.changes)
-        if digest(settings) != offer.digest:
-            raise Unusable("the digest is not that of the settings")
-    except DeltaError as problem:
-        raise Unusable(str(problem)) from problem
-    return Content(offer.version, offer.digest, offer.in_force_ms, settings)
-
-
-class Versions:
-    """Where one gatekeeper is with its settings. `number` of `gateways`: its slot among all; `addresses`: how
-    many services there are; `rng`: jitter. Times are Unix ms, by the clock that all machines read."""
-
-    def __init__(self, number: int, gateways: int, addresses: int, rng: random.Random, now: float) -> None:
-        self._place, self._each = (number % max(1, gateways)) / max(1, gateways), 1 / max(1, gateways)
-        self._addresses, self._rng = addresses, rng
-        self.in_force = Content(0, "", 0.0, {})
-        self.staged: Content | None = None
-        self.refused: dict[int, Refused] = {}
-        self.address = number % addresses
-        self.failures = 0  # in a row
-        self._quiet = 0  # watches at this address that brought nothing
-        self._goes_on = False  # this address has answered, and a watch may wait there
-        self._want_whole = self._had_news = False
-        self.heard_ms = now  # when a service answered last, or since when none has
+class ConfigWatchRequest:
+    """What to ask, of which address, after how long; and the gateway's own state, reported with it."""
+
+    address_index: int
+    delay_ms: float  # before the call
+    watch_timeout_ms: float  # so long the service may wait for a newer version
+    response_timeout_ms: float  # when its answer is overdue
+    since_number: int  # the newest version that is here
+    since_digest: str  # the base for a delta; "": a snapshot is wanted
+    active_number: int
+    active_digest: str
+    staged_number: int  # 0: none
+    rejected_number: int  # the highest one: neither it nor an older one is wanted; 0: none
+    rejection_reason: str
+
+
+class Assessment(Enum):
+    """Whether an update is worth reading; the value is the text for operators."""
+
+    WANTED = "read"
+    OUTDATED = "an older version, or the one at hand"
+    ALREADY_REJECTED = "a version that was refused before"
+    DIGEST_CONFLICT = "another digest under a number at hand"
+    BASE_MISMATCH = "changes from another base"
+
+
+class ConfigSubscriber:
+    """One gateway's state. `gateway_number` of `gateway_count` is its slot in a backoff; `address_count`: how
+    many services there are; `rng`: jitter. All times are Unix ms, by the clock that all machines read."""
+
+    def __init__(
+        self,
+        gateway_number: int,
+        gateway_count: int,
+        address_count: int,
+        rng: random.Random,
+        now_ms: float,
+    ) -> None:
+        self._slot_start_ratio = (gateway_number % max(1, gateway_count)) / max(1, gateway_count)
+        self._slot_ratio = 1 / max(1, gateway_count)  # of a backoff
+        self._address_count = address_count
+        self._rng = rng
+        self.active = OWN_FILE
+        self.staged: SettingsVersion | None = None
+        self.rejected: dict[int, RejectedVersion] = {}  # by number, at most MAX_REJECTED_VERSIONS
+        self.address_index = gateway_number % address_count
+        self.consecutive_failures = 0
+        self.last_response_ms = now_ms  # or the start, before the first response
+        self._unchanged_watches = 0  # at this address, in a row
+        self._may_watch = False  # this address has answered, and a watch may wait there
+        self._wants_snapshot = False
+        self._had_update = False  # the last answer brought one
 
     @property
-    def newest(self) -> Content:
-        """The newest version that is at hand."""
-        return self.staged or self.in_force
-
-    # -- what to ask
-
-    def next(self, now: float) -> Call:
-        """The call to make now."""
-        after_ms = GAP_MS if self._had_news else 0.0
-        if self.failures:
-            round_ms = min(MOST_ROUND_MS, FIRST_ROUND_MS * 2.0 ** min(self.failures - 1, 30))
-            after_ms = (self._place * round_ms - now) % round_ms + self._rng.random() * self._each * round_ms
-        wait_ms, within_ms = (WAIT_MS, WAIT_MS + SPARE_MS) if self._goes_on else (NOW_MS, ASK_MS)
-        newest, refused = self.newest, max(self.refused, default=0)
-        return Call(
-            self.address,
-            after_ms,
-            wait_ms,
-            within_ms,
-            newest.version,
-            "" if self._want_whole else newest.digest,
-            self.in_force.version,
-            self.in_force.digest,
-            self.staged.version if self.staged else 0,
-            refused,
-            self.refused[refused].why if refused else "",
+    def newest(self) -> SettingsVersion:
+        """The newest version that is here: the base for a delta."""
+        return self.staged or self.active
+
+    # -- requests
+
+    def next_request(self, now_ms: float) -> ConfigWatchRequest:
+        """The call to make now; draws jitter after a failure."""
+        delay_ms = self._delay_ms(now_ms)
+        watch_timeout_ms = IMMEDIATE_WATCH_MS
+        response_timeout_ms = RESPONSE_TIMEOUT_MS
+        if self._may_watch:
+            watch_timeout_ms = WATCH_TIMEOUT_MS
+            response_timeout_ms = WATCH_TIMEOUT_MS + WATCH_GRACE_MS
+        newest = self.newest
+        rejected_number = max(self.rejected, default=0)
+        return ConfigWatchRequest(
+            address_index=self.address_index,
+            delay_ms=delay_ms,
+            watch_timeout_ms=watch_timeout_ms,
+            response_timeout_ms=response_timeout_ms,
+            since_number=newest.number,
+            since_digest="" if self._wants_snapshot else newest.digest,
+            active_number=self.active.number,
+            active_digest=self.active.digest,
+            staged_number=self.staged.number if self.staged else 0,
+            rejected_number=rejected_number,
+            rejection_reason=self.rejected[rejected_number].reason if rejected_number else "",
         )
 
-    def quiet(self, now: float, call: Call, took_ms: float) -> str:
-        """The service has nothing new; returns what is wrong with that, which counts as a failure."""
-        if call.wait_ms >= WAIT_MS and took_ms < WAIT_MS / 2:
-            return self.failed("an answer without news before its time")
-        self._heard(now)
-        self._quiet += 1
-        if self._quiet >= STAY and self._addresses > 1:
-            self._move()
-        return ""
-
-    def failed(self, problem: str) -> str:
-        """A call has come to nothing, or brought what is of no use: another address is next."""
-        self.failures += 1
-        self._move()
-        return problem
-
-    def _move(self) -> None:
-        self.address = (self.address + 1) % self._addresses
-        self._quiet, self._goes_on, self._had_news = 0, False, False
-
-    def _heard(self, now: float) -> None:
-        self.heard_ms, self.failures, self._goes_on, self._had_news = now, 0, True, False
-
-    # -- what comes
-
-    def wish(self, offer: Offer) -> Wish:
-        """Whether an offer is worth reading."""
-        for held in (self.in_force, self.staged):
-            if held is not None and offer.version == held.version and offer.digest != held.digest:
-                return Wish.CONFLICT
-        if offer.version <= self.newest.version:
-            return Wish.OLD
-        if offer.version in self.refused:
-            return Wish.BEFORE
-        if offer.settings is None and (offer.base, offer.base_digest) != (
-            self.newest.version,
-            self.newest.digest,
-        ):
-            return Wish.WHOLE
-        return Wish.READ
-
-    def declined(self, now: float, offer: Offer, wish: Wish) -> str:
-        """An offer that was not worth reading: what to log."""
-        if wish is Wish.CONFLICT:
-            self._refuse(offer.version, offer.digest, "this number is in force or staged with another digest")
-        if wish is Wish.WHOLE:
-            self._want_whole = True
-        return self.failed(f"version {offer.version}: {wish.value}")
-
-    def unusable(self, problem: str) -> str:
-        """An offer whose bytes do not make what it says: the whole is asked for, elsewhere first."""
-        self._want_whole = True
-        return self.failed(problem)
-
-    def take(self, now: float, content: Content, problem: str) -> str:
-        """A version has been read; `problem`: what is wrong with its settings, in one line. Returns what is
-        wrong, or nothing: then it is staged. Another may have been taken since it was asked for."""
-        self._heard(now)
-        self._want_whole, self._had_news, self._quiet = False, True, 0
-        if content.version <= self.newest.version or content.version in self.refused:
-            return f"version {content.version}: {Wish.OLD.value}"
-        if not problem and content.in_force_ms > now + MOST_AHEAD_MS:
-            problem = "in_force_ms is more than a day ahead"
-        if problem:
-            self._refuse(content.version, content.digest, problem)
-            return f"version {content.version} is refused: {problem}"
-        self.staged = content
-        return ""
-
-    def due(self, now: float) -> Content | None:
-        """The version that has to come into force now."""
-        return self.staged if self.staged is not None and self.staged.in_force_ms <= now else None
-
-    def put(self, content: Content, problem: str) -> None:
-        """The gatekeeper took a version over, or refused it: then nothing has changed."""
-        if problem:
-            self._refuse(content.version, content.digest, problem)
-        else:
-            self.in_force = content
-        if self.staged is not None and (
-            self.staged is content or self.staged.version <= self.in_force.version
-        ):
+    def _delay_ms(self, now_ms: float) -> float:
+        """The wait before a call: after failures until this gateway's slot in the backoff, with jitter."""
+        if not self.consecutive_failures:
+            return MIN_WATCH_INTERVAL_MS if self._had_update else 0.0
+        doublings = min(self.consecutive_failures - 1, 30)
+        backoff_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0**doublings)
+        until_slot_ms = (self._slot_start_ratio * backoff_ms - now_ms) % backoff_ms
+        return until_slot_ms + self._rng.random() * self._slot_ratio * backoff_ms
+
+    # -- responses
+
+    def on_unchanged(self, now_ms: float, request: ConfigWatchRequest, elapsed_ms: float) -> None:
+        """The service has nothing newer. Raises EarlyResponseError where it did not wait for it."""
+        if request.watch_timeout_ms >= WATCH_TIMEOUT_MS and elapsed_ms < WATCH_TIMEOUT_MS / 2:
+            self.on_call_failed()
+            raise EarlyResponseError("an answer without news before its time")
+        self._on_response(now_ms)
+        self._unchanged_watches += 1
+        if self._unchanged_watches >= MAX_UNCHANGED_WATCHES and self._address_count > 1:
+            self._use_next_address()
+
+    def on_call_failed(self) -> None:
+        """A call failed, or its answer is of no use: another address is next."""
+        self.consecutive_failures += 1
+        self._use_next_address()
+
+    def on_invalid_update(self) -> None:
+        """An answer is not what it says: a snapshot is wanted, and another address is next."""
+        self._wants_snapshot = True
+        self.on_call_failed()
+
+    def _use_next_address(self) -> None:
+        self.address_index = (self.address_index + 1) % self._address_count
+        self._unchanged_watches = 0
+        self._may_watch = False
+        self._had_update = False
+
+    def _on_response(self, now_ms: float) -> None:
+        self.last_response_ms = now_ms
+        self.consecutive_failures = 0
+        self._may_watch = True
+        self._had_update = False
+
+    # -- updates
+
+    def assess(self, update: VersionUpdate) -> Assessment:
+        """Whether an update is worth reading."""
+        for known in (self.active, self.staged):
+            if known is not None and update.number == known.number and update.digest != known.digest:
+                return Assessment.DIGEST_CONFLICT
+        if update.number <= self.newest.number:
+            return Assessment.OUTDATED
+        if update.number in self.rejected:
+            return Assessment.ALREADY_REJECTED
+        if not update.applies_to(self.newest):
+            return Assessment.BASE_MISMATCH
+        return Assessment.WANTED
+
+    def require_wanted(self, update: VersionUpdate) -> None:
+        """Raises UpdateDeclinedError for an update that is not worth reading, which counts as a failed
+        call."""
+        assessment = self.assess(update)
+        if assessment is Assessment.WANTED:
+            return
+        if assessment is Assessment.DIGEST_CONFLICT:
+            self._reject(
+                update.number, update.digest, "this number is in force or staged with another digest"
+            )
+        if assessment is Assessment.BASE_MISMATCH:
+            self._wants_snapshot = True
+        self.on_call_failed()
+        raise UpdateDeclinedError(f"version {update.number}: {assessment.value}")
+
+    def stage(self, now_ms: float, version: SettingsVersion) -> None:
+        """A version that was read and whose settings are good: it becomes active at its time.
+
+        Raises VersionNotStagedError where it is outdated by now, or to become active too far ahead.
+        """
+        self._on_version_read(now_ms, version)
+        if version.activates_at_ms > now_ms + MAX_ACTIVATION_DELAY_MS:
+            self._raise_rejected(version, "in_force_ms is more than a day ahead")
+        self.staged = version
+
+    def reject(self, now_ms: float, version: SettingsVersion, reason: str) -> None:
+        """A version that was read and whose settings are bad: raises VersionNotStagedError."""
+        self._on_version_read(now_ms, version)
+        self._raise_rejected(version, reason)
+
+    def _on_version_read(self, now_ms: float, version: SettingsVersion) -> None:
+        """Another version may have been staged since this one was asked for: raises VersionNotStagedError."""
+        self._on_response(now_ms)
+        self._wants_snapshot = False
+        self._had_update = True
+        self._unchanged_watches = 0
+        if version.number <= self.newest.number or version.number in self.rejected:
+            raise VersionNotStagedError(f"version {version.number}: {Assessment.OUTDATED.value}")
+
+    def _raise_rejected(self, version: SettingsVersion, reason: str) -> None:
+        self._reject(version.number, version.digest, reason)
+        raise VersionNotStagedError(f"version {version.number} is refused: {reason}")
+
+    def _reject(self, number: int, digest: str, reason: str) -> None:
+        line = "".join(char if char.isprintable() else " " for char in reason)[:MAX_REASON_CHARS]
+        self.rejected.setdefault(number, RejectedVersion(digest, line))
+        while len(self.rejected) > MAX_REJECTED_VERSIONS:
+            del self.rejected[min(self.rejected)]
+
+    # -- activation
+
+    def due_version(self, now_ms: float) -> SettingsVersion | None:
+        """The version that has to become active now."""
+        if self.staged is None or self.staged.activates_at_ms > now_ms:
+            return None
+        return self.staged
+
+    def on_activated(self, version: SettingsVersion) -> None:
+        """The gateway works by that version now."""
+        self.active = version
+        self._unstage_if_done(version)
+
+    def on_activation_failed(self, version: SettingsVersion, reason: str) -> None:
+        """The gateway could not take that version over, and nothing has changed there."""
+        self._reject(version.number, version.digest, reason)
+        self._unstage_if_done(version)
+
+    def _unstage_if_done(self, version: SettingsVersion) -> None:
+        if self.staged is None:
+            return
+        if self.staged is version or self.staged.number <= self.active.number:
             self.staged = None
 
-    def outdone(self, content: Content) -> bool:
-        """Whether what the process before had in force is newer than what is in force here: then it is put
-        in force at once, whatever is staged."""
-        return content.version > self.in_force.version and content.version not in self.refused
-
-    def _refuse(self, version: int, its: str, why: str) -> None:
-        line = "".join(c if c.isprintable() else " " for c in why)[:MOST_WHY]
-        self.refused.setdefault(version, Refused(its, line))
-        while len(self.refused) > MOST_REFUSED:
-            del self.refused[min(self.refused)]
+    def is_newer_than_active(self, version: SettingsVersion) -> bool:
+        """Whether a version that the previous process had active is to be made active here, at once and
+        whatever is staged."""
+        return version.number > self.active.number and version.number not in self.rejected
 
-    # -- what to tell
+    # -- for operators
 
-    def line(self, now: float) -> str:
-        """For staff: one line."""
-        held, parts = self.in_force, []
-        parts.append(f"version {held.version} {held.digest[:12] or '(own file)'} in force")
+    def status_line(self, now_ms: float) -> str:
+        """One line: what is active, staged and rejected, and since when no service has answered."""
+        active = self.active
+        parts = [f"version {active.number} {active.digest[:12] or '(own file)'} in force"]
         if self.staged is not None:
-            after_s = max(0.0, self.staged.in_force_ms - now) / 1000
-            parts.append(f"{self.staged.version} {self.staged.digest[:12]} staged for in {after_s:.1f} s")
-        for version in sorted(self.refused, reverse=True)[:1]:
-            one = self.refused[version]
-            parts.append(f"{version} {one.digest[:12]} refused ({one.why})")
-        parts.append(f"service heard {max(0.0, now - self.heard_ms) / 1000:.1f} s ago")
+            delay_s = max(0.0, self.staged.activates_at_ms - now_ms) / 1000
+            parts.append(f"{self.staged.number} {self.staged.digest[:12]} staged for in {delay_s:.1f} s")
+        if self.rejected:
+            number = max(self.rejected)
+            rejected = self.rejected[number]
+            parts.append(f"{number} {rejected.digest[:12]} refused ({rejected.reason})")
+        parts.append(f"service heard {max(0.0, now_ms - self.last_response_ms) / 1000:.1f} s ago")
         return "; ".join(parts)
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -1,4 +1,8 @@
-"""`plumpick configuration serve | publish | back | status`: settings for running gatekeepers, by versions."""
+"""`plumpick configuration serve | publish | back | status`: settings for running gateways, by versions.
+
+Every step is a call of each service; one that does not answer is named, and the others go on. Exit codes: 0,
+1 where something is not as it should be, 2 where a call or a file is wrong or no service answers.
+"""
 
 from __future__ import annotations
 
@@ -13,178 +17,209 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.policy.dynamic_config.delta import Settings, digest, shared
-from plumpick.policy.dynamic_config.version_store import summary
+from plumpick.policy.dynamic_config.delta import Settings, settings_digest, shared_settings
+from plumpick.policy.dynamic_config.rollout_report import ServiceStatus, report_rollout
 from plumpick.policy.settings_parser import parse_settings
 from plumpick.tools.call import address_of
-from plumpick.tools.configuration_service import PATH, Service
+from plumpick.tools.configuration_service import PATH, VersionService
+
+CALL_TIMEOUT_S = 10.0
+MAX_ACTIVATION_DELAY_S = 86_000.0
+
+Address = tuple[str, int]
+VersionDocument = dict[str, Any]  # a version as it is published, in JSON
+
 
-PATIENCE_S = 10.0
-MOST_LATER_S = 86_000.0
+class ConfigurationError(Exception):
+    """A step that came to nothing; one line."""
 
-Place = tuple[str, int]
 
+class ServiceCallError(ConfigurationError):
+    """A service that does not answer, or not as it should."""
 
-class Failed(Exception):
-    """A call that came to nothing; one line."""
 
+class SettingsFileError(ConfigurationError):
+    """A file that holds no settings; the line names the key that is wrong."""
 
-def ask(place: Place, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Status and answer of a service; raises Failed."""
-    connection = http.client.HTTPConnection(*place, timeout=PATIENCE_S)
+
+def call_service(address: Address, method: str, path: str, body: Any = None) -> tuple[int, Any]:
+    """Status and JSON of a service's response; raises ServiceCallError."""
+    connection = http.client.HTTPConnection(*address, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, None if body is None else json.dumps(body))
-        answer = connection.getresponse()
-        data = answer.read()
-        return answer.status, json.loads(data) if data else None
+        response = connection.getresponse()
+        data = response.read()
+        return response.status, json.loads(data) if data else None
     except (OSError, http.client.HTTPException, ValueError) as problem:
-        raise Failed(f"{place[0]}:{place[1]}: {problem or type(problem).__name__}") from problem
+        raise ServiceCallError(f"{_host_of(address)}: {problem or type(problem).__name__}") from problem
     finally:
         connection.close()
 
 
-def settings_in(path: str) -> Settings:
-    """The settings of a file: a gatekeeper's configuration, or its `settings` alone. Raises Failed with the
-    key that is wrong."""
+def load_settings(path: str) -> Settings:
+    """The shared settings of a file: a gateway's configuration, or its `settings` alone. Raises
+    SettingsFileError."""
     try:
         value = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as problem:
-        raise Failed(f"cannot read {path}: {problem.strerror}") from problem
+        raise SettingsFileError(f"cannot read {path}: {problem.strerror}") from problem
     except (ValueError, RecursionError) as problem:
-        raise Failed(f"{path}: no JSON: {problem}") from problem
+        raise SettingsFileError(f"{path}: no JSON: {problem}") from problem
     if isinstance(value, dict) and isinstance(value.get("settings"), dict):
         value = value["settings"]
     try:
         parse_settings({**value, "myNumber": 0} if isinstance(value, dict) else value, "settings")
-        digest(value)
+        settings_digest(value)
     except (ValueError, TypeError) as problem:  # a SettingsError, a DeltaError, or of the types themselves
-        raise Failed(f"{path}: {problem}") from problem
-    return shared(value)
+        raise SettingsFileError(f"{path}: {problem}") from problem
+    return shared_settings(value)
 
 
-def states_of(places: list[Place]) -> tuple[list[dict[str, Any]], list[str]]:
-    """What each service tells; and those that do not answer, as lines."""
-    states, dead = [], []
-    for place in places:
+def fetch_statuses(addresses: list[Address]) -> tuple[list[ServiceStatus], list[str]]:
+    """What each service reports; and a line for each one that does not answer."""
+    statuses = []
+    failures = []
+    for address in addresses:
         try:
-            status, value = ask(place, "GET", f"{PATH}/status")
+            status, value = call_service(address, "GET", f"{PATH}/status")
             if status != 200:
-                raise Failed(f"{place[0]}:{place[1]}: status {status}")
-            states.append(value)
-        except Failed as problem:
-            dead.append(str(problem))
-    return states, dead
+                raise ServiceCallError(f"{_host_of(address)}: status {status}")
+            statuses.append(value)
+        except ServiceCallError as problem:
+            failures.append(str(problem))
+    return statuses, failures
 
 
-def document(
-    settings: Settings, states: list[dict[str, Any]], now_ms: float, later_ms: float
-) -> dict[str, Any]:
+def next_version(
+    settings: Settings, statuses: list[ServiceStatus], now_ms: float, delay_ms: float
+) -> VersionDocument:
     """The version that these settings become: the newest one again where it has this very content, so that
-    whoever lacks it gets it; a new number else. Services that know of nothing begin far above what any
-    forgotten life of theirs may have given."""
-    its = digest(settings)
-    rows = [row for state in states for row in state["versions"]]
-    told = [row[2] for state in states for row in state["watchers"]]
-    newest = max(rows, default=None, key=lambda row: row[0])
-    if newest is not None and newest[1] == its and newest[0] >= max(told, default=0):
-        return {"version": newest[0], "digest": its, "in_force_ms": newest[2], "settings": settings}
-    number = max([row[0] for row in rows] + told, default=0) + 1
+    whoever lacks it gets it; else a new number. Services that know no version begin far above any number that
+    a forgotten process of theirs may have given."""
+    digest = settings_digest(settings)
+    known = [row for status in statuses for row in status["versions"]]
+    active_numbers = [row[2] for status in statuses for row in status["watchers"]]
+    newest = max(known, default=None, key=lambda row: row[0])
+    if newest is not None and newest[1] == digest and newest[0] >= max(active_numbers, default=0):
+        return {"version": newest[0], "digest": digest, "in_force_ms": newest[2], "settings": settings}
+    number = max([row[0] for row in known] + active_numbers, default=0) + 1
     if newest is None:
         number = max(number, int(now_ms))
-    return {"version": number, "digest": its, "in_force_ms": now_ms + later_ms, "settings": settings}
+    return {"version": number, "digest": digest, "in_force_ms": now_ms + delay_ms, "settings": settings}
 
 
-def _put(value: dict[str, Any], places: list[Place], dead: list[str]) -> int:
-    """Write a version to all services; 0, or 1 where one did not take it."""
-    wrong = list(dead)
-    for place in places:
-        try:
-            status, answer = ask(place, "PUT", PATH, value)
-            if status != 200:
-                wrong.append(f"{place[0]}:{place[1]}: {(answer or {}).get('problem', status)}")
-        except Failed as problem:
-            if str(problem) not in wrong:
-                wrong.append(str(problem))
-    for line in wrong:
-        print(f"plumpick configuration: {line}", file=sys.stderr)
-    if len(wrong) < len(places):
-        print(
-            f"version {value['version']} {value['digest'][:12]}, in force at {value['in_force_ms']:.0f}, "
-            f"at {len(places) - len(wrong)} of {len(places)}"
+def publish(args: argparse.Namespace, addresses: list[Address]) -> int:
+    """Publish a file; the exit code. Raises ConfigurationError."""
+    settings = load_settings(args.file)
+    statuses, failures = fetch_statuses(addresses)
+    if not statuses:
+        raise ServiceCallError("no service answers")
+    version = next_version(settings, statuses, _now_ms(), args.in_force_in * 1000)
+    return _put_version(version, addresses, failures)
+
+
+def back(args: argparse.Namespace, addresses: list[Address]) -> int:
+    """Publish an older version's settings under a new number; the exit code. Raises ConfigurationError."""
+    statuses, failures = fetch_statuses(addresses)
+    known = sorted({row[0] for status in statuses for row in status["versions"]})
+    if len(known) < 2:
+        raise ConfigurationError("there is no version before")
+    wanted = args.version or known[-2]
+    if wanted not in known:
+        raise ConfigurationError(
+            f"version {wanted} is not kept; there are {', '.join(map(str, known[-10:]))}"
         )
-    return 1 if wrong else 0
+    settings = _fetch_settings(wanted, addresses)
+    version = next_version(settings, statuses, _now_ms(), args.in_force_in * 1000)
+    return _put_version(version, addresses, failures)
 
 
-def publish(given: argparse.Namespace, places: list[Place]) -> int:
-    """Publish a file."""
-    settings = settings_in(given.file)
-    states, dead = states_of(places)
-    if not states:
-        raise Failed("no service answers")
-    return _put(document(settings, states, time.time() * 1000, given.in_force_in * 1000), places, dead)
+def status(args: argparse.Namespace, addresses: list[Address]) -> int:
+    """Print who has which version: 0 where all have the newest, 1 where not, 2 where no service answers."""
+    statuses, failures = fetch_statuses(addresses)
+    for line in failures:
+        print(f"service lost: {line}")
+    if not statuses:
+        return 2
+    report = report_rollout(statuses)
+    print("\n".join(report.lines))
+    return 0 if report.is_complete and not failures else 1
 
 
-def back(given: argparse.Namespace, places: list[Place]) -> int:
-    """Publish an older version's content under a new number."""
-    states, dead = states_of(places)
-    known = sorted({row[0] for state in states for row in state["versions"]})
-    if len(known) < 2:
-        raise Failed("there is no version before")
-    wanted = given.version or known[-2]
-    if wanted not in known:
-        raise Failed(f"version {wanted} is not kept; there are {', '.join(map(str, known[-10:]))}")
-    for place in places:
+def _fetch_settings(number: int, addresses: list[Address]) -> Settings:
+    """The settings of a version, of the first service that has it; raises ServiceCallError."""
+    for address in addresses:
         try:
-            status, value = ask(place, "GET", f"{PATH}/versions/{wanted}")
-        except Failed:
+            status, value = call_service(address, "GET", f"{PATH}/versions/{number}")
+        except ServiceCallError:
             continue
         if status == 200:
-            return _put(
-                document(value["settings"], states, time.time() * 1000, given.in_force_in * 1000),
-                places,
-                dead,
-            )
-    raise Failed(f"version {wanted} could not be read")
+            settings: Settings = value["settings"]
+            return settings
+    raise ServiceCallError(f"version {number} could not be read")
 
 
-def status(given: argparse.Namespace, places: list[Place]) -> int:
-    """Who has which version: 0 where all have the newest, 1 where not, 2 where no service answers."""
-    states, dead = states_of(places)
-    for line in dead:
-        print(f"service lost: {line}")
-    if not states:
-        return 2
-    lines, well = summary(states)
-    print("\n".join(lines))
-    return 0 if well and not dead else 1
+def _put_version(version: VersionDocument, addresses: list[Address], failures: list[str]) -> int:
+    """Write a version to all services; 0, or 1 where one did not take it. `failures`: those of calls
+    before."""
+    problems = list(failures)
+    for address in addresses:
+        try:
+            status, answer = call_service(address, "PUT", PATH, version)
+            if status != 200:
+                problems.append(f"{_host_of(address)}: {(answer or {}).get('problem', status)}")
+        except ServiceCallError as problem:
+            if str(problem) not in problems:
+                problems.append(str(problem))
+    for line in problems:
+        print(f"plumpick configuration: {line}", file=sys.stderr)
+    if len(problems) < len(addresses):
+        print(
+            f"version {version['version']} {version['digest'][:12]}, "
+            f"in force at {version['in_force_ms']:.0f}, "
+            f"at {len(addresses) - len(problems)} of {len(addresses)}"
+        )
+    return 1 if problems else 0
+
+
+def _host_of(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
-async def _serve(place: Place) -> None:
-    service, stop, loop = Service(), asyncio.Event(), asyncio.get_running_loop()
-    await service.open(*place)
+def _now_ms() -> float:
+    return time.time() * 1000
+
+
+async def _serve_until_signal(address: Address) -> None:
+    service = VersionService()
+    stop = asyncio.Event()
+    loop = asyncio.get_running_loop()
+    await service.open(*address)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    logging.info("listening at %s:%d", place[0], service.port)
+    logging.info("listening at %s:%d", address[0], service.port)
     await stop.wait()
     service.close()
 
 
-def serve(place: Place) -> int:
-    """Serve until SIGTERM."""
+def serve(address: Address) -> int:
+    """Serve until SIGTERM; the exit code."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    asyncio.run(_serve(place))
+    asyncio.run(_serve_until_signal(address))
     return 0
 
 
-def configuration(given: argparse.Namespace) -> int:
-    """0; 1 where something is not as it should be; 2 where a call or a file is wrong or nobody answers."""
+def configuration(args: argparse.Namespace) -> int:
+    """Run one step; the exit code."""
     try:
-        if given.step == "serve":
-            return serve(address_of(given.listen))
-        places = [address_of(text) for text in given.to]
-        if given.step != "status" and not 0 <= given.in_force_in <= MOST_LATER_S:
-            raise Failed(f"--in-force-in: {given.in_force_in:g} is not from 0 to {MOST_LATER_S:g}")
-        return {"publish": publish, "back": back, "status": status}[given.step](given, places)
-    except (Failed, ValueError, OSError) as problem:
+        if args.step == "serve":
+            return serve(address_of(args.listen))
+        addresses = [address_of(text) for text in args.to]
+        if args.step != "status" and not 0 <= args.in_force_in <= MAX_ACTIVATION_DELAY_S:
+            raise ConfigurationError(
+                f"--in-force-in: {args.in_force_in:g} is not from 0 to {MAX_ACTIVATION_DELAY_S:g}"
+            )
+        return {"publish": publish, "back": back, "status": status}[args.step](args, addresses)
+    except (ConfigurationError, ValueError, OSError) as problem:
         print(f"plumpick configuration: {problem}", file=sys.stderr)
         return 2
--- a/plumpick/tools/configuration_service.py
+++ b/plumpick/tools/configuration_service.py
@@ -1,11 +1,16 @@
-"""`plumpick configuration serve`: a service of versions of the settings, over HTTP/1.1. It decides nothing
-(plumpick/policy/dynamic_config/version_store.py does).
+"""`plumpick configuration serve`: a service of versions of the settings, over HTTP/1.1.
 
     GET  /configuration?since=V&digest=D&name=N&...   the newest version once there is one that is newer, as
                                                       200; 204 after timeout_ms without one
-    PUT  /configuration                               a version, whole: 200, or 409 with what is wrong
+    PUT  /configuration                               a version with all its settings: 200, or 409 with
+                                                      what is wrong
     GET  /configuration/status                        who has which version
-    GET  /configuration/versions/V                    a version, whole"""
+    GET  /configuration/versions/V                    a version with all its settings
+
+What is stored and answered is decided by plumpick/policy/dynamic_config/version_store.py. A request that
+cannot be read is answered with 400; a connection that speaks no HTTP, falls idle or is one too many is
+aborted.
+"""
 
 from __future__ import annotations
 
@@ -18,177 +23,224 @@
 
 import httptools
 
-from plumpick.policy.dynamic_config.subscriber import MOST_VERSION
-from plumpick.policy.dynamic_config.version_store import Shelf, Watcher
+from plumpick.policy.dynamic_config.errors import PublishError
+from plumpick.policy.dynamic_config.updates import MAX_VERSION_NUMBER
+from plumpick.policy.dynamic_config.version_store import SubscriberStatus, VersionStore
 
-MOST_BODY, MOST_HEAD = 64 * 2**20, 16 * 1024  # bytes
-MOST_WAIT_MS = 20_000.0
-IDLE_S = 60.0  # a connection on which nothing is asked
-MOST_CONNECTIONS = 2048
 PATH = "/configuration"
+MAX_REQUEST_BYTES = 64 * 2**20
+MAX_TARGET_BYTES = 16 * 1024
+READ_BYTES = 256 * 1024
+MAX_WATCH_TIMEOUT_MS = 20_000.0
+IDLE_TIMEOUT_S = 60.0  # of a connection without a request
+MAX_CONNECTIONS = 2048
+ACCEPT_BACKLOG = 1024
+MAX_NAME_CHARS = 64
+MAX_DIGEST_CHARS = 64
+MAX_REASON_CHARS = 200
+
+Query = dict[str, list[str]]
 
 log = logging.getLogger(__name__)
 
 
+class RequestError(ValueError):
+    """A request that cannot be read; one line."""
+
+
 def unix_ms() -> float:
     """The time of day."""
     return time.time() * 1000
 
 
 class _Request:
-    """What the parser of a request collects."""
+    """One request as its bytes come."""
 
     def __init__(self) -> None:
-        self.url, self.parts, self.complete = b"", list[bytes](), False
+        self.target = b""
+        self.parts: list[bytes] = []
+        self.is_complete = False
         self.parser = httptools.HttpRequestParser(self)
 
-    def on_url(self, url: bytes) -> None:
-        self.url += url
+    def on_url(self, part: bytes) -> None:
+        self.target += part
 
     def on_body(self, part: bytes) -> None:
         self.parts.append(part)
 
     def on_message_complete(self) -> None:
-        self.complete = True
-
-
-def _number(words: dict[str, list[str]], key: str, most: int = MOST_VERSION) -> int:
-    text = words.get(key, ["0"])[0]
-    if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) > most:
-        raise ValueError(f"{key}: {text!r:.40} is no number")
-    return int(text)
+        self.is_complete = True
 
 
-class Service:
-    """All connections of one service. `now`: Unix ms."""
+class VersionService:
+    """All connections of one service. `now_ms`: Unix ms."""
 
-    def __init__(self, now: Callable[[], float] = unix_ms) -> None:
-        self.shelf, self.now = Shelf(), now
-        self._news = asyncio.Event()  # replaced at each new version
+    def __init__(self, now_ms: Callable[[], float] = unix_ms) -> None:
+        self.store = VersionStore()
+        self.now_ms = now_ms
+        self._published = asyncio.Event()  # replaced with each new version
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self.calls = self.bytes_out = 0
+        self.calls = 0
+        self.bytes_out = 0
         self.port = 0
 
     async def open(self, host: str, port: int) -> None:
         """Listen; raises OSError."""
-        self._server = await asyncio.start_server(self._serve, host, port, backlog=1024)
+        self._server = await asyncio.start_server(self._serve_connection, host, port, backlog=ACCEPT_BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
             writer.transport.abort()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._writers) >= MOST_CONNECTIONS:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self._writers) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
         self._writers.add(writer)
         try:
-            while await self._one(reader, writer):
+            while await self._serve_request(reader, writer):
                 pass
         except (OSError, httptools.HttpParserError, TimeoutError, asyncio.CancelledError):
-            pass  # it has gone, or speaks no HTTP
+            pass  # the client has gone, or speaks no HTTP
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One request and its answer; False where there is none."""
-        request, size = _Request(), 0
-        async with asyncio.timeout(IDLE_S):
-            while not request.complete:
-                data = await reader.read(256 * 1024)
-                size += len(data)
-                if not data or size > MOST_BODY or len(request.url) > MOST_HEAD:
-                    return False
-                request.parser.feed_data(data)
+    async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """One request and its response; False where there is none."""
+        request = await _read_request(reader)
+        if request is None:
+            return False
         self.calls += 1
         try:
-            status, body = await self._answer(request, writer)
+            status, body = await self._respond(request)
         except ValueError as problem:
-            status, body = 400, json.dumps({"problem": str(problem)}).encode()
-        head = f"HTTP/1.1 {status} X\r\n" + (
-            "" if status == 204 else f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
-        )
+            status = 400
+            body = json.dumps({"problem": str(problem)}).encode()
+        head = f"HTTP/1.1 {status} X\r\n"
+        if status != 204:
+            head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
         writer.write(head.encode() + b"\r\n" + body)
         self.bytes_out += len(head) + 2 + len(body)
         await writer.drain()
         return True
 
-    async def _answer(self, request: _Request, writer: asyncio.StreamWriter) -> tuple[int, bytes]:
-        parts = urlsplit(request.url.decode("ascii", "replace"))
-        method, path = request.parser.get_method(), parts.path
+    async def _respond(self, request: _Request) -> tuple[int, bytes]:
+        """Status and body; raises ValueError for a request that cannot be read."""
+        parts = urlsplit(request.target.decode("ascii", "replace"))
+        method = request.parser.get_method()
+        path = parts.path
         if (method, path) == (b"GET", PATH):
             body = await self._watch(parse_qs(parts.query))
             return (204, b"") if body is None else (200, body)
         if (method, path) == (b"PUT", PATH):
-            return await self._publish(b"".join(request.parts))
+            return self._publish(b"".join(request.parts))
         if (method, path) == (b"GET", f"{PATH}/status"):
-            return 200, json.dumps(
-                {**self.shelf.status(self.now()), "calls": self.calls, "bytes_out": self.bytes_out}
-            ).encode()
+            return 200, self._status()
         if method == b"GET" and path.startswith(f"{PATH}/versions/"):
             return self._version(path.rpartition("/")[2])
         return 404, b"{}"
 
+    def _status(self) -> bytes:
+        counts = {"calls": self.calls, "bytes_out": self.bytes_out}
+        return json.dumps({**self.store.status(self.now_ms()), **counts}).encode()
+
     def _version(self, text: str) -> tuple[int, bytes]:
-        kept = self.shelf.kept.get(_number({"version": [text]}, "version"))
-        if kept is None:
+        stored = self.store.versions.get(_number_in({"version": [text]}, "version"))
+        if stored is None:
             return 404, json.dumps({"problem": f"version {text} is not kept here"}).encode()
-        one = kept.content
+        version = stored.version
         return 200, json.dumps(
             {
-                "version": one.version,
-                "digest": one.digest,
-                "in_force_ms": one.in_force_ms,
-                "settings": one.settings,
+                "version": version.number,
+                "digest": version.digest,
+                "in_force_ms": version.activates_at_ms,
+                "settings": version.settings,
             }
         ).encode()
 
-    async def _publish(self, data: bytes) -> tuple[int, bytes]:
+    def _publish(self, body: bytes) -> tuple[int, bytes]:
         try:
-            value = json.loads(data)
+            value = json.loads(body)
         except (ValueError, RecursionError):
             return 400, b'{"problem": "no JSON"}'
-        problem = self.shelf.publish(self.now(), value)
-        if problem:
+        try:
+            self.store.publish(self.now_ms(), value)
+        except PublishError as problem:
             log.warning("refused: %s", problem)
-            return 409, json.dumps({"problem": problem}).encode()
-        newest = self.shelf.newest
+            return 409, json.dumps({"problem": str(problem)}).encode()
+        newest = self.store.newest
         assert newest is not None
-        log.info("version %d %s is here", newest.version, newest.digest[:12])
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        log.info("version %d %s is here", newest.number, newest.digest[:12])
+        published = self._published
+        self._published = asyncio.Event()
+        published.set()
         return 200, b"{}"
 
-    async def _watch(self, words: dict[str, list[str]]) -> bytes | None:
-        """The newest version once it is newer, or None when the time is over."""
-        since, refused = _number(words, "since"), _number(words, "refused")
-        name, loop = words.get("name", [""])[0][:64], asyncio.get_running_loop()
-        if not name:
-            raise ValueError("name is missing")
-        self.shelf.heard(
-            Watcher(
-                name,
-                _number(words, "number"),
-                _number(words, "in_force"),
-                words.get("have", [""])[0][:64],
-                _number(words, "staged"),
-                refused,
-                words.get("why", [""])[0][:200],
-                self.now(),
-            )
-        )
-        its = words.get("digest", [""])[0]
-        end_s = loop.time() + min(MOST_WAIT_MS, _number(words, "timeout_ms")) / 1000
-        while (body := self.shelf.answer(since, its, refused)) is None:
-            news = self._news
+    async def _watch(self, query: Query) -> bytes | None:
+        """The newest version once it is newer, or None when the watch's time is over; raises RequestError."""
+        since_number = _number_in(query, "since")
+        status = _status_from(query, self.now_ms())
+        self.store.record_subscriber(status)
+        since_digest = _text_in(query, "digest")
+        loop = asyncio.get_running_loop()
+        end_s = loop.time() + min(MAX_WATCH_TIMEOUT_MS, _number_in(query, "timeout_ms")) / 1000
+        while True:
+            body = self.store.response_for(since_number, since_digest, status.rejected_version)
+            if body is not None:
+                return body
+            published = self._published
             try:
                 async with asyncio.timeout(end_s - loop.time()):
-                    await news.wait()
+                    await published.wait()
             except TimeoutError:
                 return None
-        return body
+
+
+async def _read_request(reader: asyncio.StreamReader) -> _Request | None:
+    """A request; None where the connection ends or the request is too long. Raises TimeoutError."""
+    request = _Request()
+    received_bytes = 0
+    async with asyncio.timeout(IDLE_TIMEOUT_S):
+        while not request.is_complete:
+            data = await reader.read(READ_BYTES)
+            received_bytes += len(data)
+            if not data or received_bytes > MAX_REQUEST_BYTES or len(request.target) > MAX_TARGET_BYTES:
+                return None
+            request.parser.feed_data(data)
+    return request
+
+
+def _status_from(query: Query, now_ms: float) -> SubscriberStatus:
+    """What a gateway reports of itself with its call; raises RequestError."""
+    rejected_version = _number_in(query, "refused")
+    name = _text_in(query, "name")[:MAX_NAME_CHARS]
+    if not name:
+        raise RequestError("name is missing")
+    return SubscriberStatus(
+        name=name,
+        number=_number_in(query, "number"),
+        active_version=_number_in(query, "in_force"),
+        active_digest=_text_in(query, "have")[:MAX_DIGEST_CHARS],
+        staged_version=_number_in(query, "staged"),
+        rejected_version=rejected_version,
+        rejection_reason=_text_in(query, "why")[:MAX_REASON_CHARS],
+        last_call_ms=now_ms,
+    )
+
+
+def _text_in(query: Query, key: str) -> str:
+    return query.get(key, [""])[0]
+
+
+def _number_in(query: Query, key: str) -> int:
+    """A number of the query, 0 where it is missing; raises RequestError."""
+    text = query.get(key, ["0"])[0]
+    if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) > MAX_VERSION_NUMBER:
+        raise RequestError(f"{key}: {text!r:.40} is no number")
+    return int(text)
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -191,11 +191,11 @@
             record.write("dial", host, "up", round(record.now() - began, 1))
             return made
 
-    class Watch(discovery.Watch):
-        async def _call(self, target: str, limit_s: float) -> Any:
+    class AddressWatch(discovery.AddressWatch):
+        async def _fetch(self, target: str, timeout_s: float) -> Any:
             began = record.now()
             try:
-                news = await super()._call(target, limit_s)
+                news = await super()._fetch(target, timeout_s)
             except BaseException as problem:
                 record.write(
                     "call", target, str(problem) or type(problem).__name__, round(record.now() - began)
@@ -215,7 +215,7 @@
             runner.run(serving)
         record.flush()
 
-    discovery.Watch = Watch  # type: ignore[misc]
+    discovery.AddressWatch = AddressWatch  # type: ignore[misc]
     daemon.Gatekeeper = gatekeeper  # type: ignore[assignment,misc]
     daemon.uvloop = type("Uvloop", (), {"run": staticmethod(run)})  # type: ignore[assignment]
     return daemon.main(which)
--- a/tests/capacity/test_size.py
+++ b/tests/capacity/test_size.py
@@ -174,7 +174,7 @@
 def test_the_time_until_a_version_is_in_force_is_the_programs_own(monkeypatch):
     row = next(row for row in rows.ROWS if row.formula == "version_in_force_s")
     assert model.line_of(row, target(), CHOSEN).value == 3.0  # the default of `publish`
-    monkeypatch.setattr(model.subscriber, "WAIT_MS", 4000.0)
+    monkeypatch.setattr(model.subscriber, "WATCH_TIMEOUT_MS", 4000.0)
     assert model.line_of(row, target(), CHOSEN).value == pytest.approx(4.7)
 
 
--- a/tests/compatibility/dynamic_config.py
+++ b/tests/compatibility/dynamic_config.py
@@ -14,17 +14,23 @@
 from plumpick.cli import main
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import config_from
-from plumpick.gateway.discovery import Discovery
-from plumpick.gateway.dynamic_config.client import Source, checked
+from plumpick.gateway.discovery import DiscoveryClient
+from plumpick.gateway.dynamic_config.client import ConfigClient, UnusableSettingsError, usable_config
 from plumpick.policy import endpoint_watch
-from plumpick.policy.dynamic_config import delta, subscriber, version_store
-from plumpick.tools.configuration import Failed, document, settings_in
-from plumpick.tools.configuration_service import Service
+from plumpick.policy.dynamic_config import delta, rollout_report, subscriber, updates, version_store
+from plumpick.policy.dynamic_config.errors import (
+    DeltaError,
+    DynamicConfigError,
+    InvalidUpdateError,
+    PublishError,
+)
+from plumpick.tools.configuration import SettingsFileError, load_settings, next_version
+from plumpick.tools.configuration_service import VersionService
 
 # Constants whose change has to be found.
-SUBSCRIBER_CONSTANT = (subscriber, "GAP_MS")
-STORE_CONSTANT = (version_store, "LOST_MS")
-WATCH_CONSTANT = (endpoint_watch, "FEW_ROUNDS")
+SUBSCRIBER_CONSTANT = (subscriber, "MIN_WATCH_INTERVAL_MS")
+STORE_CONSTANT = (rollout_report, "UNREACHABLE_AFTER_MS")
+WATCH_CONSTANT = (endpoint_watch, "ROUNDS_AFTER_QUEUE_TIMEOUT")
 CLI = main
 
 
@@ -42,120 +48,144 @@
 
 def digest(settings):
     try:
-        return delta.digest(settings)
-    except delta.DeltaError as problem:
+        return delta.settings_digest(settings)
+    except DeltaError as problem:
         return f"error {problem}"
 
 
 def difference(before, after):
     try:
         return delta.changes_between(before, after)
-    except delta.DeltaError as problem:
+    except DeltaError as problem:
         return f"error {problem}"
 
 
 def applied(before, changes):
     try:
-        return delta.applied(before, changes)
-    except delta.DeltaError as problem:
+        return delta.apply_changes(before, changes)
+    except DeltaError as problem:
         return f"error {problem}"
 
 
 def published_part(settings):
-    return delta.shared(settings)
+    return delta.shared_settings(settings)
 
 
 # -- one gatekeeper
 
 
 def new_subscriber(number, gateways, addresses, rng, now):
-    return subscriber.Versions(number, gateways, addresses, rng, now)
+    return subscriber.ConfigSubscriber(number, gateways, addresses, rng, now)
 
 
 def next_request(side, now):
-    return side.next(now)
+    return side.next_request(now)
 
 
 def quiet_answer(side, now, request, took_ms):
-    return side.quiet(now, request, took_ms)
+    try:
+        side.on_unchanged(now, request, took_ms)
+    except DynamicConfigError as wrong:
+        return str(wrong)
+    return ""
 
 
 def failed_call(side, problem):
-    return side.failed(problem)
+    side.on_call_failed()
+    return problem
 
 
 def parsed(value):
     try:
-        return plain(subscriber.offer_from(value))
-    except subscriber.Unusable as problem:
+        return plain(updates.parse_update(value))
+    except InvalidUpdateError as problem:
         return f"error {problem}"
 
 
 def received(side, now, value, problem):
     """An answer comes; `problem` is what the gatekeeper finds wrong with its settings."""
     try:
-        offer = subscriber.offer_from(value)
-        wish = side.wish(offer)
-        if wish is not subscriber.Wish.READ:
-            return side.declined(now, offer, wish)
-        content = subscriber.read(offer, side.newest)
-    except subscriber.Unusable as wrong:
-        return side.unusable(str(wrong))
-    return side.take(now, content, problem)
+        update = updates.parse_update(value)
+        side.require_wanted(update)
+        version = updates.resolve_update(update, side.newest)
+    except InvalidUpdateError as wrong:
+        side.on_invalid_update()
+        return str(wrong)
+    except DynamicConfigError as wrong:
+        return str(wrong)
+    try:
+        if problem:
+            side.reject(now, version, problem)
+        else:
+            side.stage(now, version)
+    except DynamicConfigError as wrong:
+        return str(wrong)
+    return ""
 
 
 def activate(side, now, problem):
     """What is due, if anything, comes into force, or is refused for that."""
-    content = side.due(now)
-    if content is None:
+    version = side.due_version(now)
+    if version is None:
         return None
-    side.put(content, problem)
-    return content.version
+    end_activation(side, version, problem)
+    return version.number
+
+
+def end_activation(side, version, problem):
+    if problem:
+        side.on_activation_failed(version, problem)
+    else:
+        side.on_activated(version)
 
 
 def inherited(side, value, problem):
     """What the process before left."""
-    content = subscriber.read(subscriber.offer_from(value), subscriber.Content(0, "", 0.0, {}))
-    is_newer = side.outdone(content)
+    version = updates.resolve_update(updates.parse_update(value), updates.OWN_FILE)
+    is_newer = side.is_newer_than_active(version)
     if is_newer:
-        side.put(content, problem)
+        end_activation(side, version, problem)
     return is_newer
 
 
 def state(side, now):
     return [
-        plain(side.in_force),
+        plain(side.active),
         plain(side.staged),
-        [[version, plain(row)] for version, row in side.refused.items()],
-        side.newest.version,
-        side.address,
-        side.failures,
-        side.heard_ms,
-        side.line(now),
+        [[version, plain(row)] for version, row in side.rejected.items()],
+        side.newest.number,
+        side.address_index,
+        side.consecutive_failures,
+        side.last_response_ms,
+        side.status_line(now),
     ]
 
 
 def subscriber_worst_ms(silent):
-    return subscriber.worst_ms(silent)
+    return subscriber.worst_notification_ms(silent)
 
 
 # -- the service
 
 
 def new_store():
-    return version_store.Shelf()
+    return version_store.VersionStore()
 
 
 def publish(store, now, value):
-    return store.publish(now, value)
+    try:
+        store.publish(now, value)
+    except PublishError as problem:
+        return str(problem)
+    return ""
 
 
 def record_subscriber(store, *values):
-    store.heard(version_store.Watcher(*values))
+    store.record_subscriber(version_store.SubscriberStatus(*values))
 
 
 def answer(store, since, its, refused):
-    body = store.answer(since, its, refused)
+    body = store.response_for(since, its, refused)
     return None if body is None else body.decode()
 
 
@@ -164,12 +194,12 @@
 
 
 def summary(states):
-    lines, well = version_store.summary(states)
-    return [lines, well]
+    report = rollout_report.report_rollout(states)
+    return [report.lines, report.is_complete]
 
 
 def new_service(now):
-    return Service(now)
+    return VersionService(now)
 
 
 # -- the daemon's side and the operators' tool
@@ -187,72 +217,82 @@
     clock = Clock()
     timers = Timers(asyncio.get_running_loop(), clock)
     own = config_from(config(name="n0"), {})
-    return Source(own, tuple(addresses), 30_000.0, reconfigure, clock, timers, random.Random(1))
+    return ConfigClient(own, tuple(addresses), 30_000.0, reconfigure, clock, timers, random.Random(1))
 
 
 def client_line(client):
-    return client.line()
+    return client.status_line()
 
 
 def client_has(client, version):
-    return client.versions.in_force.version == version or version in client.versions.refused
+    return client.subscriber.active.number == version or version in client.subscriber.rejected
 
 
 def exported(client):
-    return client.estate()
+    return client.export_state()
 
 
 async def imported(client, value):
-    await client.inherit(value)
-    return client.versions.in_force.version
+    await client.import_state(value)
+    return client.subscriber.active.number
 
 
 def checked_settings(settings, peers):
     """What is wrong with published settings for a gatekeeper with these peers."""
     more = {"peers": peers, "peer_listen": peers[0]} if peers else {}
     own = config_from(config(name="n0", **more), {})
-    made, problem = checked(own, subscriber.Content(1, "", 0.0, settings))
-    return [made is not None, problem]
+    try:
+        usable_config(own, updates.SettingsVersion(1, "", 0.0, settings))
+    except UnusableSettingsError as problem:
+        return [False, str(problem)]
+    return [True, ""]
 
 
 def file_settings(path):
     """The settings of a file for the operators' tool, or what is wrong."""
     try:
-        return settings_in(path)
-    except Failed as problem:
+        return load_settings(path)
+    except SettingsFileError as problem:
         return f"error {problem}"
 
 
 def next_document(settings, states, now, later):
-    return document(settings, states, now, later)
+    return next_version(settings, states, now, later)
 
 
 # -- discovery
 
 
 def new_watch(sharers, index, rng, number):
-    return endpoint_watch.Watching(sharers, index, rng, number)
+    return endpoint_watch.EndpointWatch(sharers, index, rng, number)
 
 
 def next_watch(watch, now):
-    return plain(watch.next(now))
+    return plain(watch.next_request(now))
 
 
 def watch_answered(watch, index, complete):
-    return watch.answered(index, complete)
+    try:
+        watch.on_response(index, complete)
+    except endpoint_watch.EndpointWatchError as problem:
+        return str(problem)
+    return ""
 
 
 def watch_failed(watch, problem, waited):
-    return watch.failed(problem, waited)
+    watch.on_call_failed(waited)
+    return problem
 
 
 def watch_afresh(watch):
-    watch.afresh()
+    watch.reset()
 
 
 def watch_worst_ms(is_shared):
-    return endpoint_watch.worst_ms(is_shared)
+    return endpoint_watch.worst_notification_ms(is_shared)
 
 
 def new_discovery(address, told):
-    return Discovery(address, lambda news: told([news.index, news.complete, plain(news.entries)]))
+    return DiscoveryClient(
+        address, lambda update: told([update.index, update.complete, plain(update.entries)])
+    )
--- a/tests/configuration/settings_rig.py
+++ b/tests/configuration/settings_rig.py
@@ -1,17 +1,19 @@
-"""Settings to publish, and a gatekeeper's side without sockets."""
+"""Settings to publish, and a gateway's subscriber without sockets."""
 
 import copy
 import random
 
 from fakes import settings
 
-from plumpick.policy.dynamic_config.delta import digest, shared
-from plumpick.policy.dynamic_config.subscriber import Unusable, Versions, Wish, offer_from, read
+from plumpick.policy.dynamic_config.delta import settings_digest, shared_settings
+from plumpick.policy.dynamic_config.errors import DynamicConfigError, InvalidUpdateError
+from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber
+from plumpick.policy.dynamic_config.updates import parse_update, resolve_update
 
 
 def published(mark=0, classes=3):
     """Settings as they are published; `mark` makes them differ."""
-    value = copy.deepcopy(shared(settings()))
+    value = copy.deepcopy(shared_settings(settings()))
     row = value["classes"][0]
     value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
     value["classes"][0]["worth"] = float(mark)
@@ -20,33 +22,44 @@
 
 
 def document(version, value, at_ms=0.0):
-    return {"version": version, "digest": digest(value), "in_force_ms": at_ms, "settings": value}
+    return {"version": version, "digest": settings_digest(value), "in_force_ms": at_ms, "settings": value}
 
 
-class Side:
-    """Versions with what the daemon does round them, at once."""
+class Subscription:
+    """A subscriber with what the daemon does round it, at once."""
 
-    def __init__(self, now=0.0, number=0, addresses=2, bad=lambda _settings: ""):
-        self.versions = Versions(number, 5, addresses, random.Random(1), now)
-        self.bad, self.told, self.put = bad, [], []  # logged; (when, version, digest of its content)
+    def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
+        self.subscriber = ConfigSubscriber(number, 5, addresses, random.Random(1), now_ms)
+        self.reason_against = reason_against
+        self.problems = []  # the texts of errors, "" where there was none
+        self.activated = []  # (when, number, digest of its settings)
 
-    def offer(self, now, value):
-        versions = self.versions
+    def receive(self, now_ms, value):
+        """An answer of a service."""
+        problem = ""
         try:
-            offer = offer_from(value)
-            wish = versions.wish(offer)
-            if wish is not Wish.READ:
-                self.told.append(versions.declined(now, offer, wish))
-                return
-            content = read(offer, versions.newest)
-        except Unusable as problem:
-            self.told.append(versions.unusable(str(problem)))
-            return
-        self.told.append(versions.take(now, content, self.bad(content.settings)))
-        self.step(now)
-
-    def step(self, now):
-        content = self.versions.due(now)
-        if content is not None:
-            self.versions.put(content, "")
-            self.put.append((now, content.version, digest(content.settings)))
+            self._stage(now_ms, value)
+        except InvalidUpdateError as error:
+            self.subscriber.on_invalid_update()
+            problem = str(error)
+        except DynamicConfigError as error:
+            problem = str(error)
+        self.problems.append(problem)
+        self.activate_due(now_ms)
+
+    def _stage(self, now_ms, value):
+        update = parse_update(value)
+        self.subscriber.require_wanted(update)
+        version = resolve_update(update, self.subscriber.newest)
+        reason = self.reason_against(version.settings)
+        if reason:
+            self.subscriber.reject(now_ms, version, reason)
+        else:
+            self.subscriber.stage(now_ms, version)
+
+    def activate_due(self, now_ms):
+        """Activate the staged version, if its time has come."""
+        version = self.subscriber.due_version(now_ms)
+        if version is not None:
+            self.subscriber.on_activated(version)
+            self.activated.append((now_ms, version.number, settings_digest(version.settings)))
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -12,15 +12,15 @@
 from settings_rig import published
 
 from plumpick.policy.dynamic_config.delta import (
-    OWN,
-    DeltaError,
-    applied,
-    canonical,
+    GATEWAY_OWN_KEYS,
+    apply_changes,
+    canonical_json,
     changes_between,
-    digest,
-    shared,
+    settings_digest,
+    shared_settings,
 )
-from plumpick.policy.dynamic_config.subscriber import Content, Offer, Unusable, read
+from plumpick.policy.dynamic_config.errors import DeltaError, InvalidUpdateError
+from plumpick.policy.dynamic_config.updates import SettingsVersion, VersionUpdate, resolve_update
 
 SCALARS = st.one_of(st.integers(-9, 9), st.floats(-9, 9), st.booleans(), st.text(max_size=3), st.none())
 ROWS = st.lists(
@@ -50,33 +50,37 @@
 @given(OBJECTS, OBJECTS)
 def test_a_delta_makes_of_its_base_what_was_published_order_and_kinds_of_numbers_too(before, after):
     kept = copy.deepcopy(before)
-    made = applied(before, json.loads(json.dumps(changes_between(before, after))))
-    assert digest(made) == digest(after) and before == kept
-    assert canonical(made) == canonical(shared(after))
+    made = apply_changes(before, json.loads(json.dumps(changes_between(before, after))))
+    assert settings_digest(made) == settings_digest(after) and before == kept
+    assert canonical_json(made) == canonical_json(shared_settings(after))
 
 
 @effort(max_examples=200, deadline=None)
 @given(OBJECTS)
 def test_the_digest_is_sha256_over_canonical_json_less_what_is_each_gatekeepers_own(value):
     text = json.dumps(
-        {key: item for key, item in value.items() if key not in OWN}, sort_keys=True, separators=(",", ":")
+        {key: item for key, item in value.items() if key not in GATEWAY_OWN_KEYS},
+        sort_keys=True,
+        separators=(",", ":"),
     )
-    assert digest(value) == hashlib.sha256(text.encode()).hexdigest()
-    assert digest({**value, "myNumber": 7, "locality": "elsewhere"}) == digest(value)
+    assert settings_digest(value) == hashlib.sha256(text.encode()).hexdigest()
+    assert settings_digest({**value, "myNumber": 7, "locality": "elsewhere"}) == settings_digest(value)
 
 
 @effort(max_examples=300, deadline=None)
 @given(OBJECTS, OBJECTS, OBJECTS)
 def test_changes_said_to_be_of_another_base_make_what_was_published_or_nothing(base, other, after):
     """Some make it by chance, where the two bases differ in what is changed anyway."""
-    held = Content(4, digest(other), 0.0, other)
-    offer = Offer(5, digest(after), 0.0, None, changes_between(base, after), 4, held.digest)
+    base_version = SettingsVersion(4, settings_digest(other), 0.0, other)
+    update = VersionUpdate(
+        5, settings_digest(after), 0.0, None, changes_between(base, after), 4, base_version.digest
+    )
     try:
-        made = read(offer, held)
-    except Unusable:
-        assert canonical(shared(base)) != canonical(shared(other))
+        made = resolve_update(update, base_version)
+    except InvalidUpdateError:
+        assert canonical_json(shared_settings(base)) != canonical_json(shared_settings(other))
         return
-    assert canonical(made.settings) == canonical(shared(after))
+    assert canonical_json(made.settings) == canonical_json(shared_settings(after))
 
 
 JSON = st.recursive(
@@ -94,7 +98,7 @@
     base = published(1)
     kept = copy.deepcopy(base)
     with contextlib.suppress(DeltaError):
-        applied(base, changes)
+        apply_changes(base, changes)
     assert base == kept
 
 
@@ -104,11 +108,11 @@
     after["classes"].insert(500, {**before["classes"][0], "name": "new"})
     after["classes"][700]["worth"] = 9.0
     changes = changes_between(before, after)
-    assert len(canonical(changes)) < 600 < len(canonical(after)) / 100
-    assert canonical(applied(before, changes)) == canonical(after)
+    assert len(canonical_json(changes)) < 600 < len(canonical_json(after)) / 100
+    assert canonical_json(apply_changes(before, changes)) == canonical_json(after)
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), {1, 2}])
 def test_what_has_no_canonical_json_has_no_digest(value):
     with pytest.raises(DeltaError):
-        digest({"limits": value})
+        settings_digest({"limits": value})
--- a/tests/configuration/test_gatekeepers.py
+++ b/tests/configuration/test_gatekeepers.py
@@ -18,17 +18,17 @@
 from plumpick.cli import main
 from plumpick.gateway.config import ConfigError
 from plumpick.gateway.operator_config import operator_from
-from plumpick.policy.dynamic_config.version_store import summary
+from plumpick.policy.dynamic_config.rollout_report import report_rollout
 from plumpick.rehearsal.surroundings import is_up
 from plumpick.tools.call import ask
-from plumpick.tools.configuration_service import Service
+from plumpick.tools.configuration_service import VersionService
 
 
 class Machine:
     """A service in this process, and a gatekeeper with a process at a time, or two in an upgrade."""
 
     def __init__(self, folder):
-        self.folder, self.service, self.processes = folder, Service(), []
+        self.folder, self.service, self.processes = folder, VersionService(), []
         self.port = free_port()
 
     async def __aenter__(self):
@@ -46,8 +46,8 @@
                 await process.wait()
 
     async def put(self, version, value, later_ms=0.0):
-        told = document(version, value, self.service.now() + later_ms)
-        assert (await self.service._publish(json.dumps(told).encode()))[0] == 200
+        told = document(version, value, self.service.now_ms() + later_ms)
+        assert self.service._publish(json.dumps(told).encode())[0] == 200
 
     async def start(self, worker=9):
         """A process, up, with a worker at that port; where operators call it."""
@@ -125,7 +125,7 @@
         machine.service.close()
         process, calls = await machine.start()
         assert "version 0 (own file) in force" in await says(calls)
-        fresh = Service()
+        fresh = VersionService()
         await fresh.open(HOST, machine.service.port)
         machine.service = fresh
         await machine.put(7, published(7))
@@ -176,7 +176,7 @@
         process.terminate()
         await process.wait()
         assert await is_up(machine.port, 5.0)
-        fresh = Service()
+        fresh = VersionService()
         await fresh.open(HOST, machine.service.port)
         machine.service = fresh
         await machine.put(6, published(6))
@@ -225,13 +225,13 @@
             new, _ = await with_it.start()
             old, _ = await machine.start()
             await with_it.has(new, 3)
-            while machine.service.shelf.watchers["n0"].in_force != 3:
+            while machine.service.store.subscribers["n0"].active_version != 3:
                 await asyncio.sleep(0.01)
-            shelf = machine.service.shelf
-            lines, well = summary([shelf.status(shelf.kept[3].came_ms + 5900)])
-            assert well and lines[-1] == "1 of 3 have it"  # the term is not over
-            lines, well = summary([shelf.status(shelf.kept[3].came_ms + 6100)])
-            assert not well and "2 never heard, by number: 1, 2" in lines
+            store = machine.service.store
+            report = report_rollout([store.status(store.versions[3].published_ms + 5900)])
+            assert report.is_complete and report.lines[-1] == "1 of 3 have it"  # the term is not over
+            report = report_rollout([store.status(store.versions[3].published_ms + 6100)])
+            assert not report.is_complete and "2 never heard, by number: 1, 2" in report.lines
             assert machine.put_in_force(old.pid) == [] and await is_up(machine.port, 5.0)
 
     on_a_machine(tmp_path, scenario)
@@ -265,7 +265,7 @@
     service forgot everything."""
 
     async def scenario():
-        services = [Service(), Service()]
+        services = [VersionService(), VersionService()]
         for one in services:
             await one.open(HOST, 0)
         to = [f"{HOST}:{one.port}" for one in services]
@@ -279,24 +279,24 @@
 
         whole = config(settings={**published(1), "myNumber": 0})
         assert await tool("publish", file("one.json", whole), "--to", *to, "--in-force-in", "0") == 0
-        first = services[0].shelf.newest
-        assert first.version > 10**12 and "myNumber" not in first.settings  # above any forgotten life
+        first = services[0].store.newest
+        assert first.number > 10**12 and "myNumber" not in first.settings  # above any forgotten life
         assert await tool("publish", file("two.json", published(2)), "--to", *to) == 0
-        second = services[1].shelf.newest
-        assert second.version == first.version + 1 and second.in_force_ms > services[0].now()
+        second = services[1].store.newest
+        assert second.number == first.number + 1 and second.activates_at_ms > services[0].now_ms()
         bad = file("bad.json", {**published(3), "classes": [{"name": "x"}]})
         assert await tool("publish", bad, "--to", *to) == 2
         assert await tool("publish", str(tmp_path / "two.json"), "--to", *to, "--in-force-in", "1e9") == 2
         assert await tool("back", "--to", *to, "--in-force-in", "0") == 0
-        third = services[0].shelf.newest
-        assert (third.version, third.digest) == (first.version + 2, first.digest)
-        forgot = Service()
+        third = services[0].store.newest
+        assert (third.number, third.digest) == (first.number + 2, first.digest)
+        forgot = VersionService()
         services[1].close()
         await forgot.open(HOST, 0)
         to = [to[0], f"{HOST}:{forgot.port}"]
         assert await tool("status", *to) == 1
         assert await tool("publish", str(tmp_path / "one.json"), "--to", *to) == 0  # the same again
-        assert forgot.shelf.newest == third == services[0].shelf.newest
+        assert forgot.store.newest == third == services[0].store.newest
         assert await tool("publish", str(tmp_path / "one.json"), "--to", to[0], f"{HOST}:1") == 1
         assert await tool("back", "--version", "7", "--to", *to) == 2
         assert await tool("status", f"{HOST}:1") == 2
--- a/tests/configuration/test_source.py
+++ b/tests/configuration/test_source.py
@@ -1,4 +1,4 @@
-"""Services and gatekeepers' sources over loopback, with whatever befalls them."""
+"""Services and gateways' clients over loopback, with whatever may happen to them."""
 
 import asyncio
 import contextlib
@@ -12,11 +12,11 @@
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import config_from
-from plumpick.gateway.dynamic_config.client import Source, config_with
-from plumpick.policy.dynamic_config import subscriber as plans
-from plumpick.policy.dynamic_config.delta import digest
-from plumpick.policy.dynamic_config.version_store import summary
-from plumpick.tools.configuration_service import PATH, Service
+from plumpick.gateway.dynamic_config.client import ConfigClient, config_with
+from plumpick.policy.dynamic_config.delta import settings_digest
+from plumpick.policy.dynamic_config.rollout_report import report_rollout
+from plumpick.policy.dynamic_config.subscriber import ACTIVATION_DEADLINE_MS
+from plumpick.tools.configuration_service import PATH, VersionService
 
 
 class Keeper:
@@ -27,7 +27,7 @@
         self.clock, self.taken, self.wrong = Clock(), [], wrong
         self.changed = asyncio.Event()
         loop = asyncio.get_running_loop()
-        self.source = Source(
+        self.client = ConfigClient(
             self.config,
             tuple(addresses),
             30_000.0,
@@ -46,16 +46,16 @@
         return ""
 
     def start(self):
-        self.task = asyncio.create_task(self.source.run())
+        self.task = asyncio.create_task(self.client.run())
         return self
 
     async def until(self, version):
-        while self.source.versions.in_force.version != version:
+        while self.client.subscriber.active.number != version:
             await asyncio.sleep(0.002)
         return self.taken[-1]
 
     async def has_seen(self, true):
-        while not true(self.source.versions):
+        while not true(self.client.subscriber):
             await asyncio.sleep(0.002)
 
     async def stop(self):
@@ -66,7 +66,7 @@
 
 @contextlib.asynccontextmanager
 async def services(count):
-    made = [Service() for _ in range(count)]
+    made = [VersionService() for _ in range(count)]
     for one in made:
         await one.open(HOST, 0)
     try:
@@ -111,7 +111,7 @@
         assert (await put(service, document(2, published(2, 400))))[0] == 200
         assert (await keeper.until(2)).settings.classes[0].worth == 2.0
         assert service.bytes_out - sent < 2000  # changes, not 400 classes
-        assert keeper.source.versions.in_force.digest == digest(published(2, 400))
+        assert keeper.client.subscriber.active.digest == settings_digest(published(2, 400))
         await keeper.stop()
 
     with_services(1, scenario)
@@ -122,8 +122,9 @@
         keeper = Keeper([place(service)]).start()
         at_ms = keeper.clock.now() + 700.0
         await put(service, document(1, published(1), at_ms))
-        await keeper.has_seen(lambda versions: versions.staged is not None)
-        assert not keeper.taken and "1 " in keeper.source.line() and "staged" in keeper.source.line()
+        await keeper.has_seen(lambda subscriber: subscriber.staged is not None)
+        line = keeper.client.status_line()
+        assert not keeper.taken and "1 " in line and "staged" in line
         await keeper.until(1)
         assert keeper.clock.now() >= at_ms
         await keeper.stop()
@@ -150,14 +151,16 @@
         if word == "balancers":
             bad["balancers"] = "many"
         await put(service, document(2, bad))
-        await keeper.has_seen(lambda versions: 2 in versions.refused)
+        await keeper.has_seen(lambda subscriber: 2 in subscriber.rejected)
         calls = service.calls
-        while service.shelf.watchers["n0"].refused != 2:
+        while service.store.subscribers["n0"].rejected_version != 2:
             await asyncio.sleep(0.002)
-        assert word in service.shelf.watchers["n0"].why and "refused" in keeper.source.line()
+        assert word in service.store.subscribers["n0"].rejection_reason
+        assert "refused" in keeper.client.status_line()
         assert service.calls - calls <= 2 and len(keeper.taken) == 1
-        lines, well = summary([service.shelf.status(service.now())])
-        assert not well and any("n0 refused version 2" in line and word in line for line in lines)
+        report = report_rollout([service.store.status(service.now_ms())])
+        assert not report.is_complete
+        assert any("n0 refused version 2" in line and word in line for line in report.lines)
         await put(service, document(3, published(3)))
         await keeper.until(3)
         await keeper.stop()
@@ -170,14 +173,14 @@
         keeper = Keeper([place(service)], wrong=2.0).start()
         for number in (1, 2):
             await put(service, document(number, published(number)))
-        await keeper.has_seen(lambda versions: 2 in versions.refused)
-        assert keeper.source.versions.in_force.version == 1
-        keeper.source._reconfigure = lambda _config: 1 / 0
+        await keeper.has_seen(lambda subscriber: 2 in subscriber.rejected)
+        assert keeper.client.subscriber.active.number == 1
+        keeper.client._reconfigure = lambda _config: 1 / 0
         await put(service, document(3, published(3)))
-        await keeper.has_seen(lambda versions: 3 in versions.refused)
-        assert keeper.source.versions.in_force.version == 1
-        assert "ZeroDivisionError" in keeper.source.versions.refused[3].why
-        keeper.source._reconfigure = keeper.reconfigure
+        await keeper.has_seen(lambda subscriber: 3 in subscriber.rejected)
+        assert keeper.client.subscriber.active.number == 1
+        assert "ZeroDivisionError" in keeper.client.subscriber.rejected[3].reason
+        keeper.client._reconfigure = keeper.reconfigure
         await put(service, document(4, published(4)))
         await keeper.until(4)
         await keeper.stop()
@@ -214,8 +217,8 @@
         for keeper in keepers:
             await keeper.until(2)
             await keeper.stop()
-        lines, well = summary([service.shelf.status(service.now()) for service in (one, other)])
-        assert not well and any("version 1 has two contents" in line for line in lines)
+        report = report_rollout([service.store.status(service.now_ms()) for service in (one, other)])
+        assert not report.is_complete and any("version 1 has two contents" in line for line in report.lines)
 
     with_services(2, scenario)
 
@@ -231,20 +234,20 @@
         value = {**published(5), "balancers": 2}
         await put(one, document(5, value))
         await first.until(5)
-        states = [service.shelf.status(service.now() + 7000.0) for service in (one, other)]
-        lines, well = summary(states)
-        assert not well and any("service 2 lacks it" in line for line in lines)
-        assert second.source.versions.in_force.version == 0
+        statuses = [service.store.status(service.now_ms() + 7000.0) for service in (one, other)]
+        report = report_rollout(statuses)
+        assert not report.is_complete and any("service 2 lacks it" in line for line in report.lines)
+        assert second.client.subscriber.active.number == 0
         await put(other, document(5, value))
         await second.until(5)
-        assert second.source.versions.in_force.digest == first.source.versions.in_force.digest
+        assert second.client.subscriber.active.digest == first.client.subscriber.active.digest
         for keeper in (first, second):
             await keeper.stop()
 
     with_services(2, scenario)
 
 
-class Shelfless:
+class ServiceStub:
     """In a service's place: gives each call to the test, which answers by hand."""
 
     def __init__(self):
@@ -301,7 +304,7 @@
 @pytest.mark.parametrize("place_of", range(len(HOSTILE)))
 def test_a_hostile_answer_is_dropped_and_the_next_address_serves(place_of, caplog):
     async def scenario(service):
-        async with Shelfless() as bad:
+        async with ServiceStub() as bad:
             await put(service, document(3, published(3)))
             keeper = Keeper([(HOST, bad.port), place(service)]).start()
             _, writer = await bad.calls.get()
@@ -316,7 +319,7 @@
 
 def test_an_old_version_that_comes_late_is_passed_over_and_nothing_is_put_back():
     async def scenario(service):
-        async with Shelfless() as late:
+        async with ServiceStub() as late:
             keeper = Keeper([(HOST, late.port), place(service)]).start()
             _, writer = await late.calls.get()
             writer.write(body(document(5, published(5))))
@@ -324,7 +327,7 @@
             target, writer = await late.calls.get()
             assert "since=5" in target and "in_force=5" in target
             writer.write(body(document(4, published(4))))  # what was on its way before
-            while keeper.source.versions.address == 0:
+            while keeper.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
             assert len(keeper.taken) == 1
             await put(service, document(6, published(6)))
@@ -336,16 +339,16 @@
 
 def test_an_answer_that_comes_twice_is_taken_once():
     async def scenario(service):
-        async with Shelfless() as twice:
+        async with ServiceStub() as twice:
             keeper = Keeper([(HOST, twice.port), place(service)]).start()
             _, writer = await twice.calls.get()
             writer.write(body(document(5, published(5))))
             await keeper.until(5)
             _, writer = await twice.calls.get()
             writer.write(body(document(5, published(5))) * 2)
-            while keeper.source.versions.address == 0:
+            while keeper.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
-            assert len(keeper.taken) == 1 and not keeper.source.versions.refused
+            assert len(keeper.taken) == 1 and not keeper.client.subscriber.rejected
             await keeper.stop()
 
     with_services(1, scenario)
@@ -354,15 +357,15 @@
 @pytest.mark.parametrize("cut", [0, 30, 200, -1])
 def test_a_service_that_dies_in_the_midst_of_an_answer_leaves_what_is_in_force(cut):
     async def scenario(service):
-        async with Shelfless() as dying:
+        async with ServiceStub() as dying:
             keeper = Keeper([(HOST, dying.port), place(service)]).start()
             _, writer = await dying.calls.get()
             writer.write(body(document(5, published(5)))[:cut])
             await writer.drain()
             writer.transport.abort()
-            while keeper.source.versions.address == 0:
+            while keeper.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
-            assert keeper.source.versions.in_force.version == 0 and not keeper.taken
+            assert keeper.client.subscriber.active.number == 0 and not keeper.taken
             await put(service, document(5, published(5)))
             await keeper.until(5)
             await keeper.stop()
@@ -372,7 +375,7 @@
 
 def test_an_address_that_takes_the_connection_and_says_nothing_is_left_in_time():
     async def scenario(service):
-        async with Shelfless() as silent:
+        async with ServiceStub() as silent:
             await put(service, document(2, published(2)))
             keeper = Keeper([(HOST, silent.port), place(service)]).start()
             await silent.calls.get()
@@ -387,14 +390,15 @@
         keeper = Keeper([place(service)]).start()
         await put(service, document(5, published(5)))
         await keeper.until(5)
-        fresh = Service()
+        fresh = VersionService()
         service.close()
         await fresh.open(HOST, service.port)
-        while "n0" not in fresh.shelf.watchers:
+        while "n0" not in fresh.store.subscribers:
             await asyncio.sleep(0.002)
-        assert fresh.shelf.watchers["n0"].in_force == 5 and keeper.source.versions.in_force.version == 5
-        lines, well = summary([fresh.shelf.status(fresh.now())])
-        assert not well
+        assert fresh.store.subscribers["n0"].active_version == 5
+        assert keeper.client.subscriber.active.number == 5
+        report = report_rollout([fresh.store.status(fresh.now_ms())])
+        assert not report.is_complete
         await put(fresh, document(5, published(5)))  # the same again
         await put(fresh, document(6, published(6)))
         await keeper.until(6)
@@ -409,8 +413,8 @@
         for number in (1, 2):
             await put(service, document(number, published(number)))
         keeper = Keeper([place(service)]).start()
-        await keeper.source.answered.wait()
-        assert keeper.source.versions.in_force.version == 2  # before a start would go on
+        await keeper.client.has_response.wait()
+        assert keeper.client.subscriber.active.number == 2  # before a start would go on
         await keeper.stop()
         again = Keeper([place(service)]).start()
         await again.until(2)
@@ -425,22 +429,22 @@
         keeper = Keeper([place(service)]).start()
         await put(service, document(5, published(5)))
         await keeper.until(5)
-        estate = json.loads(json.dumps(keeper.source.estate()))
+        state = json.loads(json.dumps(keeper.client.export_state()))
         await keeper.stop()
         after = Keeper([(HOST, 1)])
-        await after.source.inherit(estate)
-        assert after.source.versions.in_force == keeper.source.versions.in_force
+        await after.client.import_state(state)
+        assert after.client.subscriber.active == keeper.client.subscriber.active
         assert after.taken[-1].settings == keeper.taken[-1].settings
         for wrong in (
-            {**estate, "digest": "0" * 64},
-            {**estate, "version": 4},
+            {**state, "digest": "0" * 64},
+            {**state, "version": 4},
             None,
             {"version": 9},
             {**document(9, {"classes": []})},
         ):
-            await after.source.inherit(wrong)
-        assert after.source.versions.in_force.version == 5 and len(after.taken) == 1
-        assert Keeper([(HOST, 1)]).source.estate() is None  # its own file's: the next one has its own
+            await after.client.import_state(wrong)
+        assert after.client.subscriber.active.number == 5 and len(after.taken) == 1
+        assert Keeper([(HOST, 1)]).client.export_state() is None  # its own file's: the next one has its own
 
     with_services(1, scenario)
 
@@ -456,7 +460,7 @@
             await put(near, document(number, published(number)))
         for keeper in keepers[1:]:
             await keeper.until(4)
-        assert keepers[0].source.versions.in_force.version == 1
+        assert keepers[0].client.subscriber.active.number == 1
         await put(far, document(4, published(4)))  # back: the newest is published there, too
         await keepers[0].until(4)
         assert [news.settings.classes[0].worth for news in keepers[0].taken] == [1.0, 4.0]
@@ -492,6 +496,6 @@
             assert not line or line.split()[1] in (b"400", b"404", b"409")
             writer.close()
         assert (await put(service, document(1, published(1))))[0] == 200
-        assert plans.TOLD_MS == 6000.0 and len(service.shelf.kept) == 1
+        assert ACTIVATION_DEADLINE_MS == 6000.0 and len(service.store.versions) == 1
 
     with_services(1, scenario)
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -20,7 +20,6 @@
 }
 LARGE_FUNCTIONS = {
     "plumpick/policy/budgets/ledger.py:_asked",
-    "plumpick/policy/dynamic_config/version_store.py:summary",
     "plumpick/policy/controller.py:at_home",
     "plumpick/policy/controller.py:choose",
     "plumpick/policy/snapshot.py:leave",
--- a/tests/test_surroundings.py
+++ b/tests/test_surroundings.py
@@ -8,7 +8,7 @@
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import config_from
-from plumpick.gateway.discovery import Discovery
+from plumpick.gateway.discovery import DiscoveryClient
 from plumpick.gateway.peers import Peers
 from plumpick.gateway.platform import System
 
@@ -21,7 +21,7 @@
     async def whole():
         async with FakeDiscovery() as fake:
             lists = asyncio.Queue()
-            discovery = Discovery((HOST, fake.port), lists.put_nowait)
+            discovery = DiscoveryClient((HOST, fake.port), lists.put_nowait)
             task = asyncio.get_running_loop().create_task(discovery.run())
             await scenario(fake, lists, discovery)
             task.cancel()
@@ -33,9 +33,9 @@
 def test_the_whole_list_then_a_watch_from_its_version():
     async def scenario(fake, lists, discovery):
         target, writer = await fake.called()
-        assert target == "/discovery/hosts" and not discovery.listed.is_set()
+        assert target == "/discovery/hosts" and not discovery.has_snapshot.is_set()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        assert (await lists.get()).complete and discovery.listed.is_set()
+        assert (await lists.get()).complete and discovery.has_snapshot.is_set()
         target, writer = await fake.called()
         assert target == WATCH.format(41)
         writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
@@ -113,9 +113,9 @@
         await lists.get()
         assert (await fake.called())[0] == WATCH.format(41)
         async with FakeDiscovery() as silent, FakeDiscovery() as new:
-            discovery.move((HOST, silent.port))
+            discovery.change_address((HOST, silent.port))
             await silent.called()
-            discovery.move((HOST, new.port))
+            discovery.change_address((HOST, new.port))
             target, writer = await new.called()
             assert target == "/discovery/hosts"
             writer.write(told(listing(entry("w9", 5009), index=3)))
@@ -128,7 +128,7 @@
 
 async def has_read(discovery):
     """A part of an answer has come and waits for the rest."""
-    while not discovery._serving._reader._buffer:
+    while not discovery._current._connection._reader._buffer:
         await asyncio.sleep(0)
 
 
@@ -145,7 +145,7 @@
         writer.write(news[:-30])
         await has_read(discovery)
         async with FakeDiscovery() as silent:
-            discovery.move((HOST, silent.port))
+            discovery.change_address((HOST, silent.port))
             await silent.called()
             writer.write(news[-30:])
             assert (await lists.get()).entries[0].server.state.value == "draining"
@@ -162,12 +162,12 @@
         _, writer = await fake.called()
         with socket.create_server((HOST, 0)) as probe:
             dead = probe.getsockname()[1]
-        discovery.move((HOST, dead))
+        discovery.change_address((HOST, dead))
         async with FakeDiscovery() as silent:
-            discovery.move((HOST, silent.port))  # twice, within a turn
-            discovery.move((HOST, silent.port))
+            discovery.change_address((HOST, silent.port))  # twice, within a turn
+            discovery.change_address((HOST, silent.port))
             await silent.called()
-            discovery.move((HOST, fake.port))
+            discovery.change_address((HOST, fake.port))
             writer.write(told(listing(entry("w1", 5001, "gone"), index=42, snapshot=False)))
             assert (await lists.get()).index == 42
             assert (await fake.called())[0] == WATCH.format(42)
@@ -183,7 +183,7 @@
         await lists.get()
         _, writer = await fake.called()
         async with FakeDiscovery() as new:
-            discovery.move((HOST, new.port))
+            discovery.change_address((HOST, new.port))
             _, other = await new.called()
             other.write(told(listing(entry("w9", 5009), index=3)))
             assert (await lists.get()).index == 3
@@ -234,14 +234,14 @@
 
 
 def test_a_fault_of_ours_does_not_end_the_watch(monkeypatch):
-    monkeypatch.setattr("plumpick.gateway.discovery.FAULT_WAIT_S", 0.0)
+    monkeypatch.setattr("plumpick.gateway.discovery.FAULT_BACKOFF_S", 0.0)
 
     async def scenario(fake, lists, discovery):
-        discovery._told = lambda _news: 1 / 0
+        discovery._on_update = lambda _news: 1 / 0
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
         _, writer = await fake.called()
-        discovery._told = lists.put_nowait
+        discovery._on_update = lists.put_nowait
         writer.write(told(listing(index=42)))
         assert (await lists.get()).index == 42
 
@@ -249,7 +249,7 @@
 
 
 def test_silence_is_survived(monkeypatch):
-    monkeypatch.setattr("plumpick.policy.endpoint_watch.CALL_MS", 50.0)
+    monkeypatch.setattr("plumpick.policy.endpoint_watch.RESPONSE_TIMEOUT_MS", 50.0)
 
     async def scenario(fake, lists, _discovery):
         for _ in range(3):
@@ -273,9 +273,9 @@
         port = probe.getsockname()[1]
         probe.close()
         lists = asyncio.Queue()
-        discovery = Discovery((HOST, port), lists.put_nowait)
+        discovery = DiscoveryClient((HOST, port), lists.put_nowait)
         failed = asyncio.Event()
-        call = discovery._serving._call
+        call = discovery._current._fetch
 
         async def watched_call(*args):
             try:
@@ -283,7 +283,7 @@
             finally:
                 failed.set()
 
-        discovery._serving._call = watched_call
+        discovery._current._fetch = watched_call
         task = asyncio.get_running_loop().create_task(discovery.run())
         await failed.wait()
         server = await asyncio.start_server(serve_once, HOST, port)
