--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -3,16 +3,20 @@
 import heapq
 import random
 
+import pytest
+
 from plumpick.policy.endpoint_watch import (
-    CALL_MS,
-    MANY_VAIN,
-    MOST_ROUNDS,
-    NOW_MS,
-    ROUND_MS,
-    SPARE_MS,
-    TOLD_MS,
-    Watching,
-    worst_ms,
+    IMMEDIATE_WATCH_MS,
+    LOOP_DELAY_MARGIN_MS,
+    MANY_QUEUE_TIMEOUTS,
+    MAX_ROUND_MS,
+    NOTIFICATION_DEADLINE_MS,
+    RESPONSE_TIMEOUT_MS,
+    ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS,
+    EndpointWatch,
+    IndexWentBackError,
+    SnapshotMissingError,
+    worst_notification_ms,
 )
 
 TURNS_PER_S, LINE_MS = 7.0, 2000.0  # the service takes so many calls a second; one that waited longer fails
@@ -31,7 +35,7 @@
         """When the call ends, and how: told, away, vain (it waited), down. A watch that goes on is no
         call."""
         if now < self.back_ms:
-            return (now + within_ms, "vain") if self.silent else (now + CALL_MS, "down")
+            return (now + within_ms, "vain") if self.silent else (now + RESPONSE_TIMEOUT_MS, "down")
         self.calls.append(now)
         if self.free_ms - now > self.book * LINE_MS:
             self.away += 1
@@ -43,33 +47,33 @@
         return end, "told" if end == self.free_ms else "vain"
 
 
-def play(plans, until_ms, starts, service=None):
+def play(watches, until_ms, starts, service=None):
     """When each gateway first had its watch, and the calls; `starts`: when each begins."""
     service, listed, agenda = service or Service(), {}, []
-    for number, plan in enumerate(plans):
-        call = plan.next(starts[number])
-        heapq.heappush(agenda, (starts[number] + call.after_ms, number, "ask", call))
+    for number, watch in enumerate(watches):
+        call = watch.next_request(starts[number])
+        heapq.heappush(agenda, (starts[number] + call.delay_ms, number, "ask", call))
     while agenda and agenda[0][0] <= until_ms:
         now, number, what, call = heapq.heappop(agenda)
-        plan = plans[number]
+        watch = watches[number]
         if what == "ask":
-            end, how = service.call(now, call.within_ms)
+            end, how = service.call(now, call.response_timeout_ms)
             heapq.heappush(agenda, (end, number, how, call))
             continue
         if what == "told":
-            assert plan.answered(7, call.since is None) == ""
-            if call.since is not None:
+            watch.on_response(7, call.since_index is None)
+            if call.since_index is not None:
                 listed.setdefault(number, now)
                 continue
         else:
-            plan.failed(waited=what == "vain")
-        call = plan.next(now)
-        heapq.heappush(agenda, (now + call.after_ms, number, "ask", call))
+            watch.on_call_failed(timed_out=what == "vain")
+        call = watch.next_request(now)
+        heapq.heappush(agenda, (now + call.delay_ms, number, "ask", call))
     return listed, service.calls
 
 
 def shared(count, seed=0):
-    return [Watching(count, 7, random.Random(f"{seed}/{number}"), number) for number in range(count)]
+    return [EndpointWatch(count, 7, random.Random(f"{seed}/{number}"), number) for number in range(count)]
 
 
 def test_forty_that_start_within_a_tenth_of_a_second_all_have_their_watch_soon():
@@ -81,7 +85,7 @@
         assert len(times) == 40 and times[35] <= 12_000.0, (seed, times)
         assert len(calls) <= 2 * 40, seed
     # The way that asks an agent of its own would keep such a service at its limit for good.
-    listed, calls = play([Watching(0, 7, random.Random(n)) for n in range(40)], 60_000.0, [0.0] * 40)
+    listed, calls = play([EndpointWatch(0, 7, random.Random(n)) for n in range(40)], 60_000.0, [0.0] * 40)
     assert len(listed) < 20 and len(calls) > 1000
 
 
@@ -93,74 +97,85 @@
 def test_each_has_its_slot_in_a_round_whatever_made_all_fail_at_once():
     """Within one round all call, evenly spread, and none more than once a round, however often it fails."""
     for count in (3, 40, 200):
-        plans = shared(count)
-        span_ms = plans[0]._round_ms
-        assert span_ms <= ROUND_MS
+        watches = shared(count)
+        span_ms = watches[0]._round_ms
+        assert span_ms <= MAX_ROUND_MS
         for _ in range(3):
-            at_ms = sorted(123_456.7 + plan.next(123_456.7).after_ms for plan in plans)
+            at_ms = sorted(123_456.7 + watch.next_request(123_456.7).delay_ms for watch in watches)
             gaps = [after - before for before, after in zip(at_ms, at_ms[1:], strict=False)]
             assert at_ms[-1] - at_ms[0] <= span_ms and min(gaps) > 0.99 * span_ms / count
-            for plan in plans:
-                plan.failed()
-        now = plan.next(5000.0).after_ms + 5000.0
-        assert plan.next(now + 5.0).after_ms >= span_ms - 5.0 - 1e-6
+            for watch in watches:
+                watch.on_call_failed()
+        now = watch.next_request(5000.0).delay_ms + 5000.0
+        assert watch.next_request(now + 5.0).delay_ms >= span_ms - 5.0 - 1e-6
 
 
 def test_calls_that_waited_in_vain_leave_out_rounds_and_more_where_they_are_many():
-    plan = Watching(40, 7, random.Random(1), 5)
-    for vain in range(1, MANY_VAIN + 5):
-        plan.failed(waited=True)
-        waits = [plan.next(0.0).after_ms for _ in range(300)]
-        rounds = {round((wait - min(waits)) / ROUND_MS) for wait in waits}
-        assert rounds == (set(range(MOST_ROUNDS)) if vain > MANY_VAIN else {0, 1})
-    plan.failed()  # no connection came up: an outage
-    assert len({plan.next(0.0).after_ms for _ in range(50)}) == 1
-    assert plan.answered(8, False) == "" and plan.next(0.0).after_ms == 0.0
+    watch = EndpointWatch(40, 7, random.Random(1), 5)
+    for vain in range(1, MANY_QUEUE_TIMEOUTS + 5):
+        watch.on_call_failed(timed_out=True)
+        waits = [watch.next_request(0.0).delay_ms for _ in range(300)]
+        rounds = {round((wait - min(waits)) / MAX_ROUND_MS) for wait in waits}
+        assert rounds == (
+            set(range(ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS)) if vain > MANY_QUEUE_TIMEOUTS else {0, 1}
+        )
+    watch.on_call_failed()  # no connection came up: an outage
+    assert len({watch.next_request(0.0).delay_ms for _ in range(50)}) == 1
+    watch.on_response(8, False)
+    assert watch.next_request(0.0).delay_ms == 0.0
 
 
 def test_a_change_is_told_within_six_seconds_whatever_befell_the_calls_before_it():
     """The operators' term; the sum of the waits of each branch, with room for a busy loop."""
     for is_shared in (False, True):
-        assert worst_ms(is_shared) <= TOLD_MS - SPARE_MS
+        assert worst_notification_ms(is_shared) <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
     # An agent: the watch falls silent as it begins, a change right behind; two calls come to nothing, each in
     # any way.
     for lost in ("silent", "refused"):
-        plan = Watching(0, None, random.Random(0))
-        assert plan.answered(7, True) == ""
-        call = plan.next(0.0)
-        spent = call.after_ms + call.within_ms
-        plan.failed(waited=True)
+        watch = EndpointWatch(0, None, random.Random(0))
+        watch.on_response(7, True)
+        call = watch.next_request(0.0)
+        spent = call.delay_ms + call.response_timeout_ms
+        watch.on_call_failed(timed_out=True)
         for _ in range(2):
-            call = plan.next(spent)
-            spent += call.after_ms + (call.within_ms if lost == "silent" else 0.0)
-            plan.failed(waited=lost == "silent")
-        call = plan.next(spent)
-        assert call.since is None and spent + call.after_ms + call.within_ms <= TOLD_MS - SPARE_MS
+            call = watch.next_request(spent)
+            spent += call.delay_ms + (call.response_timeout_ms if lost == "silent" else 0.0)
+            watch.on_call_failed(timed_out=lost == "silent")
+        call = watch.next_request(spent)
+        assert (
+            call.since_index is None
+            and spent + call.delay_ms + call.response_timeout_ms
+            <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
+        )
     # A shared service, at any moment of the round, at any number.
     for count in (1, 3, 40, 200):
         for number in {0, count // 2, count - 1}:
             for begun in range(0, 5000, 97):
-                plan = Watching(count, 7, random.Random(0), number)
-                assert plan.answered(7, False) == ""
-                call = plan.next(float(begun))
-                spent = call.after_ms + call.within_ms
-                plan.failed(waited=True)
-                call = plan.next(begun + spent)
-                assert call.since == 7 and spent + call.after_ms + call.within_ms <= TOLD_MS - SPARE_MS
+                watch = EndpointWatch(count, 7, random.Random(0), number)
+                watch.on_response(7, False)
+                call = watch.next_request(float(begun))
+                spent = call.delay_ms + call.response_timeout_ms
+                watch.on_call_failed(timed_out=True)
+                call = watch.next_request(begun + spent)
+                assert (
+                    call.since_index == 7
+                    and spent + call.delay_ms + call.response_timeout_ms
+                    <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
+                )
 
 
 def test_after_sighup_a_new_address_is_asked_in_time():
     """4 s after it what is there counts: its first call may fail, and a second one be in time."""
-    plan = Watching(0, None, random.Random(0))
-    spent = plan.next(0.0).within_ms
-    plan.failed(waited=True)
-    call = plan.next(spent)
-    assert spent + call.after_ms + call.within_ms <= 4000.0 - SPARE_MS
+    watch = EndpointWatch(0, None, random.Random(0))
+    spent = watch.next_request(0.0).response_timeout_ms
+    watch.on_call_failed(timed_out=True)
+    call = watch.next_request(spent)
+    assert spent + call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
     for count in (1, 3, 40, 200):
         for number in {0, count // 2, count - 1}:
             for now in range(0, 6000, 89):
-                call = Watching(count, None, random.Random(0), number).next(float(now))
-                assert call.after_ms + call.within_ms <= 4000.0 - SPARE_MS
+                call = EndpointWatch(count, None, random.Random(0), number).next_request(float(now))
+                assert call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
 
 
 def test_all_are_told_within_six_seconds_of_a_services_return():
@@ -174,47 +189,60 @@
                 listed, calls = play(
                     shared(count), 60_000.0, [rng.random() * 100.0 for _ in range(count)], service
                 )
-                in_time = sum(ms <= 8000.0 + TOLD_MS for ms in listed.values()) / count
+                in_time = sum(ms <= 8000.0 + NOTIFICATION_DEADLINE_MS for ms in listed.values()) / count
                 assert len(listed) == count and in_time >= least, (silent, count, all_s, in_time)
                 assert len(calls) <= 1.5 * count
 
 
 def test_a_shared_service_is_asked_for_what_has_changed_also_after_a_failure():
-    plan = Watching(40, 41, random.Random(1))
-    assert plan.next(0.0).since == 41
-    plan.failed()
-    call = plan.next(0.0)
-    assert call.since == 41 and call.within_ms >= LINE_MS  # its turn may take a while
-    assert call.wait_ms == NOW_MS  # and there is nothing to wait for before what it lacks has come
-    assert plan.answered(40, False) == "the version went back" and plan.next(0.0).since is None
-    assert plan.answered(3, True) == "" and plan.next(0.0).since == 3
+    watch = EndpointWatch(40, 41, random.Random(1))
+    assert watch.next_request(0.0).since_index == 41
+    watch.on_call_failed()
+    call = watch.next_request(0.0)
+    assert call.since_index == 41 and call.response_timeout_ms >= LINE_MS  # its turn may take a while
+    assert (
+        call.watch_timeout_ms == IMMEDIATE_WATCH_MS
+    )  # and there is nothing to wait for before what it lacks has come
+    with pytest.raises(IndexWentBackError, match="^the version went back$"):
+        watch.on_response(40, False)
+    assert watch.next_request(0.0).since_index is None
+    watch.on_response(3, True)
+    assert watch.next_request(0.0).since_index == 3
 
 
 def test_an_older_list_behind_a_newer_one_is_believed_only_when_it_is_told_twice():
     for sharers in (0, 40):
-        plan = Watching(sharers, None, random.Random(1))
-        assert plan.answered(41, True) == ""
-        assert plan.answered(40, True) == "the version went back"
-        call = plan.next(0.0)
-        assert call.since is (41 if sharers else None)
-        assert plan.answered(42, True) == "" and plan.next(0.0).since == 42
-        assert plan.answered(40, True) == "the version went back"  # each time anew
-        assert plan.answered(40, True) == "" and plan.next(0.0).since == 40  # it has begun anew
+        watch = EndpointWatch(sharers, None, random.Random(1))
+        watch.on_response(41, True)
+        with pytest.raises(IndexWentBackError, match="^the version went back$"):
+            watch.on_response(40, True)
+        call = watch.next_request(0.0)
+        assert call.since_index is (41 if sharers else None)
+        watch.on_response(42, True)
+        assert watch.next_request(0.0).since_index == 42
+        with pytest.raises(IndexWentBackError, match="^the version went back$"):  # each time anew
+            watch.on_response(40, True)
+        watch.on_response(40, True)  # the service was restarted
+        assert watch.next_request(0.0).since_index == 40
 
 
 def test_without_a_list_the_whole_one_is_asked_for():
-    plan = Watching(40, None, random.Random(1))
-    assert plan.next(0.0).since is None
-    assert plan.answered(5, False) == "a change came where the whole list was asked for"
-    assert plan.next(0.0).since is None
+    watch = EndpointWatch(40, None, random.Random(1))
+    assert watch.next_request(0.0).since_index is None
+    with pytest.raises(SnapshotMissingError, match="^a change came where the whole list was asked for$"):
+        watch.on_response(5, False)
+    assert watch.next_request(0.0).since_index is None
 
 
 def test_an_agent_of_our_own_is_asked_as_soon_as_it_may_answer():
-    plan = Watching(0, 41, random.Random(1))
-    call = plan.next(0.0)
-    assert call.since is None and call.after_ms == 0.0
+    watch = EndpointWatch(0, 41, random.Random(1))
+    call = watch.next_request(0.0)
+    assert call.since_index is None and call.delay_ms == 0.0
     waits = []
     for _ in range(8):
-        plan.failed()
-        waits.append(plan.next(0.0).after_ms)
-    assert waits == [20.0, 40.0, 80.0, 160.0, 320.0, 500.0, 500.0, 500.0] and plan.next(0.0).since is None
+        watch.on_call_failed()
+        waits.append(watch.next_request(0.0).delay_ms)
+    assert (
+        waits == [20.0, 40.0, 80.0, 160.0, 320.0, 500.0, 500.0, 500.0]
+        and watch.next_request(0.0).since_index is None
+    )
