--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,7 @@
 # What plays whole fleets against the clock has the machine to itself; tiers with faults between them, that
 # are judged by what must never be, share it by two.
 ALONE = tests/rehearsal/test_runs.py
-TIERS = tests/ownership/test_tier.py tests/budgets/test_budget_tier.py tests/configuration/test_gatekeepers.py
+TIERS = tests/ownership/test_tier.py tests/budgets/test_budget_tier.py tests/gateway/dynamic_config/test_config_processes.py
 
 .PHONY: rehearse fleet test
 rehearse: .venv/.made  ## a whole fleet for about a minute, judged by the five rules
--- a/tests/configuration/test_in_force.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -5,8 +5,8 @@
 
 import pytest
 from fakes import Client, FakeWorker, answer, request, run
-from settings_rig import published
-from test_gatekeepers import Machine
+from support.config_processes import Machine
+from support.dynamic_config import published
 
 
 def homed(path):
--- a/tests/configuration/test_source.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -8,7 +8,7 @@
 
 import pytest
 from fakes import HOST, config, run
-from settings_rig import document, published
+from support.dynamic_config import document, published
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import config_from
--- a/tests/configuration/test_gatekeepers.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -1,105 +1,22 @@
-"""Gatekeepers as processes, with a service: start, the operators' call, standing still, an upgrade.
-
-They run as `python -m benchmarks.configuration.witness`, which writes down what each was given."""
+"""Gateways as processes, with a service: start, operators' calls, a stall, an upgrade; trials with faults."""
 
 import asyncio
-import json
 import os
 import signal
 import subprocess
 import sys
 
 import pytest
-from fakes import HOST, config, entry, run
-from settings_rig import document, published
-from test_process import ROOT, free_port, until_up
+from fakes import HOST
+from support.config_processes import Machine, on_a_machine, says
+from support.dynamic_config import document, published
 
 from benchmarks.configuration.trial import Published, judge, play
-from plumpick.cli import main
-from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import operator_from
 from plumpick.policy.dynamic_config.rollout_report import report_rollout
 from plumpick.rehearsal.surroundings import is_up
-from plumpick.tools.call import ask
 from plumpick.tools.configuration_service import VersionService
 
 
-class Machine:
-    """A service in this process, and a gatekeeper with a process at a time, or two in an upgrade."""
-
-    def __init__(self, folder):
-        self.folder, self.service, self.processes = folder, VersionService(), []
-        self.port = free_port()
-
-    async def __aenter__(self):
-        await self.service.open(HOST, 0)
-        (self.folder / "operator.toml").write_text(
-            f'[configuration]\naddresses = ["{HOST}:{self.service.port}"]\n'
-        )
-        return self
-
-    async def __aexit__(self, *_):
-        self.service.close()
-        for process in self.processes:
-            if process.returncode is None:
-                process.kill()
-                await process.wait()
-
-    async def put(self, version, value, later_ms=0.0):
-        told = document(version, value, self.service.now_ms() + later_ms)
-        assert self.service._publish(json.dumps(told).encode())[0] == 200
-
-    async def start(self, worker=9):
-        """A process, up, with a worker at that port; where operators call it."""
-        calls = free_port()
-        (self.folder / "config.json").write_text(
-            json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}"))
-        )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "benchmarks.configuration.witness",
-            cwd=ROOT,
-            stderr=asyncio.subprocess.DEVNULL,
-            env={
-                **os.environ,
-                "BALANCER_CONFIG": str(self.folder / "config.json"),
-                "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"),
-                "TMPDIR": str(self.folder),
-                "WITNESS_FILE": str(self.folder / "witness"),
-            },
-        )
-        self.processes.append(process)
-        await until_up(self.port)
-        return process, calls
-
-    def put_in_force(self, pid):
-        """Versions, in the order in which that process had them."""
-        path = self.folder / "witness"
-        rows = [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
-        return [row[3] for row in rows if row[0] == "force" and row[2] == pid]
-
-    async def has(self, process, version):
-        while self.put_in_force(process.pid)[-1:] != [version]:
-            await asyncio.sleep(0.01)
-
-
-async def says(calls, line="CONFIGURATION"):
-    while True:
-        try:
-            return await asyncio.to_thread(ask, (HOST, calls), line)
-        except ConnectionRefusedError:
-            await asyncio.sleep(0.01)
-
-
-def on_a_machine(tmp_path, scenario):
-    async def whole():
-        async with Machine(tmp_path) as machine:
-            await scenario(machine)
-
-    run(whole())
-
-
 def test_it_is_up_with_the_version_of_the_service_and_staff_see_what_is_in_force_staged_and_refused(tmp_path):
     async def scenario(machine):
         await machine.put(3, published(3))
@@ -237,78 +154,6 @@
     on_a_machine(tmp_path, scenario)
 
 
-@pytest.mark.parametrize(
-    "table, key",
-    [
-        ({}, "configuration.addresses"),
-        ({"addresses": []}, "configuration.addresses"),
-        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
-        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
-        ({"addresses": ["here"]}, r"addresses\[0\]"),
-        ({"addresses": [7]}, r"addresses\[0\]"),
-        ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
-        ({"addresses": ["127.0.0.1:1"], "silent": 9}, "configuration.silent: no such key"),
-    ],
-)
-def test_each_key_of_the_table_is_checked_by_name(table, key):
-    with pytest.raises(ConfigError, match=key):
-        operator_from({"configuration": table}, 3)
-
-
-def test_the_table_needs_no_fleet():
-    got = operator_from({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
-    assert got.fleet is None and got.configuration.silent_ms == 9000.0
-
-
-def test_staff_publish_go_back_and_see_who_has_what(tmp_path, capsys):
-    """The tool against two services: a change, a wrong file, the change before, the same again after one
-    service forgot everything."""
-
-    async def scenario():
-        services = [VersionService(), VersionService()]
-        for one in services:
-            await one.open(HOST, 0)
-        to = [f"{HOST}:{one.port}" for one in services]
-
-        async def tool(*words):
-            return await asyncio.to_thread(main, ["configuration", *words])
-
-        def file(name, value):
-            (tmp_path / name).write_text(json.dumps(value))
-            return str(tmp_path / name)
-
-        whole = config(settings={**published(1), "myNumber": 0})
-        assert await tool("publish", file("one.json", whole), "--to", *to, "--in-force-in", "0") == 0
-        first = services[0].store.newest
-        assert first.number > 10**12 and "myNumber" not in first.settings  # above any forgotten life
-        assert await tool("publish", file("two.json", published(2)), "--to", *to) == 0
-        second = services[1].store.newest
-        assert second.number == first.number + 1 and second.activates_at_ms > services[0].now_ms()
-        bad = file("bad.json", {**published(3), "classes": [{"name": "x"}]})
-        assert await tool("publish", bad, "--to", *to) == 2
-        assert await tool("publish", str(tmp_path / "two.json"), "--to", *to, "--in-force-in", "1e9") == 2
-        assert await tool("back", "--to", *to, "--in-force-in", "0") == 0
-        third = services[0].store.newest
-        assert (third.number, third.digest) == (first.number + 2, first.digest)
-        forgot = VersionService()
-        services[1].close()
-        await forgot.open(HOST, 0)
-        to = [to[0], f"{HOST}:{forgot.port}"]
-        assert await tool("status", *to) == 1
-        assert await tool("publish", str(tmp_path / "one.json"), "--to", *to) == 0  # the same again
-        assert forgot.store.newest == third == services[0].store.newest
-        assert await tool("publish", str(tmp_path / "one.json"), "--to", to[0], f"{HOST}:1") == 1
-        assert await tool("back", "--version", "7", "--to", *to) == 2
-        assert await tool("status", f"{HOST}:1") == 2
-        services[0].close()
-        forgot.close()
-
-    run(scenario())
-    said = capsys.readouterr()
-    assert "classes[0]" in said.err and "service 2 lacks it: publish the same again" in said.out
-    assert "version 7 is not kept" in said.err and "--in-force-in" in said.err
-
-
 def test_the_judge_of_trials_sees_each_thing_that_must_never_be():
     known = {1: Published("a", 0.0, 0.0), 2: Published("b", 500.0, 0.0), 3: Published("", 0.0, 0.0)}
     for rows, word in (
--- /dev/null
+++ b/tests/gateway/dynamic_config/test_config_table.py
@@ -0,0 +1,29 @@
+"""The operator's table [configuration]."""
+
+import pytest
+
+from plumpick.gateway.config import ConfigError
+from plumpick.gateway.operator_config import operator_from
+
+
+@pytest.mark.parametrize(
+    "table, key",
+    [
+        ({}, "configuration.addresses"),
+        ({"addresses": []}, "configuration.addresses"),
+        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
+        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
+        ({"addresses": ["here"]}, r"addresses\[0\]"),
+        ({"addresses": [7]}, r"addresses\[0\]"),
+        ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
+        ({"addresses": ["127.0.0.1:1"], "silent": 9}, "configuration.silent: no such key"),
+    ],
+)
+def test_each_key_of_the_table_is_checked_by_name(table, key):
+    with pytest.raises(ConfigError, match=key):
+        operator_from({"configuration": table}, 3)
+
+
+def test_the_table_needs_no_fleet():
+    got = operator_from({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
+    assert got.fleet is None and got.configuration.silent_ms == 9000.0
--- a/tests/configuration/test_delta.py
+++ b/tests/policy/dynamic_config/test_delta.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from settings_rig import published
+from support.dynamic_config import published
 
 from plumpick.policy.dynamic_config.delta import (
     GATEWAY_OWN_KEYS,
--- a/tests/configuration/test_versions.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -7,14 +7,10 @@
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from settings_rig import Subscription, document, published
+from support.dynamic_config import Subscription, document, published
 
 from plumpick.policy.dynamic_config.delta import changes_between, settings_digest
-from plumpick.policy.dynamic_config.errors import (
-    EarlyResponseError,
-    InvalidUpdateError,
-    VersionNotStagedError,
-)
+from plumpick.policy.dynamic_config.errors import EarlyResponseError, VersionNotStagedError
 from plumpick.policy.dynamic_config.subscriber import (
     ACTIVATION_DEADLINE_MS,
     IMMEDIATE_WATCH_MS,
@@ -30,7 +26,7 @@
     ConfigSubscriber,
     worst_notification_ms,
 )
-from plumpick.policy.dynamic_config.updates import SettingsVersion, parse_update
+from plumpick.policy.dynamic_config.updates import SettingsVersion
 
 BAD = 3  # versions that this divides are no settings for a gatekeeper
 
@@ -206,32 +202,6 @@
         assert side.subscriber.next_request(0.0).since_digest == settings_digest(published(6))
 
 
-@pytest.mark.parametrize(
-    "value",
-    [
-        None,
-        [],
-        7,
-        {},
-        {"version": 1},
-        {**document(1, {}), "version": 0},
-        {**document(1, {}), "version": True},
-        {**document(1, {}), "version": 2.0},
-        {**document(1, {}), "version": 2**60},
-        {**document(1, {}), "digest": "X" * 64},
-        {**document(1, {}), "digest": 7},
-        {**document(1, {}), "in_force_ms": float("nan")},
-        {**document(1, {}), "in_force_ms": "now"},
-        {**document(1, {}), "in_force_ms": True},
-        {**document(1, {}), "settings": [1]},
-        {**document(1, {}), "settings": None, "changes": {}},
-    ],
-)
-def test_an_answer_that_is_no_offer_is_told_from_one(value):
-    with pytest.raises(InvalidUpdateError):
-        parse_update(value)
-
-
 def test_a_change_is_told_within_the_term_with_two_silent_addresses_in_turn():
     """Played, against the sum that the module states: the watch falls silent as it begins, a change right
     behind; the next address takes connections and says nothing; the third answers."""
--- a/tests/configuration/test_shelf.py
+++ b/tests/policy/dynamic_config/test_version_store.py
@@ -1,27 +1,20 @@
-"""The service's decisions: what it stores, what it answers, what is reported of who has what."""
+"""The service's decisions: what it stores and what it answers."""
 
 import json
 
 import pytest
-from settings_rig import document, published
+from support.dynamic_config import document, published, status_of
 
 from plumpick.policy.dynamic_config.delta import settings_digest
 from plumpick.policy.dynamic_config.errors import PublishError
-from plumpick.policy.dynamic_config.rollout_report import report_rollout
-from plumpick.policy.dynamic_config.subscriber import ACTIVATION_DEADLINE_MS
 from plumpick.policy.dynamic_config.updates import SettingsVersion, parse_update, resolve_update
 from plumpick.policy.dynamic_config.version_store import (
     MAX_SUBSCRIBERS,
     MAX_VERSIONS,
-    SubscriberStatus,
     VersionStore,
 )
 
 
-def status_of(name, number, version, digest, last_call_ms=0.0, rejected=0, reason="", staged=0):
-    return SubscriberStatus(name, number, version, digest, staged, rejected, reason, last_call_ms)
-
-
 def publish_problem(store, value):
     """What the store says against a version."""
     with pytest.raises(PublishError) as raised:
@@ -86,58 +79,3 @@
         and "n0" in store.subscribers
         and "n1" not in store.subscribers
     )
-
-
-def test_status_names_who_lacks_it_who_refused_it_who_is_lost_and_who_was_never_heard():
-    first, second = VersionStore(), VersionStore()
-    value = {**published(7), "balancers": 7}
-    its = settings_digest(value)
-    first.publish(1000.0, document(7, value, 4000.0))
-    now = 1000.0 + ACTIVATION_DEADLINE_MS + 500
-    first.record_subscriber(status_of("n0", 0, 7, its, now))
-    first.record_subscriber(status_of("n1", 1, 6, "6" * 64, now, staged=7))
-    first.record_subscriber(
-        status_of("n2", 2, 6, "6" * 64, now, rejected=7, reason="settings.limits: an object is due")
-    )
-    second.record_subscriber(status_of("n3", 3, 7, its, now - 7000))
-    second.record_subscriber(status_of("n4", 4, 8, "8" * 64, now))
-    second.record_subscriber(
-        status_of("n1", 1, 5, "5" * 64, now - 3000)
-    )  # what was told elsewhere later counts
-    second.record_subscriber(status_of("n5", 5, 7, "7" * 64, now))
-    report = report_rollout([first.status(now), second.status(now)])
-    text = "\n".join(report.lines)
-    assert not report.is_complete and "version 7" in report.lines[0]
-    for word in (
-        "service 2 lacks it",
-        "n1 lacks it: has version 6, 7 staged",
-        "n2 lacks it",
-        "n2 refused version 7: settings.limits",
-        "n3 has not been heard for 7.0 s",
-        "n4 has version 8, which no service knows",
-        "n5 has version 7 with another content",
-        "1 never heard, by number: 6",
-        "2 of 7 have it",
-    ):
-        assert word in text, word
-
-
-def test_status_is_well_where_all_have_it_and_says_nothing_before_the_term():
-    store = VersionStore()
-    value = {**published(7), "balancers": 2}
-    store.publish(1000.0, document(7, value, 4000.0))
-    store.record_subscriber(status_of("n0", 0, 6, "6" * 64, 1500.0, staged=7))
-    assert report_rollout([store.status(1500.0)]).is_complete
-    store.record_subscriber(status_of("n0", 0, 7, settings_digest(value), 9000.0))
-    store.record_subscriber(status_of("n1", 1, 7, settings_digest(value), 9000.0))
-    report = report_rollout([store.status(9000.0)])
-    assert report.is_complete and report.lines[-1] == "2 of 2 have it"
-    assert not report_rollout([VersionStore().status(0.0)]).is_complete
-
-
-def test_two_contents_under_one_number_at_two_services_are_named():
-    one, other = VersionStore(), VersionStore()
-    one.publish(0.0, document(3, published(1)))
-    other.publish(0.0, document(3, published(2)))
-    report = report_rollout([one.status(1.0), other.status(1.0)])
-    assert not report.is_complete and any("two contents" in line for line in report.lines)
--- /dev/null
+++ b/tests/support/config_processes.py
@@ -0,0 +1,91 @@
+"""A service of versions and gateways as processes.
+
+They run as `python -m benchmarks.configuration.witness`, which writes down what each was given."""
+
+import asyncio
+import json
+import os
+import sys
+
+from fakes import HOST, config, entry, run
+from support.dynamic_config import document
+from test_process import ROOT, free_port, until_up
+
+from plumpick.tools.call import ask
+from plumpick.tools.configuration_service import VersionService
+
+
+class Machine:
+    """A service in this process, and a gatekeeper with a process at a time, or two in an upgrade."""
+
+    def __init__(self, folder):
+        self.folder, self.service, self.processes = folder, VersionService(), []
+        self.port = free_port()
+
+    async def __aenter__(self):
+        await self.service.open(HOST, 0)
+        (self.folder / "operator.toml").write_text(
+            f'[configuration]\naddresses = ["{HOST}:{self.service.port}"]\n'
+        )
+        return self
+
+    async def __aexit__(self, *_):
+        self.service.close()
+        for process in self.processes:
+            if process.returncode is None:
+                process.kill()
+                await process.wait()
+
+    async def put(self, version, value, later_ms=0.0):
+        told = document(version, value, self.service.now_ms() + later_ms)
+        assert self.service._publish(json.dumps(told).encode())[0] == 200
+
+    async def start(self, worker=9):
+        """A process, up, with a worker at that port; where operators call it."""
+        calls = free_port()
+        (self.folder / "config.json").write_text(
+            json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}"))
+        )
+        process = await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "benchmarks.configuration.witness",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.DEVNULL,
+            env={
+                **os.environ,
+                "BALANCER_CONFIG": str(self.folder / "config.json"),
+                "PLUMPICK_OPERATOR": str(self.folder / "operator.toml"),
+                "TMPDIR": str(self.folder),
+                "WITNESS_FILE": str(self.folder / "witness"),
+            },
+        )
+        self.processes.append(process)
+        await until_up(self.port)
+        return process, calls
+
+    def put_in_force(self, pid):
+        """Versions, in the order in which that process had them."""
+        path = self.folder / "witness"
+        rows = [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
+        return [row[3] for row in rows if row[0] == "force" and row[2] == pid]
+
+    async def has(self, process, version):
+        while self.put_in_force(process.pid)[-1:] != [version]:
+            await asyncio.sleep(0.01)
+
+
+async def says(calls, line="CONFIGURATION"):
+    while True:
+        try:
+            return await asyncio.to_thread(ask, (HOST, calls), line)
+        except ConnectionRefusedError:
+            await asyncio.sleep(0.01)
+
+
+def on_a_machine(tmp_path, scenario):
+    async def whole():
+        async with Machine(tmp_path) as machine:
+            await scenario(machine)
+
+    run(whole())
--- a/tests/configuration/settings_rig.py
+++ b/tests/support/dynamic_config.py
@@ -9,6 +9,7 @@
 from plumpick.policy.dynamic_config.errors import DynamicConfigError, InvalidUpdateError
 from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber
 from plumpick.policy.dynamic_config.updates import parse_update, resolve_update
+from plumpick.policy.dynamic_config.version_store import SubscriberStatus
 
 
 def published(mark=0, classes=3):
@@ -25,6 +26,11 @@
     return {"version": version, "digest": settings_digest(value), "in_force_ms": at_ms, "settings": value}
 
 
+def status_of(name, number, version, digest, last_call_ms=0.0, rejected=0, reason="", staged=0):
+    """What a gateway reported with its last call."""
+    return SubscriberStatus(name, number, version, digest, staged, rejected, reason, last_call_ms)
+
+
 class Subscription:
     """A subscriber with what the daemon does round it, at once."""
 
