--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -9,7 +9,7 @@
 of the list, then watched, and asked again after a short backoff. A service that all gateways share queues
 calls and rejects what it cannot answer in time. There, forty gateways that start together, give up a call
 before its turn and retry twice a second keep it at its limit for good
-(test_forty_that_start_within_a_tenth_of_a_second_all_have_their_watch_soon). So a watch of a shared service
+(test_forty_gateways_that_start_together_all_have_their_watch_soon). So a watch of a shared service
 begins from the list at hand (one call instead of two), and each gateway has its own slot, by its number, in a
 round that all share by the one clock: calls are spread evenly whatever made all fail at once, and none is
 made more often than once a round. Full jitter bunches calls, and would need several rounds. A rejected call
--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("by", ["whole", "delta"])
-def test_a_class_that_is_published_is_served_and_one_that_is_dropped_is_not_with_no_restart(tmp_path, by):
+def test_a_published_class_is_served_and_a_removed_one_is_not_without_a_restart(tmp_path, by):
     async def scenario():
         async with FakeWorker() as worker, Machine(tmp_path) as machine:
             if by == "delta":
--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -19,13 +19,14 @@
 from plumpick.tools.configuration_service import PATH, VersionService
 
 
-class Keeper:
-    """A gatekeeper that takes over what it is given, unless its class c0 is worth `wrong`."""
+class GatewayStub:
+    """A gateway that works by what it is given, unless the worth of its class c0 is `wrong`."""
 
     def __init__(self, addresses, number=0, wrong=None):
         self.config = config_from(config(name=f"n{number}"), {})
-        self.clock, self.taken, self.wrong = Clock(), [], wrong
-        self.changed = asyncio.Event()
+        self.clock = Clock()
+        self.activated = []
+        self.wrong = wrong
         loop = asyncio.get_running_loop()
         self.client = ConfigClient(
             self.config,
@@ -38,11 +39,10 @@
         )
         self.task = None
 
-    def reconfigure(self, news):
-        if news.settings.classes[0].worth == self.wrong:
+    def reconfigure(self, changed):
+        if changed.settings.classes[0].worth == self.wrong:
             return "classes[0].worth: no such worth"
-        self.taken.append(news)
-        self.changed.set()
+        self.activated.append(changed)
         return ""
 
     def start(self):
@@ -52,7 +52,7 @@
     async def until(self, version):
         while self.client.subscriber.active.number != version:
             await asyncio.sleep(0.002)
-        return self.taken[-1]
+        return self.activated[-1]
 
     async def has_seen(self, true):
         while not true(self.client.subscriber):
@@ -76,7 +76,7 @@
             one.close()
 
 
-def place(service):
+def address_of(service):
     return HOST, service.port
 
 
@@ -101,33 +101,33 @@
     run(whole())
 
 
-def test_a_version_comes_into_force_whole_and_the_next_by_its_changes():
+def test_the_first_version_comes_as_a_snapshot_and_the_next_as_a_delta():
     async def scenario(service):
-        keeper = Keeper([place(service)]).start()
+        gateway = GatewayStub([address_of(service)]).start()
         assert (await put(service, document(1, published(1, 400))))[0] == 200
-        news = await keeper.until(1)
-        assert len(news.settings.classes) == 400 and news.settings.number == 0 and news.name == "n0"
+        changed = await gateway.until(1)
+        assert len(changed.settings.classes) == 400 and changed.settings.number == 0 and changed.name == "n0"
         sent = service.bytes_out
         assert (await put(service, document(2, published(2, 400))))[0] == 200
-        assert (await keeper.until(2)).settings.classes[0].worth == 2.0
+        assert (await gateway.until(2)).settings.classes[0].worth == 2.0
         assert service.bytes_out - sent < 2000  # changes, not 400 classes
-        assert keeper.client.subscriber.active.digest == settings_digest(published(2, 400))
-        await keeper.stop()
+        assert gateway.client.subscriber.active.digest == settings_digest(published(2, 400))
+        await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_it_waits_for_its_time_and_says_so():
+def test_a_staged_version_waits_for_its_time_and_is_in_the_status_line():
     async def scenario(service):
-        keeper = Keeper([place(service)]).start()
-        at_ms = keeper.clock.now() + 700.0
+        gateway = GatewayStub([address_of(service)]).start()
+        at_ms = gateway.clock.now() + 700.0
         await put(service, document(1, published(1), at_ms))
-        await keeper.has_seen(lambda subscriber: subscriber.staged is not None)
-        line = keeper.client.status_line()
-        assert not keeper.taken and "1 " in line and "staged" in line
-        await keeper.until(1)
-        assert keeper.clock.now() >= at_ms
-        await keeper.stop()
+        await gateway.has_seen(lambda subscriber: subscriber.staged is not None)
+        line = gateway.client.status_line()
+        assert not gateway.activated and "1 " in line and "staged" in line
+        await gateway.until(1)
+        assert gateway.clock.now() >= at_ms
+        await gateway.stop()
 
     with_services(1, scenario)
 
@@ -142,94 +142,94 @@
         ({"balancers": 1e999}, "balancers"),
     ],
 )
-def test_a_bad_version_is_never_in_force_is_told_and_is_not_asked_for_again(wrong, word):
+def test_a_bad_version_is_rejected_reported_and_not_requested_again(wrong, word):
     async def scenario(service):
-        keeper = Keeper([place(service)]).start()
+        gateway = GatewayStub([address_of(service)]).start()
         await put(service, document(1, published(1)))
-        await keeper.until(1)
+        await gateway.until(1)
         bad = {**published(2), **wrong}
         if word == "balancers":
             bad["balancers"] = "many"
         await put(service, document(2, bad))
-        await keeper.has_seen(lambda subscriber: 2 in subscriber.rejected)
+        await gateway.has_seen(lambda subscriber: 2 in subscriber.rejected)
         calls = service.calls
         while service.store.subscribers["n0"].rejected_version != 2:
             await asyncio.sleep(0.002)
         assert word in service.store.subscribers["n0"].rejection_reason
-        assert "refused" in keeper.client.status_line()
-        assert service.calls - calls <= 2 and len(keeper.taken) == 1
+        assert "refused" in gateway.client.status_line()
+        assert service.calls - calls <= 2 and len(gateway.activated) == 1
         report = report_rollout([service.store.status(service.now_ms())])
         assert not report.is_complete
         assert any("n0 refused version 2" in line and word in line for line in report.lines)
         await put(service, document(3, published(3)))
-        await keeper.until(3)
-        await keeper.stop()
+        await gateway.until(3)
+        await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_what_reconfigure_refuses_counts_as_refused_and_one_that_raises_too():
+def test_a_version_that_reconfigure_refuses_or_raises_for_is_rejected():
     async def scenario(service):
-        keeper = Keeper([place(service)], wrong=2.0).start()
+        gateway = GatewayStub([address_of(service)], wrong=2.0).start()
         for number in (1, 2):
             await put(service, document(number, published(number)))
-        await keeper.has_seen(lambda subscriber: 2 in subscriber.rejected)
-        assert keeper.client.subscriber.active.number == 1
-        keeper.client._reconfigure = lambda _config: 1 / 0
+        await gateway.has_seen(lambda subscriber: 2 in subscriber.rejected)
+        assert gateway.client.subscriber.active.number == 1
+        gateway.client._reconfigure = lambda _config: 1 / 0
         await put(service, document(3, published(3)))
-        await keeper.has_seen(lambda subscriber: 3 in subscriber.rejected)
-        assert keeper.client.subscriber.active.number == 1
-        assert "ZeroDivisionError" in keeper.client.subscriber.rejected[3].reason
-        keeper.client._reconfigure = keeper.reconfigure
+        await gateway.has_seen(lambda subscriber: 3 in subscriber.rejected)
+        assert gateway.client.subscriber.active.number == 1
+        assert "ZeroDivisionError" in gateway.client.subscriber.rejected[3].reason
+        gateway.client._reconfigure = gateway.reconfigure
         await put(service, document(4, published(4)))
-        await keeper.until(4)
-        await keeper.stop()
+        await gateway.until(4)
+        await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_two_changes_that_cross_end_with_the_newer_one_wherever_each_came_first():
+def test_two_publishers_that_cross_end_with_the_newer_version_everywhere():
     async def scenario(one, other):
-        keepers = [Keeper([place(one), place(other)], number).start() for number in (0, 1)]
-        at_ms = keepers[0].clock.now() + 400.0
+        gateways = [GatewayStub([address_of(one), address_of(other)], number).start() for number in (0, 1)]
+        at_ms = gateways[0].clock.now() + 400.0
         await put(one, document(1, published(1), at_ms + 200))
         await put(other, document(2, published(2), at_ms))
         assert (await put(other, document(1, published(1), at_ms + 200)))[0] == 409  # it is older
         assert (await put(one, document(2, published(2), at_ms)))[0] == 200
-        for keeper in keepers:
-            await keeper.until(2)
-            assert [news.settings.classes[0].worth for news in keeper.taken] == [2.0]
-            await keeper.stop()
+        for gateway in gateways:
+            await gateway.until(2)
+            assert [changed.settings.classes[0].worth for changed in gateway.activated] == [2.0]
+            await gateway.stop()
 
     with_services(2, scenario)
 
 
-def test_one_number_with_two_contents_is_refused_by_the_service_and_named_where_it_came_to_be():
+def test_one_number_with_two_contents_is_rejected_by_a_service_and_reported_for_two():
     async def scenario(one, other):
         await put(one, document(1, published(1)))
         assert "another content" in (await put(one, document(1, published(2))))[1]["problem"]
         await put(other, document(1, published(2)))
-        keepers = [Keeper([place(one), place(other)], number).start() for number in (0, 1)]
-        for keeper in keepers:
-            await keeper.until(1)
+        gateways = [GatewayStub([address_of(one), address_of(other)], number).start() for number in (0, 1)]
+        for gateway in gateways:
+            await gateway.until(1)
         await put(one, document(2, published(3)))  # what staff do then: a newer one, everywhere
         await put(other, document(2, published(3)))
-        for keeper in keepers:
-            await keeper.until(2)
-            await keeper.stop()
+        for gateway in gateways:
+            await gateway.until(2)
+            await gateway.stop()
         report = report_rollout([service.store.status(service.now_ms()) for service in (one, other)])
         assert not report.is_complete and any("version 1 has two contents" in line for line in report.lines)
 
     with_services(2, scenario)
 
 
-def test_a_publisher_that_dies_between_two_services_is_completed_by_publishing_the_same_again():
+def test_publishing_the_same_again_completes_a_publisher_that_died_between_services():
     """The one that has it tells its watchers, who switch at its time; the others at the same time as soon as
     they hear of it; before that `status` names them."""
 
     async def scenario(one, other):
         first, second = (
-            Keeper([place(service)], number).start() for number, service in enumerate((one, other))
+            GatewayStub([address_of(service)], number).start() for number, service in enumerate((one, other))
         )
         value = {**published(5), "balancers": 2}
         await put(one, document(5, value))
@@ -241,8 +241,8 @@
         await put(other, document(5, value))
         await second.until(5)
         assert second.client.subscriber.active.digest == first.client.subscriber.active.digest
-        for keeper in (first, second):
-            await keeper.stop()
+        for gateway in (first, second):
+            await gateway.stop()
 
     with_services(2, scenario)
 
@@ -302,139 +302,139 @@
 
 
 @pytest.mark.parametrize("place_of", range(len(HOSTILE)))
-def test_a_hostile_answer_is_dropped_and_the_next_address_serves(place_of, caplog):
+def test_after_a_hostile_answer_the_next_address_is_used(place_of, caplog):
     async def scenario(service):
         async with ServiceStub() as bad:
             await put(service, document(3, published(3)))
-            keeper = Keeper([(HOST, bad.port), place(service)]).start()
+            gateway = GatewayStub([(HOST, bad.port), address_of(service)]).start()
             _, writer = await bad.calls.get()
             writer.write(HOSTILE[place_of])
-            await keeper.until(3)
-            assert len(keeper.taken) == 1 and bad.calls.empty()
-            await keeper.stop()
+            await gateway.until(3)
+            assert len(gateway.activated) == 1 and bad.calls.empty()
+            await gateway.stop()
 
     with_services(1, scenario)
     assert len([row for row in caplog.records if str(row.args).count("127.0.0.1")]) == 1
 
 
-def test_an_old_version_that_comes_late_is_passed_over_and_nothing_is_put_back():
+def test_an_older_version_that_comes_late_is_ignored():
     async def scenario(service):
         async with ServiceStub() as late:
-            keeper = Keeper([(HOST, late.port), place(service)]).start()
+            gateway = GatewayStub([(HOST, late.port), address_of(service)]).start()
             _, writer = await late.calls.get()
             writer.write(body(document(5, published(5))))
-            await keeper.until(5)
+            await gateway.until(5)
             target, writer = await late.calls.get()
             assert "since=5" in target and "in_force=5" in target
             writer.write(body(document(4, published(4))))  # what was on its way before
-            while keeper.client.subscriber.address_index == 0:
+            while gateway.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
-            assert len(keeper.taken) == 1
+            assert len(gateway.activated) == 1
             await put(service, document(6, published(6)))
-            await keeper.until(6)
-            await keeper.stop()
+            await gateway.until(6)
+            await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_an_answer_that_comes_twice_is_taken_once():
+def test_an_answer_that_comes_twice_is_activated_once():
     async def scenario(service):
         async with ServiceStub() as twice:
-            keeper = Keeper([(HOST, twice.port), place(service)]).start()
+            gateway = GatewayStub([(HOST, twice.port), address_of(service)]).start()
             _, writer = await twice.calls.get()
             writer.write(body(document(5, published(5))))
-            await keeper.until(5)
+            await gateway.until(5)
             _, writer = await twice.calls.get()
             writer.write(body(document(5, published(5))) * 2)
-            while keeper.client.subscriber.address_index == 0:
+            while gateway.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
-            assert len(keeper.taken) == 1 and not keeper.client.subscriber.rejected
-            await keeper.stop()
+            assert len(gateway.activated) == 1 and not gateway.client.subscriber.rejected
+            await gateway.stop()
 
     with_services(1, scenario)
 
 
 @pytest.mark.parametrize("cut", [0, 30, 200, -1])
-def test_a_service_that_dies_in_the_midst_of_an_answer_leaves_what_is_in_force(cut):
+def test_a_service_that_dies_during_an_answer_leaves_the_active_version(cut):
     async def scenario(service):
         async with ServiceStub() as dying:
-            keeper = Keeper([(HOST, dying.port), place(service)]).start()
+            gateway = GatewayStub([(HOST, dying.port), address_of(service)]).start()
             _, writer = await dying.calls.get()
             writer.write(body(document(5, published(5)))[:cut])
             await writer.drain()
             writer.transport.abort()
-            while keeper.client.subscriber.address_index == 0:
+            while gateway.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
-            assert keeper.client.subscriber.active.number == 0 and not keeper.taken
+            assert gateway.client.subscriber.active.number == 0 and not gateway.activated
             await put(service, document(5, published(5)))
-            await keeper.until(5)
-            await keeper.stop()
+            await gateway.until(5)
+            await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_an_address_that_takes_the_connection_and_says_nothing_is_left_in_time():
+def test_an_address_that_accepts_and_is_silent_is_left_in_time():
     async def scenario(service):
         async with ServiceStub() as silent:
             await put(service, document(2, published(2)))
-            keeper = Keeper([(HOST, silent.port), place(service)]).start()
+            gateway = GatewayStub([(HOST, silent.port), address_of(service)]).start()
             await silent.calls.get()
-            await keeper.until(2)
-            await keeper.stop()
+            await gateway.until(2)
+            await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_a_service_that_begins_anew_and_knows_nothing_leaves_what_is_in_force():
+def test_a_restarted_service_without_versions_leaves_the_active_version():
     async def scenario(service):
-        keeper = Keeper([place(service)]).start()
+        gateway = GatewayStub([address_of(service)]).start()
         await put(service, document(5, published(5)))
-        await keeper.until(5)
+        await gateway.until(5)
         fresh = VersionService()
         service.close()
         await fresh.open(HOST, service.port)
         while "n0" not in fresh.store.subscribers:
             await asyncio.sleep(0.002)
         assert fresh.store.subscribers["n0"].active_version == 5
-        assert keeper.client.subscriber.active.number == 5
+        assert gateway.client.subscriber.active.number == 5
         report = report_rollout([fresh.store.status(fresh.now_ms())])
         assert not report.is_complete
         await put(fresh, document(5, published(5)))  # the same again
         await put(fresh, document(6, published(6)))
-        await keeper.until(6)
-        await keeper.stop()
+        await gateway.until(6)
+        await gateway.stop()
         fresh.close()
 
     with_services(1, scenario)
 
 
-def test_a_life_that_remembers_nothing_asks_for_the_whole_and_has_the_newest_at_once():
+def test_a_new_process_requests_a_snapshot_and_has_the_newest_version_at_once():
     async def scenario(service):
         for number in (1, 2):
             await put(service, document(number, published(number)))
-        keeper = Keeper([place(service)]).start()
-        await keeper.client.has_response.wait()
-        assert keeper.client.subscriber.active.number == 2  # before a start would go on
-        await keeper.stop()
-        again = Keeper([place(service)]).start()
+        gateway = GatewayStub([address_of(service)]).start()
+        await gateway.client.has_response.wait()
+        assert gateway.client.subscriber.active.number == 2  # before a start would go on
+        await gateway.stop()
+        again = GatewayStub([address_of(service)]).start()
         await again.until(2)
-        assert len(again.taken) == 1
+        assert len(again.activated) == 1
         await again.stop()
 
     with_services(1, scenario)
 
 
-def test_the_next_process_begins_with_what_the_one_before_has_though_no_service_answers():
+def test_a_hot_restart_keeps_the_active_version_without_a_service():
     async def scenario(service):
-        keeper = Keeper([place(service)]).start()
+        gateway = GatewayStub([address_of(service)]).start()
         await put(service, document(5, published(5)))
-        await keeper.until(5)
-        state = json.loads(json.dumps(keeper.client.export_state()))
-        await keeper.stop()
-        after = Keeper([(HOST, 1)])
+        await gateway.until(5)
+        state = json.loads(json.dumps(gateway.client.export_state()))
+        await gateway.stop()
+        after = GatewayStub([(HOST, 1)])
         await after.client.import_state(state)
-        assert after.client.subscriber.active == keeper.client.subscriber.active
-        assert after.taken[-1].settings == keeper.taken[-1].settings
+        assert after.client.subscriber.active == gateway.client.subscriber.active
+        assert after.activated[-1].settings == gateway.activated[-1].settings
         for wrong in (
             {**state, "digest": "0" * 64},
             {**state, "version": 4},
@@ -443,44 +443,48 @@
             {**document(9, {"classes": []})},
         ):
             await after.client.import_state(wrong)
-        assert after.client.subscriber.active.number == 5 and len(after.taken) == 1
-        assert Keeper([(HOST, 1)]).client.export_state() is None  # its own file's: the next one has its own
+        assert after.client.subscriber.active.number == 5 and len(after.activated) == 1
+        assert (
+            GatewayStub([(HOST, 1)]).client.export_state() is None
+        )  # its own file's: the next one has its own
 
     with_services(1, scenario)
 
 
-def test_a_third_that_was_cut_off_has_the_newest_once_it_is_back_and_nothing_between():
+def test_a_gateway_that_was_cut_off_activates_the_newest_version_and_none_between():
     async def scenario(near, far):
-        keepers = [Keeper([place(far if number == 0 else near)], number).start() for number in range(3)]
+        gateways = [
+            GatewayStub([address_of(far if number == 0 else near)], number).start() for number in range(3)
+        ]
         for service in (near, far):
             await put(service, document(1, published(1)))
-        for keeper in keepers:
-            await keeper.until(1)
+        for gateway in gateways:
+            await gateway.until(1)
         for number in (2, 3, 4):  # only what is near can be reached
             await put(near, document(number, published(number)))
-        for keeper in keepers[1:]:
-            await keeper.until(4)
-        assert keepers[0].client.subscriber.active.number == 1
+        for gateway in gateways[1:]:
+            await gateway.until(4)
+        assert gateways[0].client.subscriber.active.number == 1
         await put(far, document(4, published(4)))  # back: the newest is published there, too
-        await keepers[0].until(4)
-        assert [news.settings.classes[0].worth for news in keepers[0].taken] == [1.0, 4.0]
-        for keeper in keepers:
-            await keeper.stop()
+        await gateways[0].until(4)
+        assert [changed.settings.classes[0].worth for changed in gateways[0].activated] == [1.0, 4.0]
+        for gateway in gateways:
+            await gateway.stop()
 
     with_services(2, scenario)
 
 
-def test_what_a_gatekeeper_has_of_its_own_stays_its_own():
+def test_a_gateways_own_keys_are_not_changed_by_a_version():
     mine = config_from(config(name="n2"), {})
-    news = config_with(mine, {**published(3), "myNumber": 9, "locality": "z"})
-    assert (news.settings.number, news.settings.zone) == (mine.settings.number, mine.settings.zone)
-    assert (news.name, news.listen, news.seed) == (mine.name, mine.listen, mine.seed)
+    changed = config_with(mine, {**published(3), "myNumber": 9, "locality": "z"})
+    assert (changed.settings.number, changed.settings.zone) == (mine.settings.number, mine.settings.zone)
+    assert (changed.name, changed.listen, changed.seed) == (mine.name, mine.listen, mine.seed)
     value = copy.deepcopy(published(3))
     value["limits"]["dialTimeoutMs"] = 99.0
     assert config_with(mine, value).dial_timeout_ms == 99.0
 
 
-def test_a_service_refuses_what_it_cannot_use_and_goes_on(caplog):
+def test_a_service_rejects_malformed_requests_and_goes_on(caplog):
     async def scenario(service):
         for data in (
             b"x\r\n\r\n",
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -17,7 +17,7 @@
 from plumpick.tools.configuration_service import VersionService
 
 
-def test_it_is_up_with_the_version_of_the_service_and_staff_see_what_is_in_force_staged_and_refused(tmp_path):
+def test_a_start_has_the_services_version_and_operators_see_active_staged_and_rejected(tmp_path):
     async def scenario(machine):
         await machine.put(3, published(3))
         process, calls = await machine.start()
@@ -37,7 +37,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_a_silent_service_does_not_keep_it_from_serving_and_is_heard_when_it_is_there(tmp_path):
+def test_a_start_goes_on_without_a_service_and_uses_it_once_it_answers(tmp_path):
     async def scenario(machine):
         machine.service.close()
         process, calls = await machine.start()
@@ -51,7 +51,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_after_it_stood_still_it_has_the_newest_and_never_an_older_one(tmp_path):
+def test_after_a_stall_the_newest_version_is_active_and_never_an_older_one(tmp_path):
     async def scenario(machine):
         await machine.put(1, published(1))
         process, _ = await machine.start()
@@ -68,7 +68,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_a_killed_life_remembers_nothing_and_has_the_newest_when_it_is_up(tmp_path):
+def test_a_process_after_a_kill_starts_with_the_newest_version(tmp_path):
     async def scenario(machine):
         await machine.put(1, published(1))
         process, _ = await machine.start()
@@ -81,7 +81,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_the_next_process_begins_with_the_version_of_the_one_before_though_the_service_is_dead(tmp_path):
+def test_a_hot_restart_hands_over_the_active_version_though_the_service_is_dead(tmp_path):
     async def scenario(machine):
         await machine.put(5, published(5))
         process, calls = await machine.start()
@@ -103,7 +103,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_without_a_configuration_table_it_is_off_and_not_imported(tmp_path):
+def test_without_a_configuration_table_nothing_of_it_is_imported_or_called(tmp_path):
     code = (
         "import sys; import plumpick.gateway.daemon; print([name for name in sys.modules "
         "if name.startswith(('plumpick.gateway.dynamic_config', 'plumpick.policy.dynamic_config', "
@@ -126,7 +126,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_half_a_tier_on_the_old_program_is_named_and_serves_by_its_file(tmp_path):
+def test_gateways_without_the_table_are_reported_and_serve_by_their_file(tmp_path):
     """Two of three numbers: one asks, one runs without [configuration], one is not there at all."""
 
     async def scenario(machine):
@@ -154,7 +154,7 @@
     on_a_machine(tmp_path, scenario)
 
 
-def test_the_judge_of_trials_sees_each_thing_that_must_never_be():
+def test_the_checker_of_trials_reports_each_broken_invariant():
     known = {1: Published("a", 0.0, 0.0), 2: Published("b", 500.0, 0.0), 3: Published("", 0.0, 0.0)}
     for rows, word in (
         ([["force", 10, 1, "n0", 2, "b"]], "before its time"),
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(("seed", "gatekeepers"), [(5, 3), (6, 5)])
-def test_a_trial_with_faults_holds_all_promises(seed, gatekeepers):
+def test_a_trial_with_faults_breaks_no_invariant(seed, gatekeepers):
     outcome = asyncio.run(play(seed, gatekeepers))
     assert outcome.broken == [] and outcome.forced > 10 and outcome.last_ms
 
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -26,7 +26,7 @@
     run(whole())
 
 
-def test_the_whole_list_then_a_watch_from_its_version():
+def test_a_snapshot_is_followed_by_a_watch_from_its_index():
     async def scenario(fake, lists, discovery):
         target, writer = await fake.called()
         assert target == "/discovery/hosts" and not discovery.has_snapshot.is_set()
@@ -42,7 +42,7 @@
     watched(scenario)
 
 
-def test_a_watch_that_brings_nothing_goes_on_and_tells_nothing():
+def test_a_watch_without_changes_continues_and_notifies_nobody():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
@@ -70,7 +70,7 @@
         None,
     ],
 )
-def test_after_an_odd_answer_or_an_end_the_whole_list_is_asked_again(reply):
+def test_after_a_malformed_answer_or_an_end_a_snapshot_is_requested(reply):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         writer.write(told(listing(index=41)))
@@ -88,7 +88,7 @@
     watched(scenario)
 
 
-def test_an_entry_that_cannot_be_read_does_not_spoil_the_list():
+def test_a_malformed_entry_is_left_out_of_the_list():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
@@ -100,7 +100,7 @@
     watched(scenario)
 
 
-def test_a_watch_moves_and_begins_with_the_whole_list():
+def test_a_new_address_begins_with_a_snapshot():
     """Whatever it is doing at the old address: here a watch waits, and then a call that has no answer."""
 
     async def scenario(fake, lists, discovery):
@@ -128,7 +128,7 @@
         await asyncio.sleep(0)
 
 
-def test_what_the_old_address_has_begun_to_tell_is_not_dropped_by_a_move():
+def test_an_answer_in_progress_is_not_lost_when_the_address_changes():
     """What discovery has written counts as told. A move dropped the call that was under way, and what was
     read of its answer; the new address may be dead or silent."""
 
@@ -150,7 +150,7 @@
     watched(scenario)
 
 
-def test_a_move_to_a_dead_address_and_back_again_loses_nothing():
+def test_a_change_to_a_dead_address_and_back_loses_nothing():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -172,7 +172,7 @@
     watched(scenario)
 
 
-def test_what_the_old_address_tells_once_the_new_one_has_told_its_list_is_not_taken():
+def test_the_old_address_is_ignored_once_the_new_one_sent_its_snapshot():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.called()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -214,7 +214,7 @@
     watched(scenario)
 
 
-def test_a_watch_that_is_reset_just_behind_its_answer_is_opened_anew_at_once():
+def test_a_watch_that_is_reset_right_after_its_answer_is_reopened_at_once():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.called()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -229,7 +229,7 @@
     watched(scenario)
 
 
-def test_a_fault_of_ours_does_not_end_the_watch(monkeypatch):
+def test_a_fault_of_our_own_does_not_end_the_watch(monkeypatch):
     monkeypatch.setattr("plumpick.gateway.discovery.FAULT_BACKOFF_S", 0.0)
 
     async def scenario(fake, lists, discovery):
@@ -244,7 +244,7 @@
     watched(scenario)
 
 
-def test_silence_is_survived(monkeypatch):
+def test_a_silent_discovery_is_asked_again(monkeypatch):
     monkeypatch.setattr("plumpick.policy.endpoint_watch.RESPONSE_TIMEOUT_MS", 50.0)
 
     async def scenario(fake, lists, _discovery):
@@ -263,7 +263,7 @@
     watched(scenario)
 
 
-def test_refusals_are_survived():
+def test_refused_connections_are_retried():
     async def scenario():
         probe = socket.create_server((HOST, 0))
         port = probe.getsockname()[1]
--- a/tests/policy/dynamic_config/test_delta.py
+++ b/tests/policy/dynamic_config/test_delta.py
@@ -48,7 +48,7 @@
 
 @effort(max_examples=300, deadline=None)
 @given(OBJECTS, OBJECTS)
-def test_a_delta_makes_of_its_base_what_was_published_order_and_kinds_of_numbers_too(before, after):
+def test_a_delta_applied_to_its_base_is_the_published_settings_in_order_and_number_types(before, after):
     kept = copy.deepcopy(before)
     made = apply_changes(before, json.loads(json.dumps(changes_between(before, after))))
     assert settings_digest(made) == settings_digest(after) and before == kept
@@ -57,7 +57,7 @@
 
 @effort(max_examples=200, deadline=None)
 @given(OBJECTS)
-def test_the_digest_is_sha256_over_canonical_json_less_what_is_each_gatekeepers_own(value):
+def test_the_digest_is_sha256_over_canonical_json_without_the_gateways_own_keys(value):
     text = json.dumps(
         {key: item for key, item in value.items() if key not in GATEWAY_OWN_KEYS},
         sort_keys=True,
@@ -69,7 +69,7 @@
 
 @effort(max_examples=300, deadline=None)
 @given(OBJECTS, OBJECTS, OBJECTS)
-def test_changes_said_to_be_of_another_base_make_what_was_published_or_nothing(base, other, after):
+def test_a_delta_with_a_wrong_base_resolves_to_the_published_settings_or_is_invalid(base, other, after):
     """Some make it by chance, where the two bases differ in what is changed anyway."""
     base_version = SettingsVersion(4, settings_digest(other), 0.0, other)
     update = VersionUpdate(
@@ -94,7 +94,7 @@
 
 @effort(max_examples=300, deadline=None)
 @given(JSON)
-def test_whatever_comes_as_changes_raises_one_kind_of_error_and_leaves_the_base(changes):
+def test_malformed_changes_raise_a_delta_error_and_leave_the_base(changes):
     base = published(1)
     kept = copy.deepcopy(base)
     with contextlib.suppress(DeltaError):
@@ -102,7 +102,7 @@
     assert base == kept
 
 
-def test_one_class_in_the_midst_of_many_costs_its_row_and_no_more():
+def test_a_delta_of_one_row_among_many_has_that_row_only():
     before = published(0, 1000)
     after = copy.deepcopy(before)
     after["classes"].insert(500, {**before["classes"][0], "name": "new"})
--- a/tests/policy/dynamic_config/test_rollout_report.py
+++ b/tests/policy/dynamic_config/test_rollout_report.py
@@ -8,7 +8,7 @@
 from plumpick.policy.dynamic_config.version_store import VersionStore
 
 
-def test_status_names_who_lacks_it_who_refused_it_who_is_lost_and_who_was_never_heard():
+def test_the_report_names_who_lacks_or_rejected_it_is_unreachable_or_never_called():
     first, second = VersionStore(), VersionStore()
     value = {**published(7), "balancers": 7}
     its = settings_digest(value)
@@ -42,7 +42,7 @@
         assert word in text, word
 
 
-def test_status_is_well_where_all_have_it_and_says_nothing_before_the_term():
+def test_a_rollout_is_complete_where_all_have_it_or_it_is_not_due_yet():
     store = VersionStore()
     value = {**published(7), "balancers": 2}
     store.publish(1000.0, document(7, value, 4000.0))
@@ -55,7 +55,7 @@
     assert not report_rollout([VersionStore().status(0.0)]).is_complete
 
 
-def test_two_contents_under_one_number_at_two_services_are_named():
+def test_two_contents_under_one_number_at_two_services_are_reported():
     one, other = VersionStore(), VersionStore()
     one.publish(0.0, document(3, published(1)))
     other.publish(0.0, document(3, published(2)))
--- a/tests/policy/dynamic_config/test_subscriber.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -67,9 +67,7 @@
 
 @effort(max_examples=400, deadline=None)
 @given(MOVES, st.lists(st.integers(0, 12_000), min_size=8, max_size=8))
-def test_whatever_comes_in_whatever_order_it_never_goes_back_and_never_holds_what_was_not_published(
-    moves, times
-):
+def test_in_any_order_of_updates_the_active_version_never_goes_back_and_was_published(moves, times):
     """Offers in any order, doubled, late, of other bases, torn, under numbers of others; restarts."""
     known = history(8, times)
     now, lives = 0.0, [Subscription(0.0, reason_against=bad_reason)]
@@ -109,7 +107,7 @@
 
 @effort(max_examples=200, deadline=None)
 @given(st.permutations(range(8)), st.randoms(use_true_random=False))
-def test_once_all_good_versions_came_the_newest_is_in_force_whatever_their_order(order, chance):
+def test_the_newest_version_is_active_once_all_came_in_any_order(order, chance):
     known = history(8, [0.0] * 8)
     side = Subscription(reason_against=bad_reason)
     for place in order:
@@ -119,7 +117,7 @@
     assert side.subscriber.active.digest == known[7]["digest"]
 
 
-def test_a_version_comes_into_force_at_its_time_and_not_before():
+def test_a_version_is_activated_at_its_time_and_not_before():
     side = Subscription()
     side.receive(1000.0, document(1, published(1), 4000.0))
     side.activate_due(3999.0)
@@ -130,7 +128,7 @@
     assert [version for _, version, _ in side.activated] == [1] and side.subscriber.staged is None
 
 
-def test_a_newer_version_takes_the_place_of_a_staged_one_whatever_their_times():
+def test_a_newer_version_replaces_the_staged_one_whatever_their_times():
     for at_ms in (2000.0, 9000.0):
         side = Subscription()
         side.receive(0.0, document(1, published(1), 5000.0))
@@ -140,7 +138,7 @@
         assert [version for _, version, _ in side.activated] == [2]
 
 
-def test_a_bad_version_leaves_what_is_in_force_and_what_is_staged_and_is_told():
+def test_a_rejected_version_is_reported_and_leaves_the_active_and_the_staged_one():
     side = Subscription(
         reason_against=lambda value: "settings.classes[0].name is missing" if value.get("bad") else ""
     )
@@ -157,7 +155,7 @@
     assert side.subscriber.active.number == 4
 
 
-def test_what_the_gatekeeper_refuses_at_its_time_is_refused_and_the_one_before_stays():
+def test_a_version_that_fails_to_activate_is_rejected_and_the_active_one_stays():
     subscriber = Subscription().subscriber
     first, second = SettingsVersion(1, "a" * 64, 0.0, {}), SettingsVersion(2, "b" * 64, 5.0, {})
     subscriber.stage(0.0, first)
@@ -172,7 +170,7 @@
     assert subscriber.staged is None
 
 
-def test_the_same_number_with_another_content_is_refused_and_told():
+def test_the_same_number_with_another_digest_is_rejected_and_reported():
     side = Subscription()
     side.receive(0.0, document(1, published(1)))
     side.receive(0.0, document(1, published(2)))
@@ -180,13 +178,13 @@
     assert side.subscriber.next_request(0.0).rejection_reason and "another digest" in side.problems[-1]
 
 
-def test_a_version_of_far_ahead_is_refused():
+def test_a_version_that_activates_too_far_ahead_is_rejected():
     side = Subscription()
     side.receive(0.0, document(1, published(1), MAX_ACTIVATION_DELAY_MS + 1))
     assert 1 in side.subscriber.rejected and side.subscriber.staged is None
 
 
-def test_after_changes_of_another_base_or_a_wrong_digest_the_whole_is_asked_for():
+def test_after_a_wrong_base_or_digest_a_snapshot_is_requested():
     for wrong in (
         delta(document(5, published(5)), document(6, published(6))),
         {**document(6, published(6)), "digest": "0" * 64},
@@ -202,7 +200,7 @@
         assert side.subscriber.next_request(0.0).since_digest == settings_digest(published(6))
 
 
-def test_a_change_is_told_within_the_term_with_two_silent_addresses_in_turn():
+def test_a_version_is_notified_in_time_with_two_silent_addresses_in_turn():
     """Played, against the sum that the module states: the watch falls silent as it begins, a change right
     behind; the next address takes connections and says nothing; the third answers."""
     for number in range(0, 550, 7):
@@ -226,7 +224,7 @@
     assert worst_notification_ms(0) == 0.0
 
 
-def test_a_tier_whose_service_died_calls_in_slots_that_grow_apart():
+def test_gateways_whose_service_died_call_in_slots_of_a_growing_backoff():
     subscribers = [ConfigSubscriber(number, 550, 1, random.Random(number), 0.0) for number in range(550)]
     for fails in range(1, 8):
         for subscriber in subscribers:
@@ -240,7 +238,7 @@
         assert max(at) <= round_ms * (1 + 2 / 550) and max(tenths) <= 60
 
 
-def test_every_address_is_asked_in_turn_after_failures_and_after_a_long_stay():
+def test_addresses_are_used_in_turn_after_failures_and_after_many_unchanged_watches():
     subscriber = ConfigSubscriber(1, 3, 3, random.Random(1), 0.0)
     asked = []
     for _ in range(6):
@@ -254,7 +252,7 @@
     assert subscriber.next_request(0.0).address_index != asked[-1]
 
 
-def test_a_service_that_always_answers_at_once_is_not_asked_in_a_tight_loop():
+def test_a_service_that_always_answers_at_once_is_not_called_in_a_tight_loop():
     subscriber = ConfigSubscriber(0, 3, 2, random.Random(1), 0.0)
     now, calls = 0.0, 0
     while now < 20_000.0:
@@ -272,7 +270,7 @@
     assert calls <= 2000 / MIN_WATCH_INTERVAL_MS + 2
 
 
-def test_a_silent_service_is_told_with_the_time():
+def test_the_status_line_says_for_how_long_services_are_silent():
     subscriber = ConfigSubscriber(0, 3, 1, random.Random(1), 1000.0)
     assert "version 0 (own file) in force" in subscriber.status_line(1000.0)
     subscriber.on_call_failed()
@@ -280,7 +278,7 @@
     assert WATCH_GRACE_MS < WATCH_TIMEOUT_MS
 
 
-def test_what_the_process_before_had_is_put_in_force_whatever_is_staged_unless_as_new_is_here():
+def test_the_previous_processs_version_is_activated_unless_one_as_new_is_active():
     subscriber = Subscription().subscriber
     staged = SettingsVersion(9, "9" * 64, 5000.0, {})
     subscriber.stage(0.0, staged)
--- a/tests/policy/dynamic_config/test_version_store.py
+++ b/tests/policy/dynamic_config/test_version_store.py
@@ -22,7 +22,7 @@
     return str(raised.value)
 
 
-def test_a_number_has_one_content_and_one_time_and_none_is_older_than_the_newest():
+def test_publishing_rejects_other_content_or_time_under_a_number_and_older_numbers():
     store = VersionStore()
     assert store.publish(0.0, document(5, published(5))) is None
     assert store.publish(0.0, document(5, published(5))) is None
@@ -44,7 +44,7 @@
     assert list(store.versions) == [5]
 
 
-def test_a_watcher_with_a_base_that_is_kept_gets_changes_others_the_whole_and_no_news_is_none():
+def test_a_delta_is_sent_for_a_stored_base_a_snapshot_otherwise_nothing_if_up_to_date():
     store = VersionStore()
     assert store.response_for(0, "", 0) is None
     for number in range(1, MAX_VERSIONS + 3):
@@ -62,14 +62,14 @@
     assert store.response_for(3, base.digest, newest) is None  # it was refused: not offered again
 
 
-def test_where_nearly_all_changed_the_whole_is_sent():
+def test_a_snapshot_is_sent_where_the_delta_is_not_shorter():
     store = VersionStore()
     store.publish(0.0, document(1, {"limits": {"a": 1}}))
     store.publish(0.0, document(2, {"limits": {"a": 2}}))
     assert "settings" in json.loads(store.response_for(1, settings_digest({"limits": {"a": 1}}), 0))
 
 
-def test_watchers_are_bounded_and_the_longest_unheard_leaves():
+def test_subscribers_are_bounded_and_the_longest_silent_one_is_dropped():
     store = VersionStore()
     for number in range(MAX_SUBSCRIBERS + 1):
         store.record_subscriber(status_of(f"n{number}", number, 0, ""))
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""What is asked of discovery, and when: a whole tier against one service with a line, on a clock of ours."""
+"""What is asked of discovery, and when: many gateways against one service with a queue, in simulated time."""
 
 import heapq
 import random
@@ -19,56 +19,60 @@
     worst_notification_ms,
 )
 
-TURNS_PER_S, LINE_MS = 7.0, 2000.0  # the service takes so many calls a second; one that waited longer fails
+CALLS_PER_S = 7.0  # that the service answers
+QUEUE_MS = 2000.0  # a call that waited longer fails
 
 
-class Service:
-    """One service for all: calls wait in turn. One that has waited too long fails, and is worked on all the
-    same; one that finds a line of `book` times that is turned away at once. Until `back_ms` it is `silent`,
-    or no connection comes up."""
+class QueueingService:
+    """One service for all gateways, with a queue. A call that waited too long fails, and is worked on all the
+    same; one that finds a queue of `max_queues` times QUEUE_MS is rejected at once. Until `recovery_ms` it is
+    `silent`, or no connection comes up."""
 
-    def __init__(self, per_s=TURNS_PER_S, book=2, back_ms=0.0, silent=False):
-        self.free_ms, self.calls, self.away = 0.0, [], 0
-        self.per_s, self.book, self.back_ms, self.silent = per_s, book, back_ms, silent
+    def __init__(self, calls_per_s=CALLS_PER_S, max_queues=2, recovery_ms=0.0, silent=False):
+        self.free_ms = 0.0  # when its queue is empty
+        self.calls = []
+        self.calls_per_s = calls_per_s
+        self.max_queues = max_queues
+        self.recovery_ms = recovery_ms
+        self.silent = silent
 
-    def call(self, now, within_ms):
-        """When the call ends, and how: told, away, vain (it waited), down. A watch that goes on is no
+    def call(self, now, timeout_ms):
+        """When the call ends, and how: answered, rejected, timed out, refused. A watch that continues is no
         call."""
-        if now < self.back_ms:
-            return (now + within_ms, "vain") if self.silent else (now + RESPONSE_TIMEOUT_MS, "down")
+        if now < self.recovery_ms:
+            return (now + timeout_ms, "timed out") if self.silent else (now + RESPONSE_TIMEOUT_MS, "refused")
         self.calls.append(now)
-        if self.free_ms - now > self.book * LINE_MS:
-            self.away += 1
-            return now + 5.0, "away"
-        self.free_ms = max(self.free_ms, now) + 1000.0 / self.per_s
-        end = self.free_ms if self.free_ms - now <= LINE_MS else now + LINE_MS
-        if end - now > within_ms:  # it does not wait for its turn
-            return now + within_ms, "vain"
-        return end, "told" if end == self.free_ms else "vain"
+        if self.free_ms - now > self.max_queues * QUEUE_MS:
+            return now + 5.0, "rejected"
+        self.free_ms = max(self.free_ms, now) + 1000.0 / self.calls_per_s
+        end = self.free_ms if self.free_ms - now <= QUEUE_MS else now + QUEUE_MS
+        if end - now > timeout_ms:  # the gateway does not wait for its turn
+            return now + timeout_ms, "timed out"
+        return end, "answered" if end == self.free_ms else "timed out"
 
 
 def play(watches, until_ms, starts, service=None):
     """When each gateway first had its watch, and the calls; `starts`: when each begins."""
-    service, listed, agenda = service or Service(), {}, []
+    service, listed, timers = service or QueueingService(), {}, []
     for number, watch in enumerate(watches):
         call = watch.next_request(starts[number])
-        heapq.heappush(agenda, (starts[number] + call.delay_ms, number, "ask", call))
-    while agenda and agenda[0][0] <= until_ms:
-        now, number, what, call = heapq.heappop(agenda)
+        heapq.heappush(timers, (starts[number] + call.delay_ms, number, "ask", call))
+    while timers and timers[0][0] <= until_ms:
+        now, number, what, call = heapq.heappop(timers)
         watch = watches[number]
         if what == "ask":
             end, how = service.call(now, call.response_timeout_ms)
-            heapq.heappush(agenda, (end, number, how, call))
+            heapq.heappush(timers, (end, number, how, call))
             continue
-        if what == "told":
+        if what == "answered":
             watch.on_response(7, call.since_index is None)
             if call.since_index is not None:
                 listed.setdefault(number, now)
                 continue
         else:
-            watch.on_call_failed(timed_out=what == "vain")
+            watch.on_call_failed(timed_out=what == "timed out")
         call = watch.next_request(now)
-        heapq.heappush(agenda, (now + call.delay_ms, number, "ask", call))
+        heapq.heappush(timers, (now + call.delay_ms, number, "ask", call))
     return listed, service.calls
 
 
@@ -76,7 +80,7 @@
     return [EndpointWatch(count, 7, random.Random(f"{seed}/{number}"), number) for number in range(count)]
 
 
-def test_forty_that_start_within_a_tenth_of_a_second_all_have_their_watch_soon():
+def test_forty_gateways_that_start_together_all_have_their_watch_soon():
     for seed in range(20):
         rng = random.Random(seed)
         starts = [rng.random() * 100.0 for _ in range(40)]
@@ -89,12 +93,12 @@
     assert len(listed) < 20 and len(calls) > 1000
 
 
-def test_a_few_are_not_kept_waiting():
+def test_a_few_gateways_have_a_short_round():
     listed, _ = play(shared(3), 60_000.0, [0.0] * 3)
     assert len(listed) == 3 and max(listed.values()) <= 1500.0
 
 
-def test_each_has_its_slot_in_a_round_whatever_made_all_fail_at_once():
+def test_each_gateway_has_its_slot_in_a_round_after_all_failed_at_once():
     """Within one round all call, evenly spread, and none more than once a round, however often it fails."""
     for count in (3, 40, 200):
         watches = shared(count)
@@ -110,14 +114,14 @@
         assert watch.next_request(now + 5.0).delay_ms >= span_ms - 5.0 - 1e-6
 
 
-def test_calls_that_waited_in_vain_leave_out_rounds_and_more_where_they_are_many():
+def test_queue_timeouts_skip_rounds_and_many_of_them_skip_more():
     watch = EndpointWatch(40, 7, random.Random(1), 5)
-    for vain in range(1, MANY_QUEUE_TIMEOUTS + 5):
+    for timeouts in range(1, MANY_QUEUE_TIMEOUTS + 5):
         watch.on_call_failed(timed_out=True)
         waits = [watch.next_request(0.0).delay_ms for _ in range(300)]
         rounds = {round((wait - min(waits)) / MAX_ROUND_MS) for wait in waits}
         assert rounds == (
-            set(range(ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS)) if vain > MANY_QUEUE_TIMEOUTS else {0, 1}
+            set(range(ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS)) if timeouts > MANY_QUEUE_TIMEOUTS else {0, 1}
         )
     watch.on_call_failed()  # no connection came up: an outage
     assert len({watch.next_request(0.0).delay_ms for _ in range(50)}) == 1
@@ -125,7 +129,7 @@
     assert watch.next_request(0.0).delay_ms == 0.0
 
 
-def test_a_change_is_told_within_six_seconds_whatever_befell_the_calls_before_it():
+def test_a_change_is_notified_within_six_seconds_whatever_calls_failed_before():
     """The operators' term; the sum of the waits of each branch, with room for a busy loop."""
     for is_shared in (False, True):
         assert worst_notification_ms(is_shared) <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
@@ -164,7 +168,7 @@
                 )
 
 
-def test_after_sighup_a_new_address_is_asked_in_time():
+def test_after_sighup_a_new_address_is_called_in_time():
     """4 s after it what is there counts: its first call may fail, and a second one be in time."""
     watch = EndpointWatch(0, None, random.Random(0))
     spent = watch.next_request(0.0).response_timeout_ms
@@ -178,13 +182,13 @@
                 assert call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
 
 
-def test_all_are_told_within_six_seconds_of_a_services_return():
+def test_all_gateways_are_notified_within_six_seconds_of_a_services_return():
     """Down or silent for 8 s; it then takes one call of each in 2 or 4 s. One that needs 5.7 s for that tells
     four in five in time, at 40 and at 200 (docs/design/crossings.md has the table)."""
     for silent in (False, True):
         for count in (40, 200):
             for all_s, least in ((2.0, 1.0), (4.0, 1.0), (5.7, 0.8)):
-                service = Service(count / all_s, 1, 8000.0, silent)
+                service = QueueingService(count / all_s, 1, 8000.0, silent)
                 rng = random.Random(count)
                 listed, calls = play(
                     shared(count), 60_000.0, [rng.random() * 100.0 for _ in range(count)], service
@@ -194,12 +198,12 @@
                 assert len(calls) <= 1.5 * count
 
 
-def test_a_shared_service_is_asked_for_what_has_changed_also_after_a_failure():
+def test_a_shared_service_is_asked_for_changes_also_after_a_failure():
     watch = EndpointWatch(40, 41, random.Random(1))
     assert watch.next_request(0.0).since_index == 41
     watch.on_call_failed()
     call = watch.next_request(0.0)
-    assert call.since_index == 41 and call.response_timeout_ms >= LINE_MS  # its turn may take a while
+    assert call.since_index == 41 and call.response_timeout_ms >= QUEUE_MS  # its turn may take a while
     assert (
         call.watch_timeout_ms == IMMEDIATE_WATCH_MS
     )  # and there is nothing to wait for before what it lacks has come
@@ -210,7 +214,7 @@
     assert watch.next_request(0.0).since_index == 3
 
 
-def test_an_older_list_behind_a_newer_one_is_believed_only_when_it_is_told_twice():
+def test_an_older_list_is_believed_only_when_a_second_answer_confirms_it():
     for sharers in (0, 40):
         watch = EndpointWatch(sharers, None, random.Random(1))
         watch.on_response(41, True)
@@ -226,7 +230,7 @@
         assert watch.next_request(0.0).since_index == 40
 
 
-def test_without_a_list_the_whole_one_is_asked_for():
+def test_without_a_list_a_snapshot_is_requested():
     watch = EndpointWatch(40, None, random.Random(1))
     assert watch.next_request(0.0).since_index is None
     with pytest.raises(SnapshotMissingError, match="^a change came where the whole list was asked for$"):
@@ -234,7 +238,7 @@
     assert watch.next_request(0.0).since_index is None
 
 
-def test_an_agent_of_our_own_is_asked_as_soon_as_it_may_answer():
+def test_an_agent_is_asked_for_a_snapshot_with_a_short_backoff():
     watch = EndpointWatch(0, 41, random.Random(1))
     call = watch.next_request(0.0)
     assert call.since_index is None and call.delay_ms == 0.0
--- a/tests/tools/test_configuration.py
+++ b/tests/tools/test_configuration.py
@@ -10,7 +10,7 @@
 from plumpick.tools.configuration_service import VersionService
 
 
-def test_staff_publish_go_back_and_see_who_has_what(tmp_path, capsys):
+def test_operators_publish_roll_back_and_see_who_has_which_version(tmp_path, capsys):
     """The tool against two services: a change, a wrong file, the change before, the same again after one
     service forgot everything."""
 
