--- a/plumpick/policy/budgets/allocator_directory.py
+++ b/plumpick/policy/budgets/allocator_directory.py
@@ -1,7 +1,8 @@
 """Which gateway is thought to allocate the budgets of a slot, and whom to ask where that is not known.
 
-A voter of the leases knows the owner of a slot, and answers a demand report that was sent to it with a hint.
-Guards against an allocator that has gone: after `MAX_UNANSWERED_REPORTS` the voters are asked in turn."""
+An acceptor of the leases knows the owner of a slot, and answers a demand report that was sent to it with a
+hint. Guards against an allocator that has gone: after `MAX_UNANSWERED_REPORTS` the acceptors are asked in
+turn."""
 
 from __future__ import annotations
 
@@ -22,7 +23,7 @@
         self._terms = terms
         self._allocators: dict[int, int] = {}
         self._unanswered: dict[int, int] = {}  # reports since the last answer
-        self._next_voter = rng.randrange(len(terms.acceptors))
+        self._next_acceptor = rng.randrange(len(terms.acceptors))
 
     def allocator_of(self, slot: int) -> int | None:
         """The gateway that is thought to own the slot."""
@@ -47,8 +48,8 @@
         self._unanswered[slot] = 0
 
     def accept_hint(self, hint: AllocatorHint) -> bool:
-        """Whether a voter's hint names another gateway than is known so far. A voter may know no more than
-        that we owned the slot before; believing it, a gateway would ask itself."""
+        """Whether an acceptor's hint names another gateway than is known so far. An acceptor may know no more
+        than that we owned the slot before; believing it, a gateway would ask itself."""
         if hint.gateway == self._number or hint.gateway >= self._gateways:
             return False
         if hint.slot >= self._terms.slots or self.is_own(hint.slot):
@@ -60,8 +61,8 @@
         return True
 
     def next_target(self, slot: int) -> int:
-        """The gateway to send the next report to: the allocator, or else the next voter. Counts as a report
-        without an answer so far, unless it is this gateway."""
+        """The gateway to send the next report to: the allocator, or else the next acceptor. Counts as a
+        report without an answer so far, unless it is this gateway."""
         allocator = self._allocators.get(slot)
         if allocator == self._number:
             return allocator
@@ -70,5 +71,5 @@
         if allocator is not None and unanswered < MAX_UNANSWERED_REPORTS:
             return allocator
         self._allocators.pop(slot, None)
-        self._next_voter = (self._next_voter + 1) % len(self._terms.acceptors)
-        return self._terms.acceptors[self._next_voter]
+        self._next_acceptor = (self._next_acceptor + 1) % len(self._terms.acceptors)
+        return self._terms.acceptors[self._next_acceptor]
--- a/plumpick/policy/budgets/bounds.py
+++ b/plumpick/policy/budgets/bounds.py
@@ -27,8 +27,8 @@
 
 def max_vacancy_s(terms: LeaseTerms, grant_term_ms: float) -> float:
     """For how many seconds at most only guaranteed limits serve after an allocator's death, while a majority
-    of voters is connected: until the slot has an owner again and, where grants may outlive leases, until the
-    last grant has ended."""
+    of acceptors is connected: until the slot has an owner again and, where grants may outlive leases, until
+    the last grant has ended."""
     wait_ms = 0.0
     if not grants_end_within_lease(grant_term_ms, terms.term_ms):
         wait_ms = longest_duration_ms(grant_term_ms, terms.drift_ratio)
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -1,5 +1,5 @@
 """The bytes of messages about budgets. They travel as notes within the messages of leases
-(plumpick/policy/leases/codec.py), of at most `MAX_NOTE` bytes each; long lists take several notes.
+(plumpick/policy/leases/codec.py), of at most `MAX_PAYLOAD_BYTES` bytes each; long lists take several notes.
 
 Amounts are doubles in full: a grant must be counted with the value that was sent, to the last bit, or
 rounding up in each of many grants would sum to more than the limit. Bytes that are no message decode to None;
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -179,8 +179,8 @@
         lease_end_of: Callable[[int], float] = lambda _slot: math.inf,
     ) -> None:
         """A note came from that incarnation of the sender; one that cannot be decoded is dropped.
-        `lease_holder_of` tells, at a voter, who holds a slot's lease; `lease_end_of`, at its holder, when it
-        ends by the own clock."""
+        `lease_holder_of` tells, at an acceptor, who holds a slot's lease; `lease_end_of`, at its holder, when
+        it ends by the own clock."""
         message = decode(data)
         if isinstance(message, AllocatorHint):
             if self._directory.accept_hint(message):
--- a/plumpick/policy/budgets/messages.py
+++ b/plumpick/policy/budgets/messages.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A request for a grant, sent to the allocator or, where it is not known, to a voter. `demand` and
+    """A request for a grant, sent to the allocator or, where it is not known, to an acceptor. `demand` and
     `granted` are in units a second; `last_grant_id` is the request that the last accepted grant answered; one
     request takes up to `largest_request` units; `fingerprint` is that of the sender's own limits."""
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocatorHint:
-    """A voter's answer to a demand report that should have gone to another: this gateway owns the slot."""
+    """An acceptor's answer to a demand report that should have gone to another: who owns the slot."""
 
     slot: int
     gateway: int
--- a/tests/policy/budgets/test_grants_within_leases.py
+++ b/tests/policy/budgets/test_grants_within_leases.py
@@ -51,10 +51,8 @@
 
 
 def test_lease_is_given_back_only_when_the_grants_under_it_have_ended():
-    ledger, work = (
-        owner_with_grants(),
-        TaskScheduler((ScheduledTask("d", "call", 1000.0, 500.0),), 1, random.Random(1)),
-    )
+    ledger = owner_with_grants()
+    work = TaskScheduler((ScheduledTask("d", "call", 1000.0, 500.0),), 1, random.Random(1))
     until = 100.0 + longest_duration_ms(GRANT_TERM_MS, 0.01)
     assert ledger.slots_with_grants(200.0) == {0} and ledger.slots_with_grants(until) == frozenset()
     work.on_slot_acquired(0.0, 0, 5)
