--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -175,7 +175,7 @@
         """The state of this process; raises ValueError."""
         state = {**self._context.gateway.hand_over(), "fleet": leases}
         if self._context.settings_source is not None:
-            state["configuration"] = self._context.settings_source.estate()
+            state["configuration"] = self._context.settings_source.export_state()
         return state
 
     @staticmethod
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -99,7 +99,7 @@
         self.inherited_leases = state.get("fleet")
         source = self._context.settings_source
         if source is not None and state.get("configuration") is not None:
-            await source.inherit(state["configuration"])  # the rest of the state is of these settings
+            await source.import_state(state["configuration"])  # the rest of the state is of these settings
         self._gateway.inherit(
             {key: value for key, value in state.items() if key not in ("fleet", "configuration")}
         )
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 from plumpick.gateway.config import Config
-from plumpick.gateway.discovery import Discovery
+from plumpick.gateway.discovery import DiscoveryClient
 from plumpick.gateway.gateway import Gatekeeper
 from plumpick.gateway.listeners.http.listener import HttpListener
 from plumpick.gateway.management import ManagementPlane
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.reload import run_reloads
 from plumpick.gateway.shutdown import StopRequest, close_listener, shutdown_times
-from plumpick.policy.endpoint_watch import Watching
+from plumpick.policy.endpoint_watch import EndpointWatch
 
 # How long the first complete list is waited for. Where a list is known it serves after that; without any each
 # request would be rejected. The process is ready within 10 s still.
@@ -104,10 +104,10 @@
         config = self._config
         sharers = config.settings.gateway_count if config.settings.must_request_watch else 0
         rng = random.Random(config.seed)
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery,
             self._gateway.listed,
-            lambda index: Watching(sharers, index, rng, config.settings.gateway_number),
+            lambda index: EndpointWatch(sharers, index, rng, config.settings.gateway_number),
             self._gateway.clock.now,
             config.known.index if config.known.entries else None,
         )
@@ -137,10 +137,12 @@
         timeout_s = FIRST_LIST_TIMEOUT_S if known else ONLY_LIST_TIMEOUT_S
         # A watch from a known list on is answered only once something has changed.
         is_answer_due = not (self._config.settings.must_request_watch and known)
-        if is_answer_due and not await self._stop.wait_for(self._discovery.listed, timeout_s):
+        if is_answer_due and not await self._stop.wait_for(self._discovery.has_snapshot, timeout_s):
             log.warning("discovery is silent; starting with the known list")
         source = self._settings_source
-        if source is not None and not await self._stop.wait_for(source.answered, source.first_s):
+        if source is not None and not await self._stop.wait_for(
+            source.has_response, source.first_response_timeout_s
+        ):
             log.warning("no service of settings answers; starting with the file's")
 
     # -- end
@@ -194,7 +196,7 @@
 
 
 def create_settings_source(settings: Any, config: Config, gateway: Gatekeeper) -> Any:
-    """The source of the gateway's settings; imported only where the operator names one."""
-    from plumpick.gateway.dynamic_config.client import source_of
+    """The client of the services of settings; imported only where the operator names one."""
+    from plumpick.gateway.dynamic_config.client import client_for
 
-    return source_of(config, settings, gateway)
+    return client_for(config, settings, gateway)
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -10,14 +10,14 @@
 from typing import Any
 
 from plumpick.gateway.config import Config, ConfigError
-from plumpick.gateway.discovery import Discovery
+from plumpick.gateway.discovery import DiscoveryClient
 from plumpick.gateway.platform import Platform
 
 log = logging.getLogger(__name__)
 
 
 async def run_reloads(
-    config: Config, discovery: Discovery, requested: asyncio.Event, platform: Platform, participant: Any
+    config: Config, discovery: DiscoveryClient, requested: asyncio.Event, platform: Platform, participant: Any
 ) -> None:
     """Read the configuration and the operator's own file again whenever that is requested; until cancelled.
     `participant`: a ClusterParticipant, or None."""
@@ -35,7 +35,7 @@
             participant.reconfigure(settings)
 
 
-async def _reload_config(config: Config, discovery: Discovery, platform: Platform) -> bool:
+async def _reload_config(config: Config, discovery: DiscoveryClient, platform: Platform) -> bool:
     """Go to discovery's address of the file as it is now; whether the file can be used."""
     try:
         new = await asyncio.to_thread(platform.reload_config)
@@ -45,7 +45,7 @@
     log.info("the configuration was read anew: discovery at %s:%d", *new.discovery)
     if replace(new, discovery=config.discovery, seed=config.seed, known=config.known) != config:
         log.warning("what else has changed in the configuration takes effect at the next start")
-    discovery.move(new.discovery)
+    discovery.change_address(new.discovery)
     return True
 
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -15,7 +15,6 @@
     "plumpick/gateway/upstream/connection_pool.py",
 }
 LARGE_FUNCTIONS = {
-    "plumpick/policy/dynamic_config/version_store.py:summary",
     "plumpick/gateway/gateway.py:__init__",
 }
 CIRCLES = {
