--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -260,7 +260,7 @@
 
 
 def test_where_the_module_fails_on_them_nobody_else_goes_by_them(monkeypatch, caplog):
-    def fails(*_):
+    def fails(*_, **_callbacks):
         raise RuntimeError("planted")
 
     async def scenario(worker, gate, client):
@@ -296,9 +296,9 @@
         _, writer = await worker.asked()
         writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
         assert (await client.answer())[0] == 200
-        while not gate.keeper.controller.state.endpoints.tracked["w1"].report_ms > 0:
+        while not gate.keeper.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
             await asyncio.sleep(0)
-        assert gate.keeper.controller.state.endpoints.tracked["w1"].others >= 2
+        assert gate.keeper.controller.state.endpoints.tracked["w1"].foreign_load >= 2
 
     one_worker(scenario)
 
--- a/tests/test_swallowing.py
+++ b/tests/test_swallowing.py
@@ -37,8 +37,8 @@
             window = gate.keeper.controller.state.limit
             # As after a while of little traffic: the cap stands at its floor.
             window.capacity, window.answered_objectives_ms = 0.1, 0.0
-            window.set_limit(2)
-            assert OUT <= window.free() < OUT + 1
+            window.update_limit(2)
+            assert OUT <= window.available() < OUT + 1
             clients = [await gate.client() for _ in range(OUT + 2)]
             for client in clients:
                 client.send(debit())
