--- a/benchmarks/configuration/witness.py
+++ b/benchmarks/configuration/witness.py
@@ -27,7 +27,7 @@
     """The exit code."""
     from plumpick.gateway import daemon
     from plumpick.gateway.dynamic_config.client import Source
-    from plumpick.gateway.gateway import Gatekeeper
+    from plumpick.gateway.gateway import Gateway
     from plumpick.policy.dynamic_config.subscriber import Versions
 
     if os.environ.get("WITNESS_PLANT"):
@@ -40,12 +40,13 @@
         os.write(file, (json.dumps([kind, time.time() * 1000, os.getpid(), *parts]) + "\n").encode())
 
     given = [""]
-    inner, take, put, ask = Gatekeeper.reconfigure, Versions.take, Versions.put, Source._call
+    inner, take, put, ask = Gateway.reconfigure, Versions.take, Versions.put, Source._call
 
-    def reconfigure(self: Any, config: Any) -> str:
-        wrong = inner(self, config)
-        given[0] = mark_of(replace(self.config, settings=self.controller.settings))
-        return wrong
+    def reconfigure(self: Any, config: Any) -> None:
+        try:
+            inner(self, config)
+        finally:
+            given[0] = mark_of(replace(self.config, settings=self.controller.settings))
 
     def takes(self: Any, now: float, content: Any, problem: str) -> str:
         wrong = take(self, now, content, problem)
@@ -62,7 +63,7 @@
         write("asked", call.address)
         return await ask(self, call)
 
-    Gatekeeper.reconfigure = reconfigure  # type: ignore[method-assign]
+    Gateway.reconfigure = reconfigure  # type: ignore[method-assign]
     Versions.take, Versions.put = takes, puts  # type: ignore[method-assign]
     Source._call = asks  # type: ignore[method-assign]
     return daemon.main()
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -15,13 +15,15 @@
 from dataclasses import replace
 from typing import Any
 
-from plumpick.gateway import gateway as core
+from plumpick.gateway import request_table
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import WorkerList
-from plumpick.gateway.gateway import Gatekeeper
+from plumpick.gateway.gateway import Gateway
 from plumpick.gateway.listeners.http.connection import ClientConnection
 from plumpick.gateway.listeners.http.connection_admission import ConnectionAdmission
-from plumpick.gateway.upstream.connection_pool import Attempt, WorkerConnection, Workers
+from plumpick.gateway.upstream.attempt import Attempt
+from plumpick.gateway.upstream.connection import WorkerConnection
+from plumpick.gateway.upstream.connection_pool import ConnectionPool
 from plumpick.policy import endpoint_watch
 from plumpick.policy.actions import RejectRequest
 from plumpick.policy.controller import Controller, Quota, Servers
@@ -62,19 +64,19 @@
 
 def reset_never_ran() -> Swap:
     """A connection that breaks after the last byte counts as one that never came up."""
-    right = WorkerConnection._fault
+    right = WorkerConnection._fail
 
     def fault(self: WorkerConnection, result: AttemptResult) -> None:
         right(self, AttemptResult.CONNECT_FAILED if result is AttemptResult.RESET else result)
 
-    return [(WorkerConnection, "_fault", fault)]
+    return [(WorkerConnection, "_fail", fault)]
 
 
 def ignores_drains() -> Swap:
     """A server that drains is taken for one that is ready."""
-    right = Gatekeeper.listed
+    right = Gateway.on_worker_list
 
-    def listed(self: Gatekeeper, news: WorkerList) -> None:
+    def on_worker_list(self: Gateway, news: WorkerList) -> None:
         entries = tuple(
             replace(one, server=replace(one.server, state=EndpointState.READY))
             if one.server.state is EndpointState.DRAINING
@@ -83,7 +85,7 @@
         )
         right(self, replace(news, entries=entries))
 
-    return [(Gatekeeper, "listed", listed)]
+    return [(Gateway, "on_worker_list", on_worker_list)]
 
 
 def prefers_cold() -> Swap:
@@ -99,7 +101,10 @@
 
 def no_guard() -> Swap:
     """Deadlines are read half a second too late, by the guard and by the module."""
-    return [(core, "GUARD_MS", -500.0), (core, "MARGIN_MS", -500.0)]
+    return [
+        (request_table, "FINAL_RESPONSE_MARGIN_MS", -500.0),
+        (request_table, "DEADLINE_MARGIN_MS", -500.0),
+    ]
 
 
 def late_answer_for_next() -> Swap:
@@ -107,10 +112,11 @@
     right = Attempt.end
 
     def end(self: Attempt, result: AttemptResult, *more: Any, **others: Any) -> None:
-        connection, self.connection = self.connection, None
-        if connection is not None and self.done is not None and result is AttemptResult.CANCELLED:
+        connection: Any = self.connection
+        self.connection = None
+        if connection is not None and self.on_completed is not None and result is AttemptResult.CANCELLED:
             connection.attempt = None
-            connection.pool.put_back(connection)
+            connection.pool.release(connection)
             connection = None
         self.connection = connection
         right(self, result, *more, **others)
@@ -148,7 +154,10 @@
 
 def ends_at_once() -> Swap:
     """After SIGTERM nothing is waited for."""
-    return [(Gatekeeper, "busy", lambda self: False), (core.Gatekeeper, "drain", lambda self: None)]
+    return [
+        (Gateway, "has_unfinished_work", lambda self: False),
+        (Gateway, "start_closing_connections", lambda self: None),
+    ]
 
 
 def stands_still_and_closes() -> Swap:
@@ -170,26 +179,26 @@
     """A connection that comes up late carries its attempt, though it has ended."""
 
     def dialled(
-        self: Workers, worker: Any, attempt: Attempt, connection: WorkerConnection, dial: Any
+        self: ConnectionPool, worker: Any, attempt: Attempt, connection: WorkerConnection, dial: Any
     ) -> None:
-        worker.dialling.remove(attempt)
-        attempt.dial = None
+        worker.connecting.remove(attempt)
+        attempt.connect_task = None
         if dial.cancelled() or dial.exception() is not None:
-            connection.abandon()
+            connection.abort()
             attempt.end(AttemptResult.CONNECT_FAILED)
         else:
-            if attempt.dial_timer is not None:
-                attempt.dial_timer.cancel()
-            connection.carry(attempt)
+            if attempt.connect_timer is not None:
+                attempt.connect_timer.cancel()
+            connection.send(attempt)
 
-    def start(self: Workers, attempt: Attempt) -> None:
+    def start(self: ConnectionPool, attempt: Attempt) -> None:
         right(self, attempt)
-        if attempt.dial is not None:  # a dial is never called off
-            dial, attempt.dial = attempt.dial, None
+        if attempt.connect_task is not None:  # a dial is never called off
+            dial, attempt.connect_task = attempt.connect_task, None
             self.__dict__.setdefault("kept", []).append(dial)
 
-    right = Workers.start
-    return [(Workers, "_dialled", dialled), (Workers, "start", start)]
+    right = ConnectionPool.start
+    return [(ConnectionPool, "_on_connected", dialled), (ConnectionPool, "start", start)]
 
 
 def rearms_at_once() -> Swap:
@@ -209,10 +218,10 @@
 def looks_no_more() -> Swap:
     """Between the choice and the first byte nobody looks whether the group still remembers the first."""
 
-    def may_leave(self: Workers, worker: Any, attempt: Attempt) -> bool:
-        return attempt.done is not None and self.serves(worker)
+    def may_leave(self: ConnectionPool, worker: Any, attempt: Attempt) -> bool:
+        return attempt.on_completed is not None and self.is_in_service(worker)
 
-    return [(Workers, "_may_leave", may_leave)]
+    return [(ConnectionPool, "_may_send", may_leave)]
 
 
 def reset_is_an_end() -> Swap:
@@ -234,7 +243,7 @@
 def sends_for_nobody() -> Swap:
     """A request whose client has gone goes on as if it were there."""
     return [
-        (Gatekeeper, "on_disconnect", lambda self, request: None),
+        (request_table.RequestTable, "on_disconnect", lambda self, request: None),
         (ClientConnection, "has_disconnected", lambda self: False),
     ]
 
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -16,7 +16,7 @@
 from plumpick.capacity.rows import MECHANISMS, NONE, ROWS, Row
 from plumpick.capacity.slopes import LINEAR, Slope
 from plumpick.cli import parser
-from plumpick.gateway.gateway import WORKER_PART
+from plumpick.gateway.gateway import UPSTREAM_DESCRIPTOR_RATIO
 from plumpick.gateway.operator_config import MOST_SERVICES, SHARE_MOST_S, operator_from
 from plumpick.gateway.shutdown import shutdown_times
 from plumpick.policy import endpoint_watch, subsetting, usage_report
@@ -105,7 +105,7 @@
     )
     return {
         "arc_workers": math.ceil(sizes["workers"] * subsetting.share(sizes["workers"], gatekeepers)),
-        "worker_part": WORKER_PART,
+        "worker_part": UPSTREAM_DESCRIPTOR_RATIO,
         "classes_most": float(MAX_CLASSES),
         "home_lost_s": HOLD_PINGS * ping_ms(tier) / 1000,
         "gather_each_ms": usage_report.ASK_EACH_MS,
--- /dev/null
+++ b/plumpick/gateway/attempt_runner.py
@@ -0,0 +1,142 @@
+"""The attempts that the policy asks for: started on the connection pool, their results reported back.
+
+An attempt that cannot be started completes as NOT_STARTED; the first good result is the request's final
+response. Nothing is raised."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from plumpick.gateway.body_streams import BodyStreams
+from plumpick.gateway.clock import Clock
+from plumpick.gateway.event_turn import EventTurn
+from plumpick.gateway.request_table import FAILED, SERVED, RequestTable
+from plumpick.gateway.upstream.attempt import Attempt
+from plumpick.gateway.upstream.connection_pool import ConnectionPool
+from plumpick.policy.actions import CancelAttempt, StartAttempt
+from plumpick.policy.events import AttemptCompleted, AttemptResult, ResponseStarted
+
+
+class AttemptRunner:
+    """Starts and cancels attempts for the requests of the table."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        turn: EventTurn,
+        requests: RequestTable,
+        pool: ConnectionPool,
+        streams: BodyStreams,
+    ) -> None:
+        self._clock = clock
+        self._turn = turn
+        self._requests = requests
+        self._pool = pool
+        self._streams = streams
+
+    def start(self, action: StartAttempt) -> None:
+        """The policy starts an attempt for a request, which may have ended or lost its client meanwhile."""
+        requests = self._requests
+        request = requests.open.get(action.id)
+        if request is None:
+            self._post_not_started(action, 0, True)
+            return
+        number = request.attempt_count
+        request.attempt_count += 1
+        stream = request.stream
+        if stream is not None:
+            is_previous_in_flight = number > 0 and (request.id, number - 1) in requests.attempts
+            if stream.is_started or is_previous_in_flight:
+                # What has been forwarded is not retained, and a body goes one way.
+                self._post_not_started(action, number, False)
+                return
+        if request.sink.has_disconnected():  # nothing was read there that would have said so
+            requests.on_disconnect(request)
+            request.sink.abort()
+            self._post_not_started(action, number, True)
+            return
+        # The policy's timeout counts from its turn; that of a body that still arrives has not begun.
+        deadline_ms = request.deadline_ms
+        if stream is None:
+            deadline_ms = min(self._turn.started_ms + action.timeout_ms, deadline_ms)
+        attempt = Attempt(
+            request.id,
+            number,
+            action.endpoint,
+            request.head,
+            request.body,
+            action.timeout_ms,
+            deadline_ms,
+            self._on_completed,
+            stream,
+            request.is_head,
+            self._on_large_response,
+            self._on_stream_started,
+        )
+        attempt.start_by_ms = self._turn.started_ms + action.start_within_ms
+        requests.attempts[request.id, number] = attempt
+        self._pool.start(attempt)
+
+    def cancel(self, action: CancelAttempt) -> None:
+        """The policy cancels an attempt, unless it has completed."""
+        attempt = self._requests.attempts.get((action.id, action.attempt))
+        if attempt is not None:
+            attempt.end(AttemptResult.CANCELLED)
+
+    def _post_not_started(self, action: StartAttempt, number: int, is_final: bool) -> None:
+        self._turn.post(
+            AttemptCompleted(action.id, number, action.endpoint, 0.0, AttemptResult.NOT_STARTED, is_final)
+        )
+
+    def _on_stream_started(self, attempt: Attempt) -> None:
+        """A body that is not retained begins to leave: from here on there is one attempt. Its times say
+        nothing of the worker until its last byte is there."""
+        self._turn.post(ResponseStarted(attempt.request_id, attempt.number, attempt.worker_id, False))
+
+    def _on_large_response(self, attempt: Attempt, length: int, content_type: bytes) -> Any:
+        """A response begins that is too large to be buffered: who takes it; None if nobody waits for it."""
+        request = self._requests.open.get(attempt.request_id)
+        if request is None or request.responding_attempt is not None:
+            return None
+        request.responding_attempt = attempt
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        self._streams.add(request)
+        self._turn.post(ResponseStarted(attempt.request_id, attempt.number, attempt.worker_id))
+        assert attempt.connection is not None
+        request.sink.start_response(
+            length, content_type, attempt.connection, self._streams.high_water_bytes()
+        )
+        return request.sink
+
+    def _on_completed(
+        self,
+        attempt: Attempt,
+        result: AttemptResult,
+        body: bytes,
+        content_type: bytes,
+        load_report: tuple[float, ...],
+    ) -> None:
+        """An attempt has its result. The first good one is the request's final response."""
+        requests = self._requests
+        del requests.attempts[attempt.request_id, attempt.number]
+        request = requests.open.get(attempt.request_id)
+        has_response_started = attempt.response_started_ms > 0
+        is_decisive = result is AttemptResult.OK or has_response_started
+        if request is not None and is_decisive:
+            requests.close(request)  # what has begun to leave is the final response, complete or broken
+            requests.count(request, SERVED if result is AttemptResult.OK else FAILED)
+            if not has_response_started:
+                request.sink.respond(200, body, content_type)
+        ended_ms = attempt.response_started_ms if has_response_started else self._clock.now()
+        self._turn.post(
+            AttemptCompleted(
+                attempt.request_id,
+                attempt.number,
+                attempt.worker_id,
+                max(0.0, ended_ms - attempt.started_ms),
+                result,
+                request is None or is_decisive,
+                load_report=load_report,
+            )
+        )
--- a/plumpick/gateway/compiled.py
+++ b/plumpick/gateway/compiled.py
@@ -23,7 +23,15 @@
     "plumpick/policy/controller.py",
 )
 GATEWAY_FILES = (
+    "plumpick/gateway/attempt_runner.py",
+    "plumpick/gateway/body_streams.py",
+    "plumpick/gateway/event_turn.py",
     "plumpick/gateway/gateway.py",
+    "plumpick/gateway/open_request.py",
+    "plumpick/gateway/operator_commands.py",
+    "plumpick/gateway/request_table.py",
+    "plumpick/gateway/stall_detector.py",
+    "plumpick/gateway/state_transfer.py",
     "plumpick/gateway/listeners/http/connection_admission.py",
     "plumpick/gateway/listeners/http/connection.py",
     "plumpick/gateway/listeners/http/connection_state.py",
@@ -32,8 +40,10 @@
     "plumpick/gateway/listeners/http/response_writer.py",
     "plumpick/gateway/listeners/http/validation.py",
     "plumpick/gateway/listeners/http/listener.py",
-    "plumpick/gateway/upstream/request_encoding.py",
+    "plumpick/gateway/upstream/attempt.py",
+    "plumpick/gateway/upstream/connection.py",
     "plumpick/gateway/upstream/connection_pool.py",
+    "plumpick/gateway/upstream/request_encoding.py",
 )
 COMPILED_FILES = POLICY_FILES + GATEWAY_FILES
 COMPILED_PACKAGES = sorted(
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -22,6 +22,7 @@
 from plumpick.gateway.clock import Clock, Timer, Timers
 from plumpick.gateway.config import Address, Config
 from plumpick.gateway.discovery import Answer, CallFailed
+from plumpick.gateway.errors import SettingsRejectedError
 from plumpick.policy.dynamic_config import subscriber as plans
 from plumpick.policy.dynamic_config.delta import Settings
 from plumpick.policy.dynamic_config.subscriber import (
@@ -73,15 +74,16 @@
 
 
 class Source:
-    """One gatekeeper's source of settings. `reconfigure` takes a configuration over, or says in one line what
-    is wrong: then nothing has changed. `silent_ms`: a service silent for longer is worth a line."""
+    """One gatekeeper's source of settings. `reconfigure` takes a configuration over, or raises
+    SettingsRejectedError: then nothing has changed. `silent_ms`: a service silent for longer is
+    worth a line."""
 
     def __init__(
         self,
         config: Config,
         addresses: tuple[Address, ...],
         silent_ms: float,
-        reconfigure: Callable[[Config], str],
+        reconfigure: Callable[[Config], None],
         clock: Clock,
         timers: Timers,
         rng: random.Random,
@@ -254,8 +256,11 @@
             self._put(content, config)
 
     def _put(self, content: Content, config: Config) -> None:
+        problem = ""
         try:
-            problem = self._reconfigure(config)
+            self._reconfigure(config)
+        except SettingsRejectedError as rejection:
+            problem = str(rejection)
         except Exception as fault:  # of ours: the version is not taken, and requests go on
             log.exception("version %d could not be taken over", content.version)
             problem = f"it could not be taken over: {fault!r}"
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -150,7 +150,7 @@
     def _hand_over(self, channel: Channel) -> None:
         context = self._context
         gateway = context.gateway
-        if gateway.succeeded:
+        if gateway.has_handed_over:
             return
         leases = None
         if context.participant is not None:  # whatever becomes of it, from here on the leases are not ours
@@ -167,13 +167,13 @@
             channel.send(MessageKind.STATE, None)
         log.info("handed over to the next process")
         context.listener.transfer_idle_connections(lambda transport: self._transfer(channel, transport))
-        gateway.only_finish()
+        gateway.close_idle_upstream_connections()
         self.send_descriptor_count()
         self._on_change(True)
 
     def _export_state(self, leases: Any) -> Mapping[str, Any]:
         """The state of this process; raises ValueError."""
-        state = {**self._context.gateway.hand_over(), "fleet": leases}
+        state = {**self._context.gateway.export_state(), "fleet": leases}
         if self._context.settings_source is not None:
             state["configuration"] = self._context.settings_source.estate()
         return state
@@ -186,18 +186,18 @@
     def send_descriptor_count(self) -> None:
         """Tell the next process how many descriptors this one still holds: the rest is the next one's."""
         gateway = self._context.gateway
-        if self._channel is not None and gateway.succeeded:
-            self._channel.send(MessageKind.DESCRIPTOR_COUNT, gateway.descriptors())
+        if self._channel is not None and gateway.has_handed_over:
+            self._channel.send(MessageKind.DESCRIPTOR_COUNT, gateway.descriptor_count())
 
     def _on_closed(self) -> None:
         """The next process has gone, before it took over or after."""
         self._channel = None
         gateway = self._context.gateway
-        if not gateway.succeeded or self.is_stopping:
+        if not gateway.has_handed_over or self.is_stopping:
             return
         log.warning("handover: the next process has gone; this one goes on")
         gateway.peers.listen()
-        gateway.resume()
+        gateway.resume_after_failed_handover()
         if self._context.participant is not None:
             self._context.participant.resume()
         self._on_change(False)
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -7,6 +7,7 @@
 import socket
 from typing import Any
 
+from plumpick.gateway.errors import CommandRejectedError
 from plumpick.gateway.hot_restart.channel import Channel
 from plumpick.gateway.hot_restart.message import MessageKind
 
@@ -63,9 +64,9 @@
     try:
         if kind == MessageKind.PEER_MESSAGE:
             sender, data = value
-            context.gateway.heard_elsewhere(int(sender), bytes.fromhex(data))
+            context.gateway.on_relayed_message(int(sender), bytes.fromhex(data))
         elif kind == MessageKind.OWN_MESSAGE:
-            context.gateway.heard_elsewhere(context.number, bytes.fromhex(value))
+            context.gateway.on_relayed_message(context.number, bytes.fromhex(value))
         elif kind == MessageKind.OPERATOR_COMMAND:
             _execute_command(context, value)
         elif kind == MessageKind.LEASE_TALLY:
@@ -81,6 +82,8 @@
 def _execute_command(context: HotRestartContext, value: Any) -> None:
     """An operator's command, already in force in the other process; raises ValueError and TypeError."""
     name, argument = value
-    error = context.gateway.order(str(name), str(argument))
-    if error:  # this process may have another endpoint list; the command stands in the other one
-        log.warning("handover: %s %s: %s", name, argument, error)
+    try:
+        context.gateway.apply_command(str(name), str(argument))
+    except CommandRejectedError as problem:
+        # This process may have another endpoint list; the command stands in the other one.
+        log.warning("handover: %s %s: %s", name, argument, problem)
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -119,10 +119,11 @@
                 if ended:
                     self.abort()
                 return
-            is_rejected, text = self._listener.gateway.execute_command(*parse_command(line))
-        except ValueError as problem:  # a CommandError, or a command that the policy does not know
-            is_rejected = True
+            text = self._listener.gateway.execute_command(*parse_command(line))
+            is_rejected = False
+        except ValueError as problem:  # a CommandError, or the gateway rejects the command
             text = str(problem)
+            is_rejected = True
         self.is_done = True
         self._reply(is_rejected, text)
 
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -169,7 +169,7 @@
         current = self.current
         if current is None or current.stream is None:
             return False
-        return self.open_request is not None and bool(current.stream.held)
+        return self.open_request is not None and bool(current.stream.is_paused)
 
     def pause(self) -> None:
         """As the source of a streamed body: read no more of it for now."""
--- a/plumpick/gateway/listeners/http/request_reader.py
+++ b/plumpick/gateway/listeners/http/request_reader.py
@@ -166,7 +166,7 @@
             return
         incoming.body_received_bytes += len(part)
         if incoming.stream is not None:
-            incoming.stream.moved_ms = self.gateway.clock.now()
+            incoming.stream.last_progress_ms = self.gateway.clock.now()
             if self.open_request is not None:
                 incoming.stream.feed(part)
             return
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -46,10 +46,10 @@
     """A request's body that goes on while it comes (upstream/streaming_body.py)."""
 
     length: int
-    begun: bool
-    whole: bool
-    held: bool
-    moved_ms: float
+    is_started: bool
+    is_complete: bool
+    is_paused: bool
+    last_progress_ms: float
 
 
 class PausableSource(Protocol):
@@ -157,8 +157,9 @@
     clock: Clock
     timers: Timers
 
-    def execute_command(self, name: str, argument: str) -> tuple[bool, str]:
-        """Carry out an operator's command; whether it is rejected, and the text of the reply."""
+    def execute_command(self, name: str, argument: str) -> str:
+        """Carry out an operator's command; the text of the reply. Raises ValueError where it is rejected,
+        with the text of that reply."""
 
 
 class SiblingProcess(Protocol):
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from plumpick.gateway.config import Config
-from plumpick.gateway.gateway import Gatekeeper
+from plumpick.gateway.gateway import Gateway
 from plumpick.gateway.listeners.http.listener import HttpListener
 from plumpick.gateway.shutdown import close_listener
 
@@ -29,7 +29,7 @@
     """The operators' listener, and the way to the next process and from the one before."""
 
     def __init__(
-        self, config: Config, gateway: Gatekeeper, listener: HttpListener, loop: asyncio.AbstractEventLoop
+        self, config: Config, gateway: Gateway, listener: HttpListener, loop: asyncio.AbstractEventLoop
     ) -> None:
         from plumpick.gateway.hot_restart.predecessor import Predecessor
         from plumpick.gateway.hot_restart.sibling import HotRestartContext
@@ -42,8 +42,8 @@
         self._admin = AdminListener(gateway)
         gateway.sweeps.append(self._admin.sweep)
         self._context = HotRestartContext(config.name, config.settings.gateway_number, gateway, listener)
-        self._context.participant = gateway.fleet
-        self._context.settings_source = gateway.versions
+        self._context.participant = gateway.participant
+        self._context.settings_source = gateway.settings_source
         self._predecessor = Predecessor(loop, self._context, self._on_handover_change)
         gateway.sweeps.append(lambda _now: self._predecessor.send_descriptor_count())
         self._successor: Any = None
@@ -69,7 +69,7 @@
         if self._successor is not None:
             self._successor.on_alone = self._on_alone
             self._successor.on_descriptor_count = self._on_descriptor_count
-            self._gateway.limit(self._config.sockets // 2)
+            self._gateway.set_descriptor_limit(self._config.sockets // 2)
             if self._successor.datagram_socket is not None:
                 peers.open(self._loop, self._successor.datagram_socket)
                 return
@@ -100,7 +100,7 @@
         source = self._context.settings_source
         if source is not None and state.get("configuration") is not None:
             await source.inherit(state["configuration"])  # the rest of the state is of these settings
-        self._gateway.inherit(
+        self._gateway.import_state(
             {key: value for key, value in state.items() if key not in ("fleet", "configuration")}
         )
 
@@ -115,11 +115,11 @@
     def _on_descriptor_count(self, count: int) -> None:
         """What the process before still holds is not ours, and it has some of its own."""
         sockets = self._config.sockets
-        self._gateway.limit(max(sockets // 3, sockets - count - OWN_DESCRIPTORS))
+        self._gateway.set_descriptor_limit(max(sockets // 3, sockets - count - OWN_DESCRIPTORS))
 
     def _on_alone(self) -> None:
         """The process before has gone: its share of the descriptors is free."""
-        self._gateway.limit(self._config.sockets)
+        self._gateway.set_descriptor_limit(self._config.sockets)
 
     # -- end
 
@@ -128,10 +128,12 @@
         more."""
         self._predecessor.is_stopping = True
         gateway = self._gateway
-        while self._loop.time() < until_s and not (gateway.succeeded and gateway.is_quiet()):
+        while self._loop.time() < until_s and not (gateway.has_handed_over and gateway.is_idle()):
             await asyncio.sleep(POLL_INTERVAL_S)
         context = self._context
-        if not gateway.succeeded and context.server is not None:  # no other process empties the listener
+        if (
+            not gateway.has_handed_over and context.server is not None
+        ):  # no other process empties the listener
             await close_listener(self._loop, context.server, context.listen_socket, context.listener)
             if context.listen_socket is not None:
                 context.listen_socket.close()
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -5,6 +5,7 @@
 from __future__ import annotations
 
 import asyncio
+import functools
 import logging
 import random
 import socket
@@ -12,7 +13,8 @@
 
 from plumpick.gateway.config import Config
 from plumpick.gateway.discovery import Discovery
-from plumpick.gateway.gateway import Gatekeeper
+from plumpick.gateway.errors import CommandRejectedError
+from plumpick.gateway.gateway import Gateway
 from plumpick.gateway.listeners.http.listener import HttpListener
 from plumpick.gateway.management import ManagementPlane
 from plumpick.gateway.platform import Platform
@@ -51,22 +53,22 @@
         self._stop = stop
         self._reload_requested = reload_requested
         self._loop = asyncio.get_running_loop()
-        self._gateway = Gatekeeper(config, self._loop, system=platform)
+        self._gateway = Gateway(config, self._loop, platform=platform)
         self._listener = HttpListener(
             self._gateway, config.settings, config.sockets, platform.has_ended, platform.is_quiet
         )
-        self._gateway.add(self._listener)
+        self._gateway.add_listener(self._listener)
         self._participant: Any = None
         if cluster_settings is not None:
             self._participant = create_participant(
                 cluster_settings, config, self._loop, platform, self._gateway
             )
-        self._gateway.fleet = self._participant
+        self._gateway.set_participant(self._participant)
         self._settings_source: Any = None
         if settings_service is not None:
             self._settings_source = create_settings_source(settings_service, config, self._gateway)
-        self._gateway.versions = self._settings_source
-        self._gateway.listed(config.known)
+        self._gateway.settings_source = self._settings_source
+        self._gateway.on_worker_list(config.known)
         self._management: ManagementPlane | None = None
         if config.management:
             self._management = ManagementPlane(config, self._gateway, self._listener, self._loop)
@@ -90,7 +92,7 @@
         self._platform.settle()
         if self._management is not None and not self._stop.is_requested():
             await self._management.serve()
-        self._gateway.come_up(self._stop.is_requested())
+        self._gateway.start_serving(self._stop.is_requested())
         if self._participant is not None:
             leases = self._management.inherited_leases if self._management is not None else None
             self._participant.open(leases)
@@ -102,7 +104,7 @@
         rng = random.Random(config.seed)
         self._discovery = Discovery(
             config.discovery,
-            self._gateway.listed,
+            self._gateway.on_worker_list,
             lambda index: Watching(sharers, index, rng, config.settings.gateway_number),
             self._gateway.clock.now,
             config.known.index if config.known.entries else None,
@@ -146,8 +148,8 @@
         loop = self._loop
         stopped_s = self._stop.requested_s
         gateway = self._gateway
-        serving_s, answered_s, exit_s = shutdown_times(ms / 1000 for ms in gateway.deadlines_ms())
-        gateway.leave((stopped_s + answered_s - loop.time()) * 1000)
+        serving_s, answered_s, exit_s = shutdown_times(ms / 1000 for ms in gateway.request_lifetimes_ms())
+        gateway.shut_down_within((stopped_s + answered_s - loop.time()) * 1000)
         if self._participant is not None:
             self._participant.leave()
         if self._management is None:
@@ -155,10 +157,10 @@
             await close_listener(loop, self._server, self._listen_socket, self._listener)
         else:
             await self._management.finish(stopped_s + serving_s)
-        gateway.drain()
+        gateway.start_closing_connections()
         gateway.close_idle()
-        while gateway.busy() and loop.time() < stopped_s + MAX_STREAM_S:
-            if loop.time() > stopped_s + exit_s and gateway.has_answered():
+        while gateway.has_unfinished_work() and loop.time() < stopped_s + MAX_STREAM_S:
+            if loop.time() > stopped_s + exit_s and gateway.has_answered_all():
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
         await self._close()
@@ -176,20 +178,29 @@
 
 
 def create_participant(
-    settings: Any, config: Config, loop: asyncio.AbstractEventLoop, platform: Platform, gateway: Gatekeeper
+    settings: Any, config: Config, loop: asyncio.AbstractEventLoop, platform: Platform, gateway: Gateway
 ) -> Any:
     """The gateway's part in the work for the whole tier; imported only where the operator names some."""
     from plumpick.gateway.cluster.lease_runner import Runner
 
     participant = Runner(
-        config, settings, loop, platform, gateway.peers.tell, lambda name: gateway.order(name, "")
+        config, settings, loop, platform, gateway.peers.tell, functools.partial(_apply_command, gateway)
     )
     if settings.budgets:
         gateway.controller.admits = participant.admits
     return participant
 
 
-def create_settings_source(settings: Any, config: Config, gateway: Gatekeeper) -> Any:
+def _apply_command(gateway: Gateway, name: str) -> str:
+    """DRAIN or UNDRAIN for the participant; the reason against it, or nothing."""
+    try:
+        gateway.apply_command(name, "")
+    except CommandRejectedError as problem:
+        return str(problem)
+    return ""
+
+
+def create_settings_source(settings: Any, config: Config, gateway: Gateway) -> Any:
     """The source of the gateway's settings; imported only where the operator names one."""
     from plumpick.gateway.dynamic_config.client import source_of
 
--- a/plumpick/gateway/upstream/request_encoding.py
+++ b/plumpick/gateway/upstream/request_encoding.py
@@ -1,12 +1,12 @@
-"""What a worker is sent: a request of HTTP/1.1, as the protocol has it."""
+"""The encoding of an attempt's request as a message of HTTP/1.1 for a worker."""
 
 from __future__ import annotations
 
 from plumpick.gateway.listeners.interface import IncomingRequest
 
 
-def head_of(incoming: IncomingRequest) -> bytes:
-    """The head of every attempt for a request, up to the value of its last header, the deadline."""
+def encode_head(incoming: IncomingRequest) -> bytes:
+    """The head that all attempts for a request share, up to the value of its last header, the deadline."""
     parts = [
         incoming.method,
         b" ",
@@ -28,6 +28,6 @@
     return b"".join(parts)
 
 
-def message_of(head: bytes, allow_ms: float, body: bytes) -> bytes:
-    """The whole message of one attempt, which may take so long."""
-    return b"%s%d\r\n\r\n%s" % (head, max(1, int(allow_ms)), body)
+def encode_message(head: bytes, timeout_ms: float, body: bytes) -> bytes:
+    """The message of one attempt, which may take `timeout_ms`; `body` is empty where it is streamed."""
+    return b"%s%d\r\n\r\n%s" % (head, max(1, int(timeout_ms)), body)
--- a/plumpick/gateway/upstream/streaming_body.py
+++ b/plumpick/gateway/upstream/streaming_body.py
@@ -1,100 +1,106 @@
-"""Bodies that are too large to be kept whole: they go on while they come, in either direction.
+"""Request bodies that are too large to be buffered: they are forwarded while they arrive.
 
-Backpressure: who gives is paused while more than the high water mark waits at who takes. All streams share
-one budget of bytes, whatever their number; each has its even part of it as its mark."""
+Backpressure: the source is paused while more than the high water mark waits for the sink. All streams, of
+requests and of responses, share one budget of bytes, whatever their number; each has an even share of it as
+its high water mark. Nothing here raises: a stream that stalls is found by its `last_progress_ms`, and its
+owner must end it."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-WHOLE = 64 * 1024  # bodies up to so many bytes are kept whole
-LEAST_MARK, MOST_MARK = 16 * 1024, 256 * 1024
+from plumpick.gateway.listeners.interface import PausableSource
 
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # larger bodies are streamed
+MIN_HIGH_WATER_BYTES = 16 * 1024
+MAX_HIGH_WATER_BYTES = 256 * 1024
 
-class Budget:
-    """Bytes that all streams may have waiting."""
 
-    def __init__(self, total: int) -> None:
-        self.total, self.streams = max(LEAST_MARK, total), 0
+class MemoryBudget:
+    """The bytes that all streams together may have waiting."""
 
-    def mark(self) -> int:
-        """The high water mark of one more stream."""
-        return max(LEAST_MARK, min(MOST_MARK, self.total // (self.streams + 1)))
-
-
-class Giver(Protocol):
-    """Where bytes come from."""
+    def __init__(self, total_bytes: int) -> None:
+        self.total_bytes = max(MIN_HIGH_WATER_BYTES, total_bytes)
+        self.stream_count = 0
 
-    def pause(self) -> None:
-        """Give no more for now."""
-
-    def resume(self) -> None:
-        """Give again."""
+    def high_water_bytes(self) -> int:
+        """The high water mark of one more stream."""
+        share_bytes = self.total_bytes // (self.stream_count + 1)
+        return max(MIN_HIGH_WATER_BYTES, min(MAX_HIGH_WATER_BYTES, share_bytes))
 
 
-class Taker(Protocol):
-    """Where bytes go."""
+class BodySink(Protocol):
+    """Where a streamed body is forwarded to."""
 
-    def part(self, data: bytes) -> None:
-        """Some more."""
+    def write_chunk(self, data: bytes) -> None:
+        """The next bytes of the body."""
 
     def finish(self) -> None:
-        """That was all."""
+        """The body is complete."""
 
 
-class Body:
-    """A request's body on its way. `length`: in bytes; -1 where only its end tells.
+class StreamingBody:
+    """A request's body that is forwarded while it arrives. `length`: in bytes; -1 if only its end tells.
 
-    What comes before there is a taker waits here, up to `mark`, and then the giver is held. What a taker has
-    had is not kept: `begun` tells that."""
+    What arrives before there is a sink waits here, up to `high_water_bytes`; then the source is paused. What
+    has been forwarded is not retained, so it goes out once: `is_started` says that it has begun to."""
 
-    def __init__(self, giver: Giver, length: int, mark: int) -> None:
-        self.giver, self.length, self.mark = giver, length, mark
+    def __init__(self, source: PausableSource, length: int, high_water_bytes: int) -> None:
+        self.source = source
+        self.length = length
+        self.high_water_bytes = high_water_bytes
         self.waiting: list[bytes] = []
-        self.size = 0  # of what waits
-        self.begun = self.whole = self.held = False
-        self.moved_ms = 0.0  # when the last of it came or went
-        self.taker: Taker | None = None
+        self.waiting_bytes = 0
+        self.is_started = False
+        self.is_complete = False
+        self.is_paused = False
+        self.last_progress_ms = 0.0  # when bytes last arrived or left
+        self.sink: BodySink | None = None
 
     def feed(self, data: bytes) -> None:
-        """Some more has come."""
-        if self.taker is not None:
-            self.taker.part(data)
+        """More of the body has arrived."""
+        if self.sink is not None:
+            self.sink.write_chunk(data)
             return
         self.waiting.append(data)
-        self.size += len(data)
-        if self.size >= self.mark:
-            self.hold()
+        self.waiting_bytes += len(data)
+        if self.waiting_bytes >= self.high_water_bytes:
+            self.pause()
 
     def finish(self) -> None:
-        """All has come."""
-        self.whole = True
-        if self.taker is not None:
-            self.taker.finish()
-
-    def give_to(self, taker: Taker) -> None:
-        """Let it go on; only once."""
-        self.begun, self.taker = True, taker
-        parts, self.waiting, self.size = self.waiting, [], 0
-        for data in parts:
-            taker.part(data)
-        if self.whole:
-            taker.finish()
-        elif self.taker is taker:
-            self.go_on()
-
-    def drop_taker(self, taker: Taker) -> None:
-        """It takes no more; what comes from now on is of no use."""
-        if self.taker is taker:
-            self.taker = None
-            self.mark = 0
-
-    def hold(self) -> None:
-        if not self.held and not self.whole:
-            self.held = True
-            self.giver.pause()
-
-    def go_on(self) -> None:
-        if self.held:
-            self.held = False
-            self.giver.resume()
+        """All of the body has arrived."""
+        self.is_complete = True
+        if self.sink is not None:
+            self.sink.finish()
+
+    def forward_to(self, sink: BodySink) -> None:
+        """Forward what waits and what is to come; only once."""
+        self.is_started = True
+        self.sink = sink
+        chunks = self.waiting
+        self.waiting = []
+        self.waiting_bytes = 0
+        for data in chunks:
+            sink.write_chunk(data)
+        if self.is_complete:
+            sink.finish()
+        elif self.sink is sink:
+            self.resume()
+
+    def detach(self, sink: BodySink) -> None:
+        """That sink takes no more; what arrives from now on is of no use."""
+        if self.sink is sink:
+            self.sink = None
+            self.high_water_bytes = 0
+
+    def pause(self) -> None:
+        """Pause the source, unless all of the body has arrived."""
+        if not self.is_paused and not self.is_complete:
+            self.is_paused = True
+            self.source.pause()
+
+    def resume(self) -> None:
+        """Resume the source, if it is paused."""
+        if self.is_paused:
+            self.is_paused = False
+            self.source.resume()
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -178,7 +178,7 @@
     from plumpick.gateway import daemon, discovery, process
     from plumpick.policy.controller import Controller
 
-    record, plain = Record(), process.Gatekeeper
+    record, plain = Record(), process.Gateway
 
     class Loop(uvloop.Loop):  # type: ignore[misc]
         async def create_connection(self, factory: Any, host: str, port: int) -> Any:
@@ -204,11 +204,11 @@
             record.write("call", target, "ok", round(record.now() - began), len(news.entries))
             return news
 
-    def gatekeeper(config: Any, loop: Any, system: Any) -> Any:
+    def gateway(config: Any, loop: Any, platform: Any) -> Any:
         with open(os.environ["BALANCER_CONFIG"], encoding="utf-8") as file:
             for key, value in json.load(file)["settings"].items():
                 record.write("settings", key, value)
-        return plain(config, loop, Recording(record, Controller(config.settings, config.seed)), system)
+        return plain(config, loop, Recording(record, Controller(config.settings, config.seed)), platform)
 
     def run(serving: Any) -> None:
         with asyncio.Runner(loop_factory=Loop) as runner:
@@ -216,7 +216,7 @@
         record.flush()
 
     discovery.Watch = Watch  # type: ignore[misc]
-    process.Gatekeeper = gatekeeper  # type: ignore[assignment,misc]
+    process.Gateway = gateway  # type: ignore[assignment,misc]
     daemon.uvloop = type("Uvloop", (), {"run": staticmethod(run)})  # type: ignore[assignment]
     return daemon.main(which)
 
--- a/tests/configuration/test_source.py
+++ b/tests/configuration/test_source.py
@@ -13,6 +13,7 @@
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import Source, config_with
+from plumpick.gateway.errors import SettingsRejectedError
 from plumpick.policy.dynamic_config import subscriber as plans
 from plumpick.policy.dynamic_config.delta import digest
 from plumpick.policy.dynamic_config.version_store import summary
@@ -40,10 +41,9 @@
 
     def reconfigure(self, news):
         if news.settings.classes[0].worth == self.wrong:
-            return "classes[0].worth: no such worth"
+            raise SettingsRejectedError("classes[0].worth: no such worth")
         self.taken.append(news)
         self.changed.set()
-        return ""
 
     def start(self):
         self.task = asyncio.create_task(self.source.run())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from plumpick.gateway.config import parse_config
-from plumpick.gateway.gateway import Gatekeeper
+from plumpick.gateway.gateway import Gateway
 from plumpick.gateway.listeners.http.listener import HttpListener
 from plumpick.gateway.platform import Platform
 from plumpick.policy.actions import FailRequest, StartAttempt
@@ -129,19 +129,19 @@
 
     def __init__(self, script=None, **more):
         self.script = script
-        self.keeper = Gatekeeper(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
+        self.keeper = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
         config_here = self.keeper.config
         self.front = HttpListener(
             self.keeper, config_here.settings, config_here.sockets, Platform().has_ended, Platform().is_quiet
         )
-        self.keeper.add(self.front)
-        self.keeper.listed(config_here.known)
+        self.keeper.add_listener(self.front)
+        self.keeper.on_worker_list(config_here.known)
         self.server = None
 
     async def __aenter__(self):
         self.server = await asyncio.get_running_loop().create_server(self.front.create_connection, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.keeper.come_up()
+        self.keeper.start_serving()
         return self
 
     async def __aexit__(self, *_):
@@ -311,7 +311,7 @@
             await self.go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.workers._loop = type(
+        gate.keeper.connection_pool._loop = type(
             "Loop",
             (),
             {
--- a/tests/fronts/test_closing.py
+++ b/tests/fronts/test_closing.py
@@ -70,7 +70,7 @@
         assert one.is_closing and await plug.receive() == b""
         plug.close()
         await next_is(worker, gate)
-        assert not gate.keeper.open
+        assert not gate.keeper.requests.open
 
     one_worker(scenario)
 
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -48,10 +48,10 @@
             client.send(request(deadline=20_000))
             assert (await worker.asked())[0] is not None
             await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.open.values()
-            gate.keeper.leave(100.0)
-            assert open_request.due_ms <= gate.keeper.clock.now() + 100.0
-            assert (await client.answer())[0] == 504 and not gate.keeper.open
+            (open_request,) = gate.keeper.requests.open.values()
+            gate.keeper.shut_down_within(100.0)
+            assert open_request.deadline_ms <= gate.keeper.clock.now() + 100.0
+            assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
 
     run(scenario())
 
@@ -62,10 +62,10 @@
             client = await gate.client()
             client.send(request(deadline=60))
             await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.open.values()
-            due_ms = open_request.due_ms
-            gate.keeper.leave(5000.0)
-            assert open_request.due_ms == due_ms and (await client.answer())[0] == 504
+            (open_request,) = gate.keeper.requests.open.values()
+            due_ms = open_request.deadline_ms
+            gate.keeper.shut_down_within(5000.0)
+            assert open_request.deadline_ms == due_ms and (await client.answer())[0] == 504
 
     run(scenario())
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -13,7 +13,11 @@
 from plumpick.gateway.listeners.http.connection_admission import SWEEP_INTERVAL_MS
 from plumpick.gateway.listeners.http.parsed_request import MAX_PIPELINED_REQUESTS
 from plumpick.gateway.platform import Platform
-from plumpick.gateway.upstream.connection_pool import LEAST_REST_MS, MOST_RESTING, REST_MS
+from plumpick.gateway.upstream.connection_pool import (
+    MAX_RESTING_CONNECTIONS,
+    MIN_REUSE_DELAY_MS,
+    REUSE_DELAY_MS,
+)
 from plumpick.policy.actions import CancelAttempt, RejectRequest, SetTimer, StartAttempt
 from plumpick.policy.events import (
     AttemptCompleted,
@@ -39,7 +43,9 @@
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged():
     async def scenario(worker, gate, client):
         now = gate.keeper.clock.now()  # held, so that what is left is all that the client gave
-        gate.keeper.clock = gate.keeper.workers._clock = type("Held", (), {"now": staticmethod(lambda: now)})
+        gate.keeper.clock = gate.keeper.connection_pool._clock = type(
+            "Held", (), {"now": staticmethod(lambda: now)}
+        )
         client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
         asked, writer = await worker.asked()
         assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
@@ -52,14 +58,14 @@
         assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
         outcome = await gate.script.event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
-        assert not gate.keeper.open and not gate.keeper.attempts
+        assert not gate.keeper.requests.open and not gate.keeper.requests.attempts
 
     one_worker(scenario)
 
 
 def test_connections_are_kept_and_used_again(monkeypatch):
     """Seen on the first calm day: keep-alive was asked of the parser too late, and none was kept."""
-    monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.REST_MS", 0.0)
+    monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0)
 
     async def scenario(worker, gate, client):
         for number in range(5):
@@ -141,9 +147,9 @@
             client = await gate.client()
             client.send(request(path="/debit", body=bytes(60_000)))
             await started.wait()
-            while not gate.keeper.attempts:
+            while not gate.keeper.requests.attempts:
                 await gate.script.came.wait()
-            (attempt,) = gate.keeper.attempts.values()
+            (attempt,) = gate.keeper.requests.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
@@ -181,7 +187,7 @@
             async def never(*_):
                 await loop.create_future()
 
-            gate.keeper.workers._loop = type(
+            gate.keeper.connection_pool._loop = type(
                 "Loop",
                 (),
                 {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
@@ -189,7 +195,7 @@
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-            assert gate.keeper.workers._connections == 0
+            assert gate.keeper.connection_pool._connection_count == 0
 
     run(scenario())
 
@@ -200,7 +206,7 @@
         _, writer = await worker.asked()
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
-        gate.keeper.notice(TimerFired("now"))
+        gate.keeper.post_event(TimerFired("now"))
         status, headers, _ = await client.answer()
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
@@ -220,7 +226,7 @@
         _, first = await worker.asked()
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
-        gate.keeper.notice(TimerFired("hedge"))
+        gate.keeper.post_event(TimerFired("hedge"))
         _, second = await worker.asked()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
@@ -238,7 +244,7 @@
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
         gate.script.to_do = [StartAttempt(77, "w1", 100.0)]
-        gate.keeper.notice(TimerFired("late"))
+        gate.keeper.post_event(TimerFired("late"))
         assert (
             await gate.script.event(AttemptCompleted)
         ).result is AttemptResult.NOT_STARTED and worker.connections == 0
@@ -252,7 +258,7 @@
         await worker.asked()
         came = await gate.script.event(RequestReceived)
         client.close()
-        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.keeper.open
+        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.keeper.requests.open
 
     one_worker(scenario)
 
@@ -275,7 +281,7 @@
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
         keeper.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
-            keeper._wake(SetTimer(after_ms, "agenda"))
+            keeper._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
     one_worker(scenario)
@@ -337,9 +343,9 @@
 
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
-        workers = gate.keeper.workers
-        (connection,) = workers._known["w1"].idle
-        connection.idle_since_ms -= REST_MS
+        workers = gate.keeper.connection_pool
+        (connection,) = workers._workers["w1"].idle
+        connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
         writer.write(answer(body=b"twice"))
         while connection.is_quiet():
@@ -358,11 +364,11 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.workers
-        (connection,) = workers._known["w1"].idle
+        workers = gate.keeper.connection_pool
+        (connection,) = workers._workers["w1"].idle
         since = connection.idle_since_ms
-        assert workers._kept(connection.worker, since + REST_MS - 0.1) is None
-        assert workers._kept(connection.worker, since + REST_MS + 0.1) is connection
+        assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS - 0.1) is None
+        assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS + 0.1) is connection
 
     one_worker(scenario)
 
@@ -375,13 +381,13 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"first"))
         assert (await client.answer())[2] == b"first"
-        (connection,) = gate.keeper.workers._known["w1"].idle
+        (connection,) = gate.keeper.connection_pool._workers["w1"].idle
         connection.idle_since_ms = gate.keeper.clock.now() - 10.0  # so long ago
         client.send(request())
         message, other = await worker.asked()
         assert other is not writer  # on another connection
         writer.write(answer(body=b"twice"))
-        while not connection.closed:
+        while not connection.is_closed:
             await asyncio.sleep(0)
         other.write(answer(body=b"own"))
         assert (await client.answer())[2] == b"own"
@@ -391,7 +397,7 @@
 
 def test_where_many_rest_the_one_that_has_rested_longest_serves_and_connections_stay_few():
     async def scenario(worker, gate, client):
-        clients = [client] + [await gate.client() for _ in range(MOST_RESTING - 1)]
+        clients = [client] + [await gate.client() for _ in range(MAX_RESTING_CONNECTIONS - 1)]
         for one in clients:
             one.send(request())
         writers = [(await worker.asked())[1] for _ in clients]
@@ -399,15 +405,15 @@
             writer.write(answer())
         for one in clients:
             assert (await one.answer())[0] == 200
-        workers = gate.keeper.workers
-        mine, now = workers._known["w1"], gate.keeper.clock.now()
+        workers = gate.keeper.connection_pool
+        mine, now = workers._workers["w1"], gate.keeper.clock.now()
         for place, one in enumerate(mine.idle):
             one.idle_since_ms = now - 10.0 + place
         oldest = mine.idle[0]
-        assert workers._kept(mine, now) is oldest
-        oldest.idle_since_ms = now - LEAST_REST_MS / 2
-        mine.idle[:] = [oldest] * MOST_RESTING
-        assert workers._kept(mine, now) is None  # right behind an answer none is used again
+        assert workers._reusable_connection(mine, now) is oldest
+        oldest.idle_since_ms = now - MIN_REUSE_DELAY_MS / 2
+        mine.idle[:] = [oldest] * MAX_RESTING_CONNECTIONS
+        assert workers._reusable_connection(mine, now) is None  # right behind an answer none is used again
         mine.idle[:] = []
 
     one_worker(scenario)
@@ -434,13 +440,13 @@
         await exchange(worker, client)
         await gate.script.event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.keeper.listed(parse_worker_list(news, "list"))
+        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
         fleet = await gate.script.event(EndpointsUpdated)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
-        assert (await worker.asked())[0] is None and list(gate.keeper.workers._known) == ["w2"]
+        assert (await worker.asked())[0] is None and list(gate.keeper.connection_pool._workers) == ["w2"]
         assert (await client.send(request()).answer())[0] == 502  # the script still names w1
 
     one_worker(scenario)
@@ -459,7 +465,7 @@
         writer = await exchange(worker, client)
         writer.close()
         assert (await worker.asked())[0] is None
-        while gate.keeper.workers._connections:
+        while gate.keeper.connection_pool._connection_count:
             await asyncio.sleep(0)
         await exchange(worker, client)
         assert worker.connections == 2
@@ -495,7 +501,7 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.keeper.listed(parse_worker_list(news, "list"))
+        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -504,7 +510,7 @@
 def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        gate.keeper.listed(parse_worker_list(listing(index=2), "list"))
+        gate.keeper.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
@@ -522,7 +528,7 @@
             await go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.workers._loop = type(
+        gate.keeper.connection_pool._loop = type(
             "Loop",
             (),
             {
@@ -534,17 +540,17 @@
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.keeper.listed(parse_worker_list(news, "list"))
+        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-        assert worker.requests.empty() and gate.keeper.workers._connections == 0
+        assert worker.requests.empty() and gate.keeper.connection_pool._connection_count == 0
 
     one_worker(scenario)
 
 
 def test_the_connections_to_one_worker_are_capped(monkeypatch):
-    monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.MAX_PER_WORKER", 1)
+    monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.MAX_CONNECTIONS_PER_WORKER", 1)
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -560,7 +566,7 @@
 def test_connections_are_closed_well_before_the_worker_would():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.workers
+        workers = gate.keeper.connection_pool
         now = workers._clock.now()
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
@@ -628,7 +634,7 @@
         assert (await client.send(data).answer())[0] == status and await client.ends()
         writer.write(answer())
         assert (await other.answer())[0] == 200
-        assert len(gate.keeper.open) == 0 and worker.requests.empty()
+        assert len(gate.keeper.requests.open) == 0 and worker.requests.empty()
 
     one_worker(scenario)
 
@@ -706,9 +712,9 @@
         assert (await client.answer())[2] == b"first"
         assert (await other.send(request("00000000000000aa")).answer())[0] == 409
         assert worker.requests.empty()
-        gate.keeper._forget_names()
-        gate.keeper._forget_names()
-        assert not gate.keeper._names and not any(gate.keeper._ended_names)
+        gate.keeper.requests._ids.expire()
+        gate.keeper.requests._ids.expire()
+        assert gate.keeper.requests._ids.is_empty()
 
     one_worker(scenario)
 
@@ -866,7 +872,7 @@
             admission.evict_excess(gate.keeper.clock.now() + 1000.0)
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
-        assert len(admission) == 1 and len(gate.keeper.open) == 1
+        assert len(admission) == 1 and len(gate.keeper.requests.open) == 1
 
     one_worker(scenario)
 
@@ -912,7 +918,7 @@
         assert len(admission) <= admission.hard_max_connections + gate.keeper.spare_descriptors()
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
-        assert len(gate.keeper.open) == 1
+        assert len(gate.keeper.requests.open) == 1
         for one in crowd:
             one.close()
 
@@ -985,12 +991,12 @@
 
 def test_what_comes_before_a_planned_end_is_answered_by_then():
     async def scenario(worker, gate, client):
-        gate.keeper.leave(150.0)
+        gate.keeper.shut_down_within(150.0)
         began = gate.keeper.clock.now()
         client.send(request(deadline=10_000))
         came = await gate.script.event(RequestReceived)
         assert came.deadline_ms < began + 150.0
-        assert (await client.answer())[0] == 504 and not gate.keeper.open
+        assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
 
     one_worker(scenario, worker=None)
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -47,7 +47,7 @@
                 server = await start_server(front, (HOST, 0), loop)
                 gate.operators = front
                 gate.keeper.sweeps.append(front.sweep)
-                gate.keeper.listed(parse_worker_list(known, "list"))
+                gate.keeper.on_worker_list(parse_worker_list(known, "list"))
                 try:
                     await scenario(server.sockets[0].getsockname()[1], gate, worker)
                 finally:
@@ -124,10 +124,10 @@
 
 def test_before_it_is_up_and_once_it_ends_the_answer_is_no():
     async def scenario(port, gate, _worker):
-        gate.keeper.up = False
+        gate.keeper.is_serving = False
         assert (await say(port, b"READY\n")).startswith("-ERR")
-        gate.keeper.come_up()
-        gate.keeper.leave(2000.0)
+        gate.keeper.start_serving()
+        gate.keeper.shut_down_within(2000.0)
         assert (await say(port, b"READY\n")).startswith("-ERR")
 
     with_office(scenario)
@@ -190,7 +190,7 @@
         assert told[0] == 200 and told[1]["connection"] == "close" and await kept.ends()
         assert await idle.ends()  # in half a second
         assert (await slow.answer())[0] in (408, 503) and await slow.ends()  # its own time is nearly over
-        while gate.keeper.busy():
+        while gate.keeper.has_unfinished_work():
             await asyncio.sleep(0.01)
         assert (await say(port, b"UNDRAIN\n")).startswith("+OK")
         again = await gate.client()
@@ -214,7 +214,7 @@
             await asyncio.sleep(0.01)
         slow.send(b"\n")
         await worker.asked()
-        assert next(iter(gate.keeper.open.values())).guard is not None
+        assert next(iter(gate.keeper.requests.open.values())).deadline_timer is not None
         told = await slow.answer()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
 
@@ -224,7 +224,7 @@
 def test_an_end_during_a_drain_and_a_drain_during_an_end():
     async def scenario(port, gate, _worker):
         await say(port, b"DRAIN\n")
-        gate.keeper.leave(2000.0)
+        gate.keeper.shut_down_within(2000.0)
         await say(port, b"UNDRAIN\n")
         assert not gate.keeper.is_ready  # it ends all the same
 
--- a/tests/test_reconfigure_service.py
+++ b/tests/test_reconfigure_service.py
@@ -14,7 +14,8 @@
 
 from plumpick.gateway import process
 from plumpick.gateway.config import parse_config
-from plumpick.gateway.upstream.streaming_body import WHOLE
+from plumpick.gateway.errors import SettingsRejectedError
+from plumpick.gateway.upstream.streaming_body import MAX_BUFFERED_BODY_BYTES
 from plumpick.policy.controller import Controller
 
 FRESH = {"name": "fresh", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"}
@@ -33,7 +34,12 @@
 
 
 def put(gate, change):
-    return gate.keeper.reconfigure(given(gate, change))
+    """Take the changed settings into service; why they are rejected, or nothing."""
+    try:
+        gate.keeper.reconfigure(given(gate, change))
+    except SettingsRejectedError as rejection:
+        return str(rejection)
+    return ""
 
 
 def drop(name):
@@ -82,7 +88,7 @@
         asked, writer = await worker.asked()
         assert asked.url == b"/debit"
         writer.write(answer())
-        assert (await client.answer())[0] == 200 and not gate.keeper.open
+        assert (await client.answer())[0] == 200 and not gate.keeper.requests.open
 
     one_worker(scenario)
 
@@ -167,7 +173,7 @@
 def test_a_body_that_goes_on_while_it_comes_goes_on_over_a_change():
     async def scenario():
         async with Raw() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
-            client, size = await gate.client(), 4 * WHOLE
+            client, size = await gate.client(), 4 * MAX_BUFFERED_BODY_BYTES
             head = request("00000000000000f1", "/debit", body=b"-").replace(
                 b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size
             )[:-1]
@@ -188,7 +194,7 @@
             writer.write(b"d" * (size - size // 2))
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(size) == b"c" * (size // 2) + b"d" * (size - size // 2)
-            while gate.keeper.open:
+            while gate.keeper.requests.open:
                 await asyncio.sleep(0)
 
     run(scenario())
@@ -223,9 +229,9 @@
             keeper.settings,
             keeper.controller.settings,
             gate.front.validator,
-            keeper.workers._fields,
-            keeper.workers._idle_ms,
-            keeper.workers._dial_ms,
+            keeper.connection_pool._load_report_fields,
+            keeper.connection_pool._idle_timeout_ms,
+            keeper.connection_pool._connect_timeout_ms,
         )
         wrong = put(gate, change)
         assert wrong.startswith(key) and "\n" not in wrong
@@ -234,9 +240,9 @@
             keeper.settings,
             keeper.controller.settings,
             gate.front.validator,
-            keeper.workers._fields,
-            keeper.workers._idle_ms,
-            keeper.workers._dial_ms,
+            keeper.connection_pool._load_report_fields,
+            keeper.connection_pool._idle_timeout_ms,
+            keeper.connection_pool._connect_timeout_ms,
         )
         assert all(one is other for one, other in zip(before, after, strict=True))
         client.send(request("00000000000000a1", "/fresh"))
@@ -253,7 +259,8 @@
     async def scenario(_worker, gate, _client):
         own = copy.copy(gate.keeper.config)
         object.__setattr__(own, "sockets", 7)
-        assert gate.keeper.reconfigure(own).startswith("sockets")
+        with pytest.raises(SettingsRejectedError, match="^sockets"):
+            gate.keeper.reconfigure(own)
         assert gate.keeper.config.sockets == 256
 
     one_worker(scenario)
@@ -286,11 +293,11 @@
         value["tickMs"] = 8.0
 
     async def scenario(worker, gate, client):
-        workers = gate.keeper.workers
-        assert workers.load_from(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
+        workers = gate.keeper.connection_pool
+        assert workers.parse_load_report(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
         assert put(gate, change) == ""
-        assert workers.load_from(b'{"inflight":3}') == (3.0,)
-        assert workers._dial_ms == 77.0 and workers._idle_ms == 3000.0
+        assert workers.parse_load_report(b'{"inflight":3}') == (3.0,)
+        assert workers._connect_timeout_ms == 77.0 and workers._idle_timeout_ms == 3000.0
         assert gate.keeper.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
@@ -357,7 +364,7 @@
             asked = sum(await asyncio.gather(*asking))
             working.cancel()
             names = [name for names in told.values() for name in names]
-            assert len(names) == asked == len(set(names)) and not gate.keeper.open
+            assert len(names) == asked == len(set(names)) and not gate.keeper.requests.open
             assert len(told[200]) > 500 and len(told[404]) > 10
 
     run(scenario())
@@ -367,17 +374,17 @@
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
-        gate.keeper.leave(5000.0)
+        gate.keeper.shut_down_within(5000.0)
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
-        (open_request,) = gate.keeper.open.values()
-        assert open_request.due_ms <= gate.keeper.clock.now() + 5000.0
+        (open_request,) = gate.keeper.requests.open.values()
+        assert open_request.deadline_ms <= gate.keeper.clock.now() + 5000.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        gate.keeper.drain()
+        gate.keeper.start_closing_connections()
         assert put(gate, lambda _: None) == "" and not gate.keeper.is_ready
 
     one_worker(scenario)
@@ -389,17 +396,17 @@
             row.update(aimMs=200.0, deadlineMs=400.0)
 
     async def scenario(worker, gate, client):
-        assert max(gate.keeper.deadlines_ms()) == 2e4
+        assert max(gate.keeper.request_lifetimes_ms()) == 2e4
         client.send(request("00000000000000a1", deadline=2500))
         _, writer = await worker.asked()
         assert put(gate, short) == ""
-        assert 1000 < max(gate.keeper.deadlines_ms()) <= 2500  # it came under an older class
+        assert 1000 < max(gate.keeper.request_lifetimes_ms()) <= 2500  # it came under an older class
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        assert max(gate.keeper.deadlines_ms()) == 400.0
+        assert max(gate.keeper.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
         _, writer = await worker.asked()
-        assert max(gate.keeper.deadlines_ms()) <= 400.0
+        assert max(gate.keeper.request_lifetimes_ms()) <= 400.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
 
@@ -414,7 +421,7 @@
         monkeypatch.setattr(
             process, "shutdown_times", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
         )
-        monkeypatch.setattr("plumpick.gateway.gateway.Gatekeeper.deadlines_ms", lambda _self: [1234.0])
+        monkeypatch.setattr("plumpick.gateway.gateway.Gateway.request_lifetimes_ms", lambda _self: [1234.0])
         monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 0.01)
         while True:
             try:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -6,7 +6,13 @@
 import pytest
 from fakes import HOST, Client, Gate, Message, Script, entry, request, run
 
-from plumpick.gateway.upstream.streaming_body import LEAST_MARK, MOST_MARK, WHOLE, Body, Budget
+from plumpick.gateway.upstream.streaming_body import (
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HIGH_WATER_BYTES,
+    MIN_HIGH_WATER_BYTES,
+    MemoryBudget,
+    StreamingBody,
+)
 from plumpick.policy.events import AttemptCompleted, AttemptResult, ResponseStarted
 
 BIG = 5 * 1024 * 1024
@@ -69,7 +75,7 @@
 @pytest.mark.parametrize("form", ["length", "chunks", "end"])
 def test_a_large_answer_goes_on_unchanged_while_it_comes(form, monkeypatch):
     monkeypatch.setattr(
-        "plumpick.gateway.upstream.connection_pool.REST_MS", 0.0
+        "plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0
     )  # its connection is used again at once
 
     body = bytes(range(256)) * (BIG // 256)
@@ -98,7 +104,11 @@
             message.parser.feed_data(data)
         assert message.body == body
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.OK
-        assert not gate.keeper.open and not gate.keeper._streams and not gate.keeper.workers.budget.streams
+        assert (
+            not gate.keeper.requests.open
+            and not gate.keeper._streams._requests
+            and not gate.keeper._streams._budget.stream_count
+        )
         if form == "length":  # both connections may be used again
             client.send(request())
             assert "X-Request-Id" in await head_of(reader)
@@ -126,7 +136,7 @@
             AttemptResult.RESET,
             AttemptResult.ERROR,
         )
-        assert not gate.keeper._streams
+        assert not gate.keeper._streams._requests
 
     one_raw(scenario)
 
@@ -183,7 +193,7 @@
             pass
         (one,) = gate.front.admission.connections
         assert written < 32 * BIG
-        assert one.transport.get_write_buffer_size() <= MOST_MARK + 2**19
+        assert one.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
         client.close()
         assert (await gate.script.event(AttemptCompleted)).result is not AttemptResult.OK
 
@@ -198,11 +208,14 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))
         await client.reader.readexactly(70_000)
         now = gate.keeper.clock.now()
-        gate.keeper._stalled(now + 5000.0)  # long after its deadline
-        assert gate.keeper.open
-        gate.keeper._stalled(now + 60_000.0)
+        gate.keeper._streams.sweep(
+            now + 5000.0, gate.keeper.requests.on_upload_stalled
+        )  # long after its deadline
+        assert gate.keeper.requests.open
+        gate.keeper._streams.sweep(now + 60_000.0, gate.keeper.requests.on_upload_stalled)
         assert (
-            not gate.keeper.open and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            not gate.keeper.requests.open
+            and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
         )
 
     one_raw(scenario)
@@ -263,7 +276,7 @@
         reader, writer = await worker.came.get()
         await head_of(reader)
         await asyncio.sleep(0.5)
-        assert gate.keeper.open
+        assert gate.keeper.requests.open
         client.send(data[-1:])
         await reader.readexactly(300_000)
         assert (await client.answer())[0] in (502, 504)  # now it does
@@ -290,7 +303,7 @@
         await head_of(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
-        assert (await client.answer())[0] == 502 and not gate.keeper._streams
+        assert (await client.answer())[0] == 502 and not gate.keeper._streams._requests
 
     one_raw(scenario)
 
@@ -301,7 +314,7 @@
         reader, writer = await worker.came.get()
         await head_of(reader)
         await reader.readexactly(900_000)
-        gate.keeper._stalled(gate.keeper.clock.now() + 5000.0)
+        gate.keeper._streams.sweep(gate.keeper.clock.now() + 5000.0, gate.keeper.requests.on_upload_stalled)
         assert (await client.answer())[0] == 408
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
@@ -314,7 +327,11 @@
         await head_of((await worker.came.get())[0])
         client.writer.transport.abort()
         await gate.script.event(AttemptCompleted)
-        assert not gate.keeper.open and not gate.keeper.attempts and not gate.keeper.workers.budget.streams
+        assert (
+            not gate.keeper.requests.open
+            and not gate.keeper.requests.attempts
+            and not gate.keeper._streams._budget.stream_count
+        )
 
     one_raw(scenario)
 
@@ -392,7 +409,7 @@
     def resume(self):
         self.said.append("go on")
 
-    def part(self, data):
+    def write_chunk(self, data):
         self.said.append(data)
 
     def finish(self):
@@ -401,26 +418,27 @@
 
 def test_a_body_holds_its_giver_at_the_mark_and_goes_on_in_order():
     giver, taker = Side(), Side()
-    body = Body(giver, -1, 10)
+    body = StreamingBody(giver, -1, 10)
     body.feed(b"12345")
     assert not giver.said
     body.feed(b"67890")
-    assert giver.said == ["hold"] and not body.begun
-    body.give_to(taker)
+    assert giver.said == ["hold"] and not body.is_started
+    body.forward_to(taker)
     body.feed(b"more")
     body.finish()
     assert giver.said == ["hold", "go on"] and taker.said == [b"12345", b"67890", b"more", "end"]
 
 
 def test_marks_of_any_number_of_streams_stay_in_the_budget():
-    budget = Budget(16 * 2**20)
+    budget = MemoryBudget(16 * 2**20)
     marks = []
     for _ in range(100):
-        marks.append(budget.mark())
-        budget.streams += 1
-    assert marks[0] == MOST_MARK and all(mark * count <= 16 * 2**20 for count, mark in enumerate(marks, 1))
-    budget.streams = 10**6
-    assert budget.mark() == LEAST_MARK and WHOLE == 65536
+        marks.append(budget.high_water_bytes())
+        budget.stream_count += 1
+    assert marks[0] == MAX_HIGH_WATER_BYTES
+    assert all(mark * count <= 16 * 2**20 for count, mark in enumerate(marks, 1))
+    budget.stream_count = 10**6
+    assert budget.high_water_bytes() == MIN_HIGH_WATER_BYTES and MAX_BUFFERED_BODY_BYTES == 65536
 
 
 def test_sixty_large_answers_at_once_share_the_budget():
@@ -434,7 +452,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(1_000_000))
         answers = await asyncio.gather(*(whole_answer(one.reader) for one in clients))
         assert all(whole and len(body) == 1_000_000 for _, _, body, whole in answers)
-        assert not gate.keeper.workers.budget.streams
+        assert not gate.keeper._streams._budget.stream_count
 
     one_raw(scenario)
 
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -14,8 +14,6 @@
     "plumpick/policy/budgets/ledger.py",
     "plumpick/policy/controller.py",
     "plumpick/gateway/cluster/lease_runner.py",
-    "plumpick/gateway/gateway.py",
-    "plumpick/gateway/upstream/connection_pool.py",
 }
 LARGE_FUNCTIONS = {
     "plumpick/policy/budgets/ledger.py:_asked",
@@ -26,7 +24,6 @@
     "plumpick/policy/snapshot.py:leave",
     "plumpick/policy/snapshot.py:take_over",
     "plumpick/gateway/cluster/lease_runner.py:status",
-    "plumpick/gateway/gateway.py:__init__",
 }
 CIRCLES = {
     ("plumpick.policy.controller", "plumpick.policy.reconfiguration", "plumpick.policy.snapshot"),
--- a/tests/upstream/test_late_connections.py
+++ b/tests/upstream/test_late_connections.py
@@ -41,13 +41,15 @@
         client.send(request(path="/book", key="k1", body=b"x"))
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=400.0)]
-        gate.keeper.notice(TimerFired("again"))
+        gate.keeper.post_event(TimerFired("again"))
         await dials.opened.wait()
         clock = gate.keeper.clock
-        gate.keeper.workers._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)})
+        gate.keeper.connection_pool._clock = type(
+            "Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)}
+        )
         dials.go.set()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-        gate.keeper.workers._clock, gate.script.worker = clock, "w1"
+        gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
     held(scenario, Script(worker=None))
@@ -66,7 +68,7 @@
             await gate.script.event(RequestReceived)
             came = await gate.script.event(RequestReceived)
             gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=-1.0)]  # over by now
-            gate.keeper.notice(TimerFired("again"))
+            gate.keeper.post_event(TimerFired("again"))
             await gate.script.event(AttemptCompleted)
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
             gate.script.worker = "w1"
@@ -83,11 +85,11 @@
         await dials.opened.wait()
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [RejectRequest(came.id, 250.0)]
-        gate.keeper.notice(TimerFired("refuse"))
+        gate.keeper.post_event(TimerFired("refuse"))
         assert (await client.answer())[0] == 503
         dials.go.set()
         await next_is(worker, gate)
-        assert not gate.keeper.attempts
+        assert not gate.keeper.requests.attempts
 
     held(scenario, settings=STAYS)
 
@@ -115,7 +117,7 @@
                 dials = HeldDials(gate)
                 came = await gate.script.event(RequestReceived)
                 gate.script.to_do = [StartAttempt(came.id, "w2", 9000.0)]
-                gate.keeper.notice(TimerFired("hedge"))
+                gate.keeper.post_event(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
                 assert (await client.answer())[2] == b"first"
@@ -139,7 +141,7 @@
 def test_what_waited_behind_an_open_request_is_not_sent_once_its_client_has_gone(monkeypatch):
     """Reading is held while something waits behind an open request: its client's end is not read."""
     monkeypatch.setattr(
-        "plumpick.gateway.upstream.connection_pool.REST_MS", 0.0
+        "plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0
     )  # its connection is used again at once
 
     async def scenario():
@@ -151,7 +153,7 @@
             assert one.is_reading_suspended and one.open_request is not None
             writer.write(answer())
             await next_is(worker, gate)
-            assert not gate.keeper.open
+            assert not gate.keeper.requests.open
 
     run(scenario())
 
@@ -194,12 +196,12 @@
             came = await gate.script.event(RequestReceived)
             (one,) = gate.front.admission.connections
             plug.close()  # from here on the loop does not turn
-            assert Platform().has_ended(one.transport) and came.id in gate.keeper.open
+            assert Platform().has_ended(one.transport) and came.id in gate.keeper.requests.open
             gate.front.admission._last_sweep_ms = gate.keeper.clock.now() - 1000.0
             gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
-            gate.keeper.notice(TimerFired("timer"))
-            gate.keeper._turn()
-            assert not gate.keeper.attempts and not gate.keeper.open
+            gate.keeper.post_event(TimerFired("timer"))
+            gate.keeper._turn.run()
+            assert not gate.keeper.requests.attempts and not gate.keeper.requests.open
             gate.script.worker = "w1"
             await next_is(worker, gate)
 
@@ -209,7 +211,7 @@
 def later(gate, by_ms):
     """The clock by which attempts leave goes on by so much."""
     clock = gate.keeper.clock
-    gate.keeper.workers._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + by_ms)})
+    gate.keeper.connection_pool._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + by_ms)})
 
 
 @pytest.mark.parametrize("script", [Script(), Again("nowhere")], ids=["first", "further"])
@@ -252,7 +254,7 @@
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=9000))
         await dials.opened.wait()
-        gate.keeper.leave(2000.0)
+        gate.keeper.shut_down_within(2000.0)
         dials.go.set()
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
@@ -265,13 +267,13 @@
         client.send(request(deadline=5000))
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(came.id, "w1", 4900.0)]
-        gate.keeper.notice(TimerFired("send"))
+        gate.keeper.post_event(TimerFired("send"))
         await dials.opened.wait()
-        clock = gate.keeper.workers._clock
+        clock = gate.keeper.connection_pool._clock
         later(gate, 4901.0)
         dials.go.set()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-        gate.keeper.workers._clock, gate.script.worker = clock, "w1"
+        gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
     held(scenario, Script(worker=None))
@@ -284,7 +286,7 @@
         client.send(data[:-1])
         await dials.opened.wait()
         client.send(data[-1:])  # it is whole while its connection comes up
-        while next(iter(gate.keeper.open.values())).guard is None:
+        while next(iter(gate.keeper.requests.open.values())).deadline_timer is None:
             await asyncio.sleep(0)
         later(gate, 1900.0)
         dials.go.set()
--- a/tests/upstream/test_what_may_have_run.py
+++ b/tests/upstream/test_what_may_have_run.py
@@ -67,7 +67,7 @@
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
-            (attempt,) = gate.keeper.attempts.values()
+            (attempt,) = gate.keeper.requests.attempts.values()
             attempt.connection.transport.pause_reading()
             for part in (HEAD + b"\r\nall", b" of it")[:cut]:
                 writer.write(part)
@@ -89,7 +89,7 @@
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
             _, writer = await worker.asked()
-            (attempt,) = gate.keeper.attempts.values()
+            (attempt,) = gate.keeper.requests.attempts.values()
             transport = attempt.connection.transport
             transport.pause_reading()  # as if the loop had not come to it
             writer.write(HEAD + b"\r\n" + part)
