--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -8,6 +8,9 @@
 from plumpick.gateway.config import parse_config
 from plumpick.gateway.operator_config import operator_from
 from plumpick.gateway.platform import Platform
+from plumpick.policy.budgets.codec import encode_limits
+from plumpick.policy.budgets.messages import LimitsMessage
+from plumpick.policy.leases.actions import DeliverPayload
 
 
 class PlatformWithGuard(Platform):
@@ -124,3 +127,15 @@
         await until(lambda: orders == ["DRAIN", "UNDRAIN"])
 
     run_alone([], scenario, turns=1)
+
+
+def test_the_lower_limits_of_another_gateway_reach_the_budget_that_is_allocated_here():
+    async def scenario(part, _orders):
+        now_ms = part._system.boottime()
+        query = encode_limits(LimitsMessage(0, 60.0, 30.0, True))
+        part._carry_out(now_ms, DeliverPayload(1, 0, query))
+        allocated = part.budgets.ledger.allocators["exports"].budget
+        assert (allocated.limit, allocated.burst) == (60.0, 30.0)
+
+    budget = {"name": "exports", "whole": 120, "burst": 60, "floor": 0.3}
+    run_alone([], scenario, budget=[budget])
