--- a/tests/configuration/test_source.py
+++ b/tests/configuration/test_source.py
@@ -40,7 +40,7 @@
         self.task = None
 
     def reconfigure(self, news):
-        if news.settings.classes[0].worth == self.wrong:
+        if news.settings.classes[0].priority_weight == self.wrong:
             raise SettingsRejectedError("classes[0].worth: no such worth")
         self.taken.append(news)
         self.changed.set()
@@ -109,7 +109,7 @@
         assert len(news.settings.classes) == 400 and news.settings.number == 0 and news.name == "n0"
         sent = service.bytes_out
         assert (await put(service, document(2, published(2, 400))))[0] == 200
-        assert (await keeper.until(2)).settings.classes[0].worth == 2.0
+        assert (await keeper.until(2)).settings.classes[0].priority_weight == 2.0
         assert service.bytes_out - sent < 2000  # changes, not 400 classes
         assert keeper.source.versions.in_force.digest == digest(published(2, 400))
         await keeper.stop()
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -65,8 +65,8 @@
         "assert compiled.use_compiled_files(Path(sys.argv[1])).startswith('decisions: compiled')\n"
         "import pytest, plumpick.gateway.gateway, plumpick.gateway.listeners.http.connection as one\n"
         "assert one.__file__.endswith('.so') and plumpick.gateway.gateway.__file__.endswith('.so')\n"
-        "sys.exit(pytest.main(['-q', '-p', 'no:cacheprovider', 'tests/test_gatekeeper.py',"
-        "'tests/test_swallowing.py', '-k', 'not no_cycle']))"
+        "sys.exit(pytest.main(['-q', '-p', 'no:cacheprovider', 'tests/gateway/test_gatekeeper.py',"
+        "'tests/gateway/test_swallowing.py', '-k', 'not no_cycle']))"
     )
     done = python("-c", code, folder)
     assert done.returncode == 0, done.stdout[-3000:] + done.stderr
