--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -203,7 +203,7 @@
 
 
 class SettingsSource(Protocol):
-    """What the gateway asks of the source of its settings (dynamic_config/client.py)."""
+    """What the gateway asks of the client of its settings (dynamic_config/client.py)."""
 
-    def line(self) -> str:
+    def status_line(self) -> str:
         """The reply to CONFIGURATION."""
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -62,7 +62,7 @@
                 raise CommandRejectedError(
                     "settings are those of the file: the operator's names no [configuration]"
                 )
-            return context.settings_source.line()
+            return context.settings_source.status_line()
         if name in ("DUTIES", "BUDGETS") or (name == "DRAIN" and argument):
             return self._execute_cluster_command(name, argument)
         if name == "UNDRAIN" and context.participant is not None:
--- /dev/null
+++ b/tests/policy/dynamic_config/test_version_store.py
@@ -0,0 +1,77 @@
+"""The service's decisions: what it stores and what it answers."""
+
+import json
+
+import pytest
+from support.dynamic_config import document, published, status_of
+
+from plumpick.policy.dynamic_config.delta import settings_digest
+from plumpick.policy.dynamic_config.errors import PublishError
+from plumpick.policy.dynamic_config.updates import SettingsVersion, parse_update, resolve_update
+from plumpick.policy.dynamic_config.version_store import MAX_SUBSCRIBERS, MAX_VERSIONS, VersionStore
+
+
+def publish_problem(store, value):
+    """What the store says against a version."""
+    with pytest.raises(PublishError) as raised:
+        store.publish(0.0, value)
+    return str(raised.value)
+
+
+def test_publishing_rejects_other_content_or_time_under_a_number_and_older_numbers():
+    store = VersionStore()
+    assert store.publish(0.0, document(5, published(5))) is None
+    assert store.publish(0.0, document(5, published(5))) is None
+    assert "another content" in publish_problem(store, document(5, published(6)))
+    assert "another content or time" in publish_problem(store, document(5, published(5), 9.0))
+    assert "older" in publish_problem(store, document(4, published(4)))
+    assert "digest" in publish_problem(store, {**document(6, published(6)), "digest": "0" * 64})
+    assert "whole" in publish_problem(
+        store,
+        {
+            "version": 6,
+            "digest": "0" * 64,
+            "in_force_ms": 0,
+            "base": 5,
+            "base_digest": "0" * 64,
+            "changes": {},
+        },
+    )
+    assert list(store.versions) == [5]
+
+
+def test_a_delta_is_sent_for_a_stored_base_a_snapshot_otherwise_nothing_if_up_to_date():
+    store = VersionStore()
+    assert store.response_for(0, "", 0) is None
+    for number in range(1, MAX_VERSIONS + 3):
+        store.publish(0.0, document(number, published(number, 50)))
+    assert len(store.versions) == MAX_VERSIONS
+    newest = MAX_VERSIONS + 2
+    base = SettingsVersion(3, settings_digest(published(3, 50)), 0.0, published(3, 50))
+    answer = json.loads(store.response_for(3, base.digest, 0))
+    assert "changes" in answer and resolve_update(parse_update(answer), base).settings == published(
+        newest, 50
+    )
+    for since, its in ((2, settings_digest(published(2, 50))), (3, "0" * 64), (0, ""), (3, "")):
+        assert "settings" in json.loads(store.response_for(since, its, 0))
+    assert store.response_for(newest, "", 0) is None and store.response_for(newest + 4, "", 0) is None
+    assert store.response_for(3, base.digest, newest) is None  # it was refused: not offered again
+
+
+def test_a_snapshot_is_sent_where_the_delta_is_not_shorter():
+    store = VersionStore()
+    store.publish(0.0, document(1, {"limits": {"a": 1}}))
+    store.publish(0.0, document(2, {"limits": {"a": 2}}))
+    assert "settings" in json.loads(store.response_for(1, settings_digest({"limits": {"a": 1}}), 0))
+
+
+def test_subscribers_are_bounded_and_the_longest_silent_one_is_dropped():
+    store = VersionStore()
+    for number in range(MAX_SUBSCRIBERS + 1):
+        store.record_subscriber(status_of(f"n{number}", number, 0, ""))
+        store.record_subscriber(status_of("n0", 0, 0, ""))
+    assert (
+        len(store.subscribers) == MAX_SUBSCRIBERS
+        and "n0" in store.subscribers
+        and "n1" not in store.subscribers
+    )
--- /dev/null
+++ b/tests/support/dynamic_config.py
@@ -0,0 +1,71 @@
+"""Settings to publish, and a gateway's subscriber without sockets."""
+
+import copy
+import random
+
+from fakes import settings
+
+from plumpick.policy.dynamic_config.delta import settings_digest, shared_settings
+from plumpick.policy.dynamic_config.errors import DynamicConfigError, InvalidUpdateError
+from plumpick.policy.dynamic_config.subscriber import ConfigSubscriber
+from plumpick.policy.dynamic_config.updates import parse_update, resolve_update
+from plumpick.policy.dynamic_config.version_store import SubscriberStatus
+
+
+def published(mark=0, classes=3):
+    """Settings as they are published; `mark` makes them differ."""
+    value = copy.deepcopy(shared_settings(settings()))
+    row = value["classes"][0]
+    value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
+    value["classes"][0]["worth"] = float(mark)
+    value["packages"][0]["perSecond"] = 50.0 + mark
+    return value
+
+
+def document(version, value, at_ms=0.0):
+    return {"version": version, "digest": settings_digest(value), "in_force_ms": at_ms, "settings": value}
+
+
+def status_of(name, number, version, digest, last_call_ms=0.0, rejected=0, reason="", staged=0):
+    """What a gateway reported with its last call."""
+    return SubscriberStatus(name, number, version, digest, staged, rejected, reason, last_call_ms)
+
+
+class Subscription:
+    """A subscriber with what the daemon does round it, at once."""
+
+    def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
+        self.subscriber = ConfigSubscriber(number, 5, addresses, random.Random(1), now_ms)
+        self.reason_against = reason_against
+        self.problems = []  # the texts of errors, "" where there was none
+        self.activated = []  # (when, number, digest of its settings)
+
+    def receive(self, now_ms, value):
+        """An answer of a service."""
+        problem = ""
+        try:
+            self._stage(now_ms, value)
+        except InvalidUpdateError as error:
+            self.subscriber.on_invalid_update()
+            problem = str(error)
+        except DynamicConfigError as error:
+            problem = str(error)
+        self.problems.append(problem)
+        self.activate_due(now_ms)
+
+    def _stage(self, now_ms, value):
+        update = parse_update(value)
+        self.subscriber.require_wanted(update)
+        version = resolve_update(update, self.subscriber.newest)
+        reason = self.reason_against(version.settings)
+        if reason:
+            self.subscriber.reject(now_ms, version, reason)
+        else:
+            self.subscriber.stage(now_ms, version)
+
+    def activate_due(self, now_ms):
+        """Activate the staged version, if its time has come."""
+        version = self.subscriber.due_version(now_ms)
+        if version is not None:
+            self.subscriber.on_activated(version)
+            self.activated.append((now_ms, version.number, settings_digest(version.settings)))
