--- a/plumpick/policy/budgets/matching.py
+++ b/plumpick/policy/budgets/matching.py
@@ -2,7 +2,7 @@
 
 Thousands of budgets may be configured, most of them for a single customer, and every request is matched. So
 budgets of customers are indexed by customer, and the others are worked out once for each class and plan that
-occurs. tests/policy/budgets/test_matching.py compares the result with a scan of all budgets."""
+occurs. tests/policy/budgets/test_budget_matching.py compares the result with a scan of all budgets."""
 
 from __future__ import annotations
 
