--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -26,7 +26,7 @@
 from plumpick.gateway.errors import SettingsRejectedError
 from plumpick.gateway.http_client import CallFailedError, HttpConnection, HttpResponse, call_errors, host_of
 from plumpick.policy.dynamic_config import subscriber as protocol
-from plumpick.policy.dynamic_config.delta import Settings
+from plumpick.policy.dynamic_config.delta import SettingsJson
 from plumpick.policy.dynamic_config.errors import (
     DynamicConfigError,
     InvalidUpdateError,
@@ -68,7 +68,7 @@
     config: Config | UnusableSettingsError
 
 
-def config_with(config: Config, settings: Settings) -> Config:
+def config_with(config: Config, settings: SettingsJson) -> Config:
     """The configuration with published settings, this gateway's own keys kept; raises SettingsError."""
     own = {"myNumber": config.settings.gateway_number, "locality": config.settings.zone}
     combined = {**settings, **own}
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -31,7 +31,7 @@
     PEER_MESSAGE = "heard"  # [sender, hex]
     OWN_MESSAGE = "said"  # hex: the policy's message to its own number
     OPERATOR_COMMAND = "ordered"  # [name, argument]
-    LEASE_TALLY = "counted"  # a row of the cluster participant
+    USAGE_ROW = "counted"  # a row of counted usage, for the cluster participant
 
 
 class MessageFormatError(ValueError):
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -155,7 +155,7 @@
         leases = None
         if context.participant is not None:  # whatever becomes of it, from here on the leases are not ours
             leases = context.participant.capture()
-            context.participant.usage.forward = lambda row: channel.send(MessageKind.LEASE_TALLY, row)
+            context.participant.usage.forward = lambda row: channel.send(MessageKind.USAGE_ROW, row)
         try:
             state = self._export_state(leases)
             context.close()
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -69,7 +69,7 @@
             context.gateway.on_relayed_message(context.number, bytes.fromhex(value))
         elif kind == MessageKind.OPERATOR_COMMAND:
             _execute_command(context, value)
-        elif kind == MessageKind.LEASE_TALLY:
+        elif kind == MessageKind.USAGE_ROW:
             if context.participant is not None:
                 context.participant.usage.count_forwarded(value)
         else:
--- a/plumpick/gateway/open_request.py
+++ b/plumpick/gateway/open_request.py
@@ -1,6 +1,7 @@
 """A request that has no final response yet, and the ids that such requests have.
 
-Records alone: the gateway's table owns them (gateway.py), and bounds them by each request's deadline."""
+Records alone: the gateway's table owns them (request_table.py), and bounds them by each request's
+deadline."""
 
 from __future__ import annotations
 
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -17,7 +17,9 @@
 from plumpick.policy.actions import CommandCompleted
 from plumpick.policy.events import CommandKind, OperatorCommand, SettingsChanged
 
-# Fields of the configuration that are no settings; the list of workers is discovery's to change.
+# Fields of the configuration outside `settings`. A published version replaces settings alone and keeps them;
+# the check holds for any other caller. reconfiguration.FIXED names the settings that are fixed until a
+# restart. The list of workers is discovery's to change.
 RESTART_ONLY_FIELDS = (
     "name",
     "listen",
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -21,7 +21,8 @@
 DEADLINE_MARGIN_MS = 20.0  # the policy gets a deadline so much earlier: the network and timers take time
 FINAL_RESPONSE_MARGIN_MS = 5.0  # so long before the client gives up it gets a response
 
-# How a request ended, as plumpick/policy/usage_report.py has it.
+# How a request ended: the values of plumpick/policy/usage_report.py, which is loaded only where usage is
+# reported.
 SERVED = 0
 REJECTED = 1
 FAILED = 2
--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -1,8 +1,9 @@
 """Which requests get an attempt: all that wait while the concurrency limit leaves room, else by class shares
 and by priority; and until when they may wait.
 
-Release order is by priority weight alone (highest first, the newest first among equals); requests beyond
-their quota come last, and not at all while the limit is nearly reached."""
+Release order is by the request's priority times the ratio of its class's answers that come in time (highest
+first, the newest first among equals). Requests beyond their quota come last, and not at all while
+`MAX_OVER_QUOTA_LOAD_RATIO` of the limit or more is in flight."""
 
 from __future__ import annotations
 
@@ -15,9 +16,8 @@
 from plumpick.policy.request_state import Attempt, Request
 from plumpick.policy.settings import RequestClass
 
-MAX_QUEUED_RATIO = (
-    0.45  # of a request's time that it may wait at most: its client can use the rest for a retry
-)
+# of a request's time that it may wait at most: its client can use the rest for a retry
+MAX_QUEUED_RATIO = 0.45
 MAX_OVER_QUOTA_LOAD_RATIO = 0.5  # of the concurrency limit: with more in flight nothing beyond a quota starts
 MIN_RETRY_AFTER_MS = 250.0  # where nothing better is known
 
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -1,5 +1,5 @@
-"""The bytes of messages about budgets. They travel as notes within the messages of leases
-(plumpick/policy/leases/codec.py), of at most `MAX_PAYLOAD_BYTES` bytes each; long lists take several notes.
+"""The bytes of messages about budgets. They travel as payloads within the messages of leases
+(plumpick/policy/leases/codec.py), of at most `MAX_PAYLOAD_BYTES` bytes each; long lists take several.
 
 Amounts are doubles in full: a grant must be counted with the value that was sent, to the last bit, or
 rounding up in each of many grants would sum to more than the limit. Bytes that are no message decode to None;
@@ -21,7 +21,7 @@
 )
 from plumpick.policy.leases.codec import MAX_PAYLOAD_BYTES
 
-# The first byte of a note; notes of usage reports begin with others (usage_report.py).
+# The first byte of a payload; usage reports begin with others (usage_report.py).
 DEMAND_REPORT = 0x21
 GRANT = 0x22
 ALLOCATOR_HINT = 0x23
@@ -42,7 +42,7 @@
 
 
 def encode_demand_reports(reports: list[DemandReport]) -> list[bytes]:
-    """The notes that carry all of these reports."""
+    """The payloads that carry all of these reports."""
     return [
         bytes([DEMAND_REPORT]) + b"".join(map(_report_row, reports[begin : begin + REPORTS_PER_MESSAGE]))
         for begin in range(0, len(reports), REPORTS_PER_MESSAGE)
@@ -50,7 +50,7 @@
 
 
 def encode_grants(incarnation: int, fencing_token: int, rows: list[GrantRow]) -> list[bytes]:
-    """The notes that carry all of these grants, made under one token, to one incarnation of a gateway."""
+    """The payloads that carry all of these grants, made under one token, to one incarnation of a gateway."""
     header = _GRANT_HEADER.pack(GRANT, incarnation, fencing_token.to_bytes(_TOKEN_BYTES, "big"))
     return [
         header + b"".join(map(_grant_row, rows[begin : begin + GRANTS_PER_MESSAGE]))
@@ -59,12 +59,12 @@
 
 
 def encode_allocator_hint(hint: AllocatorHint) -> bytes:
-    """The note of a hint."""
+    """The payload of a hint."""
     return _HINT.pack(ALLOCATOR_HINT, hint.slot, hint.gateway)
 
 
 def encode_limits(message: LimitsMessage) -> bytes:
-    """The note of limits."""
+    """The payload of a limits message."""
     kind = LIMITS_QUERY if message.is_query else LIMITS
     return _LIMITS.pack(kind, message.budget_index, message.limit, message.burst)
 
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -87,7 +87,7 @@
         self._allocations = SlotAllocations(gateways, terms, grant_term_ms)
         self.allocators = self._allocations.allocators
         self._limits = LimitsAgreement(number, grant_term_ms, self.allocators)
-        self.outbox: list[tuple[int, bytes]] = []  # receiver and note
+        self.outbox: list[tuple[int, bytes]] = []  # receiver and payload
         self.warnings = self._limits.warnings  # lines for the log
         self._rejections_logged_ms: dict[str, float] = {}
 
@@ -178,7 +178,7 @@
         lease_holder_of: Callable[[int], int | None],
         lease_end_of: Callable[[int], float] = lambda _slot: math.inf,
     ) -> None:
-        """A note came from that incarnation of the sender; one that cannot be decoded is dropped.
+        """A payload came from that incarnation of the sender; one that cannot be decoded is dropped.
         `lease_holder_of` tells, at an acceptor, who holds a slot's lease; `lease_end_of`, at its holder, when
         it ends by the own clock."""
         message = decode(data)
--- a/plumpick/policy/concurrency_limit.py
+++ b/plumpick/policy/concurrency_limit.py
@@ -25,9 +25,8 @@
 MIN_LIMIT = 1.0  # a limit under one attempt is reached by chance and not by load
 FEW_SAMPLES = 5
 PEER_CAPACITY_GAIN = 0.1
-MAX_WRITE_OFF_RATIO = (
-    1.0  # of the limit that overdue attempts may pass it by, besides as many as were answered
-)
+# of the limit that overdue attempts may pass it by, besides as many as were answered
+MAX_WRITE_OFF_RATIO = 1.0
 ANSWERED_MEMORY_MS = 3000.0
 
 # What the next process of this gateway goes on from, in the order of its row in a snapshot.
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -259,6 +259,7 @@
         elif kind is TimerKind.ADMISSION_STATE:
             self.turn.actions.append(SetAdmissionState(state.draining.state_at(now_ms)))
         elif kind is TimerKind.WATCH_ENDPOINTS:
+            # In the simulator alone: the daemon watches discovery itself (endpoint_watch.py).
             if state.settings.must_request_watch:
                 self.turn.actions.append(WatchEndpoints())
         else:
--- a/plumpick/policy/draining.py
+++ b/plumpick/policy/draining.py
@@ -1,22 +1,20 @@
-"""Sending clients away: what a drained gateway still does for them, and until when.
+"""Draining of clients: what a drained gateway still does for them, and until when.
 
-After the command the front learns by `/up` that it should send new connections elsewhere, which takes a
-moment, while clients go on using the connections that they have. So at first only answers change: each closes
-its connection. Then idle connections close, when no new ones come in any more and a request that crosses the
-close is sent again on a new one, elsewhere. What comes late, on a connection whose client writes slowly, is
-answered before the end, in place of its own deadline. At last those connections close on which no request has
-come whole. What is open is finished."""
+The load balancer before this gateway learns by `/up` that new connections should go elsewhere, which takes a
+moment, while clients go on using the connections that they have. Hence one state after the other: answers
+close their connections; idle connections close, once no new ones come (a request that crosses the close is
+sent again on a new connection, elsewhere); requests that come late, since their client writes slowly, are
+answered before the end instead of within their own deadline; connections close on which no request has come
+whole. What is open is finished."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-CLOSE_IDLE_AFTER_MS = (
-    500.0  # new connections come for 0.3 s more: the front asks each 0.1 s and sends for 0.2 s
-)
-BOUND_LATE_AFTER_MS = (
-    1900.0  # nothing younger than 2 s may be open 4 s after the command, with 0.1 s to spare
-)
+# new connections come for 0.3 s more: the balancer asks `/up` each 0.1 s and may send for 0.2 s more
+CLOSE_IDLE_AFTER_MS = 500.0
+# nothing younger than 2 s may be open 4 s after the command, with 0.1 s to spare
+BOUND_LATE_AFTER_MS = 1900.0
 LATE_REQUEST_TIME_MS = 2000.0  # so what comes from then on is answered within so long, whatever its deadline
 CLOSE_UNREAD_AFTER_MS = 2500.0  # who connected in the first 0.3 s may take 2 s to write
 TIMER_GRAIN_MS = 0.01  # a timer may fire so early
@@ -28,9 +26,8 @@
     OPEN = 0  # connections are kept
     REDIRECTING = 1  # `/up` says no; an answer closes its connection
     CLOSING_IDLE = 2
-    BOUNDING_LATE_REQUESTS = (
-        3  # requests are answered within LATE_REQUEST_TIME_MS of the beginning of this state
-    )
+    # requests are answered within LATE_REQUEST_TIME_MS of the beginning of this state
+    BOUNDING_LATE_REQUESTS = 3
     CLOSING_UNREAD = 4  # connections close on which no request has come whole
 
 
--- a/plumpick/policy/dynamic_config/delta.py
+++ b/plumpick/policy/dynamic_config/delta.py
@@ -17,10 +17,10 @@
 GATEWAY_OWN_KEYS = ("myNumber", "locality")  # from the gateway's own file, never published
 KEYED_LISTS = ("classes", "packages")  # lists whose rows have names
 
-Settings = dict[str, Any]
+SettingsJson = dict[str, Any]
 
 
-def shared_settings(settings: Settings) -> Settings:
+def shared_settings(settings: SettingsJson) -> SettingsJson:
     """The settings without what is each gateway's own."""
     return {key: value for key, value in settings.items() if key not in GATEWAY_OWN_KEYS}
 
@@ -33,7 +33,7 @@
         raise DeltaError(f"no canonical JSON: {problem}") from problem
 
 
-def settings_digest(settings: Settings) -> str:
+def settings_digest(settings: SettingsJson) -> str:
     """SHA-256 over the canonical JSON of the shared settings, in hex; raises DeltaError.
 
     Row by row: one call for 11,000 rows would hold the interpreter, and with it the event loop, until its
@@ -54,7 +54,7 @@
     return sha.hexdigest()
 
 
-def changes_between(before: Settings, after: Settings) -> dict[str, Any]:
+def changes_between(before: SettingsJson, after: SettingsJson) -> dict[str, Any]:
     """The delta that makes `after` of `before`, in the service's JSON; raises DeltaError."""
     before = shared_settings(before)
     after = shared_settings(after)
@@ -71,7 +71,7 @@
     return changes
 
 
-def apply_changes(before: Settings, changes: Any) -> Settings:
+def apply_changes(before: SettingsJson, changes: Any) -> SettingsJson:
     """The settings after the changes; raises DeltaError. `before` stays as it was; unchanged rows are
     shared."""
     try:
--- a/plumpick/policy/dynamic_config/updates.py
+++ b/plumpick/policy/dynamic_config/updates.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumpick.policy.dynamic_config.delta import Settings, apply_changes, settings_digest, shared_settings
+from plumpick.policy.dynamic_config.delta import SettingsJson, apply_changes, settings_digest, shared_settings
 from plumpick.policy.dynamic_config.errors import DeltaError, InvalidUpdateError
 
 MAX_VERSION_NUMBER = 2**53  # JSON numbers are exact integers up to here
@@ -22,7 +22,7 @@
     number: int
     digest: str
     activates_at_ms: float  # Unix ms
-    settings: Settings
+    settings: SettingsJson
 
 
 OWN_FILE = SettingsVersion(0, "", 0.0, {})
@@ -35,7 +35,7 @@
     number: int
     digest: str
     activates_at_ms: float  # Unix ms
-    settings: Settings | None  # None: a delta
+    settings: SettingsJson | None  # None: a delta
     changes: Any = None
     base_number: int = 0
     base_digest: str = ""
--- a/plumpick/policy/load_balancing.py
+++ b/plumpick/policy/load_balancing.py
@@ -27,9 +27,8 @@
 MAX_WARMING_FAILURE_RATIO = 0.5  # an endpoint that warms up and fails more is passed by
 WARMING_SAMPLE_MS = 1000.0  # after which a request may be sampled for a warming endpoint again
 WARMING_SAMPLE_ALONE_MS = 100.0  # the same where no warm endpoint could take it
-WARMING_LOAD_RATIO = (
-    0.8  # of the rule's overload multiple, that the warm endpoints' missing capacity may cost
-)
+# of the rule's overload multiple, that the warm endpoints' missing capacity may cost
+WARMING_LOAD_RATIO = 0.8
 
 
 class LoadBalancer:
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -1,8 +1,9 @@
 """Endpoints that fail more than others: failure ratios, ejection, and what peers report.
 
-An ejected endpoint gets nothing of the class that it fails. At most a part of the warm endpoints is ejected,
-and none where more than that look bad: the cause is then this gateway's network or an overload, and ejection
-would empty the list."""
+An ejected endpoint gets nothing of the class that it fails while another endpoint may be chosen
+(load_balancing.py); endpoints that are warming up are never ejected. At most a part of the warm endpoints is
+ejected, and none where more than that look bad: the cause is then this gateway's network or an overload, and
+ejection would empty the list."""
 
 from __future__ import annotations
 
--- a/plumpick/policy/quota/context.py
+++ b/plumpick/policy/quota/context.py
@@ -22,9 +22,8 @@
     def __init__(self, settings: Settings, incarnation: int) -> None:
         self.settings = settings
         self.incarnation = incarnation
-        self.has_sibling = (
-            False  # there is, or was, another process of this gateway: messages to our number are its
-        )
+        # there is, or was, another process of this gateway: messages to our number are its
+        self.has_sibling = False
         self.has_successor = False  # and that process keeps the ledgers now
         self.plans_changed_ms = -float("inf")  # when a plan's figures changed last, or a plan came or went
         self.class_index: dict[str, int] = {}
--- a/plumpick/policy/quota/hard_limits.py
+++ b/plumpick/policy/quota/hard_limits.py
@@ -5,9 +5,8 @@
 
 from __future__ import annotations
 
-USED_RATIO = (
-    0.96  # of a hard limit, that its parts make together: what was spent may be forwarded a little later
-)
+# of a hard limit, that its parts make together: what was spent may be forwarded a little later
+USED_RATIO = 0.96
 OWNER_RATIO = 0.7 * USED_RATIO  # the quota and more, where the hard limit is 1.7 times it
 SET_RATIO = 0.3 * USED_RATIO  # divided over the set, for units spent without a grant
 
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -35,9 +35,8 @@
 CUSTOMER_INBOX_RATIO = 0.5  # of an owner's inbox, that one customer's requests may fill;
 CUSTOMER_RATE_RATIO = 2.0  # or so many times its quota
 
-UNCONFIRMED_MAX_AGE_MS = (
-    10_000.0  # for so long an owner is told again what was spent while it was unreachable
-)
+# for so long an owner is told again what was spent while it was unreachable
+UNCONFIRMED_MAX_AGE_MS = 10_000.0
 MAX_UNCONFIRMED = 256  # messages for each owner
 USED_MEMORY_MS = 5000.0  # for which a used grant is remembered against its repetition
 MAX_SERIAL = 0xFFFF
@@ -182,15 +181,23 @@
         is_local = plan.rate_per_s and not plan.max_in_flight and units <= account.local_units
         if is_local and self.spend_local(now_ms, request):
             return True
-        # Requests that an owner's inbox cannot take are lost there with everyone else's: so many are sent as
-        # it can hear.
-        settings = self.context.settings
-        inbox_per_s = CUSTOMER_INBOX_RATIO * settings.peer_inbox_per_s
-        heard_per_s = max(inbox_per_s, CUSTOMER_RATE_RATIO * plan.rate_per_s)
-        if not settings.peer_inbox_per_s or self.rng.random() * account.set_demand_per_s <= heard_per_s:
+        if self._may_ask_owner(account, plan):
             self.request_grant(now_ms, request)
         return False
 
+    def _may_ask_owner(self, account: CustomerAccount, plan: Plan) -> bool:
+        """Whether this request is among those that the owner is asked for.
+
+        Requests that an owner's inbox cannot take are lost there with everyone else's. Of a customer that
+        asks for more than its part of the inbox and than its rate, only so many are sent, chosen at random,
+        as the owner can receive; the others wait and are rejected at their first attempt's deadline."""
+        settings = self.context.settings
+        inbox_per_s = CUSTOMER_INBOX_RATIO * settings.peer_inbox_per_s
+        received_per_s = max(inbox_per_s, CUSTOMER_RATE_RATIO * plan.rate_per_s)
+        if not settings.peer_inbox_per_s:
+            return True
+        return self.rng.random() * account.set_demand_per_s <= received_per_s
+
     def spend_local(self, now_ms: float, request: Request) -> bool:
         """Spend from the buckets here, where this gateway's part of the hard limit allows; the owner is
         told."""
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -64,11 +64,17 @@
         state.timers.schedule(first_attempt_ms, TimerKind.FIRST_ATTEMPT, received.id)
 
     def on_quota_reply(self, request: Request, is_granted: bool) -> None:
-        """The quota owner has answered. What it queues goes on beyond its quota where that pays."""
-        plan = request.plan
+        """The quota owner has granted the request, or queued it."""
         if is_granted:
             self.state.queue.append(request)
-        elif plan.over_quota_weight > plan.over_quota_cost and not plan.hard_limit_per_s:
+        else:
+            self._admit_over_quota(request)
+
+    def _admit_over_quota(self, request: Request) -> None:
+        """Let a request that has no grant go on beyond its quota, where its plan makes that worth the
+        cost."""
+        plan = request.plan
+        if plan.over_quota_weight > plan.over_quota_cost and not plan.hard_limit_per_s:
             self.state.quota.requester.pending.pop(request.grant_serial)
             request.is_within_quota = False
             request.priority = request.priority * plan.over_quota_weight
@@ -77,7 +83,7 @@
     def on_quota_denied(self, request: Request) -> None:
         """The quota owner will not grant the request in time."""
         if request.awaits_quota and request.received.id in self.state.requests:
-            self.on_quota_reply(request, False)  # what pays beyond its quota goes on
+            self._admit_over_quota(request)
             if request.awaits_quota:
                 self.reject_or_fail(request)
 
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -113,7 +113,7 @@
     can_message_peers: bool = False
     can_probe_endpoints: bool = False
     can_hedge: bool = False
-    must_request_watch: bool = False  # discovery notifies only who asks
+    must_request_watch: bool = False  # discovery is a shared service, and notifies only who asks
     settles_afterwards: bool = False
     max_retry_after_ms: float = 0.0
     peer_inbox_per_s: float = 0.0  # messages from other gateways; 0: no limit
--- a/plumpick/policy/slow_start.py
+++ b/plumpick/policy/slow_start.py
@@ -1,8 +1,8 @@
 """Endpoints that are warming up: how much of their capacity they surely have, and how much they may be sent.
 
 A cold endpoint that gets too much falls over, and all gateways together decide how much that is. So each
-sends it a counted part: no more than the rule's multiple of what a warm endpoint gets of this gateway, by its
-progress."""
+sends it a counted part: in each `overload_window_ms` no more than `overload_multiple` times what a warm
+endpoint gets of this gateway, times its progress; but always one attempt."""
 
 from __future__ import annotations
 
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -1,8 +1,10 @@
 """What one process of a gateway passes to the next, as JSON's values, and how the next goes on from it.
 
 Passed on: what operators disabled, accounts and ledgers with their hard limits, when peers were heard, the
-concurrency limit, what is learned of classes and endpoints. Not passed on: requests, which stay where they
-were received, and numbers of an incarnation, which tell grants apart.
+concurrency limit, retry tokens, the classes' shares and usual latencies, the endpoints' figures. Not passed
+on: requests, which stay where they were received; numbers of an incarnation, which tell grants apart; when an
+attempt of a class is overdue, what peers reported of endpoints, and which enabled workers still wait for
+their first attempt, all of which is learned again within seconds.
 
 Nothing may be granted twice: once a process has exported its state its buckets fill no more, and its messages
 to its own owner go to the successor. Times are of one clock: both processes run on one machine."""
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 MAX_PERIODS = 10  # that a gateway keeps
-SERVED = 0  # outcomes of a request, as in plumpick/gateway/gateway.py
+SERVED = 0  # outcomes of a request, as in plumpick/gateway/request_table.py
 REJECTED = 1
 FAILED = 2
 POLL_INTERVAL_MS = 50.0  # the owner polls one gateway in so long, and takes in 20 reports a second
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -21,9 +21,8 @@
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
 
 OVERDUE_MS = 70.0  # so long after its time a client that has no answer closes the connection
-CROSS_MS = (
-    100.0  # a connection that ends so soon after a request crossed it: the gatekeeper had closed it before
-)
+# a connection that ends so soon after a request crossed it: the gatekeeper had closed it before
+CROSS_MS = 100.0
 UP_S = 1.0  # for an answer to /up
 POLL_MS = 50.0  # how often the front looks whether a gatekeeper that was down is up
 IDLE_CLOSE_MS = 1500.0  # a client closes a connection that it has not used for so long
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.policy.dynamic_config.delta import Settings, settings_digest, shared_settings
+from plumpick.policy.dynamic_config.delta import SettingsJson, settings_digest, shared_settings
 from plumpick.policy.dynamic_config.rollout_report import ServiceStatus, report_rollout
 from plumpick.policy.settings_parser import parse_settings
 from plumpick.tools.call import address_of
@@ -56,7 +56,7 @@
         connection.close()
 
 
-def load_settings(path: str) -> Settings:
+def load_settings(path: str) -> SettingsJson:
     """The shared settings of a file: a gateway's configuration, or its `settings` alone. Raises
     SettingsFileError."""
     try:
@@ -91,7 +91,7 @@
 
 
 def next_version(
-    settings: Settings, statuses: list[ServiceStatus], now_ms: float, delay_ms: float
+    settings: SettingsJson, statuses: list[ServiceStatus], now_ms: float, delay_ms: float
 ) -> VersionDocument:
     """The version that these settings become: the newest one again where it has this very content, so that
     whoever lacks it gets it; else a new number. Services that know no version begin far above any number that
@@ -146,7 +146,7 @@
     return 0 if report.is_complete and not failures else 1
 
 
-def _fetch_settings(number: int, addresses: list[Address]) -> Settings:
+def _fetch_settings(number: int, addresses: list[Address]) -> SettingsJson:
     """The settings of a version, of the first service that has it; raises ServiceCallError."""
     for address in addresses:
         try:
@@ -154,7 +154,7 @@
         except ServiceCallError:
             continue
         if status == 200:
-            settings: Settings = value["settings"]
+            settings: SettingsJson = value["settings"]
             return settings
     raise ServiceCallError(f"version {number} could not be read")
 
