--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from typing import Any
 
-from plumpick.gateway import request_table
+from plumpick.gateway import request_table, stall_detector
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import WorkerList
 from plumpick.gateway.gateway import Gateway
@@ -107,6 +107,7 @@
     return [
         (request_table, "FINAL_RESPONSE_MARGIN_MS", -500.0),
         (request_table, "DEADLINE_MARGIN_MS", -500.0),
+        (stall_detector, "BACKLOG_READ_MS", -500.0),  # one constant with the margin in earlier programs
     ]
 
 
@@ -240,7 +241,7 @@
 
 def trusts_its_watch() -> Swap:
     """A watch that has fallen silent is waited for as long as the protocol allows."""
-    return [(endpoint_watch, "WATCH_MS", 60_000.0)]
+    return [(endpoint_watch, "AGENT_WATCH_TIMEOUT_MS", 60_000.0)]
 
 
 def sends_for_nobody() -> Swap:
