--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -4,7 +4,7 @@
 
 import pytest
 from fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
-from test_streams import whole_answer
+from gateway.test_streams import whole_answer
 
 from plumpick.gateway.platform import Platform
 from plumpick.policy.events import AttemptCompleted, AttemptResult
