--- a/tests/compatibility/config_histories.py
+++ b/tests/compatibility/config_histories.py
@@ -9,7 +9,7 @@
 import random
 
 from compatibility import dynamic_config as words
-from fakes import settings
+from support.fakes import settings
 
 STEPS, CHECKPOINT_STEPS = 160, 80
 DELTA_PAIRS = 12
--- a/tests/compatibility/config_wire.py
+++ b/tests/compatibility/config_wire.py
@@ -15,7 +15,7 @@
 
 from compatibility import dynamic_config as words
 from compatibility.config_histories import by_changes, document, published, spoilt
-from fakes import HOST, FakeDiscovery, entry, listing, reset, told
+from support.fakes import HOST, FakeDiscovery, entry, listing, reset, told
 
 PATIENCE_S = 60.0
 
--- a/tests/compatibility/dynamic_config.py
+++ b/tests/compatibility/dynamic_config.py
@@ -9,7 +9,7 @@
 import random
 from enum import Enum
 
-from fakes import config
+from support.fakes import config
 
 from plumpick.cli import main
 from plumpick.gateway.clock import Clock, Timers
--- a/tests/compatibility/edges.py
+++ b/tests/compatibility/edges.py
@@ -12,7 +12,7 @@
 import tomllib
 from pathlib import Path
 
-from fakes import config, entry, listing
+from support.fakes import config, entry, listing
 
 from plumpick.gateway.config import ConfigError, parse_config, parse_worker_list
 from plumpick.gateway.operator_config import operator_from
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -4,7 +4,7 @@
 import asyncio
 
 import pytest
-from fakes import Client, request
+from support.fakes import Client, request
 
 from benchmarks.budgets.trial import BUDGETS, Trial, audit, play
 from plumpick.gateway.operator_config import operator_from
--- a/tests/gateway/cluster/test_cluster_startup.py
+++ b/tests/gateway/cluster/test_cluster_startup.py
@@ -6,7 +6,7 @@
 import sys
 
 import pytest
-from fakes import config
+from support.fakes import config
 
 
 @pytest.mark.parametrize(
--- a/tests/gateway/cluster/test_fenced_effects.py
+++ b/tests/gateway/cluster/test_fenced_effects.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from fakes import HOST
+from support.fakes import HOST
 
 from plumpick.gateway.cluster import fenced_effects
 from plumpick.gateway.operator_config import Receiver
--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fakes import HOST, config
+from support.fakes import HOST, config
 
 from plumpick.gateway.cluster import fenced_effects, lease_runner
 from plumpick.gateway.config import parse_config
--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -4,9 +4,9 @@
 import signal
 
 import pytest
-from fakes import Client, FakeWorker, answer, request, run
 from support.config_processes import Machine
 from support.dynamic_config import published
+from support.fakes import Client, FakeWorker, answer, request, run
 
 
 def homed(path):
--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -7,8 +7,8 @@
 import random
 
 import pytest
-from fakes import HOST, config, run
 from support.dynamic_config import document, published
+from support.fakes import HOST, config, run
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import parse_config
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -7,9 +7,9 @@
 import sys
 
 import pytest
-from fakes import HOST
 from support.config_processes import Machine, on_a_machine, says
 from support.dynamic_config import document, published
+from support.fakes import HOST
 
 from benchmarks.configuration.trial import Published, judge, play
 from plumpick.policy.dynamic_config.rollout_report import report_rollout
--- a/tests/test_handover.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -8,11 +8,24 @@
 from dataclasses import replace
 
 import pytest
-from fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, listing, request, run, told
-from test_management import UP, say
-from test_module import FLEET, ask, home_of, item, of
-from test_process import free_port, start, until_up
-from test_rules import settings
+from support.controllers import FLEET, ask, home_of, item, of
+from support.fakes import (
+    HOST,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+    told,
+)
+from support.management import say
+from support.processes import UP, free_port, start, until_up
+from support.snapshots import left_by
+from support.traffic import settings
 
 from plumpick.gateway.hot_restart.message import (
     MAGIC,
@@ -23,13 +36,12 @@
 )
 from plumpick.gateway.hot_restart.socket_path import socket_path
 from plumpick.policy import snapshot
-from plumpick.policy.actions import CommandCompleted, SendPeerMessage, StartAttempt, StateExported
+from plumpick.policy.actions import CommandCompleted, SendPeerMessage, StartAttempt
 from plumpick.policy.controller import Controller
 from plumpick.policy.events import (
     AttemptCompleted,
     AttemptResult,
     CommandKind,
-    ExportState,
     ImportState,
     OperatorCommand,
     PeerMessageReceived,
@@ -79,11 +91,6 @@
     return control
 
 
-def left_by(control, now):
-    (state,) = of(StateExported, control.handle(now, [ExportState()]))
-    return json.loads(json.dumps(state.state, allow_nan=False))
-
-
 def let_in(control, now, count, first=1):
     sends = []
     for number in range(first, first + count):
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -5,8 +5,8 @@
 import socket
 
 import pytest
-from fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
-from test_gatekeeper import later
+from support.delays import later
+from support.fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
 
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.shutdown import close_listener
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from fakes import HOST, FakeDiscovery, answer, entry, listing, reset, run, told
+from support.fakes import HOST, FakeDiscovery, answer, entry, listing, reset, run, told
 
 from plumpick.gateway.discovery import DiscoveryClient
 
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -6,7 +6,8 @@
 import weakref
 
 import pytest
-from fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
+from support.delays import later
+from support.fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
 
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import parse_config, parse_worker_list
@@ -789,13 +790,6 @@
         await asyncio.sleep(0)
 
 
-def later(gate, ms):
-    """Let so much time go by for the connections of clients, and no stall of ours."""
-    admission, now = gate.front.admission, gate.keeper.clock.now() + ms
-    admission._last_sweep_ms = now - SWEEP_INTERVAL_MS
-    admission.sweep(now, gate.keeper.is_draining)
-
-
 @pytest.mark.parametrize(
     "said, status",
     [
--- a/tests/test_management.py
+++ b/tests/gateway/test_management.py
@@ -3,7 +3,8 @@
 import asyncio
 
 import pytest
-from fakes import HOST, Client, FakeWorker, Gate, answer, config, entry, listing, request, run
+from support.fakes import HOST, Client, FakeWorker, Gate, answer, config, entry, listing, request, run
+from support.management import say
 
 from plumpick.cli import main
 from plumpick.gateway.config import parse_config, parse_worker_list
@@ -20,20 +21,6 @@
 UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-async def say(port, data, end=False):
-    """The answer to what is sent on one connection, all of it; nothing where it just ends."""
-    reader, writer = await asyncio.open_connection(HOST, port)
-    try:
-        writer.write(data)
-        if end:
-            writer.write_eof()
-        return (await reader.read()).decode()
-    except ConnectionError:
-        return ""
-    finally:
-        writer.close()
-
-
 def with_office(scenario, **more):
     """A gatekeeper with one worker, w1, and its management port."""
 
--- a/tests/test_surroundings.py
+++ b/tests/gateway/test_platform.py
@@ -3,7 +3,7 @@
 import asyncio
 import socket
 
-from fakes import HOST, config, run
+from support.fakes import HOST, config, run
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import parse_config
--- a/tests/test_process.py
+++ b/tests/gateway/test_process.py
@@ -2,64 +2,28 @@
 
 import asyncio
 import json
-import os
 import pathlib
 import resource
 import signal
-import socket
-import sys
-import tomllib
 
 import pytest
-from fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, listing, request, run, told
+from support.fakes import (
+    HOST,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+    told,
+)
+from support.processes import UP, free_port, start, tell_list, until_up
 
 from plumpick.gateway.config import parse_config
 
-ROOT = pathlib.Path(__file__).parent.parent
-UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-
-
-def free_port():
-    with socket.create_server((HOST, 0)) as probe:
-        return probe.getsockname()[1]
-
-
-async def start(path, module="plumpick", **more):
-    command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
-    command = command.replace(".venv/bin/python", sys.executable).replace("-m plumpick", f"-m {module}")
-    return await asyncio.create_subprocess_exec(
-        "/bin/sh",
-        "-c",
-        command,
-        cwd=ROOT,
-        env={**os.environ, "BALANCER_CONFIG": str(path)},
-        stderr=asyncio.subprocess.PIPE,
-        **more,
-    )
-
-
-async def until_up(port):
-    """The first /up that is answered 200."""
-    while True:
-        try:
-            client = await Client().open(port)
-        except OSError:
-            await asyncio.sleep(0)
-            continue
-        try:
-            told = await client.send(UP).answer()
-        except ConnectionError:
-            continue
-        client.close()
-        if told and told[0] == 200:
-            return
-
-
-async def tell_list(fake, *entries):
-    """Answer the first call with the whole list, and leave the watch open."""
-    _, writer = await fake.called()
-    writer.write(told(listing(*entries)))
-
 
 def with_program(tmp_path, scenario, **more):
     async def whole():
--- a/tests/test_reconfigure_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -8,9 +8,20 @@
 
 import httptools
 import pytest
-from fakes import Client, FakeWorker, Gate, answer, config, entry, read_message, request, run, settings
-from test_ending import served
-from test_streams import Raw, head_of
+from support.fakes import (
+    Client,
+    FakeWorker,
+    Gate,
+    answer,
+    config,
+    entry,
+    read_message,
+    request,
+    run,
+    settings,
+)
+from support.raw_client import Raw, head_of
+from support.shutdown import served
 
 from plumpick.gateway import process
 from plumpick.gateway.config import parse_config
--- a/tests/test_ending.py
+++ b/tests/gateway/test_shutdown.py
@@ -5,26 +5,24 @@
 import signal
 
 import pytest
-from fakes import (
+from support.fakes import (
     HOST,
     Client,
-    FakeDiscovery,
     FakeWorker,
     Gate,
     Plug,
     Script,
     answer,
-    config,
     entry,
     listing,
     request,
     run,
     told,
 )
-from test_process import UP, free_port, until_up
+from support.processes import UP, free_port, until_up
+from support.shutdown import served
 
-from plumpick.gateway import daemon, management, process, shutdown
-from plumpick.gateway.config import parse_config
+from plumpick.gateway import management, process, shutdown
 from plumpick.policy.events import RequestReceived
 
 
@@ -70,26 +68,6 @@
     run(scenario())
 
 
-def served(scenario, monkeypatch, ending=(0.05, 0.1, 0.3), **more):
-    """The daemon in this process, which signals reach; `scenario` is given its port and the fake
-    discovery."""
-
-    async def whole():
-        async with FakeDiscovery() as fake, FakeWorker() as worker:
-            port = free_port()
-            values = {"known": listing(entry("w1", worker.port)), **more}
-            own = parse_config({**config(fake.port, port), **values}, {})
-            task = asyncio.get_running_loop().create_task(daemon.serve(own))
-            try:
-                await scenario(port, fake, worker, task)
-            finally:
-                task.cancel()
-                await asyncio.gather(task, return_exceptions=True)
-
-    monkeypatch.setattr(process, "shutdown_times", lambda _deadlines: ending)
-    run(whole())
-
-
 def test_sigterm_before_the_first_list_ends_it_and_it_is_never_ready(monkeypatch, caplog):
     """It waited for the list, said that it was ready, and counted the time to its end from then."""
     monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 1000.0)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -4,7 +4,8 @@
 
 import httptools
 import pytest
-from fakes import HOST, Client, Gate, Message, Script, entry, request, run
+from support.fakes import Client, Gate, Message, Script, entry, request, run
+from support.raw_client import Raw, head_of, whole_answer
 
 from plumpick.gateway.upstream.streaming_body import (
     MAX_BUFFERED_BODY_BYTES,
@@ -18,25 +19,6 @@
 BIG = 5 * 1024 * 1024
 
 
-class Raw:
-    """A worker that gives its connections to the test as they are."""
-
-    async def __aenter__(self):
-        self.came, self.writers = asyncio.Queue(), []
-        self.server = await asyncio.start_server(self._serve, HOST, 0, limit=2**16)
-        self.port = self.server.sockets[0].getsockname()[1]
-        return self
-
-    async def _serve(self, reader, writer):
-        self.writers.append(writer)
-        await self.came.put((reader, writer))
-
-    async def __aexit__(self, *_):
-        self.server.close()
-        for writer in self.writers:
-            writer.transport.abort()
-
-
 def one_raw(scenario, **more):
     async def whole():
         async with Raw() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
@@ -45,24 +27,6 @@
     run(whole())
 
 
-async def head_of(reader):
-    return (await reader.readuntil(b"\r\n\r\n")).decode()
-
-
-async def whole_answer(reader):
-    """(status, headers, body, whether it is whole) of what comes until it is whole or the connection ends."""
-    message = Message(httptools.HttpResponseParser)
-    try:
-        while not message.whole:
-            data = await reader.read(2**18)
-            if not data:
-                break
-            message.parser.feed_data(data)
-    except ConnectionError:
-        pass
-    return message.parser.get_status_code(), message.headers, message.body, message.whole
-
-
 def chunked(data, size=70_000):
     parts = [data[at : at + size] for at in range(0, len(data), size)]
     chunks = [b"%x;ext=1\r\n%s\r\n" % (len(part), part) for part in parts]
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from fakes import FakeWorker, Gate, answer, entry, request, run
+from support.fakes import FakeWorker, Gate, answer, entry, request, run
 
 OUT = 4  # debits that go out at the floor of the cap, for two workers at one of three gatekeepers
 
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -5,7 +5,19 @@
 import asyncio
 
 import pytest
-from fakes import FakeWorker, Gate, HeldDials, Plug, Script, answer, entry, next_is, request, run, settings
+from support.fakes import (
+    FakeWorker,
+    Gate,
+    HeldDials,
+    Plug,
+    Script,
+    answer,
+    entry,
+    next_is,
+    request,
+    run,
+    settings,
+)
 
 from plumpick.gateway.platform import Platform
 from plumpick.policy.actions import RejectRequest, StartAttempt
--- a/tests/gateway/upstream/test_streamed_attempts.py
+++ b/tests/gateway/upstream/test_streamed_attempts.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from fakes import FakeWorker, Gate, Script, entry, request, reset, run
+from support.fakes import FakeWorker, Gate, Script, entry, request, reset, run
 
 from plumpick.policy.events import AttemptCompleted, AttemptResult
 
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -3,8 +3,8 @@
 import asyncio
 
 import pytest
-from fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
-from gateway.test_streams import whole_answer
+from support.fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
+from support.raw_client import whole_answer
 
 from plumpick.gateway.platform import Platform
 from plumpick.policy.events import AttemptCompleted, AttemptResult
--- a/tests/test_ceilings.py
+++ b/tests/policy/quota/test_hard_limit_parts.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from quota_rig import Rig, cut
+from support.quota_rig import Rig, cut
 
 from plumpick.policy.quota import hard_limits
 from plumpick.policy.quota.hard_limits import set_part
--- a/tests/test_quota_hard.py
+++ b/tests/policy/quota/test_hard_limits.py
@@ -6,6 +6,7 @@
 from dataclasses import replace
 
 import pytest
+from support.quota_rig import Rig, cut
 
 from plumpick.policy.controller import Controller
 from plumpick.policy.events import PeerMessageReceived
@@ -15,7 +16,6 @@
 from plumpick.policy.quota.hard_limits import USED_RATIO
 from plumpick.policy.quota.requester import MAX_UNCONFIRMED
 from plumpick.policy.settings import Plan
-from tests.quota_rig import Rig, cut
 
 
 def bound(rig, situation, seconds, **more):
--- a/tests/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from test_rules import Checker, Town, settings
+from support.traffic import Checker, Town, settings
 
 from plumpick.policy.actions import StartAttempt
 from plumpick.policy.events import AttemptResult
--- a/tests/test_module.py
+++ b/tests/policy/test_controller.py
@@ -3,7 +3,8 @@
 import math
 
 import pytest
-from test_rules import settings
+from support.controllers import FLEET, ask, gateway, home_of, item, of, outcome
+from support.traffic import settings
 
 from plumpick.policy import peer_messages
 from plumpick.policy.actions import (
@@ -18,7 +19,6 @@
 from plumpick.policy.concurrency_limit import ConcurrencyLimit
 from plumpick.policy.controller import Controller
 from plumpick.policy.events import (
-    AttemptCompleted,
     AttemptResult,
     ClientDisconnected,
     Endpoint,
@@ -37,25 +37,6 @@
 from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass
 from plumpick.policy.timers import TimerKind
 
-FLEET = EndpointsUpdated(tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6)))
-
-
-def gateway(**more):
-    return Controller(settings(**more), 1)
-
-
-def ask(number, name="look", plan="rated", due=5000.0, customer="c", units=1):
-    return RequestReceived(number, customer, name, plan, due, units, 0, 3)
-
-
-def of(kind, actions):
-    return [action for action in actions if isinstance(action, kind)]
-
-
-def outcome(send, result, attempt=0, took=50.0, final=None):
-    final = result is AttemptResult.OK if final is None else final
-    return AttemptCompleted(send.id, attempt, send.endpoint, took, result, final)
-
 
 def test_ordinary_request_is_sent_and_ends():
     c = gateway()
@@ -225,16 +206,6 @@
     assert set(refused) == {1, 2} and refused[1] <= 1600 and refused[2] <= 1500
 
 
-def item(kind, customer="c", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
-    return peer_messages.QuotaMessage(
-        kind, peer_messages.customer_tag(customer), serial, units, asked, class_index, plan_index
-    )
-
-
-def home_of(customer, first=0, spread=3):
-    return first + peer_messages.owner_position(peer_messages.customer_tag(customer), spread)
-
-
 def test_peer_bytes_that_cannot_be_read_change_nothing():
     c = gateway()
     c.handle(1000, [FLEET])
--- a/tests/test_bans_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 import pytest
-from test_module import FLEET, ask, gateway, of, outcome
-from test_rules import settings
+from support.controllers import FLEET, ask, gateway, of, outcome
+from support.traffic import settings
 
 from plumpick.policy.actions import CommandCompleted, RejectRequest, SetAdmissionState, StartAttempt
 from plumpick.policy.controller import Controller
--- a/tests/test_gray.py
+++ b/tests/policy/test_gray_failures.py
@@ -10,8 +10,8 @@
 from statistics import mean
 
 from pytest import approx
-from test_module import FLEET
-from test_rules import settings
+from support.controllers import FLEET
+from support.traffic import settings
 
 from benchmarks.gray.rules import RULES
 from benchmarks.gray.world import Failure, World
--- a/tests/test_standing.py
+++ b/tests/policy/test_health_status.py
@@ -1,7 +1,7 @@
 """Which life a gatekeeper's words are of, and in which state of quota-keeping it is."""
 
-from test_module import FLEET
-from test_rules import settings
+from support.controllers import FLEET
+from support.traffic import settings
 
 from plumpick.policy.actions import SendPeerMessage, SetTimer
 from plumpick.policy.controller import Controller
--- a/tests/test_messages.py
+++ b/tests/policy/test_peer_messages.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from quota_rig import Rig
-from test_module import FLEET, gateway, home_of, of
-from test_rules import settings
+from support.controllers import FLEET, gateway, home_of, of
+from support.quota_rig import Rig
+from support.traffic import settings
 
 from plumpick.policy import peer_messages
 from plumpick.policy.actions import SendPeerMessage, StartAttempt
--- a/tests/test_reconfigure.py
+++ b/tests/policy/test_reconfiguration.py
@@ -8,10 +8,10 @@
 from dataclasses import replace
 
 import pytest
-from quota_rig import TICK_MS, Rig
-from test_handover import left_by
-from test_module import ask, gateway, of, outcome
-from test_rules import Checker, Town, settings
+from support.controllers import ask, gateway, of, outcome
+from support.quota_rig import TICK_MS, Rig
+from support.snapshots import left_by
+from support.traffic import Checker, Town, settings
 
 from plumpick.policy import reconfiguration
 from plumpick.policy.actions import (
@@ -134,7 +134,7 @@
 def test_the_same_settings_over_again_change_no_action(seed, monkeypatch):
     plain = Town(seed, gateways=3)
     plain.run(8000)
-    monkeypatch.setattr("test_rules.Controller", Often)
+    monkeypatch.setattr("support.traffic.Controller", Often)
     told = Town(seed, gateways=3)
     told.run(8000)
     assert all(isinstance(one, Often) for one in told.gateways.values())
--- a/tests/test_stages.py
+++ b/tests/policy/test_turn.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from test_module import FLEET, ask, gateway, home_of, of, outcome
+from support.controllers import FLEET, ask, gateway, home_of, of, outcome
 
 from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.concurrency_limit import PERIOD_MS
--- a/tests/support/config_processes.py
+++ b/tests/support/config_processes.py
@@ -7,9 +7,9 @@
 import os
 import sys
 
-from fakes import HOST, config, entry, run
 from support.dynamic_config import document
-from test_process import ROOT, free_port, until_up
+from support.fakes import HOST, config, entry, run
+from support.processes import ROOT, free_port, until_up
 
 from plumpick.tools.call import ask
 from plumpick.tools.configuration_service import VersionService
--- /dev/null
+++ b/tests/support/controllers.py
@@ -0,0 +1,43 @@
+"""A controller with a fleet of six endpoints, and the events and actions of its tests."""
+
+from support.traffic import settings
+
+from plumpick.policy import peer_messages
+from plumpick.policy.controller import Controller
+from plumpick.policy.events import (
+    AttemptCompleted,
+    AttemptResult,
+    Endpoint,
+    EndpointState,
+    EndpointsUpdated,
+    RequestReceived,
+)
+
+FLEET = EndpointsUpdated(tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(6)))
+
+
+def gateway(**more):
+    return Controller(settings(**more), 1)
+
+
+def ask(number, name="look", plan="rated", due=5000.0, customer="c", units=1):
+    return RequestReceived(number, customer, name, plan, due, units, 0, 3)
+
+
+def of(kind, actions):
+    return [action for action in actions if isinstance(action, kind)]
+
+
+def outcome(send, result, attempt=0, took=50.0, final=None):
+    final = result is AttemptResult.OK if final is None else final
+    return AttemptCompleted(send.id, attempt, send.endpoint, took, result, final)
+
+
+def item(kind, customer="c", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
+    return peer_messages.QuotaMessage(
+        kind, peer_messages.customer_tag(customer), serial, units, asked, class_index, plan_index
+    )
+
+
+def home_of(customer, first=0, spread=3):
+    return first + peer_messages.owner_position(peer_messages.customer_tag(customer), spread)
--- a/tests/support/dynamic_config.py
+++ b/tests/support/dynamic_config.py
@@ -3,7 +3,7 @@
 import copy
 import random
 
-from fakes import settings
+from support.fakes import settings
 
 from plumpick.policy.dynamic_config.delta import settings_digest, shared_settings
 from plumpick.policy.dynamic_config.errors import DynamicConfigError, InvalidUpdateError
--- a/tests/test_rules.py
+++ b/tests/support/traffic.py
@@ -1,10 +1,8 @@
-"""Seeded random event sequences against the module, with an independent check of the five rules."""
+"""Settings, a world of random traffic, and the checker of the rules that hold in it."""
 
 import heapq
 import random
 
-import pytest
-
 from plumpick.policy.actions import (
     CancelAttempt,
     FailRequest,
@@ -344,60 +342,3 @@
         self.checker.killed(n)
         self.tries = {key: entry for key, entry in self.tries.items() if entry[0] != n}
         self.start(n)
-
-
-@pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_over_random_days(seed):
-    town = Town(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
-    town.run(20_000)
-    assert len(town.checker.done) > 1000
-    assert sum(len(sent) > 1 for sent in town.checker.sent.values()) > 20
-
-
-def test_rules_hold_when_gateways_die_all_the_time():
-    town = Town(99, kill=0.01, rate=300)
-    town.run(15_000)
-    assert max(town.life.values()) > 5
-
-
-def test_same_events_give_same_actions():
-    first, second = Town(7), Town(7)
-    first.run(4000)
-    second.run(4000)
-    assert first.log == second.log
-
-
-@pytest.mark.parametrize("seed", range(3))
-def test_cold_server_gets_no_more_than_its_warmth_allows(seed):
-    """Rule 4: a server that starts is sent less than a warm one, by all gateways together, from the start."""
-    rng = random.Random(seed)
-    gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
-    now, serial, sends, outs = 50_000.0, 0, [], []
-    fleet = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(5)]
-    cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 52_000.0)
-    while now < 56_000:
-        now += TICK
-        for n, controller in gateways.items():
-            events = []
-            if now == 50_004.0:
-                events.append(EndpointsUpdated(tuple(fleet)))
-            if now == 52_000.0:
-                events.append(EndpointsUpdated((cold,), is_snapshot=False))
-            if rng.random() < 0.12:
-                serial += 1
-                events.append(
-                    RequestReceived(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3)
-                )
-            while outs and outs[0][0] <= now and outs[0][1] == n:
-                _, _, number, server = heapq.heappop(outs)
-                events.append(AttemptCompleted(number, 0, server, 120.0, AttemptResult.OK, True))
-            for action in controller.handle(now, events):
-                if isinstance(action, StartAttempt):
-                    sends.append((now, action.endpoint))
-                    heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
-        outs.sort()
-    for start in range(52_000, 54_500, 100):
-        window = [server for at, server in sends if start <= at < start + 1500]
-        share = 0.25 + 0.75 * (start + 1500 - 52_000) / 8000
-        warm = sum(server != "cold" for server in window) / 5
-        assert window.count("cold") <= share * warm * 1.5 + 3
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -3,8 +3,8 @@
 import json
 
 import pytest
-from fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, request, run
-from test_process import free_port, start, tell_list, until_up
+from support.fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, request, run
+from support.processes import free_port, start, tell_list, until_up
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE, main
 from plumpick.tools.counts import CountsError, add_up, rows_of, summary
--- a/tests/tools/test_budgets_command.py
+++ b/tests/tools/test_budgets_command.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from fakes import config
+from support.fakes import config
 from support.ledger_fleet import LedgerFleet
 
 from plumpick.cli import main
--- a/tests/tools/test_configuration.py
+++ b/tests/tools/test_configuration.py
@@ -3,8 +3,8 @@
 import asyncio
 import json
 
-from fakes import HOST, config, run
 from support.dynamic_config import published
+from support.fakes import HOST, config, run
 
 from plumpick.cli import main
 from plumpick.tools.configuration_service import VersionService
