--- a/plumpick/policy/__init__.py
+++ b/plumpick/policy/__init__.py
@@ -1,1 +1,3 @@
-"""plumpick.policy: the decisions of a quota-keeping gateway for a shared API."""
+"""plumpick.policy: the decision module of a gateway that enforces customer quotas for a shared API.
+
+It does no I/O: events go in, actions come out (controller.py)."""
--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -1,9 +1,10 @@
-"""Which requests get an attempt: all that wait while the concurrency limit leaves room, else by class shares
-and by priority; and until when they may wait.
+"""Admission of requests: the order in which queued requests get their first attempt, and how long they may
+queue.
 
-Release order is by the request's priority times the ratio of its class's answers that come in time (highest
-first, the newest first among equals). Requests beyond their quota come last, and not at all while
-`MAX_OVER_QUOTA_LOAD_RATIO` of the limit or more is in flight."""
+While the concurrency limit has room for all queued requests, all of them start; otherwise class shares and
+priority decide. Requests are ordered by priority times their class's fraction of answers within the latency
+objective (highest first; the newest first among equals). Requests beyond their quota come last, and do not
+start while `MAX_OVER_QUOTA_LOAD_RATIO` of the limit or more is in flight."""
 
 from __future__ import annotations
 
@@ -16,22 +17,25 @@
 from plumpick.policy.request_state import Attempt, Request
 from plumpick.policy.settings import RequestClass
 
-# of a request's time that it may wait at most: its client can use the rest for a retry
+# Maximum time in the queue as a fraction of the time until a request's deadline. The rest is left to the
+# client for a retry elsewhere.
 MAX_QUEUED_RATIO = 0.45
-MAX_OVER_QUOTA_LOAD_RATIO = 0.5  # of the concurrency limit: with more in flight nothing beyond a quota starts
-MIN_RETRY_AFTER_MS = 250.0  # where nothing better is known
+# Load, as a fraction of the concurrency limit, at which requests beyond their quota no longer start
+MAX_OVER_QUOTA_LOAD_RATIO = 0.5
+MIN_RETRY_AFTER_MS = 250.0  # minimum retry delay suggested to clients
 
 
 def target_wait_ms(request_class: RequestClass) -> float:
-    """The wait that leaves time for the answer."""
+    """Target time in the queue for requests of a class, in ms; the rest of the latency objective is left for
+    the answer."""
     return request_class.latency_objective_ms * (1 - MAX_EXPECTED_RATIO)
 
 
 def first_attempt_deadline_ms(
     now_ms: float, received: RequestReceived, request_class: RequestClass, expected_latency_ms: float
 ) -> float:
-    """By when a request that has no attempt yet is rejected: an answer could no longer come in time, or the
-    client would have too little time left for a retry elsewhere."""
+    """Clock time at which a request without an attempt is rejected, because an answer could no longer be in
+    time or the client would have too little time left for a retry elsewhere."""
     objective_ms = now_ms + request_class.latency_objective_ms
     last_ms = received.deadline_ms
     if not request_class.late_priority_weight > 0:  # a late answer is worth nothing
@@ -42,45 +46,46 @@
 
 
 class AdmissionQueue:
-    """The requests that wait for their first attempt, and the classes' shares of the limit."""
+    """The requests that wait for their first attempt, and the classes' shares of the concurrency limit."""
 
     def __init__(self, classes: tuple[RequestClass, ...]) -> None:
         self.queued: list[Request] = []
         self.shares: dict[str, FuzzyShareController] = {}
-        self.waits_ms: dict[str, list[float]] = {}  # of the requests released in this period, by class
+        # Queueing times of the requests started in this period, by class
+        self.waits_ms: dict[str, list[float]] = {}
         for request_class in classes:
             self.add_class(request_class, 1 / len(classes))
 
     def add_class(self, request_class: RequestClass, share: float) -> None:
-        """A class that nothing is known of."""
+        """Add a class with an initial share (0 to 1) of the concurrency limit."""
         controller = FuzzyShareController(target_wait_ms(request_class), share)
         self.shares[request_class.name] = controller
         self.waits_ms[request_class.name] = []
 
     def remove_class(self, name: str) -> None:
-        """Forget a class of which nothing is open."""
+        """Remove a class that has no open requests."""
         del self.shares[name]
         del self.waits_ms[name]
 
     def append(self, request: Request) -> None:
-        """A request may start once there is room."""
+        """Queue a request that no longer waits for its quota."""
         request.awaits_quota = False
         request.is_queued = True
         request.account.requests_in_flight += 1
         self.queued.append(request)
 
     def remove(self, request: Request) -> None:
-        """A request has ended while it waited."""
+        """Remove a request that ended while it was queued."""
         self.queued.remove(request)
 
     def on_first_attempt(self, now_ms: float, request: Request) -> None:
-        """A request has waited until now."""
+        """Record the queueing time of a request whose first attempt starts now."""
         self.waits_ms[request.request_class.name].append(now_ms - request.received_ms)
         request.is_queued = False
         request.next_warming_sample_ms = 0.0
 
     def on_period(self, now_ms: float) -> None:
-        """Each class's share moves by the mean wait of its requests."""
+        """Adjust each class's share to the mean queueing time of its requests in this period."""
         for name, controller in self.shares.items():
             waits_ms = self.waits_ms[name]
             if len(waits_ms) < FEW_SAMPLES and self.queued:
@@ -95,9 +100,10 @@
     def sort(
         self, limit: ConcurrencyLimit, statistics: ClassStatistics, attempts: Iterable[Attempt]
     ) -> list[Request]:
-        """The requests in the order of their release."""
+        """Sort the queue into the order in which requests start, and return it."""
         timely = statistics.timely_ratio
-        # Of equal priority the newest first: the oldest would all come near their objectives, many late.
+        # Among equal priorities the newest starts first: starting the oldest first would bring all of them
+        # close to their latency objectives, and many of them past it.
         self.queued.sort(
             key=lambda request: (
                 not request.is_within_quota,
@@ -110,7 +116,7 @@
         return self.queued
 
     def _by_shares(self, limit: float, attempts: Iterable[Attempt]) -> list[Request]:
-        """First the requests that their class's share of the limit has room for, then the others."""
+        """Return the requests that fit into their class's share of the limit, followed by the others."""
         total = max(1.0, sum(controller.share for controller in self.shares.values()))
         room = {name: controller.share / total * limit for name, controller in self.shares.items()}
         for attempt in attempts:
@@ -126,12 +132,12 @@
 
 
 def may_start(request: Request, limit: ConcurrencyLimit, is_busy: bool) -> bool:
-    """Whether there is room for a request's first attempt now."""
+    """Whether a request's first attempt may start under the concurrency limit now."""
     if limit.available() < 1:
         return False
     return request.is_within_quota or not is_busy
 
 
 def is_busy(limit: ConcurrencyLimit, at_limit: float) -> bool:
-    """Whether too much is in flight for requests beyond their quotas."""
+    """Whether so many attempts are in flight that requests beyond their quotas may not start."""
     return limit.mean_in_flight >= MAX_OVER_QUOTA_LOAD_RATIO * at_limit
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -1,8 +1,8 @@
-"""The decision module of one gateway: events in, actions out. The same events give the same actions.
+"""The decision module of one gateway: takes events and returns actions, deterministically for a given seed.
 
-The controller dispatches events and timers, and decides nothing itself: admission.py, load_balancing.py,
-retry.py, quota/ and the others do. A step that fails is kept in `faults` for the log; the other steps of its
-turn go on."""
+The controller only dispatches events and timers; admission.py, load_balancing.py, retry.py, quota/ and other
+modules make the decisions. An exception in one step of a turn is collected in `faults` for the log, and the
+remaining steps still run."""
 
 from __future__ import annotations
 
@@ -46,30 +46,31 @@
 from plumpick.policy.timers import CLOCK_GRAIN_MS, TimerKind
 from plumpick.policy.turn import Turn
 
-TIMER_NAME = "agenda"  # of the one timer that is asked for
+TIMER_NAME = "agenda"  # name of the single timer that the controller sets
 TIDY_INTERVAL_MS = 250.0
-WATCH_RETRY_RATIO = 0.25  # of the time within which discovery wants to be asked again
+WATCH_RETRY_RATIO = 0.25  # delay after a failed endpoint watch, as a fraction of settings.watch_retry_ms
 
 
 class Controller:
-    """One gateway's decisions. `seed`: of all chance in them."""
+    """Makes the decisions of one gateway. `seed` initializes the only random number generator that they
+    use."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.turn = Turn()
         self.state = GatewayState(settings, seed, self._on_quota_reply, self._on_quota_denied)
         self.lifecycle = RequestLifecycle(self.state, self.turn)
         self.has_begun = False
-        self.timer_ms = math.inf  # of the timer that has been asked for
-        self.tidied_ms = 0.0
+        self.timer_ms = math.inf  # time at which the timer fires; infinite while none is set
+        self.tidied_ms = 0.0  # time of the next removal of expired entries
 
     @property
     def faults(self) -> list[Exception]:
-        """What was raised in the last turn."""
+        """The exceptions raised by steps of the last turn."""
         return self.turn.faults
 
     @property
     def actions(self) -> list[Action]:
-        """What the last turn asked for."""
+        """The actions requested by the last turn."""
         return self.turn.actions
 
     @property
@@ -88,15 +89,17 @@
         return self.state.codec
 
     def limit_by_budgets(self, is_within: Callable[[RequestReceived], bool] | None) -> None:
-        """From now on requests need room in the whole tier's budgets as well; None: no longer."""
+        """Set the check of the tier-wide budgets that new requests must pass besides their quota; None
+        removes it."""
         self.lifecycle.is_within_budgets = is_within
 
     def unresponsive_owners(self) -> frozenset[int]:
-        """The gateways that left a request for a grant unanswered and have sent nothing since."""
+        """Numbers of the gateways that did not answer a grant request and have sent no message since then."""
         return frozenset(self.state.quota.liveness.unresponsive_owners)
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take in what happened; returns what to do. `now_ms`: of any clock that only advances."""
+        """Process events and due timers; returns the actions to execute. `now_ms` is read from a monotonic
+        clock."""
         state, turn = self.state, self.turn
         is_first = turn.begin(now_ms)
         if now_ms >= self.timer_ms - CLOCK_GRAIN_MS:
@@ -122,7 +125,7 @@
     # -- events
 
     def on_event(self, event: Event, left: list[TrackedEndpoint]) -> None:
-        """One event; the endpoints that leave service by it are added to `left`."""
+        """Process one event. Endpoints that the event takes out of service are appended to `left`."""
         match event:
             case AttemptCompleted():
                 self.lifecycle.attempts.on_completed(event)
@@ -162,7 +165,7 @@
         state.limit.update_limit(state.endpoints.capacity)
 
     def on_peer_message(self, event: PeerMessageReceived) -> None:
-        """Another gateway's message. Bytes that cannot be read and unknown senders change nothing."""
+        """Process a message from another gateway. Malformed messages and unknown senders are ignored."""
         state, now_ms = self.state, self.turn.now_ms
         message = state.codec.decode(event.data)
         if message is None or event.sender >= state.settings.gateway_count:
@@ -175,7 +178,7 @@
                 self._on_outlier_reports(event.sender, message.outlier_reports)
             quota.on_peer_heard(now_ms, event.sender)
         elif not quota.context.has_sibling or message.incarnation == quota.context.incarnation:
-            return  # another process of ours speaks of quotas alone
+            return  # other processes of this gateway exchange quota messages only
         for quota_message in message.quota_messages:
             quota.on_message(now_ms, event.sender, message.incarnation, quota_message)
 
@@ -186,7 +189,7 @@
         state.outliers.on_peer_reports(self.turn.now_ms, sender, reports, by_tag, classes, weight)
 
     def on_command(self, command: OperatorCommand) -> None:
-        """An operator's command; it is in force before it is answered."""
+        """Execute an operator's command. Its completion is reported only after it has taken effect."""
         error = ""
         try:
             self._execute(command)
@@ -244,13 +247,13 @@
         entry = timers.pop_due(now_ms)
         while entry is not None:
             _, _, kind, key = entry
-            if kind is TimerKind.PERIOD:  # first of all, so that the next one comes whatever fails
+            if kind is TimerKind.PERIOD:  # set the next one first, so that no exception below can prevent it
                 timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
             self.turn.run_isolated(self.on_timer, kind, key)
             entry = timers.pop_due(now_ms)
 
     def on_timer(self, kind: TimerKind, key: int) -> None:
-        """One timer has fired."""
+        """Process one timer that has fired. `key`: id of the request or ledger that it belongs to."""
         state, now_ms = self.state, self.turn.now_ms
         if kind is TimerKind.PERIOD:
             self._on_period()
@@ -259,7 +262,7 @@
         elif kind is TimerKind.ADMISSION_STATE:
             self.turn.actions.append(SetAdmissionState(state.draining.state_at(now_ms)))
         elif kind is TimerKind.WATCH_ENDPOINTS:
-            # In the simulator alone: the daemon watches discovery itself (endpoint_watch.py).
+            # Used only by the simulator; the daemon watches discovery itself (endpoint_watch.py).
             if state.settings.must_request_watch:
                 self.turn.actions.append(WatchEndpoints())
         else:
@@ -280,7 +283,7 @@
             self.lifecycle.reject_or_fail(request)
 
     def _on_period(self) -> None:
-        """One step of all that goes by time."""
+        """Update the state that changes once per PERIOD_MS."""
         state, turn = self.state, self.turn
         now_ms = turn.now_ms
         turn.run_isolated(state.queue.on_period, now_ms)
@@ -298,8 +301,8 @@
         self.state.outliers.on_period(self.turn.now_ms)
 
     def tidy(self) -> None:
-        """Forget what is over: customers, dropped settings, endpoints that have gone, timers of ended
-        requests."""
+        """Remove expired state: idle customers, classes and plans dropped from the settings, endpoints that
+        are gone, and timers of ended requests."""
         state, now_ms = self.state, self.turn.now_ms
         state.quota.forget(now_ms, state.requests.values())
         reconfiguration.forget_dropped(state, now_ms)
@@ -309,7 +312,8 @@
         state.timers.forget_ended(state.requests)
 
     def set_timer(self) -> None:
-        """Ask for one timer, for what comes first: a timer for each request could not be withdrawn."""
+        """Set the process's timer for the earliest entry of the timer queue. There is one timer for all
+        requests, because a SetTimer action cannot be cancelled."""
         next_ms = self.state.timers.next_ms(self.state.requests)
         if next_ms < self.timer_ms:
             self.timer_ms = next_ms
@@ -318,7 +322,7 @@
     # -- messages to peers
 
     def flush_outbox(self) -> None:
-        """Send the peers what is due to them."""
+        """Send the queued quota messages, with recent outlier reports, to the other gateways."""
         state, now_ms = self.state, self.turn.now_ms
         if not state.quota.outbox.waiting:
             return
--- a/plumpick/policy/errors.py
+++ b/plumpick/policy/errors.py
@@ -1,17 +1,18 @@
-"""Errors of the decision module."""
+"""Exceptions raised by the decision module (plumpick.policy)."""
 
 
 class PolicyError(ValueError):
-    """Why something was refused, in one line for an operator."""
+    """Base class of errors reported to operators; the text gives the cause in one line."""
 
 
 class CommandError(PolicyError):
-    """An operator's command that cannot be executed; nothing has changed."""
+    """An operator's command cannot be executed; the gateway's state is unchanged."""
 
 
 class ReconfigurationError(PolicyError):
-    """Settings that cannot be taken over in service; the text names the key, and nothing has changed."""
+    """New settings cannot be applied without a restart; the text names the key, and the old settings stay in
+    force."""
 
 
 class SnapshotError(PolicyError):
-    """A snapshot that cannot be read or is another gateway's; nothing of it counts."""
+    """A snapshot is malformed or belongs to another gateway; no part of it is imported."""
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests from their event to their final answer: admission by quota and limit, release, rejection."""
+"""The life cycle of requests from arrival to final answer: quota, queueing, first attempt, rejection."""
 
 from __future__ import annotations
 
@@ -15,22 +15,24 @@
 from plumpick.policy.timers import TimerKind
 from plumpick.policy.turn import Turn
 
-DEADLINE_TICKS = 2  # before a request's deadline it gets its final answer
+DEADLINE_TICKS = 2  # number of clock ticks before its deadline at which a request gets its final answer
 
 
 class RequestLifecycle:
-    """The open requests. Each gets one final answer."""
+    """Manages the open requests. Each of them gets exactly one final answer."""
 
     def __init__(self, state: GatewayState, turn: Turn) -> None:
         self.state = state
         self.turn = turn
         self.attempts = AttemptLifecycle(state, turn, self.close, self.reject_or_fail)
-        self.is_within_budgets: Callable[[RequestReceived], bool] | None = None  # of the whole tier, if any
+        # Check of the tier-wide budgets; None if there are none
+        self.is_within_budgets: Callable[[RequestReceived], bool] | None = None
 
     # -- admission
 
     def on_received(self, received: RequestReceived) -> None:
-        """A client's request: rejected at once, or admitted to wait for its quota and for room."""
+        """Process a client's request: reject it at once, or admit it to wait for its quota and for room under
+        the concurrency limit."""
         check_types(received)
         state, now_ms = self.state, self.turn.now_ms
         request_class = state.classes.get(received.class_name)
@@ -53,7 +55,7 @@
             state.queue.append(request)
 
     def _schedule_ends(self, request: Request) -> None:
-        """When the request has to have its first attempt, and its final answer."""
+        """Set the timers for the latest first attempt and the final answer of a request."""
         state, received = self.state, request.received
         deadline_ms = received.deadline_ms - DEADLINE_TICKS * state.settings.tick_ms
         state.timers.schedule(deadline_ms, TimerKind.DEADLINE, received.id)
@@ -64,15 +66,16 @@
         state.timers.schedule(first_attempt_ms, TimerKind.FIRST_ATTEMPT, received.id)
 
     def on_quota_reply(self, request: Request, is_granted: bool) -> None:
-        """The quota owner has granted the request, or queued it."""
+        """Process the quota owner's answer: queue a granted request for its first attempt; if the owner has
+        queued it instead, consider starting it beyond its quota."""
         if is_granted:
             self.state.queue.append(request)
         else:
             self._admit_over_quota(request)
 
     def _admit_over_quota(self, request: Request) -> None:
-        """Let a request that has no grant go on beyond its quota, where its plan makes that worth the
-        cost."""
+        """Queue a request without a grant as beyond its quota, if its plan values such requests above their
+        cost and has no hard limit."""
         plan = request.plan
         if plan.over_quota_weight > plan.over_quota_cost and not plan.hard_limit_per_s:
             self.state.quota.requester.pending.pop(request.grant_serial)
@@ -81,14 +84,16 @@
             self.state.queue.append(request)
 
     def on_quota_denied(self, request: Request) -> None:
-        """The quota owner will not grant the request in time."""
+        """Process a denial or the expiry of a grant request: start the request beyond its quota if its plan
+        allows that, else end it."""
         if request.awaits_quota and request.received.id in self.state.requests:
             self._admit_over_quota(request)
             if request.awaits_quota:
                 self.reject_or_fail(request)
 
     def on_grant_timeout(self, request: Request) -> None:
-        """The quota owner has not answered in time."""
+        """Process the time-out of a grant request: the requester sends it again, or lets the request start
+        without a grant."""
         if not request.awaits_quota:
             return
         if self.state.quota.requester.on_grant_timeout(self.turn.now_ms, request):
@@ -97,7 +102,7 @@
     # -- release
 
     def release(self) -> None:
-        """Start the first attempts that there is room for (admission.py)."""
+        """Start first attempts for queued requests, as far as the concurrency limit allows (admission.py)."""
         state = self.state
         if not state.queue.queued or state.limit.available() < 1:
             return
@@ -111,14 +116,16 @@
         ]
 
     def _stays(self, request: Request) -> bool:
-        """Start a request's first attempt, if an endpoint takes it; returns whether it still waits."""
+        """Start a request's first attempt if an endpoint is available; returns whether the request is still
+        queued."""
         self.turn.run_isolated(self.attempts.start, request)
         return request.is_queued
 
     # -- end
 
     def reject_or_fail(self, request: Request) -> None:
-        """The final answer. A rejection says that a retry is harmless, so only where that is certain."""
+        """End a request without a worker's answer: reject it if a client retry cannot execute it twice, else
+        fail it. Clients take a rejection as permission to retry."""
         if retry.may_promise_retry(request):
             refill_ms = request.received.units * MS_PER_S / (request.plan.rate_per_s or math.inf)
             self._reject(request.received.id, max(admission.MIN_RETRY_AFTER_MS, refill_ms))
@@ -131,7 +138,7 @@
         self.turn.actions.append(RejectRequest(request_id, min(retry_after_ms, most_ms)))
 
     def close(self, request: Request) -> None:
-        """The request has ended: nothing more starts for it, and attempts still in flight are cancelled."""
+        """Remove a request that has ended and cancel its attempts in flight."""
         state = self.state
         state.requests.pop(request.received.id, None)
         request.account.requests_in_flight -= not request.awaits_quota
@@ -142,8 +149,8 @@
 
 
 def check_types(received: RequestReceived) -> None:
-    """Raises TypeError. Compiled, a field is checked when it is read; plain Python would go some way
-    first."""
+    """Raises TypeError if a field of a request has the wrong type. Compiled code checks each field when it is
+    read; plain Python would fail only after the request has been partly processed."""
     names = received.customer, received.class_name, received.plan_name
     is_sound = isinstance(received.id, int) and isinstance(received.is_client_retry, bool)
     if not is_sound or not all(isinstance(name, str) for name in names):
--- a/plumpick/policy/request_state.py
+++ b/plumpick/policy/request_state.py
@@ -1,4 +1,4 @@
-"""Records of open requests and of attempts in flight. Owner: Controller; both leave with their last event."""
+"""Records of open requests and of attempts in flight, kept in GatewayState until they end."""
 
 from __future__ import annotations
 
@@ -17,39 +17,39 @@
     endpoint: TrackedEndpoint
     class_name: str
     started_ms: float
-    latency_objective_ms: float = 0.0  # of its class, as it was when the request came
-    overdue_after_ms: float = 0.0  # the wait that made it overdue; 0: it is not
-    written_off: float = 0.0  # the part of it that the concurrency limit does not count
-    answer_probability: float = 1.0  # when it was last checked
-    next_check_ms: float = 0.0  # once it is overdue
-    intervals_learned: float = 0.0  # waits of that length since then
+    latency_objective_ms: float = 0.0  # latency objective of its class when the request arrived
+    overdue_after_ms: float = 0.0  # time in flight after which it became overdue; 0 if it is not overdue
+    written_off: float = 0.0  # fraction of the attempt that the concurrency limit does not count
+    answer_probability: float = 1.0  # probability of an answer, as estimated at the last check
+    next_check_ms: float = 0.0  # time of the next check of an overdue attempt
+    intervals_learned: float = 0.0  # number of intervals of `overdue_after_ms` recorded while overdue
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request, from its event to its final answer."""
+    """One request, from its arrival to its final answer."""
 
     received: RequestReceived
     request_class: RequestClass
     plan: Plan
     account: CustomerAccount
     received_ms: float
-    objective_ms: float  # clock time by which an answer has its full value
-    priority: float  # the weight of its class times the factor of its plan
+    objective_ms: float  # clock time by which an answer meets the latency objective
+    priority: float  # priority weight of the class times priority factor of the plan
     attempt_count: int = 0
-    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)  # by the attempt's number
+    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)  # endpoints by attempt number
     tried_endpoints: list[TrackedEndpoint] = field(default_factory=list)
-    unproven_attempts: int = 0  # in flight, or completed without a proof that they were not executed
-    first_endpoint: Endpoint | None = None  # of the first of these, as it was listed then
-    first_attempt_ms: float = 0.0
-    grant_serial: int = 0  # of its messages with the quota owner; 0: none
-    grant_requests: int = 0
+    unproven_attempts: int = 0  # number of attempts that a worker may have executed
+    first_endpoint: Endpoint | None = None  # endpoint of the first unproven attempt, as listed at its start
+    first_attempt_ms: float = 0.0  # start of the first unproven attempt
+    grant_serial: int = 0  # serial number in messages exchanged with the quota owner; 0 without any
+    grant_requests: int = 0  # number of grant requests sent
     grant_requested_ms: float = 0.0
     owner_has_replied: bool = False
     units_charged: float = 0.0
     is_within_quota: bool = True
     awaits_quota: bool = True
-    is_queued: bool = False  # for an attempt to start
-    is_streaming: bool = False
-    is_body_gone: bool = False  # the body is not retained: no further attempt
-    next_warming_sample_ms: float = 0.0  # not before may it be sampled for an endpoint that warms up
+    is_queued: bool = False  # whether it waits for its first attempt
+    is_streaming: bool = False  # whether its response has started
+    is_body_gone: bool = False  # whether its body is no longer retained, which rules out further attempts
+    next_warming_sample_ms: float = 0.0  # earliest time of its next draw for an endpoint in slow start
--- a/plumpick/policy/state.py
+++ b/plumpick/policy/state.py
@@ -1,6 +1,6 @@
-"""All that the decision module remembers between turns, each part with its own rules.
+"""The state that the decision module keeps between turns.
 
-The controller hands this to the modules that pass state to another process or take over other settings.
+The controller passes it to the modules that export or import snapshots and that apply new settings.
 """
 
 from __future__ import annotations
@@ -27,14 +27,15 @@
 
 
 def top_priority_of(settings: Settings) -> float:
-    """The priority of the most important request within its quota."""
+    """The highest priority that a request within its quota can have; 1 if that would be 0."""
     top_weight = max([request_class.priority_weight for request_class in settings.classes])
     top_factor = max([plan.priority_factor for plan in settings.plans])
     return top_weight * top_factor or 1.0
 
 
 class GatewayState:
-    """The parts of one gateway's decisions. The order in which they draw from `rng` is part of a history."""
+    """The components of one gateway's decision module. They share `rng`, so the order in which they draw from
+    it has to stay the same for recorded histories to be repeatable."""
 
     def __init__(
         self,
@@ -62,5 +63,5 @@
         self.retry_budget = RetryBudget()
         self.draining = Draining()
         self.quota = QuotaManager(settings, self.rng, self.timers, on_quota_reply, on_quota_denied)
-        self.requests: dict[int, Request] = {}  # open, by id
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # in flight, by request and number
+        self.requests: dict[int, Request] = {}  # open requests by id
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # attempts in flight by request id and number
--- a/plumpick/policy/timers.py
+++ b/plumpick/policy/timers.py
@@ -1,4 +1,4 @@
-"""The timers of the decision module: what has to be looked at again, and when."""
+"""The timer queue of the decision module."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from collections.abc import Mapping
 from enum import IntEnum
 
-CLOCK_GRAIN_MS = 0.001  # a timer may fire so early
-NO_KEY = -1
+CLOCK_GRAIN_MS = 0.001  # time by which a timer may fire early, for rounding of the clock
+NO_KEY = -1  # key of a timer that belongs to no request or ledger
 
 
 class TimerKind(IntEnum):
-    """What a timer is for; its key is a request's id unless said otherwise."""
-
-    PERIOD = 1  # one step of limits and shares; no key
-    WATCH_ENDPOINTS = 2  # discovery has to be asked again; no key
-    ADMISSION_STATE = 3  # a stage of draining begins; no key
-    OUTBOX = 4  # messages to peers wait; no key
-    LEDGER = 5  # a quota ledger can grant again; the key is the ledger's
-    GRANT_REPLY = 6  # the quota owner has not answered yet
-    GRANT_EXPIRY = 7  # the quota owner no longer keeps the request queued
-    HEDGE = 8  # an attempt takes longer than usual
-    OVERDUE_CHECK = 9  # an overdue attempt is checked again
-    FIRST_ATTEMPT = 10  # without an attempt by now, a request is rejected
-    DEADLINE = 11  # a request needs its final answer
-
-
-# These end with their request.
+    """Purpose of a timer. The timer's key is a request id unless noted otherwise."""
+
+    PERIOD = 1  # periodic update of limits and shares; no key
+    WATCH_ENDPOINTS = 2  # renewal of the endpoint watch at discovery; no key
+    ADMISSION_STATE = 3  # start of the next stage of draining; no key
+    OUTBOX = 4  # sending of queued messages to other gateways; no key
+    LEDGER = 5  # time at which a quota ledger can grant again; the key is the ledger's
+    GRANT_REPLY = 6  # time-out of the quota owner's answer to a grant request
+    GRANT_EXPIRY = 7  # time after which the quota owner no longer queues the request
+    HEDGE = 8  # time after which an attempt is slower than usual and may be hedged
+    OVERDUE_CHECK = 9  # next check of an overdue attempt
+    FIRST_ATTEMPT = 10  # time at which a request without an attempt is rejected
+    DEADLINE = 11  # time by which a request gets its final answer
+
+
+# Kinds of timers that become void when their request ends.
 OF_REQUESTS = frozenset(
     (
         TimerKind.GRANT_REPLY,
@@ -37,38 +37,40 @@
         TimerKind.DEADLINE,
     )
 )
-_SPARE_ENTRIES = 256  # of requests that have ended, before the queue is searched for them
+# Number of queue entries above the maximum for open requests that triggers a search for void entries
+_SPARE_ENTRIES = 256
 
-Entry = tuple[float, int, TimerKind, int]  # at, serial number, kind, key
+Entry = tuple[float, int, TimerKind, int]  # time in ms, serial number, kind, key
 
 
 class TimerQueue:
-    """Timers by time, those of one time in the order in which they were set."""
+    """Timers ordered by time; timers for the same time fire in the order in which they were set."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
         self.serial = 0
 
     def schedule(self, at_ms: float, kind: TimerKind, key: int = NO_KEY) -> None:
-        """Look at something at that time."""
+        """Add a timer that fires at `at_ms`."""
         self.serial += 1
         heapq.heappush(self.entries, (at_ms, self.serial, kind, key))
 
     def pop_due(self, now_ms: float) -> Entry | None:
-        """The next timer that is due, or None."""
+        """Remove and return the earliest timer if it is due; None otherwise."""
         if self.entries and self.entries[0][0] <= now_ms + CLOCK_GRAIN_MS:
             return heapq.heappop(self.entries)
         return None
 
     def next_ms(self, open_requests: Mapping[int, object]) -> float:
-        """When the next timer is due. Those of requests that have ended are dropped on the way: most are."""
+        """Time of the earliest timer. Drops timers of ended requests from the head of the queue, since most
+        timers outlive their request."""
         entries = self.entries
         while entries[0][2] in OF_REQUESTS and entries[0][3] not in open_requests:
             heapq.heappop(entries)
         return entries[0][0]
 
     def forget_ended(self, open_requests: Mapping[int, object]) -> None:
-        """Drop the timers of ended requests, once there are many."""
+        """Drop the timers of ended requests if the queue is much longer than the open requests explain."""
         if len(self.entries) > _SPARE_ENTRIES + len(OF_REQUESTS) * len(open_requests):
             self.entries = [
                 entry for entry in self.entries if entry[2] not in OF_REQUESTS or entry[3] in open_requests
@@ -76,8 +78,8 @@
             heapq.heapify(self.entries)
 
     def rekey_ledgers(self, new_keys: dict[int, int], restarted: set[int]) -> None:
-        """Ledgers have other keys now: timers of those that are gone, or that get a new timer, are
-        dropped."""
+        """Give ledger timers the ledgers' new keys (`new_keys`: new key by old key). Drops timers of ledgers
+        that no longer exist and of those in `restarted`, which get a new timer."""
         entries = []
         for at_ms, serial, kind, key in self.entries:
             if kind is TimerKind.LEDGER:
--- a/plumpick/policy/turn.py
+++ b/plumpick/policy/turn.py
@@ -1,4 +1,4 @@
-"""One call of the decision module: its time, what it asks to be done, and what failed in it."""
+"""A turn, which is one call of the decision module: its time, requested actions and exceptions."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 from plumpick.policy.actions import Action
 from plumpick.policy.concurrency_limit import PERIOD_MS
 
-STALL_PERIODS = 4.0  # without a call for so long this process stood still: silence is then no evidence
-BEFORE_FIRST_MS = -1.0
+# Number of periods without a call after which this process counts as stalled. After a stall, a missing or
+# slow answer says nothing about an endpoint.
+STALL_PERIODS = 4.0
+BEFORE_FIRST_MS = -1.0  # value of Turn.now_ms before the first turn
 
 
 class Turn:
-    """The present turn. Its steps fail one by one: a fault ends its step and is kept for the log."""
+    """The current turn. An exception ends only the step that raised it and is collected in `faults`."""
 
     def __init__(self) -> None:
         self.now_ms = BEFORE_FIRST_MS
@@ -22,7 +24,7 @@
         self.faults: list[Exception] = []
 
     def begin(self, now_ms: float) -> bool:
-        """A new turn; returns whether it is the first."""
+        """Start a new turn at `now_ms`; returns whether it is the first one."""
         is_first = self.now_ms < 0
         self.is_stalled = 0 <= self.now_ms < now_ms - STALL_PERIODS * PERIOD_MS
         self.now_ms = now_ms
@@ -31,7 +33,7 @@
         return is_first
 
     def run_isolated(self, step: Callable[..., object], *arguments: Any) -> bool:
-        """Take a step of the turn; returns False if it failed. The turn's other steps go on."""
+        """Call one step of the turn. Returns False, and collects the exception, if the step raises one."""
         try:
             step(*arguments)
         except Exception as problem:
