--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -1,5 +1,4 @@
-"""Attempts from their start to their end: first ones, retries, hedged requests, and those that are
-overdue."""
+"""The life cycle of attempts: first attempts, retries, hedged requests, overdue attempts and outcomes."""
 
 from __future__ import annotations
 
@@ -19,14 +18,16 @@
 from plumpick.policy.turn import Turn
 
 MIN_TIMEOUT_MS = 1.0
-OWN_WEIGHT = 1.0  # of an attempt that this gateway saw to its end
-SILENCE_WEIGHT = 0.6  # of an attempt that takes much longer than usual
+OWN_WEIGHT = 1.0  # weight in outlier detection of an attempt that completed at this gateway
+SILENCE_WEIGHT = (
+    0.6  # weight of the failure that outlier detection assumes while an attempt is unusually slow
+)
 NOT_THE_ENDPOINTS_DOING = (AttemptResult.CANCELLED, AttemptResult.NOT_STARTED)
 ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_BY_WORKER)
 
 
 class AttemptLifecycle:
-    """The attempts of all requests."""
+    """Starts, retries, hedges and completes the attempts of all requests."""
 
     def __init__(
         self,
@@ -35,8 +36,8 @@
         on_final: Callable[[Request], None],
         on_exhausted: Callable[[Request], None],
     ) -> None:
-        """`on_final`: a request has its answer; `on_exhausted`: it has no attempt left, nor will it get
-        one."""
+        """`on_final` is called when a request has got its answer, `on_exhausted` when its last attempt has
+        ended without one and no further attempt is possible."""
         self.state = state
         self.turn = turn
         self.on_final = on_final
@@ -45,7 +46,8 @@
     # -- start
 
     def start(self, request: Request) -> bool:
-        """One more attempt, where an endpoint may take it."""
+        """Start one more attempt of a request; returns False if no endpoint may get it or the request has
+        used all its attempts."""
         state, now_ms = self.state, self.turn.now_ms
         allowed = retry.allowed_endpoints(now_ms, request, state.settings, state.endpoints)
         tracked = state.load_balancer.choose(now_ms, request, allowed)
@@ -90,8 +92,8 @@
         state.limit.add_in_flight(now_ms, 1)
 
     def retry(self, request: Request, answer_probability: float = 1.0) -> bool:
-        """A further attempt, where it can still be in time and the retry budget allows it.
-        `answer_probability`: that the attempt before still answers."""
+        """Start a further attempt if it can still be in time and the retry budget allows it; returns whether
+        it started. `answer_probability`: probability that the previous attempt still answers."""
         state, now_ms = self.state, self.turn.now_ms
         expected_ms = state.statistics.expected_latency_ms(request.request_class)
         gain = retry.gain_of(now_ms, request, expected_ms, state.top_priority)
@@ -104,23 +106,23 @@
         return True
 
     def may_retry(self, request: Request) -> bool:
-        """Whether a further attempt could still be in time, and some endpoint may get it."""
+        """Whether a further attempt could still be in time and an endpoint is allowed to get it."""
         state = self.state
         return retry.may_retry(self.turn.now_ms, request, state.settings, state.endpoints, state.statistics)
 
     def retry_elsewhere(self, request: Request, left: list[TrackedEndpoint]) -> None:
-        """An endpoint that leaves service may be dead before it has answered: an idempotent request whose
-        only attempt is there gets another one."""
+        """Start another attempt of an idempotent request if its only attempt is at an endpoint in `left`,
+        i.e. one that leaves service and may stop before it answers."""
         if len(request.in_flight) != 1 or next(iter(request.in_flight.values())) not in left:
             return
         if request.request_class.idempotency is Idempotency.IDEMPOTENT and not request.is_streaming:
             self.retry(request)
 
-    # -- attempts that take long
+    # -- slow and overdue attempts
 
     def on_hedge_timer(self, request: Request) -> None:
-        """An attempt takes longer than usual: silence is evidence, and while there is room a hedged request
-        starts where the attempt is unlikely to answer."""
+        """Handle an attempt that is slower than usual: count it as a failure of its endpoint, and start a
+        hedged request if there is room for one and the attempt is unlikely to answer."""
         state = self.state
         if not self.turn.is_stalled:
             for tracked in request.in_flight.values():
@@ -136,8 +138,8 @@
         self.check_overdue(request)
 
     def check_overdue(self, request: Request) -> None:
-        """Attempts that may never be answered make room for others, as far as that is likely; and a hedged
-        request starts where the class allows one."""
+        """Write off the request's overdue attempts in proportion to the probability that they never answer,
+        which makes room for other attempts, and start a hedged request if its class allows one."""
         usual_ms = self.state.statistics.usual_latency_ms[request.request_class.name]
         overdue_after_ms = max(MIN_OVERDUE_MS, OVERDUE_LATENCY_RATIO * usual_ms)
         next_ms = math.inf
@@ -149,10 +151,12 @@
             self.state.timers.schedule(next_ms, TimerKind.OVERDUE_CHECK, request.received.id)
 
     def _check_attempt(self, attempt: Attempt, overdue_after_ms: float) -> float:
-        """Write off a part of an overdue attempt; returns when it is to be checked again."""
+        """Write off a part of the attempt if it is overdue; returns the time of its next check."""
         now_ms, tick_ms = self.turn.now_ms, self.state.settings.tick_ms
-        at_ms = attempt.next_check_ms or attempt.started_ms + overdue_after_ms  # the latency may have grown
-        if self.turn.is_stalled:  # no evidence
+        at_ms = (
+            attempt.next_check_ms or attempt.started_ms + overdue_after_ms
+        )  # the usual latency may have risen since
+        if self.turn.is_stalled:  # the wait includes this process's own stall: start counting anew
             at_ms = now_ms + (attempt.overdue_after_ms or tick_ms)
             attempt.next_check_ms = attempt.overdue_after_ms and at_ms
         if now_ms < at_ms:
@@ -168,8 +172,8 @@
         return attempt.next_check_ms
 
     def _hedge_overdue(self, request: Request) -> bool:
-        """Start a hedged request for an overdue attempt, which has the place that the attempt leaves. Returns
-        False where one is due and there is no room or token for it yet."""
+        """Start a hedged request for an overdue attempt, using the room that its written-off part leaves.
+        Returns False if one is needed but has no room or retry token yet, so it has to be tried again."""
         state = self.state
         if not state.settings.can_hedge or len(request.in_flight) != 1:
             return True
@@ -185,7 +189,7 @@
     # -- end
 
     def on_completed(self, event: AttemptCompleted) -> None:
-        """An attempt has ended: its outcome is learned, and its request is answered, retried or given up."""
+        """Handle the end of an attempt: record its outcome, and complete, retry or end its request."""
         state = self.state
         attempt = state.attempts.pop((event.id, event.attempt), None)
         if attempt is None:
@@ -203,14 +207,14 @@
             self.on_exhausted(request)
 
     def _follow_up(self, request: Request, result: AttemptResult) -> bool:
-        """A further attempt after one that ended so. In place of one that was not started it is no load more
-        than was asked for: it costs no token."""
+        """Start a further attempt after one that ended with `result`; returns whether it started. Replacing
+        an attempt that never started adds no load, so it costs no retry token."""
         if result is AttemptResult.NOT_STARTED:
             return self.may_retry(request) and self.start(request)
         return self.retry(request)
 
     def _release(self, attempt: Attempt, event: AttemptCompleted) -> None:
-        """The attempt no longer counts as in flight."""
+        """Stop counting an ended attempt as in flight."""
         state, now_ms = self.state, self.turn.now_ms
         attempt.endpoint.in_flight -= 1
         is_rejected = event.result is AttemptResult.REJECTED_BY_WORKER
@@ -222,8 +226,8 @@
         state.limit.completed += 1
 
     def _learn(self, attempt: Attempt, event: AttemptCompleted) -> None:
-        """What the outcome says of the endpoint and of the class. After a stall of this process its own pause
-        would pass for the endpoint's slowness."""
+        """Update the statistics of the endpoint and the class with an attempt's outcome. After a stall of
+        this process the measured latency is left out, because it includes the stall."""
         state, now_ms, is_stalled = self.state, self.turn.now_ms, self.turn.is_stalled
         class_name, tracked = attempt.class_name, attempt.endpoint
         usual_ms = state.statistics.usual_latency_ms[class_name]
@@ -240,7 +244,7 @@
             state.outliers.learn(now_ms, tracked, class_name, latency_ratio, OWN_WEIGHT)
 
     def cancel_others(self, request: Request, kept_attempt: int = -1) -> None:
-        """Cancel a request's attempts in flight, but for one."""
+        """Cancel a request's attempts in flight, except the attempt numbered `kept_attempt`."""
         if self.state.settings.can_cancel_attempts:
             self.turn.actions.extend(
                 CancelAttempt(request.received.id, number)
--- a/plumpick/policy/concurrency_limit.py
+++ b/plumpick/policy/concurrency_limit.py
@@ -1,35 +1,39 @@
-"""The limit of attempts in flight at this gateway, and what of overdue attempts it no longer counts.
+"""The adaptive limit of attempts in flight at this gateway.
 
-The limit lets the endpoints spend a part of each class's latency objective: the rate of answers times that
-time is in flight. It starts at a few attempts a ready endpoint, rises to twice the recent peak at most and is
-cut while endpoints reject. It decides nothing about single requests (admission.py does)."""
+The limit is the number in flight, by Little's law, at which attempts spend ENDPOINT_TIME_RATIO of their
+latency objective at endpoints: rate of answers times that time. It starts at INITIAL_PER_ENDPOINT attempts
+per ready endpoint, is at most MAX_GROWTH_RATIO times the recent peak and is cut while endpoints reject
+attempts. Overdue attempts are partly written off, that is, no longer counted. admission.py decides about
+single requests."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-PERIOD_MS = 100.0  # one step of the limit, the shares and all that fades
+PERIOD_MS = 100.0  # interval between updates of the limit, the class shares and decaying statistics
 
-INITIAL_PER_ENDPOINT = 12.0  # attempts for each ready endpoint, over all gateways, until answers tell more
-MIN_PER_ENDPOINT = 5.0  # over all gateways: with fewer, slow answers would keep the limit low for good
-ENDPOINT_TIME_RATIO = 0.25  # of an objective that attempts may spend at endpoints on average
-MAX_GROWTH_RATIO = 2.0  # times the recent peak
-REJECTED_RATIO = 0.15  # of attempts rejected by endpoints, above which the limit is cut
-BACKOFF_RATIO = 0.75
+INITIAL_PER_ENDPOINT = 12.0  # initial limit per ready endpoint, summed over all gateways
+# Minimum limit per ready endpoint, summed over all gateways. With a lower one, slow answers would keep the
+# limit low permanently.
+MIN_PER_ENDPOINT = 5.0
+ENDPOINT_TIME_RATIO = 0.25  # mean time at endpoints that the limit aims at, as a fraction of the objective
+MAX_GROWTH_RATIO = 2.0  # maximum of the limit as a multiple of the recent peak
+REJECTED_RATIO = 0.15  # fraction of attempts rejected by endpoints above which the limit is cut
+BACKOFF_RATIO = 0.75  # factor by which the limit is cut in a period with too many rejected attempts
 MIN_BACKOFF_FACTOR = 0.3
-RECOVERY_RATIO = 1.05  # a period: how a cut wears off
-RATE_MEMORY_MS = 1000.0
-BURST_ATTEMPTS = 1.5  # by which the limit may be passed while fewer are in flight on average
-BURST_SPREAD = 1.0  # in square roots of the limit: by as much a mean of few attempts scatters
-MIN_LIMIT = 1.0  # a limit under one attempt is reached by chance and not by load
-FEW_SAMPLES = 5
-PEER_CAPACITY_GAIN = 0.1
-# of the limit that overdue attempts may pass it by, besides as many as were answered
+RECOVERY_RATIO = 1.05  # factor by which the limit recovers in a period without too many rejected attempts
+RATE_MEMORY_MS = 1000.0  # time constant of decaying means and peaks
+BURST_ATTEMPTS = 1.5  # number of attempts by which the limit may be exceeded while the mean is within it
+BURST_SPREAD = 1.0  # tolerance of that mean, in square roots of the limit (the scatter of a small count)
+MIN_LIMIT = 1.0  # minimum limit; below one attempt, chance arrivals rather than load would reach the limit
+FEW_SAMPLES = 5  # number of samples below which statistics of this gateway alone are not relied on
+PEER_CAPACITY_GAIN = 0.1  # smoothing factor of the capacities reported by other gateways
+# Maximum of the written-off attempts, as a fraction of the limit, in addition to the recently answered ones
 MAX_WRITE_OFF_RATIO = 1.0
-ANSWERED_MEMORY_MS = 3000.0
+ANSWERED_MEMORY_MS = 3000.0  # time constant of the count of recently answered attempts
 
-# What the next process of this gateway goes on from, in the order of its row in a snapshot.
+# Fields passed to the next process of this gateway, in the order of the snapshot's row
 SNAPSHOT_FIELDS = (
     "recent_peak",
     "backoff_factor",
@@ -44,33 +48,34 @@
 
 @dataclass(slots=True, eq=False)
 class ConcurrencyLimit:
-    """The limit and the counts that it goes by. Fading sums are per attempt."""
+    """The limit and the statistics that determine it. Counts are in attempts and decay over time."""
 
     gateway_count: int
-    in_flight: float = 0.0  # without what is written off
-    written_off: float = 0.0
-    recent_peak: float = 0.0
-    backoff_factor: float = 1.0
-    answered_objectives_ms: float = 0.0  # objectives of the attempts answered in this period, in sum
-    rejected: float = 0.0  # fading count of attempts that endpoints rejected,
-    completed: float = 0.0  # and of all that completed
-    answered: float = 0.0
-    idle_ratio: float = 0.0  # how idle the endpoints say they are; 0: unknown
-    capacity: float = 0.0  # answers a second times the endpoint time of each, over all classes
-    fleet_capacity: float = 0.0  # the mean of what peers tell of theirs
-    mean_in_flight: float = 0.0
-    mean_updated_ms: float = 0.0
-    limit: float = 0.0  # attempts, in this period
+    in_flight: float = 0.0  # number of attempts in flight, without the written-off parts
+    written_off: float = 0.0  # sum of the written-off parts of attempts in flight
+    recent_peak: float = 0.0  # decaying maximum of `in_flight`
+    backoff_factor: float = 1.0  # factor by which the limit is cut after rejected attempts
+    answered_objectives_ms: float = 0.0  # sum of the objectives of the attempts answered in this period
+    rejected: float = 0.0  # decaying count of attempts that endpoints rejected
+    completed: float = 0.0  # decaying count of all completed attempts
+    answered: float = 0.0  # decaying count of answered attempts
+    idle_ratio: float = 0.0  # idleness of the endpoints from 0 (busy or unknown) to 1
+    capacity: float = 0.0  # number in flight that matches the rate of answers, over all classes
+    fleet_capacity: float = 0.0  # mean of the capacities that other gateways report
+    mean_in_flight: float = 0.0  # decaying mean of `in_flight`
+    mean_updated_ms: float = 0.0  # time of the last update of `mean_in_flight`
+    limit: float = 0.0  # maximum number of attempts in flight in this period
 
     def add_in_flight(self, now_ms: float, change: float) -> None:
-        """Count attempts that start (above 0) or end."""
+        """Add `change` attempts to those in flight; negative for attempts that end."""
         weight = -math.expm1((self.mean_updated_ms - now_ms) / RATE_MEMORY_MS)
         self.mean_in_flight += (self.in_flight - self.mean_in_flight) * weight
         self.mean_updated_ms = now_ms
         self.in_flight = self.in_flight + change
 
     def on_period(self, now_ms: float, ready_endpoints: float) -> None:
-        """One period has gone by. `ready_endpoints`: their capacity, those warming up in part."""
+        """Update the statistics and the limit; called once per PERIOD_MS. `ready_endpoints`: number of ready
+        endpoints, where one in slow start counts in part."""
         keep = math.exp(-PERIOD_MS / RATE_MEMORY_MS)
         answered_ratio = self.answered_objectives_ms * ENDPOINT_TIME_RATIO / PERIOD_MS
         self.capacity = self.capacity * keep + answered_ratio * (1 - keep)
@@ -87,17 +92,19 @@
         self.update_limit(ready_endpoints)
 
     def is_overloaded(self) -> bool:
-        """Whether the endpoints reject; one that rejects everything among many does not count for that."""
+        """Whether endpoints reject more than REJECTED_RATIO of the attempts. A single endpoint among many
+        that rejects everything stays below that."""
         return self.rejected > REJECTED_RATIO * self.completed
 
     def update_limit(self, ready_endpoints: float) -> None:
-        """Set the limit by the capacity seen, between its floor and a multiple of the recent peak."""
-        own_endpoints = ready_endpoints / self.gateway_count  # the others send to all of them as well
-        missing = max(0.0, self.fleet_capacity - self.capacity)  # a gateway's own few answers say little
+        """Set the limit to the measured capacity, bounded by its floor and a multiple of the recent peak."""
+        own_endpoints = ready_endpoints / self.gateway_count  # this gateway's part: all gateways send to them
+        # With few answers of its own, this gateway relies on the capacity that others report.
+        missing = max(0.0, self.fleet_capacity - self.capacity)
         capacity = self.capacity + missing * FEW_SAMPLES / (FEW_SAMPLES + self.completed)
         highest = MAX_GROWTH_RATIO * max(self.recent_peak, INITIAL_PER_ENDPOINT * own_endpoints)
-        # Where the endpoints say that they are idle it is not they who hold answers back: the floor rises to
-        # the initial limit, or a low limit would keep itself low for want of answers.
+        # If the endpoints report that they are idle, they are not the cause of missing answers. The floor
+        # then rises to the initial limit; otherwise a low limit would cause few answers and so stay low.
         floor = MIN_PER_ENDPOINT + (INITIAL_PER_ENDPOINT - MIN_PER_ENDPOINT) * self.idle_ratio
         self.limit = max(
             floor * own_endpoints * self.backoff_factor, min(capacity * self.backoff_factor, highest)
@@ -108,14 +115,14 @@
         self.limit = max(self.limit, lowest)
 
     def observe_peer(self, capacity: float, ready_endpoints: float) -> None:
-        """A peer has told its capacity; no more of it counts than this gateway could have."""
+        """Record another gateway's reported capacity, up to the maximum possible at this gateway."""
         highest = MAX_GROWTH_RATIO * INITIAL_PER_ENDPOINT * ready_endpoints / self.gateway_count
         self.fleet_capacity += (min(capacity, highest) - self.fleet_capacity) * PEER_CAPACITY_GAIN
 
     def write_off(self, now_ms: float, part: float) -> float:
-        """Stop counting a part of an overdue attempt; returns how much of it. Bounded: should all attempts be
-        overdue, the limit is passed by no more than MAX_WRITE_OFF_RATIO of it and what was answered of
-        late."""
+        """Stop counting `part` (0 to 1) of an overdue attempt, or as much of it as is allowed; returns the
+        part written off. Should all attempts be overdue, the limit is exceeded by no more than
+        MAX_WRITE_OFF_RATIO of it plus the number of recently answered attempts."""
         allowed = MAX_WRITE_OFF_RATIO * self.limit + self.answered - self.written_off
         part = max(0.0, min(part, allowed))
         self.written_off += part
@@ -123,8 +130,8 @@
         return part
 
     def available(self) -> float:
-        """How many more attempts may start. While the mean is under the limit, chance may pass it: at one or
-        two requests a second the limit is less than one."""
+        """Number of attempts that may start now. A chance burst may exceed the limit while the mean is within
+        it, because at one or two requests per second the limit can be below one."""
         typical = self.limit + BURST_SPREAD * math.sqrt(self.limit)
         burst = BURST_ATTEMPTS if self.mean_in_flight < typical else 0.0
         return self.limit + burst - self.in_flight
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -52,8 +52,7 @@
 
 
 class Controller:
-    """Makes the decisions of one gateway. `seed` initializes the only random number generator that they
-    use."""
+    """Makes the decisions of one gateway. `seed` initializes their only random number generator."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.turn = Turn()
--- a/plumpick/policy/fuzzy_controller.py
+++ b/plumpick/policy/fuzzy_controller.py
@@ -1,8 +1,8 @@
-"""The PI-type fuzzy controller of one class's share of the attempts in flight.
+"""A PI-type fuzzy controller for one request class's share of the concurrency limit.
 
 Source: Loudini and others, "Incorporate intelligence into the differentiated services strategies of a Web
-server", Tables 6 and 7 (absolute delay). Inputs are the error (objective minus mean wait) and its change per
-period; the output moves the share. Shares bind only where the concurrency limit is reached (admission.py).
+server", Tables 6 and 7 (absolute delay). Inputs are the error (target minus mean wait) and its change per
+period; the output changes the share. Shares apply only while the concurrency limit is reached (admission.py).
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 ERROR_GAIN_PER_S = 0.4
 CHANGE_GAIN_PER_S = 3.0
-SHARE_PER_OUTPUT = 0.01
-SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # triangular sets that overlap by half
-OUTPUT_STEPS = 20  # on each side of nothing, for the centre of gravity
-MIN_SHARE = 0.05  # no class is starved for good
+SHARE_PER_OUTPUT = 0.01  # change of the share for an output of 1
+SET_CENTRES = (-1.0, -0.5, 0.0, 0.5, 1.0)  # centres of triangular fuzzy sets that overlap by half
+OUTPUT_STEPS = 20  # number of steps on each side of 0 in the centre-of-gravity sum
+MIN_SHARE = 0.05  # minimum share, so that no class is starved permanently
 
 
 def memberships(value: float) -> list[float]:
-    """The grade of a value, cut to [-1, 1], in each set."""
+    """The membership grade, from 0 to 1, of a value in each fuzzy set; the value is clamped to [-1, 1]."""
     value = max(-1.0, min(1.0, value))
     width = SET_CENTRES[1] - SET_CENTRES[0]
     return [max(0.0, 1 - abs(value - centre) / width) for centre in SET_CENTRES]
@@ -30,38 +30,39 @@
 
 
 class FuzzyShareController:
-    """Moves one class's share, a part of the concurrency limit, by the wait of its requests.
+    """Adjusts one class's share of the concurrency limit to the queueing time of its requests.
 
-    `target_wait_ms`: the wait that leaves time for the answer; `share`: where it starts, from 0 to 1."""
+    `target_wait_ms`: target of the mean queueing time; `share`: initial share, from 0 to 1."""
 
     def __init__(self, target_wait_ms: float, share: float) -> None:
         self.target_wait_s = target_wait_ms / 1000
         self.share = share
-        self.last_error: float | None = None  # seconds; None: no period has gone by
+        self.last_error: float | None = None  # error of the last period in seconds; None before the first one
 
     def retarget(self, target_wait_ms: float) -> None:
-        """Another objective from now on: the last error says nothing against it."""
+        """Set a new target. If it differs, the last error is dropped, since it refers to the old target."""
         target_wait_s = target_wait_ms / 1000
         if self.target_wait_s != target_wait_s:
             self.target_wait_s = target_wait_s
             self.last_error = None
 
     def on_period(self, mean_wait_ms: float) -> None:
-        """A late class gains; one that waits under its target keeps what it has."""
+        """Update the share after one period: a class that waits longer than its target gains share, one that
+        waits less keeps its share."""
         error = self.target_wait_s - mean_wait_ms / 1000
         change = 0.0 if self.last_error is None else error - self.last_error
         self.last_error = error
         if error >= 0 and change >= 0:
-            return  # the output is not below nothing: an idle class need not be inferred
+            return  # the output cannot be negative, so the share does not change
         output = self.infer(round(ERROR_GAIN_PER_S * error, 2), round(CHANGE_GAIN_PER_S * change, 2))
         move = SHARE_PER_OUTPUT * output
         if move < 0 or error < 0:
             self.share = min(1.0, max(MIN_SHARE, self.share - move))
 
     @staticmethod
-    @functools.cache  # a pure function of few values, and the most expensive step under load
+    @functools.cache  # a pure function of few distinct arguments, and the most expensive step under load
     def infer(error: float, change: float) -> float:
-        """The output, on [-1, 1]: the diagonal rule table, max-min inference, centre of gravity."""
+        """The controller's output in [-1, 1]: diagonal rule table, max-min inference, centre of gravity."""
         strengths = [0.0] * len(SET_CENTRES)
         for row, error_grade in enumerate(memberships(error)):
             for column, change_grade in enumerate(memberships(change)):
--- a/plumpick/policy/housekeeping.py
+++ b/plumpick/policy/housekeeping.py
@@ -1,5 +1,4 @@
-"""How tables are searched for what is over: a part of them at a time, so that no turn is held up by a long
-one."""
+"""Incremental search of tables for expired entries, so that a long table does not delay a turn."""
 
 from __future__ import annotations
 
@@ -7,13 +6,13 @@
 
 T = TypeVar("T")
 
-PARTS = 20  # a long table is gone through in so many steps
-MIN_ENTRIES = 64  # that are looked at in one step
+PARTS = 20  # number of steps in which a long table is searched once
+MIN_ENTRIES = 64  # minimum number of entries searched in one step
 
 
 def next_part(table: dict[T, Any], unvisited: list[T]) -> list[T]:
-    """The keys to look at now; over several calls all of them in turn. `unvisited` holds the keys not looked
-    at in this round, and is refilled when it is empty."""
+    """The keys of `table` to check in this step; successive calls cover all keys. `unvisited` holds the keys
+    not yet checked in this round; it is updated, and refilled when empty."""
     if not unvisited:
         unvisited += table
     count = max(MIN_ENTRIES, len(table) // PARTS)
--- a/plumpick/policy/load_balancing.py
+++ b/plumpick/policy/load_balancing.py
@@ -1,7 +1,8 @@
-"""Which endpoint gets an attempt: the one with the lowest expected time, by load, speed, failures and zone.
+"""Chooses the endpoint for an attempt: the one with the lowest cost by load, latency, failures and zone.
 
-Few gateways compare all warm endpoints of their subset; a gateway that seldom sends to each compares a random
-few, since what it knows is old, or known to all others, who would all choose the same one."""
+A gateway that sends often to each endpoint compares all warm endpoints of its subset. One that sends rarely
+compares a small random sample: its information is outdated or the same as that of other gateways, so that all
+gateways would choose the same endpoint."""
 
 from __future__ import annotations
 
@@ -14,25 +15,27 @@
 from plumpick.policy.request_state import Request
 from plumpick.policy.settings import Idempotency
 
-FAILURE_WEIGHT = 200.0  # of the squared failure ratio: a single failure soon fades, a row of them does not
-NON_IDEMPOTENT_FAILURE_FACTOR = 2
-CROSS_ZONE_FACTOR = 1.15  # an endpoint of another zone has to be so much better
-COST_SCATTER = 1.1  # a cost counts as up to so much more, by chance, or all gateways would choose alike
-MIN_SUBSET_WARM = 3  # with fewer warm endpoints in the subset, all warm endpoints serve
-MIN_COMPARED = 2.0  # endpoints,
-COMPARED_PER_ATTEMPT = 4.0  # and more for each recent attempt of this gateway to each endpoint
-FOREIGN_LOAD_MEMORY_MS = 1000.0  # a load report ages
+# Weight of the squared failure ratio in the cost. Squared, a single failure matters little and soon decays,
+# while repeated failures dominate the cost.
+FAILURE_WEIGHT = 200.0
+NON_IDEMPOTENT_FAILURE_FACTOR = 2  # factor on the failure weight for non-idempotent requests
+CROSS_ZONE_FACTOR = 1.15  # factor on the cost of an endpoint in another zone
+COST_SCATTER = 1.1  # maximum of the random cost factor that keeps gateways from all choosing alike
+MIN_SUBSET_WARM = 3  # number of warm endpoints in the subset below which all warm endpoints are used
+MIN_COMPARED = 2.0  # minimum number of endpoints compared for an attempt
+COMPARED_PER_ATTEMPT = 4.0  # number of further endpoints compared per recent attempt to each endpoint
+FOREIGN_LOAD_MEMORY_MS = 1000.0  # time constant with which a load report loses weight
 MIN_WEIGHT = 0.01
 
-MAX_WARMING_FAILURE_RATIO = 0.5  # an endpoint that warms up and fails more is passed by
-WARMING_SAMPLE_MS = 1000.0  # after which a request may be sampled for a warming endpoint again
-WARMING_SAMPLE_ALONE_MS = 100.0  # the same where no warm endpoint could take it
-# of the rule's overload multiple, that the warm endpoints' missing capacity may cost
+MAX_WARMING_FAILURE_RATIO = 0.5  # failure ratio from which an endpoint in slow start gets no attempts
+WARMING_SAMPLE_MS = 1000.0  # time after which a request may be drawn again for an endpoint in slow start
+WARMING_SAMPLE_ALONE_MS = 100.0  # the same time while no endpoint is warm
+# Fraction of settings.overload_multiple up to which endpoints in slow start make up for missing warm capacity
 WARMING_LOAD_RATIO = 0.8
 
 
 class LoadBalancer:
-    """Chooses endpoints. Draws from `rng` in a fixed order, so that a history can be repeated."""
+    """Chooses endpoints. It draws from `rng` in a fixed order, so that recorded histories can be replayed."""
 
     def __init__(self, table: EndpointTable, outliers: OutlierDetector, rng: random.Random) -> None:
         self.table = table
@@ -42,8 +45,8 @@
     def choose(
         self, now_ms: float, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> TrackedEndpoint | None:
-        """An endpoint for one more attempt, or None. `allowed`: the only ones that deduplication leaves to a
-        retry; None: all (retry.py)."""
+        """The endpoint for one more attempt, or None if there is none. `allowed`: the endpoints that may get
+        the request without executing it twice (retry.py); None if all may."""
         warm = self._warm(allowed)
         if self.table.subset_warming and now_ms >= request.next_warming_sample_ms:
             wait_ms = WARMING_SAMPLE_MS if self.table.warm else WARMING_SAMPLE_ALONE_MS
@@ -61,7 +64,7 @@
         return self._cheapest(now_ms, request, pool, math.ceil(compared))
 
     def _warm(self, allowed: list[TrackedEndpoint] | None) -> list[TrackedEndpoint]:
-        """The warm endpoints of the subset, or all of them where few are left there."""
+        """The allowed warm endpoints of the subset, or of the whole table if the subset has too few."""
         warm = self.table.subset_warm
         if allowed is not None:
             warm = [tracked for tracked in warm if tracked in allowed]
@@ -74,8 +77,8 @@
     def _returned(
         self, now_ms: float, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> TrackedEndpoint | None:
-        """An endpoint that an operator has enabled and that has got nothing since: it shows at once whether
-        it serves."""
+        """An endpoint in slow start that an operator has enabled again and that has had no attempt since;
+        None if there is none. It is tried first, to find out at once whether it serves."""
         for tracked in self.table.subset_warming:
             if not is_untried(tracked, request, allowed):
                 continue
@@ -88,11 +91,11 @@
     def _sampled(
         self, now_ms: float, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> TrackedEndpoint | None:
-        """An endpoint that warms up, by chance: over all gateways each gets the part of the attempts that its
-        progress is of the capacity of late.
+        """A randomly drawn endpoint in slow start, or None. Over all gateways, each gets a part of the
+        attempts equal to its slow-start progress divided by the capacity.
 
-        With few warm endpoints it gets more, as far as the overload multiple surely allows: what the warm
-        ones cannot carry would wait for nobody."""
+        If few endpoints are warm it gets more, as far as the overload multiple safely allows, because the
+        warm ones cannot serve the load alone."""
         multiple = max(1.0, WARMING_LOAD_RATIO * self.table.settings.overload_multiple)
         capacity = max(self.table.capacity, self.table.reference_capacity / multiple)
         sample = self.rng.random() * capacity * self.table.subset_ratio
@@ -115,7 +118,7 @@
     def _cheapest(
         self, now_ms: float, request: Request, pool: list[TrackedEndpoint], compared: int
     ) -> TrackedEndpoint | None:
-        """The endpoint of the lowest expected cost among so many of the pool."""
+        """The endpoint with the lowest cost among `compared` randomly drawn ones of the pool."""
         class_name = request.request_class.name
         is_fragile = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         failure_weight = (NON_IDEMPOTENT_FAILURE_FACTOR if is_fragile else 1) * FAILURE_WEIGHT
@@ -125,7 +128,7 @@
         failure_ratio = self.outliers.failure_ratio
         best: TrackedEndpoint | None = None
         best_cost = math.inf
-        # The most frequent loop of all: a factor that would be one is left out.
+        # This is the hottest loop of the module: factors that would be 1 are skipped.
         for tracked in self.rng.sample(pool, compared) if compared < len(pool) else pool:
             endpoint = tracked.endpoint
             cost = 1.0 + tracked.in_flight
@@ -147,12 +150,12 @@
 
 
 def peer_report_weight(table: EndpointTable) -> float:
-    """What an attempt that a peer reports counts for: the less, the more attempts this gateway starts itself,
-    or all gateways would flee from an endpoint and crowd to another alike."""
+    """Weight of an attempt reported by another gateway. It falls with the number of attempts that this
+    gateway starts itself; otherwise all gateways would move from one endpoint to another together."""
     attempts = table.recent_attempts / max(1, len(table.subset_warm))
     return PEER_WEIGHT / (1 + COMPARED_PER_ATTEMPT * attempts)
 
 
 def is_untried(tracked: TrackedEndpoint, request: Request, allowed: list[TrackedEndpoint] | None) -> bool:
-    """Whether a request has not been at an endpoint yet, and may go there."""
+    """Whether a request has had no attempt at an endpoint yet and is allowed one there."""
     return tracked not in request.tried_endpoints and (allowed is None or tracked in allowed)
--- a/plumpick/policy/load_reports.py
+++ b/plumpick/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""What endpoints say of their load: on each one, and how idle all of them are."""
+"""Load reports of endpoints: the load of each one, and the idleness of all of them together."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 from plumpick.policy.endpoint_state import TrackedEndpoint
 
-FULL_USE_LOAD = 2.0  # attempts that full use of its cores counts as, where an endpoint does not tell attempts
-IDLE_BELOW_USE = 0.9  # use of cores from which on endpoints count as idle in part,
-IDLE_FULLY_USE = 0.6  # and as idle altogether
-USE_MEMORY_MS = 300.0
-MIN_USE_GAIN = 0.05
-MAX_AGE_MS = 2000.0  # without a report for so long nothing is known
-UTILIZATION = "util"  # fields of a load report, as the settings name them
-IN_FLIGHT = "inflight"
+# Number of attempts in flight assumed at full CPU use, for endpoints that do not report attempts in flight
+FULL_USE_LOAD = 2.0
+IDLE_BELOW_USE = 0.9  # CPU use (0 to 1) below which endpoints count as partly idle
+IDLE_FULLY_USE = 0.6  # CPU use (0 to 1) at and below which endpoints count as fully idle
+USE_MEMORY_MS = 300.0  # time constant of the mean CPU use
+MIN_USE_GAIN = 0.05  # minimum weight of a new report in the mean CPU use
+MAX_AGE_MS = 2000.0  # age of the last report from which the idleness counts as unknown
+UTILIZATION = "util"  # name in the settings of the load report field with the CPU use
+IN_FLIGHT = "inflight"  # name in the settings of the load report field with the attempts in flight
 
 
 class LoadReports:
-    """The mean use of the endpoints' cores, from 0 to 1. `fields`: of a report, in their order."""
+    """Keeps the mean CPU use of the endpoints, from 0 to 1. `fields`: names of a report's fields."""
 
     def __init__(self, fields: tuple[str, ...]) -> None:
         self.fields = fields
@@ -25,7 +26,7 @@
         self.reported_ms = -math.inf
 
     def record(self, now_ms: float, tracked: TrackedEndpoint, report: tuple[float, ...]) -> None:
-        """An attempt brought a load report."""
+        """Record the load report that came with the answer to an attempt."""
         values = dict(zip(self.fields, report, strict=False))
         load = FULL_USE_LOAD * max(0.0, min(1.0, values.get(UTILIZATION, 0.0)))
         if IN_FLIGHT in values:
@@ -40,7 +41,7 @@
             self.reported_ms = now_ms
 
     def idle_ratio(self, now_ms: float) -> float:
-        """How idle the endpoints say they are, from 0 (also where nothing is known) to 1."""
+        """Idleness of the endpoints by their reports, from 0 (busy or unknown) to 1 (idle)."""
         if now_ms - self.reported_ms > MAX_AGE_MS:
             return 0.0
         idle = (IDLE_BELOW_USE - self.use_ratio) / (IDLE_BELOW_USE - IDLE_FULLY_USE)
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -1,9 +1,9 @@
-"""Endpoints that fail more than others: failure ratios, ejection, and what peers report.
+"""Outlier detection: failure ratios of endpoints, ejection of the worst, and reports of other gateways.
 
-An ejected endpoint gets nothing of the class that it fails while another endpoint may be chosen
-(load_balancing.py); endpoints that are warming up are never ejected. At most a part of the warm endpoints is
-ejected, and none where more than that look bad: the cause is then this gateway's network or an overload, and
-ejection would empty the list."""
+An ejected endpoint gets no attempts of the class that it fails while another endpoint can be chosen
+(load_balancing.py). Endpoints in slow start are never ejected. At most MAX_EJECTED_RATIO of the warm
+endpoints are ejected, and none if more than PANIC_RATIO of them fail: the cause is then this gateway's
+network or an overload, and ejection would leave no endpoints."""
 
 from __future__ import annotations
 
@@ -14,34 +14,38 @@
 from plumpick.policy.peer_messages import MAX_OUTLIER_REPORTS, OutlierReport, latency_ratio_of, outlier_report
 from plumpick.policy.settings import RequestClass
 
-LATENCY_GAIN = 0.15
+LATENCY_GAIN = 0.15  # smoothing factor of an endpoint's latency ratio
 MAX_LATENCY_RATIO = 10.0
-FAILURE_MEMORY_MS = 4000.0  # failures fade, so that an endpoint is tried again a little at a time
-FAILED = math.inf  # the latency ratio of an attempt that failed
-SILENCE_RATIO = 3.0  # an attempt that took so many times the usual latency was counted as silent meanwhile
+FAILURE_MEMORY_MS = 4000.0  # time constant of failures, after which an endpoint gradually gets attempts again
+FAILED = math.inf  # latency ratio that stands for a failed attempt
+# Multiple of the usual latency from which an attempt was already counted as a failure while it was in flight
+# (the delay of the hedge timer)
+SILENCE_RATIO = 3.0
 
-EJECTION_FAILURE_RATIO = 0.5
-EJECTION_MIN_ATTEMPTS = 2.0
-MAX_EJECTED_RATIO = 0.4  # of the warm endpoints
-PANIC_RATIO = 0.5  # of the warm endpoints: where more than that look bad, nothing is ejected
+EJECTION_FAILURE_RATIO = 0.5  # failure ratio from which an endpoint may be ejected
+EJECTION_MIN_ATTEMPTS = 2.0  # decaying count of attempts from which an endpoint may be ejected
+MAX_EJECTED_RATIO = 0.4  # maximum fraction of the warm endpoints that is ejected
+PANIC_RATIO = 0.5  # fraction of failing warm endpoints above which none is ejected
 
-PEER_WEIGHT = 0.5  # of an attempt of our own; less, the more attempts we start ourselves
-PEER_REPORT_INTERVAL_MS = 250.0  # one peer's reports on one endpoint count once in that time
-PEER_REPORT_MAX_AGE_MS = 2000.0
-OWN = -1  # among the reporters of failures: this gateway
+PEER_WEIGHT = 0.5  # maximum weight of an attempt reported by another gateway; an attempt of this one has 1
+PEER_REPORT_INTERVAL_MS = 250.0  # interval in which one gateway's reports on one endpoint count once
+PEER_REPORT_MAX_AGE_MS = 2000.0  # maximum age of an outcome that is reported to other gateways
+OWN = -1  # number that stands for this gateway among the reporters of failures
 
 
 class OutlierDetector:
-    """Which endpoints fail which classes. `class_index`: the settings' classes by name."""
+    """Decides which endpoints are ejected for which classes. `class_index`: index of each class in the
+    settings, by name."""
 
     def __init__(self, class_index: dict[str, int]) -> None:
         self.class_index = class_index
-        self.candidates: list[TrackedEndpoint] = []  # endpoints that failed an attempt of late
-        self.reports: list[tuple[float, OutlierReport]] = []  # what peers are told, and when it was seen
-        self._ejected: dict[str, set[int]] = {}  # in this period, by class
+        self.candidates: list[TrackedEndpoint] = []  # endpoints with recently failed attempts
+        # Outcomes to report to other gateways, each with the time at which it was observed
+        self.reports: list[tuple[float, OutlierReport]] = []
+        self._ejected: dict[str, set[int]] = {}  # endpoints ejected in this period, by class
 
     def on_period(self, now_ms: float) -> None:
-        """One period has gone by: ejection is decided anew."""
+        """Start a new period: drop candidates that have recovered; ejection is decided anew on demand."""
         self.candidates = [
             tracked
             for tracked in self.candidates
@@ -52,8 +56,8 @@
         self._ejected.clear()
 
     def failure_ratio(self, now_ms: float, tracked: TrackedEndpoint, class_name: str) -> float:
-        """The ratio of a class's attempts that an endpoint fails; all classes' stands in for what is not
-        known."""
+        """The recent fraction of a class's attempts that failed at an endpoint. The ratio over all classes
+        serves as prior for classes with few attempts."""
         if not tracked.failed:
             return 0.0
         fade = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
@@ -62,7 +66,7 @@
         return (failed + overall) / (fade * tracked.completed.get(class_name, 0.0) + 1)
 
     def ejected(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
-        """The warm endpoints, by `id`, that get nothing of a class in this period."""
+        """The warm endpoints, as Python `id`s, that are ejected for a class in this period."""
         if class_name not in self._ejected:
             self._ejected[class_name] = self._worst(now_ms, class_name, warm)
         return self._ejected[class_name]
@@ -83,10 +87,11 @@
     def learn(
         self, now_ms: float, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
-        """One attempt has completed: its latency against the usual one, or FAILED.
+        """Record the outcome of an attempt. `latency_ratio`: its latency divided by the usual one, or FAILED;
+        `weight`: 1 for an attempt that completed at this gateway, less for other observations.
 
-        A rejected attempt is a failure, too: what answers fast without serving looks idle and would attract
-        all attempts. `weight`: 1 for an attempt that this gateway saw to its end."""
+        Rejected attempts count as failures: an endpoint that rejects quickly looks idle and would otherwise
+        attract all attempts."""
         fade = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
         tracked.latency_ratio = tracked.current_latency_ratio(now_ms)
         tracked.completed = self._faded(tracked.completed, fade)
@@ -103,28 +108,28 @@
             self._report(now_ms, tracked, class_name, latency_ratio)
 
     def _faded(self, counts: dict[str, float], fade: float) -> dict[str, float]:
-        """Counts of the classes that there are, less what has faded."""
+        """The counts multiplied by `fade`, without classes that are no longer in the settings."""
         return {name: count * fade for name, count in counts.items() if name in self.class_index}
 
     def _learn_latency(
         self, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
-        if latency_ratio > SILENCE_RATIO:  # it was taken for silence, and was not
+        if latency_ratio > SILENCE_RATIO:  # undo the failure counted while the attempt was in flight
             tracked.failed[class_name] = max(0.0, tracked.failed.get(class_name, 0.0) - weight)
-        # Against the mean of all endpoints: a slowdown of all of them is no endpoint's fault.
+        # The ratio is relative to the mean of all endpoints, so a slowdown of all of them affects none.
         change = min(MAX_LATENCY_RATIO, latency_ratio) - tracked.latency_ratio
         tracked.latency_ratio += change * LATENCY_GAIN * weight
 
     def _report(self, now_ms: float, tracked: TrackedEndpoint, class_name: str, latency_ratio: float) -> None:
-        """Keep what this gateway saw itself for its peers."""
+        """Keep an outcome observed by this gateway, to be reported to other gateways."""
         if latency_ratio == FAILED:
             tracked.failure_reporters[OWN] = now_ms
-        if class_name in self.class_index:  # the settings may have dropped it
+        if class_name in self.class_index:  # the class may have been dropped from the settings
             report = outlier_report(tracked.endpoint.id, self.class_index[class_name], latency_ratio)
             self.reports = [*self.reports[1 - MAX_OUTLIER_REPORTS :], (now_ms, report)]
 
     def recent_reports(self, now_ms: float) -> list[OutlierReport]:
-        """What peers are told now."""
+        """The outcomes to report to other gateways now: those not older than PEER_REPORT_MAX_AGE_MS."""
         return [report for seen_ms, report in self.reports if now_ms - seen_ms <= PEER_REPORT_MAX_AGE_MS]
 
     def on_peer_reports(
@@ -136,8 +141,9 @@
         classes: tuple[RequestClass, ...],
         weight: float,
     ) -> None:
-        """What a peer saw. It may be wrong, by its own network or a fault: its reports on one endpoint count
-        once in a while, and a failure that it reports only if another peer, or we, saw one too."""
+        """Record outcomes that another gateway reports. They may be wrong because of that gateway's network
+        or a fault: its reports on one endpoint count once per PEER_REPORT_INTERVAL_MS, and a failure counts
+        only if a third gateway or this one has also seen the endpoint fail."""
         for report in reports:
             tracked = by_tag.get(report.endpoint_tag)
             if tracked is None:
@@ -152,7 +158,8 @@
 
     @staticmethod
     def _is_confirmed(now_ms: float, tracked: TrackedEndpoint, sender: int) -> bool:
-        """Whether another than this peer has seen the endpoint fail of late."""
+        """Record that `sender` reports a failure of the endpoint; returns whether any other gateway has
+        recently seen it fail as well."""
         tracked.failure_reporters = {
             other: seen_ms
             for other, seen_ms in tracked.failure_reporters.items()
--- a/plumpick/policy/overdue_attempts.py
+++ b/plumpick/policy/overdue_attempts.py
@@ -1,9 +1,9 @@
-"""Whether attempts that are overdue still answer: the hazard rate of answers, with its censored waits.
+"""Estimates the probability that an overdue attempt is still answered, from the hazard rate of answers.
 
-An attempt that an endpoint swallowed stays in flight until its client leaves and holds a place in the
-concurrency limit that nobody uses. But where all endpoints are slow, what is overdue still loads them,
-answers in the end and has to count. So what became of overdue attempts is learned by class, by zone and by
-endpoint."""
+An attempt that an endpoint has lost stays in flight until its client disconnects, and takes up room in the
+concurrency limit without loading an endpoint. If all endpoints are slow, however, overdue attempts still load
+them, are answered in the end and have to count. The outcomes of overdue attempts are therefore recorded per
+class, zone and endpoint; attempts still waiting enter as censored observations."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 
 from plumpick.policy.request_state import Attempt
 
-OVERDUE_LATENCY_RATIO = 5.0  # times a class's usual latency
-MIN_OVERDUE_MS = 300.0
-HORIZON_INTERVALS = 1.0  # the time, in intervals of that length, in which an overdue attempt may still answer
-FORGETTING_RATIO = 0.95  # what is kept of the past with each attempt learned
-PRIOR_INTERVALS = 3.0  # that the wider view counts for in the closer one
+OVERDUE_LATENCY_RATIO = 5.0  # time after which an attempt is overdue, as a multiple of the usual latency
+MIN_OVERDUE_MS = 300.0  # minimum time after which an attempt is overdue
+# Time for which an answer to an overdue attempt is predicted, in multiples of the time that made it overdue
+HORIZON_INTERVALS = 1.0
+FORGETTING_RATIO = 0.95  # factor applied to the previous counts for each recorded attempt
+PRIOR_INTERVALS = 3.0  # weight, in intervals, of the wider view's rate as prior of the narrower view
 
-View = tuple[str, ...]  # class; class and zone; class, zone and endpoint
+View = tuple[str, ...]  # (class), (class, zone) or (class, zone, endpoint id)
 
 
 @dataclass(slots=True, eq=False)
 class OverdueAttemptEstimator:
-    """What became of the overdue attempts of one view: fading counts. A whole class begins with a guess."""
+    """Decaying counts of overdue attempts' outcomes in one view; the defaults are the prior of a class."""
 
-    answered: float = 1.0
-    intervals: float = 1.0  # waited, each in units of the wait that made the attempt overdue
+    answered: float = 1.0  # number of overdue attempts that were answered
+    intervals: float = 1.0  # time waited, in multiples of the time that made each attempt overdue
 
     def learn(self, intervals: float, is_answered: bool) -> None:
-        """An overdue attempt has ended, after so many intervals."""
+        """Record the end of an overdue attempt that waited for `intervals` since it became overdue."""
         self.answered = self.answered * FORGETTING_RATIO + is_answered
         self.intervals = self.intervals * FORGETTING_RATIO + intervals
 
     def answer_probability(self, wider: float | None = None) -> float:
-        """That an overdue attempt still answers. `wider`: what a wider view says, which stands in for what
-        this one has not seen."""
+        """Probability that an overdue attempt is still answered. `wider`: the probability in the next wider
+        view, used as prior."""
         if wider is None:
             return -math.expm1(-HORIZON_INTERVALS * self.answered / max(1.0, self.intervals))
         prior_rate = -math.log(max(1e-9, 1 - wider)) / HORIZON_INTERVALS
@@ -45,7 +46,7 @@
 
 
 class OverdueAttempts:
-    """The estimators of all views. Bound: classes, their zones, and endpoints that are tracked."""
+    """The estimators of all views: one per class, per zone of a class, and per endpoint of a class."""
 
     def __init__(self, class_names: list[str]) -> None:
         self.by_view: dict[View, OverdueAttemptEstimator] = {}
@@ -53,18 +54,19 @@
             self.add_class(name)
 
     def add_class(self, name: str) -> None:
-        """A class that nothing is known of begins with a guess."""
+        """Add a class; its estimator starts with the default prior."""
         self.by_view[name,] = OverdueAttemptEstimator()
 
     @staticmethod
     def views_of(attempt: Attempt) -> list[View]:
-        """Whose overdue attempts speak for this one, from the widest view to the closest."""
+        """The views that an attempt belongs to, from the widest to the narrowest."""
         name = attempt.class_name
         endpoint = attempt.endpoint.endpoint
         return [(name,), (name, endpoint.zone), (name, endpoint.zone, endpoint.id)]
 
     def answer_probability(self, attempt: Attempt) -> float:
-        """That an overdue attempt still answers: one endpoint, one zone or one class may swallow, or all."""
+        """Probability that an overdue attempt is still answered. It combines all views of the attempt, since
+        a single endpoint, a zone, a class or all of them may lose attempts."""
         widest, *closer = self.views_of(attempt)
         probability = self.by_view[widest].answer_probability()
         for view in closer:
@@ -73,13 +75,13 @@
         return probability
 
     def learn_interval(self, attempt: Attempt) -> None:
-        """One more interval has gone by without an answer; this is learned now and not when it ends."""
+        """Record one more interval without an answer to an overdue attempt that is still waiting."""
         attempt.intervals_learned += 1
         for view in self.views_of(attempt):
             self.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0)).intervals += 1
 
     def learn_end(self, now_ms: float, attempt: Attempt, is_answered: bool) -> None:
-        """An overdue attempt has ended."""
+        """Record the end of an overdue attempt; intervals already recorded are not counted again."""
         waited = (now_ms - attempt.started_ms) / attempt.overdue_after_ms
         intervals = waited - 1 - attempt.intervals_learned
         for view in self.views_of(attempt):
@@ -87,7 +89,7 @@
             estimator.learn(max(0.0, intervals), is_answered)
 
     def forget(self, zones: set[str], endpoint_ids: Container[str]) -> None:
-        """Keep the classes, and of their zones and endpoints those that are there."""
+        """Remove the views of zones and endpoints that no longer exist; views of whole classes stay."""
         kept: dict[View, OverdueAttemptEstimator] = {}
         for view, estimator in self.by_view.items():
             if len(view) == 1 or (view[2] in endpoint_ids if len(view) == 3 else view[1] in zones):
@@ -95,5 +97,5 @@
         self.by_view = kept
 
     def forget_classes(self, names: set[str]) -> None:
-        """Classes that the settings no longer have, and of which nothing is open."""
+        """Remove classes that are no longer in the settings and have no open requests."""
         self.by_view = {view: known for view, known in self.by_view.items() if view[0] not in names}
--- a/plumpick/policy/retry.py
+++ b/plumpick/policy/retry.py
@@ -1,7 +1,8 @@
-"""When a request gets a further attempt: the retry budget, idempotency and deduplication windows, hedging.
+"""Rules for further attempts: the retry budget, idempotency, deduplication windows and hedged requests.
 
-Never: a non-idempotent request that may have been executed; a keyed one outside its deduplication group or
-window; a request whose body is not retained; one that cannot be answered in time."""
+A further attempt is never made for a non-idempotent request that may have been executed, for a keyed request
+outside its deduplication group or window, for a request whose body is not retained, or for one that can no
+longer be answered in time."""
 
 from __future__ import annotations
 
@@ -15,46 +16,47 @@
 
 TOKENS_PER_REQUEST = 0.2
 MAX_TOKENS = 20.0
-MIN_PRICE_TOKENS = 0.5  # of a retry whose attempt before surely does not answer, and so is no load
-RESERVE_RATIO = 0.25  # of MAX_TOKENS that requests of the least gain leave to others
-HEDGE_LATENCY_RATIO = 3.0  # times the usual latency, after which a hedged request may start
+MIN_PRICE_TOKENS = 0.5  # price of a retry if the previous attempt certainly no longer loads an endpoint
+RESERVE_RATIO = 0.25  # fraction of MAX_TOKENS that a retry with the lowest gain may not use
+HEDGE_LATENCY_RATIO = 3.0  # delay of a hedged request as a multiple of the usual latency
 MIN_HEDGE_DELAY_MS = 150.0
-MAX_HEDGE_LOAD_RATIO = 0.7  # of the concurrency limit: with more in flight nothing is hedged
-MAX_HEDGE_PROBABILITY = 0.5  # that the attempt still answers: with more a hedged request would only add load
-RETRY_AGAIN_MS = 100.0  # after which a retry that found no capacity or token is tried again
-WINDOW_MARGIN_MS = 25.0  # before a deduplication window ends: an attempt takes time to arrive
+MAX_HEDGE_LOAD_RATIO = 0.7  # load, as a fraction of the concurrency limit, at which hedging stops
+MAX_HEDGE_PROBABILITY = 0.5  # probability of an answer above which a hedged request would only add load
+RETRY_AGAIN_MS = 100.0  # delay before retrying a hedged request that found no room or retry token
+WINDOW_MARGIN_MS = 25.0  # time before the end of a deduplication window reserved for an attempt to arrive
 
 
 class RetryBudget:
-    """Tokens that retries and hedged requests cost. Further attempts stay under TOKENS_PER_REQUEST /
-    MIN_PRICE_TOKENS of the first ones, whatever fails, and what was saved up."""
+    """The tokens with which retries and hedged requests are paid. They bound further attempts to
+    TOKENS_PER_REQUEST / MIN_PRICE_TOKENS of the first attempts, plus the tokens saved up before."""
 
     def __init__(self) -> None:
         self.tokens = MAX_TOKENS / 2
 
     def on_first_attempt(self) -> None:
-        """A request's first attempt pays in."""
+        """Add TOKENS_PER_REQUEST for the first attempt of a request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def allows(self, price: float, gain: float) -> bool:
-        """Whether a retry may be paid. `gain`: of the most that one can gain, from 0 to 1: only what gains
-        the most may take the last token."""
+        """Whether a retry for `price` tokens may start. `gain`: expected gain relative to the highest
+        possible one, from 0 to 1; a lower gain has to leave a larger reserve of tokens."""
         reserve = RESERVE_RATIO * MAX_TOKENS * max(0.0, 1 - gain)
         return self.tokens >= price + reserve
 
     def spend(self, price: float) -> None:
-        """A retry has started."""
+        """Deduct the price of a retry that has started."""
         self.tokens -= price
 
 
 def price_of(answer_probability: float) -> float:
-    """The tokens of a retry. `answer_probability`: that the attempt before still answers; the less likely,
-    the less is the retry a load more than was asked for."""
+    """Price of a retry in tokens. `answer_probability`: probability that the previous attempt still answers;
+    the lower it is, the less load the retry adds, and the lower is its price."""
     return max(MIN_PRICE_TOKENS, answer_probability)
 
 
 def window_left_ms(now_ms: float, request: Request, settings: Settings) -> float:
-    """For how long from now a further attempt may still leave, so that its deduplication group knows it."""
+    """Time in ms, from now, within which a further attempt has to be sent for its deduplication group to
+    still remember the first one; infinite for idempotent requests."""
     request_class = request.request_class
     if request_class.idempotency is Idempotency.IDEMPOTENT:
         return math.inf
@@ -65,7 +67,7 @@
 def allowed_endpoints(
     now_ms: float, request: Request, settings: Settings, table: EndpointTable
 ) -> list[TrackedEndpoint] | None:
-    """The only endpoints that may get this request now, so that it is executed once; None for all of them."""
+    """The endpoints that may get the request without the risk that it is executed twice; None if all may."""
     request_class = request.request_class
     first = request.first_endpoint
     if first is None or not request.unproven_attempts:
@@ -80,8 +82,8 @@
 
 
 def knows_request(tracked: TrackedEndpoint, request: Request) -> bool:
-    """Whether an endpoint is in the deduplication group of a request's first attempt. The group is as it was
-    then: a process that has started since remembers nothing of the request."""
+    """Whether an endpoint is in the deduplication group of a request's first attempt and was already running
+    at that time. A worker that started later has no record of the request."""
     first = request.first_endpoint
     assert first is not None
     endpoint = tracked.endpoint
@@ -94,14 +96,14 @@
 
 
 def time_left_ms(now_ms: float, request: Request) -> float:
-    """Until the objective, or the deadline where that is earlier."""
+    """Time in ms until the request's latency objective or its deadline, whichever is earlier."""
     return min(request.objective_ms, request.received.deadline_ms) - now_ms
 
 
 def may_retry(
     now_ms: float, request: Request, settings: Settings, table: EndpointTable, statistics: ClassStatistics
 ) -> bool:
-    """Whether a further attempt could still be in time, and some endpoint may get it."""
+    """Whether a further attempt could still be in time and an endpoint is allowed to get it."""
     expected_ms = statistics.expected_latency_ms(request.request_class)
     if not time_left_ms(now_ms, request) >= expected_ms:
         return False
@@ -111,15 +113,15 @@
 
 
 def gain_of(now_ms: float, request: Request, expected_latency_ms: float, top_priority: float) -> float:
-    """What a retry may gain, of the most that one can: the request's priority times its chance to be in
-    time."""
+    """Expected gain of a retry: the request's priority relative to `top_priority`, times its estimated
+    probability of being in time."""
     chance = min(1.0, time_left_ms(now_ms, request) / max(1.0, 2 * expected_latency_ms))
     return request.priority * chance / top_priority
 
 
 def may_promise_retry(request: Request) -> bool:
-    """Whether a rejection's promise holds, that the client may send the request again without a second
-    effect."""
+    """Whether the client may send the request again without the risk that it takes effect twice, which is
+    what a rejection promises."""
     request_class = request.request_class
     if not request.unproven_attempts or request_class.idempotency is Idempotency.IDEMPOTENT:
         return True
--- a/plumpick/policy/slow_start.py
+++ b/plumpick/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Endpoints that are warming up: how much of their capacity they surely have, and how much they may be sent.
+"""Slow start: the capacity of endpoints that are warming up, and the number of attempts that they may get.
 
-A cold endpoint that gets too much falls over, and all gateways together decide how much that is. So each
-sends it a counted part: in each `overload_window_ms` no more than `overload_multiple` times what a warm
-endpoint gets of this gateway, times its progress; but always one attempt."""
+A cold endpoint fails under too many attempts, and what counts is the sum over all gateways. Each gateway
+therefore limits its own part: in each `overload_window_ms`, at most `overload_multiple` times the attempts
+that a warm endpoint gets from this gateway, times the endpoint's progress, but always one attempt."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from plumpick.policy.endpoint_state import TrackedEndpoint
 from plumpick.policy.settings import Settings
 
-REQUEST_RATE_MEMORY_MS = 1000.0  # over which this gateway's attempts are counted
+REQUEST_RATE_MEMORY_MS = 1000.0  # time constant of the rate of attempts started by this gateway
 
 
 def progress(now_ms: float, tracked: TrackedEndpoint, settings: Settings, disabled: DisabledWorkers) -> float:
-    """The ratio of its capacity that an endpoint surely has by now; 1 once it is warm."""
+    """The fraction of its full capacity that an endpoint can be relied on to have now; 1 once it is warm."""
     endpoint = tracked.endpoint
     began_ms = disabled.slow_start_began_ms(now_ms, endpoint.id, endpoint.started_ms)
     age_ms = now_ms - began_ms
@@ -27,9 +27,11 @@
 def take_allowance(
     now_ms: float, tracked: TrackedEndpoint, settings: Settings, current_progress: float, usual_per_s: float
 ) -> bool:
-    """Whether an endpoint that warms up may get one more attempt; if so, it is counted.
+    """Whether an endpoint in slow start may get one more attempt; if so, the attempt is counted against its
+    allowance.
 
-    `usual_per_s`: what a warm endpoint gets of this gateway, in REQUEST_RATE_MEMORY_MS."""
+    `usual_per_s`: number of attempts that a warm endpoint gets from this gateway per
+    REQUEST_RATE_MEMORY_MS."""
     window_ms = settings.overload_window_ms
     tracked.slow_start_sent_ms = [ms for ms in tracked.slow_start_sent_ms if now_ms - ms < window_ms]
     usual = usual_per_s
