--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -41,8 +41,8 @@
     if not request_class.late_priority_weight > 0:  # a late answer is worth nothing
         last_ms = min(received.deadline_ms, objective_ms)
     earliest_ms = now_ms + MAX_EXPECTED_RATIO * (last_ms - now_ms)
-    patience_ms = now_ms + MAX_QUEUED_RATIO * (received.deadline_ms - now_ms)
-    return min(patience_ms, max(last_ms - expected_latency_ms, earliest_ms))
+    latest_start_ms = now_ms + MAX_QUEUED_RATIO * (received.deadline_ms - now_ms)
+    return min(latest_start_ms, max(last_ms - expected_latency_ms, earliest_ms))
 
 
 class AdmissionQueue:
@@ -138,6 +138,6 @@
     return request.is_within_quota or not is_busy
 
 
-def is_busy(limit: ConcurrencyLimit, at_limit: float) -> bool:
+def is_busy(limit: ConcurrencyLimit, limit_attempts: float) -> bool:
     """Whether so many attempts are in flight that requests beyond their quotas may not start."""
-    return limit.mean_in_flight >= MAX_OVER_QUOTA_LOAD_RATIO * at_limit
+    return limit.mean_in_flight >= MAX_OVER_QUOTA_LOAD_RATIO * limit_attempts
--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -18,12 +18,11 @@
 from plumpick.policy.turn import Turn
 
 MIN_TIMEOUT_MS = 1.0
-OWN_WEIGHT = 1.0  # weight in outlier detection of an attempt that completed at this gateway
-SILENCE_WEIGHT = (
-    0.6  # weight of the failure that outlier detection assumes while an attempt is unusually slow
-)
-NOT_THE_ENDPOINTS_DOING = (AttemptResult.CANCELLED, AttemptResult.NOT_STARTED)
-ANSWERED = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_BY_WORKER)
+COMPLETED_ATTEMPT_WEIGHT = 1.0  # weight in outlier detection of an attempt that completed at this gateway
+SLOW_ATTEMPT_WEIGHT = 0.6  # weight in outlier detection of the failure assumed for an unusually slow attempt
+# Results that say nothing about the endpoint
+RESULTS_WITHOUT_EVIDENCE = (AttemptResult.CANCELLED, AttemptResult.NOT_STARTED)
+ANSWERED_RESULTS = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED_BY_WORKER)
 
 
 class AttemptLifecycle:
@@ -69,7 +68,7 @@
         timeout_ms = max(MIN_TIMEOUT_MS, request.received.deadline_ms - now_ms)
         start_within_ms = math.inf
         if request.unproven_attempts:
-            start_within_ms = retry.window_left_ms(now_ms, request, self.state.settings)
+            start_within_ms = retry.deduplication_time_left_ms(now_ms, request, self.state.settings)
         action = StartAttempt(request.received.id, tracked.endpoint.id, timeout_ms, start_within_ms)
         self.turn.actions.append(action)
 
@@ -96,8 +95,8 @@
         it started. `answer_probability`: probability that the previous attempt still answers."""
         state, now_ms = self.state, self.turn.now_ms
         expected_ms = state.statistics.expected_latency_ms(request.request_class)
-        gain = retry.gain_of(now_ms, request, expected_ms, state.top_priority)
-        price = retry.price_of(answer_probability)
+        gain = retry.relative_gain(now_ms, request, expected_ms, state.top_priority)
+        price = retry.price_tokens(answer_probability)
         if not state.retry_budget.allows(price, gain) or not self.may_retry(request):
             return False
         if not self.start(request):
@@ -127,7 +126,7 @@
         if not self.turn.is_stalled:
             for tracked in request.in_flight.values():
                 class_name = request.request_class.name
-                state.outliers.learn(self.turn.now_ms, tracked, class_name, FAILED, SILENCE_WEIGHT)
+                state.outliers.learn(self.turn.now_ms, tracked, class_name, FAILED, SLOW_ATTEMPT_WEIGHT)
         limit = state.limit
         has_room = limit.mean_in_flight < retry.MAX_HEDGE_LOAD_RATIO * limit.limit
         if state.settings.can_hedge and has_room and len(request.in_flight) == 1:
@@ -146,7 +145,7 @@
         for attempt in [self.state.attempts[request.received.id, number] for number in request.in_flight]:
             next_ms = min(next_ms, self._check_attempt(attempt, overdue_after_ms))
         if not self._hedge_overdue(request):
-            next_ms = min(next_ms, self.turn.now_ms + retry.RETRY_AGAIN_MS)
+            next_ms = min(next_ms, self.turn.now_ms + retry.HEDGE_RETRY_DELAY_MS)
         if next_ms < math.inf:
             self.state.timers.schedule(next_ms, TimerKind.OVERDUE_CHECK, request.received.id)
 
@@ -163,7 +162,7 @@
             return max(at_ms, now_ms + tick_ms)
         overdue = self.state.overdue
         if attempt.overdue_after_ms:
-            overdue.learn_interval(attempt)
+            overdue.record_interval(attempt)
         attempt.overdue_after_ms = attempt.overdue_after_ms or overdue_after_ms
         attempt.next_check_ms = now_ms + attempt.overdue_after_ms
         attempt.answer_probability = overdue.answer_probability(attempt)
@@ -196,7 +195,7 @@
             return
         request = state.requests.get(event.id)
         self._release(attempt, event)
-        self._learn(attempt, event)
+        self._record_outcome(attempt, event)
         if request is None:
             return
         request.in_flight.pop(event.attempt, None)
@@ -221,11 +220,11 @@
         state.limit.add_in_flight(now_ms, attempt.written_off - 1)
         state.limit.written_off -= attempt.written_off
         if attempt.overdue_after_ms and not self.turn.is_stalled:
-            state.overdue.learn_end(now_ms, attempt, event.result in ANSWERED)
+            state.overdue.record_end(now_ms, attempt, event.result in ANSWERED_RESULTS)
         state.limit.rejected += is_rejected
         state.limit.completed += 1
 
-    def _learn(self, attempt: Attempt, event: AttemptCompleted) -> None:
+    def _record_outcome(self, attempt: Attempt, event: AttemptCompleted) -> None:
         """Update the statistics of the endpoint and the class with an attempt's outcome. After a stall of
         this process the measured latency is left out, because it includes the stall."""
         state, now_ms, is_stalled = self.state, self.turn.now_ms, self.turn.is_stalled
@@ -240,8 +239,8 @@
             latency_ratio = event.latency_ms / usual_ms
             objective_ms = attempt.latency_objective_ms
             state.statistics.on_answer(class_name, event.latency_ms, objective_ms, is_stalled)
-        if event.result not in NOT_THE_ENDPOINTS_DOING and not is_stalled:
-            state.outliers.learn(now_ms, tracked, class_name, latency_ratio, OWN_WEIGHT)
+        if event.result not in RESULTS_WITHOUT_EVIDENCE and not is_stalled:
+            state.outliers.learn(now_ms, tracked, class_name, latency_ratio, COMPLETED_ATTEMPT_WEIGHT)
 
     def cancel_others(self, request: Request, kept_attempt: int = -1) -> None:
         """Cancel a request's attempts in flight, except the attempt numbered `kept_attempt`."""
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -47,7 +47,7 @@
 from plumpick.policy.turn import Turn
 
 TIMER_NAME = "agenda"  # name of the single timer that the controller sets
-TIDY_INTERVAL_MS = 250.0
+REMOVAL_INTERVAL_MS = 250.0
 WATCH_RETRY_RATIO = 0.25  # delay after a failed endpoint watch, as a fraction of settings.watch_retry_ms
 
 
@@ -58,9 +58,9 @@
         self.turn = Turn()
         self.state = GatewayState(settings, seed, self._on_quota_reply, self._on_quota_denied)
         self.lifecycle = RequestLifecycle(self.state, self.turn)
-        self.has_begun = False
+        self.is_quota_started = False
         self.timer_ms = math.inf  # time at which the timer fires; infinite while none is set
-        self.tidied_ms = 0.0  # time of the next removal of expired entries
+        self.next_removal_ms = 0.0  # time of the next removal of expired entries
 
     @property
     def faults(self) -> list[Exception]:
@@ -106,7 +106,7 @@
         if is_first:
             state.timers.schedule(now_ms, TimerKind.PERIOD)
             state.timers.schedule(now_ms, TimerKind.WATCH_ENDPOINTS)
-        self.has_begun = self.has_begun or turn.run_isolated(state.quota.begin, now_ms)
+        self.is_quota_started = self.is_quota_started or turn.run_isolated(state.quota.begin, now_ms)
         left: list[TrackedEndpoint] = []
         for event in events:
             turn.run_isolated(self.on_event, event, left)
@@ -151,7 +151,7 @@
             self.lifecycle.close(request)
             return
         request.is_streaming = True
-        request.is_body_gone |= not event.is_body_retained
+        request.is_body_released |= not event.is_body_retained
         self.lifecycle.attempts.cancel_others(request, event.attempt)
 
     def _on_endpoints(self, event: EndpointsUpdated, left: list[TrackedEndpoint]) -> None:
@@ -288,8 +288,8 @@
         turn.run_isolated(state.queue.on_period, now_ms)
         turn.run_isolated(state.quota.on_period, now_ms)
         turn.run_isolated(self._endpoints_on_period)
-        if now_ms >= self.tidied_ms:
-            self.tidied_ms = now_ms + TIDY_INTERVAL_MS
+        if now_ms >= self.next_removal_ms:
+            self.next_removal_ms = now_ms + REMOVAL_INTERVAL_MS
             turn.run_isolated(self.tidy)
         idle_ratio = state.load_reports.idle_ratio(now_ms)
         state.limit.idle_ratio = idle_ratio * state.statistics.floor_ratio()
--- a/plumpick/policy/load_balancing.py
+++ b/plumpick/policy/load_balancing.py
@@ -20,7 +20,7 @@
 FAILURE_WEIGHT = 200.0
 NON_IDEMPOTENT_FAILURE_FACTOR = 2  # factor on the failure weight for non-idempotent requests
 CROSS_ZONE_FACTOR = 1.15  # factor on the cost of an endpoint in another zone
-COST_SCATTER = 1.1  # maximum of the random cost factor that keeps gateways from all choosing alike
+MAX_RANDOM_COST_FACTOR = 1.1  # maximum of the random cost factor that keeps gateways from all choosing alike
 MIN_SUBSET_WARM = 3  # number of warm endpoints in the subset below which all warm endpoints are used
 MIN_COMPARED = 2.0  # minimum number of endpoints compared for an attempt
 COMPARED_PER_ATTEMPT = 4.0  # number of further endpoints compared per recent attempt to each endpoint
@@ -29,7 +29,7 @@
 
 MAX_WARMING_FAILURE_RATIO = 0.5  # failure ratio from which an endpoint in slow start gets no attempts
 WARMING_SAMPLE_MS = 1000.0  # time after which a request may be drawn again for an endpoint in slow start
-WARMING_SAMPLE_ALONE_MS = 100.0  # the same time while no endpoint is warm
+WARMING_SAMPLE_NO_WARM_MS = 100.0  # the same time while no endpoint is warm
 # Fraction of settings.overload_multiple up to which endpoints in slow start make up for missing warm capacity
 WARMING_LOAD_RATIO = 0.8
 
@@ -49,9 +49,11 @@
         the request without executing it twice (retry.py); None if all may."""
         warm = self._warm(allowed)
         if self.table.subset_warming and now_ms >= request.next_warming_sample_ms:
-            wait_ms = WARMING_SAMPLE_MS if self.table.warm else WARMING_SAMPLE_ALONE_MS
+            wait_ms = WARMING_SAMPLE_MS if self.table.warm else WARMING_SAMPLE_NO_WARM_MS
             request.next_warming_sample_ms = now_ms + wait_ms
-            warming = self._returned(now_ms, request, allowed) or self._sampled(now_ms, request, allowed)
+            warming = self._pick_reenabled(now_ms, request, allowed) or self._sample_warming(
+                now_ms, request, allowed
+            )
             if warming is not None:
                 return warming
         compared = MIN_COMPARED + COMPARED_PER_ATTEMPT * self.table.recent_attempts / max(1, len(warm))
@@ -74,7 +76,7 @@
             return self.table.warm
         return [tracked for tracked in self.table.warm if tracked in allowed]
 
-    def _returned(
+    def _pick_reenabled(
         self, now_ms: float, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> TrackedEndpoint | None:
         """An endpoint in slow start that an operator has enabled again and that has had no attempt since;
@@ -88,7 +90,7 @@
                 return tracked
         return None
 
-    def _sampled(
+    def _sample_warming(
         self, now_ms: float, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> TrackedEndpoint | None:
         """A randomly drawn endpoint in slow start, or None. Over all gateways, each gets a part of the
@@ -102,10 +104,10 @@
         for tracked in self.table.subset_warming:
             sample -= self.table.progress(now_ms, tracked)
             if sample < 0:
-                return tracked if self._may_warm(now_ms, tracked, request, allowed) else None
+                return tracked if self._may_get_attempt(now_ms, tracked, request, allowed) else None
         return None
 
-    def _may_warm(
+    def _may_get_attempt(
         self, now_ms: float, tracked: TrackedEndpoint, request: Request, allowed: list[TrackedEndpoint] | None
     ) -> bool:
         if not is_untried(tracked, request, allowed):
@@ -120,11 +122,11 @@
     ) -> TrackedEndpoint | None:
         """The endpoint with the lowest cost among `compared` randomly drawn ones of the pool."""
         class_name = request.request_class.name
-        is_fragile = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
-        failure_weight = (NON_IDEMPOTENT_FAILURE_FACTOR if is_fragile else 1) * FAILURE_WEIGHT
+        is_non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
+        failure_weight = (NON_IDEMPOTENT_FAILURE_FACTOR if is_non_idempotent else 1) * FAILURE_WEIGHT
         zone = self.table.settings.zone
         chance = self.rng.random
-        scatter = COST_SCATTER - 1.0
+        scatter = MAX_RANDOM_COST_FACTOR - 1.0
         failure_ratio = self.outliers.failure_ratio
         best: TrackedEndpoint | None = None
         best_cost = math.inf
--- a/plumpick/policy/load_reports.py
+++ b/plumpick/policy/load_reports.py
@@ -7,7 +7,7 @@
 from plumpick.policy.endpoint_state import TrackedEndpoint
 
 # Number of attempts in flight assumed at full CPU use, for endpoints that do not report attempts in flight
-FULL_USE_LOAD = 2.0
+FULL_USE_ATTEMPTS = 2.0
 IDLE_BELOW_USE = 0.9  # CPU use (0 to 1) below which endpoints count as partly idle
 IDLE_FULLY_USE = 0.6  # CPU use (0 to 1) at and below which endpoints count as fully idle
 USE_MEMORY_MS = 300.0  # time constant of the mean CPU use
@@ -28,7 +28,7 @@
     def record(self, now_ms: float, tracked: TrackedEndpoint, report: tuple[float, ...]) -> None:
         """Record the load report that came with the answer to an attempt."""
         values = dict(zip(self.fields, report, strict=False))
-        load = FULL_USE_LOAD * max(0.0, min(1.0, values.get(UTILIZATION, 0.0)))
+        load = FULL_USE_ATTEMPTS * max(0.0, min(1.0, values.get(UTILIZATION, 0.0)))
         if IN_FLIGHT in values:
             tracked.foreign_load = max(0.0, values[IN_FLIGHT] - tracked.in_flight)
         else:
@@ -37,7 +37,7 @@
         if UTILIZATION in values:
             age = (self.reported_ms - now_ms) / USE_MEMORY_MS
             gain = max(MIN_USE_GAIN, -math.expm1(max(-50.0, age)))
-            self.use_ratio += (load / FULL_USE_LOAD - self.use_ratio) * gain
+            self.use_ratio += (load / FULL_USE_ATTEMPTS - self.use_ratio) * gain
             self.reported_ms = now_ms
 
     def idle_ratio(self, now_ms: float) -> float:
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -20,7 +20,7 @@
 FAILED = math.inf  # latency ratio that stands for a failed attempt
 # Multiple of the usual latency from which an attempt was already counted as a failure while it was in flight
 # (the delay of the hedge timer)
-SILENCE_RATIO = 3.0
+SLOW_LATENCY_RATIO = 3.0
 
 EJECTION_FAILURE_RATIO = 0.5  # failure ratio from which an endpoint may be ejected
 EJECTION_MIN_ATTEMPTS = 2.0  # decaying count of attempts from which an endpoint may be ejected
@@ -30,7 +30,7 @@
 PEER_WEIGHT = 0.5  # maximum weight of an attempt reported by another gateway; an attempt of this one has 1
 PEER_REPORT_INTERVAL_MS = 250.0  # interval in which one gateway's reports on one endpoint count once
 PEER_REPORT_MAX_AGE_MS = 2000.0  # maximum age of an outcome that is reported to other gateways
-OWN = -1  # number that stands for this gateway among the reporters of failures
+THIS_GATEWAY = -1  # number that stands for this gateway among the reporters of failures
 
 
 class OutlierDetector:
@@ -68,10 +68,10 @@
     def ejected(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
         """The warm endpoints, as Python `id`s, that are ejected for a class in this period."""
         if class_name not in self._ejected:
-            self._ejected[class_name] = self._worst(now_ms, class_name, warm)
+            self._ejected[class_name] = self._select_ejected(now_ms, class_name, warm)
         return self._ejected[class_name]
 
-    def _worst(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
+    def _select_ejected(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
         judged = [
             (self.failure_ratio(now_ms, tracked, class_name), place)
             for place, tracked in enumerate(self.candidates)
@@ -94,27 +94,27 @@
         attract all attempts."""
         fade = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
         tracked.latency_ratio = tracked.current_latency_ratio(now_ms)
-        tracked.completed = self._faded(tracked.completed, fade)
-        tracked.failed = self._faded(tracked.failed, fade)
+        tracked.completed = self._decayed(tracked.completed, fade)
+        tracked.failed = self._decayed(tracked.failed, fade)
         tracked.completed[class_name] = tracked.completed.get(class_name, 0.0) + weight
         if latency_ratio == FAILED:
             tracked.failed[class_name] = tracked.failed.get(class_name, 0.0) + weight
             if tracked not in self.candidates:
                 self.candidates.append(tracked)
         elif latency_ratio < FAILED:
-            self._learn_latency(tracked, class_name, latency_ratio, weight)
+            self._record_latency(tracked, class_name, latency_ratio, weight)
         tracked.observed_ms = now_ms
         if weight > PEER_WEIGHT:
             self._report(now_ms, tracked, class_name, latency_ratio)
 
-    def _faded(self, counts: dict[str, float], fade: float) -> dict[str, float]:
+    def _decayed(self, counts: dict[str, float], fade: float) -> dict[str, float]:
         """The counts multiplied by `fade`, without classes that are no longer in the settings."""
         return {name: count * fade for name, count in counts.items() if name in self.class_index}
 
-    def _learn_latency(
+    def _record_latency(
         self, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
-        if latency_ratio > SILENCE_RATIO:  # undo the failure counted while the attempt was in flight
+        if latency_ratio > SLOW_LATENCY_RATIO:  # undo the failure counted while the attempt was in flight
             tracked.failed[class_name] = max(0.0, tracked.failed.get(class_name, 0.0) - weight)
         # The ratio is relative to the mean of all endpoints, so a slowdown of all of them affects none.
         change = min(MAX_LATENCY_RATIO, latency_ratio) - tracked.latency_ratio
@@ -123,7 +123,7 @@
     def _report(self, now_ms: float, tracked: TrackedEndpoint, class_name: str, latency_ratio: float) -> None:
         """Keep an outcome observed by this gateway, to be reported to other gateways."""
         if latency_ratio == FAILED:
-            tracked.failure_reporters[OWN] = now_ms
+            tracked.failure_reporters[THIS_GATEWAY] = now_ms
         if class_name in self.class_index:  # the class may have been dropped from the settings
             report = outlier_report(tracked.endpoint.id, self.class_index[class_name], latency_ratio)
             self.reports = [*self.reports[1 - MAX_OUTLIER_REPORTS :], (now_ms, report)]
--- a/plumpick/policy/overdue_attempts.py
+++ b/plumpick/policy/overdue_attempts.py
@@ -17,7 +17,7 @@
 MIN_OVERDUE_MS = 300.0  # minimum time after which an attempt is overdue
 # Time for which an answer to an overdue attempt is predicted, in multiples of the time that made it overdue
 HORIZON_INTERVALS = 1.0
-FORGETTING_RATIO = 0.95  # factor applied to the previous counts for each recorded attempt
+RETENTION_RATIO = 0.95  # factor applied to the previous counts for each recorded attempt
 PRIOR_INTERVALS = 3.0  # weight, in intervals, of the wider view's rate as prior of the narrower view
 
 View = tuple[str, ...]  # (class), (class, zone) or (class, zone, endpoint id)
@@ -32,8 +32,8 @@
 
     def learn(self, intervals: float, is_answered: bool) -> None:
         """Record the end of an overdue attempt that waited for `intervals` since it became overdue."""
-        self.answered = self.answered * FORGETTING_RATIO + is_answered
-        self.intervals = self.intervals * FORGETTING_RATIO + intervals
+        self.answered = self.answered * RETENTION_RATIO + is_answered
+        self.intervals = self.intervals * RETENTION_RATIO + intervals
 
     def answer_probability(self, wider: float | None = None) -> float:
         """Probability that an overdue attempt is still answered. `wider`: the probability in the next wider
@@ -74,16 +74,16 @@
                 probability = self.by_view[view].answer_probability(probability)
         return probability
 
-    def learn_interval(self, attempt: Attempt) -> None:
+    def record_interval(self, attempt: Attempt) -> None:
         """Record one more interval without an answer to an overdue attempt that is still waiting."""
-        attempt.intervals_learned += 1
+        attempt.recorded_intervals += 1
         for view in self.views_of(attempt):
             self.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0)).intervals += 1
 
-    def learn_end(self, now_ms: float, attempt: Attempt, is_answered: bool) -> None:
+    def record_end(self, now_ms: float, attempt: Attempt, is_answered: bool) -> None:
         """Record the end of an overdue attempt; intervals already recorded are not counted again."""
         waited = (now_ms - attempt.started_ms) / attempt.overdue_after_ms
-        intervals = waited - 1 - attempt.intervals_learned
+        intervals = waited - 1 - attempt.recorded_intervals
         for view in self.views_of(attempt):
             estimator = self.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0))
             estimator.learn(max(0.0, intervals), is_answered)
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -112,10 +112,11 @@
         state.queue.queued = [
             request
             for request in ordered
-            if not admission.may_start(request, state.limit, is_busy) or self._stays(request)
+            if not admission.may_start(request, state.limit, is_busy)
+            or self._still_queued_after_start(request)
         ]
 
-    def _stays(self, request: Request) -> bool:
+    def _still_queued_after_start(self, request: Request) -> bool:
         """Start a request's first attempt if an endpoint is available; returns whether the request is still
         queued."""
         self.turn.run_isolated(self.attempts.start, request)
@@ -126,7 +127,7 @@
     def reject_or_fail(self, request: Request) -> None:
         """End a request without a worker's answer: reject it if a client retry cannot execute it twice, else
         fail it. Clients take a rejection as permission to retry."""
-        if retry.may_promise_retry(request):
+        if retry.is_client_retry_safe(request):
             refill_ms = request.received.units * MS_PER_S / (request.plan.rate_per_s or math.inf)
             self._reject(request.received.id, max(admission.MIN_RETRY_AFTER_MS, refill_ms))
         else:
--- a/plumpick/policy/request_state.py
+++ b/plumpick/policy/request_state.py
@@ -22,7 +22,7 @@
     written_off: float = 0.0  # fraction of the attempt that the concurrency limit does not count
     answer_probability: float = 1.0  # probability of an answer, as estimated at the last check
     next_check_ms: float = 0.0  # time of the next check of an overdue attempt
-    intervals_learned: float = 0.0  # number of intervals of `overdue_after_ms` recorded while overdue
+    recorded_intervals: float = 0.0  # number of intervals of `overdue_after_ms` recorded while overdue
 
 
 @dataclass(slots=True, eq=False)
@@ -51,5 +51,5 @@
     awaits_quota: bool = True
     is_queued: bool = False  # whether it waits for its first attempt
     is_streaming: bool = False  # whether its response has started
-    is_body_gone: bool = False  # whether its body is no longer retained, which rules out further attempts
+    is_body_released: bool = False  # whether its body is no longer retained, which rules out further attempts
     next_warming_sample_ms: float = 0.0  # earliest time of its next draw for an endpoint in slow start
--- a/plumpick/policy/retry.py
+++ b/plumpick/policy/retry.py
@@ -22,7 +22,7 @@
 MIN_HEDGE_DELAY_MS = 150.0
 MAX_HEDGE_LOAD_RATIO = 0.7  # load, as a fraction of the concurrency limit, at which hedging stops
 MAX_HEDGE_PROBABILITY = 0.5  # probability of an answer above which a hedged request would only add load
-RETRY_AGAIN_MS = 100.0  # delay before retrying a hedged request that found no room or retry token
+HEDGE_RETRY_DELAY_MS = 100.0  # delay before retrying a hedged request that found no room or retry token
 WINDOW_MARGIN_MS = 25.0  # time before the end of a deduplication window reserved for an attempt to arrive
 
 
@@ -48,13 +48,13 @@
         self.tokens -= price
 
 
-def price_of(answer_probability: float) -> float:
+def price_tokens(answer_probability: float) -> float:
     """Price of a retry in tokens. `answer_probability`: probability that the previous attempt still answers;
     the lower it is, the less load the retry adds, and the lower is its price."""
     return max(MIN_PRICE_TOKENS, answer_probability)
 
 
-def window_left_ms(now_ms: float, request: Request, settings: Settings) -> float:
+def deduplication_time_left_ms(now_ms: float, request: Request, settings: Settings) -> float:
     """Time in ms, from now, within which a further attempt has to be sent for its deduplication group to
     still remember the first one; infinite for idempotent requests."""
     request_class = request.request_class
@@ -76,12 +76,12 @@
         return None
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return []
-    if window_left_ms(now_ms, request, settings) <= 0:
+    if deduplication_time_left_ms(now_ms, request, settings) <= 0:
         return []
-    return [tracked for tracked in table.warm + table.warming if knows_request(tracked, request)]
+    return [tracked for tracked in table.warm + table.warming if is_in_deduplication_group(tracked, request)]
 
 
-def knows_request(tracked: TrackedEndpoint, request: Request) -> bool:
+def is_in_deduplication_group(tracked: TrackedEndpoint, request: Request) -> bool:
     """Whether an endpoint is in the deduplication group of a request's first attempt and was already running
     at that time. A worker that started later has no record of the request."""
     first = request.first_endpoint
@@ -107,19 +107,19 @@
     expected_ms = statistics.expected_latency_ms(request.request_class)
     if not time_left_ms(now_ms, request) >= expected_ms:
         return False
-    if request.attempt_count >= settings.max_attempts or request.is_body_gone:
+    if request.attempt_count >= settings.max_attempts or request.is_body_released:
         return False
     return allowed_endpoints(now_ms, request, settings, table) != []
 
 
-def gain_of(now_ms: float, request: Request, expected_latency_ms: float, top_priority: float) -> float:
+def relative_gain(now_ms: float, request: Request, expected_latency_ms: float, top_priority: float) -> float:
     """Expected gain of a retry: the request's priority relative to `top_priority`, times its estimated
     probability of being in time."""
     chance = min(1.0, time_left_ms(now_ms, request) / max(1.0, 2 * expected_latency_ms))
     return request.priority * chance / top_priority
 
 
-def may_promise_retry(request: Request) -> bool:
+def is_client_retry_safe(request: Request) -> bool:
     """Whether the client may send the request again without the risk that it takes effect twice, which is
     what a rejection promises."""
     request_class = request.request_class
--- a/plumpick/policy/timers.py
+++ b/plumpick/policy/timers.py
@@ -27,7 +27,7 @@
 
 
 # Kinds of timers that become void when their request ends.
-OF_REQUESTS = frozenset(
+REQUEST_TIMER_KINDS = frozenset(
     (
         TimerKind.GRANT_REPLY,
         TimerKind.GRANT_EXPIRY,
@@ -38,7 +38,7 @@
     )
 )
 # Number of queue entries above the maximum for open requests that triggers a search for void entries
-_SPARE_ENTRIES = 256
+_MAX_VOID_ENTRIES = 256
 
 Entry = tuple[float, int, TimerKind, int]  # time in ms, serial number, kind, key
 
@@ -65,15 +65,17 @@
         """Time of the earliest timer. Drops timers of ended requests from the head of the queue, since most
         timers outlive their request."""
         entries = self.entries
-        while entries[0][2] in OF_REQUESTS and entries[0][3] not in open_requests:
+        while entries[0][2] in REQUEST_TIMER_KINDS and entries[0][3] not in open_requests:
             heapq.heappop(entries)
         return entries[0][0]
 
     def forget_ended(self, open_requests: Mapping[int, object]) -> None:
         """Drop the timers of ended requests if the queue is much longer than the open requests explain."""
-        if len(self.entries) > _SPARE_ENTRIES + len(OF_REQUESTS) * len(open_requests):
+        if len(self.entries) > _MAX_VOID_ENTRIES + len(REQUEST_TIMER_KINDS) * len(open_requests):
             self.entries = [
-                entry for entry in self.entries if entry[2] not in OF_REQUESTS or entry[3] in open_requests
+                entry
+                for entry in self.entries
+                if entry[2] not in REQUEST_TIMER_KINDS or entry[3] in open_requests
             ]
             heapq.heapify(self.entries)
 
