--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -126,7 +126,7 @@
         if not self.turn.is_stalled:
             for tracked in request.in_flight.values():
                 class_name = request.request_class.name
-                state.outliers.learn(self.turn.now_ms, tracked, class_name, FAILED, SLOW_ATTEMPT_WEIGHT)
+                state.outliers.record(self.turn.now_ms, tracked, class_name, FAILED, SLOW_ATTEMPT_WEIGHT)
         limit = state.limit
         has_room = limit.mean_in_flight < retry.MAX_HEDGE_LOAD_RATIO * limit.limit
         if state.settings.can_hedge and has_room and len(request.in_flight) == 1:
@@ -240,7 +240,7 @@
             objective_ms = attempt.latency_objective_ms
             state.statistics.on_answer(class_name, event.latency_ms, objective_ms, is_stalled)
         if event.result not in RESULTS_WITHOUT_EVIDENCE and not is_stalled:
-            state.outliers.learn(now_ms, tracked, class_name, latency_ratio, COMPLETED_ATTEMPT_WEIGHT)
+            state.outliers.record(now_ms, tracked, class_name, latency_ratio, COMPLETED_ATTEMPT_WEIGHT)
 
     def cancel_others(self, request: Request, kept_attempt: int = -1) -> None:
         """Cancel a request's attempts in flight, except the attempt numbered `kept_attempt`."""
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -84,7 +84,7 @@
         most = int(MAX_EJECTED_RATIO * len(warm))
         return {id(self.candidates[place]) for _, place in bad[:most]}
 
-    def learn(
+    def record(
         self, now_ms: float, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
         """Record the outcome of an attempt. `latency_ratio`: its latency divided by the usual one, or FAILED;
@@ -154,7 +154,7 @@
             latency_ratio = latency_ratio_of(report)
             if latency_ratio == FAILED and not self._is_confirmed(now_ms, tracked, sender):
                 continue
-            self.learn(now_ms, tracked, classes[report.class_index].name, latency_ratio, weight)
+            self.record(now_ms, tracked, classes[report.class_index].name, latency_ratio, weight)
 
     @staticmethod
     def _is_confirmed(now_ms: float, tracked: TrackedEndpoint, sender: int) -> bool:
--- a/plumpick/policy/overdue_attempts.py
+++ b/plumpick/policy/overdue_attempts.py
@@ -30,7 +30,7 @@
     answered: float = 1.0  # number of overdue attempts that were answered
     intervals: float = 1.0  # time waited, in multiples of the time that made each attempt overdue
 
-    def learn(self, intervals: float, is_answered: bool) -> None:
+    def record(self, intervals: float, is_answered: bool) -> None:
         """Record the end of an overdue attempt that waited for `intervals` since it became overdue."""
         self.answered = self.answered * RETENTION_RATIO + is_answered
         self.intervals = self.intervals * RETENTION_RATIO + intervals
@@ -86,7 +86,7 @@
         intervals = waited - 1 - attempt.recorded_intervals
         for view in self.views_of(attempt):
             estimator = self.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0))
-            estimator.learn(max(0.0, intervals), is_answered)
+            estimator.record(max(0.0, intervals), is_answered)
 
     def forget(self, zones: set[str], endpoint_ids: Container[str]) -> None:
         """Remove the views of zones and endpoints that no longer exist; views of whole classes stay."""
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -56,7 +56,7 @@
 def held_s(settings: Settings) -> float:
     """For how long at most after its units are drawn a try comes whole to its first server, in seconds.
 
-    `RequestLifecycle._schedule_ends` sets a FIRST_ATTEMPT timer: by then it is forwarded or rejected, and
+    `RequestLifecycle._set_deadlines` sets a FIRST_ATTEMPT timer: by then it is forwarded or rejected, and
     that is before the objective (the deadline, where late answers have value). Its time counts from the
     request's arrival and units are charged later, so this is more than can be. On top come attempts that
     found no connection."""
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -50,11 +50,11 @@
         priority = request_class.priority_weight * plan.priority_factor
         request = Request(received, request_class, plan, account, now_ms, objective_ms, priority)
         state.requests[received.id] = request
-        self._schedule_ends(request)
+        self._set_deadlines(request)
         if state.quota.requester.request_units(now_ms, request):
             state.queue.append(request)
 
-    def _schedule_ends(self, request: Request) -> None:
+    def _set_deadlines(self, request: Request) -> None:
         """Set the timers for the latest first attempt and the final answer of a request."""
         state, received = self.state, request.received
         deadline_ms = received.deadline_ms - DEADLINE_TICKS * state.settings.tick_ms
--- a/tests/policy/test_gray_failures.py
+++ b/tests/policy/test_gray_failures.py
@@ -197,10 +197,10 @@
 def test_overdue_attempts_that_answer_are_believed_again():
     late = OverdueAttemptEstimator()
     for _ in range(40):
-        late.learn(3.0, False)
+        late.record(3.0, False)
     assert late.answer_probability() < 0.1
     for _ in range(100):
-        late.learn(0.5, True)
+        late.record(0.5, True)
     assert late.answer_probability() > 0.8
 
 
@@ -265,7 +265,7 @@
 
     def see(self, server, name, ratio):
         state = self.control.state
-        state.outliers.learn(self.now, state.endpoints.tracked[server], name, ratio, 1.0)
+        state.outliers.record(self.now, state.endpoints.tracked[server], name, ratio, 1.0)
 
     def sent(self, name, count=16):
         """Where requests of a class go that are out at one time."""
@@ -381,7 +381,7 @@
     silent, well = control.state.endpoints.tracked["s0"], control.state.endpoints.tracked["s1"]
     for backend, answered in ((silent, False), (well, True)) * 30:
         for view in control.state.overdue.views_of(Attempt(backend, "look", 0.0)):
-            control.state.overdue.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0)).learn(
+            control.state.overdue.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0)).record(
                 1.0 if answered else 3.0, answered
             )
     assert control.state.overdue.answer_probability(Attempt(silent, "look", 0.0)) < 0.15
--- a/tests/policy/test_peer_messages.py
+++ b/tests/policy/test_peer_messages.py
@@ -240,7 +240,7 @@
         now += 20.0
         for peer in peers:
             if step == 1:
-                peer.state.outliers.learn(now, peer.state.endpoints.tracked[server], name, float("inf"), 1.0)
+                peer.state.outliers.record(now, peer.state.endpoints.tracked[server], name, float("inf"), 1.0)
             home.handle(now, told_to(peer, home, peer.handle(now, [])))
 
 
