--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from plumpick.policy.class_statistics import MAX_EXPECTED_RATIO, ClassStatistics
-from plumpick.policy.concurrency_limit import FEW_SAMPLES, ConcurrencyLimit
+from plumpick.policy.concurrency_limit import MIN_SAMPLES, ConcurrencyLimit
 from plumpick.policy.events import RequestReceived
 from plumpick.policy.fuzzy_controller import FuzzyShareController
 from plumpick.policy.request_state import Attempt, Request
@@ -88,7 +88,7 @@
         """Adjust each class's share to the mean queueing time of its requests in this period."""
         for name, controller in self.shares.items():
             waits_ms = self.waits_ms[name]
-            if len(waits_ms) < FEW_SAMPLES and self.queued:
+            if len(waits_ms) < MIN_SAMPLES and self.queued:
                 waits_ms = waits_ms + [
                     now_ms - request.received_ms
                     for request in self.queued
--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -109,10 +109,10 @@
         state = self.state
         return retry.may_retry(self.turn.now_ms, request, state.settings, state.endpoints, state.statistics)
 
-    def retry_elsewhere(self, request: Request, left: list[TrackedEndpoint]) -> None:
-        """Start another attempt of an idempotent request if its only attempt is at an endpoint in `left`,
+    def retry_elsewhere(self, request: Request, leaving: list[TrackedEndpoint]) -> None:
+        """Start another attempt of an idempotent request if its only attempt is at an endpoint in `leaving`,
         i.e. one that leaves service and may stop before it answers."""
-        if len(request.in_flight) != 1 or next(iter(request.in_flight.values())) not in left:
+        if len(request.in_flight) != 1 or next(iter(request.in_flight.values())) not in leaving:
             return
         if request.request_class.idempotency is Idempotency.IDEMPOTENT and not request.is_streaming:
             self.retry(request)
--- a/plumpick/policy/concurrency_limit.py
+++ b/plumpick/policy/concurrency_limit.py
@@ -27,7 +27,7 @@
 BURST_ATTEMPTS = 1.5  # number of attempts by which the limit may be exceeded while the mean is within it
 BURST_SPREAD = 1.0  # tolerance of that mean, in square roots of the limit (the scatter of a small count)
 MIN_LIMIT = 1.0  # minimum limit; below one attempt, chance arrivals rather than load would reach the limit
-FEW_SAMPLES = 5  # number of samples below which statistics of this gateway alone are not relied on
+MIN_SAMPLES = 5  # number of samples below which statistics of this gateway alone are not relied on
 PEER_CAPACITY_GAIN = 0.1  # smoothing factor of the capacities reported by other gateways
 # Maximum of the written-off attempts, as a fraction of the limit, in addition to the recently answered ones
 MAX_WRITE_OFF_RATIO = 1.0
@@ -101,7 +101,7 @@
         own_endpoints = ready_endpoints / self.gateway_count  # this gateway's part: all gateways send to them
         # With few answers of its own, this gateway relies on the capacity that others report.
         missing = max(0.0, self.fleet_capacity - self.capacity)
-        capacity = self.capacity + missing * FEW_SAMPLES / (FEW_SAMPLES + self.completed)
+        capacity = self.capacity + missing * MIN_SAMPLES / (MIN_SAMPLES + self.completed)
         highest = MAX_GROWTH_RATIO * max(self.recent_peak, INITIAL_PER_ENDPOINT * own_endpoints)
         # If the endpoints report that they are idle, they are not the cause of missing answers. The floor
         # then rises to the initial limit; otherwise a low limit would cause few answers and so stay low.
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -107,12 +107,12 @@
             state.timers.schedule(now_ms, TimerKind.PERIOD)
             state.timers.schedule(now_ms, TimerKind.WATCH_ENDPOINTS)
         self.is_quota_started = self.is_quota_started or turn.run_isolated(state.quota.begin, now_ms)
-        left: list[TrackedEndpoint] = []
+        leaving: list[TrackedEndpoint] = []
         for event in events:
-            turn.run_isolated(self.on_event, event, left)
-        if left and state.settings.can_hedge:
+            turn.run_isolated(self.on_event, event, leaving)
+        if leaving and state.settings.can_hedge:
             for request in list(state.requests.values()):
-                turn.run_isolated(self.lifecycle.attempts.retry_elsewhere, request, left)
+                turn.run_isolated(self.lifecycle.attempts.retry_elsewhere, request, leaving)
         self._fire_timers()
         turn.run_isolated(self.lifecycle.release)
         turn.run_isolated(self.flush_outbox)
@@ -123,8 +123,8 @@
 
     # -- events
 
-    def on_event(self, event: Event, left: list[TrackedEndpoint]) -> None:
-        """Process one event. Endpoints that the event takes out of service are appended to `left`."""
+    def on_event(self, event: Event, leaving: list[TrackedEndpoint]) -> None:
+        """Process one event. Endpoints that the event takes out of service are appended to `leaving`."""
         match event:
             case AttemptCompleted():
                 self.lifecycle.attempts.on_completed(event)
@@ -135,7 +135,7 @@
             case PeerMessageReceived():
                 self.on_peer_message(event)
             case EndpointsUpdated():
-                self._on_endpoints(event, left)
+                self._on_endpoints(event, leaving)
             case OperatorCommand():
                 self.on_command(event)
             case SettingsChanged():
@@ -154,13 +154,13 @@
         request.is_body_released |= not event.is_body_retained
         self.lifecycle.attempts.cancel_others(request, event.attempt)
 
-    def _on_endpoints(self, event: EndpointsUpdated, left: list[TrackedEndpoint]) -> None:
+    def _on_endpoints(self, event: EndpointsUpdated, leaving: list[TrackedEndpoint]) -> None:
         state, now_ms = self.state, self.turn.now_ms
         if event.is_failure:
             delay_ms = state.settings.watch_retry_ms * WATCH_RETRY_RATIO
             state.timers.schedule(now_ms + delay_ms, TimerKind.WATCH_ENDPOINTS)
             return
-        left += state.endpoints.update(now_ms, event)
+        leaving += state.endpoints.update(now_ms, event)
         state.limit.update_limit(state.endpoints.capacity)
 
     def on_peer_message(self, event: PeerMessageReceived) -> None:
@@ -308,7 +308,7 @@
         tracked = state.endpoints.tracked
         zones = {known.endpoint.zone for known in tracked.values()}
         state.overdue.forget(zones, tracked)
-        state.timers.forget_ended(state.requests)
+        state.timers.remove_ended(state.requests)
 
     def set_timer(self) -> None:
         """Set the process's timer for the earliest entry of the timer queue. There is one timer for all
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -60,10 +60,10 @@
         serves as prior for classes with few attempts."""
         if not tracked.failed:
             return 0.0
-        fade = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
-        overall = fade * sum(tracked.failed.values()) / (fade * sum(tracked.completed.values()) + 2)
-        failed = fade * tracked.failed.get(class_name, 0.0)
-        return (failed + overall) / (fade * tracked.completed.get(class_name, 0.0) + 1)
+        decay = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
+        overall = decay * sum(tracked.failed.values()) / (decay * sum(tracked.completed.values()) + 2)
+        failed = decay * tracked.failed.get(class_name, 0.0)
+        return (failed + overall) / (decay * tracked.completed.get(class_name, 0.0) + 1)
 
     def ejected(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
         """The warm endpoints, as Python `id`s, that are ejected for a class in this period."""
@@ -72,17 +72,17 @@
         return self._ejected[class_name]
 
     def _select_ejected(self, now_ms: float, class_name: str, warm: list[TrackedEndpoint]) -> set[int]:
-        judged = [
-            (self.failure_ratio(now_ms, tracked, class_name), place)
-            for place, tracked in enumerate(self.candidates)
+        ranked = [
+            (self.failure_ratio(now_ms, tracked, class_name), index)
+            for index, tracked in enumerate(self.candidates)
             if tracked in warm and sum(tracked.completed.values()) >= EJECTION_MIN_ATTEMPTS
         ]
-        judged.sort(reverse=True)
-        bad = [row for row in judged if row[0] >= EJECTION_FAILURE_RATIO]
-        if len(bad) > PANIC_RATIO * len(warm):
+        ranked.sort(reverse=True)
+        failing = [row for row in ranked if row[0] >= EJECTION_FAILURE_RATIO]
+        if len(failing) > PANIC_RATIO * len(warm):
             return set()
-        most = int(MAX_EJECTED_RATIO * len(warm))
-        return {id(self.candidates[place]) for _, place in bad[:most]}
+        max_count = int(MAX_EJECTED_RATIO * len(warm))
+        return {id(self.candidates[index]) for _, index in failing[:max_count]}
 
     def record(
         self, now_ms: float, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
@@ -92,10 +92,10 @@
 
         Rejected attempts count as failures: an endpoint that rejects quickly looks idle and would otherwise
         attract all attempts."""
-        fade = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
+        decay = math.exp((tracked.observed_ms - now_ms) / FAILURE_MEMORY_MS)
         tracked.latency_ratio = tracked.current_latency_ratio(now_ms)
-        tracked.completed = self._decayed(tracked.completed, fade)
-        tracked.failed = self._decayed(tracked.failed, fade)
+        tracked.completed = self._decayed(tracked.completed, decay)
+        tracked.failed = self._decayed(tracked.failed, decay)
         tracked.completed[class_name] = tracked.completed.get(class_name, 0.0) + weight
         if latency_ratio == FAILED:
             tracked.failed[class_name] = tracked.failed.get(class_name, 0.0) + weight
@@ -107,9 +107,9 @@
         if weight > PEER_WEIGHT:
             self._report(now_ms, tracked, class_name, latency_ratio)
 
-    def _decayed(self, counts: dict[str, float], fade: float) -> dict[str, float]:
-        """The counts multiplied by `fade`, without classes that are no longer in the settings."""
-        return {name: count * fade for name, count in counts.items() if name in self.class_index}
+    def _decayed(self, counts: dict[str, float], decay: float) -> dict[str, float]:
+        """The counts multiplied by `decay`, without classes that are no longer in the settings."""
+        return {name: count * decay for name, count in counts.items() if name in self.class_index}
 
     def _record_latency(
         self, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -135,8 +135,8 @@
         self.close(request)
 
     def _reject(self, request_id: int, retry_after_ms: float) -> None:
-        most_ms = self.state.settings.max_retry_after_ms
-        self.turn.actions.append(RejectRequest(request_id, min(retry_after_ms, most_ms)))
+        max_ms = self.state.settings.max_retry_after_ms
+        self.turn.actions.append(RejectRequest(request_id, min(retry_after_ms, max_ms)))
 
     def close(self, request: Request) -> None:
         """Remove a request that has ended and cancel its attempts in flight."""
@@ -153,6 +153,6 @@
     """Raises TypeError if a field of a request has the wrong type. Compiled code checks each field when it is
     read; plain Python would fail only after the request has been partly processed."""
     names = received.customer, received.class_name, received.plan_name
-    is_sound = isinstance(received.id, int) and isinstance(received.is_client_retry, bool)
-    if not is_sound or not all(isinstance(name, str) for name in names):
+    has_valid_types = isinstance(received.id, int) and isinstance(received.is_client_retry, bool)
+    if not has_valid_types or not all(isinstance(name, str) for name in names):
         raise TypeError(f"an arrival with a part of a wrong type: {received!r}")
--- a/plumpick/policy/retry.py
+++ b/plumpick/policy/retry.py
@@ -115,8 +115,8 @@
 def relative_gain(now_ms: float, request: Request, expected_latency_ms: float, top_priority: float) -> float:
     """Expected gain of a retry: the request's priority relative to `top_priority`, times its estimated
     probability of being in time."""
-    chance = min(1.0, time_left_ms(now_ms, request) / max(1.0, 2 * expected_latency_ms))
-    return request.priority * chance / top_priority
+    timely_probability = min(1.0, time_left_ms(now_ms, request) / max(1.0, 2 * expected_latency_ms))
+    return request.priority * timely_probability / top_priority
 
 
 def is_client_retry_safe(request: Request) -> bool:
--- a/plumpick/policy/slow_start.py
+++ b/plumpick/policy/slow_start.py
@@ -16,9 +16,9 @@
 def progress(now_ms: float, tracked: TrackedEndpoint, settings: Settings, disabled: DisabledWorkers) -> float:
     """The fraction of its full capacity that an endpoint can be relied on to have now; 1 once it is warm."""
     endpoint = tracked.endpoint
-    began_ms = disabled.slow_start_began_ms(now_ms, endpoint.id, endpoint.started_ms)
-    age_ms = now_ms - began_ms
-    if not began_ms or age_ms >= settings.slow_start_ms:
+    start_ms = disabled.slow_start_began_ms(now_ms, endpoint.id, endpoint.started_ms)
+    age_ms = now_ms - start_ms
+    if not start_ms or age_ms >= settings.slow_start_ms:
         return 1.0
     initial = settings.slow_start_initial_ratio
     return initial + (1 - initial) * max(0.0, age_ms) / settings.slow_start_ms
--- a/plumpick/policy/subsetting.py
+++ b/plumpick/policy/subsetting.py
@@ -41,15 +41,15 @@
     ratio = subset_ratio(capacity, gateway_count)
     if ratio >= 1:
         return [endpoint for endpoint, _ in ring]
-    begin = gateway_number / gateway_count * capacity
-    end = begin + ratio * capacity
+    arc_start = gateway_number / gateway_count * capacity
+    arc_end = arc_start + ratio * capacity
     position = 0.0
     chosen = []
     for endpoint, weight in ring:
         # The arc may wrap around the end of the ring, so the overlap is also computed one full turn further.
         overlap = sum(
-            max(0.0, min(position + weight, end - turn) - max(position, begin - turn))
-            for turn in (0.0, capacity)
+            max(0.0, min(position + weight, arc_end - offset) - max(position, arc_start - offset))
+            for offset in (0.0, capacity)
         )
         if overlap >= MIN_OVERLAP_RATIO * weight > 0:
             chosen.append(endpoint)
--- a/plumpick/policy/timers.py
+++ b/plumpick/policy/timers.py
@@ -69,7 +69,7 @@
             heapq.heappop(entries)
         return entries[0][0]
 
-    def forget_ended(self, open_requests: Mapping[int, object]) -> None:
+    def remove_ended(self, open_requests: Mapping[int, object]) -> None:
         """Drop the timers of ended requests if the queue is much longer than the open requests explain."""
         if len(self.entries) > _MAX_VOID_ENTRIES + len(REQUEST_TIMER_KINDS) * len(open_requests):
             self.entries = [
