--- a/benchmarks/reconfigure.py
+++ b/benchmarks/reconfigure.py
@@ -136,7 +136,7 @@
             )
         print(f"{name:24} median {statistics.median(took):7.2f} ms, worst {max(took):7.2f} ms")
     began = time.perf_counter()
-    control.tidy()
+    control.remove_expired()
     print(f"{'tidying after them':24}        {(time.perf_counter() - began) * 1000:7.2f} ms")
 
 
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -290,7 +290,7 @@
         turn.run_isolated(self._endpoints_on_period)
         if now_ms >= self.next_removal_ms:
             self.next_removal_ms = now_ms + REMOVAL_INTERVAL_MS
-            turn.run_isolated(self.tidy)
+            turn.run_isolated(self.remove_expired)
         idle_ratio = state.load_reports.idle_ratio(now_ms)
         state.limit.idle_ratio = idle_ratio * state.statistics.floor_ratio()
         state.limit.on_period(now_ms, state.endpoints.capacity)
@@ -299,7 +299,7 @@
         self.state.endpoints.on_period(self.turn.now_ms)
         self.state.outliers.on_period(self.turn.now_ms)
 
-    def tidy(self) -> None:
+    def remove_expired(self) -> None:
         """Remove expired state: idle customers, classes and plans dropped from the settings, endpoints that
         are gone, and timers of ended requests."""
         state, now_ms = self.state, self.turn.now_ms
@@ -307,7 +307,7 @@
         reconfiguration.forget_dropped(state, now_ms)
         tracked = state.endpoints.tracked
         zones = {known.endpoint.zone for known in tracked.values()}
-        state.overdue.forget(zones, tracked)
+        state.overdue.remove_gone(zones, tracked)
         state.timers.remove_ended(state.requests)
 
     def set_timer(self) -> None:
--- a/plumpick/policy/housekeeping.py
+++ b/plumpick/policy/housekeeping.py
@@ -6,16 +6,16 @@
 
 T = TypeVar("T")
 
-PARTS = 20  # number of steps in which a long table is searched once
-MIN_ENTRIES = 64  # minimum number of entries searched in one step
+STEPS_PER_ROUND = 20  # number of steps in which a long table is searched once
+MIN_KEYS_PER_STEP = 64  # minimum number of entries searched in one step
 
 
-def next_part(table: dict[T, Any], unvisited: list[T]) -> list[T]:
+def next_keys(table: dict[T, Any], unvisited: list[T]) -> list[T]:
     """The keys of `table` to check in this step; successive calls cover all keys. `unvisited` holds the keys
     not yet checked in this round; it is updated, and refilled when empty."""
     if not unvisited:
         unvisited += table
-    count = max(MIN_ENTRIES, len(table) // PARTS)
-    part = [key for key in unvisited[-count:] if key in table]
+    count = max(MIN_KEYS_PER_STEP, len(table) // STEPS_PER_ROUND)
+    keys = [key for key in unvisited[-count:] if key in table]
     del unvisited[-count:]
-    return part
+    return keys
--- a/plumpick/policy/overdue_attempts.py
+++ b/plumpick/policy/overdue_attempts.py
@@ -88,7 +88,7 @@
             estimator = self.by_view.setdefault(view, OverdueAttemptEstimator(0.0, 0.0))
             estimator.record(max(0.0, intervals), is_answered)
 
-    def forget(self, zones: set[str], endpoint_ids: Container[str]) -> None:
+    def remove_gone(self, zones: set[str], endpoint_ids: Container[str]) -> None:
         """Remove the views of zones and endpoints that no longer exist; views of whole classes stay."""
         kept: dict[View, OverdueAttemptEstimator] = {}
         for view, estimator in self.by_view.items():
@@ -96,6 +96,6 @@
                 kept[view] = estimator
         self.by_view = kept
 
-    def forget_classes(self, names: set[str]) -> None:
+    def remove_classes(self, names: set[str]) -> None:
         """Remove classes that are no longer in the settings and have no open requests."""
         self.by_view = {view: known for view, known in self.by_view.items() if view[0] not in names}
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -10,7 +10,7 @@
 
 from plumpick.policy.admission import target_wait_ms
 from plumpick.policy.concurrency_limit import PERIOD_MS
-from plumpick.policy.housekeeping import next_part
+from plumpick.policy.housekeeping import next_keys
 from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind, owner_position
 from plumpick.policy.quota import hard_limits
 from plumpick.policy.quota.context import DEMAND_MEMORY_MS, MS_PER_S, QuotaContext, QuotaMessenger
@@ -304,13 +304,13 @@
 
     def forget(self, now_ms: float) -> None:
         """Forget a part of the ledgers that nobody uses and that are full again."""
-        for name in next_part(self.ledgers, self.unvisited_ledgers):
+        for name in next_keys(self.ledgers, self.unvisited_ledgers):
             ledger = self.ledgers[name]
             if now_ms - ledger.updated_ms > IDLE_MS and is_full(ledger, now_ms, hard_limits.OWNER_RATIO):
                 del self.ledgers[name]
 
     def forget_detached(self, now_ms: float) -> None:
         """The same for the ledgers of plans that the settings dropped."""
-        for key in next_part(self.detached, self.unvisited_detached):
+        for key in next_keys(self.detached, self.unvisited_detached):
             if is_full(self.detached[key], now_ms, hard_limits.OWNER_RATIO):
                 del self.detached[key]
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -12,7 +12,7 @@
 
 from plumpick.policy.admission import MIN_RETRY_AFTER_MS, target_wait_ms
 from plumpick.policy.events import RequestReceived
-from plumpick.policy.housekeeping import next_part
+from plumpick.policy.housekeeping import next_keys
 from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind, customer_tag, owner_position
 from plumpick.policy.quota import hard_limits
 from plumpick.policy.quota.context import DEMAND_MEMORY_MS, MS_PER_S, QuotaContext, QuotaMessenger
@@ -153,7 +153,7 @@
         """Forget a part of the accounts without requests whose buckets are full: made anew they hold no
         more."""
         open_accounts = {id(request.account) for request in open_requests}
-        for key in next_part(self.accounts, self.unvisited_accounts):
+        for key in next_keys(self.accounts, self.unvisited_accounts):
             account = self.accounts[key]
             is_open = id(account) in open_accounts or account.requests_in_flight
             if not is_open and self._is_full(now_ms, account):
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -146,5 +146,5 @@
             state.queue.remove_class(name)
             state.statistics.remove(name)
         if over:
-            state.overdue.forget_classes(over)
+            state.overdue.remove_classes(over)
     state.quota.owner.forget_detached(now_ms)
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -30,7 +30,7 @@
     TimerFired,
 )
 from plumpick.policy.fuzzy_controller import SET_CENTRES, FuzzyShareController
-from plumpick.policy.housekeeping import MIN_ENTRIES, PARTS
+from plumpick.policy.housekeeping import MIN_KEYS_PER_STEP, STEPS_PER_ROUND
 from plumpick.policy.quota.ledger import ledger_key
 from plumpick.policy.quota.owner import IDLE_MS
 from plumpick.policy.retry import WINDOW_MARGIN_MS
@@ -457,11 +457,11 @@
         1001, [event for n in range(2000) for event in (ask(n, customer=f"c{n}"), ClientDisconnected(n))]
     )
     late, left = 1001 + 10 * IDLE_MS, []
-    for _ in range(2 * PARTS):
+    for _ in range(2 * STEPS_PER_ROUND):
         before = len(c.state.quota.requester.accounts)
         c.state.quota.forget(late, ())
         left.append(len(c.state.quota.requester.accounts))
-        assert before - left[-1] <= max(MIN_ENTRIES, 2000 // PARTS)
+        assert before - left[-1] <= max(MIN_KEYS_PER_STEP, 2000 // STEPS_PER_ROUND)
     assert (
         left[0] >= 1900
         and left[-1] == 0
@@ -490,7 +490,7 @@
         c.handle(1100 + 100 * n, [])
     assert not c.state.endpoints.tracked and not c.state.endpoints.by_tag
     c.state.timers.entries += [(600_000.0 + n, n, TimerKind.DEADLINE, 7) for n in range(1000)]
-    c.tidy()
+    c.remove_expired()
     assert len(c.state.timers.entries) < 300
 
 
--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -26,7 +26,7 @@
     "request_lifecycle.RequestLifecycle.release",
     "controller.Controller.set_timer",
     "admission.AdmissionQueue.on_period",
-    "controller.Controller.tidy",
+    "controller.Controller.remove_expired",
     "quota.manager.QuotaManager.begin",
     "quota.outbox.PeerOutbox.take_packets",
     "quota.manager.QuotaManager.on_period",
