--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -155,4 +155,4 @@
     names = received.customer, received.class_name, received.plan_name
     has_valid_types = isinstance(received.id, int) and isinstance(received.is_client_retry, bool)
     if not has_valid_types or not all(isinstance(name, str) for name in names):
-        raise TypeError(f"an arrival with a part of a wrong type: {received!r}")
+        raise TypeError(f"RequestReceived has a field of the wrong type: {received!r}")
