--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -124,13 +124,13 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_the_rules_hold_whatever_the_settings(seed):
+def test_rules_hold_for_random_settings(seed):
     town = LateTown(seed, gateways=2 + seed % 3, loss=(0.1, 0.5)[seed % 2], settings_of=drawn(seed))
     town.run(6000)
     assert len(town.checker.done) > 300
 
 
-def test_the_seeds_reach_what_they_are_for():
+def test_seeds_cover_withheld_retries_and_all_idempotency_kinds():
     """Repeats that are kept back since their connection came up late, classes of each effect, one alone."""
     kept, effects, counts = 0, set(), set()
     for seed in range(24):
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -38,7 +38,7 @@
 from plumpick.policy.timers import TimerKind
 
 
-def test_ordinary_request_is_sent_and_ends():
+def test_request_is_sent_and_closed_after_its_answer():
     c = gateway()
     sends = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     assert [send.id for send in sends] == [1]
@@ -46,7 +46,7 @@
     assert not c.requests and not c.state.limit.in_flight
 
 
-def test_error_is_tried_again_elsewhere_if_safe_and_failed_if_unsafe():
+def test_error_is_retried_at_another_endpoint_only_for_idempotent_requests():
     c = gateway()
     safe, unsafe = of(StartAttempt, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
     if safe.id != 1:
@@ -57,7 +57,7 @@
     assert of(FailRequest, actions) == [FailRequest(2)]
 
 
-def test_unsafe_is_tried_again_when_it_never_ran():
+def test_non_idempotent_request_is_retried_if_the_worker_rejected_it():
     c = gateway()
     (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1, "debit")]))
     (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.REJECTED_BY_WORKER)]))
@@ -94,7 +94,7 @@
     return send
 
 
-def test_a_repeat_says_by_when_it_has_to_leave():
+def test_keyed_retry_must_start_within_the_deduplication_window():
     """By when its group forgets the first; whoever carries it out looks at the time again."""
     control = keyed(DeduplicationScope.ALL)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("window_ms", [0.0, 10.0, WINDOW_MARGIN_MS])
-def test_within_a_window_shorter_than_its_way_nothing_is_repeated(window_ms):
+def test_keyed_request_is_not_retried_if_the_window_is_within_the_margin(window_ms):
     control = keyed(DeduplicationScope.ALL, window_ms)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize(
     "scope, group", [(DeduplicationScope.ZONE, {"w1", "w2"}), (DeduplicationScope.GROUP, {"w1"})]
 )
-def test_the_group_of_a_repeat_is_that_of_the_moment_of_the_first(scope, group):
+def test_keyed_retry_stays_in_the_deduplication_group_listed_at_the_first_attempt(scope, group):
     """A worker that is listed elsewhere since then takes its group with it; the repeat does not go there."""
     for place in range(40):
         control = keyed(scope, max_attempts=5)
@@ -138,7 +138,7 @@
 
 
 @pytest.mark.parametrize("scope", list(DeduplicationScope))
-def test_a_worker_that_has_started_since_remembers_nothing_of_the_first(scope):
+def test_keyed_retry_avoids_a_worker_started_after_the_first_attempt(scope):
     for place in range(20):
         control = keyed(scope, slow_start_ms=1.0)
         control.state.rng.seed(place)
@@ -150,7 +150,7 @@
             assert repeat.endpoint == other
 
 
-def test_a_disproved_attempt_does_not_clear_one_that_may_have_run():
+def test_rejected_retry_does_not_clear_an_earlier_unproven_attempt():
     """An error, then a full at the same server: the first may have run all the same."""
     c = Controller(settings(can_message_peers=False), 1)
     one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
@@ -163,7 +163,7 @@
     assert not of(StartAttempt, actions) and of(FailRequest, actions) == [FailRequest(1)]
 
 
-def test_odd_rounds_are_handled():
+def test_unusual_event_sequences_are_handled():
     c = gateway()
     c.handle(
         1000,
@@ -195,7 +195,7 @@
     assert c.state.limit.in_flight == 0 and not c.requests
 
 
-def test_held_without_servers_is_refused_before_its_time_is_up():
+def test_request_without_endpoints_is_rejected_before_its_deadline():
     c = gateway()
     c.handle(1000, [EndpointsUpdated(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
     refused = {}
@@ -206,7 +206,7 @@
     assert set(refused) == {1, 2} and refused[1] <= 1600 and refused[2] <= 1500
 
 
-def test_peer_bytes_that_cannot_be_read_change_nothing():
+def test_malformed_peer_messages_are_ignored():
     c = gateway()
     c.handle(1000, [FLEET])
     good = c.codec.encode(5, 1.0, [item(peer_messages.QuotaMessageKind.SPENT, units=4)], [])
@@ -244,7 +244,7 @@
     ].units == pytest.approx(12 - 4, abs=0.1)
 
 
-def test_messages_survive_a_round_trip_and_stay_small():
+def test_peer_messages_round_trip_within_the_size_limit():
     codec = gateway().codec
     items = [
         item(peer_messages.QuotaMessageKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 6, 2)
@@ -279,12 +279,12 @@
         (dict(slow_start_ms=-1), "warm_up_ms"),
     ],
 )
-def test_settings_that_cannot_be_right_are_named(bad, key):
+def test_invalid_settings_raise_an_error_naming_the_key(bad, key):
     with pytest.raises(ValueError, match=key):
         settings(**bad)
 
 
-def test_plans_and_classes_that_cannot_be_right_are_named():
+def test_invalid_plans_and_classes_raise_an_error_naming_the_key():
     with pytest.raises(ValueError, match="rate_per_s"):
         Plan("p", rate_per_s=-1)
     with pytest.raises(ValueError, match="repeat"):
@@ -293,7 +293,7 @@
         RequestClass("k", float("nan"), 1, 1, Idempotency.IDEMPOTENT)
 
 
-def test_fuzzy_surface_is_the_diagonal_table():
+def test_fuzzy_inference_follows_the_diagonal_rule_table():
     assert FuzzyShareController.infer(0, 0) == pytest.approx(0, abs=1e-9)
     for error in SET_CENTRES:
         for change in SET_CENTRES:
@@ -302,7 +302,7 @@
             assert (value > 0.1) == (error + change > 0) and (value < -0.1) == (error + change < 0)
 
 
-def test_a_late_class_gains_share_and_an_early_one_keeps_it():
+def test_late_class_gains_share_and_early_class_keeps_its_share():
     share = FuzzyShareController(500, 0.3)
     for _ in range(10):
         share.on_period(100)
@@ -312,7 +312,7 @@
     assert share.share > 0.3
 
 
-def test_learned_answer_time_cannot_lock_a_class_out():
+def test_high_usual_latency_does_not_reject_a_class_permanently():
     """Refused on arrival, nothing is answered, so nothing would ever bring the learned time down."""
     c = gateway()
     c.handle(1000, [FLEET])
@@ -320,7 +320,7 @@
     assert of(StartAttempt, c.handle(1001, [ask(1)]))
 
 
-def test_window_is_shared_out_over_gateways():
+def test_concurrency_limit_is_divided_among_gateways():
     few, many = ConcurrencyLimit(1), ConcurrencyLimit(10)
     for window in (few, many):
         window.on_period(0, 20)
@@ -330,7 +330,7 @@
     assert few.limit > 5 * many.limit
 
 
-def test_a_cap_of_less_than_one_leaves_room_for_chance_but_not_for_a_steady_excess():
+def test_limit_below_one_admits_a_chance_burst_but_not_a_steady_excess():
     """At one request a second a count scatters: held to its mean, much would wait for nothing."""
     window = ConcurrencyLimit(400)
     window.on_period(0, 40)
@@ -341,7 +341,7 @@
     assert window.available() < 0
 
 
-def test_below_the_cap_nothing_is_held_and_at_it_the_worthiest_leave_first():
+def test_requests_start_at_once_below_the_limit_and_by_priority_at_the_limit():
     c = gateway(gateways=1)
     c.handle(1000, [FLEET])
     calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
@@ -353,7 +353,7 @@
     assert sent[0].id == 501
 
 
-def test_cap_on_attempts_out_is_kept_by_the_home_for_all_gateways():
+def test_quota_owner_enforces_max_in_flight_for_all_gateways():
     number = home_of("o")
     c = gateway(number=number)
     peer = (number + 1) % 3
@@ -366,7 +366,7 @@
     assert len(of(StartAttempt, c.handle(1002, [PeerMessageReceived(peer, free)]))) == 1
 
 
-def test_home_lends_to_all_gateways_together_no_more_than_the_quota():
+def test_quota_owner_grants_no_more_than_the_quota_to_all_gateways_together():
     """Hundreds of gateways with a slice each would pass many quotas; repeats change nothing."""
     c = gateway(gateways=300, number=7)
     c.handle(1000, [FLEET])
@@ -393,7 +393,7 @@
     )
 
 
-def test_a_clients_repeat_leaves_a_reserve_to_first_tries():
+def test_client_retries_leave_a_quota_reserve_for_first_attempts():
     """Repeats come when most of their aim has gone by; lent to them, the quota is spent on late answers."""
     granted = {}
     for kind, worthiest in (
@@ -411,7 +411,7 @@
     )
 
 
-def test_a_silent_home_is_asked_again_and_then_one_request_goes_on_credit():
+def test_unresponsive_quota_owner_is_asked_again_then_one_request_starts_on_credit():
     """A stalled home must not stop a quiet customer, and must not open its quota at every gateway either."""
     number = (home_of("c") + 1) % 3
     c = gateway(number=number)
@@ -427,7 +427,7 @@
     )
 
 
-def test_a_customer_is_forgotten_only_when_its_quota_is_full_again_and_nothing_of_it_is_open():
+def test_customer_is_removed_only_with_a_full_quota_and_no_open_requests():
     """Customers who come once would be kept for ever; one forgotten too early would be granted twice."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
@@ -449,7 +449,7 @@
     assert not c.state.quota.requester.accounts and not c.state.quota.owner.ledgers
 
 
-def test_among_many_customers_a_part_is_looked_at_each_time_and_all_in_the_end():
+def test_removal_checks_a_part_of_many_customers_per_call_and_all_eventually():
     """A look at 50,000 at a stroke held everything else up for 154 ms."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
@@ -470,7 +470,7 @@
     )
 
 
-def test_another_plan_or_set_in_a_customers_name_binds_nothing_of_its_own():
+def test_customer_with_two_plans_has_a_separate_account_per_plan():
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET, ask(1, plan="open"), ask(2)])
     assert sorted(account.plan.name for account in c.state.quota.requester.accounts.values()) == [
@@ -479,7 +479,7 @@
     ]
 
 
-def test_servers_that_have_gone_and_entries_of_ended_requests_are_forgotten():
+def test_gone_endpoints_and_timers_of_ended_requests_are_removed():
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
     sends = of(StartAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
@@ -494,7 +494,7 @@
     assert len(c.state.timers.entries) < 300
 
 
-def test_who_cannot_have_its_quota_in_time_is_told_at_once_and_who_waited_in_vain_when_that_is_sure():
+def test_request_that_cannot_get_its_quota_in_time_is_rejected_early():
     """Seen: they waited for 0.6 s, up to 76 at once, on connections that others had then no longer."""
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
     c.handle(1000, [FLEET])
@@ -513,7 +513,7 @@
     assert not any(request.awaits_quota for request in c.requests.values())
 
 
-def test_a_home_denies_a_peer_in_one_message_and_the_peer_refuses():
+def test_quota_owner_denies_in_one_message_and_the_requester_rejects():
     plans = (Plan("rated", 4, 12, over_quota_cost=0.5),)
     home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
     home.handle(1000, [FLEET])
@@ -535,13 +535,13 @@
     assert [one.id for one in refused] == [1]
 
 
-def test_a_full_store_serves_anybody_also_where_the_reserve_is_most_of_a_small_burst():
+def test_full_quota_serves_a_client_retry_even_if_the_reserve_is_most_of_the_burst():
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_quota_cost=0.5),))
     again = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
     assert [send.id for send in of(StartAttempt, c.handle(1000, [FLEET, again]))] == [1]
 
 
-def test_a_bad_event_does_not_lose_the_others_of_its_turn():
+def test_invalid_event_does_not_affect_other_events_of_its_turn():
     c = gateway(gateways=1, number=0)
     odd = RequestReceived(1, "c", "look", "rated", 5000.0, units="many")
     sends = of(StartAttempt, c.handle(1000, [FLEET, odd, ask(2)]))
@@ -550,7 +550,7 @@
     assert not c.faults
 
 
-def test_what_was_granted_and_not_used_goes_back():
+def test_unused_grant_is_returned_to_the_quota_owner():
     c = gateway(number=(home_of("c") + 1) % 3)
     tells = of(SendPeerMessage, c.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
     (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).quota_messages]
@@ -562,7 +562,7 @@
     ]
 
 
-def test_cold_server_is_bounded_over_hundreds_of_gateways_even_after_a_stall():
+def test_cold_endpoint_load_is_bounded_over_400_gateways_after_a_stall():
     """Rule 4 counts all gateways together: one send from each of 400 would push it over."""
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
@@ -575,7 +575,7 @@
     assert 0 < count < 0.45 * 2 * warm
 
 
-def test_fast_failer_does_not_attract_load():
+def test_quickly_failing_endpoint_does_not_attract_load():
     c = gateway()
     now, sent, number = 1000.0, [], 0
     c.handle(now, [FLEET])
@@ -590,14 +590,14 @@
     assert sent.count("s1") < len(sent) / 15
 
 
-def test_ceiling_starts_empty_so_that_a_restart_grants_nothing_twice():
+def test_hard_limit_starts_empty_so_a_restart_grants_nothing_twice():
     c = gateway(number=home_of("k"))
     c.handle(1000, [FLEET])
     assert not of(StartAttempt, c.handle(1001, [ask(1, plan="capped", customer="k")]))
     assert of(StartAttempt, c.handle(1250, [TimerFired("agenda")]))
 
 
-def test_only_the_home_is_told_business_and_others_no_more_than_a_sign_of_life():
+def test_quota_messages_go_only_to_the_owner_and_heartbeats_stay_rare():
     c, told, signs = gateway(number=(home_of("c") + 1) % 3), [], []
     c.handle(1000, [FLEET])
     for now in range(1004, 3000, 4):
@@ -608,7 +608,7 @@
     assert max(map(signs.count, set(signs))) <= 4  # in 2 s
 
 
-def test_a_customer_that_repeats_without_end_leaves_room_in_its_homes_inbox():
+def test_grant_requests_of_one_busy_customer_leave_room_in_the_owners_inbox():
     c = gateway(number=(home_of("c") + 1) % 3, peer_inbox_per_s=20)
     c.handle(1000, [FLEET, ask(1)])
     wait = c.codec.encode(
@@ -628,7 +628,7 @@
     assert 0 < asked < 100
 
 
-def test_work_for_one_request_does_not_grow_with_the_gateways():
+def test_actions_per_request_do_not_grow_with_the_number_of_gateways():
     """Counted: actions for the same day at 40 and at 400 gateways. (Few gateways are homes of many customers
     themselves and need no messages, so they are no measure.)"""
     counts = []
@@ -644,7 +644,7 @@
 
 
 @pytest.mark.parametrize("due", [1150.0, 1300.0, 1500.0, 2000.0])
-def test_a_request_is_held_for_less_than_half_of_its_time(due):
+def test_queued_request_is_rejected_within_half_of_its_time(due):
     """Seen on a day with a silent worker: of 48 tries refused later than that, 44 were short retries."""
     c = gateway()
     c.state.statistics.usual_latency_ms["look"] = (
@@ -657,7 +657,7 @@
     assert now - 1000 < 0.5 * (due - 1000)
 
 
-def test_a_wake_up_is_asked_for_what_comes_first_and_not_for_requests_that_have_ended():
+def test_timer_is_set_for_the_earliest_entry_and_not_for_ended_requests():
     """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
     c = gateway(gateways=1)
     first = of(SetTimer, c.handle(1000, [FLEET]))
@@ -673,14 +673,14 @@
     assert len(wakes) == 30 and all(99 <= wake.delay_ms <= 101 for wake in wakes)
 
 
-def test_discovery_that_must_be_asked_is_asked_and_asked_again():
+def test_endpoint_watch_is_requested_and_renewed_after_a_failure():
     c = gateway(must_request_watch=True, watch_retry_ms=4000)
     assert of(WatchEndpoints, c.handle(1000, [FLEET]))
     c.handle(1010, [EndpointsUpdated((), is_failure=True)])
     assert of(WatchEndpoints, c.handle(2100, [TimerFired("agenda")]))
 
 
-def test_a_server_that_refuses_at_once_draws_no_load_and_does_not_close_the_window():
+def test_rejecting_endpoint_gets_little_load_and_does_not_cut_the_limit():
     """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
     for result in (AttemptResult.REJECTED_BY_WORKER, AttemptResult.CONNECT_FAILED):
         c = gateway()
@@ -702,7 +702,7 @@
         assert c.state.limit.backoff_factor == 1.0
 
 
-def test_a_server_that_restarts_under_its_old_id_keeps_its_count_of_attempts_out():
+def test_endpoint_restarted_under_its_old_id_keeps_its_in_flight_count():
     c = gateway()
     (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
     old = c.state.endpoints.tracked[send.endpoint].endpoint
--- a/tests/policy/test_gray_failures.py
+++ b/tests/policy/test_gray_failures.py
@@ -157,7 +157,7 @@
     return lambda rng, *_: None if rng.random() < share else healthy(rng)
 
 
-def test_swallowed_attempts_do_not_hold_the_window_shut():
+def test_lost_attempts_do_not_block_the_concurrency_limit():
     """A few attempts lost at every server: what is lost is lost, the rest must go through. With each of them
     counted, 0.80 and 0.29 were in time here, and up to 0.57 was refused before servers that idled."""
     for share, least in ((0.05, 0.95), (0.1, 0.92)):
@@ -166,17 +166,17 @@
         assert len(play.refused) < 0.03 * len(play.came)
 
 
-def test_a_swallowed_safe_request_gets_a_copy_in_time():
+def test_lost_idempotent_request_is_hedged_in_time():
     play = Play(swallowing(0.1), names=("look",)).run(20)
     assert play.share_in_aim(since=4000) > 0.95
 
 
-def test_a_swallowed_unsafe_request_is_never_sent_again():
+def test_lost_non_idempotent_request_is_never_sent_again():
     play = Play(swallowing(0.2), names=("debit",)).run(10)
     assert not [number for _, _, number, _ in play.sent if number > 0]
 
 
-def test_a_fleet_that_is_slow_but_answers_keeps_the_window_closed():
+def test_slow_answering_fleet_does_not_raise_the_limit():
     """Overdue attempts that answer in the end are load: the cap is not opened for them."""
     play = Play(lambda rng, *_: healthy(rng)).run(5)
     play.rule = lambda rng, *_: rng.uniform(900, 1100)
@@ -186,7 +186,7 @@
     assert len(play.out) <= 1.3 * window.limit + 2
 
 
-def test_what_is_written_off_is_bounded_and_comes_back():
+def test_written_off_attempts_are_bounded_and_restored():
     play = Play(swallowing(1.0), leave_ms=2400.0).run(8)
     window = play.control.state.limit
     assert play.most_out <= (1 + MAX_WRITE_OFF_RATIO) * max(limit for _, limit in play.limits) + 3
@@ -194,7 +194,7 @@
     assert not play.out and abs(window.in_flight) < 1e-6 and abs(window.written_off) < 1e-6
 
 
-def test_overdue_attempts_that_answer_are_believed_again():
+def test_answer_probability_recovers_when_overdue_attempts_are_answered():
     late = OverdueAttemptEstimator()
     for _ in range(40):
         late.record(3.0, False)
@@ -204,7 +204,7 @@
     assert late.answer_probability() > 0.8
 
 
-def test_our_own_stall_makes_nobody_overdue():
+def test_own_stall_makes_no_attempt_overdue():
     play = Play(lambda *_: None, rate=20.0, leave_ms=60_000.0).run(0.15)
     play.do(play.control.handle(play.now + 900, [TimerFired("agenda")]))
     assert not play.control.state.limit.written_off
@@ -222,7 +222,7 @@
         return 0.0
 
 
-def test_chance_does_not_push_a_cold_server_over():
+def test_chance_does_not_overload_a_cold_endpoint():
     """Its part on the mean is well within its budget, but chance now and then sent several times that within
     the rule's window: in 2 of 60 rehearsals 0.97 of the budget, in one of 20 before more than all of it."""
     config = settings(gateways=4)
@@ -275,14 +275,14 @@
         return [one.endpoint for one in self.control.handle(self.now, asked) if isinstance(one, StartAttempt)]
 
 
-def test_a_server_that_fails_one_class_gets_none_of_that_class_and_the_others_as_before():
+def test_endpoint_failing_one_class_is_ejected_for_that_class_only():
     """Its other answers look perfect. Mixed into one figure, a third of the debits still went there."""
     for name, sent in (("debit", False), ("look", True)):
         judged = Judged(bad=["s1"], names=("look", "debit"), of=("debit",))
         assert ("s1" in judged.sent(name)) is sent
 
 
-def test_where_more_than_half_look_bad_nobody_is_put_out():
+def test_no_endpoint_is_ejected_if_more_than_half_fail():
     """All answers failed at once: our own network. To put servers out then empties the list."""
     judged = Judged(bad=[server.id for server in FLEET.endpoints])
     assert judged.control.state.outliers.candidates and not judged.control.state.outliers.ejected(
@@ -291,13 +291,13 @@
     assert len(set(judged.sent("look"))) == len(FLEET.endpoints)
 
 
-def test_no_more_than_a_bounded_part_is_put_out():
+def test_ejection_is_limited_to_a_fraction_of_the_endpoints():
     judged = Judged(bad=["s0", "s1", "s2"])
     out = judged.control.state.outliers.ejected(judged.now, "look", judged.control.state.endpoints.warm)
     assert len(out) == int(MAX_EJECTED_RATIO * len(FLEET.endpoints)) == 2
 
 
-def test_after_our_own_network_is_back_the_fleet_serves_within_two_seconds():
+def test_service_recovers_within_two_seconds_after_an_own_network_failure():
     play = Play(lambda rng, *_: healthy(rng)).run(4)
     play.rule = lambda *_: None
     play.run(4)
@@ -307,7 +307,7 @@
     assert play.share_in_aim(since=since) > 0.97
 
 
-def test_from_any_state_the_cap_reaches_what_the_load_needs_within_two_seconds():
+def test_limit_recovers_from_any_low_state_within_two_seconds():
     """Servers that say they idle do not hold answers back, so no low cap keeps itself low."""
     for state in (
         {"capacity": 0.1, "recent_peak": 0.0, "backoff_factor": 0.3},
@@ -325,13 +325,13 @@
         assert min(limit for ms, limit in play.limits if ms >= since) >= need
 
 
-def test_a_fleet_that_is_busy_raises_no_floor():
+def test_busy_endpoints_do_not_raise_the_limits_floor():
     play = Play(lambda rng, *_: rng.uniform(500, 580), rate=60.0, util=1.0).run(10)
     assert play.control.state.limit.idle_ratio == 0 and play.control.state.limit.limit < 20
     assert not play.control.state.outliers.candidates
 
 
-def test_one_peer_alone_brings_no_server_into_disrepute_two_do():
+def test_failures_reported_by_peers_count_only_if_two_peers_agree():
     """A peer's words may be wrong: by its own network, or a fault. 60 of them a second did as they liked."""
     given = settings(gateways=4, plans=(Plan("rated", 1e6, 1e6),))
     lie = PeerMessageCodec(given).encode(7, 1.0, [], [outlier_report("s1", 0, math.inf)] * 4)
@@ -344,7 +344,7 @@
         assert (bad > EJECTION_FAILURE_RATIO) is avoided
 
 
-def test_a_gateway_of_one_request_a_second_learns_from_its_peers():
+def test_gateway_with_little_traffic_uses_reports_of_peers():
     control = Controller(settings(gateways=30, plans=(Plan("rated", 1e6, 1e6),)), 1)
     control.handle(1000.0, [FLEET])
     now, to_bad = 1000.0, 0
@@ -364,7 +364,7 @@
     assert to_bad <= 1
 
 
-def test_peers_that_claim_any_room_do_not_open_the_cap():
+def test_capacity_claimed_by_a_peer_is_bounded():
     control = Controller(settings(gateways=4), 1)
     control.handle(1000.0, [FLEET])
     for turn in range(200):
@@ -375,7 +375,7 @@
 # -- further attempts
 
 
-def test_overdue_tells_a_server_and_a_hall_from_the_fleet():
+def test_overdue_estimates_distinguish_endpoint_zone_and_fleet():
     control = Controller(settings(gateways=4), 1)
     control.handle(1000.0, [FLEET])
     silent, well = control.state.endpoints.tracked["s0"], control.state.endpoints.tracked["s1"]
@@ -397,7 +397,7 @@
     assert all(len(view) == 1 for view in control.state.overdue.by_view)  # what went is forgotten
 
 
-def test_the_worthiest_take_the_last_tokens():
+def test_last_retry_tokens_are_reserved_for_high_gain():
     """With the tokens nearly spent a cheap class gets no copy, and a dear one does."""
     for name, sent in (("feed", 0), ("book", 1)):
         play = Play(lambda *_: None, names=(name,), rate=0.001).run(0.1)
@@ -410,7 +410,7 @@
         assert control.state.retry_budget.tokens == 2.0 - MIN_PRICE_TOKENS * sent
 
 
-def test_further_attempts_stay_under_their_share_at_any_failure_share():
+def test_further_attempts_stay_within_the_retry_budget_at_any_loss_rate():
     for share in (0.05, 0.2, 0.5, 0.8, 1.0):
         play = Play(swallowing(share), names=("look", "book"), leave_ms=2400.0).run(20)
         further = sum(number > 0 for _, _, number, _ in play.sent)
@@ -418,7 +418,7 @@
         assert further <= TOKENS_PER_REQUEST / MIN_PRICE_TOKENS * first + MAX_TOKENS / MIN_PRICE_TOKENS
 
 
-def test_five_percent_swallowed_in_time_with_a_release_and_a_silent_discovery():
+def test_service_with_five_percent_loss_a_stopped_endpoint_and_stale_discovery():
     """The incident: a fifth of the servers goes, word of it comes late, and one in 20 is swallowed at all."""
     play = Play(swallowing(0.05), leave_ms=2400.0).run(6)
     gone = "s5"
@@ -441,7 +441,7 @@
 # -- thin traffic: little is seen, so little is known
 
 
-def test_a_cap_is_one_attempt_at_least_but_never_over_where_caps_start():
+def test_limit_is_at_least_one_attempt_but_not_above_its_initial_value():
     """Under one attempt it is chance that holds a request, not load. Fails where the cap is 0.45 here."""
     for gateways, limit in ((100, 1.0), (1000, INITIAL_PER_ENDPOINT * 9 / 1000)):
         window = ConcurrencyLimit(gateways)
@@ -454,7 +454,7 @@
         assert window.limit == approx(limit * MIN_BACKOFF_FACTOR)
 
 
-def test_a_thin_gateway_sends_no_copies_of_work_that_is_only_long():
+def test_gateway_with_little_traffic_does_not_hedge_long_running_attempts():
     """One in twenty takes three times the mean by itself, and as long again elsewhere. It must not be copied
     without a sign that attempts are lost: seen at 100 gateways, six copies in a hundred cost 0.11."""
     copies = 0
@@ -465,7 +465,7 @@
     assert copies <= 2
 
 
-def test_a_wait_teaches_while_it_lasts_not_when_its_client_goes():
+def test_waiting_time_is_recorded_while_an_attempt_is_overdue():
     """Attempts that stay out are learned of span by span, before the first of them has ended."""
     play = Play(
         lambda rng, name, server, number: None if number == 0 else healthy(rng),
@@ -481,7 +481,7 @@
     )
 
 
-def test_thin_gateways_serve_as_a_fixed_cap_does_when_nothing_is_wrong():
+def test_gateways_with_little_traffic_serve_as_well_as_a_fixed_limit():
     """A hundred gateways, 0.8 of capacity, about one request a second each."""
     services = {
         rule: mean(World(RULES[rule], Failure(), 0.8, 100, 9, seed, 3).play()["service"] for seed in (1, 2))
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -21,14 +21,14 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_over_random_days(seed):
+def test_rules_hold_for_random_event_sequences(seed):
     town = Town(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
     town.run(20_000)
     assert len(town.checker.done) > 1000
     assert sum(len(sent) > 1 for sent in town.checker.sent.values()) > 20
 
 
-def test_rules_hold_when_gateways_die_all_the_time():
+def test_rules_hold_while_gateways_are_killed_often():
     town = Town(99, kill=0.01, rate=300)
     town.run(15_000)
     assert max(town.life.values()) > 5
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_cold_server_gets_no_more_than_its_warmth_allows(seed):
+def test_cold_endpoint_gets_no_more_than_its_slow_start_allows(seed):
     """Rule 4: a server that starts is sent less than a warm one, by all gateways together, from the start."""
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -7,12 +7,12 @@
 
 
 @pytest.mark.parametrize("gateways, workers", [(3, 10), (20, 30), (60, 60)])
-def test_what_all_gateways_send_a_cold_worker_stays_within_what_is_allowed(gateways, workers):
+def test_load_of_a_cold_worker_over_all_gateways_stays_within_the_limit(gateways, workers):
     tier = Tier(gateways, workers, 1, 0.6, 0.7)
     assert tier.play() <= 1.0 and tier.looked > 100
 
 
-def test_the_check_finds_gateways_that_each_keep_within_it_alone(monkeypatch):
+def test_check_detects_gateways_that_limit_only_their_own_part(monkeypatch):
     """Each sends as much as it may alone, and new ones first: harmless in one, harmful in the sum."""
     right = LoadBalancer.choose
 
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("gateways, count", [(40, 60), (30, 60), (100, 500), (12, 30)])
-def test_each_server_has_its_even_part_and_no_more_gateways_than_it_needs(gateways, count):
+def test_endpoint_load_is_even_and_few_gateways_use_each_endpoint(gateways, count):
     servers = ring(f"s-{n:08x}" for n in range(count))
     even = loads(servers, gateways)
     assert max(even.values()) <= 1.4 * gateways / count and min(even.values()) >= 0.6 * gateways / count
@@ -50,7 +50,7 @@
     assert pairs <= most * count and all(subset_of(servers, gateways, n) for n in range(gateways))
 
 
-def test_by_capacity_where_most_servers_are_cold():
+def test_load_follows_capacity_while_most_endpoints_are_cold():
     names, rng = [f"s-{n:08x}" for n in range(60)], random.Random(3)
     cold = set(rng.sample(names, 42))
 
@@ -62,7 +62,7 @@
     assert max(even.values()) <= 1.6 * mean and min(even.values()) >= 0.4 * mean
 
 
-def test_one_server_more_or_less_moves_few():
+def test_removing_an_endpoint_changes_few_subset_members():
     names = [f"s-{n:08x}" for n in range(60)]
     moved = 0
     for gone in names[:20]:
@@ -73,7 +73,7 @@
     assert moved / 20 / 40 <= 2.0  # of twelve
 
 
-def test_few_gateways_and_no_servers():
+def test_subset_with_few_gateways_no_endpoints_or_zero_capacity():
     names = ring(["a", "b", "c"])
     assert len(subset_of(names, GATEWAYS_PER_POINT, 0)) == 3 and subset_ratio(3.0, GATEWAYS_PER_POINT) == 1.0
     assert subset_of([], 40, 3) == [] and subset_ratio(0.0, 40) == 1.0
@@ -126,7 +126,7 @@
                     self.modules[number].handle(now, [done])
 
 
-def test_a_wide_tier_meets_each_server_through_few_of_its_gateways():
+def test_large_tier_reaches_each_endpoint_through_few_gateways():
     """Without arcs all 2,400 pairs come to be, each a handshake and a connection."""
     tier = Tier()
     tier.run(20, 240)
@@ -136,7 +136,7 @@
     assert len(load) == 60 and max(load.values()) <= 1.6 * 4800 / 60
 
 
-def test_an_arc_whose_servers_are_gone_is_no_reason_to_refuse():
+def test_request_is_sent_outside_the_subset_if_its_endpoints_are_gone():
     tier = Tier()
     module = tier.modules[0]
     arc = {backend.endpoint.id for backend in module.state.endpoints.subset_warm}
--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -99,13 +99,13 @@
     return gateway(number=home_of("c"), **more)
 
 
-def test_a_day_without_faults():
+def test_run_without_exceptions_serves_requests_with_few_extra_attempts():
     number, served, _, sent, faults = play(home())
     assert not faults and len(served) >= 0.9 * number and len(sent) <= 1.3 * number
 
 
 @pytest.mark.parametrize("name", STAGES)
-def test_a_stage_that_fails_once_costs_its_own_part_alone(monkeypatch, name):
+def test_step_that_raises_once_affects_only_itself(monkeypatch, name):
     expected = len(play(home())[1])
     calls = break_it(monkeypatch, name, lambda count, _: count == 1)
     number, served, _, sent, faults = play(home())
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name in STAGES if name not in MUST_WORK])
-def test_with_a_stage_that_always_fails_requests_are_served_all_the_same(monkeypatch, name):
+def test_requests_are_served_while_an_optional_step_always_raises(monkeypatch, name):
     expected = len(play(home())[1])
     calls = break_it(monkeypatch, name, lambda *_: True)
     _, served, _, _, faults = play(home())
@@ -125,13 +125,13 @@
 @pytest.mark.parametrize(
     "name", ["request_lifecycle.RequestLifecycle.release", "controller.Controller.on_timer"]
 )
-def test_with_a_stage_that_is_needed_to_serve_the_next_period_comes_all_the_same(monkeypatch, name):
+def test_period_timer_continues_while_a_required_step_always_raises(monkeypatch, name):
     calls = break_it(monkeypatch, name, lambda *_: True)
     _, _, _, _, faults = play(home())  # which looks at each turn
     assert len(faults) >= len(calls) >= 15
 
 
-def test_an_entry_of_the_agenda_that_fails_is_not_looked_at_again(monkeypatch):
+def test_timer_whose_handler_raises_does_not_fire_again(monkeypatch):
     calls = break_it(
         monkeypatch, "controller.Controller.on_timer", lambda _, what: what[0] is TimerKind.HEDGE
     )
@@ -140,7 +140,7 @@
     assert max(calls.count(call) for call in calls if call[0] is TimerKind.HEDGE) == 1
 
 
-def test_a_held_request_that_cannot_be_sent_holds_up_no_other_and_is_ended_in_time(monkeypatch):
+def test_request_whose_start_raises_delays_no_other_and_ends_in_time(monkeypatch):
     """What went out before it in the same turn is sent once, though the turn's part then failed."""
     break_it(monkeypatch, "load_balancing.LoadBalancer.choose", lambda _, what: what[1].received.id % 5 == 3)
     number, served, ended, sent, faults = play(home())
@@ -150,7 +150,7 @@
     assert len(served) >= 0.85 * (number - len(bad))
 
 
-def test_a_message_that_cannot_be_packed_costs_no_other_gateways(monkeypatch):
+def test_encoding_error_for_one_peer_does_not_affect_messages_to_others(monkeypatch):
     control = home()
     control.handle(1000.0, [FLEET])
     others = sorted({0, 1, 2} - {control.settings.gateway_number})
@@ -159,7 +159,7 @@
     assert len(calls) == 2 and [tell.receiver for tell in told] == others[1:] and len(control.faults) == 1
 
 
-def test_a_request_whose_end_is_no_time_does_not_stop_the_agenda():
+def test_request_with_nan_deadline_does_not_break_the_timer_queue():
     """Among what is due, nothing comes before it or after it."""
     control = home()
     control.handle(1000.0, [FLEET])
