--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -1,5 +1,5 @@
-"""Other customers' settings: whatever classes, effects, groups, windows and limits they have, the rules
-hold."""
+"""Random settings: the rules hold for any classes, idempotency kinds, deduplication scopes, windows and
+limits."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def drawn(seed):
-    """Settings within what the protocol allows, from a seed; the same for each gateway."""
+    """A function that returns random valid settings determined by `seed`; the same for each gateway."""
     rng = random.Random(f"settings {seed}")
     kinds = []
     for number in range(rng.choice((1, 1, 2, 3, 5))):
@@ -60,7 +60,8 @@
 
 
 class Books(Checker):
-    """The same books, and where two copies may not be out at once they look at that too."""
+    """Also checks max_attempts, that nothing is hedged unless the settings allow it, and the time at which a
+    retry is actually sent."""
 
     def __init__(self, config):
         super().__init__(config)
@@ -74,7 +75,7 @@
         assert len(self.sent[number]) <= self.config.max_attempts, "too many attempts"
 
     def leaves(self, now, number):
-        """The bytes of the attempt that was sent last go out only now."""
+        """Check the latest attempt of a request at the time when its bytes are sent."""
         _, arrival = self.open[number]
         kind, loose = self.kinds[arrival.class_name], self.unproved(number)
         if kind.idempotency is Idempotency.KEYED and len(loose) > 1:
@@ -82,7 +83,7 @@
 
 
 class LateTown(Town):
-    """Connections come up late, and what may not leave any more does not."""
+    """Random traffic with late connections; attempts that pass their start_within_ms are not sent."""
 
     def __init__(self, seed, **more):
         super().__init__(seed, **more)
@@ -131,7 +132,8 @@
 
 
 def test_seeds_cover_withheld_retries_and_all_idempotency_kinds():
-    """Repeats that are kept back since their connection came up late, classes of each effect, one alone."""
+    """The seeds must produce retries withheld because of late connections, classes of each idempotency kind,
+    and settings with a single class."""
     kept, effects, counts = 0, set(), set()
     for seed in range(24):
         config = drawn(seed)()
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -1,4 +1,4 @@
-"""The module alone: odd but legal rounds, settings that cannot be right, and one test a failure found."""
+"""Unit tests of the controller: unusual event sequences, invalid settings and regressions."""
 
 import math
 
@@ -95,13 +95,15 @@
 
 
 def test_keyed_retry_must_start_within_the_deduplication_window():
-    """By when its group forgets the first; whoever carries it out looks at the time again."""
+    """A keyed retry carries the time left until its deduplication group forgets the first attempt, since its
+    connection may take longer to set up than that."""
     control = keyed(DeduplicationScope.ALL)
     control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = first_send(control, 10.0)
     (repeat,) = of(StartAttempt, control.handle(400.0, [outcome(send, AttemptResult.RESET)]))
     assert repeat.start_within_ms == 10.0 + 1000.0 - WINDOW_MARGIN_MS - 400.0
-    # That it never left proves that it never ran: the first one alone counts, and its time goes on.
+    # The failed connection proves that the retry was not executed. The window still counts from the first
+    # attempt.
     more = of(StartAttempt, control.handle(700.0, [outcome(repeat, AttemptResult.CONNECT_FAILED, attempt=1)]))
     assert [one.start_within_ms for one in more] == [10.0 + 1000.0 - WINDOW_MARGIN_MS - 700.0]
     done = control.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
@@ -120,7 +122,8 @@
     "scope, group", [(DeduplicationScope.ZONE, {"w1", "w2"}), (DeduplicationScope.GROUP, {"w1"})]
 )
 def test_keyed_retry_stays_in_the_deduplication_group_listed_at_the_first_attempt(scope, group):
-    """A worker that is listed elsewhere since then takes its group with it; the repeat does not go there."""
+    """If the first attempt's worker is listed in another zone later, the retry still goes to the zone or
+    group of the first attempt."""
     for place in range(40):
         control = keyed(scope, max_attempts=5)
         old = (("w1", "a", 1, 0.0), ("w2", "a", 2, 0.0), ("w3", "b", 1, 0.0))
@@ -151,7 +154,8 @@
 
 
 def test_rejected_retry_does_not_clear_an_earlier_unproven_attempt():
-    """An error, then a full at the same server: the first may have run all the same."""
+    """A keyed request gets an error, then its retry is rejected by the same worker. The first attempt may
+    have been executed, so the request must not go to another group."""
     c = Controller(settings(can_message_peers=False), 1)
     one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
     (send,) = of(StartAttempt, c.handle(1000, [one, ask(1, "book", due=1900)]))
@@ -170,7 +174,7 @@
         [
             EndpointsUpdated(()),
             EndpointsUpdated((), is_failure=True),
-            TimerFired("never asked"),
+            TimerFired("unknown timer"),
             ClientDisconnected(77),
         ],
     )
@@ -179,7 +183,7 @@
         RejectRequest(2),
     ]
     assert of(RejectRequest, c.handle(1002, [ask(3, due=900.0)])) == [RejectRequest(3)]
-    c.handle(1003, [ask(4)])  # no servers: held
+    c.handle(1003, [ask(4)])  # queued, since there are no endpoints
     assert 4 in c.requests
     (send,) = of(StartAttempt, c.handle(1004, [FLEET]))
     assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
@@ -218,7 +222,7 @@
             [item(peer_messages.QuotaMessageKind.GRANT), item(peer_messages.QuotaMessageKind.QUEUED)],
             [],
         ),
-        *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # of six classes and three plans
+        *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # class or plan index out of range
         *(told[:-1] + bytes([index]) for index in (6 << 4 | 15, 255)),
     ]
     bad_kind, other_names = bytearray(good), bytearray(good)
@@ -238,7 +242,8 @@
         assert not of(StartAttempt, c.handle(1001, [PeerMessageReceived(1, data)]))
     c.handle(1001, [PeerMessageReceived(9, good), PeerMessageReceived(0, good)])
     assert not c.state.quota.owner.ledgers and not c.requests
-    c.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])  # repeated: counted once
+    # The duplicate is counted once.
+    c.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])
     assert c.state.quota.owner.ledgers[
         ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
     ].units == pytest.approx(12 - 4, abs=0.1)
@@ -313,7 +318,7 @@
 
 
 def test_high_usual_latency_does_not_reject_a_class_permanently():
-    """Refused on arrival, nothing is answered, so nothing would ever bring the learned time down."""
+    """If a high usual latency rejected every request on arrival, no answers would come to lower it again."""
     c = gateway()
     c.handle(1000, [FLEET])
     c.state.statistics.usual_latency_ms["look"] = 5000.0
@@ -331,7 +336,8 @@
 
 
 def test_limit_below_one_admits_a_chance_burst_but_not_a_steady_excess():
-    """At one request a second a count scatters: held to its mean, much would wait for nothing."""
+    """At about one request per second the number in flight fluctuates; a limit equal to its mean would make
+    requests wait without any load."""
     window = ConcurrencyLimit(400)
     window.on_period(0, 40)
     assert window.limit < 2 <= window.available()
@@ -367,7 +373,8 @@
 
 
 def test_quota_owner_grants_no_more_than_the_quota_to_all_gateways_together():
-    """Hundreds of gateways with a slice each would pass many quotas; repeats change nothing."""
+    """If each of 300 gateways had a fixed part of a quota, their sum would exceed it. Duplicate grant
+    requests must not change the result."""
     c = gateway(gateways=300, number=7)
     c.handle(1000, [FLEET])
     granted = set()
@@ -384,7 +391,8 @@
                     for told in news.quota_messages
                     if told.kind is peer_messages.QuotaMessageKind.GRANT
                 }
-    # The class is worth half the worthiest: it leaves two fifths of the burst in store for that one.
+    # The class has half of the highest priority weight, so two fifths of the burst stay reserved for that
+    # class.
     assert (
         6 <= len(granted) <= 8
         and 4.8
@@ -394,7 +402,8 @@
 
 
 def test_client_retries_leave_a_quota_reserve_for_first_attempts():
-    """Repeats come when most of their aim has gone by; lent to them, the quota is spent on late answers."""
+    """Client retries arrive late in their latency objective; without the reserve, late answers would use up
+    the quota."""
     granted = {}
     for kind, worthiest in (
         (peer_messages.QuotaMessageKind.RETRY_GRANT_REQUEST, 0),
@@ -412,7 +421,8 @@
 
 
 def test_unresponsive_quota_owner_is_asked_again_then_one_request_starts_on_credit():
-    """A stalled home must not stop a quiet customer, and must not open its quota at every gateway either."""
+    """An unresponsive quota owner must neither block a customer with little traffic nor let every gateway use
+    the customer's quota freely."""
     number = (home_of("c") + 1) % 3
     c = gateway(number=number)
     events, told, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
@@ -428,10 +438,12 @@
 
 
 def test_customer_is_removed_only_with_a_full_quota_and_no_open_requests():
-    """Customers who come once would be kept for ever; one forgotten too early would be granted twice."""
+    """Without removal, customers with a single request would be kept forever; a customer removed too early
+    would be granted its quota twice."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
-    sends = of(StartAttempt, c.handle(1001, [ask(n) for n in range(12)]))  # all of its burst; one stays open
+    # The requests use the customer's whole burst; one of them stays open.
+    sends = of(StartAttempt, c.handle(1001, [ask(n) for n in range(12)]))
     c.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
     last = len(sends)
     assert last >= 9 and len(c.state.quota.requester.accounts) == len(c.state.quota.owner.ledgers) == 1
@@ -439,10 +451,10 @@
     c.state.quota.forget(1000 + wait_s * 500, c.requests.values())
     assert len(c.state.quota.requester.accounts) == len(c.state.quota.owner.ledgers) == 1  # half full
     late = 1000 + max(wait_s * 1000, IDLE_MS) + 5000
-    while c.state.timers.entries[0][0] < 2000:  # what waits for the store is served or gone by then
+    while c.state.timers.entries[0][0] < 2000:  # requests waiting for quota are served or rejected by then
         c.handle(c.state.timers.entries[0][0], [])
     c.state.quota.forget(late, c.requests.values())
-    assert len(c.state.quota.requester.accounts) == 1  # its request is open
+    assert len(c.state.quota.requester.accounts) == 1  # a request is still open
     for request in list(c.requests.values()):
         c.lifecycle.close(request)
     c.state.quota.forget(late + IDLE_MS, c.requests.values())
@@ -450,7 +462,7 @@
 
 
 def test_removal_checks_a_part_of_many_customers_per_call_and_all_eventually():
-    """A look at 50,000 at a stroke held everything else up for 154 ms."""
+    """Checking 50,000 customers in one call delayed everything else by 154 ms."""
     c = gateway(gateways=1, number=0)
     c.handle(1000, [FLEET])
     c.handle(
@@ -495,7 +507,7 @@
 
 
 def test_request_that_cannot_get_its_quota_in_time_is_rejected_early():
-    """Seen: they waited for 0.6 s, up to 76 at once, on connections that others had then no longer."""
+    """Such requests used to wait for 0.6 s, up to 76 at a time, and held connections that others needed."""
     c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
     c.handle(1000, [FLEET])
     actions = c.handle(1001, [ask(n, customer="d") for n in range(40)])
@@ -506,7 +518,7 @@
         one.retry_after_ms >= 250 for one in refused if one.retry_after_ms
     )
     kind = c.state.classes["look"]
-    for _ in range(200):  # until its home has dropped them
+    for _ in range(200):  # until the quota owner has dropped them
         if c.state.timers.entries[0][0] > 1001 + kind.latency_objective_ms * (1 - 0.45) + 10:
             break
         c.handle(c.state.timers.entries[0][0], [])
@@ -563,7 +575,8 @@
 
 
 def test_cold_endpoint_load_is_bounded_over_400_gateways_after_a_stall():
-    """Rule 4 counts all gateways together: one send from each of 400 would push it over."""
+    """Rule 4 (load of cold endpoints) counts all gateways together: one attempt from each of 400 gateways
+    would overload the endpoint."""
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
@@ -629,8 +642,8 @@
 
 
 def test_actions_per_request_do_not_grow_with_the_number_of_gateways():
-    """Counted: actions for the same day at 40 and at 400 gateways. (Few gateways are homes of many customers
-    themselves and need no messages, so they are no measure.)"""
+    """Compares the number of actions for the same requests with 40 and with 400 gateways. With few gateways,
+    each owns the quotas of many customers and needs no messages, so the smaller tier has 40."""
     counts = []
     for gateways in (40, 400):
         c = gateway(gateways=gateways, number=1)
@@ -645,11 +658,11 @@
 
 @pytest.mark.parametrize("due", [1150.0, 1300.0, 1500.0, 2000.0])
 def test_queued_request_is_rejected_within_half_of_its_time(due):
-    """Seen on a day with a silent worker: of 48 tries refused later than that, 44 were short retries."""
+    """Regression test: with an unresponsive worker, 44 of 48 requests rejected after half of their time were
+    client retries with little time."""
     c = gateway()
-    c.state.statistics.usual_latency_ms["look"] = (
-        20.0  # fast answers: they alone would allow holding it until shortly before its end
-    )
+    # A low usual latency alone would allow queueing until shortly before the deadline.
+    c.state.statistics.usual_latency_ms["look"] = 20.0
     c.handle(1000, [EndpointsUpdated(()), ask(1, due=due)])
     now = 1000.0
     while not of(RejectRequest, c.handle(now, [TimerFired("agenda")])):
@@ -658,16 +671,16 @@
 
 
 def test_timer_is_set_for_the_earliest_entry_and_not_for_ended_requests():
-    """Seen on a calm day: 3500 wake-ups for 750 requests, most for some that had long been answered."""
+    """Regression test: 3500 timers were set for 750 requests, most of them for requests already answered."""
     c = gateway(gateways=1)
     first = of(SetTimer, c.handle(1000, [FLEET]))
-    assert [round(wake.delay_ms) for wake in first] == [100]  # the period
+    assert [round(wake.delay_ms) for wake in first] == [100]  # the period timer
     actions = c.handle(1001, [ask(1)])
     (send,) = of(StartAttempt, actions)
-    assert not of(SetTimer, actions)  # all that is due for the request comes after the period
+    assert not of(SetTimer, actions)  # all timers of the request come after the period timer
     c.handle(1002, [outcome(send, AttemptResult.OK)])
     wakes, now = [], 1002.0
-    for _ in range(30):  # beyond its hedge, and up to where it would have been given up
+    for _ in range(30):  # past its hedge timer and its deadline
         now += 100
         wakes += of(SetTimer, c.handle(now, [TimerFired("agenda")]))
     assert len(wakes) == 30 and all(99 <= wake.delay_ms <= 101 for wake in wakes)
@@ -681,7 +694,7 @@
 
 
 def test_rejecting_endpoint_gets_little_load_and_does_not_cut_the_limit():
-    """It answers in no time, so it looks idle; and its refusals say nothing of the rest of the fleet."""
+    """An endpoint that rejects at once looks idle; its rejections say nothing about the other ones."""
     for result in (AttemptResult.REJECTED_BY_WORKER, AttemptResult.CONNECT_FAILED):
         c = gateway()
         now, sent = 1000.0, []
--- a/tests/policy/test_gray_failures.py
+++ b/tests/policy/test_gray_failures.py
@@ -1,7 +1,6 @@
-"""Gray failures against the module: servers that swallow attempts or answer late, in modelled time.
+"""Gray failures: endpoints that lose attempts or answer late, simulated with a controller in virtual time.
 
-Each test states what an operator would see; the ones on swallowed attempts fail where the window counts every
-attempt that is out, however old."""
+The tests with lost attempts fail if the concurrency limit counts every attempt in flight, however old."""
 
 import heapq
 import itertools
@@ -45,10 +44,10 @@
 
 
 class Play:
-    """One gateway of four, whose customers have their home here, before servers that answer as a rule says,
-    and tell that so much of their cores is in use.
+    """Simulates one gateway of four, which owns its customers' quotas, and endpoints that answer by a rule.
 
-    `rule(rng, class_name, server, number)` is the answer time in ms, or None for a swallowed attempt.
+    `rule(rng, class_name, endpoint, attempt_number)` returns the answer time in ms, or None for a lost
+    attempt; `util`: the CPU use that endpoints report; `leave_ms`: time after which clients disconnect.
     """
 
     def __init__(
@@ -158,8 +157,8 @@
 
 
 def test_lost_attempts_do_not_block_the_concurrency_limit():
-    """A few attempts lost at every server: what is lost is lost, the rest must go through. With each of them
-    counted, 0.80 and 0.29 were in time here, and up to 0.57 was refused before servers that idled."""
+    """Every endpoint loses a few attempts; the others must be served. When the limit counted each lost
+    attempt, only 0.80 and 0.29 were in time here, and up to 0.57 were rejected while endpoints were idle."""
     for share, least in ((0.05, 0.95), (0.1, 0.92)):
         play = Play(swallowing(share), leave_ms=2400.0).run(20)
         assert play.share_in_aim(since=4000) > least
@@ -177,7 +176,7 @@
 
 
 def test_slow_answering_fleet_does_not_raise_the_limit():
-    """Overdue attempts that answer in the end are load: the cap is not opened for them."""
+    """Overdue attempts that are answered in the end still load endpoints, so few of them are written off."""
     play = Play(lambda rng, *_: healthy(rng)).run(5)
     play.rule = lambda rng, *_: rng.uniform(900, 1100)
     play.run(12)
@@ -216,15 +215,16 @@
 
 
 class Unlucky(random.Random):
-    """Every toss falls on the first cold server."""
+    """A generator whose `random` always returns 0, which selects the first cold endpoint in every draw."""
 
     def random(self):
         return 0.0
 
 
 def test_chance_does_not_overload_a_cold_endpoint():
-    """Its part on the mean is well within its budget, but chance now and then sent several times that within
-    the rule's window: in 2 of 60 rehearsals 0.97 of the budget, in one of 20 before more than all of it."""
+    """The mean load of a cold endpoint is well below its allowance, but random draws sometimes sent several
+    times the mean within the overload window: 0.97 of the allowance in 2 of 60 rehearsals, and more than all
+    of it in one of 20 earlier ones."""
     config = settings(gateways=4)
     play = Play(lambda rng, *_: healthy(rng), rate=40.0).run(3)
     cold = Endpoint("cold", "z0", 9, EndpointState.READY, 1.0, play.now)
@@ -235,7 +235,7 @@
     to_cold = [at for at, _, _, server in play.sent if server == "cold" and at >= start]
     usual = (
         40.0 * config.overload_window_ms / 1000 / 6
-    )  # what a warm server gets of this gateway in that time
+    )  # attempts that a warm endpoint gets from this gateway in that time
     warmth = (
         config.slow_start_initial_ratio
         + (1 - config.slow_start_initial_ratio) * config.overload_window_ms / config.slow_start_ms
@@ -247,11 +247,12 @@
     )
 
 
-# -- who is to blame: a server, a hall, a class, a peer, ourselves
+# -- attribution of failures: to an endpoint, a zone, a class, a peer or this gateway
 
 
 class Judged:
-    """A gateway that has seen so many outcomes of each server; `bad` servers gave none."""
+    """A gateway that has recorded `rounds` outcomes of each endpoint and class; for the classes in `of`,
+    those of the endpoints in `bad` are failures."""
 
     def __init__(self, bad=(), *, names=("look",), of=("look",), rounds=6, gateways=4):
         self.control = Controller(settings(gateways=gateways, plans=(Plan("rated", 1e6, 1e6),)), 1)
@@ -268,7 +269,7 @@
         state.outliers.record(self.now, state.endpoints.tracked[server], name, ratio, 1.0)
 
     def sent(self, name, count=16):
-        """Where requests of a class go that are out at one time."""
+        """The endpoints chosen for `count` requests of a class that are received at the same time."""
         asked = [
             RequestReceived(number, f"c{number}", name, "rated", self.now + 2500.0) for number in range(count)
         ]
@@ -276,14 +277,15 @@
 
 
 def test_endpoint_failing_one_class_is_ejected_for_that_class_only():
-    """Its other answers look perfect. Mixed into one figure, a third of the debits still went there."""
+    """The endpoint's answers of other classes are perfect. With one failure ratio for all classes, a third of
+    the failing class's attempts still went there."""
     for name, sent in (("debit", False), ("look", True)):
         judged = Judged(bad=["s1"], names=("look", "debit"), of=("debit",))
         assert ("s1" in judged.sent(name)) is sent
 
 
 def test_no_endpoint_is_ejected_if_more_than_half_fail():
-    """All answers failed at once: our own network. To put servers out then empties the list."""
+    """If all endpoints fail at once, the gateway's own network is the cause; ejection would leave none."""
     judged = Judged(bad=[server.id for server in FLEET.endpoints])
     assert judged.control.state.outliers.candidates and not judged.control.state.outliers.ejected(
         judged.now, "look", judged.control.state.endpoints.warm
@@ -308,7 +310,7 @@
 
 
 def test_limit_recovers_from_any_low_state_within_two_seconds():
-    """Servers that say they idle do not hold answers back, so no low cap keeps itself low."""
+    """Idle endpoints do not delay answers, so a low limit must not keep itself low."""
     for state in (
         {"capacity": 0.1, "recent_peak": 0.0, "backoff_factor": 0.3},
         {"capacity": 0.1, "written_off": 0.0, "fleet_capacity": 0.0},
@@ -321,7 +323,7 @@
         since = play.now + 2000
         play.run(6, rate=200.0)
         assert play.share_in_aim(since=since) > 0.99
-        need = 200 * 0.07  # by Little's law, with answers of 70 ms on the mean
+        need = 200 * 0.07  # by Little's law, with a mean latency of 70 ms
         assert min(limit for ms, limit in play.limits if ms >= since) >= need
 
 
@@ -332,7 +334,8 @@
 
 
 def test_failures_reported_by_peers_count_only_if_two_peers_agree():
-    """A peer's words may be wrong: by its own network, or a fault. 60 of them a second did as they liked."""
+    """A peer's reports may be wrong because of its own network or a fault. Before reports needed
+    confirmation, 60 of them per second from one peer were enough to eject an endpoint."""
     given = settings(gateways=4, plans=(Plan("rated", 1e6, 1e6),))
     lie = PeerMessageCodec(given).encode(7, 1.0, [], [outlier_report("s1", 0, math.inf)] * 4)
     for liars, avoided in (((1,), False), ((1, 2), True)):
@@ -394,11 +397,12 @@
     assert control.state.overdue.answer_probability(Attempt(same_hall, "look", 0.0)) < 0.2
     control.handle(2000.0, [EndpointsUpdated((), True)])
     control.handle(9000.0, [TimerFired("agenda")])
-    assert all(len(view) == 1 for view in control.state.overdue.by_view)  # what went is forgotten
+    # Views of endpoints and zones that are gone have been removed.
+    assert all(len(view) == 1 for view in control.state.overdue.by_view)
 
 
 def test_last_retry_tokens_are_reserved_for_high_gain():
-    """With the tokens nearly spent a cheap class gets no copy, and a dear one does."""
+    """With few tokens left, a class of low priority gets no hedged request and one of high priority does."""
     for name, sent in (("feed", 0), ("book", 1)):
         play = Play(lambda *_: None, names=(name,), rate=0.001).run(0.1)
         control = play.control
@@ -419,14 +423,15 @@
 
 
 def test_service_with_five_percent_loss_a_stopped_endpoint_and_stale_discovery():
-    """The incident: a fifth of the servers goes, word of it comes late, and one in 20 is swallowed at all."""
+    """Reproduces an incident: a fifth of the endpoints stops, discovery reports it late, and the remaining
+    ones lose one attempt in 20."""
     play = Play(swallowing(0.05), leave_ms=2400.0).run(6)
     gone = "s5"
     play.rule = lambda rng, name, server, number: (
         None if server == gone or rng.random() < 0.05 else healthy(rng)
     )
     since = play.now
-    play.run(3)  # discovery is silent: it still lists the server
+    play.run(3)  # discovery is unresponsive and still lists the endpoint
     cold = Endpoint("new", "z1", 9, EndpointState.READY, 1.0, play.now - 3000)
     play.do(play.control.handle(play.now, [EndpointsUpdated((*FLEET.endpoints[:5], cold))]))
     play.run(8)
@@ -438,11 +443,12 @@
     assert not ran
 
 
-# -- thin traffic: little is seen, so little is known
+# -- little traffic per gateway, hence few observations
 
 
 def test_limit_is_at_least_one_attempt_but_not_above_its_initial_value():
-    """Under one attempt it is chance that holds a request, not load. Fails where the cap is 0.45 here."""
+    """A limit below one attempt would queue requests by chance and not by load. Without the minimum the limit
+    would be 0.45 here."""
     for gateways, limit in ((100, 1.0), (1000, INITIAL_PER_ENDPOINT * 9 / 1000)):
         window = ConcurrencyLimit(gateways)
         for _ in range(50):
@@ -455,8 +461,8 @@
 
 
 def test_gateway_with_little_traffic_does_not_hedge_long_running_attempts():
-    """One in twenty takes three times the mean by itself, and as long again elsewhere. It must not be copied
-    without a sign that attempts are lost: seen at 100 gateways, six copies in a hundred cost 0.11."""
+    """One attempt in twenty takes three times the mean, and would take as long elsewhere. It must not be
+    hedged without evidence of lost attempts: with 100 gateways, hedging 6 % of them cost 0.11 of service."""
     copies = 0
     for seed in range(1, 6):
         play = Play(lambda rng, *_: 30 + rng.expovariate(1 / 90), rate=1.0, seed=seed).run(40)
@@ -466,7 +472,7 @@
 
 
 def test_waiting_time_is_recorded_while_an_attempt_is_overdue():
-    """Attempts that stay out are learned of span by span, before the first of them has ended."""
+    """Overdue attempts are recorded interval by interval, before the first of them has ended."""
     play = Play(
         lambda rng, name, server, number: None if number == 0 else healthy(rng),
         rate=4.0,
@@ -482,7 +488,7 @@
 
 
 def test_gateways_with_little_traffic_serve_as_well_as_a_fixed_limit():
-    """A hundred gateways, 0.8 of capacity, about one request a second each."""
+    """A tier of 100 gateways at 0.8 of the endpoints' capacity, with about one request per second each."""
     services = {
         rule: mean(World(RULES[rule], Failure(), 0.8, 100, 9, seed, 3).play()["service"] for seed in (1, 2))
         for rule in ("plumpick", "fixed cap")
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,7 @@
-"""Seeded random event sequences against the module, with an independent check of the five rules."""
+"""Seeded random event sequences for controllers, with an independent check of the five rules.
+
+Rule 1: one final answer in time. Rule 2: no double execution. Rule 3: no attempts at draining endpoints. Rule
+4: bounded load of cold endpoints. Rule 5: hard limits of customers."""
 
 import heapq
 import random
@@ -43,7 +46,8 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_cold_endpoint_gets_no_more_than_its_slow_start_allows(seed):
-    """Rule 4: a server that starts is sent less than a warm one, by all gateways together, from the start."""
+    """Rule 4: from its start, a cold endpoint gets fewer attempts than a warm one from all gateways
+    together."""
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
     now, serial, sends, outs = 50_000.0, 0, [], []
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,5 @@
-"""Cold workers under the sum of what all gateways send: N + 2 x root of N + 2, however many gateways."""
+"""The load of cold workers summed over all gateways: with N expected attempts, at most N + 2 * sqrt(N) + 2
+for any number of gateways (benchmarks/cold_workers.py)."""
 
 import pytest
 
@@ -13,7 +14,7 @@
 
 
 def test_check_detects_gateways_that_limit_only_their_own_part(monkeypatch):
-    """Each sends as much as it may alone, and new ones first: harmless in one, harmful in the sum."""
+    """Each gateway prefers cold workers and limits only its own attempts, which overloads them in the sum."""
     right = LoadBalancer.choose
 
     def choose(self, now, request, group):
--- a/tests/policy/test_subsetting.py
+++ b/tests/policy/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The arcs of a wide tier: how even, how often covered, how stable, and what they save; no sockets."""
+"""Subsets of a large tier: evenness of load, coverage, stability and number of gateway-endpoint pairs."""
 
 import random
 from collections import Counter
@@ -30,7 +30,7 @@
 
 
 def loads(servers, gateways, weight=lambda _: 1.0):
-    """What each server gets for its capacity if each gateway sends one unit over its arc by capacity."""
+    """Load per capacity of each endpoint if each gateway distributes one unit over its subset by capacity."""
     got = Counter()
     for number in range(gateways):
         arc = subset_of(servers, gateways, number)
@@ -70,18 +70,18 @@
             before = set(subset_of(ring(names), 40, number))
             after = set(subset_of(ring(name for name in names if name != gone), 40, number))
             moved += len(before ^ after)
-    assert moved / 20 / 40 <= 2.0  # of twelve
+    assert moved / 20 / 40 <= 2.0  # of twelve endpoints in a subset
 
 
 def test_subset_with_few_gateways_no_endpoints_or_zero_capacity():
     names = ring(["a", "b", "c"])
     assert len(subset_of(names, GATEWAYS_PER_POINT, 0)) == 3 and subset_ratio(3.0, GATEWAYS_PER_POINT) == 1.0
     assert subset_of([], 40, 3) == [] and subset_ratio(0.0, 40) == 1.0
-    assert subset_of([("a", 0.0), ("b", 0.0)], 40, 3) == ["a", "b"]  # nothing is known of their capacity
+    assert subset_of([("a", 0.0), ("b", 0.0)], 40, 3) == ["a", "b"]  # unknown capacity
 
 
 class Tier:
-    """Forty decision modules that send to sixty servers; each attempt is answered at once."""
+    """Controllers of 40 gateways that send to 60 endpoints; each attempt is answered at once."""
 
     def __init__(self, gateways=40, servers=60, started=lambda n: 0.0):
         kinds = (RequestClass("look", 1000, 2000, 1, Idempotency.IDEMPOTENT),)
@@ -127,7 +127,7 @@
 
 
 def test_large_tier_reaches_each_endpoint_through_few_gateways():
-    """Without arcs all 2,400 pairs come to be, each a handshake and a connection."""
+    """Without subsets all 2,400 pairs of gateway and endpoint would be used, each with its own connection."""
     tier = Tier()
     tier.run(20, 240)
     pairs = {(number, server) for _, number, server in tier.sent}
--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -1,4 +1,4 @@
-"""Whatever fails in a turn of the module fails by itself: requests are served, and the next period comes."""
+"""Exceptions in single steps of a turn: requests are still served, and the period timer continues."""
 
 import math
 
@@ -40,11 +40,12 @@
     "request_lifecycle.RequestLifecycle.release",
     "quota.manager.QuotaManager.begin",
     "load_balancing.LoadBalancer.choose",
-}  # to serve
+}  # steps without which no request can be served
 
 
 def break_it(monkeypatch, name, when):
-    """The method raises in those of its calls; how many there were."""
+    """Patch a method to raise RuntimeError if `when(call number, arguments)` is true; returns the list to
+    which the arguments of each call are appended."""
     owner, method = name.rsplit(".", 1)
     module, kind = owner.rsplit(".", 1)
     target = getattr(__import__(f"plumpick.policy.{module}", fromlist=[kind]), kind)
@@ -61,15 +62,18 @@
 
 
 def play(control, until=3000.0):
-    """A request each 40 ms, each answered after 50; the module is called then and when it has asked to be.
-    The requests asked, served and ended otherwise, how often each was sent, and all faults."""
+    """Send a request every 40 ms, answer each attempt after 50 ms and fire the timers that the controller
+    sets.
+
+    Returns the number of requests, the ids of served requests and of those rejected or failed, the request id
+    of each attempt, and all exceptions of the turns."""
     now, number, wakes, outs = 1000.0, 0, [], []
     served, ended, sent, faults, events = set(), set(), [], [], [FLEET]
     while now < until:
         if now >= 1000 + 40 * number:
             number += 1
             events.append(ask(number, plan="capped" if number % 2 else "rated", due=now + 1400.0))
-        if now >= 1500 and now % 200 == 0:  # most servers leave, and come back
+        if now >= 1500 and now % 200 == 0:  # most endpoints go to draining, and back to ready
             events.append(LEAVE if now % 400 else FLEET)
         events += [outcome(send, AttemptResult.OK, attempt) for at, send, attempt in outs if at <= now]
         outs = [row for row in outs if row[0] > now]
@@ -127,7 +131,7 @@
 )
 def test_period_timer_continues_while_a_required_step_always_raises(monkeypatch, name):
     calls = break_it(monkeypatch, name, lambda *_: True)
-    _, _, _, _, faults = play(home())  # which looks at each turn
+    _, _, _, _, faults = play(home())  # checks the period timer in each turn
     assert len(faults) >= len(calls) >= 15
 
 
@@ -141,7 +145,7 @@
 
 
 def test_request_whose_start_raises_delays_no_other_and_ends_in_time(monkeypatch):
-    """What went out before it in the same turn is sent once, though the turn's part then failed."""
+    """Attempts started earlier in the same turn are sent once, although the step then raises."""
     break_it(monkeypatch, "load_balancing.LoadBalancer.choose", lambda _, what: what[1].received.id % 5 == 3)
     number, served, ended, sent, faults = play(home())
     assert faults and len(sent) <= 1.3 * len(served)
@@ -160,7 +164,7 @@
 
 
 def test_request_with_nan_deadline_does_not_break_the_timer_queue():
-    """Among what is due, nothing comes before it or after it."""
+    """A NaN time in the timer queue would break its order, since NaN compares neither less nor greater."""
     control = home()
     control.handle(1000.0, [FLEET])
     odd = ask(1, due=math.nan)
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -1,4 +1,4 @@
-"""A controller with a fleet of six endpoints, and the events and actions of its tests."""
+"""Helpers for tests of the controller: a fleet of six endpoints, and short forms for events and actions."""
 
 from support.traffic import settings
 
--- a/tests/support/traffic.py
+++ b/tests/support/traffic.py
@@ -1,4 +1,4 @@
-"""Settings, a world of random traffic, and the checker of the rules that hold in it."""
+"""Test settings, a simulation of random traffic, and a checker of the rules that gateways must keep in it."""
 
 import heapq
 import random
@@ -29,7 +29,7 @@
 
 
 def settings(number=0, gateways=3, **more):
-    """Settings with every kind of repeat and plan."""
+    """Settings with classes of every idempotency kind and deduplication scope, and every kind of plan."""
     values = dict(
         gateway_count=gateways,
         gateway_number=number,
@@ -102,7 +102,9 @@
 
 
 class Checker:
-    """Keeps its own books of what was sent and answered; raises at the first broken rule."""
+    """Records attempts and answers independently of the controllers; an assertion fails at the first broken
+    rule.
+    """
 
     def __init__(self, config):
         self.config = config
@@ -162,7 +164,7 @@
 
 
 class Town:
-    """A few gateways, servers that act at random, and a network that loses, delays and repeats."""
+    """A few gateways, endpoints with random results, and a network with lost, late and repeated messages."""
 
     def __init__(self, seed, gateways=3, kill=0.0005, loss=0.3, rate=120, settings_of=settings):
         self.rng = random.Random(seed)
