--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -17,10 +17,10 @@
 )
 from plumpick.policy.timers import TimerKind
 
-LEAVE = EndpointsUpdated(
+DRAINING_ENDPOINTS = EndpointsUpdated(
     tuple(Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.DRAINING) for n in range(4)), is_snapshot=False
 )
-STAGES = (
+STEPS = (
     "attempt_lifecycle.AttemptLifecycle.retry",
     "controller.Controller.on_timer",
     "request_lifecycle.RequestLifecycle.release",
@@ -35,7 +35,7 @@
     "concurrency_limit.ConcurrencyLimit.on_period",
     "peer_messages.PeerMessageCodec.encode",
 )
-MUST_WORK = {
+REQUIRED_STEPS = {
     "controller.Controller.on_timer",
     "request_lifecycle.RequestLifecycle.release",
     "quota.manager.QuotaManager.begin",
@@ -43,86 +43,88 @@
 }  # steps without which no request can be served
 
 
-def break_it(monkeypatch, name, when):
-    """Patch a method to raise RuntimeError if `when(call number, arguments)` is true; returns the list to
-    which the arguments of each call are appended."""
+def make_step_raise(monkeypatch, name, should_raise):
+    """Patch a method to raise RuntimeError if `should_raise(call number, arguments)` is true; returns the
+    list to which the arguments of each call are appended."""
     owner, method = name.rsplit(".", 1)
     module, kind = owner.rsplit(".", 1)
     target = getattr(__import__(f"plumpick.policy.{module}", fromlist=[kind]), kind)
-    whole, calls = getattr(target, method), []
+    original, calls = getattr(target, method), []
 
-    def broken(*arguments):
+    def raise_or_call(*arguments):
         calls.append(arguments[1:])
-        if when(len(calls), arguments[1:]):
+        if should_raise(len(calls), arguments[1:]):
             raise RuntimeError(name)
-        return whole(*arguments)
+        return original(*arguments)
 
-    monkeypatch.setattr(target, method, broken)
+    monkeypatch.setattr(target, method, raise_or_call)
     return calls
 
 
-def play(control, until=3000.0):
+def run_traffic(control, until=3000.0):
     """Send a request every 40 ms, answer each attempt after 50 ms and fire the timers that the controller
     sets.
 
     Returns the number of requests, the ids of served requests and of those rejected or failed, the request id
     of each attempt, and all exceptions of the turns."""
-    now, number, wakes, outs = 1000.0, 0, [], []
-    served, ended, sent, faults, events = set(), set(), [], [], [FLEET]
+    now, number, timers, pending_answers = 1000.0, 0, [], []
+    served, ended, sent, exceptions, events = set(), set(), [], [], [FLEET]
     while now < until:
         if now >= 1000 + 40 * number:
             number += 1
             events.append(ask(number, plan="capped" if number % 2 else "rated", due=now + 1400.0))
         if now >= 1500 and now % 200 == 0:  # most endpoints go to draining, and back to ready
-            events.append(LEAVE if now % 400 else FLEET)
-        events += [outcome(send, AttemptResult.OK, attempt) for at, send, attempt in outs if at <= now]
-        outs = [row for row in outs if row[0] > now]
-        if any(at <= now for at in wakes):
+            events.append(DRAINING_ENDPOINTS if now % 400 else FLEET)
+        events += [
+            outcome(send, AttemptResult.OK, attempt) for at, send, attempt in pending_answers if at <= now
+        ]
+        pending_answers = [row for row in pending_answers if row[0] > now]
+        if any(at <= now for at in timers):
             events.append(TimerFired("agenda"))
         if events:
-            wakes = [at for at in wakes if at > now]
+            timers = [at for at in timers if at > now]
             actions, events = control.handle(now, events), []
-            faults += control.faults
+            exceptions += control.faults
             for action in actions:
                 if isinstance(action, StartAttempt):
-                    outs.append((now + 50, action, sum(one == action.id for one in sent)))
+                    pending_answers.append((now + 50, action, sum(one == action.id for one in sent)))
                     sent.append(action.id)
                     served.add(action.id)
                 elif isinstance(action, (RejectRequest, FailRequest)):
                     ended.add(action.id)
                 elif isinstance(action, SetTimer):
-                    wakes.append(now + action.delay_ms)
-            periods = [at for at, _, what, _ in control.state.timers.entries if what is TimerKind.PERIOD]
+                    timers.append(now + action.delay_ms)
+            periods = [at for at, _, kind, _ in control.state.timers.entries if kind is TimerKind.PERIOD]
             assert len(periods) == 1 and now < periods[0] <= now + PERIOD_MS + 4
-            assert min(wakes, default=math.inf) <= periods[0] + 4
+            assert min(timers, default=math.inf) <= periods[0] + 4
         now += 4
-    return number, served, ended, sent, faults
+    return number, served, ended, sent, exceptions
 
 
-def home(**more):
+def quota_owner_gateway(**more):
     return gateway(number=home_of("c"), **more)
 
 
 def test_run_without_exceptions_serves_requests_with_few_extra_attempts():
-    number, served, _, sent, faults = play(home())
-    assert not faults and len(served) >= 0.9 * number and len(sent) <= 1.3 * number
+    number, served, _, sent, exceptions = run_traffic(quota_owner_gateway())
+    assert not exceptions and len(served) >= 0.9 * number and len(sent) <= 1.3 * number
 
 
-@pytest.mark.parametrize("name", STAGES)
+@pytest.mark.parametrize("name", STEPS)
 def test_step_that_raises_once_affects_only_itself(monkeypatch, name):
-    expected = len(play(home())[1])
-    calls = break_it(monkeypatch, name, lambda count, _: count == 1)
-    number, served, _, sent, faults = play(home())
-    assert calls and str(faults[0]) == name and len(faults) <= (2 if name.endswith("begin") else 1)
+    expected = len(run_traffic(quota_owner_gateway())[1])
+    calls = make_step_raise(monkeypatch, name, lambda count, _: count == 1)
+    number, served, _, sent, exceptions = run_traffic(quota_owner_gateway())
+    assert calls and str(exceptions[0]) == name and len(exceptions) <= (2 if name.endswith("begin") else 1)
     assert len(served) >= expected - 2 and len(sent) <= 1.3 * number
 
 
-@pytest.mark.parametrize("name", [name for name in STAGES if name not in MUST_WORK])
+@pytest.mark.parametrize("name", [name for name in STEPS if name not in REQUIRED_STEPS])
 def test_requests_are_served_while_an_optional_step_always_raises(monkeypatch, name):
-    expected = len(play(home())[1])
-    calls = break_it(monkeypatch, name, lambda *_: True)
-    _, served, _, _, faults = play(home())
-    assert calls and {str(fault) for fault in faults} == {name} and len(faults) == len(calls)
+    expected = len(run_traffic(quota_owner_gateway())[1])
+    calls = make_step_raise(monkeypatch, name, lambda *_: True)
+    _, served, _, _, exceptions = run_traffic(quota_owner_gateway())
+    assert calls and {str(fault) for fault in exceptions} == {name} and len(exceptions) == len(calls)
     assert len(served) >= 0.9 * expected
 
 
@@ -130,42 +132,50 @@
     "name", ["request_lifecycle.RequestLifecycle.release", "controller.Controller.on_timer"]
 )
 def test_period_timer_continues_while_a_required_step_always_raises(monkeypatch, name):
-    calls = break_it(monkeypatch, name, lambda *_: True)
-    _, _, _, _, faults = play(home())  # checks the period timer in each turn
-    assert len(faults) >= len(calls) >= 15
+    calls = make_step_raise(monkeypatch, name, lambda *_: True)
+    _, _, _, _, exceptions = run_traffic(quota_owner_gateway())  # checks the period timer in each turn
+    assert len(exceptions) >= len(calls) >= 15
 
 
 def test_timer_whose_handler_raises_does_not_fire_again(monkeypatch):
-    calls = break_it(
-        monkeypatch, "controller.Controller.on_timer", lambda _, what: what[0] is TimerKind.HEDGE
+    calls = make_step_raise(
+        monkeypatch, "controller.Controller.on_timer", lambda _, arguments: arguments[0] is TimerKind.HEDGE
     )
-    play(home())
-    assert any(what is TimerKind.HEDGE for what, _ in calls)
+    run_traffic(quota_owner_gateway())
+    assert any(kind is TimerKind.HEDGE for kind, _ in calls)
     assert max(calls.count(call) for call in calls if call[0] is TimerKind.HEDGE) == 1
 
 
 def test_request_whose_start_raises_delays_no_other_and_ends_in_time(monkeypatch):
     """Attempts started earlier in the same turn are sent once, although the step then raises."""
-    break_it(monkeypatch, "load_balancing.LoadBalancer.choose", lambda _, what: what[1].received.id % 5 == 3)
-    number, served, ended, sent, faults = play(home())
-    assert faults and len(sent) <= 1.3 * len(served)
+    make_step_raise(
+        monkeypatch,
+        "load_balancing.LoadBalancer.choose",
+        lambda _, arguments: arguments[1].received.id % 5 == 3,
+    )
+    number, served, ended, sent, exceptions = run_traffic(quota_owner_gateway())
+    assert exceptions and len(sent) <= 1.3 * len(served)
     bad = {n for n in range(1, number + 1) if n % 5 == 3}
     assert not bad & served and {n for n in bad if 40 * n < 500} <= ended
     assert len(served) >= 0.85 * (number - len(bad))
 
 
 def test_encoding_error_for_one_peer_does_not_affect_messages_to_others(monkeypatch):
-    control = home()
+    control = quota_owner_gateway()
     control.handle(1000.0, [FLEET])
     others = sorted({0, 1, 2} - {control.settings.gateway_number})
-    calls = break_it(monkeypatch, "peer_messages.PeerMessageCodec.encode", lambda count, _: count == 1)
-    told = of(SendPeerMessage, control.handle(1000.0 + 600, []))
-    assert len(calls) == 2 and [tell.receiver for tell in told] == others[1:] and len(control.faults) == 1
+    calls = make_step_raise(monkeypatch, "peer_messages.PeerMessageCodec.encode", lambda count, _: count == 1)
+    messages = of(SendPeerMessage, control.handle(1000.0 + 600, []))
+    assert (
+        len(calls) == 2
+        and [message.receiver for message in messages] == others[1:]
+        and len(control.faults) == 1
+    )
 
 
 def test_request_with_nan_deadline_does_not_break_the_timer_queue():
     """A NaN time in the timer queue would break its order, since NaN compares neither less nor greater."""
-    control = home()
+    control = quota_owner_gateway()
     control.handle(1000.0, [FLEET])
     odd = ask(1, due=math.nan)
     assert of(RejectRequest, control.handle(1001.0, [odd])) and not control.requests
