--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -39,33 +39,35 @@
 
 
 def test_request_is_sent_and_closed_after_its_answer():
-    c = gateway()
-    sends = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
+    controller = gateway()
+    sends = of(StartAttempt, controller.handle(1000, [FLEET, ask(1)]))
     assert [send.id for send in sends] == [1]
-    assert not of(FailRequest, c.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
-    assert not c.requests and not c.state.limit.in_flight
+    assert not of(FailRequest, controller.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
+    assert not controller.requests and not controller.state.limit.in_flight
 
 
 def test_error_is_retried_at_another_endpoint_only_for_idempotent_requests():
-    c = gateway()
-    safe, unsafe = of(StartAttempt, c.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
-    if safe.id != 1:
-        safe, unsafe = unsafe, safe
-    actions = c.handle(1050, [outcome(safe, AttemptResult.ERROR), outcome(unsafe, AttemptResult.ERROR)])
-    again = of(StartAttempt, actions)
-    assert [send.id for send in again] == [1] and again[0].endpoint != safe.endpoint
+    controller = gateway()
+    idempotent, non_idempotent = of(StartAttempt, controller.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
+    if idempotent.id != 1:
+        idempotent, non_idempotent = non_idempotent, idempotent
+    actions = controller.handle(
+        1050, [outcome(idempotent, AttemptResult.ERROR), outcome(non_idempotent, AttemptResult.ERROR)]
+    )
+    retry = of(StartAttempt, actions)
+    assert [send.id for send in retry] == [1] and retry[0].endpoint != idempotent.endpoint
     assert of(FailRequest, actions) == [FailRequest(2)]
 
 
 def test_non_idempotent_request_is_retried_if_the_worker_rejected_it():
-    c = gateway()
-    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1, "debit")]))
-    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.REJECTED_BY_WORKER)]))
-    assert again.id == 1
+    controller = gateway()
+    (send,) = of(StartAttempt, controller.handle(1000, [FLEET, ask(1, "debit")]))
+    (retry,) = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.REJECTED_BY_WORKER)]))
+    assert retry.id == 1
 
 
-def keyed(scope, window_ms=1000.0, **more):
-    kinds = (
+def keyed_gateway(scope, window_ms=1000.0, **more):
+    classes = (
         RequestClass(
             "book",
             3000,
@@ -76,20 +78,20 @@
             deduplication_window_ms=window_ms,
         ),
     )
-    return gateway(classes=kinds, plans=(Plan("basic"),), **more)
+    return gateway(classes=classes, plans=(Plan("basic"),), **more)
 
 
-def fleet_of(*servers):
+def endpoints_event(*endpoints):
     return EndpointsUpdated(
         tuple(
             Endpoint(name, zone, cell, EndpointState.READY, 1.0, started_ms)
-            for name, zone, cell, started_ms in servers
+            for name, zone, cell, started_ms in endpoints
         )
     )
 
 
-def first_send(control, now):
-    (send,) = of(StartAttempt, control.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
+def start_first_attempt(controller, now):
+    (send,) = of(StartAttempt, controller.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
     assert send.start_within_ms == math.inf
     return send
 
@@ -97,25 +99,27 @@
 def test_keyed_retry_must_start_within_the_deduplication_window():
     """A keyed retry carries the time left until its deduplication group forgets the first attempt, since its
     connection may take longer to set up than that."""
-    control = keyed(DeduplicationScope.ALL)
-    control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
-    send = first_send(control, 10.0)
-    (repeat,) = of(StartAttempt, control.handle(400.0, [outcome(send, AttemptResult.RESET)]))
-    assert repeat.start_within_ms == 10.0 + 1000.0 - WINDOW_MARGIN_MS - 400.0
+    controller = keyed_gateway(DeduplicationScope.ALL)
+    controller.handle(0.0, [endpoints_event(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
+    send = start_first_attempt(controller, 10.0)
+    (retry,) = of(StartAttempt, controller.handle(400.0, [outcome(send, AttemptResult.RESET)]))
+    assert retry.start_within_ms == 10.0 + 1000.0 - WINDOW_MARGIN_MS - 400.0
     # The failed connection proves that the retry was not executed. The window still counts from the first
     # attempt.
-    more = of(StartAttempt, control.handle(700.0, [outcome(repeat, AttemptResult.CONNECT_FAILED, attempt=1)]))
+    more = of(
+        StartAttempt, controller.handle(700.0, [outcome(retry, AttemptResult.CONNECT_FAILED, attempt=1)])
+    )
     assert [one.start_within_ms for one in more] == [10.0 + 1000.0 - WINDOW_MARGIN_MS - 700.0]
-    done = control.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
-    assert not of(StartAttempt, done) and (of(FailRequest, done) or of(RejectRequest, done))
+    actions = controller.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
+    assert not of(StartAttempt, actions) and (of(FailRequest, actions) or of(RejectRequest, actions))
 
 
 @pytest.mark.parametrize("window_ms", [0.0, 10.0, WINDOW_MARGIN_MS])
 def test_keyed_request_is_not_retried_if_the_window_is_within_the_margin(window_ms):
-    control = keyed(DeduplicationScope.ALL, window_ms)
-    control.handle(0.0, [fleet_of(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
-    send = first_send(control, 10.0)
-    assert not of(StartAttempt, control.handle(11.0, [outcome(send, AttemptResult.RESET)]))
+    controller = keyed_gateway(DeduplicationScope.ALL, window_ms)
+    controller.handle(0.0, [endpoints_event(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
+    send = start_first_attempt(controller, 10.0)
+    assert not of(StartAttempt, controller.handle(11.0, [outcome(send, AttemptResult.RESET)]))
 
 
 @pytest.mark.parametrize(
@@ -124,52 +128,52 @@
 def test_keyed_retry_stays_in_the_deduplication_group_listed_at_the_first_attempt(scope, group):
     """If the first attempt's worker is listed in another zone later, the retry still goes to the zone or
     group of the first attempt."""
-    for place in range(40):
-        control = keyed(scope, max_attempts=5)
-        old = (("w1", "a", 1, 0.0), ("w2", "a", 2, 0.0), ("w3", "b", 1, 0.0))
-        control.state.rng.seed(place)
-        control.handle(0.0, [fleet_of(*old)])
-        send = first_send(control, 10.0)
-        moved = tuple(
-            (name, "b" if name == send.endpoint else zone, cell, ms) for name, zone, cell, ms in old
+    for seed in range(40):
+        controller = keyed_gateway(scope, max_attempts=5)
+        listed_before = (("w1", "a", 1, 0.0), ("w2", "a", 2, 0.0), ("w3", "b", 1, 0.0))
+        controller.state.rng.seed(seed)
+        controller.handle(0.0, [endpoints_event(*listed_before)])
+        send = start_first_attempt(controller, 10.0)
+        listed_after = tuple(
+            (name, "b" if name == send.endpoint else zone, cell, ms) for name, zone, cell, ms in listed_before
         )
-        first = next(row for row in old if row[0] == send.endpoint)
-        control.handle(20.0, [fleet_of(*moved)])
-        for repeat in of(StartAttempt, control.handle(30.0, [outcome(send, AttemptResult.RESET)])):
-            row = next(row for row in moved if row[0] == repeat.endpoint)
+        first = next(row for row in listed_before if row[0] == send.endpoint)
+        controller.handle(20.0, [endpoints_event(*listed_after)])
+        for retry in of(StartAttempt, controller.handle(30.0, [outcome(send, AttemptResult.RESET)])):
+            row = next(row for row in listed_after if row[0] == retry.endpoint)
             assert row[1] == first[1] and (scope is DeduplicationScope.ZONE or row[2] == first[2])
 
 
 @pytest.mark.parametrize("scope", list(DeduplicationScope))
 def test_keyed_retry_avoids_a_worker_started_after_the_first_attempt(scope):
-    for place in range(20):
-        control = keyed(scope, slow_start_ms=1.0)
-        control.state.rng.seed(place)
-        control.handle(1000.0, [fleet_of(("w1", "a", 1, 0.0), ("w2", "a", 1, 0.0))])
-        send = first_send(control, 1010.0)
+    for seed in range(20):
+        controller = keyed_gateway(scope, slow_start_ms=1.0)
+        controller.state.rng.seed(seed)
+        controller.handle(1000.0, [endpoints_event(("w1", "a", 1, 0.0), ("w2", "a", 1, 0.0))])
+        send = start_first_attempt(controller, 1010.0)
         other = "w2" if send.endpoint == "w1" else "w1"
-        control.handle(1100.0, [fleet_of((send.endpoint, "a", 1, 1050.0), (other, "a", 1, 0.0))])
-        for repeat in of(StartAttempt, control.handle(1200.0, [outcome(send, AttemptResult.RESET)])):
-            assert repeat.endpoint == other
+        controller.handle(1100.0, [endpoints_event((send.endpoint, "a", 1, 1050.0), (other, "a", 1, 0.0))])
+        for retry in of(StartAttempt, controller.handle(1200.0, [outcome(send, AttemptResult.RESET)])):
+            assert retry.endpoint == other
 
 
 def test_rejected_retry_does_not_clear_an_earlier_unproven_attempt():
     """A keyed request gets an error, then its retry is rejected by the same worker. The first attempt may
     have been executed, so the request must not go to another group."""
-    c = Controller(settings(can_message_peers=False), 1)
+    controller = Controller(settings(can_message_peers=False), 1)
     one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
-    (send,) = of(StartAttempt, c.handle(1000, [one, ask(1, "book", due=1900)]))
-    (again,) = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.ERROR)]))
+    (send,) = of(StartAttempt, controller.handle(1000, [one, ask(1, "book", due=1900)]))
+    (retry,) = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.ERROR)]))
     other = EndpointsUpdated(
         (Endpoint("s0", "z0", 0, EndpointState.DRAINING), Endpoint("s9", "z0", 3, EndpointState.READY))
     )
-    actions = c.handle(1020, [other, outcome(again, AttemptResult.REJECTED_BY_WORKER, 1)])
+    actions = controller.handle(1020, [other, outcome(retry, AttemptResult.REJECTED_BY_WORKER, 1)])
     assert not of(StartAttempt, actions) and of(FailRequest, actions) == [FailRequest(1)]
 
 
 def test_unusual_event_sequences_are_handled():
-    c = gateway()
-    c.handle(
+    controller = gateway()
+    controller.handle(
         1000,
         [
             EndpointsUpdated(()),
@@ -178,17 +182,19 @@
             ClientDisconnected(77),
         ],
     )
-    assert of(RejectRequest, c.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])) == [
+    assert of(
+        RejectRequest, controller.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])
+    ) == [
         RejectRequest(1),
         RejectRequest(2),
     ]
-    assert of(RejectRequest, c.handle(1002, [ask(3, due=900.0)])) == [RejectRequest(3)]
-    c.handle(1003, [ask(4)])  # queued, since there are no endpoints
-    assert 4 in c.requests
-    (send,) = of(StartAttempt, c.handle(1004, [FLEET]))
-    assert of(CancelAttempt, c.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
-    assert c.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
-    c.handle(
+    assert of(RejectRequest, controller.handle(1002, [ask(3, due=900.0)])) == [RejectRequest(3)]
+    controller.handle(1003, [ask(4)])  # queued, since there are no endpoints
+    assert 4 in controller.requests
+    (send,) = of(StartAttempt, controller.handle(1004, [FLEET]))
+    assert of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
+    assert controller.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
+    controller.handle(
         1007,
         [
             outcome(send, AttemptResult.OK),
@@ -196,55 +202,55 @@
             outcome(send, AttemptResult.ERROR, 3),
         ],
     )
-    assert c.state.limit.in_flight == 0 and not c.requests
+    assert controller.state.limit.in_flight == 0 and not controller.requests
 
 
 def test_request_without_endpoints_is_rejected_before_its_deadline():
-    c = gateway()
-    c.handle(1000, [EndpointsUpdated(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
-    refused = {}
+    controller = gateway()
+    controller.handle(1000, [EndpointsUpdated(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
+    rejected = {}
     for now in range(1004, 1700, 4):
-        refused.update(
-            (action.id, now) for action in of(RejectRequest, c.handle(now, [TimerFired("agenda")]))
+        rejected.update(
+            (action.id, now) for action in of(RejectRequest, controller.handle(now, [TimerFired("agenda")]))
         )
-    assert set(refused) == {1, 2} and refused[1] <= 1600 and refused[2] <= 1500
+    assert set(rejected) == {1, 2} and rejected[1] <= 1600 and rejected[2] <= 1500
 
 
 def test_malformed_peer_messages_are_ignored():
-    c = gateway()
-    c.handle(1000, [FLEET])
-    good = c.codec.encode(5, 1.0, [item(peer_messages.QuotaMessageKind.SPENT, units=4)], [])
-    told = c.codec.encode(5, 1.0, [], [peer_messages.OutlierReport(77, 5, 15)])
-    odd = [
-        c.codec.encode(
+    controller = gateway()
+    controller.handle(1000, [FLEET])
+    good = controller.codec.encode(5, 1.0, [item(peer_messages.QuotaMessageKind.SPENT, units=4)], [])
+    with_report = controller.codec.encode(5, 1.0, [], [peer_messages.OutlierReport(77, 5, 15)])
+    malformed = [
+        controller.codec.encode(
             5,
             1.0,
             [item(peer_messages.QuotaMessageKind.GRANT), item(peer_messages.QuotaMessageKind.QUEUED)],
             [],
         ),
         *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # class or plan index out of range
-        *(told[:-1] + bytes([index]) for index in (6 << 4 | 15, 255)),
+        *(with_report[:-1] + bytes([index]) for index in (6 << 4 | 15, 255)),
     ]
-    bad_kind, other_names = bytearray(good), bytearray(good)
-    bad_kind[10], other_names[1] = 0xF3, good[1] ^ 1
-    old = b"\x03" + good[1:]
+    unknown_kind, other_names = bytearray(good), bytearray(good)
+    unknown_kind[10], other_names[1] = 0xF3, good[1] ^ 1
+    old_version = b"\x03" + good[1:]
     for data in (
         b"",
         b"\x00",
         good[:-1],
         b"\xff" + good[1:],
-        old,
+        old_version,
         bytes(300),
-        bytes(bad_kind),
+        bytes(unknown_kind),
         bytes(other_names),
-        *odd,
+        *malformed,
     ):
-        assert not of(StartAttempt, c.handle(1001, [PeerMessageReceived(1, data)]))
-    c.handle(1001, [PeerMessageReceived(9, good), PeerMessageReceived(0, good)])
-    assert not c.state.quota.owner.ledgers and not c.requests
+        assert not of(StartAttempt, controller.handle(1001, [PeerMessageReceived(1, data)]))
+    controller.handle(1001, [PeerMessageReceived(9, good), PeerMessageReceived(0, good)])
+    assert not controller.state.quota.owner.ledgers and not controller.requests
     # The duplicate is counted once.
-    c.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])
-    assert c.state.quota.owner.ledgers[
+    controller.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])
+    assert controller.state.quota.owner.ledgers[
         ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
     ].units == pytest.approx(12 - 4, abs=0.1)
 
@@ -256,16 +262,18 @@
         for n in range(100)
     ]
     ratios = (0.01, 1.0, 2.0, float("inf"))
-    sightings = [peer_messages.outlier_report(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
-    data = codec.encode(70000, 1.5, items, sightings)
-    news = codec.decode(data)
+    reports = [peer_messages.outlier_report(f"s{n}", n, ratio) for n, ratio in enumerate(ratios)]
+    data = codec.encode(70000, 1.5, items, reports)
+    decoded = codec.decode(data)
     assert (
-        len(data) <= peer_messages.MAX_BYTES and news.incarnation == 70000 & 0xFFFF and news.capacity == 1.5
-    )
-    assert news.quota_messages == tuple(items[: codec.max_quota_messages]) and news.outlier_reports == tuple(
-        sightings
+        len(data) <= peer_messages.MAX_BYTES
+        and decoded.incarnation == 70000 & 0xFFFF
+        and decoded.capacity == 1.5
     )
-    assert [peer_messages.latency_ratio_of(seen) for seen in news.outlier_reports] == [
+    assert decoded.quota_messages == tuple(
+        items[: codec.max_quota_messages]
+    ) and decoded.outlier_reports == tuple(reports)
+    assert [peer_messages.latency_ratio_of(report) for report in decoded.outlier_reports] == [
         0.25,
         1.0,
         2.0,
@@ -274,7 +282,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad, key",
+    "invalid, key",
     [
         (dict(classes=()), "classes"),
         (dict(plans=()), "plans"),
@@ -284,9 +292,9 @@
         (dict(slow_start_ms=-1), "warm_up_ms"),
     ],
 )
-def test_invalid_settings_raise_an_error_naming_the_key(bad, key):
+def test_invalid_settings_raise_an_error_naming_the_key(invalid, key):
     with pytest.raises(ValueError, match=key):
-        settings(**bad)
+        settings(**invalid)
 
 
 def test_invalid_plans_and_classes_raise_an_error_naming_the_key():
@@ -308,27 +316,27 @@
 
 
 def test_late_class_gains_share_and_early_class_keeps_its_share():
-    share = FuzzyShareController(500, 0.3)
+    controller = FuzzyShareController(500, 0.3)
     for _ in range(10):
-        share.on_period(100)
-    assert share.share == 0.3
+        controller.on_period(100)
+    assert controller.share == 0.3
     for _ in range(10):
-        share.on_period(3000)
-    assert share.share > 0.3
+        controller.on_period(3000)
+    assert controller.share > 0.3
 
 
 def test_high_usual_latency_does_not_reject_a_class_permanently():
     """If a high usual latency rejected every request on arrival, no answers would come to lower it again."""
-    c = gateway()
-    c.handle(1000, [FLEET])
-    c.state.statistics.usual_latency_ms["look"] = 5000.0
-    assert of(StartAttempt, c.handle(1001, [ask(1)]))
+    controller = gateway()
+    controller.handle(1000, [FLEET])
+    controller.state.statistics.usual_latency_ms["look"] = 5000.0
+    assert of(StartAttempt, controller.handle(1001, [ask(1)]))
 
 
 def test_concurrency_limit_is_divided_among_gateways():
     few, many = ConcurrencyLimit(1), ConcurrencyLimit(10)
-    for window in (few, many):
-        window.on_period(0, 20)
+    for limit in (few, many):
+        limit.on_period(0, 20)
     assert few.limit > 5 * many.limit
     few.answered_objectives_ms = many.answered_objectives_ms = 1000
     few.on_period(100, 20), many.on_period(100, 20)
@@ -338,65 +346,82 @@
 def test_limit_below_one_admits_a_chance_burst_but_not_a_steady_excess():
     """At about one request per second the number in flight fluctuates; a limit equal to its mean would make
     requests wait without any load."""
-    window = ConcurrencyLimit(400)
-    window.on_period(0, 40)
-    assert window.limit < 2 <= window.available()
-    window.add_in_flight(0, 3)
+    limit = ConcurrencyLimit(400)
+    limit.on_period(0, 40)
+    assert limit.limit < 2 <= limit.available()
+    limit.add_in_flight(0, 3)
     for now in range(100, 3000, 100):
-        window.on_period(now, 40)
-    assert window.available() < 0
+        limit.on_period(now, 40)
+    assert limit.available() < 0
 
 
 def test_requests_start_at_once_below_the_limit_and_by_priority_at_the_limit():
-    c = gateway(gateways=1)
-    c.handle(1000, [FLEET])
-    calm = [ask(n, customer=f"c{n}") for n in range(1, 200)]
-    first = of(StartAttempt, c.handle(1001, calm))
-    assert c.state.limit.limit <= len(first) <= c.state.limit.limit + 2
-    assert len(c.state.queue.queued) == 199 - len(first)
-    c.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
-    sent = of(StartAttempt, c.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
+    controller = gateway(gateways=1)
+    controller.handle(1000, [FLEET])
+    requests = [ask(n, customer=f"c{n}") for n in range(1, 200)]
+    first = of(StartAttempt, controller.handle(1001, requests))
+    assert controller.state.limit.limit <= len(first) <= controller.state.limit.limit + 2
+    assert len(controller.state.queue.queued) == 199 - len(first)
+    controller.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
+    sent = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
     assert sent[0].id == 501
 
 
 def test_quota_owner_enforces_max_in_flight_for_all_gateways():
     number = home_of("o")
-    c = gateway(number=number)
+    controller = gateway(number=number)
     peer = (number + 1) % 3
-    asks = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)]
-    c.handle(1000, [FLEET, PeerMessageReceived(peer, c.codec.encode(1, 1.0, asks, []))])
+    grant_requests = [
+        item(peer_messages.QuotaMessageKind.GRANT_REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)
+    ]
+    controller.handle(
+        1000, [FLEET, PeerMessageReceived(peer, controller.codec.encode(1, 1.0, grant_requests, []))]
+    )
     assert (
-        len(of(StartAttempt, c.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]))) == 1
+        len(
+            of(
+                StartAttempt,
+                controller.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]),
+            )
+        )
+        == 1
+    )
+    returned = controller.codec.encode(
+        1, 1.0, [item(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], []
     )
-    free = c.codec.encode(1, 1.0, [item(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], [])
-    assert len(of(StartAttempt, c.handle(1002, [PeerMessageReceived(peer, free)]))) == 1
+    assert len(of(StartAttempt, controller.handle(1002, [PeerMessageReceived(peer, returned)]))) == 1
 
 
 def test_quota_owner_grants_no_more_than_the_quota_to_all_gateways_together():
     """If each of 300 gateways had a fixed part of a quota, their sum would exceed it. Duplicate grant
     requests must not change the result."""
-    c = gateway(gateways=300, number=7)
-    c.handle(1000, [FLEET])
+    controller = gateway(gateways=300, number=7)
+    controller.handle(1000, [FLEET])
     granted = set()
     for n in range(300):
-        data = c.codec.encode(1, 1.0, [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], [])
+        data = controller.codec.encode(
+            1, 1.0, [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], []
+        )
         if n != 7:
-            for tell in of(
+            for message in of(
                 SendPeerMessage,
-                c.handle(1001 + n / 100, [PeerMessageReceived(n, data), PeerMessageReceived(n, data)]),
+                controller.handle(
+                    1001 + n / 100, [PeerMessageReceived(n, data), PeerMessageReceived(n, data)]
+                ),
             ):
-                news = c.codec.decode(tell.data)
+                decoded = controller.codec.decode(message.data)
                 granted |= {
-                    tell.receiver
-                    for told in news.quota_messages
-                    if told.kind is peer_messages.QuotaMessageKind.GRANT
+                    message.receiver
+                    for quota_message in decoded.quota_messages
+                    if quota_message.kind is peer_messages.QuotaMessageKind.GRANT
                 }
-    # The class has half of the highest priority weight, so two fifths of the burst stay reserved for that
-    # class.
+    # The class has half of the highest priority weight: two fifths of the burst stay reserved for that weight.
     assert (
         6 <= len(granted) <= 8
         and 4.8
-        <= c.state.quota.owner.ledgers[ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))].units
+        <= controller.state.quota.owner.ledgers[
+            ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
+        ].units
         < 5.9
     )
 
@@ -405,15 +430,15 @@
     """Client retries arrive late in their latency objective; without the reserve, late answers would use up
     the quota."""
     granted = {}
-    for kind, worthiest in (
+    for kind, class_index in (
         (peer_messages.QuotaMessageKind.RETRY_GRANT_REQUEST, 0),
         (peer_messages.QuotaMessageKind.GRANT_REQUEST, 1),
     ):
-        c = gateway(gateways=300, number=7)
-        c.handle(1000, [FLEET])
-        asks = [item(kind, serial=n, class_index=worthiest) for n in range(1, 16)]
-        c.handle(1001, [PeerMessageReceived(1, c.codec.encode(1, 1.0, asks, []))])
-        granted[kind] = len(c.state.quota.owner.ledgers[ledger_key(asks[0])].settled)
+        controller = gateway(gateways=300, number=7)
+        controller.handle(1000, [FLEET])
+        grant_requests = [item(kind, serial=n, class_index=class_index) for n in range(1, 16)]
+        controller.handle(1001, [PeerMessageReceived(1, controller.codec.encode(1, 1.0, grant_requests, []))])
+        granted[kind] = len(controller.state.quota.owner.ledgers[ledger_key(grant_requests[0])].settled)
     assert (
         granted[peer_messages.QuotaMessageKind.RETRY_GRANT_REQUEST] <= 7
         and granted[peer_messages.QuotaMessageKind.GRANT_REQUEST] >= 11
@@ -424,154 +449,181 @@
     """An unresponsive quota owner must neither block a customer with little traffic nor let every gateway use
     the customer's quota freely."""
     number = (home_of("c") + 1) % 3
-    c = gateway(number=number)
-    events, told, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
+    controller = gateway(number=number)
+    events, messages, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
     for now in range(1000, 1500, 4):
-        actions = c.handle(now, [*events, TimerFired("agenda")])
-        events, told, sent = [], told + of(SendPeerMessage, actions), sent + of(StartAttempt, actions)
-    kinds = [told.kind for tell in told for told in c.codec.decode(tell.data).quota_messages]
+        actions = controller.handle(now, [*events, TimerFired("agenda")])
+        events, messages, sent = [], messages + of(SendPeerMessage, actions), sent + of(StartAttempt, actions)
+    message_kinds = [
+        quota_message.kind
+        for message in messages
+        for quota_message in controller.codec.decode(message.data).quota_messages
+    ]
     assert (
         len(sent) == 1
-        and kinds.count(peer_messages.QuotaMessageKind.GRANT_REQUEST) >= 6
-        and kinds.count(peer_messages.QuotaMessageKind.SPENT) == 1
+        and message_kinds.count(peer_messages.QuotaMessageKind.GRANT_REQUEST) >= 6
+        and message_kinds.count(peer_messages.QuotaMessageKind.SPENT) == 1
     )
 
 
 def test_customer_is_removed_only_with_a_full_quota_and_no_open_requests():
     """Without removal, customers with a single request would be kept forever; a customer removed too early
     would be granted its quota twice."""
-    c = gateway(gateways=1, number=0)
-    c.handle(1000, [FLEET])
+    controller = gateway(gateways=1, number=0)
+    controller.handle(1000, [FLEET])
     # The requests use the customer's whole burst; one of them stays open.
-    sends = of(StartAttempt, c.handle(1001, [ask(n) for n in range(12)]))
-    c.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
+    sends = of(StartAttempt, controller.handle(1001, [ask(n) for n in range(12)]))
+    controller.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
     last = len(sends)
-    assert last >= 9 and len(c.state.quota.requester.accounts) == len(c.state.quota.owner.ledgers) == 1
-    wait_s = 12 / c.state.plans["rated"].rate_per_s
-    c.state.quota.forget(1000 + wait_s * 500, c.requests.values())
-    assert len(c.state.quota.requester.accounts) == len(c.state.quota.owner.ledgers) == 1  # half full
-    late = 1000 + max(wait_s * 1000, IDLE_MS) + 5000
-    while c.state.timers.entries[0][0] < 2000:  # requests waiting for quota are served or rejected by then
-        c.handle(c.state.timers.entries[0][0], [])
-    c.state.quota.forget(late, c.requests.values())
-    assert len(c.state.quota.requester.accounts) == 1  # a request is still open
-    for request in list(c.requests.values()):
-        c.lifecycle.close(request)
-    c.state.quota.forget(late + IDLE_MS, c.requests.values())
-    assert not c.state.quota.requester.accounts and not c.state.quota.owner.ledgers
+    assert (
+        last >= 9
+        and len(controller.state.quota.requester.accounts) == len(controller.state.quota.owner.ledgers) == 1
+    )
+    wait_s = 12 / controller.state.plans["rated"].rate_per_s
+    controller.state.quota.forget(1000 + wait_s * 500, controller.requests.values())
+    assert (
+        len(controller.state.quota.requester.accounts) == len(controller.state.quota.owner.ledgers) == 1
+    )  # half full
+    later_ms = 1000 + max(wait_s * 1000, IDLE_MS) + 5000
+    # By this time the requests that wait for quota have been served or rejected.
+    while controller.state.timers.entries[0][0] < 2000:
+        controller.handle(controller.state.timers.entries[0][0], [])
+    controller.state.quota.forget(later_ms, controller.requests.values())
+    assert len(controller.state.quota.requester.accounts) == 1  # a request is still open
+    for request in list(controller.requests.values()):
+        controller.lifecycle.close(request)
+    controller.state.quota.forget(later_ms + IDLE_MS, controller.requests.values())
+    assert not controller.state.quota.requester.accounts and not controller.state.quota.owner.ledgers
 
 
 def test_removal_checks_a_part_of_many_customers_per_call_and_all_eventually():
     """Checking 50,000 customers in one call delayed everything else by 154 ms."""
-    c = gateway(gateways=1, number=0)
-    c.handle(1000, [FLEET])
-    c.handle(
+    controller = gateway(gateways=1, number=0)
+    controller.handle(1000, [FLEET])
+    controller.handle(
         1001, [event for n in range(2000) for event in (ask(n, customer=f"c{n}"), ClientDisconnected(n))]
     )
-    late, left = 1001 + 10 * IDLE_MS, []
+    later_ms, remaining = 1001 + 10 * IDLE_MS, []
     for _ in range(2 * STEPS_PER_ROUND):
-        before = len(c.state.quota.requester.accounts)
-        c.state.quota.forget(late, ())
-        left.append(len(c.state.quota.requester.accounts))
-        assert before - left[-1] <= max(MIN_KEYS_PER_STEP, 2000 // STEPS_PER_ROUND)
+        before = len(controller.state.quota.requester.accounts)
+        controller.state.quota.forget(later_ms, ())
+        remaining.append(len(controller.state.quota.requester.accounts))
+        assert before - remaining[-1] <= max(MIN_KEYS_PER_STEP, 2000 // STEPS_PER_ROUND)
     assert (
-        left[0] >= 1900
-        and left[-1] == 0
-        and not c.state.quota.owner.ledgers
-        and not c.state.quota.requester.unvisited_accounts
+        remaining[0] >= 1900
+        and remaining[-1] == 0
+        and not controller.state.quota.owner.ledgers
+        and not controller.state.quota.requester.unvisited_accounts
     )
 
 
 def test_customer_with_two_plans_has_a_separate_account_per_plan():
-    c = gateway(gateways=1, number=0)
-    c.handle(1000, [FLEET, ask(1, plan="open"), ask(2)])
-    assert sorted(account.plan.name for account in c.state.quota.requester.accounts.values()) == [
+    controller = gateway(gateways=1, number=0)
+    controller.handle(1000, [FLEET, ask(1, plan="open"), ask(2)])
+    assert sorted(account.plan.name for account in controller.state.quota.requester.accounts.values()) == [
         "open",
         "rated",
     ]
 
 
 def test_gone_endpoints_and_timers_of_ended_requests_are_removed():
-    c = gateway(gateways=1, number=0)
-    c.handle(1000, [FLEET])
-    sends = of(StartAttempt, c.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
-    c.handle(1002, [EndpointsUpdated(())])
-    assert set(c.state.endpoints.tracked) == {send.endpoint for send in sends}
-    c.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
+    controller = gateway(gateways=1, number=0)
+    controller.handle(1000, [FLEET])
+    sends = of(StartAttempt, controller.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
+    controller.handle(1002, [EndpointsUpdated(())])
+    assert set(controller.state.endpoints.tracked) == {send.endpoint for send in sends}
+    controller.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
     for n in range(20):
-        c.handle(1100 + 100 * n, [])
-    assert not c.state.endpoints.tracked and not c.state.endpoints.by_tag
-    c.state.timers.entries += [(600_000.0 + n, n, TimerKind.DEADLINE, 7) for n in range(1000)]
-    c.remove_expired()
-    assert len(c.state.timers.entries) < 300
+        controller.handle(1100 + 100 * n, [])
+    assert not controller.state.endpoints.tracked and not controller.state.endpoints.by_tag
+    controller.state.timers.entries += [(600_000.0 + n, n, TimerKind.DEADLINE, 7) for n in range(1000)]
+    controller.remove_expired()
+    assert len(controller.state.timers.entries) < 300
 
 
 def test_request_that_cannot_get_its_quota_in_time_is_rejected_early():
     """Such requests used to wait for 0.6 s, up to 76 at a time, and held connections that others needed."""
-    c = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
-    c.handle(1000, [FLEET])
-    actions = c.handle(1001, [ask(n, customer="d") for n in range(40)])
-    refused, sent = of(RejectRequest, actions), of(StartAttempt, actions)
-    waiting = [request for request in c.requests.values() if request.awaits_quota]
-    assert len(sent) >= 7 and len(refused) + len(sent) + len(waiting) == 40
-    assert len(refused) > len(waiting) and all(
-        one.retry_after_ms >= 250 for one in refused if one.retry_after_ms
+    controller = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
+    controller.handle(1000, [FLEET])
+    actions = controller.handle(1001, [ask(n, customer="d") for n in range(40)])
+    rejected, sent = of(RejectRequest, actions), of(StartAttempt, actions)
+    waiting = [request for request in controller.requests.values() if request.awaits_quota]
+    assert len(sent) >= 7 and len(rejected) + len(sent) + len(waiting) == 40
+    assert len(rejected) > len(waiting) and all(
+        one.retry_after_ms >= 250 for one in rejected if one.retry_after_ms
     )
-    kind = c.state.classes["look"]
+    request_class = controller.state.classes["look"]
     for _ in range(200):  # until the quota owner has dropped them
-        if c.state.timers.entries[0][0] > 1001 + kind.latency_objective_ms * (1 - 0.45) + 10:
+        if (
+            controller.state.timers.entries[0][0]
+            > 1001 + request_class.latency_objective_ms * (1 - 0.45) + 10
+        ):
             break
-        c.handle(c.state.timers.entries[0][0], [])
-    assert not any(request.awaits_quota for request in c.requests.values())
+        controller.handle(controller.state.timers.entries[0][0], [])
+    assert not any(request.awaits_quota for request in controller.requests.values())
 
 
 def test_quota_owner_denies_in_one_message_and_the_requester_rejects():
     plans = (Plan("rated", 4, 12, over_quota_cost=0.5),)
-    home, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
-    home.handle(1000, [FLEET])
-    asks = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)]
-    told = of(
-        SendPeerMessage, home.handle(1001, [PeerMessageReceived(1, home.codec.encode(1, 1.0, asks, []))])
+    owner, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
+    owner.handle(1000, [FLEET])
+    grant_requests = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)]
+    messages = of(
+        SendPeerMessage,
+        owner.handle(1001, [PeerMessageReceived(1, owner.codec.encode(1, 1.0, grant_requests, []))]),
+    )
+    message_kinds = [
+        quota_message.kind
+        for message in messages
+        for quota_message in owner.codec.decode(message.data).quota_messages
+    ]
+    assert (
+        peer_messages.QuotaMessageKind.DENIED in message_kinds
+        and peer_messages.QuotaMessageKind.GRANT in message_kinds
     )
-    kinds = [one.kind for tell in told for one in home.codec.decode(tell.data).quota_messages]
-    assert peer_messages.QuotaMessageKind.DENIED in kinds and peer_messages.QuotaMessageKind.GRANT in kinds
     peer.handle(1000, [FLEET])
-    first = peer.settings.gateway_number + 6 - home_of("c", spread=2)
-    peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first, 2)])
+    first_gateway = peer.settings.gateway_number + 6 - home_of("c", spread=2)
+    peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first_gateway, 2)])
     request = peer.requests[1]
     assert request.account.owner == 7
-    deny = item(peer_messages.QuotaMessageKind.DENIED, serial=request.grant_serial)
-    refused = of(
-        RejectRequest, peer.handle(1002, [PeerMessageReceived(7, peer.codec.encode(1, 1.0, [deny], []))])
+    denial = item(peer_messages.QuotaMessageKind.DENIED, serial=request.grant_serial)
+    rejected = of(
+        RejectRequest, peer.handle(1002, [PeerMessageReceived(7, peer.codec.encode(1, 1.0, [denial], []))])
     )
-    assert [one.id for one in refused] == [1]
+    assert [one.id for one in rejected] == [1]
 
 
 def test_full_quota_serves_a_client_retry_even_if_the_reserve_is_most_of_the_burst():
-    c = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_quota_cost=0.5),))
-    again = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
-    assert [send.id for send in of(StartAttempt, c.handle(1000, [FLEET, again]))] == [1]
+    controller = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_quota_cost=0.5),))
+    client_retry = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
+    assert [send.id for send in of(StartAttempt, controller.handle(1000, [FLEET, client_retry]))] == [1]
 
 
 def test_invalid_event_does_not_affect_other_events_of_its_turn():
-    c = gateway(gateways=1, number=0)
-    odd = RequestReceived(1, "c", "look", "rated", 5000.0, units="many")
-    sends = of(StartAttempt, c.handle(1000, [FLEET, odd, ask(2)]))
-    assert [send.id for send in sends] == [2] and len(c.faults) == 1
-    c.handle(1001, [])
-    assert not c.faults
+    controller = gateway(gateways=1, number=0)
+    invalid = RequestReceived(1, "c", "look", "rated", 5000.0, units="many")
+    sends = of(StartAttempt, controller.handle(1000, [FLEET, invalid, ask(2)]))
+    assert [send.id for send in sends] == [2] and len(controller.faults) == 1
+    controller.handle(1001, [])
+    assert not controller.faults
 
 
 def test_unused_grant_is_returned_to_the_quota_owner():
-    c = gateway(number=(home_of("c") + 1) % 3)
-    tells = of(SendPeerMessage, c.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
-    (asked,) = [told for tell in tells for told in c.codec.decode(tell.data).quota_messages]
-    data = c.codec.encode(1, 1.0, [asked._replace(kind=peer_messages.QuotaMessageKind.GRANT)], [])
-    c.handle(1010, [PeerMessageReceived(home_of("c"), data)])
-    tells = of(SendPeerMessage, c.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
-    assert [told.kind for tell in tells for told in c.codec.decode(tell.data).quota_messages] == [
-        peer_messages.QuotaMessageKind.RETURNED
+    controller = gateway(number=(home_of("c") + 1) % 3)
+    messages = of(SendPeerMessage, controller.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
+    (request,) = [
+        quota_message
+        for message in messages
+        for quota_message in controller.codec.decode(message.data).quota_messages
     ]
+    data = controller.codec.encode(1, 1.0, [request._replace(kind=peer_messages.QuotaMessageKind.GRANT)], [])
+    controller.handle(1010, [PeerMessageReceived(home_of("c"), data)])
+    messages = of(SendPeerMessage, controller.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
+    assert [
+        quota_message.kind
+        for message in messages
+        for quota_message in controller.codec.decode(message.data).quota_messages
+    ] == [peer_messages.QuotaMessageKind.RETURNED]
 
 
 def test_cold_endpoint_load_is_bounded_over_400_gateways_after_a_stall():
@@ -580,65 +632,74 @@
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 50_000.0)
     count = 0
     for n in range(400):
-        c = Controller(settings(number=n, gateways=400, can_message_peers=False), n)
-        c.handle(50_000, [EndpointsUpdated((*FLEET.endpoints, cold))])
+        controller = Controller(settings(number=n, gateways=400, can_message_peers=False), n)
+        controller.handle(50_000, [EndpointsUpdated((*FLEET.endpoints, cold))])
         burst = [RequestReceived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
-        count += sum(send.endpoint == "cold" for send in of(StartAttempt, c.handle(52_000, burst)))
+        count += sum(send.endpoint == "cold" for send in of(StartAttempt, controller.handle(52_000, burst)))
     warm = 400 * 3 / 7
     assert 0 < count < 0.45 * 2 * warm
 
 
 def test_quickly_failing_endpoint_does_not_attract_load():
-    c = gateway()
+    controller = gateway()
     now, sent, number = 1000.0, [], 0
-    c.handle(now, [FLEET])
+    controller.handle(now, [FLEET])
     for _ in range(200):
         number, now = number + 1, now + 20
-        for send in of(StartAttempt, c.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])):
+        for send in of(
+            StartAttempt, controller.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])
+        ):
             sent.append(send.endpoint)
             result, took = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
-            more = c.handle(now + 5, [outcome(send, result, took=took)])
+            more = controller.handle(now + 5, [outcome(send, result, took=took)])
             for n, retry in enumerate(of(StartAttempt, more)):
-                c.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
+                controller.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
 
 
 def test_hard_limit_starts_empty_so_a_restart_grants_nothing_twice():
-    c = gateway(number=home_of("k"))
-    c.handle(1000, [FLEET])
-    assert not of(StartAttempt, c.handle(1001, [ask(1, plan="capped", customer="k")]))
-    assert of(StartAttempt, c.handle(1250, [TimerFired("agenda")]))
+    controller = gateway(number=home_of("k"))
+    controller.handle(1000, [FLEET])
+    assert not of(StartAttempt, controller.handle(1001, [ask(1, plan="capped", customer="k")]))
+    assert of(StartAttempt, controller.handle(1250, [TimerFired("agenda")]))
 
 
 def test_quota_messages_go_only_to_the_owner_and_heartbeats_stay_rare():
-    c, told, signs = gateway(number=(home_of("c") + 1) % 3), [], []
-    c.handle(1000, [FLEET])
+    controller, quota_receivers, heartbeat_receivers = gateway(number=(home_of("c") + 1) % 3), [], []
+    controller.handle(1000, [FLEET])
     for now in range(1004, 3000, 4):
         events = [ask(now, due=now + 1500.0)] if now == 1500 else []
-        for tell in of(SendPeerMessage, c.handle(now, [*events, TimerFired("agenda")])):
-            (told if c.codec.decode(tell.data).quota_messages else signs).append(tell.receiver)
-    assert set(told) == {home_of("c")} and len(told) <= 4
-    assert max(map(signs.count, set(signs))) <= 4  # in 2 s
+        for message in of(SendPeerMessage, controller.handle(now, [*events, TimerFired("agenda")])):
+            has_quota_messages = bool(controller.codec.decode(message.data).quota_messages)
+            (quota_receivers if has_quota_messages else heartbeat_receivers).append(message.receiver)
+    assert set(quota_receivers) == {home_of("c")} and len(quota_receivers) <= 4
+    assert max(map(heartbeat_receivers.count, set(heartbeat_receivers))) <= 4  # in 2 s
 
 
 def test_grant_requests_of_one_busy_customer_leave_room_in_the_owners_inbox():
-    c = gateway(number=(home_of("c") + 1) % 3, peer_inbox_per_s=20)
-    c.handle(1000, [FLEET, ask(1)])
-    wait = c.codec.encode(
+    controller = gateway(number=(home_of("c") + 1) % 3, peer_inbox_per_s=20)
+    controller.handle(1000, [FLEET, ask(1)])
+    queued = controller.codec.encode(
         1,
         1.0,
-        [item(peer_messages.QuotaMessageKind.QUEUED, serial=c.state.quota.requester.serial, asked=400.0)],
+        [
+            item(
+                peer_messages.QuotaMessageKind.QUEUED,
+                serial=controller.state.quota.requester.serial,
+                asked=400.0,
+            )
+        ],
         [],
     )
-    c.handle(1010, [PeerMessageReceived(home_of("c"), wait)])
-    asked = 0
+    controller.handle(1010, [PeerMessageReceived(home_of("c"), queued)])
+    grant_request_count = 0
     for n in range(400):
-        for tell in of(SendPeerMessage, c.handle(1012 + n, [ask(n + 2)])):
-            asked += sum(
-                told.kind is peer_messages.QuotaMessageKind.GRANT_REQUEST
-                for told in c.codec.decode(tell.data).quota_messages
+        for message in of(SendPeerMessage, controller.handle(1012 + n, [ask(n + 2)])):
+            grant_request_count += sum(
+                quota_message.kind is peer_messages.QuotaMessageKind.GRANT_REQUEST
+                for quota_message in controller.codec.decode(message.data).quota_messages
             )
-    assert 0 < asked < 100
+    assert 0 < grant_request_count < 100
 
 
 def test_actions_per_request_do_not_grow_with_the_number_of_gateways():
@@ -646,12 +707,14 @@
     each owns the quotas of many customers and needs no messages, so the smaller tier has 40."""
     counts = []
     for gateways in (40, 400):
-        c = gateway(gateways=gateways, number=1)
-        c.handle(1000, [FLEET])
+        controller = gateway(gateways=gateways, number=1)
+        controller.handle(1000, [FLEET])
         total = 0
         for now in range(1004, 3000, 4):
-            came = RequestReceived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
-            total += len(c.handle(now, [*([came] if now % 40 == 0 else []), TimerFired("agenda")]))
+            request = RequestReceived(now, f"c{now}", "look", "rated", now + 1500.0, 1, 0, gateways)
+            total += len(
+                controller.handle(now, [*([request] if now % 40 == 0 else []), TimerFired("agenda")])
+            )
         counts.append(total)
     assert counts[1] < 1.5 * counts[0]
 
@@ -660,66 +723,77 @@
 def test_queued_request_is_rejected_within_half_of_its_time(due):
     """Regression test: with an unresponsive worker, 44 of 48 requests rejected after half of their time were
     client retries with little time."""
-    c = gateway()
+    controller = gateway()
     # A low usual latency alone would allow queueing until shortly before the deadline.
-    c.state.statistics.usual_latency_ms["look"] = 20.0
-    c.handle(1000, [EndpointsUpdated(()), ask(1, due=due)])
+    controller.state.statistics.usual_latency_ms["look"] = 20.0
+    controller.handle(1000, [EndpointsUpdated(()), ask(1, due=due)])
     now = 1000.0
-    while not of(RejectRequest, c.handle(now, [TimerFired("agenda")])):
+    while not of(RejectRequest, controller.handle(now, [TimerFired("agenda")])):
         now += 4
     assert now - 1000 < 0.5 * (due - 1000)
 
 
 def test_timer_is_set_for_the_earliest_entry_and_not_for_ended_requests():
     """Regression test: 3500 timers were set for 750 requests, most of them for requests already answered."""
-    c = gateway(gateways=1)
-    first = of(SetTimer, c.handle(1000, [FLEET]))
-    assert [round(wake.delay_ms) for wake in first] == [100]  # the period timer
-    actions = c.handle(1001, [ask(1)])
+    controller = gateway(gateways=1)
+    first = of(SetTimer, controller.handle(1000, [FLEET]))
+    assert [round(timer.delay_ms) for timer in first] == [100]  # the period timer
+    actions = controller.handle(1001, [ask(1)])
     (send,) = of(StartAttempt, actions)
     assert not of(SetTimer, actions)  # all timers of the request come after the period timer
-    c.handle(1002, [outcome(send, AttemptResult.OK)])
-    wakes, now = [], 1002.0
+    controller.handle(1002, [outcome(send, AttemptResult.OK)])
+    timers, now = [], 1002.0
     for _ in range(30):  # past its hedge timer and its deadline
         now += 100
-        wakes += of(SetTimer, c.handle(now, [TimerFired("agenda")]))
-    assert len(wakes) == 30 and all(99 <= wake.delay_ms <= 101 for wake in wakes)
+        timers += of(SetTimer, controller.handle(now, [TimerFired("agenda")]))
+    assert len(timers) == 30 and all(99 <= timer.delay_ms <= 101 for timer in timers)
 
 
 def test_endpoint_watch_is_requested_and_renewed_after_a_failure():
-    c = gateway(must_request_watch=True, watch_retry_ms=4000)
-    assert of(WatchEndpoints, c.handle(1000, [FLEET]))
-    c.handle(1010, [EndpointsUpdated((), is_failure=True)])
-    assert of(WatchEndpoints, c.handle(2100, [TimerFired("agenda")]))
+    controller = gateway(must_request_watch=True, watch_retry_ms=4000)
+    assert of(WatchEndpoints, controller.handle(1000, [FLEET]))
+    controller.handle(1010, [EndpointsUpdated((), is_failure=True)])
+    assert of(WatchEndpoints, controller.handle(2100, [TimerFired("agenda")]))
 
 
 def test_rejecting_endpoint_gets_little_load_and_does_not_cut_the_limit():
     """An endpoint that rejects at once looks idle; its rejections say nothing about the other ones."""
     for result in (AttemptResult.REJECTED_BY_WORKER, AttemptResult.CONNECT_FAILED):
-        c = gateway()
+        controller = gateway()
         now, sent = 1000.0, []
-        c.handle(now, [FLEET])
+        controller.handle(now, [FLEET])
         for number in range(1, 300):
             now += 10
-            sends = of(StartAttempt, c.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")]))
+            sends = of(
+                StartAttempt, controller.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")])
+            )
             while sends:
                 send = sends.pop()
                 sent.append(send.endpoint)
-                bad = send.endpoint == "s2"
-                attempt = c.requests[send.id].attempt_count - 1
+                is_rejecting = send.endpoint == "s2"
+                attempt = controller.requests[send.id].attempt_count - 1
                 sends += of(
                     StartAttempt,
-                    c.handle(now + 2, [outcome(send, result if bad else AttemptResult.OK, attempt)]),
+                    controller.handle(
+                        now + 2, [outcome(send, result if is_rejecting else AttemptResult.OK, attempt)]
+                    ),
                 )
         assert sent.count("s2") < len(sent) / 15
-        assert c.state.limit.backoff_factor == 1.0
+        assert controller.state.limit.backoff_factor == 1.0
 
 
 def test_endpoint_restarted_under_its_old_id_keeps_its_in_flight_count():
-    c = gateway()
-    (send,) = of(StartAttempt, c.handle(1000, [FLEET, ask(1)]))
-    old = c.state.endpoints.tracked[send.endpoint].endpoint
-    back = Endpoint(old.id, old.zone, old.deduplication_group, EndpointState.READY, 1.0, 1005.0)
-    c.handle(1010, [EndpointsUpdated((back,), is_snapshot=False)])
-    c.handle(1020, [outcome(send, AttemptResult.RESET)])
-    assert c.state.endpoints.tracked[send.endpoint].in_flight == 0
+    controller = gateway()
+    (send,) = of(StartAttempt, controller.handle(1000, [FLEET, ask(1)]))
+    listed_before = controller.state.endpoints.tracked[send.endpoint].endpoint
+    restarted = Endpoint(
+        listed_before.id,
+        listed_before.zone,
+        listed_before.deduplication_group,
+        EndpointState.READY,
+        1.0,
+        1005.0,
+    )
+    controller.handle(1010, [EndpointsUpdated((restarted,), is_snapshot=False)])
+    controller.handle(1020, [outcome(send, AttemptResult.RESET)])
+    assert controller.state.endpoints.tracked[send.endpoint].in_flight == 0
