--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -415,7 +415,7 @@
                     for quota_message in decoded.quota_messages
                     if quota_message.kind is peer_messages.QuotaMessageKind.GRANT
                 }
-    # The class has half of the highest priority weight: two fifths of the burst stay reserved for that weight.
+    # The class has half of the highest priority weight: two fifths of the burst stay reserved for the others.
     assert (
         6 <= len(granted) <= 8
         and 4.8
