--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from support.traffic import TICK, Town, settings
+from support.traffic import TICK_MS, Town, settings
 
 from plumpick.policy.actions import (
     StartAttempt,
@@ -25,16 +25,16 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_for_random_event_sequences(seed):
-    town = Town(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
-    town.run(20_000)
-    assert len(town.checker.done) > 1000
-    assert sum(len(sent) > 1 for sent in town.checker.sent.values()) > 20
+    simulation = Town(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
+    simulation.run(20_000)
+    assert len(simulation.checker.done) > 1000
+    assert sum(len(sent) > 1 for sent in simulation.checker.sent.values()) > 20
 
 
 def test_rules_hold_while_gateways_are_killed_often():
-    town = Town(99, kill=0.01, rate=300)
-    town.run(15_000)
-    assert max(town.life.values()) > 5
+    simulation = Town(99, kill=0.01, rate=300)
+    simulation.run(15_000)
+    assert max(simulation.incarnations.values()) > 5
 
 
 def test_same_events_give_same_actions():
@@ -54,7 +54,7 @@
     fleet = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(5)]
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 52_000.0)
     while now < 56_000:
-        now += TICK
+        now += TICK_MS
         for n, controller in gateways.items():
             events = []
             if now == 50_004.0:
@@ -67,15 +67,15 @@
                     RequestReceived(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3)
                 )
             while outs and outs[0][0] <= now and outs[0][1] == n:
-                _, _, number, server = heapq.heappop(outs)
-                events.append(AttemptCompleted(number, 0, server, 120.0, AttemptResult.OK, True))
+                _, _, number, endpoint = heapq.heappop(outs)
+                events.append(AttemptCompleted(number, 0, endpoint, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
                 if isinstance(action, StartAttempt):
                     sends.append((now, action.endpoint))
                     heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
         outs.sort()
     for start in range(52_000, 54_500, 100):
-        window = [server for at, server in sends if start <= at < start + 1500]
+        window = [endpoint for at, endpoint in sends if start <= at < start + 1500]
         share = 0.25 + 0.75 * (start + 1500 - 52_000) / 8000
-        warm = sum(server != "cold" for server in window) / 5
+        warm = sum(endpoint != "cold" for endpoint in window) / 5
         assert window.count("cold") <= share * warm * 1.5 + 3
--- a/tests/support/traffic.py
+++ b/tests/support/traffic.py
@@ -25,7 +25,7 @@
 )
 from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
-TICK, GRACE, SLACK = 4.0, 250.0, 16.0
+TICK_MS, DRAIN_GRACE_MS, DEADLINE_SLACK_MS = 4.0, 250.0, 16.0
 
 
 def settings(number=0, gateways=3, **more):
@@ -34,7 +34,7 @@
         gateway_count=gateways,
         gateway_number=number,
         zone="z0",
-        tick_ms=TICK,
+        tick_ms=TICK_MS,
         classes=(
             RequestClass("look", 600, 1500, 2, Idempotency.IDEMPOTENT),
             RequestClass(
@@ -110,55 +110,62 @@
         self.config = config
         self.kinds = {kind.name: kind for kind in config.classes}
         self.plans = {plan.name: plan for plan in config.plans}
-        self.open, self.sent, self.proved, self.done = {}, {}, {}, set()
-        self.ceilings = {}
+        self.open, self.sent, self.not_executed, self.done = {}, {}, {}, set()
+        self.hard_limit_levels = {}
 
     def arrival(self, gateway, arrival):
         self.open[arrival.id] = (gateway, arrival)
-        self.sent[arrival.id], self.proved[arrival.id] = [], set()
+        self.sent[arrival.id], self.not_executed[arrival.id] = [], set()
 
-    def killed(self, gateway):
+    def on_gateway_killed(self, gateway):
         for number in [n for n, (owner, _) in self.open.items() if owner == gateway]:
             del self.open[number]
             self.done.add(number)
 
-    def unproved(self, number):
-        return [entry for n, entry in enumerate(self.sent[number]) if n not in self.proved[number]]
+    def unproven_attempts(self, number):
+        return [entry for n, entry in enumerate(self.sent[number]) if n not in self.not_executed[number]]
 
-    def send(self, now, number, server, drained_ms):
-        assert number in self.open, f"rule 1: {number} sent after its end"
+    def send(self, now, number, endpoint, drained_ms):
+        assert number in self.open, f"rule 1: attempt of request {number} after its end"
         _, arrival = self.open[number]
         kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
-        assert drained_ms is None or now <= drained_ms + GRACE, "rule 3: sent to a draining server"
-        loose = self.unproved(number)
+        assert drained_ms is None or now <= drained_ms + DRAIN_GRACE_MS, (
+            "rule 3: attempt at a draining endpoint"
+        )
+        unproven = self.unproven_attempts(number)
         if kind.idempotency is Idempotency.NON_IDEMPOTENT:
-            assert not loose, "rule 2: an unsafe request went out twice"
-        if kind.idempotency is Idempotency.KEYED and loose:
-            first_ms, first = loose[0]
-            assert now - first_ms <= kind.deduplication_window_ms, "rule 2: past the window"
+            assert not unproven, "rule 2: non-idempotent request sent twice"
+        if kind.idempotency is Idempotency.KEYED and unproven:
+            first_ms, first = unproven[0]
+            assert now - first_ms <= kind.deduplication_window_ms, (
+                "rule 2: retry after the deduplication window"
+            )
             if kind.deduplication_scope is DeduplicationScope.GROUP:
-                assert first.deduplication_group == server.deduplication_group, "rule 2: another cell"
+                assert first.deduplication_group == endpoint.deduplication_group, (
+                    "rule 2: retry in another group"
+                )
             if kind.deduplication_scope is DeduplicationScope.ZONE:
-                assert first.zone == server.zone, "rule 2: another zone"
+                assert first.zone == endpoint.zone, "rule 2: retry in another zone"
         if not self.sent[number] and plan.hard_limit_per_s:
-            level, at = self.ceilings.get(arrival.customer, (plan.hard_limit_burst, now))
+            level, at = self.hard_limit_levels.get(arrival.customer, (plan.hard_limit_burst, now))
             level = (
                 min(plan.hard_limit_burst, level + (now - at) / 1000 * plan.hard_limit_per_s) - arrival.units
             )
-            assert level >= -plan.hard_limit_slack - 1e-6, f"rule 5: {arrival.customer} at {level}"
-            self.ceilings[arrival.customer] = (level, now)
-        self.sent[number].append((now, server))
+            message = f"rule 5: hard limit of customer {arrival.customer} exceeded, level {level}"
+            assert level >= -plan.hard_limit_slack - 1e-6, message
+            self.hard_limit_levels[arrival.customer] = (level, now)
+        self.sent[number].append((now, endpoint))
 
-    def answer(self, now, number, refused):
+    def answer(self, now, number, is_rejected):
         _, arrival = self.open.pop(number)
         kind = self.kinds[arrival.class_name]
-        assert now <= arrival.deadline_ms + SLACK, "rule 1: late"
-        if refused and self.unproved(number):
-            all_of_them = (
+        assert now <= arrival.deadline_ms + DEADLINE_SLACK_MS, "rule 1: answer after the deadline"
+        if is_rejected and self.unproven_attempts(number):
+            is_deduplicated_everywhere = (
                 kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
             )
-            assert kind.idempotency is Idempotency.IDEMPOTENT or all_of_them, (
-                "rule 2: refused though it may have run"
+            assert kind.idempotency is Idempotency.IDEMPOTENT or is_deduplicated_everywhere, (
+                "rule 2: request rejected although it may have been executed"
             )
         self.done.add(number)
 
@@ -174,40 +181,42 @@
         self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
         self.inbox = {n: [] for n in range(gateways)}
         self.fleet = [Endpoint(f"s{n}", f"z{n % 2}", n % 4, EndpointState.READY) for n in range(8)]
-        self.learned = {n: {} for n in range(gateways)}
-        self.life = {n: 0 for n in range(gateways)}
-        self.gateways, self.tries, self.streams = {}, {}, set()
+        self.drained_since_ms = {n: {} for n in range(gateways)}
+        self.incarnations = {n: 0 for n in range(gateways)}
+        self.gateways, self.attempts, self.streaming = {}, {}, set()
         self.cold_sent = {}
         for n in range(gateways):
             self.start(n)
 
     def start(self, n):
-        self.life[n] += 1
-        config = self.settings_of(number=n, gateways=len(self.life))
+        self.incarnations[n] += 1
+        config = self.settings_of(number=n, gateways=len(self.incarnations))
         self.gateways[n] = Controller(config, self.rng.randrange(1 << 30))
         self.inbox[n] = [EndpointsUpdated(tuple(self.fleet))]
-        self.learned[n] = {s.id: self.now for s in self.fleet if s.state is not EndpointState.READY}
+        self.drained_since_ms[n] = {s.id: self.now for s in self.fleet if s.state is not EndpointState.READY}
 
-    def later(self, delay, gateway, event):
+    def schedule(self, delay, gateway, event):
         self.serial += 1
-        heapq.heappush(self.queue, (self.now + delay, self.serial, gateway, self.life[gateway], event))
+        heapq.heappush(
+            self.queue, (self.now + delay, self.serial, gateway, self.incarnations[gateway], event)
+        )
 
-    def change_fleet(self):
+    def change_random_endpoint(self):
         n = self.rng.randrange(len(self.fleet))
         old = self.fleet[n]
-        flip = {
+        new_state = {
             EndpointState.READY: EndpointState.DRAINING,
             EndpointState.DRAINING: EndpointState.GONE,
             EndpointState.GONE: EndpointState.READY,
         }[old.state]
-        started = self.now if flip is EndpointState.READY else old.started_ms
-        self.fleet[n] = Endpoint(old.id, old.zone, old.deduplication_group, flip, 1.0, started)
+        started = self.now if new_state is EndpointState.READY else old.started_ms
+        self.fleet[n] = Endpoint(old.id, old.zone, old.deduplication_group, new_state, 1.0, started)
         for gateway in self.gateways:
             self.inbox[gateway].append(EndpointsUpdated((self.fleet[n],), is_snapshot=False))
-            if flip is EndpointState.READY:
-                self.learned[gateway].pop(old.id, None)
+            if new_state is EndpointState.READY:
+                self.drained_since_ms[gateway].pop(old.id, None)
             else:
-                self.learned[gateway].setdefault(old.id, self.now)
+                self.drained_since_ms[gateway].setdefault(old.id, self.now)
 
     def arrive(self):
         gateway = self.rng.randrange(len(self.gateways))
@@ -235,8 +244,8 @@
 
     def act(self, n, action):
         if isinstance(action, StartAttempt):
-            server = next(s for s in self.fleet if s.id == action.endpoint)
-            self.checker.send(self.now, action.id, server, self.learned[n].get(server.id))
+            endpoint = next(s for s in self.fleet if s.id == action.endpoint)
+            self.checker.send(self.now, action.id, endpoint, self.drained_since_ms[n].get(endpoint.id))
             attempt = len(self.checker.sent[action.id]) - 1
             result = self.rng.choices(
                 [
@@ -249,50 +258,50 @@
                 ],
                 [70, 8, 8, 6, 4, 4],
             )[0]
-            took = min(self.rng.expovariate(1 / 150), action.timeout_ms)
-            took = action.timeout_ms if result is AttemptResult.TIMEOUT else took
-            self.tries[action.id, attempt] = (n, server, self.now)
+            latency_ms = min(self.rng.expovariate(1 / 150), action.timeout_ms)
+            latency_ms = action.timeout_ms if result is AttemptResult.TIMEOUT else latency_ms
+            self.attempts[action.id, attempt] = (n, endpoint, self.now)
             streamed = self.checker.kinds[self.checker.open[action.id][1].class_name].streamed
             if streamed and result is AttemptResult.OK:
-                self.later(took / 2, n, ResponseStarted(action.id, attempt, server.id))
-            self.later(took, n, (action.id, attempt, result))
+                self.schedule(latency_ms / 2, n, ResponseStarted(action.id, attempt, endpoint.id))
+            self.schedule(latency_ms, n, (action.id, attempt, result))
         elif isinstance(action, (RejectRequest, FailRequest)):
             if action.id in self.checker.open:
-                assert action.id not in self.streams, "rule 1: a started stream was ended"
+                assert action.id not in self.streaming, "rule 1: request ended after its response had started"
                 self.checker.answer(self.now, action.id, isinstance(action, RejectRequest))
         elif isinstance(action, CancelAttempt):
-            self.later(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
+            self.schedule(0.5, n, (action.id, action.attempt, AttemptResult.CANCELLED))
         elif isinstance(action, SetTimer):
-            self.later(max(action.delay_ms, 1e-3), n, TimerFired(action.name))
+            self.schedule(max(action.delay_ms, 1e-3), n, TimerFired(action.name))
         elif isinstance(action, SendPeerMessage):
             assert len(action.data) <= 256
             copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
             for _ in range(copies):
                 data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
-                self.later(self.rng.expovariate(1 / 60), action.receiver, PeerMessageReceived(n, data))
+                self.schedule(self.rng.expovariate(1 / 60), action.receiver, PeerMessageReceived(n, data))
 
     def deliver(self, gateway, event):
         if not isinstance(event, tuple):
             if isinstance(event, ResponseStarted):
-                if event.id not in self.checker.open or (event.id, event.attempt) not in self.tries:
+                if event.id not in self.checker.open or (event.id, event.attempt) not in self.attempts:
                     return
-                self.streams.add(event.id)
+                self.streaming.add(event.id)
             self.inbox[gateway].append(event)
             return
         number, attempt, result = event
-        entry = self.tries.pop((number, attempt), None)
+        entry = self.attempts.pop((number, attempt), None)
         if entry is None:
             return
-        _, server, sent_ms = entry
+        _, endpoint, sent_ms = entry
         if result.proves_not_executed:
-            self.checker.proved[number].add(attempt)
-        if number in self.checker.open and (result is AttemptResult.OK or number in self.streams):
-            self.streams.discard(number)
+            self.checker.not_executed[number].add(attempt)
+        if number in self.checker.open and (result is AttemptResult.OK or number in self.streaming):
+            self.streaming.discard(number)
             due = self.checker.open[number][1].deadline_ms
             assert (
-                self.now <= due + SLACK
+                self.now <= due + DEADLINE_SLACK_MS
                 or self.checker.kinds[self.checker.open[number][1].class_name].streamed
-            ), "rule 1: late"
+            ), "rule 1: answer after the deadline"
             self.checker.open.pop(number)
             self.checker.done.add(number)
         final = number not in self.checker.open
@@ -300,7 +309,7 @@
             AttemptCompleted(
                 number,
                 attempt,
-                server.id,
+                endpoint.id,
                 self.now - sent_ms,
                 result,
                 final,
@@ -313,17 +322,17 @@
     def run(self, ms):
         end = self.now + ms
         while self.now < end or self.checker.open:
-            self.now += TICK
+            self.now += TICK_MS
             if self.now < end:
-                while self.rng.random() < self.rate * TICK / 1000 / (1 + self.rate * TICK / 1000):
+                while self.rng.random() < self.rate * TICK_MS / 1000 / (1 + self.rate * TICK_MS / 1000):
                     self.arrive()
                 if self.rng.random() < 0.002:
-                    self.change_fleet()
+                    self.change_random_endpoint()
                 if self.rng.random() < self.kill:
-                    self.killed(self.rng.randrange(len(self.gateways)))
+                    self.kill_gateway(self.rng.randrange(len(self.gateways)))
             while self.queue and self.queue[0][0] <= self.now:
-                _, _, gateway, life, event = heapq.heappop(self.queue)
-                if isinstance(event, PeerMessageReceived) or life == self.life[gateway]:
+                _, _, gateway, incarnation, event = heapq.heappop(self.queue)
+                if isinstance(event, PeerMessageReceived) or incarnation == self.incarnations[gateway]:
                     self.deliver(gateway, event)
             for n, controller in self.gateways.items():
                 events, self.inbox[n] = self.inbox[n], []
@@ -335,12 +344,12 @@
             overdue = [
                 n
                 for n, (_, arrival) in self.checker.open.items()
-                if arrival.deadline_ms + SLACK < self.now and n not in self.streams
+                if arrival.deadline_ms + DEADLINE_SLACK_MS < self.now and n not in self.streaming
             ]
-            assert not overdue, f"rule 1: no answer for {overdue[:3]}"
+            assert not overdue, f"rule 1: no answer in time for requests {overdue[:3]}"
             assert self.now < end + 60_000
 
-    def killed(self, n):
-        self.checker.killed(n)
-        self.tries = {key: entry for key, entry in self.tries.items() if entry[0] != n}
+    def kill_gateway(self, n):
+        self.checker.on_gateway_killed(n)
+        self.attempts = {key: entry for key, entry in self.attempts.items() if entry[0] != n}
         self.start(n)
