--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import FLEET, ask, home_of, item, of
+from support.controllers import FLEET, ask, home_of, make_quota_message, of
 from support.fakes import (
     HOST,
     Client,
@@ -134,7 +134,10 @@
         [
             (name >> 16 & low) << 4 | name & 15,
             *rest[:-1],
-            [[key, [item[0], item[1] & low, *item[2:]], *ask] for key, item, *ask in rest[-1]],
+            [
+                [key, [make_quota_message[0], make_quota_message[1] & low, *make_quota_message[2:]], *ask]
+                for key, make_quota_message, *ask in rest[-1]
+            ],
         ]
         for name, *rest in state["stores"]
     ]
@@ -152,7 +155,7 @@
     assert not new.faults
     assert let_in(new, 3.0, 40, 1000) <= 1
     (store,) = new.state.quota.owner.ledgers
-    assert store == ledger_key(item(QuotaMessageKind.GRANT_REQUEST, plan_index=3))
+    assert store == ledger_key(make_quota_message(QuotaMessageKind.GRANT_REQUEST, plan_index=3))
     for step in range(200):
         new.handle(100.0 * step, [])
     assert not new.state.quota.owner.ledgers and not new.faults
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from support.controllers import FLEET, ask, gateway, home_of, item, of, outcome
+from support.controllers import FLEET, ask, gateway, home_of, make_quota_message, of, outcome
 from support.traffic import settings
 
 from plumpick.policy import peer_messages
@@ -219,13 +219,18 @@
 def test_malformed_peer_messages_are_ignored():
     controller = gateway()
     controller.handle(1000, [FLEET])
-    good = controller.codec.encode(5, 1.0, [item(peer_messages.QuotaMessageKind.SPENT, units=4)], [])
+    good = controller.codec.encode(
+        5, 1.0, [make_quota_message(peer_messages.QuotaMessageKind.SPENT, units=4)], []
+    )
     with_report = controller.codec.encode(5, 1.0, [], [peer_messages.OutlierReport(77, 5, 15)])
     malformed = [
         controller.codec.encode(
             5,
             1.0,
-            [item(peer_messages.QuotaMessageKind.GRANT), item(peer_messages.QuotaMessageKind.QUEUED)],
+            [
+                make_quota_message(peer_messages.QuotaMessageKind.GRANT),
+                make_quota_message(peer_messages.QuotaMessageKind.QUEUED),
+            ],
             [],
         ),
         *(good[:-1] + bytes([index]) for index in (18, 0xF0, 255)),  # class or plan index out of range
@@ -251,14 +256,14 @@
     # The duplicate is counted once.
     controller.handle(1001, [PeerMessageReceived(1, good), PeerMessageReceived(1, good)])
     assert controller.state.quota.owner.ledgers[
-        ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
+        ledger_key(make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST))
     ].units == pytest.approx(12 - 4, abs=0.1)
 
 
 def test_peer_messages_round_trip_within_the_size_limit():
     codec = gateway().codec
     items = [
-        item(peer_messages.QuotaMessageKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 6, 2)
+        make_quota_message(peer_messages.QuotaMessageKind(1 + n % 6), f"c{n}", n, n / 16, 2.25, n % 6, 2)
         for n in range(100)
     ]
     ratios = (0.01, 1.0, 2.0, float("inf"))
@@ -372,7 +377,8 @@
     controller = gateway(number=number)
     peer = (number + 1) % 3
     grant_requests = [
-        item(peer_messages.QuotaMessageKind.GRANT_REQUEST, "o", n, plan_index=2) for n in (1, 2, 3)
+        make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST, "o", n, plan_index=2)
+        for n in (1, 2, 3)
     ]
     controller.handle(
         1000, [FLEET, PeerMessageReceived(peer, controller.codec.encode(1, 1.0, grant_requests, []))]
@@ -387,7 +393,7 @@
         == 1
     )
     returned = controller.codec.encode(
-        1, 1.0, [item(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], []
+        1, 1.0, [make_quota_message(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], []
     )
     assert len(of(StartAttempt, controller.handle(1002, [PeerMessageReceived(peer, returned)]))) == 1
 
@@ -400,7 +406,7 @@
     granted = set()
     for n in range(300):
         data = controller.codec.encode(
-            1, 1.0, [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], []
+            1, 1.0, [make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], []
         )
         if n != 7:
             for message in of(
@@ -420,7 +426,7 @@
         6 <= len(granted) <= 8
         and 4.8
         <= controller.state.quota.owner.ledgers[
-            ledger_key(item(peer_messages.QuotaMessageKind.GRANT_REQUEST))
+            ledger_key(make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST))
         ].units
         < 5.9
     )
@@ -436,7 +442,7 @@
     ):
         controller = gateway(gateways=300, number=7)
         controller.handle(1000, [FLEET])
-        grant_requests = [item(kind, serial=n, class_index=class_index) for n in range(1, 16)]
+        grant_requests = [make_quota_message(kind, serial=n, class_index=class_index) for n in range(1, 16)]
         controller.handle(1001, [PeerMessageReceived(1, controller.codec.encode(1, 1.0, grant_requests, []))])
         granted[kind] = len(controller.state.quota.owner.ledgers[ledger_key(grant_requests[0])].settled)
     assert (
@@ -567,7 +573,9 @@
     plans = (Plan("rated", 4, 12, over_quota_cost=0.5),)
     owner, peer = (gateway(gateways=300, number=number, plans=plans) for number in (7, 1))
     owner.handle(1000, [FLEET])
-    grant_requests = [item(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)]
+    grant_requests = [
+        make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)
+    ]
     messages = of(
         SendPeerMessage,
         owner.handle(1001, [PeerMessageReceived(1, owner.codec.encode(1, 1.0, grant_requests, []))]),
@@ -586,7 +594,7 @@
     peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first_gateway, 2)])
     request = peer.requests[1]
     assert request.account.owner == 7
-    denial = item(peer_messages.QuotaMessageKind.DENIED, serial=request.grant_serial)
+    denial = make_quota_message(peer_messages.QuotaMessageKind.DENIED, serial=request.grant_serial)
     rejected = of(
         RejectRequest, peer.handle(1002, [PeerMessageReceived(7, peer.codec.encode(1, 1.0, [denial], []))])
     )
@@ -650,8 +658,8 @@
             StartAttempt, controller.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])
         ):
             sent.append(send.endpoint)
-            result, took = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
-            more = controller.handle(now + 5, [outcome(send, result, took=took)])
+            result, latency_ms = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
+            more = controller.handle(now + 5, [outcome(send, result, latency_ms=latency_ms)])
             for n, retry in enumerate(of(StartAttempt, more)):
                 controller.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
@@ -683,10 +691,10 @@
         1,
         1.0,
         [
-            item(
+            make_quota_message(
                 peer_messages.QuotaMessageKind.QUEUED,
                 serial=controller.state.quota.requester.serial,
-                asked=400.0,
+                demand_per_s=400.0,
             )
         ],
         [],
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -189,7 +189,7 @@
     control = gateway()
     sent = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "look"), ask(2, "feed")]))
     look, feed = sorted(sent, key=lambda send: send.id)
-    control.handle(1300.0, [outcome(look, AttemptResult.OK, took=300.0)])
+    control.handle(1300.0, [outcome(look, AttemptResult.OK, latency_ms=300.0)])
     usual = control.state.statistics.usual_latency_ms["look"]
     assert change(control, 1310.0, without(settings(), "feed")) == ""
     assert control.state.statistics.usual_latency_ms["look"] == usual != 150.0
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -28,14 +28,16 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def outcome(send, result, attempt=0, took=50.0, final=None):
+def outcome(send, result, attempt=0, latency_ms=50.0, final=None):
     final = result is AttemptResult.OK if final is None else final
-    return AttemptCompleted(send.id, attempt, send.endpoint, took, result, final)
+    return AttemptCompleted(send.id, attempt, send.endpoint, latency_ms, result, final)
 
 
-def item(kind, customer="c", serial=1, units=1.0, asked=0.0, class_index=0, plan_index=0):
+def make_quota_message(
+    kind, customer="c", serial=1, units=1.0, demand_per_s=0.0, class_index=0, plan_index=0
+):
     return peer_messages.QuotaMessage(
-        kind, peer_messages.customer_tag(customer), serial, units, asked, class_index, plan_index
+        kind, peer_messages.customer_tag(customer), serial, units, demand_per_s, class_index, plan_index
     )
 
 
