--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import FLEET, ask, home_of, make_quota_message, of
+from support.controllers import FLEET, request_event, owner_of, make_quota_message, actions_of
 from support.fakes import (
     HOST,
     Client,
@@ -87,7 +87,7 @@
 
 
 def gate(seed, number=None):
-    given = settings(number=home_of("c") if number is None else number)
+    given = settings(number=owner_of("c") if number is None else number)
     control = Controller(replace(given, plans=(*given.plans, Plan("plain", 4, 12))), seed)
     control.handle(0.0, [FLEET])
     return control
@@ -96,7 +96,9 @@
 def let_in(control, now, count, first=1):
     sends = []
     for number in range(first, first + count):
-        sends += of(StartAttempt, control.handle(now, [ask(number, plan="plain", due=now + 5000.0)]))
+        sends += actions_of(
+            StartAttempt, control.handle(now, [request_event(number, plan="plain", due=now + 5000.0)])
+        )
     return len(sends)
 
 
@@ -135,8 +137,12 @@
             (name >> 16 & low) << 4 | name & 15,
             *rest[:-1],
             [
-                [key, [make_quota_message[0], make_quota_message[1] & low, *make_quota_message[2:]], *ask]
-                for key, make_quota_message, *ask in rest[-1]
+                [
+                    key,
+                    [make_quota_message[0], make_quota_message[1] & low, *make_quota_message[2:]],
+                    *request_event,
+                ]
+                for key, make_quota_message, *request_event in rest[-1]
             ],
         ]
         for name, *rest in state["stores"]
@@ -164,7 +170,7 @@
 def test_asks_that_wait_go_with_their_class_where_it_has_moved_and_end_where_it_has_gone():
     old = gate(1)
     let_in(old, 1.0, 40)
-    old.handle(2.0, [ask(n, name="book", plan="rated", due=4000.0) for n in range(100, 140)])
+    old.handle(2.0, [request_event(n, name="book", plan="rated", due=4000.0) for n in range(100, 140)])
     state, given = left_by(old, 3.0), old.settings
     waiting = {row[1][2]: given.classes[row[1][5]].name for store in state["stores"] for row in store[-1]}
     assert {"look", "book"} == set(waiting.values())
@@ -178,13 +184,13 @@
 def test_what_the_old_process_still_asks_its_own_home_the_new_one_grants():
     old, new = gate(1), gate(2)
     new.handle(1.0, [ImportState(left_by(old, 1.0))])
-    old.handle(2.0, [ask(1, due=5000.0, units=2)])
+    old.handle(2.0, [request_event(1, due=5000.0, units=2)])
     level = (
         next(iter(new.state.quota.owner.ledgers.values())).units if new.state.quota.owner.ledgers else 12.0
     )
     pass_on(3.0, old, new)
     actions = pass_on(4.0, new, old)
-    assert of(StartAttempt, actions)
+    assert actions_of(StartAttempt, actions)
     assert next(iter(new.state.quota.owner.ledgers.values())).units <= level - 1.9
 
 
@@ -192,22 +198,24 @@
     old, new = gate(1), gate(2)
     state = left_by(old, 1.0)
     new.handle(1.0, [ImportState(state)])
-    other = gate(5, (home_of("c") + 1) % 3)
-    other.handle(2.0, [ask(1, due=5000.0)])
+    other = gate(5, (owner_of("c") + 1) % 3)
+    other.handle(2.0, [request_event(1, due=5000.0)])
     tells = [
-        tell for tell in other.actions if isinstance(tell, SendPeerMessage) and tell.receiver == home_of("c")
+        tell for tell in other.actions if isinstance(tell, SendPeerMessage) and tell.receiver == owner_of("c")
     ]
     assert tells
     heard = [PeerMessageReceived(other.settings.gateway_number, tell.data) for tell in tells]
-    assert not of(SendPeerMessage, old.handle(3.0, heard)) and of(SendPeerMessage, new.handle(3.0, heard))
+    assert not actions_of(SendPeerMessage, old.handle(3.0, heard)) and actions_of(
+        SendPeerMessage, new.handle(3.0, heard)
+    )
 
 
 def test_bans_draining_and_what_is_known_of_servers_pass_over():
     old, new = gate(1), gate(2)
     old.handle(1.0, [OperatorCommand(1, CommandKind.DISABLE, "s1"), OperatorCommand(2, CommandKind.DRAIN)])
-    (send,) = of(StartAttempt, old.handle(2.0, [RequestReceived(9, "d", "look", "rated", 4000.0, 1, 0, 1)]))[
-        :1
-    ] or [None]
+    (send,) = actions_of(
+        StartAttempt, old.handle(2.0, [RequestReceived(9, "d", "look", "rated", 4000.0, 1, 0, 1)])
+    )[:1] or [None]
     if send is not None:
         old.handle(300.0, [AttemptCompleted(9, 0, send.endpoint, 298.0, AttemptResult.ERROR, False)])
     new.handle(301.0, [ImportState(left_by(old, 301.0))])
@@ -216,7 +224,10 @@
         name for name, one in old.state.endpoints.tracked.items() if one.failed
     }
     assert (
-        of(CommandCompleted, new.handle(302.0, [OperatorCommand(3, CommandKind.ENABLE, "s1")]))[0].error == ""
+        actions_of(CommandCompleted, new.handle(302.0, [OperatorCommand(3, CommandKind.ENABLE, "s1")]))[
+            0
+        ].error
+        == ""
     )
     assert "s1" not in new.state.endpoints.disabled
 
@@ -258,7 +269,7 @@
         if step == 50:
             new.handle(now, [ImportState(left_by(old, now))])
         arrival = RequestReceived(step, "c", "look", "capped", now + 1400.0, 1, 0, 3)
-        sent += len(of(StartAttempt, control.handle(now, [arrival])))
+        sent += len(actions_of(StartAttempt, control.handle(now, [arrival])))
     assert sent <= 32 + 16 * 2.0 + 4
     assert snapshot.FORM == 2
 
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -3,7 +3,15 @@
 import math
 
 import pytest
-from support.controllers import FLEET, ask, gateway, home_of, make_quota_message, of, outcome
+from support.controllers import (
+    FLEET,
+    request_event,
+    gateway,
+    owner_of,
+    make_quota_message,
+    actions_of,
+    completion,
+)
 from support.traffic import settings
 
 from plumpick.policy import peer_messages
@@ -40,29 +48,33 @@
 
 def test_request_is_sent_and_closed_after_its_answer():
     controller = gateway()
-    sends = of(StartAttempt, controller.handle(1000, [FLEET, ask(1)]))
+    sends = actions_of(StartAttempt, controller.handle(1000, [FLEET, request_event(1)]))
     assert [send.id for send in sends] == [1]
-    assert not of(FailRequest, controller.handle(1050, [outcome(sends[0], AttemptResult.OK)]))
+    assert not actions_of(FailRequest, controller.handle(1050, [completion(sends[0], AttemptResult.OK)]))
     assert not controller.requests and not controller.state.limit.in_flight
 
 
 def test_error_is_retried_at_another_endpoint_only_for_idempotent_requests():
     controller = gateway()
-    idempotent, non_idempotent = of(StartAttempt, controller.handle(1000, [FLEET, ask(1), ask(2, "debit")]))
+    idempotent, non_idempotent = actions_of(
+        StartAttempt, controller.handle(1000, [FLEET, request_event(1), request_event(2, "debit")])
+    )
     if idempotent.id != 1:
         idempotent, non_idempotent = non_idempotent, idempotent
     actions = controller.handle(
-        1050, [outcome(idempotent, AttemptResult.ERROR), outcome(non_idempotent, AttemptResult.ERROR)]
+        1050, [completion(idempotent, AttemptResult.ERROR), completion(non_idempotent, AttemptResult.ERROR)]
     )
-    retry = of(StartAttempt, actions)
+    retry = actions_of(StartAttempt, actions)
     assert [send.id for send in retry] == [1] and retry[0].endpoint != idempotent.endpoint
-    assert of(FailRequest, actions) == [FailRequest(2)]
+    assert actions_of(FailRequest, actions) == [FailRequest(2)]
 
 
 def test_non_idempotent_request_is_retried_if_the_worker_rejected_it():
     controller = gateway()
-    (send,) = of(StartAttempt, controller.handle(1000, [FLEET, ask(1, "debit")]))
-    (retry,) = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.REJECTED_BY_WORKER)]))
+    (send,) = actions_of(StartAttempt, controller.handle(1000, [FLEET, request_event(1, "debit")]))
+    (retry,) = actions_of(
+        StartAttempt, controller.handle(1010, [completion(send, AttemptResult.REJECTED_BY_WORKER)])
+    )
     assert retry.id == 1
 
 
@@ -91,7 +103,9 @@
 
 
 def start_first_attempt(controller, now):
-    (send,) = of(StartAttempt, controller.handle(now, [ask(1, "book", "basic", due=now + 8000.0)]))
+    (send,) = actions_of(
+        StartAttempt, controller.handle(now, [request_event(1, "book", "basic", due=now + 8000.0)])
+    )
     assert send.start_within_ms == math.inf
     return send
 
@@ -102,16 +116,18 @@
     controller = keyed_gateway(DeduplicationScope.ALL)
     controller.handle(0.0, [endpoints_event(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = start_first_attempt(controller, 10.0)
-    (retry,) = of(StartAttempt, controller.handle(400.0, [outcome(send, AttemptResult.RESET)]))
+    (retry,) = actions_of(StartAttempt, controller.handle(400.0, [completion(send, AttemptResult.RESET)]))
     assert retry.start_within_ms == 10.0 + 1000.0 - WINDOW_MARGIN_MS - 400.0
     # The failed connection proves that the retry was not executed. The window still counts from the first
     # attempt.
-    more = of(
-        StartAttempt, controller.handle(700.0, [outcome(retry, AttemptResult.CONNECT_FAILED, attempt=1)])
+    more = actions_of(
+        StartAttempt, controller.handle(700.0, [completion(retry, AttemptResult.CONNECT_FAILED, attempt=1)])
     )
     assert [one.start_within_ms for one in more] == [10.0 + 1000.0 - WINDOW_MARGIN_MS - 700.0]
-    actions = controller.handle(990.0, [outcome(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
-    assert not of(StartAttempt, actions) and (of(FailRequest, actions) or of(RejectRequest, actions))
+    actions = controller.handle(990.0, [completion(more[0], AttemptResult.CONNECT_FAILED, attempt=2)])
+    assert not actions_of(StartAttempt, actions) and (
+        actions_of(FailRequest, actions) or actions_of(RejectRequest, actions)
+    )
 
 
 @pytest.mark.parametrize("window_ms", [0.0, 10.0, WINDOW_MARGIN_MS])
@@ -119,7 +135,7 @@
     controller = keyed_gateway(DeduplicationScope.ALL, window_ms)
     controller.handle(0.0, [endpoints_event(("w1", "a", 0, 0.0), ("w2", "a", 0, 0.0))])
     send = start_first_attempt(controller, 10.0)
-    assert not of(StartAttempt, controller.handle(11.0, [outcome(send, AttemptResult.RESET)]))
+    assert not actions_of(StartAttempt, controller.handle(11.0, [completion(send, AttemptResult.RESET)]))
 
 
 @pytest.mark.parametrize(
@@ -139,7 +155,9 @@
         )
         first = next(row for row in listed_before if row[0] == send.endpoint)
         controller.handle(20.0, [endpoints_event(*listed_after)])
-        for retry in of(StartAttempt, controller.handle(30.0, [outcome(send, AttemptResult.RESET)])):
+        for retry in actions_of(
+            StartAttempt, controller.handle(30.0, [completion(send, AttemptResult.RESET)])
+        ):
             row = next(row for row in listed_after if row[0] == retry.endpoint)
             assert row[1] == first[1] and (scope is DeduplicationScope.ZONE or row[2] == first[2])
 
@@ -153,7 +171,9 @@
         send = start_first_attempt(controller, 1010.0)
         other = "w2" if send.endpoint == "w1" else "w1"
         controller.handle(1100.0, [endpoints_event((send.endpoint, "a", 1, 1050.0), (other, "a", 1, 0.0))])
-        for retry in of(StartAttempt, controller.handle(1200.0, [outcome(send, AttemptResult.RESET)])):
+        for retry in actions_of(
+            StartAttempt, controller.handle(1200.0, [completion(send, AttemptResult.RESET)])
+        ):
             assert retry.endpoint == other
 
 
@@ -162,13 +182,13 @@
     have been executed, so the request must not go to another group."""
     controller = Controller(settings(can_message_peers=False), 1)
     one = EndpointsUpdated((Endpoint("s0", "z0", 0, EndpointState.READY),))
-    (send,) = of(StartAttempt, controller.handle(1000, [one, ask(1, "book", due=1900)]))
-    (retry,) = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.ERROR)]))
+    (send,) = actions_of(StartAttempt, controller.handle(1000, [one, request_event(1, "book", due=1900)]))
+    (retry,) = actions_of(StartAttempt, controller.handle(1010, [completion(send, AttemptResult.ERROR)]))
     other = EndpointsUpdated(
         (Endpoint("s0", "z0", 0, EndpointState.DRAINING), Endpoint("s9", "z0", 3, EndpointState.READY))
     )
-    actions = controller.handle(1020, [other, outcome(retry, AttemptResult.REJECTED_BY_WORKER, 1)])
-    assert not of(StartAttempt, actions) and of(FailRequest, actions) == [FailRequest(1)]
+    actions = controller.handle(1020, [other, completion(retry, AttemptResult.REJECTED_BY_WORKER, 1)])
+    assert not actions_of(StartAttempt, actions) and actions_of(FailRequest, actions) == [FailRequest(1)]
 
 
 def test_unusual_event_sequences_are_handled():
@@ -182,24 +202,29 @@
             ClientDisconnected(77),
         ],
     )
-    assert of(
-        RejectRequest, controller.handle(1001, [ask(1, "no such class"), ask(2, plan="no such plan")])
+    assert actions_of(
+        RejectRequest,
+        controller.handle(1001, [request_event(1, "no such class"), request_event(2, plan="no such plan")]),
     ) == [
         RejectRequest(1),
         RejectRequest(2),
     ]
-    assert of(RejectRequest, controller.handle(1002, [ask(3, due=900.0)])) == [RejectRequest(3)]
-    controller.handle(1003, [ask(4)])  # queued, since there are no endpoints
+    assert actions_of(RejectRequest, controller.handle(1002, [request_event(3, due=900.0)])) == [
+        RejectRequest(3)
+    ]
+    controller.handle(1003, [request_event(4)])  # queued, since there are no endpoints
     assert 4 in controller.requests
-    (send,) = of(StartAttempt, controller.handle(1004, [FLEET]))
-    assert of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)])) == [CancelAttempt(4, 0)]
+    (send,) = actions_of(StartAttempt, controller.handle(1004, [FLEET]))
+    assert actions_of(CancelAttempt, controller.handle(1005, [ClientDisconnected(4)])) == [
+        CancelAttempt(4, 0)
+    ]
     assert controller.handle(1006, [ClientDisconnected(4), ResponseStarted(4, 0, send.endpoint)]) == []
     controller.handle(
         1007,
         [
-            outcome(send, AttemptResult.OK),
-            outcome(send, AttemptResult.OK),
-            outcome(send, AttemptResult.ERROR, 3),
+            completion(send, AttemptResult.OK),
+            completion(send, AttemptResult.OK),
+            completion(send, AttemptResult.ERROR, 3),
         ],
     )
     assert controller.state.limit.in_flight == 0 and not controller.requests
@@ -207,11 +232,14 @@
 
 def test_request_without_endpoints_is_rejected_before_its_deadline():
     controller = gateway()
-    controller.handle(1000, [EndpointsUpdated(()), ask(1, due=1600.0), ask(2, "debit", due=1500)])
+    controller.handle(
+        1000, [EndpointsUpdated(()), request_event(1, due=1600.0), request_event(2, "debit", due=1500)]
+    )
     rejected = {}
     for now in range(1004, 1700, 4):
         rejected.update(
-            (action.id, now) for action in of(RejectRequest, controller.handle(now, [TimerFired("agenda")]))
+            (action.id, now)
+            for action in actions_of(RejectRequest, controller.handle(now, [TimerFired("agenda")]))
         )
     assert set(rejected) == {1, 2} and rejected[1] <= 1600 and rejected[2] <= 1500
 
@@ -250,7 +278,7 @@
         bytes(other_names),
         *malformed,
     ):
-        assert not of(StartAttempt, controller.handle(1001, [PeerMessageReceived(1, data)]))
+        assert not actions_of(StartAttempt, controller.handle(1001, [PeerMessageReceived(1, data)]))
     controller.handle(1001, [PeerMessageReceived(9, good), PeerMessageReceived(0, good)])
     assert not controller.state.quota.owner.ledgers and not controller.requests
     # The duplicate is counted once.
@@ -335,7 +363,7 @@
     controller = gateway()
     controller.handle(1000, [FLEET])
     controller.state.statistics.usual_latency_ms["look"] = 5000.0
-    assert of(StartAttempt, controller.handle(1001, [ask(1)]))
+    assert actions_of(StartAttempt, controller.handle(1001, [request_event(1)]))
 
 
 def test_concurrency_limit_is_divided_among_gateways():
@@ -363,17 +391,21 @@
 def test_requests_start_at_once_below_the_limit_and_by_priority_at_the_limit():
     controller = gateway(gateways=1)
     controller.handle(1000, [FLEET])
-    requests = [ask(n, customer=f"c{n}") for n in range(1, 200)]
-    first = of(StartAttempt, controller.handle(1001, requests))
+    requests = [request_event(n, customer=f"c{n}") for n in range(1, 200)]
+    first = actions_of(StartAttempt, controller.handle(1001, requests))
     assert controller.state.limit.limit <= len(first) <= controller.state.limit.limit + 2
     assert len(controller.state.queue.queued) == 199 - len(first)
-    controller.handle(1002, [ask(500, "feed", customer="a"), ask(501, "book", customer="b")])
-    sent = of(StartAttempt, controller.handle(1010, [outcome(send, AttemptResult.OK) for send in first[:3]]))
+    controller.handle(
+        1002, [request_event(500, "feed", customer="a"), request_event(501, "book", customer="b")]
+    )
+    sent = actions_of(
+        StartAttempt, controller.handle(1010, [completion(send, AttemptResult.OK) for send in first[:3]])
+    )
     assert sent[0].id == 501
 
 
 def test_quota_owner_enforces_max_in_flight_for_all_gateways():
-    number = home_of("o")
+    number = owner_of("o")
     controller = gateway(number=number)
     peer = (number + 1) % 3
     grant_requests = [
@@ -385,9 +417,9 @@
     )
     assert (
         len(
-            of(
+            actions_of(
                 StartAttempt,
-                controller.handle(1001, [ask(n, plan="open", customer="o") for n in range(1, 9)]),
+                controller.handle(1001, [request_event(n, plan="open", customer="o") for n in range(1, 9)]),
             )
         )
         == 1
@@ -395,7 +427,7 @@
     returned = controller.codec.encode(
         1, 1.0, [make_quota_message(peer_messages.QuotaMessageKind.RETURNED, "o", 2, plan_index=2)], []
     )
-    assert len(of(StartAttempt, controller.handle(1002, [PeerMessageReceived(peer, returned)]))) == 1
+    assert len(actions_of(StartAttempt, controller.handle(1002, [PeerMessageReceived(peer, returned)]))) == 1
 
 
 def test_quota_owner_grants_no_more_than_the_quota_to_all_gateways_together():
@@ -409,7 +441,7 @@
             1, 1.0, [make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=9)], []
         )
         if n != 7:
-            for message in of(
+            for message in actions_of(
                 SendPeerMessage,
                 controller.handle(
                     1001 + n / 100, [PeerMessageReceived(n, data), PeerMessageReceived(n, data)]
@@ -454,12 +486,16 @@
 def test_unresponsive_quota_owner_is_asked_again_then_one_request_starts_on_credit():
     """An unresponsive quota owner must neither block a customer with little traffic nor let every gateway use
     the customer's quota freely."""
-    number = (home_of("c") + 1) % 3
+    number = (owner_of("c") + 1) % 3
     controller = gateway(number=number)
-    events, messages, sent = [FLEET, *(ask(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
+    events, messages, sent = [FLEET, *(request_event(n, units=4, due=9000.0) for n in (1, 2, 3))], [], []
     for now in range(1000, 1500, 4):
         actions = controller.handle(now, [*events, TimerFired("agenda")])
-        events, messages, sent = [], messages + of(SendPeerMessage, actions), sent + of(StartAttempt, actions)
+        events, messages, sent = (
+            [],
+            messages + actions_of(SendPeerMessage, actions),
+            sent + actions_of(StartAttempt, actions),
+        )
     message_kinds = [
         quota_message.kind
         for message in messages
@@ -478,8 +514,8 @@
     controller = gateway(gateways=1, number=0)
     controller.handle(1000, [FLEET])
     # The requests use the customer's whole burst; one of them stays open.
-    sends = of(StartAttempt, controller.handle(1001, [ask(n) for n in range(12)]))
-    controller.handle(1002, [outcome(send, AttemptResult.OK) for send in sends[1:]])
+    sends = actions_of(StartAttempt, controller.handle(1001, [request_event(n) for n in range(12)]))
+    controller.handle(1002, [completion(send, AttemptResult.OK) for send in sends[1:]])
     last = len(sends)
     assert (
         last >= 9
@@ -507,7 +543,8 @@
     controller = gateway(gateways=1, number=0)
     controller.handle(1000, [FLEET])
     controller.handle(
-        1001, [event for n in range(2000) for event in (ask(n, customer=f"c{n}"), ClientDisconnected(n))]
+        1001,
+        [event for n in range(2000) for event in (request_event(n, customer=f"c{n}"), ClientDisconnected(n))],
     )
     later_ms, remaining = 1001 + 10 * IDLE_MS, []
     for _ in range(2 * STEPS_PER_ROUND):
@@ -525,7 +562,7 @@
 
 def test_customer_with_two_plans_has_a_separate_account_per_plan():
     controller = gateway(gateways=1, number=0)
-    controller.handle(1000, [FLEET, ask(1, plan="open"), ask(2)])
+    controller.handle(1000, [FLEET, request_event(1, plan="open"), request_event(2)])
     assert sorted(account.plan.name for account in controller.state.quota.requester.accounts.values()) == [
         "open",
         "rated",
@@ -535,10 +572,12 @@
 def test_gone_endpoints_and_timers_of_ended_requests_are_removed():
     controller = gateway(gateways=1, number=0)
     controller.handle(1000, [FLEET])
-    sends = of(StartAttempt, controller.handle(1001, [ask(n, due=600_000.0) for n in range(9)]))
+    sends = actions_of(
+        StartAttempt, controller.handle(1001, [request_event(n, due=600_000.0) for n in range(9)])
+    )
     controller.handle(1002, [EndpointsUpdated(())])
     assert set(controller.state.endpoints.tracked) == {send.endpoint for send in sends}
-    controller.handle(1003, [outcome(send, AttemptResult.OK) for send in sends])
+    controller.handle(1003, [completion(send, AttemptResult.OK) for send in sends])
     for n in range(20):
         controller.handle(1100 + 100 * n, [])
     assert not controller.state.endpoints.tracked and not controller.state.endpoints.by_tag
@@ -551,8 +590,8 @@
     """Such requests used to wait for 0.6 s, up to 76 at a time, and held connections that others needed."""
     controller = gateway(gateways=1, number=0, plans=(Plan("rated", 4, 12, over_quota_cost=0.5),))
     controller.handle(1000, [FLEET])
-    actions = controller.handle(1001, [ask(n, customer="d") for n in range(40)])
-    rejected, sent = of(RejectRequest, actions), of(StartAttempt, actions)
+    actions = controller.handle(1001, [request_event(n, customer="d") for n in range(40)])
+    rejected, sent = actions_of(RejectRequest, actions), actions_of(StartAttempt, actions)
     waiting = [request for request in controller.requests.values() if request.awaits_quota]
     assert len(sent) >= 7 and len(rejected) + len(sent) + len(waiting) == 40
     assert len(rejected) > len(waiting) and all(
@@ -576,7 +615,7 @@
     grant_requests = [
         make_quota_message(peer_messages.QuotaMessageKind.GRANT_REQUEST, serial=n) for n in range(1, 16)
     ]
-    messages = of(
+    messages = actions_of(
         SendPeerMessage,
         owner.handle(1001, [PeerMessageReceived(1, owner.codec.encode(1, 1.0, grant_requests, []))]),
     )
@@ -590,12 +629,12 @@
         and peer_messages.QuotaMessageKind.GRANT in message_kinds
     )
     peer.handle(1000, [FLEET])
-    first_gateway = peer.settings.gateway_number + 6 - home_of("c", spread=2)
+    first_gateway = peer.settings.gateway_number + 6 - owner_of("c", spread=2)
     peer.handle(1001, [RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, first_gateway, 2)])
     request = peer.requests[1]
     assert request.account.owner == 7
     denial = make_quota_message(peer_messages.QuotaMessageKind.DENIED, serial=request.grant_serial)
-    rejected = of(
+    rejected = actions_of(
         RejectRequest, peer.handle(1002, [PeerMessageReceived(7, peer.codec.encode(1, 1.0, [denial], []))])
     )
     assert [one.id for one in rejected] == [1]
@@ -604,29 +643,35 @@
 def test_full_quota_serves_a_client_retry_even_if_the_reserve_is_most_of_the_burst():
     controller = gateway(gateways=1, number=0, plans=(Plan("rated", 0.5, 2, over_quota_cost=0.5),))
     client_retry = RequestReceived(1, "c", "look", "rated", 5000.0, 1.0, 0, 3, is_client_retry=True)
-    assert [send.id for send in of(StartAttempt, controller.handle(1000, [FLEET, client_retry]))] == [1]
+    assert [send.id for send in actions_of(StartAttempt, controller.handle(1000, [FLEET, client_retry]))] == [
+        1
+    ]
 
 
 def test_invalid_event_does_not_affect_other_events_of_its_turn():
     controller = gateway(gateways=1, number=0)
     invalid = RequestReceived(1, "c", "look", "rated", 5000.0, units="many")
-    sends = of(StartAttempt, controller.handle(1000, [FLEET, invalid, ask(2)]))
+    sends = actions_of(StartAttempt, controller.handle(1000, [FLEET, invalid, request_event(2)]))
     assert [send.id for send in sends] == [2] and len(controller.faults) == 1
     controller.handle(1001, [])
     assert not controller.faults
 
 
 def test_unused_grant_is_returned_to_the_quota_owner():
-    controller = gateway(number=(home_of("c") + 1) % 3)
-    messages = of(SendPeerMessage, controller.handle(1000, [EndpointsUpdated(()), ask(1, units=4)]))
+    controller = gateway(number=(owner_of("c") + 1) % 3)
+    messages = actions_of(
+        SendPeerMessage, controller.handle(1000, [EndpointsUpdated(()), request_event(1, units=4)])
+    )
     (request,) = [
         quota_message
         for message in messages
         for quota_message in controller.codec.decode(message.data).quota_messages
     ]
     data = controller.codec.encode(1, 1.0, [request._replace(kind=peer_messages.QuotaMessageKind.GRANT)], [])
-    controller.handle(1010, [PeerMessageReceived(home_of("c"), data)])
-    messages = of(SendPeerMessage, controller.handle(1200, [ClientDisconnected(1), TimerFired("agenda")]))
+    controller.handle(1010, [PeerMessageReceived(owner_of("c"), data)])
+    messages = actions_of(
+        SendPeerMessage, controller.handle(1200, [ClientDisconnected(1), TimerFired("agenda")])
+    )
     assert [
         quota_message.kind
         for message in messages
@@ -643,7 +688,9 @@
         controller = Controller(settings(number=n, gateways=400, can_message_peers=False), n)
         controller.handle(50_000, [EndpointsUpdated((*FLEET.endpoints, cold))])
         burst = [RequestReceived(k, f"c{k}", "look", "rated", 53_400.0, 1, n, 1) for k in range(1, 4)]
-        count += sum(send.endpoint == "cold" for send in of(StartAttempt, controller.handle(52_000, burst)))
+        count += sum(
+            send.endpoint == "cold" for send in actions_of(StartAttempt, controller.handle(52_000, burst))
+        )
     warm = 400 * 3 / 7
     assert 0 < count < 0.45 * 2 * warm
 
@@ -654,39 +701,42 @@
     controller.handle(now, [FLEET])
     for _ in range(200):
         number, now = number + 1, now + 20
-        for send in of(
-            StartAttempt, controller.handle(now, [ask(number, due=now + 4000, customer=f"c{number}")])
+        for send in actions_of(
+            StartAttempt,
+            controller.handle(now, [request_event(number, due=now + 4000, customer=f"c{number}")]),
         ):
             sent.append(send.endpoint)
             result, latency_ms = (AttemptResult.ERROR, 2) if send.endpoint == "s1" else (AttemptResult.OK, 90)
-            more = controller.handle(now + 5, [outcome(send, result, latency_ms=latency_ms)])
-            for n, retry in enumerate(of(StartAttempt, more)):
-                controller.handle(now + 10, [outcome(retry, AttemptResult.OK, n + 1)])
+            more = controller.handle(now + 5, [completion(send, result, latency_ms=latency_ms)])
+            for n, retry in enumerate(actions_of(StartAttempt, more)):
+                controller.handle(now + 10, [completion(retry, AttemptResult.OK, n + 1)])
     assert sent.count("s1") < len(sent) / 15
 
 
 def test_hard_limit_starts_empty_so_a_restart_grants_nothing_twice():
-    controller = gateway(number=home_of("k"))
+    controller = gateway(number=owner_of("k"))
     controller.handle(1000, [FLEET])
-    assert not of(StartAttempt, controller.handle(1001, [ask(1, plan="capped", customer="k")]))
-    assert of(StartAttempt, controller.handle(1250, [TimerFired("agenda")]))
+    assert not actions_of(
+        StartAttempt, controller.handle(1001, [request_event(1, plan="capped", customer="k")])
+    )
+    assert actions_of(StartAttempt, controller.handle(1250, [TimerFired("agenda")]))
 
 
 def test_quota_messages_go_only_to_the_owner_and_heartbeats_stay_rare():
-    controller, quota_receivers, heartbeat_receivers = gateway(number=(home_of("c") + 1) % 3), [], []
+    controller, quota_receivers, heartbeat_receivers = gateway(number=(owner_of("c") + 1) % 3), [], []
     controller.handle(1000, [FLEET])
     for now in range(1004, 3000, 4):
-        events = [ask(now, due=now + 1500.0)] if now == 1500 else []
-        for message in of(SendPeerMessage, controller.handle(now, [*events, TimerFired("agenda")])):
+        events = [request_event(now, due=now + 1500.0)] if now == 1500 else []
+        for message in actions_of(SendPeerMessage, controller.handle(now, [*events, TimerFired("agenda")])):
             has_quota_messages = bool(controller.codec.decode(message.data).quota_messages)
             (quota_receivers if has_quota_messages else heartbeat_receivers).append(message.receiver)
-    assert set(quota_receivers) == {home_of("c")} and len(quota_receivers) <= 4
+    assert set(quota_receivers) == {owner_of("c")} and len(quota_receivers) <= 4
     assert max(map(heartbeat_receivers.count, set(heartbeat_receivers))) <= 4  # in 2 s
 
 
 def test_grant_requests_of_one_busy_customer_leave_room_in_the_owners_inbox():
-    controller = gateway(number=(home_of("c") + 1) % 3, peer_inbox_per_s=20)
-    controller.handle(1000, [FLEET, ask(1)])
+    controller = gateway(number=(owner_of("c") + 1) % 3, peer_inbox_per_s=20)
+    controller.handle(1000, [FLEET, request_event(1)])
     queued = controller.codec.encode(
         1,
         1.0,
@@ -699,10 +749,10 @@
         ],
         [],
     )
-    controller.handle(1010, [PeerMessageReceived(home_of("c"), queued)])
+    controller.handle(1010, [PeerMessageReceived(owner_of("c"), queued)])
     grant_request_count = 0
     for n in range(400):
-        for message in of(SendPeerMessage, controller.handle(1012 + n, [ask(n + 2)])):
+        for message in actions_of(SendPeerMessage, controller.handle(1012 + n, [request_event(n + 2)])):
             grant_request_count += sum(
                 quota_message.kind is peer_messages.QuotaMessageKind.GRANT_REQUEST
                 for quota_message in controller.codec.decode(message.data).quota_messages
@@ -734,9 +784,9 @@
     controller = gateway()
     # A low usual latency alone would allow queueing until shortly before the deadline.
     controller.state.statistics.usual_latency_ms["look"] = 20.0
-    controller.handle(1000, [EndpointsUpdated(()), ask(1, due=due)])
+    controller.handle(1000, [EndpointsUpdated(()), request_event(1, due=due)])
     now = 1000.0
-    while not of(RejectRequest, controller.handle(now, [TimerFired("agenda")])):
+    while not actions_of(RejectRequest, controller.handle(now, [TimerFired("agenda")])):
         now += 4
     assert now - 1000 < 0.5 * (due - 1000)
 
@@ -744,24 +794,24 @@
 def test_timer_is_set_for_the_earliest_entry_and_not_for_ended_requests():
     """Regression test: 3500 timers were set for 750 requests, most of them for requests already answered."""
     controller = gateway(gateways=1)
-    first = of(SetTimer, controller.handle(1000, [FLEET]))
+    first = actions_of(SetTimer, controller.handle(1000, [FLEET]))
     assert [round(timer.delay_ms) for timer in first] == [100]  # the period timer
-    actions = controller.handle(1001, [ask(1)])
-    (send,) = of(StartAttempt, actions)
-    assert not of(SetTimer, actions)  # all timers of the request come after the period timer
-    controller.handle(1002, [outcome(send, AttemptResult.OK)])
+    actions = controller.handle(1001, [request_event(1)])
+    (send,) = actions_of(StartAttempt, actions)
+    assert not actions_of(SetTimer, actions)  # all timers of the request come after the period timer
+    controller.handle(1002, [completion(send, AttemptResult.OK)])
     timers, now = [], 1002.0
     for _ in range(30):  # past its hedge timer and its deadline
         now += 100
-        timers += of(SetTimer, controller.handle(now, [TimerFired("agenda")]))
+        timers += actions_of(SetTimer, controller.handle(now, [TimerFired("agenda")]))
     assert len(timers) == 30 and all(99 <= timer.delay_ms <= 101 for timer in timers)
 
 
 def test_endpoint_watch_is_requested_and_renewed_after_a_failure():
     controller = gateway(must_request_watch=True, watch_retry_ms=4000)
-    assert of(WatchEndpoints, controller.handle(1000, [FLEET]))
+    assert actions_of(WatchEndpoints, controller.handle(1000, [FLEET]))
     controller.handle(1010, [EndpointsUpdated((), is_failure=True)])
-    assert of(WatchEndpoints, controller.handle(2100, [TimerFired("agenda")]))
+    assert actions_of(WatchEndpoints, controller.handle(2100, [TimerFired("agenda")]))
 
 
 def test_rejecting_endpoint_gets_little_load_and_does_not_cut_the_limit():
@@ -772,18 +822,19 @@
         controller.handle(now, [FLEET])
         for number in range(1, 300):
             now += 10
-            sends = of(
-                StartAttempt, controller.handle(now, [ask(number, due=now + 1400, customer=f"c{number}")])
+            sends = actions_of(
+                StartAttempt,
+                controller.handle(now, [request_event(number, due=now + 1400, customer=f"c{number}")]),
             )
             while sends:
                 send = sends.pop()
                 sent.append(send.endpoint)
                 is_rejecting = send.endpoint == "s2"
                 attempt = controller.requests[send.id].attempt_count - 1
-                sends += of(
+                sends += actions_of(
                     StartAttempt,
                     controller.handle(
-                        now + 2, [outcome(send, result if is_rejecting else AttemptResult.OK, attempt)]
+                        now + 2, [completion(send, result if is_rejecting else AttemptResult.OK, attempt)]
                     ),
                 )
         assert sent.count("s2") < len(sent) / 15
@@ -792,7 +843,7 @@
 
 def test_endpoint_restarted_under_its_old_id_keeps_its_in_flight_count():
     controller = gateway()
-    (send,) = of(StartAttempt, controller.handle(1000, [FLEET, ask(1)]))
+    (send,) = actions_of(StartAttempt, controller.handle(1000, [FLEET, request_event(1)]))
     listed_before = controller.state.endpoints.tracked[send.endpoint].endpoint
     restarted = Endpoint(
         listed_before.id,
@@ -803,5 +854,5 @@
         1005.0,
     )
     controller.handle(1010, [EndpointsUpdated((restarted,), is_snapshot=False)])
-    controller.handle(1020, [outcome(send, AttemptResult.RESET)])
+    controller.handle(1020, [completion(send, AttemptResult.RESET)])
     assert controller.state.endpoints.tracked[send.endpoint].in_flight == 0
--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import FLEET, ask, gateway, of, outcome
+from support.controllers import FLEET, request_event, gateway, actions_of, completion
 from support.traffic import settings
 
 from plumpick.policy.actions import CommandCompleted, RejectRequest, SetAdmissionState, StartAttempt
@@ -38,7 +38,7 @@
 
 def order(gate, now, call, server="", number=1):
     """What is wrong with a call; it is answered in its own turn."""
-    (said,) = of(CommandCompleted, gate.handle(now, [OperatorCommand(number, call, server)]))
+    (said,) = actions_of(CommandCompleted, gate.handle(now, [OperatorCommand(number, call, server)]))
     assert said.id == number
     return said.error
 
@@ -47,14 +47,14 @@
     """The servers that so many safe requests of as many firms go to, a dozen of them out at a time."""
     sends, ended = [], 0
     for number in range(first, first + count):
-        asked = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
-        sends += of(StartAttempt, gate.handle(now, [asked]))
+        asked = request_event(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
+        sends += actions_of(StartAttempt, gate.handle(now, [asked]))
         if len(sends) - ended > 12:
-            gate.handle(now + 1.0, [outcome(sends[ended], AttemptResult.OK)])
+            gate.handle(now + 1.0, [completion(sends[ended], AttemptResult.OK)])
             ended += 1
         now += 10.0
     for send in sends[ended:]:
-        gate.handle(now, [outcome(send, AttemptResult.OK)])
+        gate.handle(now, [completion(send, AttemptResult.OK)])
     return [send.endpoint for send in sends]
 
 
@@ -104,9 +104,9 @@
 def test_what_is_out_at_a_banned_worker_may_finish_and_no_further_attempt_goes_there():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
-    (send,) = of(StartAttempt, gate.handle(1.0, [ask(1, plan=FREE)]))
+    (send,) = actions_of(StartAttempt, gate.handle(1.0, [request_event(1, plan=FREE)]))
     order(gate, 2.0, CommandKind.DISABLE, send.endpoint)
-    (again,) = of(StartAttempt, gate.handle(20.0, [outcome(send, AttemptResult.ERROR)]))
+    (again,) = actions_of(StartAttempt, gate.handle(20.0, [completion(send, AttemptResult.ERROR)]))
     assert again.endpoint != send.endpoint
 
 
@@ -114,11 +114,11 @@
     gate = free_gateway()
     gate.handle(0.0, [EndpointsUpdated((Endpoint("s2", "z0", 0, EndpointState.READY),))])
     order(gate, 1.0, CommandKind.DISABLE, "s2")
-    assert not of(StartAttempt, gate.handle(2.0, [ask(1, plan=FREE, due=2002.0)]))
+    assert not actions_of(StartAttempt, gate.handle(2.0, [request_event(1, plan=FREE, due=2002.0)]))
     refused, now = [], 2.0
     while not refused and now < 2002.0:
         now += 10.0
-        refused = of(RejectRequest, gate.handle(now, []))
+        refused = actions_of(RejectRequest, gate.handle(now, []))
     assert refused and now < 1100.0
 
 
@@ -163,7 +163,7 @@
     stages, now = [], 0.0
     while now < CLOSE_UNREAD_AFTER_MS + 500.0:
         events = [OperatorCommand(1, CommandKind.DRAIN)] if now in (100.0, 400.0) else []
-        stages += [(now, doors.state) for doors in of(SetAdmissionState, gate.handle(now, events))]
+        stages += [(now, doors.state) for doors in actions_of(SetAdmissionState, gate.handle(now, events))]
         now += 10.0
     assert stages == [
         (100.0, AdmissionState.REDIRECTING),
@@ -181,7 +181,7 @@
         now, last = 100.0, None
         while now < 6000.0:
             now += 1.0
-            for doors in of(
+            for doors in actions_of(
                 SetAdmissionState,
                 gate.handle(now, [OperatorCommand(2, CommandKind.UNDRAIN)] if now == back else []),
             ):
@@ -204,7 +204,7 @@
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     gate.handle(1.0, [OperatorCommand(1, CommandKind.DRAIN)])
-    assert of(StartAttempt, gate.handle(2.0, [RequestReceived(1, "c", "look", FREE, 3000.0)]))
+    assert actions_of(StartAttempt, gate.handle(2.0, [RequestReceived(1, "c", "look", FREE, 3000.0)]))
 
 
 def cold_part(cold, seconds=2, rate=60):
@@ -225,12 +225,12 @@
     for number in range(seconds * rate):
         now += 1000.0 / rate
         arrival = RequestReceived(number, f"c{number}", "look", FREE, now + 1500.0)
-        new = of(StartAttempt, gate.handle(now, [arrival]))
+        new = actions_of(StartAttempt, gate.handle(now, [arrival]))
         sends += new
         out += [(now + 60.0, send) for send in new]
         for due, send in [row for row in out if row[0] <= now]:
             out.remove((due, send))
-            sends += of(StartAttempt, gate.handle(now, [outcome(send, AttemptResult.OK)]))
+            sends += actions_of(StartAttempt, gate.handle(now, [completion(send, AttemptResult.OK)]))
     to_cold = [send for send in sends if int(send.endpoint[1:]) < cold]
     return len(to_cold) / len(sends), len(sends) / (seconds * rate)
 
--- a/tests/policy/test_peer_messages.py
+++ b/tests/policy/test_peer_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from support.controllers import FLEET, gateway, home_of, of
+from support.controllers import FLEET, gateway, owner_of, actions_of
 from support.quota_rig import Rig
 from support.traffic import settings
 
@@ -180,14 +180,14 @@
     """What a gateway tells another, as that one's events."""
     return [
         PeerMessageReceived(sender.settings.gateway_number, tell.data)
-        for tell in of(SendPeerMessage, actions)
+        for tell in actions_of(SendPeerMessage, actions)
         if tell.receiver == receiver.settings.gateway_number
     ]
 
 
 def pair(customer, **more):
     """The customer's home, and another gateway of its set."""
-    number = home_of(customer)
+    number = owner_of(customer)
     both = [Controller(settings(number=n, **more), 1) for n in (number, (number + 1) % 3)]
     for one in both:
         one.handle(1000.0, [FLEET])
@@ -202,7 +202,7 @@
     events, sent = asks, 0
     for step in range(6):
         actions = peer.handle(now + 5 * step, events)
-        sent += len(of(StartAttempt, actions))
+        sent += len(actions_of(StartAttempt, actions))
         events = told_to(home, peer, home.handle(now + 5 * step + 2, told_to(peer, home, actions)))
     return sent
 
@@ -260,7 +260,7 @@
     """Of 40,000 firms two had one with a chance of one in six."""
     first, second = TWINS
     assert zlib.crc32(first.encode()) == zlib.crc32(second.encode())
-    assert home_of(first) == home_of(second)
+    assert owner_of(first) == owner_of(second)
     home, peer = pair(first, plans=(Plan("basic", 1e-6, 10.0),))
     assert let_in(home, peer, 1010.0, first, "book", "basic", 20) == 10
     assert let_in(home, peer, 1110.0, second, "book", "basic", 20) == 10
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import ask, gateway, of, outcome
+from support.controllers import request_event, gateway, actions_of, completion
 from support.quota_rig import TICK_MS, Rig
 from support.snapshots import left_by
 from support.traffic import Checker, Town, settings
@@ -47,7 +47,7 @@
 
 def change(control, now, new, *before):
     """Take over these settings in a turn of its own; what is said to them."""
-    said = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
+    said = actions_of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
     assert not control.faults
     return said[0].error
 
@@ -98,7 +98,7 @@
 )
 def test_what_cannot_change_in_service_is_refused_whole_by_one_line_that_names_its_key(spoil, key):
     control, other = gateway(), gateway()
-    events = [FLEET_6, ask(1), ask(2, "debit"), ask(3, plan="open")]
+    events = [FLEET_6, request_event(1), request_event(2, "debit"), request_event(3, plan="open")]
     bad = spoil(with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", latency_objective_ms=1.0))
     actions = control.handle(1000.0, [*events, SettingsChanged(7, bad)])
     said = [action for action in actions if isinstance(action, CommandCompleted)]
@@ -107,7 +107,7 @@
     assert [one for one in actions if not isinstance(one, CommandCompleted)] == other.handle(1000.0, events)
     assert control.settings == settings()
     for step in range(1, 200):  # and nothing later either
-        more = [ask(100 + step, due=1000.0 + 20 * step + 900)]
+        more = [request_event(100 + step, due=1000.0 + 20 * step + 900)]
         assert control.handle(1000.0 + 20 * step, more) == other.handle(1000.0 + 20 * step, more)
 
 
@@ -126,7 +126,7 @@
         if self.turns % 3 == 0:
             events = [*events, SettingsChanged(self.turns, copy.deepcopy(self.settings))]
         actions = super().handle(now_ms, events)
-        assert all(action.error == "" for action in of(CommandCompleted, actions))
+        assert all(action.error == "" for action in actions_of(CommandCompleted, actions))
         return [action for action in actions if not isinstance(action, CommandCompleted)]
 
 
@@ -146,26 +146,28 @@
 
 def test_a_request_keeps_its_class_to_its_end_also_where_that_is_dropped():
     control = gateway()
-    first, second = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
+    first, second = actions_of(
+        StartAttempt, control.handle(1000.0, [FLEET_6, request_event(1, "debit"), request_event(2, "look")])
+    )
     new = without(with_class(settings(), "look", idempotency=Idempotency.NON_IDEMPOTENT), "debit")
     assert change(control, 1010.0, new) == ""
     actions = control.handle(
         1050.0,
         [
-            outcome(first, AttemptResult.ERROR),
-            outcome(second, AttemptResult.ERROR),
-            ask(3, "debit"),
-            ask(4, "look"),
+            completion(first, AttemptResult.ERROR),
+            completion(second, AttemptResult.ERROR),
+            request_event(3, "debit"),
+            request_event(4, "look"),
         ],
     )
-    by_id = {send.id: send for send in of(StartAttempt, actions)}
-    assert of(FailRequest, actions) == [FailRequest(1)]  # one run of an unsafe one, as when it came
+    by_id = {send.id: send for send in actions_of(StartAttempt, actions)}
+    assert actions_of(FailRequest, actions) == [FailRequest(1)]  # one run of an unsafe one, as when it came
     assert 2 in by_id  # a further attempt at what was safe when it came
-    assert of(RejectRequest, actions)[0].id == 3  # of a class that is not there
-    assert of(FailRequest, control.handle(1100.0, [outcome(by_id[4], AttemptResult.ERROR)])) == [
+    assert actions_of(RejectRequest, actions)[0].id == 3  # of a class that is not there
+    assert actions_of(FailRequest, control.handle(1100.0, [completion(by_id[4], AttemptResult.ERROR)])) == [
         FailRequest(4)
     ]
-    assert not of(FailRequest, control.handle(1110.0, [outcome(by_id[2], AttemptResult.OK, 1)]))
+    assert not actions_of(FailRequest, control.handle(1110.0, [completion(by_id[2], AttemptResult.OK, 1)]))
     assert not control.requests and not control.state.attempts
 
 
@@ -174,9 +176,9 @@
     control.handle(1000.0, [FLEET_6])
     new = RequestClass("new", 400, 1000, 5, Idempotency.IDEMPOTENT)
     assert change(control, 1004.0, replace(settings(), classes=(new, *settings().classes))) == ""
-    (send,) = of(StartAttempt, control.handle(1008.0, [ask(1, "new", due=2000.0)]))
+    (send,) = actions_of(StartAttempt, control.handle(1008.0, [request_event(1, "new", due=2000.0)]))
     assert control.state.top_priority == 5 * 1.5
-    control.handle(1050.0, [outcome(send, AttemptResult.OK)])
+    control.handle(1050.0, [completion(send, AttemptResult.OK)])
     fresh = Controller(control.settings, 1)
     assert (
         list(control.state.statistics.usual_latency_ms) != list(fresh.state.statistics.usual_latency_ms)
@@ -187,16 +189,18 @@
 
 def test_what_was_learned_of_a_class_stays_and_goes_with_it_once_nothing_of_it_is_open():
     control = gateway()
-    sent = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "look"), ask(2, "feed")]))
+    sent = actions_of(
+        StartAttempt, control.handle(1000.0, [FLEET_6, request_event(1, "look"), request_event(2, "feed")])
+    )
     look, feed = sorted(sent, key=lambda send: send.id)
-    control.handle(1300.0, [outcome(look, AttemptResult.OK, latency_ms=300.0)])
+    control.handle(1300.0, [completion(look, AttemptResult.OK, latency_ms=300.0)])
     usual = control.state.statistics.usual_latency_ms["look"]
     assert change(control, 1310.0, without(settings(), "feed")) == ""
     assert control.state.statistics.usual_latency_ms["look"] == usual != 150.0
     for step in range(20):
         control.handle(1400.0 + 100 * step, [])
     assert "feed" in control.state.queue.shares and control.state.overdue.by_view["feed",]
-    control.handle(3500.0, [outcome(feed, AttemptResult.OK)])
+    control.handle(3500.0, [completion(feed, AttemptResult.OK)])
     for step in range(10):
         control.handle(3600.0 + 100 * step, [])
     tables = (
@@ -215,16 +219,21 @@
     # Its home is another gateway, which has not answered.
     customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 1)
     control.handle(
-        1000.0, [FLEET_6, ask(1, plan="rated", customer=customer), ask(2, plan="capped", customer=customer)]
+        1000.0,
+        [
+            FLEET_6,
+            request_event(1, plan="rated", customer=customer),
+            request_event(2, plan="capped", customer=customer),
+        ],
     )
     assert sum(request.awaits_quota for request in control.requests.values()) == 2
     actions = control.handle(1004.0, [SettingsChanged(1, without(settings(), "capped"))])
-    assert [one.id for one in of(RejectRequest, actions)] == [2] and list(control.requests) == [1]
+    assert [one.id for one in actions_of(RejectRequest, actions)] == [2] and list(control.requests) == [1]
     assert not control.faults
     # And of its own stores: who waits there under a class that goes is denied, the others stay.
     own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_quota_weight=0.0), 1)
     home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
-    crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
+    crowd = [request_event(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
     own.handle(1000.0, [FLEET_6, *crowd])
     (store,) = own.state.quota.owner.ledgers.values()
     before = [own.settings.classes[one.message.class_index].name for one in store.queue]
@@ -232,7 +241,9 @@
     actions = own.handle(1000.001, [SettingsChanged(1, without(own.settings, "book"))])
     left = [own.settings.classes[one.message.class_index].name for one in store.queue]
     assert not own.faults and left == ["seat"] * before.count("seat")
-    assert len(of(RejectRequest, actions)) == before.count("book") and not of(StartAttempt, actions)
+    assert len(actions_of(RejectRequest, actions)) == before.count("book") and not actions_of(
+        StartAttempt, actions
+    )
 
 
 def test_what_waits_to_be_told_is_renamed_and_what_cannot_be_goes_out_by_the_old_names():
@@ -258,7 +269,7 @@
     actions = control.handle(1000.001, [SettingsChanged(1, new)])
     told = [
         item
-        for tell in of(SendPeerMessage, actions)
+        for tell in actions_of(SendPeerMessage, actions)
         for news in [PeerMessageCodec(old).decode(tell.data)]
         if news
         for item in news.quota_messages
@@ -268,7 +279,7 @@
     ]  # of the plan that is gone
     waits = control.state.quota.outbox.waiting.get(1, []) + [
         item
-        for tell in of(SendPeerMessage, actions)
+        for tell in actions_of(SendPeerMessage, actions)
         for news in [PeerMessageCodec(new).decode(tell.data)]
         if news
         for item in news.quota_messages
@@ -302,29 +313,33 @@
 def test_slots_that_are_taken_stay_taken_over_a_change_and_come_back():
     control = gateway()
     home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
-    sends = of(
+    sends = actions_of(
         StartAttempt,
-        control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))]),
+        control.handle(1000.0, [FLEET_6, *(request_event(n, plan="open", customer=home) for n in range(6))]),
     )
     assert len(sends) == 4  # as many as may be out at once
     lower = with_plan(settings(), "open", max_in_flight=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
     (store,) = control.state.quota.owner.ledgers.values()
     assert len(store.slots) == 4
-    assert not of(
+    assert not actions_of(
         StartAttempt,
-        control.handle(1008.0, [outcome(sends[0], AttemptResult.OK), outcome(sends[1], AttemptResult.OK)]),
+        control.handle(
+            1008.0, [completion(sends[0], AttemptResult.OK), completion(sends[1], AttemptResult.OK)]
+        ),
+    )
+    assert (
+        len(actions_of(StartAttempt, control.handle(1012.0, [completion(sends[2], AttemptResult.OK)]))) == 1
     )
-    assert len(of(StartAttempt, control.handle(1012.0, [outcome(sends[2], AttemptResult.OK)]))) == 1
     assert change(control, 1016.0, without(settings(), "open")) == ""
     (parted,) = control.state.quota.owner.detached.values()
     assert len(parted.slots) == 2 and not control.state.quota.owner.ledgers
     assert change(control, 1020.0, settings()) == ""
     assert (
         len(
-            of(
+            actions_of(
                 StartAttempt,
-                control.handle(1024.0, [ask(n, plan="open", customer=home) for n in range(20, 26)]),
+                control.handle(1024.0, [request_event(n, plan="open", customer=home) for n in range(20, 26)]),
             )
         )
         == 2
@@ -456,10 +471,14 @@
 
     def burst(now):
         return len(
-            of(
+            actions_of(
                 StartAttempt,
                 control.handle(
-                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                    now,
+                    [
+                        request_event(next(NAMES), "look", "plain", customer=home, due=now + 1400)
+                        for _ in range(40)
+                    ],
                 ),
             )
         )
@@ -509,7 +528,7 @@
 def test_a_store_has_what_filled_by_the_old_rate_until_the_change_and_by_the_new_one_from_then():
     control = Controller(plain(gateways=1), 1)
     control.handle(0.0, [FLEET_6])
-    control.handle(4.0, [ask(n, "look", "plain", due=1400.0) for n in range(30)])
+    control.handle(4.0, [request_event(n, "look", "plain", due=1400.0) for n in range(30)])
     (store,) = control.state.quota.owner.ledgers.values()
     control.handle(1400.0, [])  # whoever waited has gone
     control.state.quota.owner.serve(1400.0, next(iter(control.state.quota.owner.ledgers)))
@@ -531,9 +550,11 @@
         control = Controller(with_plan(plain(), "plain", rate_per_s=20.0), 1)
         home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
         control.handle(0.0, [FLEET_6])
-        sent = of(
+        sent = actions_of(
             StartAttempt,
-            control.handle(4.0, [ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)]),
+            control.handle(
+                4.0, [request_event(n, "look", "plain", customer=home, due=1400.0) for n in range(20)]
+            ),
         )
         (store,) = control.state.quota.owner.ledgers.values()
         assert sent and store.queue and 4.0 < store.next_serve_ms < 400.0
@@ -544,11 +565,11 @@
     moved = replace(control.settings, plans=(Plan("first", 1, 1), *control.settings.plans[::-1]))
     assert change(control, 4.001, moved) == "" and store.next_serve_ms == wake_ms
     assert control.state.quota.owner.ledgers == {next(iter(control.state.quota.owner.ledgers)): store}
-    assert len(of(StartAttempt, control.handle(wake_ms, []))) == 1 and not control.faults
+    assert len(actions_of(StartAttempt, control.handle(wake_ms, []))) == 1 and not control.faults
     control, store = waits()
     faster = with_plan(control.settings, "plain", rate_per_s=0.0, burst=0.0)  # nothing is counted any more
     actions = control.handle(4.001, [SettingsChanged(1, faster)])
-    assert len(of(StartAttempt, actions)) > 1 and not store.queue and not control.faults
+    assert len(actions_of(StartAttempt, actions)) > 1 and not store.queue and not control.faults
 
 
 def test_a_class_of_another_aim_is_steered_by_that_from_now_on():
@@ -590,7 +611,7 @@
 
 def test_a_change_looks_at_no_account():
     control = gateway()
-    control.handle(0.0, [FLEET_6, *(ask(n, customer=f"c{n}") for n in range(200))])
+    control.handle(0.0, [FLEET_6, *(request_event(n, customer=f"c{n}") for n in range(200))])
     control.state.quota.requester.accounts = Unseen(control.state.quota.requester.accounts)
     new = with_plan(without(settings(), "open"), "rated", rate_per_s=5.0)
     nobody = {"deny": lambda _request: None, "send": lambda _gateway, _messages: None}
@@ -692,7 +713,7 @@
         control, events = self.gateways[n], self.inbox[n]
         self.inbox[n], before = [], control.settings
         actions = control.handle(self.now, [*events, SettingsChanged(1, replace(new, gateway_number=n))])
-        (said,) = of(CommandCompleted, actions)
+        (said,) = actions_of(CommandCompleted, actions)
         if new.zone == "elsewhere":
             assert "locality" in said.error and control.settings is before
             self.refused += 1
@@ -812,9 +833,9 @@
     def turn(now, events=()):
         """Every attempt ends by the next turn, some by an error."""
         events, waits[:] = [*events, *waits], []
-        for send in of(StartAttempt, control.handle(now, events)):
+        for send in actions_of(StartAttempt, control.handle(now, events)):
             waits.append(
-                outcome(send, AttemptResult.ERROR if send.id % 5 == 0 else AttemptResult.OK, sent[send.id])
+                completion(send, AttemptResult.ERROR if send.id % 5 == 0 else AttemptResult.OK, sent[send.id])
             )
             sent[send.id] += 1
         assert not control.faults
@@ -872,10 +893,14 @@
 
     def burst(control, now):
         return len(
-            of(
+            actions_of(
                 StartAttempt,
                 control.handle(
-                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                    now,
+                    [
+                        request_event(next(NAMES), "look", "plain", customer=home, due=now + 1400)
+                        for _ in range(40)
+                    ],
                 ),
             )
         )
@@ -910,7 +935,7 @@
 def test_a_process_with_an_heir_changes_its_settings_and_leaves_the_stores_to_it():
     old = gateway()
     home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
-    crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(40)]
+    crowd = [request_event(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(40)]
     old.handle(0.0, [FLEET_6, *crowd])
     old.handle(4.0, [ExportState()])
     assert change(old, 8.0, without(with_plan(settings(), "rated", rate_per_s=100.0), "book")) == ""
--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from support.controllers import FLEET, ask, gateway, home_of, of, outcome
+from support.controllers import FLEET, request_event, gateway, owner_of, actions_of, completion
 
 from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.concurrency_limit import PERIOD_MS
@@ -72,11 +72,11 @@
     while now < until:
         if now >= 1000 + 40 * number:
             number += 1
-            events.append(ask(number, plan="capped" if number % 2 else "rated", due=now + 1400.0))
+            events.append(request_event(number, plan="capped" if number % 2 else "rated", due=now + 1400.0))
         if now >= 1500 and now % 200 == 0:  # most endpoints go to draining, and back to ready
             events.append(DRAINING_ENDPOINTS if now % 400 else FLEET)
         events += [
-            outcome(send, AttemptResult.OK, attempt) for at, send, attempt in pending_answers if at <= now
+            completion(send, AttemptResult.OK, attempt) for at, send, attempt in pending_answers if at <= now
         ]
         pending_answers = [row for row in pending_answers if row[0] > now]
         if any(at <= now for at in timers):
@@ -102,7 +102,7 @@
 
 
 def quota_owner_gateway(**more):
-    return gateway(number=home_of("c"), **more)
+    return gateway(number=owner_of("c"), **more)
 
 
 def test_run_without_exceptions_serves_requests_with_few_extra_attempts():
@@ -165,7 +165,7 @@
     control.handle(1000.0, [FLEET])
     others = sorted({0, 1, 2} - {control.settings.gateway_number})
     calls = make_step_raise(monkeypatch, "peer_messages.PeerMessageCodec.encode", lambda count, _: count == 1)
-    messages = of(SendPeerMessage, control.handle(1000.0 + 600, []))
+    messages = actions_of(SendPeerMessage, control.handle(1000.0 + 600, []))
     assert (
         len(calls) == 2
         and [message.receiver for message in messages] == others[1:]
@@ -177,7 +177,7 @@
     """A NaN time in the timer queue would break its order, since NaN compares neither less nor greater."""
     control = quota_owner_gateway()
     control.handle(1000.0, [FLEET])
-    odd = ask(1, due=math.nan)
-    assert of(RejectRequest, control.handle(1001.0, [odd])) and not control.requests
+    odd = request_event(1, due=math.nan)
+    assert actions_of(RejectRequest, control.handle(1001.0, [odd])) and not control.requests
     assert all(at == at for at, *_ in control.state.timers.entries)
-    assert not of(StartAttempt, control.handle(1002.0, [PeerMessageReceived(1, b"")]))
+    assert not actions_of(StartAttempt, control.handle(1002.0, [PeerMessageReceived(1, b"")]))
--- a/tests/support/controllers.py
+++ b/tests/support/controllers.py
@@ -20,15 +20,15 @@
     return Controller(settings(**more), 1)
 
 
-def ask(number, name="look", plan="rated", due=5000.0, customer="c", units=1):
+def request_event(number, name="look", plan="rated", due=5000.0, customer="c", units=1):
     return RequestReceived(number, customer, name, plan, due, units, 0, 3)
 
 
-def of(kind, actions):
+def actions_of(kind, actions):
     return [action for action in actions if isinstance(action, kind)]
 
 
-def outcome(send, result, attempt=0, latency_ms=50.0, final=None):
+def completion(send, result, attempt=0, latency_ms=50.0, final=None):
     final = result is AttemptResult.OK if final is None else final
     return AttemptCompleted(send.id, attempt, send.endpoint, latency_ms, result, final)
 
@@ -41,5 +41,5 @@
     )
 
 
-def home_of(customer, first=0, spread=3):
+def owner_of(customer, first=0, spread=3):
     return first + peer_messages.owner_position(peer_messages.customer_tag(customer), spread)
--- a/tests/support/snapshots.py
+++ b/tests/support/snapshots.py
@@ -2,7 +2,7 @@
 
 import json
 
-from support.controllers import of
+from support.controllers import actions_of
 
 from plumpick.policy.actions import StateExported
 from plumpick.policy.events import (
@@ -11,5 +11,5 @@
 
 
 def left_by(control, now):
-    (state,) = of(StateExported, control.handle(now, [ExportState()]))
+    (state,) = actions_of(StateExported, control.handle(now, [ExportState()]))
     return json.loads(json.dumps(state.state, allow_nan=False))
