--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import FLEET, request_event, owner_of, make_quota_message, actions_of
+from support.controllers import FLEET, actions_of, make_quota_message, owner_of, request_event
 from support.fakes import (
     HOST,
     Client,
--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -5,12 +5,12 @@
 import pytest
 from support.controllers import (
     FLEET,
-    request_event,
-    gateway,
-    owner_of,
-    make_quota_message,
     actions_of,
     completion,
+    gateway,
+    make_quota_message,
+    owner_of,
+    request_event,
 )
 from support.traffic import settings
 
--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import FLEET, request_event, gateway, actions_of, completion
+from support.controllers import FLEET, actions_of, completion, gateway, request_event
 from support.traffic import settings
 
 from plumpick.policy.actions import CommandCompleted, RejectRequest, SetAdmissionState, StartAttempt
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from support.controllers import request_event, gateway, actions_of, completion
+from support.controllers import actions_of, completion, gateway, request_event
 from support.quota_rig import TICK_MS, Rig
 from support.snapshots import left_by
 from support.traffic import Checker, Town, settings
--- a/tests/policy/test_turn.py
+++ b/tests/policy/test_turn.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from support.controllers import FLEET, request_event, gateway, owner_of, actions_of, completion
+from support.controllers import FLEET, actions_of, completion, gateway, owner_of, request_event
 
 from plumpick.policy.actions import FailRequest, RejectRequest, SendPeerMessage, SetTimer, StartAttempt
 from plumpick.policy.concurrency_limit import PERIOD_MS
