--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from support.traffic import Checker, Town, settings
+from support.traffic import RuleChecker, TrafficSimulation, settings
 
 from plumpick.policy.actions import StartAttempt
 from plumpick.policy.events import AttemptResult
@@ -59,7 +59,7 @@
     return lambda **own: settings(classes=tuple(classes), plans=tuple(plans), **more, **own)
 
 
-class AttemptTimingChecker(Checker):
+class AttemptTimingChecker(RuleChecker):
     """Also checks max_attempts, that nothing is hedged unless the settings allow it, and the time at which a
     retry is actually sent."""
 
@@ -84,7 +84,7 @@
             )
 
 
-class LateConnectionTraffic(Town):
+class LateConnectionTraffic(TrafficSimulation):
     """Random traffic with late connections; attempts that pass their start_within_ms are not sent."""
 
     def __init__(self, seed, **more):
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -11,7 +11,7 @@
 from support.controllers import actions_of, completion, gateway, request_event
 from support.quota_rig import TICK_MS, Rig
 from support.snapshots import left_by
-from support.traffic import Checker, Town, settings
+from support.traffic import RuleChecker, TrafficSimulation, settings
 
 from plumpick.policy import reconfiguration
 from plumpick.policy.actions import (
@@ -132,10 +132,10 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_same_settings_over_again_change_no_action(seed, monkeypatch):
-    plain = Town(seed, gateways=3)
+    plain = TrafficSimulation(seed, gateways=3)
     plain.run(8000)
     monkeypatch.setattr("support.traffic.Controller", Often)
-    told = Town(seed, gateways=3)
+    told = TrafficSimulation(seed, gateways=3)
     told.run(8000)
     assert all(isinstance(one, Often) for one in told.gateways.values())
     assert len(plain.log) > 1000 and plain.log == told.log
@@ -672,7 +672,7 @@
     )
 
 
-class OwnKinds(Checker):
+class OwnKinds(RuleChecker):
     """Each request by the class under which it came."""
 
     def __init__(self, config):
@@ -690,7 +690,7 @@
         self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # ceilings are looked at elsewhere
 
 
-class Street(Town):
+class Street(TrafficSimulation):
     """Gateways whose settings change at any time, each for itself, also to and fro; lists, messages, copies,
     deaths and handovers go on meanwhile."""
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -7,7 +7,7 @@
 import random
 
 import pytest
-from support.traffic import TICK_MS, Town, settings
+from support.traffic import TICK_MS, TrafficSimulation, settings
 
 from plumpick.policy.actions import (
     StartAttempt,
@@ -25,20 +25,20 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_rules_hold_for_random_event_sequences(seed):
-    simulation = Town(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
+    simulation = TrafficSimulation(seed, gateways=2 + seed % 3, loss=(0.1, 0.5, 1.0)[seed % 3])
     simulation.run(20_000)
     assert len(simulation.checker.done) > 1000
     assert sum(len(sent) > 1 for sent in simulation.checker.sent.values()) > 20
 
 
 def test_rules_hold_while_gateways_are_killed_often():
-    simulation = Town(99, kill=0.01, rate=300)
+    simulation = TrafficSimulation(99, kill=0.01, rate=300)
     simulation.run(15_000)
     assert max(simulation.incarnations.values()) > 5
 
 
 def test_same_events_give_same_actions():
-    first, second = Town(7), Town(7)
+    first, second = TrafficSimulation(7), TrafficSimulation(7)
     first.run(4000)
     second.run(4000)
     assert first.log == second.log
--- a/tests/support/traffic.py
+++ b/tests/support/traffic.py
@@ -101,7 +101,7 @@
     return Settings(**values)
 
 
-class Checker:
+class RuleChecker:
     """Records attempts and answers independently of the controllers; an assertion fails at the first broken
     rule.
     """
@@ -170,13 +170,13 @@
         self.done.add(number)
 
 
-class Town:
+class TrafficSimulation:
     """A few gateways, endpoints with random results, and a network with lost, late and repeated messages."""
 
     def __init__(self, seed, gateways=3, kill=0.0005, loss=0.3, rate=120, settings_of=settings):
         self.rng = random.Random(seed)
         self.settings_of, self.config = settings_of, settings_of(gateways=gateways)
-        self.checker = Checker(self.config)
+        self.checker = RuleChecker(self.config)
         self.loss, self.kill, self.rate = loss, kill, rate
         self.now, self.serial, self.queue, self.log = 1000.0, 0, [], []
         self.inbox = {n: [] for n in range(gateways)}
