--- a/tests/policy/test_any_settings.py
+++ b/tests/policy/test_any_settings.py
@@ -76,8 +76,8 @@
 
     def on_attempt_sent(self, now, number):
         """Check the latest attempt of a request at the time when its bytes are sent."""
-        _, arrival = self.open[number]
-        kind, unproven = self.kinds[arrival.class_name], self.unproven_attempts(number)
+        _, request = self.open[number]
+        kind, unproven = self.kinds[request.class_name], self.unproven_attempts(number)
         if kind.idempotency is Idempotency.KEYED and len(unproven) > 1:
             assert now - unproven[0][0] <= kind.deduplication_window_ms, (
                 "rule 2: retry sent after the deduplication window"
@@ -91,9 +91,9 @@
         super().__init__(seed, **more)
         self.checker, self.withheld_attempts = AttemptTimingChecker(self.config), 0
 
-    def act(self, n, action):
+    def execute(self, n, action):
         if not isinstance(action, StartAttempt):
-            super().act(n, action)
+            super().execute(n, action)
             return
         endpoint = next(one for one in self.fleet if one.id == action.endpoint)
         self.checker.send(self.now, action.id, endpoint, self.drained_since_ms[n].get(endpoint.id))
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -685,8 +685,8 @@
             kind = self.kind_of[number]
             self.kinds = {kind.name: kind}
 
-    def arrival(self, gateway, arrival):
-        super().arrival(gateway, arrival)
+    def on_request(self, gateway, arrival):
+        super().on_request(gateway, arrival)
         self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # ceilings are looked at elsewhere
 
 
@@ -723,7 +723,7 @@
             self.changes += 1
         self.check(control)
         for action in actions:
-            self.act(n, action)
+            self.execute(n, action)
 
     def check(self, control):
         assert not control.faults, control.faults
@@ -750,18 +750,18 @@
             == control.state.statistics.timely_ratio.keys()
         )
 
-    def arrive(self):
+    def receive_request(self):
         # Of what one gateway has in force, at any: another may know no such class, and has to refuse it.
         self.config = self.gateways[self.rng.randrange(len(self.gateways))].settings
         number = self.serial + 1
-        super().arrive()
+        super().receive_request()
         gateway, arrival = self.checker.open[number]
         known = {kind.name: kind for kind in self.gateways[gateway].settings.classes}
         self.checker.kind_of[number] = known.get(arrival.class_name) or RequestClass(
             arrival.class_name, 1, 1, 1, Idempotency.NON_IDEMPOTENT
         )
 
-    def act(self, n, action):
+    def execute(self, n, action):
         assert isinstance(
             action,
             (
@@ -784,7 +784,7 @@
             self.checker.of(action.id)
         if isinstance(action, StartAttempt):
             assert 0 < action.timeout_ms < 60_000
-        super().act(n, action)
+        super().execute(n, action)
 
     def deliver(self, gateway, event):
         if isinstance(event, tuple):
@@ -800,7 +800,7 @@
         control = self.gateways[n]
         events, self.inbox[n] = self.inbox[n], []
         for action in control.handle(self.now, events):
-            self.act(n, action)
+            self.execute(n, action)
         state = left_by(control, self.now)
         self.in_force[n] = self.chance.choice(self.pool)
         new = Controller(self.now_at(n), self.chance.randrange(1 << 30))
@@ -809,7 +809,7 @@
         for action in control.handle(
             self.now, [ResumeAfterFailedHandover()]
         ):  # the heir dies, and the old one goes on
-            self.act(n, action)
+            self.execute(n, action)
         self.in_force[n] = control.settings
         self.check(control)
 
--- a/tests/support/traffic.py
+++ b/tests/support/traffic.py
@@ -113,9 +113,9 @@
         self.open, self.sent, self.not_executed, self.done = {}, {}, {}, set()
         self.hard_limit_levels = {}
 
-    def arrival(self, gateway, arrival):
-        self.open[arrival.id] = (gateway, arrival)
-        self.sent[arrival.id], self.not_executed[arrival.id] = [], set()
+    def on_request(self, gateway, request):
+        self.open[request.id] = (gateway, request)
+        self.sent[request.id], self.not_executed[request.id] = [], set()
 
     def on_gateway_killed(self, gateway):
         for number in [n for n, (owner, _) in self.open.items() if owner == gateway]:
@@ -127,8 +127,8 @@
 
     def send(self, now, number, endpoint, drained_ms):
         assert number in self.open, f"rule 1: attempt of request {number} after its end"
-        _, arrival = self.open[number]
-        kind, plan = self.kinds[arrival.class_name], self.plans[arrival.plan_name]
+        _, request = self.open[number]
+        kind, plan = self.kinds[request.class_name], self.plans[request.plan_name]
         assert drained_ms is None or now <= drained_ms + DRAIN_GRACE_MS, (
             "rule 3: attempt at a draining endpoint"
         )
@@ -147,19 +147,19 @@
             if kind.deduplication_scope is DeduplicationScope.ZONE:
                 assert first.zone == endpoint.zone, "rule 2: retry in another zone"
         if not self.sent[number] and plan.hard_limit_per_s:
-            level, at = self.hard_limit_levels.get(arrival.customer, (plan.hard_limit_burst, now))
+            level, at = self.hard_limit_levels.get(request.customer, (plan.hard_limit_burst, now))
             level = (
-                min(plan.hard_limit_burst, level + (now - at) / 1000 * plan.hard_limit_per_s) - arrival.units
+                min(plan.hard_limit_burst, level + (now - at) / 1000 * plan.hard_limit_per_s) - request.units
             )
-            message = f"rule 5: hard limit of customer {arrival.customer} exceeded, level {level}"
+            message = f"rule 5: hard limit of customer {request.customer} exceeded, level {level}"
             assert level >= -plan.hard_limit_slack - 1e-6, message
-            self.hard_limit_levels[arrival.customer] = (level, now)
+            self.hard_limit_levels[request.customer] = (level, now)
         self.sent[number].append((now, endpoint))
 
     def answer(self, now, number, is_rejected):
-        _, arrival = self.open.pop(number)
-        kind = self.kinds[arrival.class_name]
-        assert now <= arrival.deadline_ms + DEADLINE_SLACK_MS, "rule 1: answer after the deadline"
+        _, request = self.open.pop(number)
+        kind = self.kinds[request.class_name]
+        assert now <= request.deadline_ms + DEADLINE_SLACK_MS, "rule 1: answer after the deadline"
         if is_rejected and self.unproven_attempts(number):
             is_deduplicated_everywhere = (
                 kind.idempotency is Idempotency.KEYED and kind.deduplication_scope is DeduplicationScope.ALL
@@ -218,7 +218,7 @@
             else:
                 self.drained_since_ms[gateway].setdefault(old.id, self.now)
 
-    def arrive(self):
+    def receive_request(self):
         gateway = self.rng.randrange(len(self.gateways))
         self.serial += 1
         kind = self.rng.choice(self.config.classes)
@@ -229,7 +229,7 @@
         if spread == 2:
             gateway = self.rng.randrange(2)
         due = self.now + kind.deadline_ms * self.rng.uniform(0.05, 1)
-        arrival = RequestReceived(
+        request = RequestReceived(
             self.serial,
             customer,
             kind.name,
@@ -239,10 +239,10 @@
             0 if spread == 2 else first * 0,
             spread,
         )
-        self.checker.arrival(gateway, arrival)
-        self.inbox[gateway].append(arrival)
+        self.checker.on_request(gateway, request)
+        self.inbox[gateway].append(request)
 
-    def act(self, n, action):
+    def execute(self, n, action):
         if isinstance(action, StartAttempt):
             endpoint = next(s for s in self.fleet if s.id == action.endpoint)
             self.checker.send(self.now, action.id, endpoint, self.drained_since_ms[n].get(endpoint.id))
@@ -325,7 +325,7 @@
             self.now += TICK_MS
             if self.now < end:
                 while self.rng.random() < self.rate * TICK_MS / 1000 / (1 + self.rate * TICK_MS / 1000):
-                    self.arrive()
+                    self.receive_request()
                 if self.rng.random() < 0.002:
                     self.change_random_endpoint()
                 if self.rng.random() < self.kill:
@@ -340,11 +340,11 @@
                     actions = controller.handle(self.now, events)
                     self.log.append((n, self.now, actions))
                     for action in actions:
-                        self.act(n, action)
+                        self.execute(n, action)
             overdue = [
                 n
-                for n, (_, arrival) in self.checker.open.items()
-                if arrival.deadline_ms + DEADLINE_SLACK_MS < self.now and n not in self.streaming
+                for n, (_, request) in self.checker.open.items()
+                if request.deadline_ms + DEADLINE_SLACK_MS < self.now and n not in self.streaming
             ]
             assert not overdue, f"rule 1: no answer in time for requests {overdue[:3]}"
             assert self.now < end + 60_000
