--- a/plumpick/policy/concurrency_limit.py
+++ b/plumpick/policy/concurrency_limit.py
@@ -24,8 +24,10 @@
 MIN_BACKOFF_FACTOR = 0.3
 RECOVERY_RATIO = 1.05  # factor by which the limit recovers in a period without too many rejected attempts
 RATE_MEMORY_MS = 1000.0  # time constant of decaying means and peaks
-BURST_ATTEMPTS = 1.5  # number of attempts by which the limit may be exceeded while the mean is within it
-BURST_SPREAD = 1.0  # tolerance of that mean, in square roots of the limit (the scatter of a small count)
+BURST_ATTEMPTS = 1.5  # number of attempts by which a burst may exceed the limit
+# Excess of the mean in flight over the limit at which bursts are no longer allowed, in square roots of the
+# limit: the statistical scatter of a small count
+BURST_SPREAD = 1.0
 MIN_LIMIT = 1.0  # minimum limit; below one attempt, chance arrivals rather than load would reach the limit
 MIN_SAMPLES = 5  # number of samples below which statistics of this gateway alone are not relied on
 PEER_CAPACITY_GAIN = 0.1  # smoothing factor of the capacities reported by other gateways
--- a/plumpick/policy/load_balancing.py
+++ b/plumpick/policy/load_balancing.py
@@ -25,11 +25,11 @@
 MIN_COMPARED = 2.0  # minimum number of endpoints compared for an attempt
 COMPARED_PER_ATTEMPT = 4.0  # number of further endpoints compared per recent attempt to each endpoint
 FOREIGN_LOAD_MEMORY_MS = 1000.0  # time constant with which a load report loses weight
-MIN_WEIGHT = 0.01
+MIN_WEIGHT = 0.01  # minimum endpoint weight that divides the cost
 
 MAX_WARMING_FAILURE_RATIO = 0.5  # failure ratio from which an endpoint in slow start gets no attempts
 WARMING_SAMPLE_MS = 1000.0  # time after which a request may be drawn again for an endpoint in slow start
-WARMING_SAMPLE_NO_WARM_MS = 100.0  # the same time while no endpoint is warm
+WARMING_SAMPLE_NO_WARM_MS = 100.0  # time after which a request may be drawn again while no endpoint is warm
 # Fraction of settings.overload_multiple up to which endpoints in slow start make up for missing warm capacity
 WARMING_LOAD_RATIO = 0.8
 
@@ -125,8 +125,8 @@
         is_non_idempotent = request.request_class.idempotency is Idempotency.NON_IDEMPOTENT
         failure_weight = (NON_IDEMPOTENT_FAILURE_FACTOR if is_non_idempotent else 1) * FAILURE_WEIGHT
         zone = self.table.settings.zone
-        chance = self.rng.random
-        scatter = MAX_RANDOM_COST_FACTOR - 1.0
+        draw = self.rng.random
+        jitter = MAX_RANDOM_COST_FACTOR - 1.0
         failure_ratio = self.outliers.failure_ratio
         best: TrackedEndpoint | None = None
         best_cost = math.inf
@@ -144,7 +144,7 @@
                 cost *= 1 + failure_weight * failure_ratio(now_ms, tracked, class_name) ** 2
             if endpoint.zone != zone:
                 cost *= CROSS_ZONE_FACTOR
-            cost *= 1.0 + scatter * chance()
+            cost *= 1.0 + jitter * draw()
             if cost < best_cost:
                 best = tracked
                 best_cost = cost
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -50,7 +50,7 @@
     together."""
     rng = random.Random(seed)
     gateways = {n: Controller(settings(number=n), rng.randrange(1 << 30)) for n in range(3)}
-    now, serial, sends, outs = 50_000.0, 0, [], []
+    now, serial, sends, pending_answers = 50_000.0, 0, [], []
     fleet = [Endpoint(f"s{n}", "z0", 0, EndpointState.READY) for n in range(5)]
     cold = Endpoint("cold", "z0", 0, EndpointState.READY, 1.0, 52_000.0)
     while now < 56_000:
@@ -66,14 +66,14 @@
                 events.append(
                     RequestReceived(serial, f"c{serial % 400}", "look", "rated", now + 1500, 1, 0, 3)
                 )
-            while outs and outs[0][0] <= now and outs[0][1] == n:
-                _, _, number, endpoint = heapq.heappop(outs)
+            while pending_answers and pending_answers[0][0] <= now and pending_answers[0][1] == n:
+                _, _, number, endpoint = heapq.heappop(pending_answers)
                 events.append(AttemptCompleted(number, 0, endpoint, 120.0, AttemptResult.OK, True))
             for action in controller.handle(now, events):
                 if isinstance(action, StartAttempt):
                     sends.append((now, action.endpoint))
-                    heapq.heappush(outs, (now + 120, n, action.id, action.endpoint))
-        outs.sort()
+                    heapq.heappush(pending_answers, (now + 120, n, action.id, action.endpoint))
+        pending_answers.sort()
     for start in range(52_000, 54_500, 100):
         window = [endpoint for at, endpoint in sends if start <= at < start + 1500]
         share = 0.25 + 0.75 * (start + 1500 - 52_000) / 8000
--- a/tests/support/traffic.py
+++ b/tests/support/traffic.py
@@ -275,8 +275,8 @@
             self.schedule(max(action.delay_ms, 1e-3), n, TimerFired(action.name))
         elif isinstance(action, SendPeerMessage):
             assert len(action.data) <= 256
-            copies = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
-            for _ in range(copies):
+            deliveries = 0 if self.rng.random() < self.loss else self.rng.choice((1, 1, 1, 2))
+            for _ in range(deliveries):
                 data = action.data if self.rng.random() > 0.02 else action.data[: self.rng.randrange(20)]
                 self.schedule(self.rng.expovariate(1 / 60), action.receiver, PeerMessageReceived(n, data))
 
