--- a/plumpick/policy/actions.py
+++ b/plumpick/policy/actions.py
@@ -1,4 +1,5 @@
-"""What the decision module asks to be done. Times are milliseconds; ids of requests are the caller's."""
+"""The actions that the decision module requests from its caller. Times are in milliseconds; the caller
+assigns the ids of requests."""
 
 from __future__ import annotations
 
@@ -12,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send a request to an endpoint; its attempts are numbered from 0 in the order of these actions. Due: an
-    AttemptCompleted, at the latest when the timeout is over.
+    """Send a request to an endpoint. The attempts of a request are numbered from 0, in the order of these
+    actions. The caller answers by an AttemptCompleted, at the latest when the timeout expires.
 
-    `start_within_ms`: how long from now its first byte may still leave. A retry has to arrive while its
-    deduplication group knows the first attempt; one that cannot leave by then must not leave at all."""
+    `start_within_ms`: time from now within which the first byte must be sent, or the attempt must not be sent
+    at all. A retry has to arrive while the workers of its deduplication group remember the first attempt."""
 
     id: int
     endpoint: str
@@ -26,8 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not executed, or without harm if it is executed again. `retry_after_ms`: 0 for no
-    advice."""
+    """Answer the client finally that the request was not executed, or may safely be executed again.
+
+    `retry_after_ms`: delay to recommend before a retry; 0 for no recommendation."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -35,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: it may have been executed."""
+    """Answer the client finally that the request failed and may have been executed."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt. Due: its AttemptCompleted."""
+    """Cancel an attempt. The caller still answers by its AttemptCompleted."""
 
     id: int
     attempt: int
@@ -50,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired; it cannot be withdrawn."""
+    """Set a timer, which the caller answers by a TimerFired; a timer cannot be cancelled."""
 
     delay_ms: float
     name: str
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send bytes to another gateway; they may be lost."""
+    """Send a message to another gateway, without a guarantee of delivery."""
 
     receiver: int
     data: bytes
@@ -66,19 +68,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEndpoint:
-    """Ask an endpoint for its load. Due: a ProbeCompleted."""
+    """Request the load report of an endpoint, which the caller answers by a ProbeCompleted."""
 
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on. Due: EndpointsUpdated."""
+    """Begin to watch the endpoint list of discovery, which the caller answers by EndpointsUpdated events."""
 
 
 @dataclass(frozen=True, slots=True)
 class CommandCompleted:
-    """The answer to an OperatorCommand or to SettingsChanged. `error`: one line; empty: it is in force."""
+    """The answer to an OperatorCommand or to SettingsChanged.
+
+    `error`: one line that says why it was not applied; empty if it is in force."""
 
     id: int
     error: str = ""
@@ -86,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAdmissionState:
-    """From now on treat clients' connections so."""
+    """Treat clients' connections according to this admission state from now on."""
 
     state: AdmissionState
 
 
 @dataclass(frozen=True, slots=True)
 class StateExported:
-    """What the next process goes on from, as JSON's values."""
+    """The state for the hot-restart successor, as values that JSON can hold."""
 
     state: Mapping[str, Any]
 
--- a/plumpick/policy/endpoint_state.py
+++ b/plumpick/policy/endpoint_state.py
@@ -1,5 +1,7 @@
-"""What a gateway knows of one endpoint. Owner: EndpointTable; bound: the endpoints listed, and those that
-have gone while attempts are still in flight there."""
+"""The state that a gateway keeps for one endpoint.
+
+EndpointTable owns one TrackedEndpoint for each listed endpoint, and for each endpoint that has gone while
+attempts are still in flight there."""
 
 from __future__ import annotations
 
@@ -8,26 +10,29 @@
 
 from plumpick.policy.events import Endpoint
 
-SLOWNESS_MEMORY_MS = 15_000.0  # an old spell of slowness is no verdict
+# Time constant with which an endpoint's measured latency ratio decays to 1 while no attempt completes.
+SLOWNESS_MEMORY_MS = 15_000.0
 
 
 @dataclass(slots=True, eq=False)
 class TrackedEndpoint:
-    """One endpoint, as discovery lists it and as attempts have found it."""
+    """One endpoint: its entry in discovery's list, and what this gateway's attempts have measured."""
 
     endpoint: Endpoint
-    in_flight: int = 0  # attempts of this gateway
-    latency_ratio: float = 1.0  # its latency against the usual one of each class
-    completed: dict[str, float] = field(default_factory=dict)  # fading counts of attempts, by class
-    failed: dict[str, float] = field(default_factory=dict)  # of these, that failed
-    observed_ms: float = 0.0  # when an attempt completed last
-    foreign_load: float = 0.0  # attempts of others, by its last load report
-    load_report_ms: float = -math.inf
-    slow_start_sent_ms: list[float] = field(default_factory=list)  # attempts started while it warmed up
-    peer_report_ms: dict[int, float] = field(default_factory=dict)  # when a report last counted, by peer
-    failure_reporters: dict[int, float] = field(default_factory=dict)  # who saw it fail, and when
-    ring_position: int = 0  # subsetting.py
+    in_flight: int = 0  # Number of this gateway's attempts in flight
+    latency_ratio: float = 1.0  # Latency of its attempts, relative to the usual latency of their class
+    completed: dict[str, float] = field(default_factory=dict)  # Decaying count of completed attempts by class
+    failed: dict[str, float] = field(default_factory=dict)  # Decaying count of failed attempts by class
+    observed_ms: float = 0.0  # Time at which an attempt last completed
+    foreign_load: float = 0.0  # Number of other gateways' attempts in flight, by the last load report
+    load_report_ms: float = -math.inf  # Time of the last load report
+    slow_start_sent_ms: list[float] = field(default_factory=list)  # Start times of attempts during slow start
+    peer_report_ms: dict[int, float] = field(default_factory=dict)  # Time of the last counted report by peer
+    failure_reporters: dict[int, float] = field(
+        default_factory=dict
+    )  # Time of the last failure by reporting gateway
+    ring_position: int = 0  # Position on the hash ring of subsetting.py
 
     def current_latency_ratio(self, now_ms: float) -> float:
-        """The latency ratio, faded by the time since an attempt completed last."""
+        """Return the latency ratio, decayed towards 1 with the time since an attempt last completed."""
         return 1 + (self.latency_ratio - 1) * math.exp((self.observed_ms - now_ms) / SLOWNESS_MEMORY_MS)
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -1,5 +1,5 @@
-"""What happened, as the decision module is told it. Times are milliseconds; ids of requests are the
-caller's."""
+"""The events that the decision module receives. Times are in milliseconds; the caller assigns the ids of
+requests."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended."""
+    """The result of a completed attempt."""
 
     OK = "ok"
     ERROR = "error"
-    REJECTED_BY_WORKER = "full"  # the worker says that it did not execute it
+    REJECTED_BY_WORKER = "full"  # The worker answered that it did not execute the request.
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"  # no byte was sent, which was not the worker's doing
+    NOT_STARTED = "moot"  # No byte was sent, for a reason that is not the worker's.
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether the worker cannot have begun the work."""
+        """Whether the result proves that the worker has not begun to execute the request."""
         return self in (
             AttemptResult.REJECTED_BY_WORKER,
             AttemptResult.CONNECT_FAILED,
@@ -34,7 +34,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint according to discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -49,14 +49,16 @@
     zone: str
     deduplication_group: int
     state: EndpointState
-    weight: float = 1.0  # its capacity against the others'
-    started_ms: float = 0.0  # 0: long ago
+    weight: float = 1.0  # Capacity relative to the other endpoints
+    started_ms: float = 0.0  # Clock time at which the worker started; 0 if it has long been warm
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """Discovery answered, or could not be asked (`is_failure`; it carries nothing then). A snapshot replaces
-    the list, a delta changes the endpoints that it names."""
+    """An update of the endpoint list from discovery. A snapshot replaces the whole list, a delta only the
+    endpoints that it names.
+
+    `is_failure`: the call to discovery failed; the event then carries no endpoints."""
 
     endpoints: tuple[Endpoint, ...]
     is_snapshot: bool = True
@@ -65,24 +67,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request has come whole, or its head if its body is streamed. Due: one final answer before
-    the deadline, a RejectRequest, a FailRequest, or an attempt that is answered."""
+    """A client's request was received whole, or only its head if its body is streamed.
+
+    The module must end it before its deadline in exactly one way: by a RejectRequest, by a FailRequest, or by
+    an attempt whose response goes to the client."""
 
     id: int
     customer: str
     class_name: str
     plan_name: str
-    deadline_ms: float  # clock time
-    units: float = 1.0
-    first_gateway: int = 0  # of the customer's set of gateways, which are numbered in a row
+    deadline_ms: float  # Clock time after which the client no longer waits
+    units: float = 1.0  # Quota units that the request consumes
+    # The customer's requests go to gateway_set_size gateways with consecutive numbers from first_gateway on.
+    first_gateway: int = 0
     gateway_set_size: int = 1
     is_client_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """An attempt's answer, or a streamed request body, has begun to pass: the attempt belongs to the client
-    now, and the others are cancelled. A body that is not retained allows no further attempt."""
+    """The response of an attempt has begun to pass to the client, or a streamed request body to the worker.
+
+    The request is bound to this attempt from then on, and its other attempts are cancelled.
+    `is_body_retained`: whether the request body is still there; without it no further attempt is possible."""
 
     id: int
     attempt: int
@@ -92,9 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt has ended. Comes once for each StartAttempt, also after its request's end; `is_final`: the
-    request has its answer. Without it a retry, a RejectRequest or a FailRequest is due once no attempt is in
-    flight."""
+    """An attempt has ended. Follows each StartAttempt exactly once, even after the end of its request.
+
+    `is_final`: whether the client has its response. If not, the module must answer with a retry, a
+    RejectRequest or a FailRequest once no attempt of the request is in flight."""
 
     id: int
     attempt: int
@@ -102,28 +110,30 @@
     latency_ms: float
     result: AttemptResult
     is_final: bool
-    actual_units: float = 0.0
-    quota_used_percent: int = 0  # 1 + percent; 0: not told
-    load_report: tuple[float, ...] = ()  # in the order of Settings.load_report_fields
+    actual_units: float = 0.0  # Quota units that the request really consumed
+    quota_used_percent: int = 0  # Used part of the quota in percent, plus 1; 0 if unknown
+    load_report: tuple[float, ...] = ()  # Values in the order of Settings.load_report_fields
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has left, or was answered elsewhere: nothing more is due to it."""
+    """The client has disconnected, or has its response from elsewhere: the request needs no answer any
+    more."""
 
     id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was asked for by SetTimer."""
+    """A timer that was set by SetTimer has expired."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Bytes from another gateway, or, under our own number, from another process of this one."""
+    """A message was received from another gateway; with this gateway's own number as `sender`, from another
+    process of this gateway."""
 
     sender: int
     data: bytes
@@ -131,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeCompleted:
-    """The answer to a ProbeEndpoint."""
+    """The result of a ProbeEndpoint."""
 
     endpoint: str
     latency_ms: float
@@ -141,23 +151,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The answer of the shared counter; this module makes no such calls."""
+    """A reply of the simulator's shared counter. The module never calls the counter and ignores this
+    event."""
 
     name: str
 
 
 class CommandKind(Enum):
-    """What an operator may command."""
+    """The kinds of operators' commands."""
 
-    DISABLE = "disable"  # a worker gets nothing more
-    ENABLE = "enable"  # it is in use again
-    DRAIN = "drain"  # clients are sent away
-    UNDRAIN = "undrain"  # they are admitted again
+    DISABLE = "disable"  # Send no more attempts to the named worker.
+    ENABLE = "enable"  # Use a disabled worker again.
+    DRAIN = "drain"  # Direct clients to other gateways.
+    UNDRAIN = "undrain"  # Admit clients again after DRAIN.
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorCommand:
-    """An operator's command. Due in the same turn: a CommandCompleted with its id."""
+    """An operator's command. The module answers in the same turn, by a CommandCompleted with its id."""
 
     id: int
     kind: CommandKind
@@ -166,8 +177,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings from now on. Due in the same turn: a CommandCompleted with its id; on an error nothing
-    has changed."""
+    """New settings to apply. The module answers in the same turn, by a CommandCompleted with its id; after an
+    error the old settings stay in force unchanged."""
 
     id: int
     settings: Settings
@@ -175,19 +186,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ExportState:
-    """Another process of this gateway takes over. Due in the same turn: a StateExported."""
+    """The hot-restart successor of this process takes over. The module answers in the same turn, by a
+    StateExported."""
 
 
 @dataclass(frozen=True, slots=True)
 class ImportState:
-    """The state that the process before this one has exported."""
+    """The state that the hot-restart predecessor of this process has exported."""
 
     state: Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class ResumeAfterFailedHandover:
-    """The process that took over has died; this one goes on."""
+    """The hot-restart successor has died after it took over, and this process resumes service."""
 
 
 Event = (
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -1,27 +1,28 @@
-"""What a gateway is told when it starts: request classes, quota plans and limits. Times are milliseconds.
+"""The settings of a gateway: request classes, quota plans and limits. Times are in milliseconds.
 
-settings_parser.py reads them from the platform's JSON, under the names that operators know; errors here name
-those."""
+settings_parser.py builds these types from the platform's JSON. Error messages name the JSON keys, in snake
+case, because operators know the settings by those."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
 
-MAX_CLASSES = 1 << 16  # an index of a class and a plan takes 4 bytes of a message between gateways
+# Maximum numbers of classes and of plans: messages between gateways hold both indexes in 4 bytes.
+MAX_CLASSES = 1 << 16
 MAX_PLANS = 1 << 12
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # it may be executed any number of times
-    KEYED = "keyed"  # a group of workers drops a duplicate for a while, by its idempotency key
-    NON_IDEMPOTENT = "unsafe"  # it must never be executed twice
+    IDEMPOTENT = "safe"  # Repeated executions do no harm.
+    KEYED = "keyed"  # Workers of a group drop duplicates by idempotency key, within a time window.
+    NON_IDEMPOTENT = "unsafe"  # A second execution does harm and must be prevented.
 
 
 class DeduplicationScope(Enum):
-    """Which workers drop duplicates of a keyed request together."""
+    """The group of workers within which a duplicate of a keyed request is recognised."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +30,7 @@
 
 
 def _require_at_least(low: float, **values: float) -> None:
-    """Raises ValueError for a value below `low`, or for one that is no number."""
+    """Raise ValueError if a value is NaN or below `low`; the message names its key."""
     for key, value in values.items():
         if not value >= low:
             raise ValueError(f"{key}: {value!r} is below {low}")
@@ -37,16 +38,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what it wants and how it may be retried."""
+    """A class of requests: its latency objective, its priority and how its requests may be retried."""
 
     name: str
-    latency_objective_ms: float  # an answer within it has its full value
-    deadline_ms: float  # after it the client no longer waits
-    priority_weight: float
+    latency_objective_ms: float  # Latency up to which a response has its full value
+    deadline_ms: float  # Latency after which the client no longer waits for the response
+    priority_weight: float  # Value of a response within the latency objective
     idempotency: Idempotency
-    late_priority_weight: float = 0.0  # of an answer between objective and deadline
+    late_priority_weight: float = 0.0  # Value of a response between the latency objective and the deadline
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window_ms: float = 0.0  # for which a group knows a keyed request
+    deduplication_window_ms: float = 0.0  # Time for which workers remember the idempotency key
     streamed: bool = False
     latency_objective_stretch: float = 0.0
 
@@ -65,16 +66,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan: the quota of each of its customers over all gateways, and the price of exceeding it."""
+    """A quota plan: the quota of each of its customers over all gateways, and the cost of exceeding it."""
 
     name: str
-    rate_per_s: float = 0.0  # units; 0: no quota on the rate
-    burst: float = 0.0  # units
-    max_in_flight: int = 0  # requests; 0: no quota on them
-    priority_factor: float = 1.0
-    over_quota_weight: float = 0.0  # of a request beyond its quota, of its usual weight
+    rate_per_s: float = 0.0  # Quota in units per second; 0 for no quota on the rate
+    burst: float = 0.0  # Capacity of the quota's token bucket in units
+    max_in_flight: int = 0  # Maximum number of concurrent requests; 0 for no quota on concurrency
+    priority_factor: float = 1.0  # Factor on the priority weight of the customers' requests
+    over_quota_weight: float = 0.0  # Weight of a request beyond the quota, relative to its usual weight
     over_quota_cost: float = 0.0
-    hard_limit_per_s: float = 0.0  # units; 0: no hard limit
+    hard_limit_per_s: float = 0.0  # Hard limit in units per second; 0 for no hard limit
     hard_limit_burst: float = 0.0
     hard_limit_slack: float = 0.0
 
@@ -95,17 +96,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway's decisions depend on."""
+    """The settings of one gateway, as its decisions use them."""
 
     gateway_count: int
-    gateway_number: int  # from 0
+    gateway_number: int  # Number of this gateway, from 0 to gateway_count - 1
     zone: str
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    slow_start_ms: float  # for which a worker warms up
-    slow_start_initial_ratio: float  # of its capacity, that it has when it starts
-    overload_multiple: float  # of what it can take, at which a worker that warms up falls over
-    overload_window_ms: float
+    slow_start_ms: float  # Time that a started worker takes to reach its full capacity
+    slow_start_initial_ratio: float  # Ratio of its full capacity that a worker has when it starts
+    overload_multiple: float  # Load, as a multiple of its current capacity, at which a warming worker fails
+    overload_window_ms: float  # Time over which that load is measured
     max_attempts: int
     tick_ms: float = 1.0
     max_units: float = 1.0
@@ -113,11 +114,11 @@
     can_message_peers: bool = False
     can_probe_endpoints: bool = False
     can_hedge: bool = False
-    must_request_watch: bool = False  # discovery is a shared service, and notifies only who asks
+    must_request_watch: bool = False  # Whether discovery sends updates only to gateways that request them
     settles_afterwards: bool = False
     max_retry_after_ms: float = 0.0
-    peer_inbox_per_s: float = 0.0  # messages from other gateways; 0: no limit
-    watch_retry_ms: float = 10_000.0  # within which discovery wants to be asked again after a failure
+    peer_inbox_per_s: float = 0.0  # Maximum rate of messages received from other gateways; 0 for no limit
+    watch_retry_ms: float = 10_000.0  # Maximum time between a failed watch of discovery and the next request
     load_report_source: str = "none"
     load_report_fields: tuple[str, ...] = ()
     cross_zone_cost: float = 0.0
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -1,8 +1,7 @@
-"""Reads the settings from the platform's JSON: its keys are mapped to the types of settings.py here, and
-nowhere else.
+"""Parses the settings from the platform's JSON.
 
-The simulator's wire and the daemon share it. What cannot be right is told by a SettingsError that names the
-key."""
+This is the only place that maps JSON keys to the types of settings.py; the simulator's wire adapter and the
+daemon both use it. A missing or invalid value raises SettingsError, whose message names the key."""
 
 from __future__ import annotations
 
@@ -28,11 +27,14 @@
 
 
 class SettingsError(ValueError):
-    """What cannot be right in a configuration: names the key."""
+    """A missing or invalid value in the settings; the message names its key."""
 
 
 class JsonObject:
-    """A JSON object of a configuration, which names the key that is missing or wrong."""
+    """Typed access to a JSON object of the settings.
+
+    `path` is the object's key from the root; it prefixes the key in every error message. The accessors raise
+    SettingsError for a value of another type, and for a missing key unless they have a fallback."""
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, dict):
@@ -48,44 +50,45 @@
         return value
 
     def number(self, key: str, fallback: float | None = None) -> float:
-        """A finite number; raises SettingsError. Without `fallback` the key must be there."""
+        """Return a finite number. Raises SettingsError if it is not finite."""
         try:
             value = float(self._get(key, (int, float), fallback))
-        except OverflowError:  # JSON knows whole numbers of any length
+        except OverflowError:  # JSON integers may be too large for a float.
             value = math.inf
         if not math.isfinite(value):
             raise SettingsError(f"{self.path}.{key}: cannot read {value!r}")
         return value
 
     def above(self, key: str) -> float:
-        """A number that has to be more than nothing."""
+        """Return a number greater than 0; raises SettingsError for any other value."""
         value = self.number(key)
         if value <= 0:
             raise SettingsError(f"{self.path}.{key}: {value!r} is not above 0")
         return value
 
     def text(self, key: str, fallback: str | None = None) -> str:
-        """A text; raises SettingsError."""
+        """Return a string; raises SettingsError."""
         return self._get(key, (str,), fallback)
 
     def flag(self, key: str, fallback: bool | None = None) -> bool:
-        """A truth value; raises SettingsError."""
+        """Return a boolean, which may be given as an integer; raises SettingsError."""
         return bool(self._get(key, (bool, int), fallback))
 
     def table(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
-        """An object; raises SettingsError."""
+        """Return a nested object; raises SettingsError."""
         return JsonObject(self._get(key, (dict,), fallback), f"{self.path}.{key}")
 
     def items(self, key: str) -> list[Any]:
-        """A list; raises SettingsError."""
+        """Return a list of any values; raises SettingsError."""
         return self._get(key, (list,), None)
 
     def rows(self, key: str) -> list[JsonObject]:
-        """A list of objects; raises SettingsError."""
+        """Return a list of objects; raises SettingsError."""
         return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
 
     def words(self, key: str) -> tuple[str, ...]:
-        """A list of texts, empty where the key is missing; raises SettingsError."""
+        """Return a list with its items converted to strings, empty if the key is missing; raises
+        SettingsError."""
         return tuple(str(word) for word in self._get(key, (list,), []))
 
 
@@ -129,7 +132,8 @@
 
 
 def _limited(path: str, rows: Sequence[JsonObject], most: int) -> Sequence[JsonObject]:
-    """Between one and so many, each of a name of its own."""
+    """Return `rows` unchanged. Raises SettingsError if there are none or more than `most`, or if two have
+    the same name."""
     if not rows:
         raise SettingsError(f"{path}: there are none")
     if len(rows) > most:
@@ -143,7 +147,10 @@
 
 
 def parse_settings(value: Any, path: str = "info") -> Settings:
-    """The settings in an object of JSON; keys that are not known are skipped."""
+    """Parse the settings from a decoded JSON object; unknown keys are ignored.
+
+    Raises SettingsError, or ValueError from the types of settings.py. `path` prefixes the keys in error
+    messages."""
     top = JsonObject(value, path)
     rules, limits = top.table("rules"), top.table("limits")
     domain, report = top.table("domain", {}), top.table("report", {})
