--- a/plumpick/policy/disabled_workers.py
+++ b/plumpick/policy/disabled_workers.py
@@ -1,8 +1,8 @@
-"""Which workers operators have disabled, and which came back of late.
+"""The workers that operators have disabled, and those that they have recently enabled again.
 
-A disabled worker gets nothing, whatever discovery lists, also while it is not listed, until an operator
-enables it. One that is enabled again counts as restarted, so it warms up; and it gets a request soon, or
-nobody could tell that it serves."""
+A disabled worker is sent no attempts until an operator enables it, even if discovery removes and lists it
+again in between. An enabled worker counts as restarted and goes through slow start. It is sent a first
+attempt soon after, so that operators can see whether it serves."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 
 from plumpick.policy.errors import CommandError
 
-MAX_UNLISTED = 256  # disabled workers that are not listed; with so many no more are accepted
+MAX_UNLISTED = 256  # Maximum number of disabled workers that discovery does not list
 MAX_NAME_LENGTH = 128
-FIRST_ATTEMPT_AFTER_MS = 300.0  # not at once after its return: peers may not have heard of it yet
+# Time after a worker was enabled in which it gets its first attempt with priority. It begins with a delay
+# because the other gateways may not have enabled the worker yet.
+FIRST_ATTEMPT_AFTER_MS = 300.0
 FIRST_ATTEMPT_WITHIN_MS = 10_000.0
 
 
 class DisabledWorkers:
-    """Disabled workers, and those enabled of late, by name.
+    """The disabled workers and the recently enabled ones, by name.
 
-    Bound: the listed workers and MAX_UNLISTED more. `slow_start_ms`: for how long an enabled one is kept."""
+    Holds at most the listed workers and MAX_UNLISTED others. `slow_start_ms`: time after which an enabled
+    worker is warm and its entry is dropped."""
 
     def __init__(self, slow_start_ms: float) -> None:
         self.slow_start_ms = slow_start_ms
-        self._disabled: dict[str, None] = {}  # in the order in which they were disabled
-        self._enabled_ms: dict[str, float] = {}  # when it was, in order of time
-        self._awaiting: set[str] = set()  # enabled, and without an attempt since
+        self._disabled: dict[str, None] = {}  # Names in the order of their commands; a dict as an ordered set
+        self._enabled_ms: dict[str, float] = {}  # Time at which each worker was enabled, in order of time
+        self._awaiting: set[str] = set()  # Enabled workers that have not been sent an attempt since
 
     def __contains__(self, name: str) -> bool:
         return name in self._disabled
@@ -34,7 +37,9 @@
         return len(self._disabled)
 
     def disable(self, name: str, listed: Collection[str]) -> None:
-        """Out of use from now on; a second time changes nothing. Raises CommandError."""
+        """Disable a worker; no effect if it is disabled already. `listed`: the names in discovery's list.
+
+        Raises CommandError if the worker is not listed, or if too many unlisted workers are disabled."""
         if name in self._disabled:
             return
         if name not in listed or len(name) > MAX_NAME_LENGTH:
@@ -46,7 +51,8 @@
         self._awaiting.discard(name)
 
     def enable(self, now_ms: float, name: str, listed: Collection[str]) -> None:
-        """Back in use; one that is in use stays so. Raises CommandError."""
+        """Enable a worker; no effect if it is not disabled. Raises CommandError if it is then not listed
+        either."""
         if name in self._disabled:
             del self._disabled[name]
             self._enabled_ms[name] = now_ms
@@ -55,7 +61,8 @@
             raise CommandError("no such worker")
 
     def slow_start_began_ms(self, now_ms: float, name: str, started_ms: float) -> float:
-        """Since when a worker warms up, by its list and by operators; 0: it is warm."""
+        """Return the time at which a worker's slow start began: when it started or was enabled, whichever is
+        later. Returns `started_ms`, its start time by discovery's list, unless it was recently enabled."""
         enabled_ms = self._enabled_ms.get(name)
         if enabled_ms is None:
             return started_ms
@@ -66,25 +73,26 @@
         return max(started_ms, enabled_ms)
 
     def awaits_first_attempt(self, now_ms: float, name: str) -> bool:
-        """Whether a worker was enabled and has been sent nothing since."""
+        """Whether a recently enabled worker should now be sent its first attempt."""
         if name not in self._awaiting:
             return False
         since_ms = now_ms - self._enabled_ms.get(name, now_ms)
         return FIRST_ATTEMPT_AFTER_MS <= since_ms <= FIRST_ATTEMPT_WITHIN_MS
 
     def on_attempt(self, name: str) -> None:
-        """A worker has been sent an attempt."""
+        """Record that a worker has been sent an attempt."""
         self._awaiting.discard(name)
 
-    # -- what another process of this gateway goes on from
+    # -- snapshot for hot restart
 
     def export_state(self) -> tuple[tuple[str, ...], tuple[tuple[str, float], ...]]:
-        """The disabled workers; the enabled ones, and when."""
+        """Return the names of the disabled workers, and pairs of the name of each recently enabled worker and
+        the time at which it was enabled."""
         return tuple(self._disabled), tuple(self._enabled_ms.items())
 
     def import_state(self, disabled: Iterable[str], enabled: Iterable[tuple[str, float]]) -> None:
-        """The state of the process before this one, whatever is listed here. Where both know of a worker, it
-        stays disabled: that is the safer of the two."""
+        """Merge the state that the hot-restart predecessor exported, including workers that are not listed
+        here. A worker that either process has disabled stays disabled, which is the safer choice."""
         for name in disabled:
             self._disabled[name] = None
         for name, enabled_ms in sorted(enabled, key=lambda row: row[1]):
--- a/plumpick/policy/draining.py
+++ b/plumpick/policy/draining.py
@@ -1,34 +1,40 @@
-"""Draining of clients: what a drained gateway still does for them, and until when.
+"""Stages in which a draining gateway stops serving clients.
 
-The load balancer before this gateway learns by `/up` that new connections should go elsewhere, which takes a
-moment, while clients go on using the connections that they have. Hence one state after the other: answers
-close their connections; idle connections close, once no new ones come (a request that crosses the close is
-sent again on a new connection, elsewhere); requests that come late, since their client writes slowly, are
-answered before the end instead of within their own deadline; connections close on which no request has come
-whole. What is open is finished."""
+The load balancer in front of this gateway learns from `/up` that new connections should go elsewhere. This
+takes a moment, and clients go on using their open connections. So draining has several stages:
+
+1. Each response closes its connection.
+2. Idle connections close, once no new connections come. A client whose request crosses the close sends it
+   again on a new connection, to another gateway.
+3. Requests that arrive late, from clients that write slowly, are answered before draining ends instead of
+   within their own deadline.
+4. Connections close on which no request was received whole.
+
+Requests in progress are finished."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-# new connections come for 0.3 s more: the balancer asks `/up` each 0.1 s and may send for 0.2 s more
+# Times from the command to the later stages. New connections may come for 300 ms after the command: the load
+# balancer polls `/up` every 100 ms and may open connections for 200 ms more.
 CLOSE_IDLE_AFTER_MS = 500.0
-# nothing younger than 2 s may be open 4 s after the command, with 0.1 s to spare
+# Requests must be over 4 s after the command unless they are older than 2 s; this leaves 100 ms to spare.
 BOUND_LATE_AFTER_MS = 1900.0
-LATE_REQUEST_TIME_MS = 2000.0  # so what comes from then on is answered within so long, whatever its deadline
-CLOSE_UNREAD_AFTER_MS = 2500.0  # who connected in the first 0.3 s may take 2 s to write
-TIMER_GRAIN_MS = 0.01  # a timer may fire so early
+# A client that connected in the first 300 ms may take 2 s to write its request.
+CLOSE_UNREAD_AFTER_MS = 2500.0
+LATE_REQUEST_TIME_MS = 2000.0  # Maximum time to answer a late request, regardless of its own deadline
+TIMER_GRAIN_MS = 0.01  # Maximum time by which a timer fires early
 
 
 class AdmissionState(IntEnum):
-    """How the gateway treats clients' connections; each state keeps what those before it say."""
+    """How the gateway treats clients' connections. Each state adds its rule to those of the states before."""
 
-    OPEN = 0  # connections are kept
-    REDIRECTING = 1  # `/up` says no; an answer closes its connection
-    CLOSING_IDLE = 2
-    # requests are answered within LATE_REQUEST_TIME_MS of the beginning of this state
-    BOUNDING_LATE_REQUESTS = 3
-    CLOSING_UNREAD = 4  # connections close on which no request has come whole
+    OPEN = 0  # Connections are kept.
+    REDIRECTING = 1  # `/up` directs clients elsewhere, and a response closes its connection.
+    CLOSING_IDLE = 2  # Idle connections close.
+    BOUNDING_LATE_REQUESTS = 3  # Late requests are answered within LATE_REQUEST_TIME_MS.
+    CLOSING_UNREAD = 4  # Connections close on which no request was received whole.
 
 
 STAGES = (
@@ -40,31 +46,32 @@
 
 
 class Draining:
-    """Since when the gateway drains. Times are milliseconds of any clock that only advances."""
+    """The draining of a gateway, which advances through STAGES with time. Times are in milliseconds of any
+    monotonic clock."""
 
     def __init__(self) -> None:
-        self.since_ms: float | None = None  # None: it does not
+        self.since_ms: float | None = None  # Time of the command to drain; None if the gateway is open
 
     def drain(self, now_ms: float) -> bool:
-        """The operator's command; returns whether it is new. Of two the first counts."""
+        """Begin to drain. Returns False, without any effect, if the gateway is draining already."""
         if self.since_ms is not None:
             return False
         self.since_ms = now_ms
         return True
 
     def undrain(self) -> bool:
-        """Clients are admitted again; returns False if they were all along."""
+        """Admit clients again. Returns False, without any effect, if the gateway was not draining."""
         if self.since_ms is None:
             return False
         self.since_ms = None
         return True
 
     def stage_times_ms(self) -> list[float]:
-        """When the stages begin, while the gateway drains."""
+        """Return the times at which the stages begin; an empty list if the gateway is not draining."""
         return [] if self.since_ms is None else [self.since_ms + after_ms for after_ms, _ in STAGES]
 
     def state_at(self, now_ms: float) -> AdmissionState:
-        """The state at this time."""
+        """Return the admission state at a time."""
         if self.since_ms is None:
             return AdmissionState.OPEN
         elapsed_ms = now_ms - self.since_ms + TIMER_GRAIN_MS
--- a/plumpick/policy/endpoint_table.py
+++ b/plumpick/policy/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The endpoints that a gateway knows, by what discovery lists, operators disable and time has warmed up.
+"""The endpoints that a gateway knows, sorted into those that are warm and those in slow start.
 
-`warm` and `warming` hold those that may be sent attempts; of these the subset (subsetting.py) is what this
-gateway uses."""
+Only ready endpoints that no operator has disabled may be sent attempts. Of these, this gateway uses the
+subset that subsetting.py chooses for it."""
 
 from __future__ import annotations
 
@@ -18,29 +18,33 @@
 from plumpick.policy.settings import Settings
 
 SNAPSHOT_FIELDS = ("latency_ratio", "observed_ms", "foreign_load", "load_report_ms")
-REFERENCE_MEMORY_MS = 30_000.0  # over which the capacity of late counts as what carries the load
+# Time constant with which the reference capacity decays to the current one after endpoints have left.
+REFERENCE_MEMORY_MS = 30_000.0
 
 
 class EndpointTable:
-    """Owner of what is known of endpoints. Bound: the listed ones, and those that have gone until nothing is
-    in flight there."""
+    """Owns the state of all endpoints: one entry for each listed endpoint, and for each endpoint that has
+    gone while attempts are still in flight there."""
 
     def __init__(self, settings: Settings, disabled: DisabledWorkers) -> None:
         self.settings = settings
         self.disabled = disabled
         self.tracked: dict[str, TrackedEndpoint] = {}
         self.by_tag: dict[int, TrackedEndpoint] = {}
-        self.warm: list[TrackedEndpoint] = []  # ready and warm; ready and warming up
+        # Ready endpoints that are warm, and ready endpoints in slow start.
+        self.warm: list[TrackedEndpoint] = []
         self.warming: list[TrackedEndpoint] = []
-        self.subset_warm: list[TrackedEndpoint] = []  # of these, the ones in this gateway's subset
+        # The members of `warm` and of `warming` that are in this gateway's subset.
+        self.subset_warm: list[TrackedEndpoint] = []
         self.subset_warming: list[TrackedEndpoint] = []
-        self.subset_ratio = 1.0  # of all capacity, that the subset holds
-        self.capacity = 0.0  # in warm endpoints: those warming up count in part
-        self.reference_capacity = 0.0  # the most of late
-        self.recent_attempts = 0.0  # fading count of attempts that this gateway started
+        self.subset_ratio = 1.0  # Ratio of all capacity that the subset holds
+        self.capacity = 0.0  # Number of warm endpoints, with those in slow start counted by their progress
+        self.reference_capacity = 0.0  # Decaying maximum of `capacity`
+        self.recent_attempts = 0.0  # Decaying count of attempts that this gateway started
 
     def update(self, now_ms: float, event: EndpointsUpdated) -> list[TrackedEndpoint]:
-        """Take over discovery's list; returns the endpoints that just left service."""
+        """Apply an update from discovery; returns the endpoints that were in service before it and are no
+        longer ready."""
         in_service = self.warm + self.warming
         listed = {endpoint.id for endpoint in event.endpoints}
         for name, tracked in self.tracked.items():
@@ -53,7 +57,8 @@
         return [tracked for tracked in in_service if tracked.endpoint.state is not EndpointState.READY]
 
     def _track(self, endpoint: Endpoint) -> None:
-        """Take over one entry; what has restarted has no past."""
+        """Apply one entry of the list. A new start time means that the worker has restarted, so its measured
+        state is discarded."""
         tracked = self.tracked.get(endpoint.id)
         if tracked is None or tracked.endpoint.started_ms != endpoint.started_ms:
             position = subsetting.ring_position(endpoint.id)
@@ -61,7 +66,7 @@
         tracked.endpoint = endpoint
 
     def execute(self, now_ms: float, kind: CommandKind, name: str) -> None:
-        """An operator disables or enables an endpoint. Raises CommandError."""
+        """Execute an operator's command to disable or enable an endpoint. Raises CommandError."""
         try:
             if kind is CommandKind.DISABLE:
                 self.disabled.disable(name, self.tracked)
@@ -73,13 +78,14 @@
     def _enable(self, now_ms: float, name: str) -> None:
         was_disabled = name in self.disabled
         self.disabled.enable(now_ms, name, self.tracked)
-        if was_disabled and name in self.tracked:  # taken for restarted: it has no past
+        if was_disabled and name in self.tracked:  # It counts as restarted: its measured state is discarded.
             old = self.tracked[name]
             self.tracked[name] = TrackedEndpoint(old.endpoint, ring_position=old.ring_position)
             self.by_tag = endpoints_by_tag(self.tracked)
 
     def forget_gone(self) -> None:
-        """Drop the endpoints that have gone and have nothing in flight: their ids may be ever new."""
+        """Drop the endpoints that have gone and have no attempt in flight. Without this the table would grow
+        without bound where each start of a worker brings a new id."""
         self.tracked = {
             name: tracked
             for name, tracked in self.tracked.items()
@@ -88,7 +94,7 @@
         self.by_tag = endpoints_by_tag(self.tracked)
 
     def classify(self, now_ms: float) -> None:
-        """Sort the ready endpoints by slow start, and choose this gateway's subset of them."""
+        """Sort the ready endpoints into warm and warming ones, and choose this gateway's subset of them."""
         self.warm = []
         self.warming = []
         self.capacity = 0.0
@@ -109,7 +115,8 @@
         self.subset_ratio = subsetting.subset_ratio(self.capacity, gateways)
 
     def on_period(self, now_ms: float) -> None:
-        """One period has gone by."""
+        """Decay the reference capacity and the count of recent attempts by one PERIOD_MS, and classify the
+        endpoints anew if any is in slow start."""
         faded = self.reference_capacity * math.exp(-PERIOD_MS / REFERENCE_MEMORY_MS)
         self.reference_capacity = max(self.capacity, faded)
         self.recent_attempts *= math.exp(-PERIOD_MS / slow_start.REQUEST_RATE_MEMORY_MS)
@@ -119,23 +126,24 @@
             self.forget_gone()
 
     def progress(self, now_ms: float, tracked: TrackedEndpoint) -> float:
-        """The ratio of its capacity that an endpoint surely has by now."""
+        """Return the ratio of its full capacity that an endpoint has reached in slow start; 1 if warm."""
         return slow_start.progress(now_ms, tracked, self.settings, self.disabled)
 
     def take_slow_start_allowance(self, now_ms: float, tracked: TrackedEndpoint) -> bool:
-        """Whether an endpoint that warms up may get one more attempt of this gateway; if so, it is
-        counted."""
-        # Of late: a few warm endpoints alone would have more each.
+        """Return whether this gateway may send one more attempt to an endpoint in slow start; if so, the
+        attempt is counted."""
+        # The reference capacity is used because it outlasts a release: divided by the few endpoints that are
+        # still warm, the usual number of attempts per warm endpoint would come out too high.
         warm_count = max(1.0, len(self.subset_warm), self.reference_capacity * self.subset_ratio)
         window_ms = self.settings.overload_window_ms
         usual = self.recent_attempts * window_ms / slow_start.REQUEST_RATE_MEMORY_MS / warm_count
         progress = self.progress(now_ms, tracked)
         return slow_start.take_allowance(now_ms, tracked, self.settings, progress, usual)
 
-    # -- what another process of this gateway goes on from
+    # -- snapshot for hot restart
 
     def export_rows(self) -> list[list[object]]:
-        """What is known of each endpoint, a row each."""
+        """Return the snapshot rows, one for each endpoint: its id, its start time and its measured state."""
         rows: list[list[object]] = []
         for name, tracked in self.tracked.items():
             figures = snapshot_rows.row_of(tracked, SNAPSHOT_FIELDS)
@@ -144,8 +152,10 @@
         return rows
 
     def read_rows(self, rows: list[list[Any]]) -> dict[str, TrackedEndpoint]:
-        """What a snapshot says of the endpoints that are the same processes still; those that have restarted
-        have no past. Raises ValueError, TypeError or AttributeError where a row cannot be read."""
+        """Return the endpoints in snapshot rows, by id. Rows of endpoints that are not listed or have
+        restarted since are skipped.
+
+        Raises ValueError, TypeError or AttributeError for a malformed row."""
         read: dict[str, TrackedEndpoint] = {}
         for name, started_ms, figures, completed, failed, sent_ms in rows:
             known = self.tracked.get(name)
--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -1,22 +1,25 @@
-"""What to ask discovery next, and when. No I/O, no clock of its own.
-
-A change counts as notified NOTIFICATION_DEADLINE_MS after discovery had it and could be reached, whatever
-became of the calls meanwhile. A silent watch shows only by the lack of an answer, so watches are short, and
-all that may follow has to fit into the rest. `worst_notification_ms` states the sum for either kind of
-discovery.
-
-Two kinds of discovery. An agent beside the gateway answers at once and at no cost: it is asked for a snapshot
-of the list, then watched, and asked again after a short backoff. A service that all gateways share queues
-calls and rejects what it cannot answer in time. There, forty gateways that start together, give up a call
-before its turn and retry twice a second keep it at its limit for good
-(test_forty_gateways_that_start_together_all_have_their_watch_soon). So a watch of a shared service
-begins from the list at hand (one call instead of two), and each gateway has its own slot, by its number, in a
-round that all share by the one clock: calls are spread evenly whatever made all fail at once, and none is
-made more often than once a round. Full jitter bunches calls, and would need several rounds. A rejected call
-costs the service nothing, and the next one is made in the next round; a call that timed out in the queue was
-worked on, so its gateway skips rounds.
-
-An answer that cannot be used raises EndpointWatchError; it is counted as a failed call by then.
+"""Schedules the calls that keep a gateway's endpoint list up to date. No I/O and no clock.
+
+A gateway must know a change within NOTIFICATION_DEADLINE_MS after discovery had it and was reachable,
+whichever calls failed in between. A watch whose connection has died shows only by a missing response. So
+watches have short time-outs, and the retries after such a watch have to fit into the remaining time.
+`worst_notification_ms` adds up the worst case.
+
+There are two kinds of discovery:
+
+- An agent beside the gateway responds at once and at no cost. The gateway requests a snapshot of the list,
+  then watches for changes, and retries a failed call after a short backoff.
+- A service that all gateways share queues calls and rejects those that it cannot answer in time. Forty
+  gateways that start together, give up each call before its turn in the queue and retry twice a second
+  overload it permanently (test_forty_gateways_that_start_together_all_have_their_watch_soon). So a watch of a
+  shared service starts from the index of the present list, which takes one call instead of two. Each gateway
+  calls in its own slot, given by its number, of a round that all gateways derive from the same clock. This
+  spreads the calls evenly even if all gateways failed at the same time, and limits each to one call per
+  round. Full jitter would cluster calls and need several rounds. After a rejected call, which costs the
+  service nothing, the gateway calls again in the next round. After a call that timed out in the queue, on
+  which the service has spent work, it skips rounds.
+
+A response that cannot be used raises EndpointWatchError, after it was counted as a failed call.
 """
 
 from __future__ import annotations
@@ -24,36 +27,41 @@
 import random
 from dataclasses import dataclass
 
-NOTIFICATION_DEADLINE_MS = 6000.0  # the operators' term
-LOOP_DELAY_MARGIN_MS = 200.0  # of it, for timers and answers that a busy loop takes late
-RESPONSE_TIMEOUT_MS = 1000.0  # for what is answered at once: to connect, and a snapshot
+NOTIFICATION_DEADLINE_MS = 6000.0  # Maximum time to learn of a change, as promised to operators
+LOOP_DELAY_MARGIN_MS = 200.0  # Part of the deadline reserved for delays of a busy event loop
+RESPONSE_TIMEOUT_MS = 1000.0  # Time-out of a connect, and of a snapshot from an agent
 
-# An agent. A watch that is as late as its grace is broken; then two calls may fail, and the third is in time:
-# 2000 + 500 + (20 + 1000) + (40 + 1000) + (80 + 1000).
+# Calls to an agent. A watch without a response after time-out and grace has failed. Then two more calls may
+# fail and the third still meets the deadline: 2000 + 500 + (20 + 1000) + (40 + 1000) + (80 + 1000) ms.
 AGENT_WATCH_TIMEOUT_MS = 2000.0
 AGENT_WATCH_GRACE_MS = 500.0
 AGENT_INITIAL_BACKOFF_MS = 20.0
 AGENT_MAX_BACKOFF_MS = 500.0
 
-# A shared service, where a watch that continues takes no turn in the queue. After a broken one: the slot, at
-# most a round away, and the longest that the service queues a call: 1000 + 300 + 2400 + 2000.
+# Calls to a shared service, which does not queue the continuation of a watch. After a failed watch a gateway
+# waits for its slot, at most one round, and for its turn in the service's queue:
+# 1000 + 300 + 2400 + 2000 ms.
 SHARED_WATCH_TIMEOUT_MS = 1000.0
 SHARED_WATCH_GRACE_MS = 300.0
 MAX_ROUND_MS = 2400.0
-QUEUE_TIMEOUT_MS = 2000.0
-ROUND_PER_GATEWAY_MS = 500.0  # few gateways have a shorter round
-INITIAL_ROUND_MS = 1700.0  # at a new address, which is in use 4 s after SIGHUP: 1700 + 2000
-# After a call that timed out in the queue the next is in one of so many rounds; after many such, in one of
-# more: then it is no outage, and the service works on calls that nobody waits for.
+QUEUE_TIMEOUT_MS = 2000.0  # Maximum time for which the service queues a call
+ROUND_PER_GATEWAY_MS = 500.0  # Length of a round per gateway; shortens the round of a small tier
+# Maximum length of the first round at a new address, which has to be in use 4 s after SIGHUP: 1700 + 2000 ms.
+INITIAL_ROUND_MS = 1700.0
+# Number of rounds among which the next call is drawn, after a call that timed out in the service's queue, and
+# after more than MANY_QUEUE_TIMEOUTS of them. So many are no outage: the service is overloaded and works on
+# calls that their gateways have given up.
 ROUNDS_AFTER_QUEUE_TIMEOUT = 2
 ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS = 8
 MANY_QUEUE_TIMEOUTS = 5
-IMMEDIATE_WATCH_MS = 1.0  # a watch that begins asks for what there is
+# Time-out of the first call of a watch, which fetches the changes so far and does not wait for new ones.
+IMMEDIATE_WATCH_MS = 1.0
 
 
 def worst_notification_ms(is_shared: bool) -> float:
-    """From a change to its notification, if the watch fell silent just before it. An agent's next two calls
-    may fail; a shared service answers the next one."""
+    """Return the maximum time in ms from a change to its notification, for a watch that failed unnoticed
+    just before the change. Assumes that the next two calls to an agent may fail as well, and that a shared
+    service answers the next call."""
     if is_shared:
         return SHARED_WATCH_TIMEOUT_MS + SHARED_WATCH_GRACE_MS + MAX_ROUND_MS + QUEUE_TIMEOUT_MS
     backoffs = (min(AGENT_MAX_BACKOFF_MS, AGENT_INITIAL_BACKOFF_MS * 2.0**failures) for failures in range(3))
@@ -62,32 +70,34 @@
 
 
 class EndpointWatchError(Exception):
-    """An answer of discovery that cannot be used; the text is one line for operators."""
+    """A response of discovery that cannot be used. The message is one line for operators."""
 
 
 class SnapshotMissingError(EndpointWatchError):
-    """Changes came where a snapshot was asked for."""
+    """Discovery sent a delta in response to a request for a snapshot."""
 
 
 class IndexWentBackError(EndpointWatchError):
-    """An older list than the one at hand: late, or of a service that was restarted."""
+    """Discovery sent a list with a lower index than the present one: a late response, or the first one after
+    a restart of the service."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchRequest:
-    """One call: for a snapshot of the list, or for what has changed since an index."""
+    """A call to discovery: for a snapshot of the list, or for the changes since an index."""
 
-    since_index: int | None  # None: a snapshot
-    watch_timeout_ms: float  # how long a watch may wait for a change
-    response_timeout_ms: float  # when an answer is overdue
-    delay_ms: float  # before the call
+    since_index: int | None  # Index since which changes are requested; None for a snapshot
+    watch_timeout_ms: float  # Maximum time for which discovery waits for a change before it responds
+    response_timeout_ms: float  # Time after which the call counts as failed
+    delay_ms: float  # Time to wait before the call
 
 
 class EndpointWatch:
-    """One gateway's state with discovery: the index of the list that it has, and its failed calls.
+    """One gateway's watch of discovery: the index of its present list, and its consecutive failed calls.
 
-    `gateway_count`: how many gateways share one service, of which this one is `gateway_number`; 0: an agent.
-    `index`: that of the list at hand; None if there is none. `rng`: drawn from for a shared service alone.
+    `gateway_count`: number of gateways that share the discovery service, or 0 for an agent;
+    `gateway_number`: number of this gateway among them; `index`: index of the present list, or None if there
+    is no list; `rng`: random source for skipped rounds, not drawn from for an agent.
     """
 
     def __init__(
@@ -99,12 +109,12 @@
         self._round_ms = min(MAX_ROUND_MS, ROUND_PER_GATEWAY_MS * max(1, gateway_count))
         self._slot_ratio = (gateway_number % gateway_count) / gateway_count if self.is_shared else 0.0
         self.consecutive_failures = 0
-        self.queue_timeouts = 0  # calls that timed out in the service's queue, since one was answered
-        self._is_watching = False  # an answer has come, and the watch may continue
-        self._went_back = False  # the last answer was older than the one before
+        self.queue_timeouts = 0  # Number of consecutive calls that timed out in the service's queue
+        self._is_watching = False  # Whether the last call was answered, so that the watch can continue
+        self._went_back = False  # Whether the last response had a lower index than the present list
 
     def next_request(self, now_ms: float) -> EndpointWatchRequest:
-        """The call to make now, by a clock in ms that all gateways share."""
+        """Return the next call to make. `now_ms`: a clock that all gateways share, for the rounds."""
         delay_ms = self._delay_ms(now_ms)
         if self.index is None:
             timeout_ms = QUEUE_TIMEOUT_MS if self.is_shared else RESPONSE_TIMEOUT_MS
@@ -126,7 +136,8 @@
         return min(AGENT_MAX_BACKOFF_MS, AGENT_INITIAL_BACKOFF_MS * 2.0**doublings)
 
     def _until_slot_ms(self, now_ms: float) -> float:
-        """The wait until this gateway's slot in the round, with a draw of the rounds that it skips."""
+        """Return the time until this gateway's next slot, plus a random number of skipped rounds after queue
+        timeouts."""
         rounds = 1
         if self.queue_timeouts > MANY_QUEUE_TIMEOUTS:
             rounds = ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS
@@ -138,10 +149,11 @@
         return (self._slot_ratio * round_ms - now_ms) % round_ms + skipped * round_ms
 
     def on_response(self, index: int, is_snapshot: bool) -> None:
-        """A list has come; raises EndpointWatchError where it cannot be used, which counts as a failed call.
+        """Take the index of a received list. Raises EndpointWatchError if the list cannot be used, which
+        counts as a failed call.
 
-        An index that goes back is a late answer, or a service that was restarted: it is believed when a
-        second answer confirms it.
+        A lower index than the present one comes from a late response or from a restarted service. It is
+        accepted once a snapshot in a second response confirms it.
         """
         if self.index is None and not is_snapshot:
             self.on_call_failed()
@@ -151,7 +163,7 @@
             self._went_back = True
             self.on_call_failed()
             if not is_snapshot:
-                self.index = None  # only a snapshot can confirm it
+                self.index = None  # Only a snapshot can confirm a lower index.
             raise IndexWentBackError("the version went back")
         self.index = index
         self.consecutive_failures = 0
@@ -160,19 +172,20 @@
         self._went_back = False
 
     def on_call_failed(self, timed_out: bool = False) -> None:
-        """A call failed. `timed_out`: its connection was up, and its answer did not come in time.
+        """Record a failed call. `timed_out`: the connection was up, but the response did not come in time.
 
-        An agent is then asked for a snapshot; a shared service, whose answer would be long, for the changes.
+        The next call to an agent requests a snapshot. The next call to a shared service requests the changes,
+        since snapshots of the whole list are costly there.
         """
         self.consecutive_failures += 1
-        if not self._is_watching:  # a silent watch says nothing of how busy the service is
+        if not self._is_watching:  # A failed watch does not show how busy the service is.
             self.queue_timeouts = self.queue_timeouts + 1 if timed_out else 0
         self._is_watching = False
         if not self.is_shared:
             self.index = None
 
     def reset(self) -> None:
-        """Begin with a snapshot: the list at hand was lost."""
+        """Start again from a snapshot, after the present list was lost."""
         self.index = None
         self.consecutive_failures = 0
         self.queue_timeouts = 0
--- a/plumpick/policy/health_status.py
+++ b/plumpick/policy/health_status.py
@@ -1,17 +1,19 @@
-"""Whether quotas are enforced with all their owners: one log line when that changes.
+"""Reports in one log line when quota owners become unreachable, or reachable again.
 
-What each state promises stands in docs/operators/quotas.md; quota/bounds.py has the figures.
+docs/operators/quotas.md explains which quota guarantees hold in each state; quota/bounds.py computes them.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-SETTLING_MS = 1000.0  # a state is logged once it has lasted so long
+SETTLING_MS = 1000.0  # Time for which a state must last before it is logged
 
 
 class QuotaHealth:
-    """The state that was logged last. `gateway_count`: of the tier; `gateway_number`: which we are."""
+    """Tracks which quota owners do not respond, and the state that was last logged.
+
+    `gateway_count`: number of gateways of the tier; `gateway_number`: number of this gateway."""
 
     def __init__(self, gateway_count: int, gateway_number: int) -> None:
         self._others = frozenset(range(gateway_count)) - {gateway_number}
@@ -20,10 +22,10 @@
         self._since_ms = 0.0
 
     def update(self, now_ms: float, unresponsive: Collection[int]) -> str | None:
-        """Which quota owners do not answer now; returns the line to log, or None. Unknown numbers do not
-        count.
+        """Return the line to log, or None if nothing is to be logged now. `unresponsive`: numbers of the
+        gateways that do not respond; this gateway's own number and unknown ones are ignored.
 
-        At most one line in SETTLING_MS, and none for a state that was logged last."""
+        Returns at most one line in SETTLING_MS, and none for the state that was logged last."""
         seen = self._others.intersection(unresponsive)
         if seen != self._seen:
             self._seen = seen
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -1,11 +1,11 @@
-"""Other settings in service: taken over between two turns, whole or not at all.
+"""Applies new settings to a running gateway, atomically between two turns.
 
-A request keeps its class, its plan and its quota's figures to its end. What is learned of a class stays under
-its name; of a dropped one it goes once nothing of it is open. quota/reconfiguration.py tells what becomes of
-units that are granted.
+A request keeps the class, the plan and the quota with which it was received to its end. Statistics of a class
+are kept under its name; those of a removed class are dropped once no request or attempt of it is open.
+quota/reconfiguration.py describes the effect on granted units.
 
-Messages name classes and plans by their indexes, under a digest of all names: gateways with other names do
-not understand one another until both have changed."""
+Messages between gateways name classes and plans by index, under a digest of all names. Two gateways whose
+names differ drop each other's messages until both have the same names."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 from plumpick.policy.settings import MAX_CLASSES, MAX_PLANS, RequestClass, Settings
 from plumpick.policy.state import GatewayState, top_priority_of
 
-# What a gateway is, not what it does: it stays until a restart. With the keys of the configuration.
+# Settings that cannot change without a restart, since they identify the gateway and its environment: the
+# attribute of Settings, and the key that error messages name.
 FIXED = (
     ("gateway_count", "balancers"),
     ("gateway_number", "myNumber"),
@@ -32,8 +33,8 @@
 
 
 def check(old: Settings, new: object) -> None:
-    """Raises ReconfigurationError for settings that cannot be taken over in service, in one line with the
-    key."""
+    """Raise ReconfigurationError if the settings `new` cannot replace `old` without a restart. The message
+    is one line that names the key."""
     if not isinstance(new, Settings):
         raise ReconfigurationError(f"settings: {type(new).__name__} is none")
     for name, key in FIXED:
@@ -46,7 +47,7 @@
 
 
 def _check_names(key: str, names: list[str], most: int) -> None:
-    """Raises ReconfigurationError for too many names, or for one that is there twice."""
+    """Raise ReconfigurationError if there are more than `most` names, or if two are the same."""
     if len(names) > most:
         raise ReconfigurationError(f"settings.{key}: {len(names)} are more than {most}")
     seen: set[str] = set()
@@ -64,10 +65,10 @@
     deny: Callable[[Request], None],
     send: Callable[[int, list[QuotaMessage]], None],
 ) -> None:
-    """Go on by other settings. Raises ReconfigurationError, and then nothing has changed.
+    """Apply the settings `wanted`. Raises ReconfigurationError, and then changes nothing.
 
-    `deny`: for requests that wait for units under a class or plan that goes; `send`: a peer is sent messages
-    at once, under the old names."""
+    `deny`: called with each request that waits for units under a removed class or plan; `send`: called with
+    the number of a gateway and quota messages that must be sent at once, under the old names."""
     check(state.settings, wanted)
     old, quota = state.settings, state.quota
     settings = _with_unchanged_plans(state, wanted)
@@ -97,8 +98,8 @@
 
 
 def _with_unchanged_plans(state: GatewayState, wanted: Settings) -> Settings:
-    """A plan whose figures stay is the same object: by that accounts and ledgers know that nothing
-    changed."""
+    """Return `wanted` with each plan that is equal to the present one replaced by that same object. Accounts
+    and ledgers recognise unchanged plans by identity."""
     plans = [state.plans[plan.name] if state.plans.get(plan.name) == plan else plan for plan in wanted.plans]
     return replace(wanted, plans=tuple(plans))
 
@@ -106,7 +107,7 @@
 def _translate_indexes(
     state: GatewayState, settings: Settings, send: Callable[[int, list[QuotaMessage]], None]
 ) -> None:
-    """All that waits to be sent goes by the new indexes of classes and plans."""
+    """Translate the indexes of classes and plans in all queued messages and reports to the new settings."""
     translation = quota_reconfiguration.IndexTranslation(state.settings, settings)
     most = state.codec.max_quota_messages
     quota_reconfiguration.translate_waiting(state.quota, translation, most, send)
@@ -119,7 +120,8 @@
 
 
 def _learn_classes(state: GatewayState, classes: dict[str, RequestClass], has_same_names: bool) -> None:
-    """What is known of a class stays; a new one begins as at a start."""
+    """Add statistics for new classes and adapt those of classes with a new latency objective; all others
+    are kept."""
     share, changed = 1 / len(classes), classes
     if has_same_names:
         pairs = zip(classes.values(), state.classes.values(), strict=True)
@@ -137,7 +139,8 @@
 
 
 def forget_dropped(state: GatewayState, now_ms: float) -> None:
-    """Dropped classes go once nothing of them is open; ledgers of dropped plans once they are full."""
+    """Drop the statistics of removed classes of which no request or attempt is open, and the ledgers of
+    removed plans that are full again."""
     if len(state.queue.shares) > len(state.classes):
         open_names = {request.request_class.name for request in state.requests.values()}
         open_names.update(attempt.class_name for attempt in state.attempts.values())
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -1,13 +1,17 @@
-"""What one process of a gateway passes to the next, as JSON's values, and how the next goes on from it.
+"""The snapshot that a gateway process passes to its hot-restart successor, as values that JSON can hold.
 
-Passed on: what operators disabled, accounts and ledgers with their hard limits, when peers were heard, the
-concurrency limit, retry tokens, the classes' shares and usual latencies, the endpoints' figures. Not passed
-on: requests, which stay where they were received; numbers of an incarnation, which tell grants apart; when an
-attempt of a class is overdue, what peers reported of endpoints, and which enabled workers still wait for
-their first attempt, all of which is learned again within seconds.
+The snapshot contains the workers that operators disabled, the quota accounts and ledgers with their hard
+limits, the times of the last messages from peers, the concurrency limit, the retry tokens, the shares and
+usual latencies of the classes and the measured state of the endpoints.
 
-Nothing may be granted twice: once a process has exported its state its buckets fill no more, and its messages
-to its own owner go to the successor. Times are of one clock: both processes run on one machine."""
+It does not contain requests, which stay with the process that received them, nor the incarnation and its
+serial numbers, which distinguish grants. It also omits what is measured again within seconds: the latencies
+after which attempts are overdue, reports of peers on endpoints, and the enabled workers that await their
+first attempt.
+
+No unit may be granted twice. So the buckets of a process stop filling once it has exported its state, and its
+messages to itself as quota owner go to the successor. Both processes run on one machine, so times are of the
+same clock."""
 
 from __future__ import annotations
 
@@ -21,12 +25,15 @@
 from plumpick.policy.state import GatewayState
 from plumpick.policy.timers import TimerKind
 
+# Version of the snapshot format, and the older version that is still read; quota/snapshot.py explains the
+# differences.
 FORM = 2
-OLD_FORM = 1  # quota/snapshot.py says what it lacks; other forms are not read
+OLD_FORM = 1
 
 
 def export_state(state: GatewayState) -> dict[str, Any]:
-    """The state as it is now; from here on this process has a successor."""
+    """Return the snapshot of the present state. From then on this process has a successor: its buckets no
+    longer fill, and its quota ledgers belong to the successor."""
     quota = state.quota
     quota_snapshot.prepare_export(quota, state.plans)
     plans = quota_snapshot.exported_plans(quota, state.plans)
@@ -59,7 +66,7 @@
 
 
 def import_state(state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
-    """Go on from an exported state. Raises SnapshotError or ValueError; nothing of it counts then."""
+    """Restore the state from a snapshot. Raises SnapshotError or ValueError, and then changes nothing."""
     settings = state.settings
     if exported.get("form") not in (FORM, OLD_FORM):
         raise SnapshotError(f"a state of form {exported.get('form')!r}")
@@ -75,7 +82,9 @@
 
 
 class _ReadState:
-    """All that was exported, read and not yet in force but for the limit's figures, which are read last."""
+    """A validated snapshot that is not yet in force.
+
+    The exception is the concurrency limit, which the constructor reads last and sets in `state` directly."""
 
     def __init__(self, state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
         is_old_form = exported["form"] == OLD_FORM
@@ -97,7 +106,7 @@
         snapshot_rows.fill(state.limit, LIMIT_FIELDS, limit)
 
     def take_effect(self, state: GatewayState, now_ms: float) -> None:
-        """Go on from what was read."""
+        """Put the snapshot into force."""
         quota_snapshot.import_state(state.quota, self.quota)
         state.statistics.usual_latency_ms.update(self.usual_latency_ms)
         state.statistics.timely_ratio.update(self.timely_ratio)
@@ -124,11 +133,11 @@
 
 
 def _known(values: Mapping[str, Any], known: Mapping[str, object]) -> dict[str, float]:
-    """The figures of the classes that there are here."""
+    """Return the entries of `values` whose class is in `known`, as floats."""
     return {str(name): float(value) for name, value in values.items() if name in known}
 
 
 def resume(state: GatewayState, now_ms: float) -> None:
-    """The process that took over has died; this one goes on."""
+    """Resume service after the successor has died, and schedule the ledgers in which requests wait."""
     for key in quota_snapshot.resume(state.quota, now_ms):
         state.timers.schedule(now_ms, TimerKind.LEDGER, key)
--- a/plumpick/policy/snapshot_rows.py
+++ b/plumpick/policy/snapshot_rows.py
@@ -1,4 +1,6 @@
-"""Records as rows of plain numbers, as a snapshot holds them: JSON has no infinity."""
+"""Conversion between records and the rows of numbers in a snapshot.
+
+JSON has no infinity, so a row holds None in place of a value that is not finite."""
 
 from __future__ import annotations
 
@@ -7,18 +9,19 @@
 
 
 def number_or_none(value: float) -> float | None:
-    """A number, or None where it is not finite."""
+    """Return `value`, or None if it is not finite."""
     return value if math.isfinite(value) else None
 
 
 def row_of(record: Any, fields: tuple[str, ...]) -> list[Any]:
-    """The fields of a record, in their order."""
+    """Return the values of a record's fields in the order of `fields`, with None for any that is not
+    finite."""
     return [number_or_none(getattr(record, name)) for name in fields]
 
 
 def fill(record: Any, fields: tuple[str, ...], row: list[Any]) -> None:
-    """Set the fields of a record from a row; None is minus infinity. Raises ValueError where a value is no
-    number, or the row has another length."""
+    """Set the fields of a record from a row; None sets minus infinity. Raises ValueError if a value is not a
+    finite number, or if the row is not as long as `fields`."""
     for name, value in zip(fields, row, strict=True):
         before = getattr(record, name)
         if value is None:
