--- a/plumpick/__init__.py
+++ b/plumpick/__init__.py
@@ -1,7 +1,7 @@
-"""plumpick: a gatekeeper on real sockets round the decisions of plumpick.policy."""
+"""plumpick: an HTTP request gateway. plumpick.policy makes the decisions, plumpick.gateway does the I/O."""
 
 import os
 
-# Before uvloop is loaded: libuv would hand its work to an io_uring whose kernel thread polls without rest.
-# Seen in service: that thread (iou-sqp) alone took the gatekeeper's whole share of a core for seconds on end.
+# Keeps libuv from using io_uring; must be set before uvloop is loaded. The kernel thread that polls the ring
+# (iou-sqp) was seen to use the gateway's whole share of a core for seconds on end.
 os.environ["UV_USE_IO_URING"] = "0"
--- a/plumpick/__main__.py
+++ b/plumpick/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m plumpick`: the daemon, with its decisions compiled where `build` could compile them."""
+"""`python -m plumpick`: the gateway daemon, which uses the compiled decision module if `build` made one."""
 
 import sys
 
@@ -6,9 +6,10 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Run the daemon; returns the exit code."""
     which = compiled.use_compiled_files()
-    from plumpick.gateway import daemon  # only now: it imports the decisions
+    # The daemon imports the decision module, so it must be imported after the choice of the compiled files.
+    from plumpick.gateway import daemon
 
     return daemon.main(which)
 
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -1,10 +1,12 @@
-"""When the fleet's scheduled tasks run, under which token, and when a run is stopped. No I/O, no clock.
+"""Decides when the fleet's scheduled tasks run, under which fencing token, and when a run is stopped. No I/O
+and no clock.
 
-A task has a name and a period. Its slot is a hash of its name; the slot's owner runs it, once in each period.
-Task and period are the key by which a receiver recognises a repeat, so that a run may be retried, here or by
-the next owner. Guards against: a run that outlives its lease (stopped when the slot is lost), that never ends
-(stopped after its time limit), that fails (retried with full jitter, until the period is too old), and
-hundreds at one time (`MAX_CONCURRENT_RUNS`)."""
+A task has a name and a period. Its slot is a hash of its name, and the holder of the slot's lease runs the
+task once in each period. Receivers recognise a repeated run by task and period, so a run may be retried, by
+this owner of the slot or by the next one.
+
+A run is stopped when the slot's lease is lost, and after its time limit. A failed run is retried after a
+random backoff until its period is too old. At most MAX_CONCURRENT_RUNS run at the same time."""
 
 from __future__ import annotations
 
@@ -15,27 +17,30 @@
 from random import Random
 
 MAX_CONCURRENT_RUNS = 16
-RETRY_MS = 200.0  # after a failure, doubled each time
+RETRY_MS = 200.0  # Base of the backoff: its maximum is RETRY_MS * 2 ** failures, up to MAX_RETRY_MS
 MAX_RETRY_MS = 5000.0
 MAX_RETRY_DOUBLINGS = 10
-MAX_MISSED_REPORTED = 8  # periods, at one time
+MAX_MISSED_REPORTED = 8  # Maximum number of missed periods of a task that are reported at once
 
 
 @dataclass(frozen=True, slots=True)
 class ScheduledTask:
-    """A task as the operator's settings name it."""
+    """A scheduled task as configured by operators."""
 
     name: str
     kind: str
     period_ms: float
-    time_limit_ms: float  # of a run
-    catch_up_periods: int = 1  # past periods that are still worth a run
-    runs_after_period: bool = False  # a run is about its period, which has to be over
+    time_limit_ms: float  # Maximum duration of a run
+    catch_up_periods: int = 1  # Number of past periods for which a missed run is made up
+    runs_after_period: bool = (
+        False  # Whether a run evaluates its period, and so starts after the period's end
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Run the task for this period, under this token. Due in reply: `on_run_completed` or `on_run_failed`."""
+    """Run a task for a period, under the fencing token of its slot. The caller answers by `on_run_completed`
+    or `on_run_failed`."""
 
     task: ScheduledTask
     period: int
@@ -45,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRun:
-    """End this run at once; its result is ignored."""
+    """Stop a run at once; its result will be ignored."""
 
     task: ScheduledTask
     period: int
@@ -54,14 +59,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSlot:
-    """Release the slot: it was to be yielded, and nothing of it runs any more."""
+    """Release the lease of a slot that is being yielded, now that none of its tasks is running."""
 
     slot: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReportMissedRun:
-    """Log that this period has no run of this process and will have none."""
+    """Log that this process has not run a task for a period, and will not run it any more."""
 
     task: ScheduledTask
     period: int
@@ -73,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LastRun:
-    """A task's last run in this process, for operators."""
+    """The last run of a task in this process, as shown to operators."""
 
     period: int
     duration_ms: float
@@ -82,47 +87,49 @@
 
 @dataclass(slots=True)
 class TaskState:
-    """One task, as its slot's owner sees it."""
+    """The state of one task in this process."""
 
     task: ScheduledTask
     slot: int
-    last_done_period: int = -1  # done or missed; -1: nothing is known of what an owner before did
-    failures: int = 0  # in a row
-    not_before_ms: float = 0.0
-    running_period: int | None = None
-    started_ms: float = 0.0
+    last_done_period: int = -1  # Last period that was run or skipped; -1 if unknown, as for a new owner
+    failures: int = 0  # Number of consecutive failures
+    not_before_ms: float = 0.0  # Time before which no run may start
+    running_period: int | None = None  # Period of the current run; None if none is running
+    started_ms: float = 0.0  # Start time of the current or last run
     last_run: LastRun | None = None
 
     def reset(self, now_ms: float) -> None:
-        """Begin as a new owner does."""
+        """Reset the state to that of a new owner of the slot, who does not know which periods were run."""
         self.last_done_period = -1
         self.failures = 0
         self.not_before_ms = now_ms
 
     def newest_period(self, unix_ms: float) -> int:
-        """The latest period that may run now."""
+        """Return the latest period for which the task may run at the time `unix_ms`."""
         return int(unix_ms // self.task.period_ms) - self.task.runs_after_period
 
     def next_period_ms(self, now_ms: float, unix_ms: float) -> float:
-        """When the period after the newest one may run, by the clock of `now_ms`."""
+        """Return the time from which on the task may run for the period after the newest one, by the clock of
+        `now_ms`."""
         following = self.newest_period(unix_ms) + 1 + self.task.runs_after_period
         return now_ms + following * self.task.period_ms - unix_ms
 
 
 def slot_of(name: str, slots: int) -> int:
-    """The slot of the task or budget of that name."""
+    """Return the slot of a task or budget, from 0 to `slots` - 1, as a hash of its name."""
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest()) % slots
 
 
 def _retry_ms(failures: int) -> float:
-    """The longest wait before a retry."""
+    """Return the maximum backoff before the next retry, after a number of consecutive failures."""
     return min(MAX_RETRY_MS, RETRY_MS * 2 ** min(failures, MAX_RETRY_DOUBLINGS))
 
 
 class TaskScheduler:
-    """Decides on runs; owns one entry for each task that the settings name.
+    """Schedules the runs of the configured tasks whose slots this process owns.
 
-    Times are in milliseconds by a clock that keeps running while the process is suspended."""
+    Each call records an event or a time; `handle` returns the actions that follow. Times are in milliseconds
+    by a clock that keeps running while the process is suspended."""
 
     def __init__(self, tasks: tuple[ScheduledTask, ...], slots: int, chance: Random) -> None:
         self._chance = chance
@@ -130,17 +137,19 @@
         self._by_slot: dict[int, list[TaskState]] = {}
         for state in self.tasks.values():
             self._by_slot.setdefault(state.slot, []).append(state)
-        self._tokens: dict[int, int] = {}  # of the slots that are owned
-        self._yielding: set[int] = set()
-        self.pinned_slots: frozenset[int] = frozenset()  # not to be released yet (budgets)
-        self._timers: list[tuple[float, str]] = []  # a heap; outdated entries are skipped
-        self._running: dict[str, TaskState] = {}
+        self._tokens: dict[int, int] = {}  # Fencing tokens of the slots that this process owns
+        self._yielding: set[int] = set()  # Owned slots to release once none of their tasks is running
+        self.pinned_slots: frozenset[int] = frozenset()  # Slots that budgets still need, not to be released
+        self._timers: list[
+            tuple[float, str]
+        ] = []  # Heap of times and task names; outdated entries are skipped
+        self._running: dict[str, TaskState] = {}  # Tasks with a run in progress, by name
         self._actions: list[Action] = []
 
     # -- leases
 
     def on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
-        """This process owns the slot from now on."""
+        """Record that this process now owns a slot, under a new fencing token; its tasks may run."""
         self._tokens[slot] = token
         self._yielding.discard(slot)
         for state in self._by_slot.get(slot, ()):
@@ -148,7 +157,8 @@
             heapq.heappush(self._timers, (now_ms, state.task.name))
 
     def on_slot_lost(self, now_ms: float, slot: int, reason: str) -> None:
-        """This process owns the slot no longer: what runs under it is stopped."""
+        """Record that this process has lost a slot, and stop the runs of its tasks; `reason` goes into their
+        outcome."""
         if self._tokens.pop(slot, None) is None:
             return
         self._yielding.discard(slot)
@@ -157,12 +167,12 @@
                 self._stop(now_ms, state, state.running_period, reason)
 
     def yield_slot(self, slot: int) -> None:
-        """Begin nothing more of the slot, and release it as soon as nothing of it runs."""
+        """Start no more runs of a slot's tasks, and release the slot once none of them is running."""
         if slot in self._tokens:
             self._yielding.add(slot)
 
     def yield_all(self) -> None:
-        """The process will end: yield every slot."""
+        """Yield every owned slot, before the process ends."""
         self._yielding |= set(self._tokens)
 
     def _stop(self, now_ms: float, state: TaskState, period: int, reason: str) -> None:
@@ -174,10 +184,10 @@
         state.running_period = None
         self._running.pop(state.task.name, None)
 
-    # -- ends of runs
+    # -- results of runs
 
     def on_run_completed(self, now_ms: float, name: str, period: int) -> None:
-        """The receiver has taken the effect of that run. Ignored for a run that was stopped."""
+        """Record that a run has completed and its effect was accepted. Ignored for a run that was stopped."""
         state = self._running_state(name, period)
         if state is None:
             return
@@ -188,7 +198,8 @@
         heapq.heappush(self._timers, (state.not_before_ms, name))
 
     def on_run_failed(self, now_ms: float, name: str, period: int, reason: str) -> None:
-        """The effect of that run is not known to be taken. Ignored for a run that was stopped."""
+        """Record that a run has failed, so that its effect may not have been accepted, and schedule a retry.
+        Ignored for a run that was stopped."""
         state = self._running_state(name, period)
         if state is None:
             return
@@ -205,10 +216,10 @@
     # -- time
 
     def handle(self, now_ms: float, unix_ms: float) -> list[Action]:
-        """What is to be done now.
+        """Return the actions to carry out now.
 
-        `unix_ms` numbers the periods: gateways whose clocks differ cost no more than a repeated run, which
-        the receiver recognises."""
+        `unix_ms`: wall-clock time, which numbers the periods. If the clocks of gateways differ, a run may be
+        repeated, which its receiver recognises."""
         self._stop_overdue(now_ms)
         while self._timers and self._timers[0][0] <= now_ms and len(self._running) < MAX_CONCURRENT_RUNS:
             _, name = heapq.heappop(self._timers)
@@ -239,7 +250,7 @@
         return any(state.running_period is not None for state in self._by_slot.get(slot, ()))
 
     def _on_timer(self, now_ms: float, unix_ms: float, state: TaskState) -> None:
-        """Start the run that is due, if there is one."""
+        """Start the next run of a task if it may run now, or set its timer for the next period."""
         token = self._tokens.get(state.slot)
         if token is None or state.slot in self._yielding:
             return
@@ -256,10 +267,11 @@
         self._actions.append(StartRun(state.task, state.running_period, token, state.slot))
 
     def _skip_missed(self, unix_ms: float, state: TaskState) -> None:
-        """Give up the periods that are too old to run."""
+        """Skip the periods that are too old to be made up, and report them as missed."""
         task = state.task
         oldest = state.newest_period(unix_ms) - task.catch_up_periods
-        if state.last_done_period < 0:  # what an owner before did, its receiver knows
+        # A new owner does not know which periods were run before it, and reports none of them as missed.
+        if state.last_done_period < 0:
             state.last_done_period = oldest - 1
         if oldest <= state.last_done_period + 1:
             return
@@ -270,7 +282,7 @@
         state.failures = 0
 
     def next_due_ms(self) -> float:
-        """When `handle` has something to do."""
+        """Return the time at which `handle` must be called next; infinity if there is nothing to wait for."""
         times = [state.started_ms + state.task.time_limit_ms for state in self._running.values()]
         if self._timers and len(self._running) < MAX_CONCURRENT_RUNS:
             times.append(self._timers[0][0])
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -1,8 +1,8 @@
-"""The fleet's usage in a period: what each gateway counted, and how the owner collects it. No I/O, no clock.
+"""Counts the usage of each gateway by period and plan, and collects it over the fleet. No I/O and no clock.
 
-Each gateway counts by period and plan, and keeps the last few periods. The owner polls each gateway for a
-period that is over, a few a second, with retries; what nobody reports is stated as a gap, never guessed. A
-gateway that started within the period says from when on it counted: the time before is a gap, too."""
+Each gateway keeps its counts of the last MAX_PERIODS periods. The owner of the usage task polls the gateways
+for a period that is over, at a limited rate and with retries. If a gateway does not report, or started within
+the period, the result has a gap for the missing time; usage is never estimated."""
 
 from __future__ import annotations
 
@@ -11,39 +11,45 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-MAX_PERIODS = 10  # that a gateway keeps
-SERVED = 0  # outcomes of a request, as in plumpick/gateway/request_table.py
+MAX_PERIODS = 10  # Number of periods that a gateway keeps
+# Outcomes of a request, equal to those in plumpick/gateway/request_table.py.
+SERVED = 0
 REJECTED = 1
 FAILED = 2
-POLL_INTERVAL_MS = 50.0  # the owner polls one gateway in so long, and takes in 20 reports a second
-RETRY_MS = 300.0  # the wait grows by as much each time: a gateway is given up after 3 s
+POLL_INTERVAL_MS = 50.0  # Average time between two polls; limits the owner to 20 reports per second
+# Wait after the first poll of a gateway. Each further wait is longer by the same time, so a gateway is given
+# up after MAX_ATTEMPTS polls, which take 3 s.
+RETRY_MS = 300.0
 MAX_ATTEMPTS = 4
-MAX_POLL_DEBT = 2  # polls that may be made up for after a delay
+MAX_POLL_DEBT = 2  # Maximum number of polls that are made up for after a delay
 MAX_ROWS_PER_MESSAGE = 12
-NOT_COUNTED = 0xFFFFFFFF  # in place of a time: the gateway knows nothing of the period
+NOT_COUNTED = 0xFFFFFFFF  # Value in place of a time if a gateway has no counts of the period
 KIND_REQUEST = 1
 KIND_REPORT = 2
-_HEADER = struct.Struct(">BIQIBB")  # kind, the task's tag, period, counted from that ms of it, part, parts
-_ROW = struct.Struct(">BIIII")  # plan, served, rejected, failed, units x 16
+# Kind, tag of the task, period, time in ms of the period from which on it was counted, part, number of parts
+_HEADER = struct.Struct(">BIQIBB")
+_ROW = struct.Struct(">BIIII")  # Plan, served, rejected, failed, units times _UNIT_SCALE
 _UNIT_SCALE = 16
 _UINT32_MAX = 0xFFFFFFFF
 
-UsageRow = list[float]  # served, rejected, failed, units
+UsageRow = list[float]  # Numbers of served, rejected and failed requests, and units served
 
 
 class UsageSnapshotError(ValueError):
-    """Counts of the process before that cannot be used; the text gives the reason."""
+    """Malformed counts in the snapshot of the hot-restart predecessor. The message gives the reason."""
 
 
 class PeriodUsage(NamedTuple):
-    """What one gateway counted in a period, by plan; `counted_from_ms` of the period on, or NOT_COUNTED."""
+    """The usage that one gateway counted in a period, by plan index.
+
+    `counted_from_ms`: time since the period's start from which on it was counted, or NOT_COUNTED."""
 
     counted_from_ms: int
     rows: dict[int, UsageRow]
 
 
 class UsageGap(NamedTuple):
-    """From when to when of the period it is not known what a gateway did."""
+    """The part of a period for which the usage of a gateway is unknown, in ms since the period's start."""
 
     gateway: int
     from_ms: float
@@ -51,14 +57,16 @@
 
 
 class FleetUsage(NamedTuple):
-    """The sums of a period by plan, and what is missing from them."""
+    """The usage of the fleet in a period: sums by plan index, and the gaps that are missing from them."""
 
     totals: dict[int, UsageRow]
     gaps: list[UsageGap]
 
 
 class UsageCounter:
-    """What this gateway counted. Owns MAX_PERIODS periods, each with the plans that occurred in it."""
+    """This gateway's usage in the last MAX_PERIODS periods, by plan index.
+
+    `started_unix_ms`: time at which the gateway began to count, by the clock that numbers the periods."""
 
     def __init__(self, period_ms: float, started_unix_ms: float) -> None:
         self.period_ms = period_ms
@@ -66,7 +74,8 @@
         self.periods: dict[int, dict[int, UsageRow]] = {}
 
     def count(self, unix_ms: float, plan: int, outcome: int, units: float) -> None:
-        """One request has its final outcome."""
+        """Count a request with its final outcome, which is SERVED, REJECTED or FAILED. The units of other
+        requests than served ones are not counted."""
         period = int(unix_ms // self.period_ms)
         rows = self.periods.get(period)
         if rows is None:
@@ -79,8 +88,8 @@
             row[3] += units
 
     def usage(self, unix_ms: float, period: int) -> PeriodUsage:
-        """What was counted in a period; NOT_COUNTED while it is not over, or when it is too old, or over
-        before this process started."""
+        """Return the usage in a period. It is NOT_COUNTED if the period is not over, is no longer kept, or
+        was over before this gateway began to count."""
         newest = int(unix_ms // self.period_ms)
         counted_from_ms = max(0.0, self.started_unix_ms - period * self.period_ms)
         if not newest - MAX_PERIODS < period < newest or counted_from_ms >= self.period_ms:
@@ -88,7 +97,7 @@
         return PeriodUsage(math.ceil(counted_from_ms), self.periods.get(period, {}))
 
     def capture(self) -> dict[str, object]:
-        """The state for the next process of this gateway, for JSON."""
+        """Return the counts for the hot-restart successor, as values that JSON can hold."""
         return {
             "born": self.started_unix_ms,
             "periods": [
@@ -98,7 +107,8 @@
         }
 
     def restore(self, state: dict[str, Any]) -> None:
-        """Continue from a captured state; raises UsageSnapshotError, and then nothing has changed."""
+        """Continue from the counts that `capture` returned. Raises UsageSnapshotError if they are malformed,
+        and then changes nothing."""
         try:
             started_unix_ms = float(state["born"])
             periods = {
@@ -115,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageMessage:
-    """A request for a period of a task, or one part of a report."""
+    """A decoded message: a request for the usage in a period, or one part of a report."""
 
     kind: int
     tag: int
@@ -127,12 +137,12 @@
 
 
 def encode_request(tag: int, period: int) -> bytes:
-    """The message that requests a period; `tag` stands for the task."""
+    """Encode the message that requests the usage in a period. `tag`: identifies the task in the report."""
     return _HEADER.pack(KIND_REQUEST, tag, period, 0, 0, 1)
 
 
 def encode_report(tag: int, period: int, usage: PeriodUsage) -> list[bytes]:
-    """The messages that report a period."""
+    """Encode the report on a period, in messages of at most MAX_ROWS_PER_MESSAGE rows."""
     plans = sorted(usage.rows)
     parts = max(1, math.ceil(len(plans) / MAX_ROWS_PER_MESSAGE))
     messages = []
@@ -150,7 +160,7 @@
 
 
 def decode(data: bytes) -> UsageMessage | None:
-    """The message in these bytes, or None when they hold none."""
+    """Decode a message; returns None if the bytes are not a valid one."""
     if len(data) < _HEADER.size or (len(data) - _HEADER.size) % _ROW.size:
         return None
     if data[0] not in (KIND_REQUEST, KIND_REPORT):
@@ -167,13 +177,13 @@
 
 @dataclass(slots=True)
 class _GatewayReport:
-    """What one gateway has reported so far."""
+    """The polls of one gateway, and the parts of its report received so far."""
 
-    attempts: int = 0
-    next_ms: float = 0.0
+    attempts: int = 0  # Number of polls
+    next_ms: float = 0.0  # Time of the next poll
     counted_from_ms: int = -1
-    parts: dict[int, dict[int, UsageRow]] = field(default_factory=dict)
-    part_count: int = 0
+    parts: dict[int, dict[int, UsageRow]] = field(default_factory=dict)  # Received rows by part number
+    part_count: int = 0  # Number of parts of the whole report; 0 before the first has been received
 
     @property
     def is_complete(self) -> bool:
@@ -184,31 +194,33 @@
 
 
 def max_collection_ms(gateways: int) -> float:
-    """How long a collection takes when nobody reports."""
+    """Return the maximum duration of a collection in ms, which it takes if no gateway reports."""
     return RETRY_MS * MAX_ATTEMPTS * (MAX_ATTEMPTS + 1) / 2 + gateways * MAX_ATTEMPTS * POLL_INTERVAL_MS
 
 
 class UsageCollection:
-    """The owner's side, for one task and one period. Owns one entry for each gateway."""
+    """Collects the reports of all gateways on one period, for the task's owner."""
 
     def __init__(self, gateways: int, now_ms: float) -> None:
         self._reports = {gateway: _GatewayReport() for gateway in range(gateways)}
         self._next_ms = now_ms
 
     def on_report(self, sender: int, message: UsageMessage) -> None:
-        """A gateway has reported a part."""
+        """Take one part of the report of the gateway `sender`. Parts of unknown gateways, and of those with a
+        complete report, are ignored."""
         report = self._reports.get(sender)
         if report is None or report.is_complete:
             return
         if (message.counted_from_ms, message.parts) != (report.counted_from_ms, report.part_count):
-            # Another incarnation's: the parts do not belong together.
+            # The part is of another incarnation of the gateway, and does not fit the parts received before.
             report.counted_from_ms = message.counted_from_ms
             report.part_count = message.parts
             report.parts = {}
         report.parts[message.part] = message.rows
 
     def gateways_to_poll(self, now_ms: float) -> list[int]:
-        """Whom to request it from now, a few at a time."""
+        """Return the gateways to poll now, and count them as polled. The average rate is one gateway in
+        POLL_INTERVAL_MS."""
         gateways: list[int] = []
         waiting = sorted(
             (report.next_ms, gateway)
@@ -227,11 +239,11 @@
         return gateways
 
     def is_over(self, now_ms: float) -> bool:
-        """Whether every gateway has reported, or was given up."""
+        """Whether every gateway has reported completely or was given up."""
         return all(report.is_complete or report.is_given_up(now_ms) for report in self._reports.values())
 
     def result(self, period_ms: float) -> FleetUsage:
-        """What was collected, by plan, and the gaps in it."""
+        """Return the sums of the complete reports, and the gaps of the other gateways."""
         totals: dict[int, UsageRow] = {}
         gaps: list[UsageGap] = []
         for gateway, report in self._reports.items():
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -1,6 +1,7 @@
-"""The simulator's wire: reads batches, hosts one Controller an instance, writes the replies.
+"""Adapter between the simulator's line protocol and the decision module.
 
-Nothing here decides anything. What cannot be read ends the process with one plain message.
+Reads batches of messages from standard input, passes them to one Controller for each simulated gateway, and
+writes their actions to standard output. A malformed message ends the process with one line on standard error.
 """
 
 from __future__ import annotations
@@ -45,14 +46,14 @@
 
 
 class WireError(Exception):
-    """A line that cannot be read: names the message and the field."""
+    """A malformed message; the text names the message and the field."""
 
 
 class ModuleFault(Exception):
-    """The module raised: the instance and what was said."""
+    """An exception of the decision module; the text is the reply lines that report it, with the instance."""
 
 
-# ---- values -------------------------------------------------------------------------------------
+# ---- parsers of field values; each raises ValueError or KeyError for a malformed text -------------
 
 
 def _number(text: str) -> float:
@@ -114,7 +115,7 @@
 
 
 Reader = Callable[[str], Any]
-# The fields of each message, in the order of the wire.
+# Name and parser of each field of a message, in the order of the protocol.
 _FIELDS: dict[str, tuple[tuple[str, Reader], ...]] = {
     "SYNC": (("clock", _number),),
     "YOUR_TURN": (),
@@ -164,7 +165,7 @@
 
 
 def _values(name: str, parts: list[str]) -> list[Any]:
-    """The values of one message."""
+    """Parse the fields of a message. Raises WireError."""
     fields = _FIELDS[name]
     if name in _LAST_IS_TEXT and len(parts) > len(fields):
         parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
@@ -183,7 +184,7 @@
 
 
 def _event(name: str, values: list[Any]) -> Event:
-    """The module's event for one message of an instance."""
+    """Convert a message to an event of the decision module."""
     if name == "REQUEST":
         number, first, spread, units, due, bits, customer, category, plan = values
         return RequestReceived(
@@ -207,7 +208,7 @@
 
 
 def _reply(action: Action) -> str:
-    """The wire's line for one action."""
+    """Convert an action to a line of the protocol."""
     match action:
         case StartAttempt(number, server, allow):
             return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
@@ -228,7 +229,9 @@
 
 
 class Host:
-    """Many instances that share nothing but this process."""
+    """Hosts the simulated gateways, each with a Controller of its own that shares no state with the others.
+
+    `source`: input lines; `sink`: replies; `complaints`: warnings about unknown messages."""
 
     def __init__(self, source: Iterator[str], sink: TextIO, complaints: TextIO) -> None:
         self._source, self._sink, self._complaints = source, sink, complaints
@@ -236,7 +239,7 @@
         self._reported: set[str] = set()
 
     def run(self) -> None:
-        """Serve batches until the input ends."""
+        """Serve batches until the end of the input. Raises WireError and ModuleFault."""
         for line in self._source:
             name, *parts = line.rstrip("\n").split("\t")
             if name != "SYNC":
@@ -254,7 +257,8 @@
             print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._complaints)
 
     def _batch(self, now: float) -> bool:
-        """Read one batch to its end and answer it; False when the input ends inside it."""
+        """Read one batch up to YOUR_TURN and write its replies. `now`: the batch's time in ms. Returns False
+        if the input ends within the batch."""
         events: dict[int, list[Event]] = {}
         replies: list[str] = []
         current: int | None = None
@@ -329,7 +333,8 @@
 
 
 def main() -> int:
-    """Serve standard input; the exit code."""
+    """Serve standard input. Returns the exit code: 0 at the end of the input, 1 after a fault of the decision
+    module, 2 after a malformed message."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
