--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -18,7 +18,7 @@
 from plumpick.policy.events import CommandKind, OperatorCommand, SettingsChanged
 
 # Fields of the configuration outside `settings`. A published version replaces settings alone and keeps them;
-# the check holds for any other caller. reconfiguration.FIXED names the settings that are fixed until a
+# the check holds for any other caller. reconfiguration.RESTART_ONLY names the settings that are fixed until a
 # restart. The list of workers is discovery's to change.
 RESTART_ONLY_FIELDS = (
     "name",
--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -111,7 +111,7 @@
         self.consecutive_failures = 0
         self.queue_timeouts = 0  # Number of consecutive calls that timed out in the service's queue
         self._is_watching = False  # Whether the last call was answered, so that the watch can continue
-        self._went_back = False  # Whether the last response had a lower index than the present list
+        self._index_went_back = False  # Whether the last response had a lower index than the present list
 
     def next_request(self, now_ms: float) -> EndpointWatchRequest:
         """Return the next call to make. `now_ms`: a clock that all gateways share, for the rounds."""
@@ -129,13 +129,13 @@
 
     def _delay_ms(self, now_ms: float) -> float:
         if self.is_shared:
-            return 0.0 if self._is_watching else self._until_slot_ms(now_ms)
+            return 0.0 if self._is_watching else self._delay_to_slot_ms(now_ms)
         if not self.consecutive_failures:
             return 0.0
         doublings = min(self.consecutive_failures - 1, 30)
         return min(AGENT_MAX_BACKOFF_MS, AGENT_INITIAL_BACKOFF_MS * 2.0**doublings)
 
-    def _until_slot_ms(self, now_ms: float) -> float:
+    def _delay_to_slot_ms(self, now_ms: float) -> float:
         """Return the time until this gateway's next slot, plus a random number of skipped rounds after queue
         timeouts."""
         rounds = 1
@@ -158,9 +158,9 @@
         if self.index is None and not is_snapshot:
             self.on_call_failed()
             raise SnapshotMissingError("a change came where the whole list was asked for")
-        is_confirmed = is_snapshot and self._went_back
+        is_confirmed = is_snapshot and self._index_went_back
         if self.index is not None and index < self.index and not is_confirmed:
-            self._went_back = True
+            self._index_went_back = True
             self.on_call_failed()
             if not is_snapshot:
                 self.index = None  # Only a snapshot can confirm a lower index.
@@ -169,7 +169,7 @@
         self.consecutive_failures = 0
         self.queue_timeouts = 0
         self._is_watching = True
-        self._went_back = False
+        self._index_went_back = False
 
     def on_call_failed(self, timed_out: bool = False) -> None:
         """Record a failed call. `timed_out`: the connection was up, but the response did not come in time.
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -22,14 +22,14 @@
 
 # Settings that cannot change without a restart, since they identify the gateway and its environment: the
 # attribute of Settings, and the key that error messages name.
-FIXED = (
+RESTART_ONLY = (
     ("gateway_count", "balancers"),
     ("gateway_number", "myNumber"),
     ("zone", "locality"),
     ("must_request_watch", "discovery"),
     ("can_message_peers", "limits.mayTell"),
 )
-SLOW_START = ("slow_start_ms", "slow_start_initial_ratio")
+SLOW_START_SETTINGS = ("slow_start_ms", "slow_start_initial_ratio")
 
 
 def check(old: Settings, new: object) -> None:
@@ -37,7 +37,7 @@
     is one line that names the key."""
     if not isinstance(new, Settings):
         raise ReconfigurationError(f"settings: {type(new).__name__} is none")
-    for name, key in FIXED:
+    for name, key in RESTART_ONLY:
         if getattr(new, name) != getattr(old, name):
             raise ReconfigurationError(
                 f"settings.{key}: {getattr(new, name)!r}; it is {getattr(old, name)!r} until a restart"
@@ -46,10 +46,10 @@
     _check_names("packages", [plan.name for plan in new.plans], MAX_PLANS)
 
 
-def _check_names(key: str, names: list[str], most: int) -> None:
-    """Raise ReconfigurationError if there are more than `most` names, or if two are the same."""
-    if len(names) > most:
-        raise ReconfigurationError(f"settings.{key}: {len(names)} are more than {most}")
+def _check_names(key: str, names: list[str], max_count: int) -> None:
+    """Raise ReconfigurationError if there are more than `max_count` names, or if two are the same."""
+    if len(names) > max_count:
+        raise ReconfigurationError(f"settings.{key}: {len(names)} are more than {max_count}")
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
@@ -60,18 +60,18 @@
 def apply(
     state: GatewayState,
     now_ms: float,
-    wanted: Settings,
+    new_settings: Settings,
     *,
     deny: Callable[[Request], None],
     send: Callable[[int, list[QuotaMessage]], None],
 ) -> None:
-    """Apply the settings `wanted`. Raises ReconfigurationError, and then changes nothing.
+    """Apply the settings `new_settings`. Raises ReconfigurationError, and then changes nothing.
 
     `deny`: called with each request that waits for units under a removed class or plan; `send`: called with
     the number of a gateway and quota messages that must be sent at once, under the old names."""
-    check(state.settings, wanted)
+    check(state.settings, new_settings)
     old, quota = state.settings, state.quota
-    settings = _with_unchanged_plans(state, wanted)
+    settings = _with_unchanged_plans(state, new_settings)
     classes = {request_class.name: request_class for request_class in settings.classes}
     plans = {plan.name: plan for plan in settings.plans}
     has_same_names = list(classes) == list(state.classes) and list(plans) == list(state.plans)
@@ -82,7 +82,7 @@
         quota_reconfiguration.serve_by_old_plans(quota, now_ms, plans)
     if not has_same_names:
         _translate_indexes(state, settings, send)
-    _learn_classes(state, classes, has_same_names)
+    _update_classes(state, classes, has_same_names)
     state.settings = settings
     state.codec, state.classes, state.plans = codec, classes, plans
     state.endpoints.settings = settings
@@ -91,17 +91,19 @@
     state.top_priority = top_priority_of(settings)
     state.outliers.class_index = quota.context.class_index
     quota_reconfiguration.move_ledgers(quota, state.timers, now_ms, plans)
-    if any(getattr(settings, name) != getattr(old, name) for name in SLOW_START):
+    if any(getattr(settings, name) != getattr(old, name) for name in SLOW_START_SETTINGS):
         state.endpoints.disabled.slow_start_ms = settings.slow_start_ms
         state.endpoints.classify(now_ms)
         state.limit.update_limit(state.endpoints.capacity)
 
 
-def _with_unchanged_plans(state: GatewayState, wanted: Settings) -> Settings:
-    """Return `wanted` with each plan that is equal to the present one replaced by that same object. Accounts
-    and ledgers recognise unchanged plans by identity."""
-    plans = [state.plans[plan.name] if state.plans.get(plan.name) == plan else plan for plan in wanted.plans]
-    return replace(wanted, plans=tuple(plans))
+def _with_unchanged_plans(state: GatewayState, new_settings: Settings) -> Settings:
+    """Return the settings with each plan that is equal to the present one replaced by that same object.
+    Accounts and ledgers recognise unchanged plans by identity."""
+    plans = [
+        state.plans[plan.name] if state.plans.get(plan.name) == plan else plan for plan in new_settings.plans
+    ]
+    return replace(new_settings, plans=tuple(plans))
 
 
 def _translate_indexes(
@@ -109,8 +111,8 @@
 ) -> None:
     """Translate the indexes of classes and plans in all queued messages and reports to the new settings."""
     translation = quota_reconfiguration.IndexTranslation(state.settings, settings)
-    most = state.codec.max_quota_messages
-    quota_reconfiguration.translate_waiting(state.quota, translation, most, send)
+    max_count = state.codec.max_quota_messages
+    quota_reconfiguration.translate_waiting(state.quota, translation, max_count, send)
     reports = []
     for seen_ms, report in state.outliers.reports:
         class_index = translation.class_to[report.class_index]
@@ -119,7 +121,7 @@
     state.outliers.reports = reports
 
 
-def _learn_classes(state: GatewayState, classes: dict[str, RequestClass], has_same_names: bool) -> None:
+def _update_classes(state: GatewayState, classes: dict[str, RequestClass], has_same_names: bool) -> None:
     """Add statistics for new classes and adapt those of classes with a new latency objective; all others
     are kept."""
     share, changed = 1 / len(classes), classes
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -131,8 +131,8 @@
     Each call records an event or a time; `handle` returns the actions that follow. Times are in milliseconds
     by a clock that keeps running while the process is suspended."""
 
-    def __init__(self, tasks: tuple[ScheduledTask, ...], slots: int, chance: Random) -> None:
-        self._chance = chance
+    def __init__(self, tasks: tuple[ScheduledTask, ...], slots: int, rng: Random) -> None:
+        self._rng = rng
         self.tasks = {task.name: TaskState(task, slot_of(task.name, slots)) for task in tasks}
         self._by_slot: dict[int, list[TaskState]] = {}
         for state in self.tasks.values():
@@ -206,7 +206,7 @@
         self._end(now_ms, state, period, reason)
         state.failures += 1
         longest_ms = _retry_ms(state.failures)
-        state.not_before_ms = now_ms + self._chance.uniform(longest_ms / 2, longest_ms)
+        state.not_before_ms = now_ms + self._rng.uniform(longest_ms / 2, longest_ms)
         heapq.heappush(self._timers, (state.not_before_ms, name))
 
     def _running_state(self, name: str, period: int) -> TaskState | None:
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -19,7 +19,7 @@
     Settings,
 )
 
-_REPEATS = {
+_IDEMPOTENCY_BY_KEYWORD = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
@@ -94,7 +94,7 @@
 
 def _request_class(row: JsonObject) -> RequestClass:
     repeat = row.text("repeat")
-    if repeat not in _REPEATS:
+    if repeat not in _IDEMPOTENCY_BY_KEYWORD:
         raise SettingsError(f"{row.path}.repeat: {repeat!r} is no kind of repeat")
     scope = row.text("keyScope", "all")
     if scope not in ("all", "zone", "cell"):
@@ -107,7 +107,7 @@
         latency_objective_ms=row.number("aimMs"),
         deadline_ms=row.above("deadlineMs"),
         priority_weight=row.number("worth", 1.0),
-        idempotency=_REPEATS[repeat],
+        idempotency=_IDEMPOTENCY_BY_KEYWORD[repeat],
         late_priority_weight=row.number("lateWorth", 0.0),
         deduplication_scope=DeduplicationScope(scope),
         deduplication_window_ms=window_ms,
@@ -131,13 +131,13 @@
     )
 
 
-def _limited(path: str, rows: Sequence[JsonObject], most: int) -> Sequence[JsonObject]:
-    """Return `rows` unchanged. Raises SettingsError if there are none or more than `most`, or if two have
-    the same name."""
+def _with_unique_names(path: str, rows: Sequence[JsonObject], max_count: int) -> Sequence[JsonObject]:
+    """Return `rows` unchanged. Raises SettingsError if there are none or more than `max_count`, or if two
+    have the same name."""
     if not rows:
         raise SettingsError(f"{path}: there are none")
-    if len(rows) > most:
-        raise SettingsError(f"{path}: {len(rows)} are more than {most}")
+    if len(rows) > max_count:
+        raise SettingsError(f"{path}: {len(rows)} are more than {max_count}")
     first: dict[str, str] = {}
     for row in rows:
         name = row.text("name")
@@ -155,8 +155,8 @@
     rules, limits = top.table("rules"), top.table("limits")
     domain, report = top.table("domain", {}), top.table("report", {})
     prices = top.table("penalties", {})
-    classes = _limited(f"{path}.classes", top.rows("classes"), MAX_CLASSES)
-    plans = _limited(f"{path}.packages", top.rows("packages"), MAX_PLANS)
+    classes = _with_unique_names(f"{path}.classes", top.rows("classes"), MAX_CLASSES)
+    plans = _with_unique_names(f"{path}.packages", top.rows("packages"), MAX_PLANS)
     return Settings(
         gateway_count=int(top.number("balancers")),
         gateway_number=int(top.number("myNumber")),
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -27,8 +27,8 @@
 
 # Version of the snapshot format, and the older version that is still read; quota/snapshot.py explains the
 # differences.
-FORM = 2
-OLD_FORM = 1
+FORMAT_VERSION = 2
+OLD_FORMAT_VERSION = 1
 
 
 def export_state(state: GatewayState) -> dict[str, Any]:
@@ -40,7 +40,7 @@
     plan_index = {plan.name: index for index, plan in enumerate(plans)}
     disabled, enabled = state.endpoints.disabled.export_state()
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "number": state.settings.gateway_number,
         "gateways": state.settings.gateway_count,
         "classes": list(state.classes),
@@ -68,31 +68,31 @@
 def import_state(state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
     """Restore the state from a snapshot. Raises SnapshotError or ValueError, and then changes nothing."""
     settings = state.settings
-    if exported.get("form") not in (FORM, OLD_FORM):
+    if exported.get("form") not in (FORMAT_VERSION, OLD_FORMAT_VERSION):
         raise SnapshotError(f"a state of form {exported.get('form')!r}")
     if exported.get("number") != settings.gateway_number:
         raise SnapshotError("the state of another gatekeeper")
     if exported.get("gateways") != settings.gateway_count:
         raise SnapshotError("the state of another gatekeeper")
     try:
-        read = _ReadState(state, now_ms, exported)
+        parsed = _ParsedSnapshot(state, now_ms, exported)
     except (KeyError, TypeError, AttributeError, IndexError) as problem:
         raise SnapshotError(f"a state that cannot be read: {problem!r}") from problem
-    read.take_effect(state, now_ms)
+    parsed.apply(state, now_ms)
 
 
-class _ReadState:
+class _ParsedSnapshot:
     """A validated snapshot that is not yet in force.
 
     The exception is the concurrency limit, which the constructor reads last and sets in `state` directly."""
 
     def __init__(self, state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
-        is_old_form = exported["form"] == OLD_FORM
+        is_old_form = exported["form"] == OLD_FORMAT_VERSION
         self.quota = quota_snapshot.read_state(state.quota, now_ms, exported, is_old_form)
         self.endpoints = state.endpoints.read_rows(exported["servers"])
-        self.usual_latency_ms = _known(exported["usual"], state.statistics.usual_latency_ms)
-        self.timely_ratio = _known(exported["timely"], state.statistics.timely_ratio)
-        self.shares = _known(exported["shares"], state.queue.shares)
+        self.usual_latency_ms = _of_known_classes(exported["usual"], state.statistics.usual_latency_ms)
+        self.timely_ratio = _of_known_classes(exported["timely"], state.statistics.timely_ratio)
+        self.shares = _of_known_classes(exported["shares"], state.queue.shares)
         self.disabled = [str(name) for name in exported["bans"]]
         self.enabled = [(str(name), float(ms)) for name, ms in exported["back"]]
         draining = exported["draining"]
@@ -105,7 +105,7 @@
             raise SnapshotError("window")
         snapshot_rows.fill(state.limit, LIMIT_FIELDS, limit)
 
-    def take_effect(self, state: GatewayState, now_ms: float) -> None:
+    def apply(self, state: GatewayState, now_ms: float) -> None:
         """Put the snapshot into force."""
         quota_snapshot.import_state(state.quota, self.quota)
         state.statistics.usual_latency_ms.update(self.usual_latency_ms)
@@ -132,7 +132,7 @@
         table.classify(now_ms)
 
 
-def _known(values: Mapping[str, Any], known: Mapping[str, object]) -> dict[str, float]:
+def _of_known_classes(values: Mapping[str, Any], known: Mapping[str, object]) -> dict[str, float]:
     """Return the entries of `values` whose class is in `known`, as floats."""
     return {str(name): float(value) for name, value in values.items() if name in known}
 
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -41,8 +41,12 @@
 )
 from plumpick.policy.settings_parser import parse_settings
 
-_STATES = {"Running": EndpointState.READY, "Stopping": EndpointState.DRAINING, "Deleted": EndpointState.GONE}
-_REPEATED_BIT = 2
+_ENDPOINT_STATES = {
+    "Running": EndpointState.READY,
+    "Stopping": EndpointState.DRAINING,
+    "Deleted": EndpointState.GONE,
+}
+_CLIENT_RETRY_BIT = 2
 
 
 class WireError(Exception):
@@ -65,18 +69,18 @@
     return value
 
 
-def _whole(text: str) -> int:
+def _integer(text: str) -> int:
     return 0 if text == "-" else int(text)
 
 
-def _natural(text: str) -> int:
+def _non_negative_integer(text: str) -> int:
     value = int(text)
     if value < 0:
         raise ValueError(text)
     return value
 
 
-def _word(text: str) -> str:
+def _non_empty_text(text: str) -> str:
     if not text or text == "-":
         raise ValueError(text)
     return text
@@ -96,7 +100,7 @@
     return b"" if text == "-" else bytes.fromhex(text)
 
 
-def _row(text: str) -> tuple[float, ...]:
+def _number_list(text: str) -> tuple[float, ...]:
     return () if text in ("-", "") else tuple(_number(part) for part in text.split(","))
 
 
@@ -111,63 +115,73 @@
 
 
 def _state(text: str) -> EndpointState:
-    return _STATES[text]
+    return _ENDPOINT_STATES[text]
 
 
-Reader = Callable[[str], Any]
+FieldParser = Callable[[str], Any]
 # Name and parser of each field of a message, in the order of the protocol.
-_FIELDS: dict[str, tuple[tuple[str, Reader], ...]] = {
+_FIELDS: dict[str, tuple[tuple[str, FieldParser], ...]] = {
     "SYNC": (("clock", _number),),
     "YOUR_TURN": (),
-    "SWITCH_TO": (("gatekeeper", _natural),),
-    "CONFIGURE": (("salt", _whole), ("info", _text)),
+    "SWITCH_TO": (("gatekeeper", _non_negative_integer),),
+    "CONFIGURE": (("salt", _integer), ("info", _text)),
     "KILL": (),
-    "FLEET": (("mode", _mode), ("rev", _whole), ("rows", _whole)),
+    "FLEET": (("mode", _mode), ("rev", _integer), ("rows", _integer)),
     "WORKER": (
-        ("worker", _word),
+        ("worker", _non_empty_text),
         ("zone", _text),
         ("sku", _text),
-        ("pod", _whole),
+        ("pod", _integer),
         ("health", _state),
         ("share", _number),
         ("onlineSinceMs", _number),
     ),
     "REQUEST": (
-        ("requestId", _natural),
+        ("requestId", _non_negative_integer),
         ("setFrom", _number),
         ("doors", _number),
         ("sizeUnits", _number),
         ("dueMs", _number),
-        ("stateBits", _whole),
-        ("member", _word),
-        ("category", _word),
-        ("gradeOfService", _word),
+        ("stateBits", _integer),
+        ("member", _non_empty_text),
+        ("category", _non_empty_text),
+        ("gradeOfService", _non_empty_text),
+    ),
+    "ACK_FIRST": (
+        ("requestId", _non_negative_integer),
+        ("worker", _non_empty_text),
+        ("rttMs", _number),
+        ("roundNo", _non_negative_integer),
     ),
-    "ACK_FIRST": (("requestId", _natural), ("worker", _word), ("rttMs", _number), ("roundNo", _natural)),
     "VERDICT": (
-        ("requestId", _natural),
-        ("roundNo", _natural),
+        ("requestId", _non_negative_integer),
+        ("roundNo", _non_negative_integer),
         ("actual", _number),
-        ("worker", _word),
+        ("worker", _non_empty_text),
         ("rttMs", _number),
         ("result", _result),
         ("final", _flag),
-        ("quotaUse", _whole),
-        ("load", _row),
+        ("quotaUse", _integer),
+        ("load", _number_list),
+    ),
+    "CLIENT_GONE": (("requestId", _non_negative_integer),),
+    "FIRED": (("name", _non_empty_text),),
+    "PONG": (("worker", _non_empty_text), ("rttMs", _number), ("result", _result), ("load", _number_list)),
+    "FROM_PEER": (("originPeer", _non_negative_integer), ("data", _bytes)),
+    "LEDGER_REPLY": (
+        ("nowAt", _number),
+        ("result", _result),
+        ("rttMs", _number),
+        ("counter", _non_empty_text),
     ),
-    "CLIENT_GONE": (("requestId", _natural),),
-    "FIRED": (("name", _word),),
-    "PONG": (("worker", _word), ("rttMs", _number), ("result", _result), ("load", _row)),
-    "FROM_PEER": (("originPeer", _natural), ("data", _bytes)),
-    "LEDGER_REPLY": (("nowAt", _number), ("result", _result), ("rttMs", _number), ("counter", _word)),
 }
-_LAST_IS_TEXT = {"CONFIGURE"}
+_ENDS_IN_TEXT = {"CONFIGURE"}
 
 
-def _values(name: str, parts: list[str]) -> list[Any]:
+def _parse_fields(name: str, parts: list[str]) -> list[Any]:
     """Parse the fields of a message. Raises WireError."""
     fields = _FIELDS[name]
-    if name in _LAST_IS_TEXT and len(parts) > len(fields):
+    if name in _ENDS_IN_TEXT and len(parts) > len(fields):
         parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
         raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
@@ -186,15 +200,23 @@
 def _event(name: str, values: list[Any]) -> Event:
     """Convert a message to an event of the decision module."""
     if name == "REQUEST":
-        number, first, spread, units, due, bits, customer, category, plan = values
+        number, first_gateway, gateway_set_size, units, deadline_ms, flags, customer, category, plan = values
         return RequestReceived(
-            number, customer, category, plan, due, units, int(first), int(spread), bool(bits & _REPEATED_BIT)
+            number,
+            customer,
+            category,
+            plan,
+            deadline_ms,
+            units,
+            int(first_gateway),
+            int(gateway_set_size),
+            bool(flags & _CLIENT_RETRY_BIT),
         )
     if name == "VERDICT":
-        number, attempt, actual, worker, took, result, final, used, load = values
-        return AttemptCompleted(number, attempt, worker, took, result, final, actual, used, load)
+        number, attempt, actual, worker, latency_ms, result, final, used, load = values
+        return AttemptCompleted(number, attempt, worker, latency_ms, result, final, actual, used, load)
     if name == "ACK_FIRST":
-        number, worker, _took, attempt = values
+        number, worker, _latency_ms, attempt = values
         return ResponseStarted(number, attempt, worker)
     if name == "CLIENT_GONE":
         return ClientDisconnected(values[0])
@@ -207,23 +229,23 @@
     return CounterReplied(values[3])
 
 
-def _reply(action: Action) -> str:
+def _reply_line(action: Action) -> str:
     """Convert an action to a line of the protocol."""
     match action:
-        case StartAttempt(number, server, allow):
-            return f"HAND_OFF\t{number}\t{server}\t{allow:.3f}"
-        case RejectRequest(number, retry):
-            return f"DENY\t{number}\t{retry:.3f}"
+        case StartAttempt(number, endpoint, timeout_ms):
+            return f"HAND_OFF\t{number}\t{endpoint}\t{timeout_ms:.3f}"
+        case RejectRequest(number, retry_after_ms):
+            return f"DENY\t{number}\t{retry_after_ms:.3f}"
         case FailRequest(number):
             return f"FINISH_ERROR\t{number}"
         case CancelAttempt(number, attempt):
             return f"DROP_ATTEMPT\t{number}\t{attempt}"
-        case SetTimer(after, name):
-            return f"SET_ALARM\t{after:.3f}\t{name}"
+        case SetTimer(delay_ms, name):
+            return f"SET_ALARM\t{delay_ms:.3f}\t{name}"
         case SendPeerMessage(receiver, data):
             return f"NOTIFY\t{receiver}\t{data.hex() or '-'}"
-        case ProbeEndpoint(server):
-            return f"INSPECT\t{server}"
+        case ProbeEndpoint(endpoint):
+            return f"INSPECT\t{endpoint}"
         case WatchEndpoints():
             return "TRACK\t1"
 
@@ -231,49 +253,51 @@
 class Host:
     """Hosts the simulated gateways, each with a Controller of its own that shares no state with the others.
 
-    `source`: input lines; `sink`: replies; `complaints`: warnings about unknown messages."""
+    `input_lines`: lines of the protocol; `output`: stream for replies; `warnings`: stream for lines on skipped
+    messages."""
 
-    def __init__(self, source: Iterator[str], sink: TextIO, complaints: TextIO) -> None:
-        self._source, self._sink, self._complaints = source, sink, complaints
+    def __init__(self, input_lines: Iterator[str], output: TextIO, warnings: TextIO) -> None:
+        self._input, self._output, self._warnings = input_lines, output, warnings
         self._instances: dict[int, Controller] = {}
         self._reported: set[str] = set()
 
     def run(self) -> None:
         """Serve batches until the end of the input. Raises WireError and ModuleFault."""
-        for line in self._source:
+        for line in self._input:
             name, *parts = line.rstrip("\n").split("\t")
             if name != "SYNC":
                 if name:
-                    self._skip(name)
+                    self._report_unknown(name)
                 continue
-            if not self._batch(_values("SYNC", parts)[0]):
+            if not self._serve_batch(_parse_fields("SYNC", parts)[0]):
                 return
 
-    def _skip(self, name: str) -> None:
+    def _report_unknown(self, name: str) -> None:
+        """Warn once of an unknown message, which is skipped. Raises WireError for a known message."""
         if name in _FIELDS:
             raise WireError(f"{name}: out of place")
         if name not in self._reported:
             self._reported.add(name)
-            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._complaints)
+            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._warnings)
 
-    def _batch(self, now: float) -> bool:
-        """Read one batch up to YOUR_TURN and write its replies. `now`: the batch's time in ms. Returns False
-        if the input ends within the batch."""
+    def _serve_batch(self, now_ms: float) -> bool:
+        """Read one batch up to YOUR_TURN and write its replies. `now_ms`: the batch's time. Returns False if
+        the input ends within the batch."""
         events: dict[int, list[Event]] = {}
         replies: list[str] = []
         current: int | None = None
-        for line in self._source:
+        for line in self._input:
             name, *parts = line.rstrip("\n").split("\t")
             if name == "YOUR_TURN":
                 for number in events:
-                    self._turn(number, now, events[number], replies)
-                self._sink.write("".join(reply + "\n" for reply in replies) + "FINISHED\n")
-                self._sink.flush()
+                    self._run_turn(number, now_ms, events[number], replies)
+                self._output.write("".join(reply + "\n" for reply in replies) + "FINISHED\n")
+                self._output.flush()
                 return True
             if name not in _FIELDS or name in ("SYNC", "WORKER"):
-                self._skip(name)
+                self._report_unknown(name)
                 continue
-            values = _values(name, parts)
+            values = _parse_fields(name, parts)
             if name == "SWITCH_TO":
                 current = values[0]
                 continue
@@ -284,44 +308,44 @@
                 events.pop(current, None)
             elif name == "CONFIGURE":
                 events.pop(current, None)
-                self._start(current, values[0], values[1])
+                self._configure(current, values[0], values[1])
                 events[current] = []
             elif name == "FLEET":
-                events.setdefault(current, []).append(self._fleet(*values))
+                events.setdefault(current, []).append(self._read_fleet(*values))
             else:
                 events.setdefault(current, []).append(_event(name, values))
         return False
 
-    def _fleet(self, mode: str, _rev: int, count: int) -> EndpointsUpdated:
-        servers = []
-        while len(servers) < count:
-            line = next(self._source, None)
+    def _read_fleet(self, mode: str, _rev: int, count: int) -> EndpointsUpdated:
+        endpoints = []
+        while len(endpoints) < count:
+            line = next(self._input, None)
             name, *parts = (line or "").rstrip("\n").split("\t")
             if name != "WORKER":
-                raise WireError(f"FLEET: field rows: {count} told, {len(servers)} came")
-            worker, zone, _sku, cell, state, weight, started = _values("WORKER", parts)
-            servers.append(Endpoint(worker, zone, cell, state, weight, started))
+                raise WireError(f"FLEET: field rows: {count} told, {len(endpoints)} came")
+            worker, zone, _sku, group, state, weight, started_ms = _parse_fields("WORKER", parts)
+            endpoints.append(Endpoint(worker, zone, group, state, weight, started_ms))
         return EndpointsUpdated(
-            tuple(servers), is_snapshot=mode in ("full", "cached"), is_failure=mode == "failed"
+            tuple(endpoints), is_snapshot=mode in ("full", "cached"), is_failure=mode == "failed"
         )
 
-    def _start(self, number: int, salt: int, info: str) -> None:
+    def _configure(self, number: int, seed: int, info: str) -> None:
         try:
             value = json.loads(info)
         except ValueError as problem:
             raise WireError("CONFIGURE: field info: no JSON") from problem
         try:
-            self._instances[number] = Controller(parse_settings(value), salt)
+            self._instances[number] = Controller(parse_settings(value), seed)
         except ValueError as problem:
             raise WireError(f"CONFIGURE: field {problem}") from problem
 
-    def _turn(self, number: int, now: float, events: list[Event], replies: list[str]) -> None:
+    def _run_turn(self, number: int, now_ms: float, events: list[Event], replies: list[str]) -> None:
         if number not in self._instances:
             raise WireError(f"SWITCH_TO: field gatekeeper: {number} was not configured")
         try:
-            actions = self._instances[number].handle(now, events)
-            for fault in self._instances[number].faults:
-                raise fault
+            actions = self._instances[number].handle(now_ms, events)
+            for exception in self._instances[number].faults:
+                raise exception
         except Exception as problem:
             raise ModuleFault(
                 f"FROM\t{number}\nBUG\tinstance {number}: {type(problem).__name__}: "
@@ -329,7 +353,7 @@
             ) from problem
         if actions:
             replies.append(f"FROM\t{number}")
-            replies.extend(_reply(action) for action in actions)
+            replies.extend(_reply_line(action) for action in actions)
 
 
 def main() -> int:
@@ -342,11 +366,11 @@
     except (WireError, UnicodeDecodeError) as problem:
         print(f"simhost: {problem}", file=sys.stderr)
         return 2
-    except ModuleFault as fault:
+    except ModuleFault as exception:
         import traceback
 
-        traceback.print_exception(fault.__cause__, file=sys.stderr)
-        print(f"{fault}\nFINISHED", flush=True)
+        traceback.print_exception(exception.__cause__, file=sys.stderr)
+        print(f"{exception}\nFINISHED", flush=True)
         return 1
     return 0
 
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -257,7 +257,7 @@
         arrival = RequestReceived(step, "c", "look", "capped", now + 1400.0, 1, 0, 3)
         sent += len(of(StartAttempt, control.handle(now, [arrival])))
     assert sent <= 32 + 16 * 2.0 + 4
-    assert snapshot.FORM == 2
+    assert snapshot.FORMAT_VERSION == 2
 
 
 # -- the program
