--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -253,8 +253,8 @@
 class Host:
     """Hosts the simulated gateways, each with a Controller of its own that shares no state with the others.
 
-    `input_lines`: lines of the protocol; `output`: stream for replies; `warnings`: stream for one line on each
-    unknown message."""
+    `input_lines`: lines of the protocol; `output`: stream for replies; `warnings`: stream for one line on
+    each unknown message."""
 
     def __init__(self, input_lines: Iterator[str], output: TextIO, warnings: TextIO) -> None:
         self._input, self._output, self._warnings = input_lines, output, warnings
