--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -101,7 +101,7 @@
     With `skipped`, an entry that cannot be read is passed to it and left out, which ends its worker's use."""
     top = JsonObject(value, path)
     entries = []
-    for number, row in enumerate(top.items("endpoints")):
+    for number, row in enumerate(top.array("endpoints")):
         try:
             entries.append(parse_worker_entry(JsonObject(row, f"{path}.endpoints[{number}]")))
         except SettingsError as problem:
@@ -115,15 +115,15 @@
     """The configuration in an object of JSON; the environment stands in for what the object lacks. Raises
     SettingsError."""
     top = JsonObject(value, "config")
-    settings = top.table("settings")
-    limits = settings.table("limits")
+    settings = top.nested_object("settings")
+    limits = settings.nested_object("limits")
     own = parse_settings(settings.value, "config.settings")
     seed = top.text("seed")
     try:
         seed_number = int(seed, 16)
     except ValueError as problem:
         raise SettingsError(f"config.seed: {seed!r} is no hex number") from problem
-    peers = tuple(parse_address(peer, "config.peers") for peer in top.words("peers"))
+    peers = tuple(parse_address(peer, "config.peers") for peer in top.strings("peers"))
     if peers and len(peers) != own.gateway_count:
         raise SettingsError(f"config.peers: {len(peers)} for {own.gateway_count} gatekeepers")
     peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
@@ -136,15 +136,17 @@
             top.text("discovery", environment.get("BALANCER_DISCOVERY")), "config.discovery"
         ),
         seed=seed_number,
-        sockets=int(top.table("limits", {}).number("sockets", DEFAULT_SOCKETS)),
+        sockets=int(top.nested_object("limits", {}).number("sockets", DEFAULT_SOCKETS)),
         settings=own,
         dial_timeout_ms=limits.number("dialTimeoutMs", DEFAULT_DIAL_TIMEOUT_MS),
         idle_ms=limits.number("connIdleMs", DEFAULT_IDLE_MS),
-        known=parse_worker_list(top.table("known", {"index": 0, "endpoints": []}).value, "config.known"),
+        known=parse_worker_list(
+            top.nested_object("known", {"index": 0, "endpoints": []}).value, "config.known"
+        ),
         peer_listen=parse_address(peer_listen, "config.peer_listen") if peer_listen else None,
         peers=peers,
         peers_all=parse_address(peers_all, "config.peers_all") if peers_all else None,
-        memory_mb=top.table("limits", {}).number("memory_mb", DEFAULT_MEMORY_MB),
+        memory_mb=top.nested_object("limits", {}).number("memory_mb", DEFAULT_MEMORY_MB),
         management=parse_address(management, "config.management") if management else None,
     )
 
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -73,7 +73,7 @@
     own = {"myNumber": config.settings.gateway_number, "locality": config.settings.zone}
     combined = {**settings, **own}
     parsed = parse_settings(combined, "settings")
-    limits = JsonObject(combined, "settings").table("limits")
+    limits = JsonObject(combined, "settings").nested_object("limits")
     if config.peers and len(config.peers) != parsed.gateway_count:
         raise SettingsError(
             f"settings.balancers: {parsed.gateway_count}, and there are {len(config.peers)} peers"
--- a/plumpick/policy/endpoint_table.py
+++ b/plumpick/policy/endpoint_table.py
@@ -162,7 +162,7 @@
             if known is None or known.endpoint.started_ms != started_ms:
                 continue
             tracked = TrackedEndpoint(known.endpoint, ring_position=known.ring_position)
-            snapshot_rows.fill(tracked, SNAPSHOT_FIELDS, figures)
+            snapshot_rows.set_fields(tracked, SNAPSHOT_FIELDS, figures)
             tracked.completed = {str(kind): float(count) for kind, count in completed.items()}
             tracked.failed = {str(kind): float(count) for kind, count in failed.items()}
             tracked.slow_start_sent_ms = [float(ms) for ms in sent_ms]
--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -158,7 +158,7 @@
         plan = plans[plan_name]
         account = CustomerAccount(plan, 0, 1, 0, now_ms)
         accounts[customer, plan_name, set_size, first_gateway] = account
-        snapshot_rows.fill(account, ACCOUNT_SNAPSHOT_FIELDS, row)
+        snapshot_rows.set_fields(account, ACCOUNT_SNAPSHOT_FIELDS, row)
         account.customer_tag = customer_tag(customer)
         account.hard_limit_ratio = quota.requester.hard_limit_ratio(account, int(first_gateway))
         before = figures.get(plan_name, plan)
@@ -200,7 +200,7 @@
         if plan_name not in self.plans and plan_name not in self.figures:
             return
         ledger = QuotaLedger(self.figures.get(plan_name) or self.plans[plan_name], 0.0, self.now_ms)
-        snapshot_rows.fill(ledger, LEDGER_SNAPSHOT_FIELDS, figures)
+        snapshot_rows.set_fields(ledger, LEDGER_SNAPSHOT_FIELDS, figures)
         ledger.members = tuple(int(member) for member in members)
         ledger.requesters = {int(gateway): float(ms) for gateway, ms in requesters}
         ledger.settled = {_grant_key(grant): float(ms) for grant, ms in settled}
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -59,7 +59,7 @@
             raise SettingsError(f"{self.path}.{key}: cannot read {value!r}")
         return value
 
-    def above(self, key: str) -> float:
+    def positive_number(self, key: str) -> float:
         """Return a number greater than 0; raises SettingsError for any other value."""
         value = self.number(key)
         if value <= 0:
@@ -74,19 +74,19 @@
         """Return a boolean, which may be given as an integer; raises SettingsError."""
         return bool(self._get(key, (bool, int), fallback))
 
-    def table(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
+    def nested_object(self, key: str, fallback: dict[str, Any] | None = None) -> JsonObject:
         """Return a nested object; raises SettingsError."""
         return JsonObject(self._get(key, (dict,), fallback), f"{self.path}.{key}")
 
-    def items(self, key: str) -> list[Any]:
+    def array(self, key: str) -> list[Any]:
         """Return a list of any values; raises SettingsError."""
         return self._get(key, (list,), None)
 
-    def rows(self, key: str) -> list[JsonObject]:
+    def objects(self, key: str) -> list[JsonObject]:
         """Return a list of objects; raises SettingsError."""
-        return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.items(key))]
+        return [JsonObject(row, f"{self.path}.{key}[{n}]") for n, row in enumerate(self.array(key))]
 
-    def words(self, key: str) -> tuple[str, ...]:
+    def strings(self, key: str) -> tuple[str, ...]:
         """Return a list with its items converted to strings, empty if the key is missing; raises
         SettingsError."""
         return tuple(str(word) for word in self._get(key, (list,), []))
@@ -105,7 +105,7 @@
     return RequestClass(
         name=row.text("name"),
         latency_objective_ms=row.number("aimMs"),
-        deadline_ms=row.above("deadlineMs"),
+        deadline_ms=row.positive_number("deadlineMs"),
         priority_weight=row.number("worth", 1.0),
         idempotency=_IDEMPOTENCY_BY_KEYWORD[repeat],
         late_priority_weight=row.number("lateWorth", 0.0),
@@ -131,19 +131,19 @@
     )
 
 
-def _with_unique_names(path: str, rows: Sequence[JsonObject], max_count: int) -> Sequence[JsonObject]:
-    """Return `rows` unchanged. Raises SettingsError if there are none or more than `max_count`, or if two
+def _with_unique_names(path: str, objects: Sequence[JsonObject], max_count: int) -> Sequence[JsonObject]:
+    """Return `objects` unchanged. Raises SettingsError if there are none or more than `max_count`, or if two
     have the same name."""
-    if not rows:
+    if not objects:
         raise SettingsError(f"{path}: there are none")
-    if len(rows) > max_count:
-        raise SettingsError(f"{path}: {len(rows)} are more than {max_count}")
+    if len(objects) > max_count:
+        raise SettingsError(f"{path}: {len(objects)} are more than {max_count}")
     first: dict[str, str] = {}
-    for row in rows:
+    for row in objects:
         name = row.text("name")
         if first.setdefault(name, row.path) != row.path:
             raise SettingsError(f"{row.path}.name: {name!r} is the name of {first[name]} too")
-    return rows
+    return objects
 
 
 def parse_settings(value: Any, path: str = "info") -> Settings:
@@ -152,11 +152,11 @@
     Raises SettingsError, or ValueError from the types of settings.py. `path` prefixes the keys in error
     messages."""
     top = JsonObject(value, path)
-    rules, limits = top.table("rules"), top.table("limits")
-    domain, report = top.table("domain", {}), top.table("report", {})
-    prices = top.table("penalties", {})
-    classes = _with_unique_names(f"{path}.classes", top.rows("classes"), MAX_CLASSES)
-    plans = _with_unique_names(f"{path}.packages", top.rows("packages"), MAX_PLANS)
+    rules, limits = top.nested_object("rules"), top.nested_object("limits")
+    domain, report = top.nested_object("domain", {}), top.nested_object("report", {})
+    prices = top.nested_object("penalties", {})
+    classes = _with_unique_names(f"{path}.classes", top.objects("classes"), MAX_CLASSES)
+    plans = _with_unique_names(f"{path}.packages", top.objects("packages"), MAX_PLANS)
     return Settings(
         gateway_count=int(top.number("balancers")),
         gateway_number=int(top.number("myNumber")),
@@ -180,7 +180,7 @@
         max_retry_after_ms=limits.number("maxRetryAfterMs", 0.0) if limits.flag("retryAfter", False) else 0.0,
         peer_inbox_per_s=domain.number("inboxPerS", 0.0),
         load_report_source=report.text("how", "none"),
-        load_report_fields=report.words("fields"),
+        load_report_fields=report.strings("fields"),
         cross_zone_cost=prices.number("crossZone", 0.0),
         peer_message_cost=prices.number("peer", 0.0),
     )
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -103,7 +103,7 @@
         limit = list(exported["window"])
         if len(limit) != len(LIMIT_FIELDS):
             raise SnapshotError("window")
-        snapshot_rows.fill(state.limit, LIMIT_FIELDS, limit)
+        snapshot_rows.set_fields(state.limit, LIMIT_FIELDS, limit)
 
     def apply(self, state: GatewayState, now_ms: float) -> None:
         """Put the snapshot into force."""
--- a/plumpick/policy/snapshot_rows.py
+++ b/plumpick/policy/snapshot_rows.py
@@ -19,7 +19,7 @@
     return [number_or_none(getattr(record, name)) for name in fields]
 
 
-def fill(record: Any, fields: tuple[str, ...], row: list[Any]) -> None:
+def set_fields(record: Any, fields: tuple[str, ...], row: list[Any]) -> None:
     """Set the fields of a record from a row; None sets minus infinity. Raises ValueError if a value is not a
     finite number, or if the row is not as long as `fields`."""
     for name, value in zip(fields, row, strict=True):
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -23,7 +23,7 @@
 def settings_in(path: str) -> Settings:
     """The settings in a gatekeeper's configuration. Raises OSError, ValueError or SettingsError."""
     value = json.loads(Path(path).read_text(encoding="utf-8"))
-    return parse_settings(JsonObject(value, "config").table("settings").value, "config.settings")
+    return parse_settings(JsonObject(value, "config").nested_object("settings").value, "config.settings")
 
 
 def as_dict(bound: Bound) -> dict[str, Any]:
