--- a/plumpick/policy/disabled_workers.py
+++ b/plumpick/policy/disabled_workers.py
@@ -45,7 +45,7 @@
         if name not in listed or len(name) > MAX_NAME_LENGTH:
             raise CommandError("no such worker")
         if sum(other not in listed for other in self._disabled) >= MAX_UNLISTED:
-            raise CommandError("too many bans on workers that have gone")
+            raise CommandError("too many disabled workers that are no longer listed")
         self._disabled[name] = None
         self._enabled_ms.pop(name, None)
         self._awaiting.discard(name)
--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -157,14 +157,14 @@
         """
         if self.index is None and not is_snapshot:
             self.on_call_failed()
-            raise SnapshotMissingError("a change came where the whole list was asked for")
+            raise SnapshotMissingError("received a delta in response to a request for a snapshot")
         is_confirmed = is_snapshot and self._index_went_back
         if self.index is not None and index < self.index and not is_confirmed:
             self._index_went_back = True
             self.on_call_failed()
             if not is_snapshot:
                 self.index = None  # Only a snapshot can confirm a lower index.
-            raise IndexWentBackError("the version went back")
+            raise IndexWentBackError(f"the index of the endpoint list went back to {index}")
         self.index = index
         self.consecutive_failures = 0
         self.queue_timeouts = 0
--- a/plumpick/policy/health_status.py
+++ b/plumpick/policy/health_status.py
@@ -34,8 +34,8 @@
             return None
         self._logged = seen
         if not seen:
-            return "quotas: shared, all homes answer"
+            return "quotas: enforced over all gateways, all quota owners respond"
         if seen == self._others and len(seen) > 1:
-            return "quotas: alone, no home answers; all firms go by this gatekeeper's parts"
+            return "quotas: no other quota owner responds; all customers are limited to this gateway's share"
         names = ", ".join(f"n{number}" for number in sorted(seen))
-        return f"quotas: without {names}; their firms go by this gatekeeper's parts"
+        return f"quotas: no response from {names}; their customers are limited to this gateway's share"
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -36,11 +36,12 @@
     """Raise ReconfigurationError if the settings `new` cannot replace `old` without a restart. The message
     is one line that names the key."""
     if not isinstance(new, Settings):
-        raise ReconfigurationError(f"settings: {type(new).__name__} is none")
+        raise ReconfigurationError(f"settings: expected Settings, got {type(new).__name__}")
     for name, key in RESTART_ONLY:
         if getattr(new, name) != getattr(old, name):
             raise ReconfigurationError(
-                f"settings.{key}: {getattr(new, name)!r}; it is {getattr(old, name)!r} until a restart"
+                f"settings.{key}: cannot change from {getattr(old, name)!r} to {getattr(new, name)!r} "
+                "without a restart"
             )
     _check_names("classes", [request_class.name for request_class in new.classes], MAX_CLASSES)
     _check_names("packages", [plan.name for plan in new.plans], MAX_PLANS)
@@ -49,11 +50,11 @@
 def _check_names(key: str, names: list[str], max_count: int) -> None:
     """Raise ReconfigurationError if there are more than `max_count` names, or if two are the same."""
     if len(names) > max_count:
-        raise ReconfigurationError(f"settings.{key}: {len(names)} are more than {max_count}")
+        raise ReconfigurationError(f"settings.{key}: {len(names)} entries exceed the maximum of {max_count}")
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            raise ReconfigurationError(f"settings.{key}[{index}].name: {name!r} is there twice")
+            raise ReconfigurationError(f"settings.{key}[{index}].name: duplicate name {name!r}")
         seen.add(name)
 
 
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -234,7 +234,9 @@
             limit_ms = state.task.time_limit_ms
             if state.running_period is None or now_ms - state.started_ms < limit_ms:
                 continue
-            self._stop(now_ms, state, state.running_period, f"no end within {limit_ms / 1000:g} s")
+            self._stop(
+                now_ms, state, state.running_period, f"exceeded its time limit of {limit_ms / 1000:g} s"
+            )
             state.failures += 1
             state.not_before_ms = now_ms + _retry_ms(state.failures)
             heapq.heappush(self._timers, (state.not_before_ms, state.task.name))
@@ -275,7 +277,7 @@
             state.last_done_period = oldest - 1
         if oldest <= state.last_done_period + 1:
             return
-        reason = state.last_run.outcome if state.last_run else "nobody ran it"
+        reason = state.last_run.outcome if state.last_run else "not run by this process"
         for period in range(max(state.last_done_period + 1, oldest - MAX_MISSED_REPORTED), oldest):
             self._actions.append(ReportMissedRun(task, period, reason))
         state.last_done_period = oldest - 1
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -33,7 +33,7 @@
     """Raise ValueError if a value is NaN or below `low`; the message names its key."""
     for key, value in values.items():
         if not value >= low:
-            raise ValueError(f"{key}: {value!r} is below {low}")
+            raise ValueError(f"{key}: must be at least {low}, got {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
             window_ms=self.deduplication_window_ms,
         )
         if not isinstance(self.idempotency, Idempotency):
-            raise ValueError(f"repeat: {self.idempotency!r} is no kind of repeat")
+            raise ValueError(f"repeat: expected an Idempotency, got {self.idempotency!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,9 +126,9 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: there are none")
+            raise ValueError("classes: expected at least one entry")
         if not self.plans:
-            raise ValueError("plans: there are none")
+            raise ValueError("plans: expected at least one entry")
         _require_at_least(1, gateways=self.gateway_count, max_attempts=self.max_attempts)
         _require_at_least(
             0,
@@ -142,4 +142,4 @@
         )
         if self.gateway_number >= self.gateway_count:
             number, count = self.gateway_number, self.gateway_count
-            raise ValueError(f"number: {number} is not below gateways ({count})")
+            raise ValueError(f"number: must be below gateways ({count}), got {number}")
--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -26,6 +26,15 @@
 }
 
 
+_TYPE_NAMES: dict[tuple[type, ...], str] = {
+    (int, float): "a number",
+    (str,): "a string",
+    (bool, int): "a boolean",
+    (dict,): "an object",
+    (list,): "a list",
+}
+
+
 class SettingsError(ValueError):
     """A missing or invalid value in the settings; the message names its key."""
 
@@ -38,7 +47,7 @@
 
     def __init__(self, value: Any, path: str) -> None:
         if not isinstance(value, dict):
-            raise SettingsError(f"{path}: an object is due")
+            raise SettingsError(f"{path}: expected an object, got {value!r:.80}")
         self.value, self.path = value, path
 
     def _get(self, key: str, kinds: tuple[type, ...], fallback: Any) -> Any:
@@ -46,7 +55,7 @@
         if value is None:
             raise SettingsError(f"{self.path}.{key} is missing")
         if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise SettingsError(f"{self.path}.{key}: cannot read {value!r}")
+            raise SettingsError(f"{self.path}.{key}: expected {_TYPE_NAMES[kinds]}, got {value!r}")
         return value
 
     def number(self, key: str, fallback: float | None = None) -> float:
@@ -56,14 +65,14 @@
         except OverflowError:  # JSON integers may be too large for a float.
             value = math.inf
         if not math.isfinite(value):
-            raise SettingsError(f"{self.path}.{key}: cannot read {value!r}")
+            raise SettingsError(f"{self.path}.{key}: expected a finite number, got {value!r}")
         return value
 
     def positive_number(self, key: str) -> float:
         """Return a number greater than 0; raises SettingsError for any other value."""
         value = self.number(key)
         if value <= 0:
-            raise SettingsError(f"{self.path}.{key}: {value!r} is not above 0")
+            raise SettingsError(f"{self.path}.{key}: must be greater than 0, got {value!r}")
         return value
 
     def text(self, key: str, fallback: str | None = None) -> str:
@@ -95,13 +104,13 @@
 def _request_class(row: JsonObject) -> RequestClass:
     repeat = row.text("repeat")
     if repeat not in _IDEMPOTENCY_BY_KEYWORD:
-        raise SettingsError(f"{row.path}.repeat: {repeat!r} is no kind of repeat")
+        raise SettingsError(f"{row.path}.repeat: expected retryable, dedup or fragile, got {repeat!r}")
     scope = row.text("keyScope", "all")
     if scope not in ("all", "zone", "cell"):
-        raise SettingsError(f"{row.path}.keyScope: {scope!r} is no group")
+        raise SettingsError(f"{row.path}.keyScope: expected all, zone or cell, got {scope!r}")
     window_ms = row.number("dedupWindowMs", 0.0)
     if window_ms < 0:
-        raise SettingsError(f"{row.path}.dedupWindowMs: {window_ms!r} is below 0")
+        raise SettingsError(f"{row.path}.dedupWindowMs: must be at least 0, got {window_ms!r}")
     return RequestClass(
         name=row.text("name"),
         latency_objective_ms=row.number("aimMs"),
@@ -135,14 +144,14 @@
     """Return `objects` unchanged. Raises SettingsError if there are none or more than `max_count`, or if two
     have the same name."""
     if not objects:
-        raise SettingsError(f"{path}: there are none")
+        raise SettingsError(f"{path}: expected at least one entry")
     if len(objects) > max_count:
-        raise SettingsError(f"{path}: {len(objects)} are more than {max_count}")
+        raise SettingsError(f"{path}: {len(objects)} entries exceed the maximum of {max_count}")
     first: dict[str, str] = {}
     for row in objects:
         name = row.text("name")
         if first.setdefault(name, row.path) != row.path:
-            raise SettingsError(f"{row.path}.name: {name!r} is the name of {first[name]} too")
+            raise SettingsError(f"{row.path}.name: {name!r} is already the name of {first[name]}")
     return objects
 
 
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -69,15 +69,17 @@
     """Restore the state from a snapshot. Raises SnapshotError or ValueError, and then changes nothing."""
     settings = state.settings
     if exported.get("form") not in (FORMAT_VERSION, OLD_FORMAT_VERSION):
-        raise SnapshotError(f"a state of form {exported.get('form')!r}")
+        raise SnapshotError(f"unsupported snapshot format {exported.get('form')!r}")
     if exported.get("number") != settings.gateway_number:
-        raise SnapshotError("the state of another gatekeeper")
+        number = settings.gateway_number
+        raise SnapshotError(f"snapshot of gateway number {exported.get('number')!r}, expected {number}")
     if exported.get("gateways") != settings.gateway_count:
-        raise SnapshotError("the state of another gatekeeper")
+        count = settings.gateway_count
+        raise SnapshotError(f"snapshot of a tier of {exported.get('gateways')!r} gateways, expected {count}")
     try:
         parsed = _ParsedSnapshot(state, now_ms, exported)
     except (KeyError, TypeError, AttributeError, IndexError) as problem:
-        raise SnapshotError(f"a state that cannot be read: {problem!r}") from problem
+        raise SnapshotError(f"malformed snapshot: {problem!r}") from problem
     parsed.apply(state, now_ms)
 
 
@@ -102,7 +104,7 @@
         self.reference_capacity = float(exported["reference"])
         limit = list(exported["window"])
         if len(limit) != len(LIMIT_FIELDS):
-            raise SnapshotError("window")
+            raise SnapshotError(f"window: expected {len(LIMIT_FIELDS)} values, got {len(limit)}")
         snapshot_rows.set_fields(state.limit, LIMIT_FIELDS, limit)
 
     def apply(self, state: GatewayState, now_ms: float) -> None:
--- a/plumpick/policy/snapshot_rows.py
+++ b/plumpick/policy/snapshot_rows.py
@@ -27,5 +27,5 @@
         if value is None:
             value = -math.inf
         elif isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
-            raise ValueError(f"{name}: {value!r} is no number")
+            raise ValueError(f"{name}: expected a finite number or null, got {value!r}")
         setattr(record, name, int(value) if isinstance(before, int) else float(value))
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -118,7 +118,7 @@
         except (KeyError, TypeError, ValueError) as problem:
             raise UsageSnapshotError(str(problem)) from problem
         if any(len(row) != 4 for rows in periods.values() for row in rows.values()):
-            raise UsageSnapshotError("a row of use is no row")
+            raise UsageSnapshotError("malformed usage row: expected 4 values of a plan")
         self.started_unix_ms = started_unix_ms
         self.periods = periods
 
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -184,13 +184,13 @@
     if name in _ENDS_IN_TEXT and len(parts) > len(fields):
         parts = [*parts[: len(fields) - 1], "\t".join(parts[len(fields) - 1 :])]
     if len(parts) != len(fields):
-        raise WireError(f"{name}: {len(parts)} fields where {len(fields)} are due")
+        raise WireError(f"{name}: expected {len(fields)} fields, got {len(parts)}")
     values = []
     for (field, read), part in zip(fields, parts, strict=True):
         try:
             values.append(read(part))
         except (ValueError, KeyError) as problem:
-            raise WireError(f"{name}: field {field}: cannot read {part[:80]!r}") from problem
+            raise WireError(f"{name}: field {field}: invalid value {part[:80]!r}") from problem
     return values
 
 
@@ -275,10 +275,10 @@
     def _report_unknown(self, name: str) -> None:
         """Warn once of an unknown message, which is skipped. Raises WireError for a known message."""
         if name in _FIELDS:
-            raise WireError(f"{name}: out of place")
+            raise WireError(f"{name}: not allowed in this place of a batch")
         if name not in self._reported:
             self._reported.add(name)
-            print(f"simhost: message {name[:80]!r} is not known and is skipped", file=self._warnings)
+            print(f"simhost: skipped unknown message {name[:80]!r}", file=self._warnings)
 
     def _serve_batch(self, now_ms: float) -> bool:
         """Read one batch up to YOUR_TURN and write its replies. `now_ms`: the batch's time. Returns False if
@@ -302,7 +302,7 @@
                 current = values[0]
                 continue
             if current is None:
-                raise WireError(f"{name}: no SWITCH_TO before it")
+                raise WireError(f"{name}: missing SWITCH_TO before this message")
             if name == "KILL":
                 self._instances.pop(current, None)
                 events.pop(current, None)
@@ -322,7 +322,7 @@
             line = next(self._input, None)
             name, *parts = (line or "").rstrip("\n").split("\t")
             if name != "WORKER":
-                raise WireError(f"FLEET: field rows: {count} told, {len(endpoints)} came")
+                raise WireError(f"FLEET: field rows: expected {count} WORKER messages, got {len(endpoints)}")
             worker, zone, _sku, group, state, weight, started_ms = _parse_fields("WORKER", parts)
             endpoints.append(Endpoint(worker, zone, group, state, weight, started_ms))
         return EndpointsUpdated(
@@ -333,7 +333,7 @@
         try:
             value = json.loads(info)
         except ValueError as problem:
-            raise WireError("CONFIGURE: field info: no JSON") from problem
+            raise WireError(f"CONFIGURE: field info: invalid JSON: {problem}") from problem
         try:
             self._instances[number] = Controller(parse_settings(value), seed)
         except ValueError as problem:
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -207,7 +207,7 @@
     assert (
         call.watch_timeout_ms == IMMEDIATE_WATCH_MS
     )  # and there is nothing to wait for before what it lacks has come
-    with pytest.raises(IndexWentBackError, match="^the version went back$"):
+    with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
         watch.on_response(40, False)
     assert watch.next_request(0.0).since_index is None
     watch.on_response(3, True)
@@ -218,13 +218,14 @@
     for sharers in (0, 40):
         watch = EndpointWatch(sharers, None, random.Random(1))
         watch.on_response(41, True)
-        with pytest.raises(IndexWentBackError, match="^the version went back$"):
+        with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
             watch.on_response(40, True)
         call = watch.next_request(0.0)
         assert call.since_index is (41 if sharers else None)
         watch.on_response(42, True)
         assert watch.next_request(0.0).since_index == 42
-        with pytest.raises(IndexWentBackError, match="^the version went back$"):  # each time anew
+        # A lower index must be confirmed each time it occurs.
+        with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
             watch.on_response(40, True)
         watch.on_response(40, True)  # the service was restarted
         assert watch.next_request(0.0).since_index == 40
@@ -233,7 +234,9 @@
 def test_without_a_list_a_snapshot_is_requested():
     watch = EndpointWatch(40, None, random.Random(1))
     assert watch.next_request(0.0).since_index is None
-    with pytest.raises(SnapshotMissingError, match="^a change came where the whole list was asked for$"):
+    with pytest.raises(
+        SnapshotMissingError, match="^received a delta in response to a request for a snapshot$"
+    ):
         watch.on_response(5, False)
     assert watch.next_request(0.0).since_index is None
 
--- a/tests/policy/test_health_status.py
+++ b/tests/policy/test_health_status.py
@@ -88,15 +88,17 @@
     assert lines == [
         None,
         None,
-        "quotas: without n2; their firms go by this gatekeeper's parts",
+        "quotas: no response from n2; their customers are limited to this gateway's share",
         None,
         None,
     ]
-    assert standing.update(9100.0, {0, 2, 3}) is None and "alone" in standing.update(
+    assert standing.update(9100.0, {0, 2, 3}) is None and "no other quota owner" in standing.update(
         9100.0 + SETTLING_MS, {0, 2, 3}
     )
     assert standing.update(11_000.0, set()) is None
-    assert standing.update(11_000.0 + SETTLING_MS, set()) == "quotas: shared, all homes answer"
+    assert standing.update(11_000.0 + SETTLING_MS, set()) == (
+        "quotas: enforced over all gateways, all quota owners respond"
+    )
 
 
 def test_a_split_that_flaps_fills_no_log_and_nonsense_is_nobody():
