--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -47,15 +47,18 @@
 
 def change(control, now, new, *before):
     """Take over these settings in a turn of its own; what is said to them."""
-    said = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
+    completed = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
     assert not control.faults
-    return said[0].error
+    return completed[0].error
 
 
 def with_class(given, name, **figures):
     return replace(
         given,
-        classes=tuple(replace(kind, **figures) if kind.name == name else kind for kind in given.classes),
+        classes=tuple(
+            replace(request_class, **figures) if request_class.name == name else request_class
+            for request_class in given.classes
+        ),
     )
 
 
@@ -68,7 +71,7 @@
 def without(given, name):
     return replace(
         given,
-        classes=tuple(kind for kind in given.classes if kind.name != name),
+        classes=tuple(request_class for request_class in given.classes if request_class.name != name),
         plans=tuple(plan for plan in given.plans if plan.name != name),
     )
 
@@ -82,7 +85,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil, key",
+    "invalidate, key",
     [
         (lambda s: replace(s, gateway_count=4), "settings.balancers"),
         (lambda s: replace(s, gateway_number=1), "settings.myNumber"),
@@ -96,14 +99,16 @@
         (lambda _: {"classes": []}, "settings"),
     ],
 )
-def test_what_cannot_change_in_service_is_refused_whole_by_one_line_that_names_its_key(spoil, key):
+def test_invalid_settings_are_rejected_with_their_key_and_change_nothing(invalidate, key):
     control, other = gateway(), gateway()
     events = [FLEET_6, ask(1), ask(2, "debit"), ask(3, plan="open")]
-    bad = spoil(with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", latency_objective_ms=1.0))
+    bad = invalidate(
+        with_class(with_plan(settings(), "rated", rate_per_s=99.0), "look", latency_objective_ms=1.0)
+    )
     actions = control.handle(1000.0, [*events, SettingsChanged(7, bad)])
-    said = [action for action in actions if isinstance(action, CommandCompleted)]
-    assert not control.faults and [one.id for one in said] == [7]
-    assert said[0].error.startswith(key) and "\n" not in said[0].error
+    completed = [action for action in actions if isinstance(action, CommandCompleted)]
+    assert not control.faults and [one.id for one in completed] == [7]
+    assert completed[0].error.startswith(key) and "\n" not in completed[0].error
     assert [one for one in actions if not isinstance(one, CommandCompleted)] == other.handle(1000.0, events)
     assert control.settings == settings()
     for step in range(1, 200):  # and nothing later either
@@ -114,7 +119,7 @@
 # -- the same settings
 
 
-class Often(Controller):
+class ReapplyingController(Controller):
     """Told the settings that it has, again and again, as objects of their own."""
 
     def __init__(self, config, seed):
@@ -131,20 +136,20 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_the_same_settings_over_again_change_no_action(seed, monkeypatch):
-    plain = Town(seed, gateways=3)
-    plain.run(8000)
-    monkeypatch.setattr("support.traffic.Controller", Often)
-    told = Town(seed, gateways=3)
-    told.run(8000)
-    assert all(isinstance(one, Often) for one in told.gateways.values())
-    assert len(plain.log) > 1000 and plain.log == told.log
+def test_reapplying_equal_settings_changes_no_action(seed, monkeypatch):
+    plain_town = Town(seed, gateways=3)
+    plain_town.run(8000)
+    monkeypatch.setattr("support.traffic.Controller", ReapplyingController)
+    reapplying_town = Town(seed, gateways=3)
+    reapplying_town.run(8000)
+    assert all(isinstance(one, ReapplyingController) for one in reapplying_town.gateways.values())
+    assert len(plain_town.log) > 1000 and plain_town.log == reapplying_town.log
 
 
 # -- what is open
 
 
-def test_a_request_keeps_its_class_to_its_end_also_where_that_is_dropped():
+def test_request_keeps_its_class_after_the_class_was_removed():
     control = gateway()
     first, second = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "debit"), ask(2, "look")]))
     new = without(with_class(settings(), "look", idempotency=Idempotency.NON_IDEMPOTENT), "debit")
@@ -169,7 +174,7 @@
     assert not control.requests and not control.state.attempts
 
 
-def test_a_class_that_appears_is_served_at_once_and_learned_from_its_start():
+def test_new_class_is_served_at_once_with_initial_statistics():
     control = gateway()
     control.handle(1000.0, [FLEET_6])
     new = RequestClass("new", 400, 1000, 5, Idempotency.IDEMPOTENT)
@@ -185,7 +190,7 @@
     assert control.state.queue.shares["new"].target_wait_s == fresh.state.queue.shares["new"].target_wait_s
 
 
-def test_what_was_learned_of_a_class_stays_and_goes_with_it_once_nothing_of_it_is_open():
+def test_statistics_of_a_removed_class_are_dropped_after_its_last_request():
     control = gateway()
     sent = of(StartAttempt, control.handle(1000.0, [FLEET_6, ask(1, "look"), ask(2, "feed")]))
     look, feed = sorted(sent, key=lambda send: send.id)
@@ -210,7 +215,7 @@
     assert change(control, 5000.0, settings()) == "" and "feed" in control.state.statistics.usual_latency_ms
 
 
-def test_who_waits_for_a_quota_under_a_plan_that_goes_is_told_at_once_and_others_wait_on():
+def test_requests_waiting_under_a_removed_plan_or_class_are_rejected_at_once():
     control = gateway(number=0)
     # Its home is another gateway, which has not answered.
     customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 1)
@@ -223,19 +228,19 @@
     assert not control.faults
     # And of its own stores: who waits there under a class that goes is denied, the others stay.
     own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_quota_weight=0.0), 1)
-    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
-    crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(60)]
+    own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+    crowd = [ask(n, ("book", "seat")[n % 2], customer=own_customer, due=4000.0) for n in range(60)]
     own.handle(1000.0, [FLEET_6, *crowd])
-    (store,) = own.state.quota.owner.ledgers.values()
-    before = [own.settings.classes[one.message.class_index].name for one in store.queue]
+    (ledger,) = own.state.quota.owner.ledgers.values()
+    before = [own.settings.classes[one.message.class_index].name for one in ledger.queue]
     assert {"book", "seat"} == set(before)
     actions = own.handle(1000.001, [SettingsChanged(1, without(own.settings, "book"))])
-    left = [own.settings.classes[one.message.class_index].name for one in store.queue]
+    left = [own.settings.classes[one.message.class_index].name for one in ledger.queue]
     assert not own.faults and left == ["seat"] * before.count("seat")
     assert len(of(RejectRequest, actions)) == before.count("book") and not of(StartAttempt, actions)
 
 
-def test_what_waits_to_be_told_is_renamed_and_what_cannot_be_goes_out_by_the_old_names():
+def test_queued_messages_are_translated_or_sent_at_once_under_the_old_names():
     control = gateway(number=0)
     old = control.settings
     control.handle(1000.0, [FLEET_6])
@@ -266,21 +271,21 @@
     assert [(item.kind, item.serial) for item in told] == [
         (QuotaMessageKind.RETURNED, 3)
     ]  # of the plan that is gone
-    waits = control.state.quota.outbox.waiting.get(1, []) + [
+    pending = control.state.quota.outbox.waiting.get(1, []) + [
         item
         for tell in of(SendPeerMessage, actions)
         for news in [PeerMessageCodec(new).decode(tell.data)]
         if news
         for item in news.quota_messages
     ]
-    assert [item.serial for item in waits] == [1, 4]  # no question for a class that is gone
-    assert [new.plans[item.plan_index].name for item in waits] == ["capped", "open"]
-    assert new.classes[waits[1].class_index].name == "book"
+    assert [item.serial for item in pending] == [1, 4]  # no question for a class that is gone
+    assert [new.plans[item.plan_index].name for item in pending] == ["capped", "open"]
+    assert new.classes[pending[1].class_index].name == "book"
     (late,) = control.state.quota.requester.unconfirmed[2]
     assert late[1].serial == 5 and new.classes[late[1].class_index].name == "seat"
 
 
-def test_peers_of_other_names_are_not_heard_until_they_have_changed_too():
+def test_messages_of_peers_with_other_names_are_ignored_until_both_have_changed():
     one, two = gateway(number=0), gateway(number=1)
     new = with_plan(settings(), "rated", rate_per_s=5.0)
     data = two.codec.encode(
@@ -299,18 +304,18 @@
     assert one.state.quota.outbox.heard_ms[1] == 1020.0
 
 
-def test_slots_that_are_taken_stay_taken_over_a_change_and_come_back():
+def test_slots_in_use_stay_in_use_over_a_change_until_they_are_returned():
     control = gateway()
-    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+    own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     sends = of(
         StartAttempt,
-        control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=home) for n in range(6))]),
+        control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=own_customer) for n in range(6))]),
     )
     assert len(sends) == 4  # as many as may be out at once
     lower = with_plan(settings(), "open", max_in_flight=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
-    (store,) = control.state.quota.owner.ledgers.values()
-    assert len(store.slots) == 4
+    (ledger,) = control.state.quota.owner.ledgers.values()
+    assert len(ledger.slots) == 4
     assert not of(
         StartAttempt,
         control.handle(1008.0, [outcome(sends[0], AttemptResult.OK), outcome(sends[1], AttemptResult.OK)]),
@@ -324,7 +329,7 @@
         len(
             of(
                 StartAttempt,
-                control.handle(1024.0, [ask(n, plan="open", customer=home) for n in range(20, 26)]),
+                control.handle(1024.0, [ask(n, plan="open", customer=own_customer) for n in range(20, 26)]),
             )
         )
         == 2
@@ -334,12 +339,12 @@
 # -- quotas over a change
 
 
-class Books:
+class ReferenceBucket:
     """A bucket by the figures in force; `most`: units by which it may be passed in any case."""
 
-    def __init__(self, rate, burst, most=0.0):
-        self.level, self.at, self.rate, self.burst, self.worst = burst, 0.0, rate, burst, 0.0
-        self.most, self.gone_ms = most, None
+    def __init__(self, rate, burst, allowance=0.0):
+        self.level, self.at, self.rate, self.burst, self.max_debt = burst, 0.0, rate, burst, 0.0
+        self.allowance, self.removed_ms = allowance, None
 
     def to(self, now):
         self.level = min(max(self.level, self.burst), self.level + self.rate * (now - self.at) / 1000)
@@ -347,19 +352,19 @@
 
     def drop(self, now):
         """There is no such plan from now on."""
-        if self.gone_ms is None:
+        if self.removed_ms is None:
             self.to(now)
-            self.gone_ms = now
+            self.removed_ms = now
 
     def change(self, now, rate, burst):
-        if self.gone_ms is not None:
+        if self.removed_ms is not None:
             # Once it is full by the old figures it is as one that never was; before, the lower of both fills.
-            gap_s, self.gone_ms = (now - self.gone_ms) / 1000, None
-            if self.level + self.rate * gap_s >= self.burst - self.most:
+            gap_s, self.removed_ms = (now - self.removed_ms) / 1000, None
+            if self.level + self.rate * gap_s >= self.burst - self.allowance:
                 self.level = burst
             else:
-                least = min(self.burst, burst)
-                self.level = max(self.level, min(least, self.level + min(self.rate, rate) * gap_s))
+                lower_burst = min(self.burst, burst)
+                self.level = max(self.level, min(lower_burst, self.level + min(self.rate, rate) * gap_s))
             self.at = now
         else:
             self.to(now)
@@ -368,10 +373,10 @@
     def take(self, now):
         self.to(now)
         self.level -= 1
-        self.worst = max(self.worst, -self.level)
+        self.max_debt = max(self.max_debt, -self.level)
 
 
-class Changing(Rig):
+class ChangingRig(Rig):
     """The rig, whose firm's plan changes at all of its gateways, one after the other."""
 
     def put(self, number, plan):
@@ -382,9 +387,9 @@
             SettingsChanged(1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))),
         )
 
-    def change(self, at_ms, plan, gap_ms=0.0):
+    def change(self, change_ms, plan, gap_ms=0.0):
         for number in range(self.gateways):
-            self.at(at_ms + gap_ms * number, self.put, number, plan)
+            self.at(change_ms + gap_ms * number, self.put, number, plan)
 
 
 STEPS = [(8.0, 16.0), (16.0, 32.0), (2.0, 4.0), None, (8.0, 16.0), (8.0, 2.0), (20.0, 16.0), None, (4.0, 8.0)]
@@ -392,74 +397,80 @@
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("gateways, spread", [(1, 1), (4, 4)])
-def test_a_firm_at_full_speed_gets_no_more_than_the_figures_in_force_allow(gateways, spread, seed):
+def test_customer_at_full_load_gets_no_more_than_the_plan_in_force_allows(gateways, spread, seed):
     """Up, down, dropped and back."""
     rng = random.Random(seed)
     steps = [STEPS[0], *rng.choices(STEPS, k=8)]
-    rig = Changing(*steps[0], gateways=gateways, spread=spread, seed=seed)
-    most = spread * (LOCAL_BURST_RATIO * max(step[1] for step in steps if step) + 1) + 20.0 * TICK_MS / 1000
-    books, at_ms, changes = Books(*steps[0], most), 0.0, []
+    rig = ChangingRig(*steps[0], gateways=gateways, spread=spread, seed=seed)
+    allowance = (
+        spread * (LOCAL_BURST_RATIO * max(step[1] for step in steps if step) + 1) + 20.0 * TICK_MS / 1000
+    )
+    bucket, change_ms, changes = ReferenceBucket(*steps[0], allowance), 0.0, []
     rig.crowd(range(gateways), 60.0, 0.0, 20_000.0)
     for step in steps[1:]:
-        at_ms += rng.uniform(100.0, 4000.0)
-        rig.change(at_ms, step and replace(rig.plan, rate_per_s=step[0], burst=step[1]))
-        changes.append((at_ms, step))
+        change_ms += rng.uniform(100.0, 4000.0)
+        rig.change(change_ms, step and replace(rig.plan, rate_per_s=step[0], burst=step[1]))
+        changes.append((change_ms, step))
     rig.run(20_000.0)
     for now, _ in rig.granted:
         while changes and changes[0][0] <= now:
             when, step = changes.pop(0)
-            books.change(when, *step) if step else books.drop(when)
-        books.take(now)
-    assert len(rig.granted) > 30 and books.worst <= most
+            bucket.change(when, *step) if step else bucket.drop(when)
+        bucket.take(now)
+    assert len(rig.granted) > 30 and bucket.max_debt <= allowance
     assert not any(module.faults for module in rig.modules)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_ceiling_is_never_passed_over_changes(seed):
+def test_hard_limit_is_not_exceeded_over_changes(seed):
     """Its parts at all gateways, of which some change a little later than others."""
     rng = random.Random(seed)
-    rig = Changing(40.0, 40.0, gateways=4, spread=4, seed=seed, ceiling=0.5)
+    rig = ChangingRig(40.0, 40.0, gateways=4, spread=4, seed=seed, ceiling=0.5)
     rig.crowd(range(4), 80.0, 0.0, 20_000.0)
     steps = [(20.0, 20.0)] + [
         rng.choice([(20.0, 20.0), (6.0, 6.0), (30.0, 8.0), (4.0, 30.0), (0.0, 0.0), None]) for _ in range(9)
     ]
-    books, changes, at_ms = Books(*steps[0]), [], 0.0
+    bucket, changes, change_ms = ReferenceBucket(*steps[0]), [], 0.0
     for step in steps[1:]:
-        at_ms += rng.uniform(100.0, 3000.0)
-        rig.change(at_ms, step and replace(rig.plan, hard_limit_per_s=step[0], hard_limit_burst=step[1]))
-        changes.append((at_ms, step))
+        change_ms += rng.uniform(100.0, 3000.0)
+        rig.change(change_ms, step and replace(rig.plan, hard_limit_per_s=step[0], hard_limit_burst=step[1]))
+        changes.append((change_ms, step))
     rig.run(20_000.0)
     free, counted = False, 0
     for now, _ in rig.granted:
         while changes and changes[0][0] <= now:
             when, step = changes.pop(0)
             if step and step[0]:
-                books.change(when, *step)
+                bucket.change(when, *step)
                 if free:  # where there was no ceiling, one begins now
-                    books = Books(*step)
-                    books.at = when
+                    bucket = ReferenceBucket(*step)
+                    bucket.at = when
             free = bool(step) and not step[0] or free and step is None
         if not free:
-            books.take(now)
+            bucket.take(now)
             counted += 1
-    assert counted > 30 and books.worst <= 4.0, books.worst  # a ceiling's slack in the module's tests
+    assert counted > 30 and bucket.max_debt <= 4.0, bucket.max_debt  # a ceiling's slack in the module's tests
 
 
-def plain(**more):
+def with_plain_plan(**more):
     """A plan of which nothing goes beyond its quota besides."""
     return replace(settings(**more), plans=(*settings().plans, Plan("plain", 4, 12)))
 
 
-def test_a_plan_that_is_dropped_and_comes_back_does_not_begin_full():
-    control = Controller(plain(), 1)
-    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+def test_restored_plan_does_not_begin_with_full_buckets():
+    control = Controller(with_plain_plan(), 1)
+    own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
 
     def burst(now):
         return len(
             of(
                 StartAttempt,
                 control.handle(
-                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                    now,
+                    [
+                        ask(next(NAMES), "look", "plain", customer=own_customer, due=now + 1400)
+                        for _ in range(40)
+                    ],
                 ),
             )
         )
@@ -468,16 +479,16 @@
     assert burst(4.0) >= 5
     assert change(control, 20.0, settings()) == ""
     assert burst(40.0) == 0
-    assert change(control, 60.0, plain()) == "" and burst(64.0) <= 1
+    assert change(control, 60.0, with_plain_plan()) == "" and burst(64.0) <= 1
     # Long enough that it is full again: it has been forgotten, and begins as at a start.
     assert change(control, 100.0, settings()) == "" and control.state.quota.owner.detached
     for step in range(200):
         control.handle(200.0 + 100 * step, [])
     assert not control.state.quota.owner.detached
-    assert change(control, 21_000.0, plain()) == "" and burst(21_004.0) >= 5
+    assert change(control, 21_000.0, with_plain_plan()) == "" and burst(21_004.0) >= 5
 
 
-def test_an_account_is_settled_by_what_was_in_force():
+def test_account_fills_by_the_plan_that_was_in_force():
     control = gateway()
     control.handle(0.0, [FLEET_6])
     arrival = RequestReceived(1, "c", "look", "capped", 1400.0, 1, 0, 3)
@@ -506,52 +517,56 @@
     assert account.hard_limit_units <= before[0] and account.local_units <= before[1]
 
 
-def test_a_store_has_what_filled_by_the_old_rate_until_the_change_and_by_the_new_one_from_then():
-    control = Controller(plain(gateways=1), 1)
+def test_ledger_fills_by_the_old_rate_until_the_change_and_by_the_new_rate_after_it():
+    control = Controller(with_plain_plan(gateways=1), 1)
     control.handle(0.0, [FLEET_6])
     control.handle(4.0, [ask(n, "look", "plain", due=1400.0) for n in range(30)])
-    (store,) = control.state.quota.owner.ledgers.values()
+    (ledger,) = control.state.quota.owner.ledgers.values()
     control.handle(1400.0, [])  # whoever waited has gone
     control.state.quota.owner.serve(1400.0, next(iter(control.state.quota.owner.ledgers)))
-    level = store.units = 1.0
-    lower = with_plan(plain(gateways=1), "plain", rate_per_s=1.0)
-    assert change(control, 2400.0, lower) == "" and store.units == pytest.approx(level + 4.0)
+    level = ledger.units = 1.0
+    lower = with_plan(with_plain_plan(gateways=1), "plain", rate_per_s=1.0)
+    assert change(control, 2400.0, lower) == "" and ledger.units == pytest.approx(level + 4.0)
     control.state.quota.owner.serve(3400.0, next(iter(control.state.quota.owner.ledgers)))
-    assert store.units == pytest.approx(level + 5.0)
-    lower = with_plan(plain(gateways=1), "plain", burst=2.0)
-    assert change(control, 4400.0, lower) == "" and store.units == 2.0
-    assert change(control, 4404.0, plain(gateways=1)) == ""
-    assert store.units == pytest.approx(2.0)  # 16 ms of the rate at most, and a burst that was cut stays cut
+    assert ledger.units == pytest.approx(level + 5.0)
+    lower = with_plan(with_plain_plan(gateways=1), "plain", burst=2.0)
+    assert change(control, 4400.0, lower) == "" and ledger.units == 2.0
+    assert change(control, 4404.0, with_plain_plan(gateways=1)) == ""
+    assert ledger.units == pytest.approx(2.0)  # 16 ms of the rate at most, and a burst that was cut stays cut
 
 
-def test_who_waits_at_its_home_is_served_in_time_though_the_plan_has_moved_or_changed():
+def test_waiting_request_is_granted_in_time_after_its_plan_was_moved_or_changed():
     """The store's wake-up goes by its new name, or by its new rate."""
 
-    def waits():
-        control = Controller(with_plan(plain(), "plain", rate_per_s=20.0), 1)
-        home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+    def waiting_requests():
+        control = Controller(with_plan(with_plain_plan(), "plain", rate_per_s=20.0), 1)
+        own_customer = next(
+            f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0
+        )
         control.handle(0.0, [FLEET_6])
         sent = of(
             StartAttempt,
-            control.handle(4.0, [ask(n, "look", "plain", customer=home, due=1400.0) for n in range(20)]),
+            control.handle(
+                4.0, [ask(n, "look", "plain", customer=own_customer, due=1400.0) for n in range(20)]
+            ),
         )
-        (store,) = control.state.quota.owner.ledgers.values()
-        assert sent and store.queue and 4.0 < store.next_serve_ms < 400.0
-        return control, store
+        (ledger,) = control.state.quota.owner.ledgers.values()
+        assert sent and ledger.queue and 4.0 < ledger.next_serve_ms < 400.0
+        return control, ledger
 
-    control, store = waits()
-    wake_ms = store.next_serve_ms
+    control, ledger = waiting_requests()
+    due_ms = ledger.next_serve_ms
     moved = replace(control.settings, plans=(Plan("first", 1, 1), *control.settings.plans[::-1]))
-    assert change(control, 4.001, moved) == "" and store.next_serve_ms == wake_ms
-    assert control.state.quota.owner.ledgers == {next(iter(control.state.quota.owner.ledgers)): store}
-    assert len(of(StartAttempt, control.handle(wake_ms, []))) == 1 and not control.faults
-    control, store = waits()
+    assert change(control, 4.001, moved) == "" and ledger.next_serve_ms == due_ms
+    assert control.state.quota.owner.ledgers == {next(iter(control.state.quota.owner.ledgers)): ledger}
+    assert len(of(StartAttempt, control.handle(due_ms, []))) == 1 and not control.faults
+    control, ledger = waiting_requests()
     faster = with_plan(control.settings, "plain", rate_per_s=0.0, burst=0.0)  # nothing is counted any more
     actions = control.handle(4.001, [SettingsChanged(1, faster)])
-    assert len(of(StartAttempt, actions)) > 1 and not store.queue and not control.faults
+    assert len(of(StartAttempt, actions)) > 1 and not ledger.queue and not control.faults
 
 
-def test_a_class_of_another_aim_is_steered_by_that_from_now_on():
+def test_changed_latency_objective_changes_the_target_wait():
     control = gateway()
     control.handle(0.0, [FLEET_6])
     assert change(control, 4.0, with_class(settings(), "look", latency_objective_ms=300.0)) == ""
@@ -560,7 +575,7 @@
     assert control.state.queue.shares["book"].target_wait_s == fresh.state.queue.shares["book"].target_wait_s
 
 
-def test_another_warm_up_counts_at_once():
+def test_changed_slow_start_duration_takes_effect_at_once():
     control = gateway()
     servers = [
         Endpoint(f"s{n}", "z0", n, EndpointState.READY, 1.0, 7000.0 if n < 3 else 0.0) for n in range(6)
@@ -579,7 +594,7 @@
     assert len(control.state.endpoints.warming) == 3
 
 
-class Unseen(dict):
+class TableWithoutIteration(dict):
     """A table at which nobody may look as a whole."""
 
     def __iter__(self):
@@ -588,10 +603,10 @@
     keys = values = items = __iter__
 
 
-def test_a_change_looks_at_no_account():
+def test_change_does_not_iterate_over_accounts():
     control = gateway()
     control.handle(0.0, [FLEET_6, *(ask(n, customer=f"c{n}") for n in range(200))])
-    control.state.quota.requester.accounts = Unseen(control.state.quota.requester.accounts)
+    control.state.quota.requester.accounts = TableWithoutIteration(control.state.quota.requester.accounts)
     new = with_plan(without(settings(), "open"), "rated", rate_per_s=5.0)
     nobody = {"deny": lambda _request: None, "send": lambda _gateway, _messages: None}
     reconfiguration.apply(control.state, 1.0, new, **nobody)
@@ -602,12 +617,12 @@
 # -- any sequence
 
 
-def drawn(rng, base):
+def random_settings(rng, base):
     """Legal settings, near the others that are drawn: the same few names, other figures, any order."""
-    kinds, plans = [], []
+    classes, plans = [], []
     for name in rng.sample([f"k{n}" for n in range(7)], rng.choice((1, 3, 5, 7))):
         deadline_ms = rng.choice((300.0, 900.0, 2500.0))
-        kinds.append(
+        classes.append(
             RequestClass(
                 name,
                 deadline_ms * rng.uniform(0.2, 0.9),
@@ -638,7 +653,7 @@
         )
     return replace(
         base,
-        classes=tuple(kinds),
+        classes=tuple(classes),
         plans=tuple(plans),
         max_attempts=rng.choice((1, 3, 5)),
         can_hedge=rng.random() < 0.5,
@@ -651,36 +666,36 @@
     )
 
 
-class OwnKinds(Checker):
+class CheckerByReceivedClass(Checker):
     """Each request by the class under which it came."""
 
     def __init__(self, config):
         super().__init__(config)
-        self.kind_of = {}
+        self.class_of = {}
 
     def of(self, number):
         """From here on it is this request that is looked at."""
-        if number in self.kind_of:
-            kind = self.kind_of[number]
-            self.kinds = {kind.name: kind}
+        if number in self.class_of:
+            request_class = self.class_of[number]
+            self.kinds = {request_class.name: request_class}
 
     def arrival(self, gateway, arrival):
         super().arrival(gateway, arrival)
         self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # ceilings are looked at elsewhere
 
 
-class Street(Town):
+class ChangingTown(Town):
     """Gateways whose settings change at any time, each for itself, also to and fro; lists, messages, copies,
     deaths and handovers go on meanwhile."""
 
     def __init__(self, seed, **more):
         self.chance = random.Random(f"settings {seed}")
         base = settings(gateways=3)
-        self.pool = [drawn(self.chance, base) for _ in range(8)]
+        self.pool = [random_settings(self.chance, base) for _ in range(8)]
         self.in_force = {n: self.pool[0] for n in range(3)}
         self.changes = self.refused = 0
         super().__init__(seed, gateways=3, settings_of=self.now_at, **more)
-        self.checker = OwnKinds(self.config)
+        self.checker = CheckerByReceivedClass(self.config)
 
     def now_at(self, number=0, gateways=3):
         return replace(self.in_force.get(number, self.pool[0]), gateway_number=number)
@@ -692,12 +707,12 @@
         control, events = self.gateways[n], self.inbox[n]
         self.inbox[n], before = [], control.settings
         actions = control.handle(self.now, [*events, SettingsChanged(1, replace(new, gateway_number=n))])
-        (said,) = of(CommandCompleted, actions)
+        (completed,) = of(CommandCompleted, actions)
         if new.zone == "elsewhere":
-            assert "locality" in said.error and control.settings is before
+            assert "locality" in completed.error and control.settings is before
             self.refused += 1
         else:
-            assert said.error == "" and control.settings == replace(new, gateway_number=n)
+            assert completed.error == "" and control.settings == replace(new, gateway_number=n)
             self.in_force[n] = new
             self.changes += 1
         self.check(control)
@@ -707,13 +722,13 @@
     def check(self, control):
         assert not control.faults, control.faults
         quota = control.state.quota
-        for name, store in quota.owner.ledgers.items():
-            assert store.plan is control.state.plans[store.plan.name]
-            assert name & 0xFFFF == quota.context.plan_index[store.plan.name]
+        for name, ledger in quota.owner.ledgers.items():
+            assert ledger.plan is control.state.plans[ledger.plan.name]
+            assert name & 0xFFFF == quota.context.plan_index[ledger.plan.name]
             # What was kept back for a word that came late may be above, until the store is served again.
-            assert store.units <= store.plan.burst + (4 if store.spent else 0)
-            assert not store.plan.hard_limit_per_s or store.hard_limit_units <= store.plan.hard_limit_burst
-            for one in store.queue:
+            assert ledger.units <= ledger.plan.burst + (4 if ledger.spent else 0)
+            assert not ledger.plan.hard_limit_per_s or ledger.hard_limit_units <= ledger.plan.hard_limit_burst
+            for one in ledger.queue:
                 assert one.message.plan_index == name & 0xFFFF
                 assert one.message.class_index < len(control.state.classes)
         for items in quota.outbox.waiting.values():
@@ -721,7 +736,7 @@
                 item.plan_index < len(control.state.plans) and item.class_index < len(control.state.classes)
                 for item in items
             )
-        assert not any(store.plan.name in control.state.plans for store in quota.owner.detached.values())
+        assert not any(ledger.plan.name in control.state.plans for ledger in quota.owner.detached.values())
         assert (
             control.state.queue.shares.keys()
             == control.state.queue.waits_ms.keys()
@@ -735,8 +750,10 @@
         number = self.serial + 1
         super().arrive()
         gateway, arrival = self.checker.open[number]
-        known = {kind.name: kind for kind in self.gateways[gateway].settings.classes}
-        self.checker.kind_of[number] = known.get(arrival.class_name) or RequestClass(
+        known = {
+            request_class.name: request_class for request_class in self.gateways[gateway].settings.classes
+        }
+        self.checker.class_of[number] = known.get(arrival.class_name) or RequestClass(
             arrival.class_name, 1, 1, 1, Idempotency.NON_IDEMPOTENT
         )
 
@@ -794,40 +811,51 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_any_sequence_of_events_and_settings_keeps_the_rules(seed):
-    street = Street(seed, loss=(0.1, 0.5)[seed % 2], kill=0.0003)
-    street.run(8000)
-    for control in street.gateways.values():
-        street.check(control)
-    assert street.changes > 30 and street.refused > 3 and len(street.checker.done) > 400
-    assert not street.checker.open
+def test_random_events_and_settings_changes_keep_the_invariants(seed):
+    town = ChangingTown(seed, loss=(0.1, 0.5)[seed % 2], kill=0.0003)
+    town.run(8000)
+    for control in town.gateways.values():
+        town.check(control)
+    assert town.changes > 30 and town.refused > 3 and len(town.checker.done) > 400
+    assert not town.checker.open
 
 
-def test_no_table_grows_over_two_hundred_changes_to_ever_new_names():
+def test_no_table_grows_over_200_changes_to_new_names():
     base = settings(gateways=1)
     control, now = Controller(base, 1), 0.0
     control.handle(now, [FLEET_6])
-    numbers, sizes, waits, sent = itertools.count(1), [], [], Counter()
+    numbers, sizes, pending, sent = itertools.count(1), [], [], Counter()
 
     def turn(now, events=()):
         """Every attempt ends by the next turn, some by an error."""
-        events, waits[:] = [*events, *waits], []
+        events, pending[:] = [*events, *pending], []
         for send in of(StartAttempt, control.handle(now, events)):
-            waits.append(
+            pending.append(
                 outcome(send, AttemptResult.ERROR if send.id % 5 == 0 else AttemptResult.OK, sent[send.id])
             )
             sent[send.id] += 1
         assert not control.faults
 
     for step in range(200):
-        kinds = tuple(replace(kind, name=f"{kind.name}-{step}") for kind in base.classes)
+        classes = tuple(
+            replace(request_class, name=f"{request_class.name}-{step}") for request_class in base.classes
+        )
         plans = tuple(replace(plan, name=f"{plan.name}-{step}") for plan in base.plans)
-        assert change(control, now, replace(base, classes=kinds, plans=plans)) == ""
+        assert change(control, now, replace(base, classes=classes, plans=plans)) == ""
         for _ in range(12):
             now += 100.0
             arrivals = [
-                RequestReceived(next(numbers), f"c{kind.name}", kind.name, plan.name, now + 900.0, 1, 0, 1)
-                for kind in kinds
+                RequestReceived(
+                    next(numbers),
+                    f"c{request_class.name}",
+                    request_class.name,
+                    plan.name,
+                    now + 900.0,
+                    1,
+                    0,
+                    1,
+                )
+                for request_class in classes
                 for plan in plans
             ]
             turn(now, arrivals)
@@ -864,10 +892,10 @@
 # -- handover between processes of different settings
 
 
-def test_a_successor_of_other_settings_takes_over_by_names():
+def test_successor_with_other_settings_imports_state_by_names():
     """Plans at other places and of other figures, one that it does not have, one that is new."""
-    old = Controller(plain(), 1)
-    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+    old = Controller(with_plain_plan(), 1)
+    own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     old.handle(0.0, [FLEET_6])
 
     def burst(control, now):
@@ -875,21 +903,25 @@
             of(
                 StartAttempt,
                 control.handle(
-                    now, [ask(next(NAMES), "look", "plain", customer=home, due=now + 1400) for _ in range(40)]
+                    now,
+                    [
+                        ask(next(NAMES), "look", "plain", customer=own_customer, due=now + 1400)
+                        for _ in range(40)
+                    ],
                 ),
             )
         )
 
     assert burst(old, 4.0) >= 5
     level = next(iter(old.state.quota.owner.ledgers.values())).units
-    given = with_plan(plain(), "plain", rate_per_s=40.0, burst=120.0)
+    given = with_plan(with_plain_plan(), "plain", rate_per_s=40.0, burst=120.0)
     moved = replace(given, plans=(Plan("first", 1, 1), *given.plans[::-1]))
     state = left_by(old, 8.0)
     new = Controller(moved, 2)
     new.handle(8.0, [FLEET_6, ImportState(state)])
     assert not new.faults
-    ((name, store),) = new.state.quota.owner.ledgers.items()
-    assert name & 0xFFFF == 1 and store.plan is new.state.plans["plain"] and store.units <= level + 0.1
+    ((name, ledger),) = new.state.quota.owner.ledgers.items()
+    assert name & 0xFFFF == 1 and ledger.plan is new.state.plans["plain"] and ledger.units <= level + 0.1
     assert burst(new, 12.0) <= 1
     # One that lacks the plan keeps its stores for when it comes back, and passes them on.
     lacks = Controller(settings(), 3)
@@ -899,18 +931,18 @@
         and not lacks.state.quota.owner.ledgers
         and len(lacks.state.quota.owner.detached) == 1
     )
-    last = Controller(plain(), 4)
+    last = Controller(with_plain_plan(), 4)
     last.handle(12.0, [FLEET_6, ImportState(left_by(lacks, 12.0))])
     assert not last.faults and burst(last, 16.0) <= 1
-    fresh = Controller(plain(), 1)
+    fresh = Controller(with_plain_plan(), 1)
     fresh.handle(0.0, [FLEET_6])
     assert burst(fresh, 16.0) >= 5  # what a start without the state would have granted
 
 
-def test_a_process_with_an_heir_changes_its_settings_and_leaves_the_stores_to_it():
+def test_predecessor_applies_settings_without_serving_its_exported_ledgers():
     old = gateway()
-    home = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
-    crowd = [ask(n, ("book", "seat")[n % 2], customer=home, due=4000.0) for n in range(40)]
+    own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
+    crowd = [ask(n, ("book", "seat")[n % 2], customer=own_customer, due=4000.0) for n in range(40)]
     old.handle(0.0, [FLEET_6, *crowd])
     old.handle(4.0, [ExportState()])
     assert change(old, 8.0, without(with_plan(settings(), "rated", rate_per_s=100.0), "book")) == ""
