--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -1,5 +1,7 @@
-"""Other settings in service, the module alone: what is open keeps its own, nothing is granted twice, no table
-grows, and what cannot be taken changes nothing."""
+"""New settings applied to a running decision module.
+
+Open requests keep the settings with which they were received, no unit is granted twice, no table grows
+without bound, and rejected settings change nothing."""
 
 import copy
 import itertools
@@ -46,7 +48,7 @@
 
 
 def change(control, now, new, *before):
-    """Take over these settings in a turn of its own; what is said to them."""
+    """Apply settings in one turn, after the events `before`; returns the error text, empty on success."""
     completed = of(CommandCompleted, control.handle(now, [*before, SettingsChanged(next(NAMES), new)]))
     assert not control.faults
     return completed[0].error
@@ -81,7 +83,7 @@
 )
 
 
-# -- what cannot be taken
+# -- rejected settings
 
 
 @pytest.mark.parametrize(
@@ -111,16 +113,16 @@
     assert completed[0].error.startswith(key) and "\n" not in completed[0].error
     assert [one for one in actions if not isinstance(one, CommandCompleted)] == other.handle(1000.0, events)
     assert control.settings == settings()
-    for step in range(1, 200):  # and nothing later either
+    for step in range(1, 200):  # Later turns show no effect either.
         more = [ask(100 + step, due=1000.0 + 20 * step + 900)]
         assert control.handle(1000.0 + 20 * step, more) == other.handle(1000.0 + 20 * step, more)
 
 
-# -- the same settings
+# -- equal settings
 
 
 class ReapplyingController(Controller):
-    """Told the settings that it has, again and again, as objects of their own."""
+    """A controller that is given a copy of its present settings in every third turn."""
 
     def __init__(self, config, seed):
         super().__init__(config, seed)
@@ -146,7 +148,7 @@
     assert len(plain_town.log) > 1000 and plain_town.log == reapplying_town.log
 
 
-# -- what is open
+# -- open requests
 
 
 def test_request_keeps_its_class_after_the_class_was_removed():
@@ -164,9 +166,9 @@
         ],
     )
     by_id = {send.id: send for send in of(StartAttempt, actions)}
-    assert of(FailRequest, actions) == [FailRequest(1)]  # one run of an unsafe one, as when it came
-    assert 2 in by_id  # a further attempt at what was safe when it came
-    assert of(RejectRequest, actions)[0].id == 3  # of a class that is not there
+    assert of(FailRequest, actions) == [FailRequest(1)]  # Not retried: its class was not idempotent.
+    assert 2 in by_id  # Retried: its class was idempotent when it was received.
+    assert of(RejectRequest, actions)[0].id == 3  # Its class was removed.
     assert of(FailRequest, control.handle(1100.0, [outcome(by_id[4], AttemptResult.ERROR)])) == [
         FailRequest(4)
     ]
@@ -217,7 +219,7 @@
 
 def test_requests_waiting_under_a_removed_plan_or_class_are_rejected_at_once():
     control = gateway(number=0)
-    # Its home is another gateway, which has not answered.
+    # The customer's quota owner is another gateway, which has not answered.
     customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 1)
     control.handle(
         1000.0, [FLEET_6, ask(1, plan="rated", customer=customer), ask(2, plan="capped", customer=customer)]
@@ -226,7 +228,7 @@
     actions = control.handle(1004.0, [SettingsChanged(1, without(settings(), "capped"))])
     assert [one.id for one in of(RejectRequest, actions)] == [2] and list(control.requests) == [1]
     assert not control.faults
-    # And of its own stores: who waits there under a class that goes is denied, the others stay.
+    # In this gateway's own ledgers, requests of the removed class are denied and the others go on waiting.
     own = Controller(with_plan(settings(), "rated", rate_per_s=40.0, over_quota_weight=0.0), 1)
     own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     crowd = [ask(n, ("book", "seat")[n % 2], customer=own_customer, due=4000.0) for n in range(60)]
@@ -270,7 +272,7 @@
     ]
     assert [(item.kind, item.serial) for item in told] == [
         (QuotaMessageKind.RETURNED, 3)
-    ]  # of the plan that is gone
+    ]  # Of the removed plan
     pending = control.state.quota.outbox.waiting.get(1, []) + [
         item
         for tell in of(SendPeerMessage, actions)
@@ -278,7 +280,7 @@
         if news
         for item in news.quota_messages
     ]
-    assert [item.serial for item in pending] == [1, 4]  # no question for a class that is gone
+    assert [item.serial for item in pending] == [1, 4]  # No grant request for the removed class
     assert [new.plans[item.plan_index].name for item in pending] == ["capped", "open"]
     assert new.classes[pending[1].class_index].name == "book"
     (late,) = control.state.quota.requester.unconfirmed[2]
@@ -293,7 +295,7 @@
     )
     change(one, 1000.0, new)
     one.handle(1004.0, [PeerMessageReceived(1, data)])
-    assert one.state.quota.owner.ledgers  # other figures, the same names: it is heard
+    assert one.state.quota.owner.ledgers  # The names are equal, so the message is accepted.
     dropped = without(settings(), "feed")
     change(one, 1008.0, dropped)
     heard_ms = dict(one.state.quota.outbox.heard_ms)
@@ -311,7 +313,7 @@
         StartAttempt,
         control.handle(1000.0, [FLEET_6, *(ask(n, plan="open", customer=own_customer) for n in range(6))]),
     )
-    assert len(sends) == 4  # as many as may be out at once
+    assert len(sends) == 4  # The plan's max_in_flight
     lower = with_plan(settings(), "open", max_in_flight=2)
     assert change(control, 1004.0, replace(lower, plans=lower.plans[::-1])) == ""
     (ledger,) = control.state.quota.owner.ledgers.values()
@@ -340,7 +342,7 @@
 
 
 class ReferenceBucket:
-    """A bucket by the figures in force; `most`: units by which it may be passed in any case."""
+    """A token bucket that follows the plan in force. `allowance`: units that may be granted beyond it."""
 
     def __init__(self, rate, burst, allowance=0.0):
         self.level, self.at, self.rate, self.burst, self.max_debt = burst, 0.0, rate, burst, 0.0
@@ -351,14 +353,15 @@
         self.level, self.at = min(self.burst, self.level), now
 
     def drop(self, now):
-        """There is no such plan from now on."""
+        """Record that the plan is removed."""
         if self.removed_ms is None:
             self.to(now)
             self.removed_ms = now
 
     def change(self, now, rate, burst):
         if self.removed_ms is not None:
-            # Once it is full by the old figures it is as one that never was; before, the lower of both fills.
+            # A ledger that is full again by the old plan is dropped, and a restored plan begins with a full
+            # bucket. Until then it fills by the lower of both rates, up to the lower of both bursts.
             gap_s, self.removed_ms = (now - self.removed_ms) / 1000, None
             if self.level + self.rate * gap_s >= self.burst - self.allowance:
                 self.level = burst
@@ -377,7 +380,7 @@
 
 
 class ChangingRig(Rig):
-    """The rig, whose firm's plan changes at all of its gateways, one after the other."""
+    """A quota rig that changes its customer's plan at all gateways, one after the other."""
 
     def put(self, number, plan):
         config = self.modules[number].settings
@@ -398,7 +401,7 @@
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("gateways, spread", [(1, 1), (4, 4)])
 def test_customer_at_full_load_gets_no_more_than_the_plan_in_force_allows(gateways, spread, seed):
-    """Up, down, dropped and back."""
+    """The plan's rate and burst go up and down, and the plan is removed and restored."""
     rng = random.Random(seed)
     steps = [STEPS[0], *rng.choices(STEPS, k=8)]
     rig = ChangingRig(*steps[0], gateways=gateways, spread=spread, seed=seed)
@@ -423,7 +426,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_hard_limit_is_not_exceeded_over_changes(seed):
-    """Its parts at all gateways, of which some change a little later than others."""
+    """The gateways, which share the hard limit, apply each change one after the other."""
     rng = random.Random(seed)
     rig = ChangingRig(40.0, 40.0, gateways=4, spread=4, seed=seed, ceiling=0.5)
     rig.crowd(range(4), 80.0, 0.0, 20_000.0)
@@ -442,18 +445,18 @@
             when, step = changes.pop(0)
             if step and step[0]:
                 bucket.change(when, *step)
-                if free:  # where there was no ceiling, one begins now
+                if free:  # A hard limit begins where there was none.
                     bucket = ReferenceBucket(*step)
                     bucket.at = when
             free = bool(step) and not step[0] or free and step is None
         if not free:
             bucket.take(now)
             counted += 1
-    assert counted > 30 and bucket.max_debt <= 4.0, bucket.max_debt  # a ceiling's slack in the module's tests
+    assert counted > 30 and bucket.max_debt <= 4.0, bucket.max_debt  # Slack of the hard limit
 
 
 def with_plain_plan(**more):
-    """A plan of which nothing goes beyond its quota besides."""
+    """Settings with one more plan, "plain", under which no request is admitted beyond the quota."""
     return replace(settings(**more), plans=(*settings().plans, Plan("plain", 4, 12)))
 
 
@@ -480,7 +483,7 @@
     assert change(control, 20.0, settings()) == ""
     assert burst(40.0) == 0
     assert change(control, 60.0, with_plain_plan()) == "" and burst(64.0) <= 1
-    # Long enough that it is full again: it has been forgotten, and begins as at a start.
+    # A removed plan whose ledger is full again is forgotten, so the plan begins with a full bucket.
     assert change(control, 100.0, settings()) == "" and control.state.quota.owner.detached
     for step in range(200):
         control.handle(200.0 + 100 * step, [])
@@ -505,8 +508,8 @@
     control.state.quota.requester.account_of(3010.0, arrival, plan)
     assert account.hard_limit_units <= level + 160.0 * 0.010
 
-    # While there is no such plan nothing fills, also for what is still open of it; and when it is back, not
-    # for that time.
+    # While the plan is removed, its accounts do not fill, not even for open requests. The time is not made up
+    # for when the plan is restored.
     assert change(control, 4000.0, without(settings(), "capped")) == ""
     before = account.hard_limit_units, account.local_units
     control.state.quota.requester.account_of(4500.0, arrival, plan)
@@ -522,7 +525,7 @@
     control.handle(0.0, [FLEET_6])
     control.handle(4.0, [ask(n, "look", "plain", due=1400.0) for n in range(30)])
     (ledger,) = control.state.quota.owner.ledgers.values()
-    control.handle(1400.0, [])  # whoever waited has gone
+    control.handle(1400.0, [])  # The waiting requests have reached their deadline.
     control.state.quota.owner.serve(1400.0, next(iter(control.state.quota.owner.ledgers)))
     level = ledger.units = 1.0
     lower = with_plan(with_plain_plan(gateways=1), "plain", rate_per_s=1.0)
@@ -532,11 +535,11 @@
     lower = with_plan(with_plain_plan(gateways=1), "plain", burst=2.0)
     assert change(control, 4400.0, lower) == "" and ledger.units == 2.0
     assert change(control, 4404.0, with_plain_plan(gateways=1)) == ""
-    assert ledger.units == pytest.approx(2.0)  # 16 ms of the rate at most, and a burst that was cut stays cut
+    assert ledger.units == pytest.approx(2.0)  # Units above the lower burst are not restored.
 
 
 def test_waiting_request_is_granted_in_time_after_its_plan_was_moved_or_changed():
-    """The store's wake-up goes by its new name, or by its new rate."""
+    """The timer of the customer's ledger follows the ledger's new key, or the plan's new rate."""
 
     def waiting_requests():
         control = Controller(with_plan(with_plain_plan(), "plain", rate_per_s=20.0), 1)
@@ -561,7 +564,7 @@
     assert control.state.quota.owner.ledgers == {next(iter(control.state.quota.owner.ledgers)): ledger}
     assert len(of(StartAttempt, control.handle(due_ms, []))) == 1 and not control.faults
     control, ledger = waiting_requests()
-    faster = with_plan(control.settings, "plain", rate_per_s=0.0, burst=0.0)  # nothing is counted any more
+    faster = with_plan(control.settings, "plain", rate_per_s=0.0, burst=0.0)  # No quota any more
     actions = control.handle(4.001, [SettingsChanged(1, faster)])
     assert len(of(StartAttempt, actions)) > 1 and not ledger.queue and not control.faults
 
@@ -595,10 +598,10 @@
 
 
 class TableWithoutIteration(dict):
-    """A table at which nobody may look as a whole."""
+    """A dict that fails the test when it is iterated over."""
 
     def __iter__(self):
-        raise AssertionError("looked at all")
+        raise AssertionError("iterated over the whole table")
 
     keys = values = items = __iter__
 
@@ -614,11 +617,11 @@
     assert control.settings == settings()
 
 
-# -- any sequence
+# -- random sequences
 
 
 def random_settings(rng, base):
-    """Legal settings, near the others that are drawn: the same few names, other figures, any order."""
+    """Random valid settings: a few class and plan names in any order, with random values."""
     classes, plans = [], []
     for name in rng.sample([f"k{n}" for n in range(7)], rng.choice((1, 3, 5, 7))):
         deadline_ms = rng.choice((300.0, 900.0, 2500.0))
@@ -667,33 +670,33 @@
 
 
 class CheckerByReceivedClass(Checker):
-    """Each request by the class under which it came."""
+    """A checker that judges each request by the class with which it was received."""
 
     def __init__(self, config):
         super().__init__(config)
         self.class_of = {}
 
     def of(self, number):
-        """From here on it is this request that is looked at."""
+        """Set the classes to that of the request that is checked next."""
         if number in self.class_of:
             request_class = self.class_of[number]
             self.kinds = {request_class.name: request_class}
 
     def arrival(self, gateway, arrival):
         super().arrival(gateway, arrival)
-        self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # ceilings are looked at elsewhere
+        self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # Hard limits are checked by other tests.
 
 
 class ChangingTown(Town):
-    """Gateways whose settings change at any time, each for itself, also to and fro; lists, messages, copies,
-    deaths and handovers go on meanwhile."""
+    """A town whose gateways change their settings at random times, independently of each other. Endpoint
+    updates, peer messages, hedged requests, crashes and hot restarts go on meanwhile."""
 
     def __init__(self, seed, **more):
         self.chance = random.Random(f"settings {seed}")
         base = settings(gateways=3)
         self.pool = [random_settings(self.chance, base) for _ in range(8)]
         self.in_force = {n: self.pool[0] for n in range(3)}
-        self.changes = self.refused = 0
+        self.changes = self.rejected = 0
         super().__init__(seed, gateways=3, settings_of=self.now_at, **more)
         self.checker = CheckerByReceivedClass(self.config)
 
@@ -710,7 +713,7 @@
         (completed,) = of(CommandCompleted, actions)
         if new.zone == "elsewhere":
             assert "locality" in completed.error and control.settings is before
-            self.refused += 1
+            self.rejected += 1
         else:
             assert completed.error == "" and control.settings == replace(new, gateway_number=n)
             self.in_force[n] = new
@@ -725,7 +728,7 @@
         for name, ledger in quota.owner.ledgers.items():
             assert ledger.plan is control.state.plans[ledger.plan.name]
             assert name & 0xFFFF == quota.context.plan_index[ledger.plan.name]
-            # What was kept back for a word that came late may be above, until the store is served again.
+            # Units kept for a delayed SPENT message may exceed the burst until the ledger is served again.
             assert ledger.units <= ledger.plan.burst + (4 if ledger.spent else 0)
             assert not ledger.plan.hard_limit_per_s or ledger.hard_limit_units <= ledger.plan.hard_limit_burst
             for one in ledger.queue:
@@ -745,7 +748,7 @@
         )
 
     def arrive(self):
-        # Of what one gateway has in force, at any: another may know no such class, and has to refuse it.
+        # The class is one of a random gateway's. The receiving gateway may not know it, and then rejects it.
         self.config = self.gateways[self.rng.randrange(len(self.gateways))].settings
         number = self.serial + 1
         super().arrive()
@@ -792,7 +795,8 @@
             self.hand_over(gateway)
 
     def hand_over(self, n):
-        """To itself: what it has left is read by a process of other settings."""
+        """Hot-restart a gateway into a process with other settings, which then dies, so that the gateway
+        resumes."""
         control = self.gateways[n]
         events, self.inbox[n] = self.inbox[n], []
         for action in control.handle(self.now, events):
@@ -804,7 +808,7 @@
         self.check(new)
         for action in control.handle(
             self.now, [ResumeAfterFailedHandover()]
-        ):  # the heir dies, and the old one goes on
+        ):  # The successor dies, and the predecessor resumes.
             self.act(n, action)
         self.in_force[n] = control.settings
         self.check(control)
@@ -816,7 +820,7 @@
     town.run(8000)
     for control in town.gateways.values():
         town.check(control)
-    assert town.changes > 30 and town.refused > 3 and len(town.checker.done) > 400
+    assert town.changes > 30 and town.rejected > 3 and len(town.checker.done) > 400
     assert not town.checker.open
 
 
@@ -827,7 +831,7 @@
     numbers, sizes, pending, sent = itertools.count(1), [], [], Counter()
 
     def turn(now, events=()):
-        """Every attempt ends by the next turn, some by an error."""
+        """Pass events, and the results of the attempts started in the turn before; some of them fail."""
         events, pending[:] = [*events, *pending], []
         for send in of(StartAttempt, control.handle(now, events)):
             pending.append(
@@ -877,7 +881,7 @@
                 *(len(one.completed) for one in state.endpoints.tracked.values()),
             )
         )
-    # What is of the last changes: an idle account is forgotten after FORGET_MS and a round of the tidying.
+    # The tables hold entries of the last changes only; housekeeping drops idle accounts after IDLE_MS.
     assert max(sizes[100:]) <= max(sizes[10:100]) * 1.1 and max(sizes) < 18 * (IDLE_MS / 1200 + 6)
     for _ in range(400):
         now += 100.0
@@ -889,11 +893,11 @@
     )
 
 
-# -- handover between processes of different settings
+# -- hot restart between processes with different settings
 
 
 def test_successor_with_other_settings_imports_state_by_names():
-    """Plans at other places and of other figures, one that it does not have, one that is new."""
+    """The successor has plans at other indexes, with other values, a new one, or lacks one."""
     old = Controller(with_plain_plan(), 1)
     own_customer = next(f"c{n}" for n in itertools.count() if customer_tag(f"c{n}") % 0x100000000 % 3 == 0)
     old.handle(0.0, [FLEET_6])
@@ -923,7 +927,7 @@
     ((name, ledger),) = new.state.quota.owner.ledgers.items()
     assert name & 0xFFFF == 1 and ledger.plan is new.state.plans["plain"] and ledger.units <= level + 0.1
     assert burst(new, 12.0) <= 1
-    # One that lacks the plan keeps its stores for when it comes back, and passes them on.
+    # A successor without the plan keeps its ledgers in case the plan is restored, and exports them in turn.
     lacks = Controller(settings(), 3)
     lacks.handle(8.0, [FLEET_6, ImportState(state)])
     assert (
@@ -936,7 +940,7 @@
     assert not last.faults and burst(last, 16.0) <= 1
     fresh = Controller(with_plain_plan(), 1)
     fresh.handle(0.0, [FLEET_6])
-    assert burst(fresh, 16.0) >= 5  # what a start without the state would have granted
+    assert burst(fresh, 16.0) >= 5  # A process without the snapshot would grant more.
 
 
 def test_predecessor_applies_settings_without_serving_its_exported_ledgers():
