--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -25,7 +25,7 @@
 )
 from support.management import say
 from support.processes import ROOT, UP, free_port, start, until_up
-from support.snapshots import left_by
+from support.snapshots import export_snapshot
 from support.traffic import settings
 
 from plumpick.gateway.hot_restart.message import (
@@ -104,7 +104,7 @@
     old, new = gate(1), gate(2)
     granted = let_in(old, 1.0, 40)
     assert 5 <= granted <= 13  # a burst of 12, less what is kept for worthier ones
-    new.handle(2.0, [ImportState(left_by(old, 2.0))])
+    new.handle(2.0, [ImportState(export_snapshot(old, 2.0))])
     assert let_in(new, 3.0, 40, 1000) <= 1
     fresh = gate(3)
     assert let_in(fresh, 3.0, 40, 1000) >= 5  # what a start without the state would have granted
@@ -146,7 +146,7 @@
     """Also to a customer that has asked at other gateways alone: its whole tag comes with its first word."""
     old, new = gate(1), gate(2)
     assert let_in(old, 1.0, 40) >= 5
-    state = as_form_1(left_by(old, 2.0))
+    state = as_form_1(export_snapshot(old, 2.0))
     state["accounts"] = state["accounts"] if known else []
     new.handle(2.0, [ImportState(state)])
     assert not new.faults
@@ -162,7 +162,7 @@
     old = gate(1)
     let_in(old, 1.0, 40)
     old.handle(2.0, [ask(n, name="book", plan="rated", due=4000.0) for n in range(100, 140)])
-    state, given = left_by(old, 3.0), old.settings
+    state, given = export_snapshot(old, 3.0), old.settings
     waiting = {row[1][2]: given.classes[row[1][5]].name for store in state["stores"] for row in store[-1]}
     assert {"look", "book"} == set(waiting.values())
     new = Controller(replace(given, classes=given.classes[:0:-1]), 2)  # in another order, without `look`
@@ -174,7 +174,7 @@
 
 def test_what_the_old_process_still_asks_its_own_home_the_new_one_grants():
     old, new = gate(1), gate(2)
-    new.handle(1.0, [ImportState(left_by(old, 1.0))])
+    new.handle(1.0, [ImportState(export_snapshot(old, 1.0))])
     old.handle(2.0, [ask(1, due=5000.0, units=2)])
     level = (
         next(iter(new.state.quota.owner.ledgers.values())).units if new.state.quota.owner.ledgers else 12.0
@@ -187,7 +187,7 @@
 
 def test_peers_business_is_the_new_processs_alone():
     old, new = gate(1), gate(2)
-    state = left_by(old, 1.0)
+    state = export_snapshot(old, 1.0)
     new.handle(1.0, [ImportState(state)])
     other = gate(5, (home_of("c") + 1) % 3)
     other.handle(2.0, [ask(1, due=5000.0)])
@@ -207,7 +207,7 @@
     ] or [None]
     if send is not None:
         old.handle(300.0, [AttemptCompleted(9, 0, send.endpoint, 298.0, AttemptResult.ERROR, False)])
-    new.handle(301.0, [ImportState(left_by(old, 301.0))])
+    new.handle(301.0, [ImportState(export_snapshot(old, 301.0))])
     assert "s1" in new.state.endpoints.disabled and new.state.draining.since_ms == 1.0
     assert {name for name, one in new.state.endpoints.tracked.items() if one.failed} == {
         name for name, one in old.state.endpoints.tracked.items() if one.failed
@@ -235,14 +235,14 @@
     old, new = gate(1), gate(2)
     let_in(old, 1.0, 5)
     before = let_in(gate(2), 3.0, 40)
-    new.handle(2.0, [ImportState({**left_by(old, 2.0), **spoil})])
+    new.handle(2.0, [ImportState({**export_snapshot(old, 2.0), **spoil})])
     assert new.faults and let_in(new, 3.0, 40) == before
 
 
 def test_who_goes_on_after_its_heir_died_grants_nothing_for_the_time_between():
     old = gate(1)
     let_in(old, 1.0, 40)
-    left_by(old, 2.0)
+    export_snapshot(old, 2.0)
     old.handle(60_000.0, [ResumeAfterFailedHandover()])
     assert let_in(old, 60_001.0, 40, 1000) <= 1
 
@@ -253,7 +253,7 @@
     for step in range(100):
         now, control = 20.0 * step, old if step < 50 else new
         if step == 50:
-            new.handle(now, [ImportState(left_by(old, now))])
+            new.handle(now, [ImportState(export_snapshot(old, now))])
         arrival = RequestReceived(step, "c", "look", "capped", now + 1400.0, 1, 0, 3)
         sent += len(of(StartAttempt, control.handle(now, [arrival])))
     assert sent <= 32 + 16 * 2.0 + 4
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -12,7 +12,7 @@
 import pytest
 from support.controllers import ask, gateway, of, outcome
 from support.quota_rig import TICK_MS, Rig
-from support.snapshots import left_by
+from support.snapshots import export_snapshot
 from support.traffic import Checker, Town, settings
 
 from plumpick.policy import reconfiguration
@@ -801,7 +801,7 @@
         events, self.inbox[n] = self.inbox[n], []
         for action in control.handle(self.now, events):
             self.act(n, action)
-        state = left_by(control, self.now)
+        state = export_snapshot(control, self.now)
         self.in_force[n] = self.chance.choice(self.pool)
         new = Controller(self.now_at(n), self.chance.randrange(1 << 30))
         new.handle(self.now, [EndpointsUpdated(tuple(self.fleet)), ImportState(state)])
@@ -920,7 +920,7 @@
     level = next(iter(old.state.quota.owner.ledgers.values())).units
     given = with_plan(with_plain_plan(), "plain", rate_per_s=40.0, burst=120.0)
     moved = replace(given, plans=(Plan("first", 1, 1), *given.plans[::-1]))
-    state = left_by(old, 8.0)
+    state = export_snapshot(old, 8.0)
     new = Controller(moved, 2)
     new.handle(8.0, [FLEET_6, ImportState(state)])
     assert not new.faults
@@ -936,7 +936,7 @@
         and len(lacks.state.quota.owner.detached) == 1
     )
     last = Controller(with_plain_plan(), 4)
-    last.handle(12.0, [FLEET_6, ImportState(left_by(lacks, 12.0))])
+    last.handle(12.0, [FLEET_6, ImportState(export_snapshot(lacks, 12.0))])
     assert not last.faults and burst(last, 16.0) <= 1
     fresh = Controller(with_plain_plan(), 1)
     fresh.handle(0.0, [FLEET_6])
--- a/tests/support/snapshots.py
+++ b/tests/support/snapshots.py
@@ -1,4 +1,4 @@
-"""The state that a controller leaves to the next process."""
+"""Exports a controller's snapshot for its hot-restart successor."""
 
 import json
 
@@ -10,6 +10,7 @@
 )
 
 
-def left_by(control, now):
+def export_snapshot(control, now):
+    """Return the state that the controller exports, after a round trip through JSON."""
     (state,) = of(StateExported, control.handle(now, [ExportState()]))
     return json.loads(json.dumps(state.state, allow_nan=False))
