--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -11,7 +11,7 @@
   then watches for changes, and retries a failed call after a short backoff.
 - A service that all gateways share queues calls and rejects those that it cannot answer in time. Forty
   gateways that start together, give up each call before its turn in the queue and retry twice a second
-  overload it permanently (test_forty_gateways_that_start_together_all_have_their_watch_soon). So a watch of a
+  overload it permanently (test_40_gateways_that_start_together_all_have_their_watch_soon). So a watch of a
   shared service starts from the index of the present list, which takes one call instead of two. Each gateway
   calls in its own slot, given by its number, of a round that all gateways derive from the same clock. This
   spreads the calls evenly even if all gateways failed at the same time, and limits each to one call per
--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -64,7 +64,7 @@
     return Controller(replace(given, plans=(*given.plans, Plan(FREE)), gateway_count=1, gateway_number=0), 1)
 
 
-def test_a_banned_worker_gets_nothing_whatever_the_list_says():
+def test_disabled_worker_gets_no_attempts_after_discovery_lists_it_again():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     assert "s2" in served(gate, 0.0, 60, 500)
@@ -80,7 +80,7 @@
     assert "s2" not in served(gate, 2010.0, 60, 2000)
 
 
-def test_twice_out_and_once_back_is_back_and_unknown_ids_are_owed_a_no():
+def test_worker_disabled_twice_is_enabled_by_one_command_and_unknown_ids_are_rejected():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     assert order(gate, 1.0, CommandKind.DISABLE, "s2") == order(gate, 2.0, CommandKind.DISABLE, "s2") == ""
@@ -89,7 +89,7 @@
     assert order(gate, 2000.0, CommandKind.DISABLE, "s99") and order(gate, 2001.0, CommandKind.ENABLE, "s99")
 
 
-def test_who_comes_back_is_cold_and_gets_a_request_soon_but_no_crowd_of_them():
+def test_enabled_worker_gets_its_first_attempt_soon_and_then_goes_through_slow_start():
     """Discovery never showed its restart. Without the debt chance alone would pass it by for long."""
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
@@ -101,7 +101,7 @@
     assert 0 < after.count("s2") < before.count("s2")
 
 
-def test_what_is_out_at_a_banned_worker_may_finish_and_no_further_attempt_goes_there():
+def test_attempt_at_a_disabled_worker_may_finish_and_its_retry_goes_elsewhere():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     (send,) = of(StartAttempt, gate.handle(1.0, [ask(1, plan=FREE)]))
@@ -110,7 +110,7 @@
     assert again.endpoint != send.endpoint
 
 
-def test_with_the_only_worker_out_requests_are_refused_in_time_with_advice():
+def test_requests_are_rejected_early_when_the_only_worker_is_disabled():
     gate = free_gateway()
     gate.handle(0.0, [EndpointsUpdated((Endpoint("s2", "z0", 0, EndpointState.READY),))])
     order(gate, 1.0, CommandKind.DISABLE, "s2")
@@ -122,7 +122,7 @@
     assert refused and now < 1100.0
 
 
-def test_bans_are_bounded_by_the_list_and_a_number_of_those_gone_and_none_is_forgotten():
+def test_number_of_disabled_unlisted_workers_is_bounded():
     bans = DisabledWorkers(9000.0)
     for number in range(MAX_UNLISTED):
         bans.disable(f"w{number}", {f"w{number}"})
@@ -136,7 +136,7 @@
     assert "w0" not in bans
 
 
-def test_a_return_is_forgotten_once_warm():
+def test_enabled_worker_is_forgotten_after_its_slow_start():
     bans = DisabledWorkers(9000.0)
     bans.disable("w", {"w"})
     bans.enable(100.0, "w", {"w"})
@@ -147,7 +147,7 @@
     assert bans.slow_start_began_ms(9100.0, "w", 0.0) == 0.0 and bans.export_state() == ((), ())
 
 
-def test_a_ban_passes_to_another_process_and_wins_over_a_return():
+def test_disabled_workers_are_passed_to_the_successor():
     first, second = DisabledWorkers(9000.0), DisabledWorkers(9000.0)
     first.disable("a", {"a"})
     first.disable("b", {"b"})
@@ -157,7 +157,7 @@
     assert not second.awaits_first_attempt(50.0 + FIRST_ATTEMPT_AFTER_MS, "b")
 
 
-def test_a_drain_goes_through_its_stages_and_the_second_word_changes_nothing():
+def test_drain_goes_through_its_stages_and_a_second_drain_changes_nothing():
     gate = gateway()
     gate.handle(0.0, [FLEET])
     stages, now = [], 0.0
@@ -173,7 +173,7 @@
     ]
 
 
-def test_taken_back_at_any_moment_the_doors_are_open_at_once_and_stay_so():
+def test_undrain_reopens_at_once_in_any_stage():
     for back in (101.0, 700.0, 2200.0, 3000.0):
         gate = gateway()
         gate.handle(0.0, [FLEET])
@@ -191,7 +191,7 @@
                 assert last is AdmissionState.OPEN
 
 
-def test_drained_again_after_it_was_taken_back_the_stages_count_from_the_second_word():
+def test_stages_count_from_the_second_drain_after_an_undrain():
     draining = Draining()
     draining.drain(0.0)
     draining.undrain()
@@ -200,7 +200,7 @@
     assert draining.state_at(1000.0 + CLOSE_IDLE_AFTER_MS - 1.0) is AdmissionState.REDIRECTING
 
 
-def test_a_drained_gateway_still_serves_what_comes():
+def test_draining_gateway_still_serves_requests():
     gate = free_gateway()
     gate.handle(0.0, [FLEET])
     gate.handle(1.0, [OperatorCommand(1, CommandKind.DRAIN)])
@@ -235,7 +235,7 @@
     return len(to_cold) / len(sends), len(sends) / (seconds * rate)
 
 
-def test_where_few_are_warm_the_cold_ones_carry_their_part_of_what_there_is():
+def test_cold_workers_carry_their_part_of_the_load_when_few_are_warm():
     """Seen on upgrade+hand: with two warm of nine left the cold ones got a third, and the two the rest."""
     part, _ = cold_part(7)
     assert 0.35 < part < 0.75  # 7 x 0.25 cold of 3.75 in all is 0.47; by the fleet of late it was 0.2
@@ -243,6 +243,6 @@
     assert sent > 0.7  # 0.6 where each waited for a second before the next try
 
 
-def test_with_most_of_them_warm_a_cold_one_gets_no_more_than_its_warmth():
+def test_cold_worker_among_warm_ones_gets_no_more_than_its_progress():
     part, _ = cold_part(1, seconds=4)
     assert part < 2.5 * 0.25 / 9
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -80,7 +80,7 @@
     return [EndpointWatch(count, 7, random.Random(f"{seed}/{number}"), number) for number in range(count)]
 
 
-def test_forty_gateways_that_start_together_all_have_their_watch_soon():
+def test_40_gateways_that_start_together_all_have_their_watch_soon():
     for seed in range(20):
         rng = random.Random(seed)
         starts = [rng.random() * 100.0 for _ in range(40)]
@@ -93,12 +93,12 @@
     assert len(listed) < 20 and len(calls) > 1000
 
 
-def test_a_few_gateways_have_a_short_round():
+def test_small_tier_has_a_short_round():
     listed, _ = play(shared(3), 60_000.0, [0.0] * 3)
     assert len(listed) == 3 and max(listed.values()) <= 1500.0
 
 
-def test_each_gateway_has_its_slot_in_a_round_after_all_failed_at_once():
+def test_calls_are_spread_evenly_over_a_round_after_all_gateways_failed_at_once():
     """Within one round all call, evenly spread, and none more than once a round, however often it fails."""
     for count in (3, 40, 200):
         watches = shared(count)
@@ -129,7 +129,7 @@
     assert watch.next_request(0.0).delay_ms == 0.0
 
 
-def test_a_change_is_notified_within_six_seconds_whatever_calls_failed_before():
+def test_change_is_notified_within_6_s_after_any_failed_calls():
     """The operators' term; the sum of the waits of each branch, with room for a busy loop."""
     for is_shared in (False, True):
         assert worst_notification_ms(is_shared) <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
@@ -168,7 +168,7 @@
                 )
 
 
-def test_after_sighup_a_new_address_is_called_in_time():
+def test_new_address_after_sighup_is_called_in_time():
     """4 s after it what is there counts: its first call may fail, and a second one be in time."""
     watch = EndpointWatch(0, None, random.Random(0))
     spent = watch.next_request(0.0).response_timeout_ms
@@ -182,7 +182,7 @@
                 assert call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
 
 
-def test_all_gateways_are_notified_within_six_seconds_of_a_services_return():
+def test_all_gateways_are_notified_within_6_s_after_the_service_recovers():
     """Down or silent for 8 s; it then takes one call of each in 2 or 4 s. One that needs 5.7 s for that tells
     four in five in time, at 40 and at 200 (docs/design/crossings.md has the table)."""
     for silent in (False, True):
@@ -198,7 +198,7 @@
                 assert len(calls) <= 1.5 * count
 
 
-def test_a_shared_service_is_asked_for_changes_also_after_a_failure():
+def test_changes_are_requested_from_a_shared_service_after_a_failure():
     watch = EndpointWatch(40, 41, random.Random(1))
     assert watch.next_request(0.0).since_index == 41
     watch.on_call_failed()
@@ -214,7 +214,7 @@
     assert watch.next_request(0.0).since_index == 3
 
 
-def test_an_older_list_is_believed_only_when_a_second_answer_confirms_it():
+def test_lower_index_is_accepted_only_after_a_second_response_confirms_it():
     for sharers in (0, 40):
         watch = EndpointWatch(sharers, None, random.Random(1))
         watch.on_response(41, True)
@@ -241,7 +241,7 @@
     assert watch.next_request(0.0).since_index is None
 
 
-def test_an_agent_is_asked_for_a_snapshot_with_a_short_backoff():
+def test_snapshot_is_requested_from_an_agent_with_a_short_backoff():
     watch = EndpointWatch(0, 41, random.Random(1))
     call = watch.next_request(0.0)
     assert call.since_index is None and call.delay_ms == 0.0
--- a/tests/policy/test_health_status.py
+++ b/tests/policy/test_health_status.py
@@ -38,7 +38,7 @@
     return told, answers
 
 
-def test_a_gatekeeper_that_restarts_with_the_same_seed_is_not_taken_for_its_last_life():
+def test_restart_with_the_same_seed_has_a_new_incarnation():
     """Else its first questions would pass for repeats of old ones, be granted again and not be booked."""
     home = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
@@ -50,7 +50,7 @@
     assert home.codec.decode(told[0].data).incarnation != home.codec.decode(again[0].data).incarnation
 
 
-def test_a_grant_to_the_last_life_is_not_believed_by_the_next_but_given_back():
+def test_grant_to_an_earlier_incarnation_is_returned_and_not_used():
     """The home's answer was on the way while the asker restarted, and the next life asks for the same."""
     home = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
@@ -74,7 +74,7 @@
     assert QuotaMessageKind.RETURNED in kinds
 
 
-def test_the_same_events_give_the_same_life():
+def test_same_events_give_the_same_incarnation():
     one, two = gateway(1, 1000.0), gateway(1, 1000.0)
     assert (one.state.quota.context.incarnation, one.state.quota.requester.serial) == (
         two.state.quota.context.incarnation,
@@ -82,7 +82,7 @@
     )
 
 
-def test_a_state_is_told_once_when_it_has_lasted():
+def test_quota_health_is_logged_once_after_it_has_settled():
     standing = QuotaHealth(4, 1)
     lines = [standing.update(ms, {2}) for ms in (0.0, SETTLING_MS - 1, SETTLING_MS, SETTLING_MS + 1, 9000.0)]
     assert lines == [
@@ -101,7 +101,7 @@
     )
 
 
-def test_a_split_that_flaps_fills_no_log_and_nonsense_is_nobody():
+def test_flapping_owner_and_unknown_numbers_are_not_logged():
     standing = QuotaHealth(4, 1)
     flapping = [standing.update(step * 300.0, {0} if step % 2 else set()) for step in range(100)]
     nonsense = [standing.update(60_000.0 + step * 300, {1, 7, -1}) for step in range(100)]
--- a/tests/policy/test_scheduled_tasks.py
+++ b/tests/policy/test_scheduled_tasks.py
@@ -28,7 +28,7 @@
     return [act for act in tasks.handle(t, UNIX + t) if not kinds or isinstance(act, kinds)]
 
 
-def test_a_task_runs_once_a_period_and_only_for_its_slots_owner():
+def test_task_runs_once_per_period_on_the_owner_of_its_slot():
     one = task()
     tasks = scheduler(one)
     assert not play(tasks, 0.0)
@@ -42,7 +42,7 @@
     assert started == sorted(set(started)) and len(started) == 11  # ten, and the one before that it caught up
 
 
-def test_a_run_is_stopped_when_its_slot_is_lost_and_its_late_end_is_ignored():
+def test_run_is_stopped_when_its_slot_is_lost_and_its_late_result_is_ignored():
     tasks = scheduler(task(time_limit_ms=9000.0))
     slot = slot_of("one", 4)
     tasks.on_slot_acquired(0.0, slot, 1)
@@ -56,7 +56,7 @@
     assert again.period == start.period and again.token == 2
 
 
-def test_a_run_over_its_time_limit_is_stopped_and_retried_later():
+def test_run_over_its_time_limit_is_stopped_and_retried():
     tasks = scheduler(task(period_ms=60_000.0, time_limit_ms=500.0))
     tasks.on_slot_acquired(0.0, slot_of("one", 4), 1)
     assert len(play(tasks, 0.0, StartRun)) == 1
@@ -64,7 +64,7 @@
     assert not play(tasks, 600.0, StartRun) and len(play(tasks, 1000.0, StartRun)) == 1
 
 
-def test_a_failing_task_is_retried_with_backoff_and_missed_with_its_period():
+def test_failing_task_is_retried_with_backoff_until_its_period_is_missed():
     tasks = scheduler(task(catch_up_periods=0, period_ms=10_000.0))
     tasks.on_slot_acquired(0.0, slot_of("one", 4), 1)
     tries, missed = [], []
@@ -84,7 +84,7 @@
     )
 
 
-def test_a_yielded_slot_is_released_only_when_nothing_of_it_runs():
+def test_yielded_slot_is_released_after_its_runs_have_ended():
     tasks = scheduler(task(time_limit_ms=5000.0))
     slot = slot_of("one", 4)
     tasks.on_slot_acquired(0.0, slot, 1)
@@ -98,7 +98,7 @@
     assert play(tasks, 300.0) == [ReleaseSlot(slot)]
 
 
-def test_a_thousand_tasks_all_run_a_few_at_a_time():
+def test_a_thousand_tasks_run_within_the_limit_of_concurrent_runs():
     tasks = scheduler(*(task(f"d{number}", 10_000.0, 5000.0, 0) for number in range(1000)))
     for slot in range(4):
         tasks.on_slot_acquired(0.0, slot, 1)
@@ -114,7 +114,7 @@
     assert len(seen) == 1000
 
 
-def test_a_task_about_its_period_runs_when_the_period_is_over():
+def test_task_that_evaluates_its_period_runs_after_the_period():
     tasks = scheduler(task(runs_after_period=True, catch_up_periods=0))
     tasks.on_slot_acquired(0.0, slot_of("one", 4), 1)
     (start,) = play(tasks, 0.0, StartRun)
--- a/tests/policy/test_usage_report.py
+++ b/tests/policy/test_usage_report.py
@@ -20,7 +20,7 @@
 )
 
 
-def test_usage_is_reported_for_past_periods_and_from_when_it_was_counted():
+def test_usage_is_reported_for_past_periods_with_the_start_of_counting():
     counter = UsageCounter(1000.0, 500.0)
     counter.count(600.0, 0, SERVED, 2.5)
     counter.count(700.0, 0, REJECTED, 9.0)
@@ -38,7 +38,7 @@
         other.restore({"born": 1.0, "periods": [[1, [[0, 1]]]]})
 
 
-def test_messages_decode_as_encoded_and_other_bytes_are_none():
+def test_decoded_messages_equal_the_encoded_ones_and_other_bytes_give_none():
     rows = {plan: [plan, 2, 3, 0.5] for plan in range(15)}
     parts = [decode(data) for data in encode_report(9, 77, PeriodUsage(250, rows))]
     assert {plan: row for part in parts for plan, row in part.rows.items()} == rows
@@ -78,13 +78,13 @@
     assert asked == {0: 1, 1: MAX_ATTEMPTS, 2: 1, 3: 1}
 
 
-def test_a_lost_report_is_polled_again_and_counts_once():
+def test_lost_report_is_polled_again_and_counted_once():
     answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(3)]
     (sums, gaps), asked, _ = collect(3, answers, lambda number, tries: number == 1 and tries < 3)
     assert sums == {0: [3, 0, 0, 3.0]} and not gaps and asked[1] == 3
 
 
-def test_two_hundred_gateways_are_polled_at_twenty_a_second():
+def test_200_gateways_are_polled_at_20_per_second():
     answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(200)]
     (sums, _), _, times = collect(200, answers)
     assert sums[0][0] == 200
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -34,7 +34,7 @@
     return subprocess.run(["/bin/sh", "-c", command], input=text, cwd=ROOT, text=True, capture_output=True)
 
 
-def test_a_request_is_sent_on_and_the_end_of_input_exits_0():
+def test_request_is_handed_off_and_end_of_input_exits_0():
     done = sim(
         "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
@@ -59,13 +59,13 @@
         ("WORKER\tw:1\ta\tkind\t0\tRunning\t1\t-", ("WORKER", "place")),
     ],
 )
-def test_what_cannot_be_read_is_named_and_ends_the_process(line, names):
+def test_malformed_message_is_named_and_ends_the_process(line, names):
     done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
     assert done.returncode != 0 and "Traceback" not in done.stderr
     assert all(name in done.stderr for name in names)
 
 
-def test_an_unknown_message_is_reported_once_and_skipped():
+def test_unknown_message_is_reported_once_and_skipped():
     done = sim(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
     assert done.returncode == 0 and done.stderr.count("PARADE") == 1
 
@@ -95,12 +95,12 @@
         (("rules",), 3, "rules"),
     ],
 )
-def test_settings_that_cannot_be_right_are_named(path, value, name):
+def test_invalid_settings_are_rejected_with_their_key(path, value, name):
     done = sim(start(changed(path, value)))
     assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_fault_of_the_module_is_told_on_the_wire(monkeypatch, capsys):
+def test_exception_of_the_module_is_reported_to_the_simulator(monkeypatch, capsys):
     import io
 
     from plumpick import simhost
@@ -115,7 +115,7 @@
     assert out.read() == "FROM\t0\nBUG\tinstance 0: ZeroDivisionError: division by zero\nFINISHED\n"
 
 
-def test_instances_act_alike_in_one_process_and_in_two():
+def test_gateways_act_the_same_in_one_process_and_in_two():
     def batch(*numbers):
         text = "SYNC\t1000\n"
         for n in numbers:
