--- a/tests/policy/test_controller.py
+++ b/tests/policy/test_controller.py
@@ -279,7 +279,7 @@
         (dict(slow_start_ms=-1), "warm_up_ms"),
     ],
 )
-def test_invalid_settings_are_rejected_with_their_key(bad, key):
+def test_settings_that_cannot_be_right_are_named(bad, key):
     with pytest.raises(ValueError, match=key):
         settings(**bad)
 
--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -36,115 +36,125 @@
 FREE = "free"
 
 
-def order(gate, now, call, server="", number=1):
+def command_error(control, now, kind, endpoint="", number=1):
     """What is wrong with a call; it is answered in its own turn."""
-    (said,) = of(CommandCompleted, gate.handle(now, [OperatorCommand(number, call, server)]))
-    assert said.id == number
-    return said.error
+    (completed,) = of(CommandCompleted, control.handle(now, [OperatorCommand(number, kind, endpoint)]))
+    assert completed.id == number
+    return completed.error
 
 
-def served(gate, now, count, first=1000):
+def endpoints_used(control, now, count, first=1000):
     """The servers that so many safe requests of as many firms go to, a dozen of them out at a time."""
     sends, ended = [], 0
     for number in range(first, first + count):
         asked = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
-        sends += of(StartAttempt, gate.handle(now, [asked]))
+        sends += of(StartAttempt, control.handle(now, [asked]))
         if len(sends) - ended > 12:
-            gate.handle(now + 1.0, [outcome(sends[ended], AttemptResult.OK)])
+            control.handle(now + 1.0, [outcome(sends[ended], AttemptResult.OK)])
             ended += 1
         now += 10.0
     for send in sends[ended:]:
-        gate.handle(now, [outcome(send, AttemptResult.OK)])
+        control.handle(now, [outcome(send, AttemptResult.OK)])
     return [send.endpoint for send in sends]
 
 
-def free_gateway(**more):
+def gateway_without_quota(**more):
     """A gateway with a plan that has no quota: no home is asked."""
     given = settings(**more)
     return Controller(replace(given, plans=(*given.plans, Plan(FREE)), gateway_count=1, gateway_number=0), 1)
 
 
 def test_disabled_worker_gets_no_attempts_after_discovery_lists_it_again():
-    gate = free_gateway()
-    gate.handle(0.0, [FLEET])
-    assert "s2" in served(gate, 0.0, 60, 500)
-    assert order(gate, 601.0, CommandKind.DISABLE, "s2") == ""
-    assert "s2" not in served(gate, 610.0, 60)
+    control = gateway_without_quota()
+    control.handle(0.0, [FLEET])
+    assert "s2" in endpoints_used(control, 0.0, 60, 500)
+    assert command_error(control, 601.0, CommandKind.DISABLE, "s2") == ""
+    assert "s2" not in endpoints_used(control, 610.0, 60)
     gone = EndpointsUpdated((Endpoint("s2", "z0", 2, EndpointState.GONE),), is_snapshot=False)
-    back = EndpointsUpdated(
+    relisted = EndpointsUpdated(
         (Endpoint("s2", "z0", 2, EndpointState.READY, started_ms=900.0),), is_snapshot=False
     )
-    gate.handle(2000.0, [gone])
-    gate.handle(2001.0, [back])
-    gate.handle(2002.0, [FLEET])
-    assert "s2" not in served(gate, 2010.0, 60, 2000)
+    control.handle(2000.0, [gone])
+    control.handle(2001.0, [relisted])
+    control.handle(2002.0, [FLEET])
+    assert "s2" not in endpoints_used(control, 2010.0, 60, 2000)
 
 
 def test_worker_disabled_twice_is_enabled_by_one_command_and_unknown_ids_are_rejected():
-    gate = free_gateway()
-    gate.handle(0.0, [FLEET])
-    assert order(gate, 1.0, CommandKind.DISABLE, "s2") == order(gate, 2.0, CommandKind.DISABLE, "s2") == ""
-    assert order(gate, 3.0, CommandKind.ENABLE, "s2") == order(gate, 4.0, CommandKind.ENABLE, "s2") == ""
-    assert "s2" in served(gate, 4.0 + FIRST_ATTEMPT_AFTER_MS, 60)
-    assert order(gate, 2000.0, CommandKind.DISABLE, "s99") and order(gate, 2001.0, CommandKind.ENABLE, "s99")
+    control = gateway_without_quota()
+    control.handle(0.0, [FLEET])
+    assert (
+        command_error(control, 1.0, CommandKind.DISABLE, "s2")
+        == command_error(control, 2.0, CommandKind.DISABLE, "s2")
+        == ""
+    )
+    assert (
+        command_error(control, 3.0, CommandKind.ENABLE, "s2")
+        == command_error(control, 4.0, CommandKind.ENABLE, "s2")
+        == ""
+    )
+    assert "s2" in endpoints_used(control, 4.0 + FIRST_ATTEMPT_AFTER_MS, 60)
+    assert command_error(control, 2000.0, CommandKind.DISABLE, "s99") and command_error(
+        control, 2001.0, CommandKind.ENABLE, "s99"
+    )
 
 
 def test_enabled_worker_gets_its_first_attempt_soon_and_then_goes_through_slow_start():
     """Discovery never showed its restart. Without the debt chance alone would pass it by for long."""
-    gate = free_gateway()
-    gate.handle(0.0, [FLEET])
-    before = served(gate, 10.0, 120)
-    order(gate, 2000.0, CommandKind.DISABLE, "s2")
-    order(gate, 3000.0, CommandKind.ENABLE, "s2")
-    after = served(gate, 3000.0 + FIRST_ATTEMPT_AFTER_MS, 120, 4000)
+    control = gateway_without_quota()
+    control.handle(0.0, [FLEET])
+    before = endpoints_used(control, 10.0, 120)
+    command_error(control, 2000.0, CommandKind.DISABLE, "s2")
+    command_error(control, 3000.0, CommandKind.ENABLE, "s2")
+    after = endpoints_used(control, 3000.0 + FIRST_ATTEMPT_AFTER_MS, 120, 4000)
     assert after[0] == "s2"
     assert 0 < after.count("s2") < before.count("s2")
 
 
 def test_attempt_at_a_disabled_worker_may_finish_and_its_retry_goes_elsewhere():
-    gate = free_gateway()
-    gate.handle(0.0, [FLEET])
-    (send,) = of(StartAttempt, gate.handle(1.0, [ask(1, plan=FREE)]))
-    order(gate, 2.0, CommandKind.DISABLE, send.endpoint)
-    (again,) = of(StartAttempt, gate.handle(20.0, [outcome(send, AttemptResult.ERROR)]))
+    control = gateway_without_quota()
+    control.handle(0.0, [FLEET])
+    (send,) = of(StartAttempt, control.handle(1.0, [ask(1, plan=FREE)]))
+    command_error(control, 2.0, CommandKind.DISABLE, send.endpoint)
+    (again,) = of(StartAttempt, control.handle(20.0, [outcome(send, AttemptResult.ERROR)]))
     assert again.endpoint != send.endpoint
 
 
 def test_requests_are_rejected_early_when_the_only_worker_is_disabled():
-    gate = free_gateway()
-    gate.handle(0.0, [EndpointsUpdated((Endpoint("s2", "z0", 0, EndpointState.READY),))])
-    order(gate, 1.0, CommandKind.DISABLE, "s2")
-    assert not of(StartAttempt, gate.handle(2.0, [ask(1, plan=FREE, due=2002.0)]))
-    refused, now = [], 2.0
-    while not refused and now < 2002.0:
+    control = gateway_without_quota()
+    control.handle(0.0, [EndpointsUpdated((Endpoint("s2", "z0", 0, EndpointState.READY),))])
+    command_error(control, 1.0, CommandKind.DISABLE, "s2")
+    assert not of(StartAttempt, control.handle(2.0, [ask(1, plan=FREE, due=2002.0)]))
+    rejected, now = [], 2.0
+    while not rejected and now < 2002.0:
         now += 10.0
-        refused = of(RejectRequest, gate.handle(now, []))
-    assert refused and now < 1100.0
+        rejected = of(RejectRequest, control.handle(now, []))
+    assert rejected and now < 1100.0
 
 
 def test_number_of_disabled_unlisted_workers_is_bounded():
-    bans = DisabledWorkers(9000.0)
+    disabled = DisabledWorkers(9000.0)
     for number in range(MAX_UNLISTED):
-        bans.disable(f"w{number}", {f"w{number}"})
+        disabled.disable(f"w{number}", {f"w{number}"})
     for number in range(MAX_UNLISTED, MAX_UNLISTED + 5):
         with pytest.raises(CommandError, match="too many"):
-            bans.disable(f"w{number}", {f"w{number}"})
-    assert len(bans) == MAX_UNLISTED and "w0" in bans
+            disabled.disable(f"w{number}", {f"w{number}"})
+    assert len(disabled) == MAX_UNLISTED and "w0" in disabled
     with pytest.raises(CommandError, match="no such worker"):
-        bans.disable("x" * (MAX_NAME_LENGTH + 1), {"x" * (MAX_NAME_LENGTH + 1)})
-    bans.enable(1.0, "w0", ())
-    assert "w0" not in bans
+        disabled.disable("x" * (MAX_NAME_LENGTH + 1), {"x" * (MAX_NAME_LENGTH + 1)})
+    disabled.enable(1.0, "w0", ())
+    assert "w0" not in disabled
 
 
 def test_enabled_worker_is_forgotten_after_its_slow_start():
-    bans = DisabledWorkers(9000.0)
-    bans.disable("w", {"w"})
-    bans.enable(100.0, "w", {"w"})
+    disabled = DisabledWorkers(9000.0)
+    disabled.disable("w", {"w"})
+    disabled.enable(100.0, "w", {"w"})
     assert (
-        bans.slow_start_began_ms(5000.0, "w", 0.0) == 100.0
-        and bans.slow_start_began_ms(5000.0, "w", 4000.0) == 4000.0
+        disabled.slow_start_began_ms(5000.0, "w", 0.0) == 100.0
+        and disabled.slow_start_began_ms(5000.0, "w", 4000.0) == 4000.0
     )
-    assert bans.slow_start_began_ms(9100.0, "w", 0.0) == 0.0 and bans.export_state() == ((), ())
+    assert disabled.slow_start_began_ms(9100.0, "w", 0.0) == 0.0 and disabled.export_state() == ((), ())
 
 
 def test_disabled_workers_are_passed_to_the_successor():
@@ -158,12 +168,12 @@
 
 
 def test_drain_goes_through_its_stages_and_a_second_drain_changes_nothing():
-    gate = gateway()
-    gate.handle(0.0, [FLEET])
+    control = gateway()
+    control.handle(0.0, [FLEET])
     stages, now = [], 0.0
     while now < CLOSE_UNREAD_AFTER_MS + 500.0:
         events = [OperatorCommand(1, CommandKind.DRAIN)] if now in (100.0, 400.0) else []
-        stages += [(now, doors.state) for doors in of(SetAdmissionState, gate.handle(now, events))]
+        stages += [(now, admission.state) for admission in of(SetAdmissionState, control.handle(now, events))]
         now += 10.0
     assert stages == [
         (100.0, AdmissionState.REDIRECTING),
@@ -174,20 +184,20 @@
 
 
 def test_undrain_reopens_at_once_in_any_stage():
-    for back in (101.0, 700.0, 2200.0, 3000.0):
-        gate = gateway()
-        gate.handle(0.0, [FLEET])
-        gate.handle(100.0, [OperatorCommand(1, CommandKind.DRAIN)])
+    for undrain_ms in (101.0, 700.0, 2200.0, 3000.0):
+        control = gateway()
+        control.handle(0.0, [FLEET])
+        control.handle(100.0, [OperatorCommand(1, CommandKind.DRAIN)])
         now, last = 100.0, None
         while now < 6000.0:
             now += 1.0
-            for doors in of(
+            for admission in of(
                 SetAdmissionState,
-                gate.handle(now, [OperatorCommand(2, CommandKind.UNDRAIN)] if now == back else []),
+                control.handle(now, [OperatorCommand(2, CommandKind.UNDRAIN)] if now == undrain_ms else []),
             ):
-                last = doors.state
-                assert now < back or last is AdmissionState.OPEN
-            if now == back:
+                last = admission.state
+                assert now < undrain_ms or last is AdmissionState.OPEN
+            if now == undrain_ms:
                 assert last is AdmissionState.OPEN
 
 
@@ -201,48 +211,48 @@
 
 
 def test_draining_gateway_still_serves_requests():
-    gate = free_gateway()
-    gate.handle(0.0, [FLEET])
-    gate.handle(1.0, [OperatorCommand(1, CommandKind.DRAIN)])
-    assert of(StartAttempt, gate.handle(2.0, [RequestReceived(1, "c", "look", FREE, 3000.0)]))
+    control = gateway_without_quota()
+    control.handle(0.0, [FLEET])
+    control.handle(1.0, [OperatorCommand(1, CommandKind.DRAIN)])
+    assert of(StartAttempt, control.handle(2.0, [RequestReceived(1, "c", "look", FREE, 3000.0)]))
 
 
-def cold_part(cold, seconds=2, rate=60):
+def ratio_sent_to_cold(cold, seconds=2, rate=60):
     """The part of safe requests that go to cold servers, when so many of nine have just been replaced; and
     whether some waited."""
-    gate = free_gateway(overload_multiple=2.5)
+    control = gateway_without_quota(overload_multiple=2.5)
     names = [f"s{n}" for n in range(9)]
-    gate.handle(
+    control.handle(
         0.0, [EndpointsUpdated(tuple(Endpoint(name, "z0", 0, EndpointState.READY) for name in names))]
     )
-    gate.handle(100.0, [])
-    fleet = [
+    control.handle(100.0, [])
+    endpoints = [
         Endpoint(name, "z0", 0, EndpointState.READY, started_ms=200.0 if n < cold else 0.0)
         for n, name in enumerate(names)
     ]
-    gate.handle(200.0, [EndpointsUpdated(tuple(fleet))])
-    sends, now, out = [], 200.0, []
+    control.handle(200.0, [EndpointsUpdated(tuple(endpoints))])
+    sends, now, in_flight = [], 200.0, []
     for number in range(seconds * rate):
         now += 1000.0 / rate
         arrival = RequestReceived(number, f"c{number}", "look", FREE, now + 1500.0)
-        new = of(StartAttempt, gate.handle(now, [arrival]))
+        new = of(StartAttempt, control.handle(now, [arrival]))
         sends += new
-        out += [(now + 60.0, send) for send in new]
-        for due, send in [row for row in out if row[0] <= now]:
-            out.remove((due, send))
-            sends += of(StartAttempt, gate.handle(now, [outcome(send, AttemptResult.OK)]))
+        in_flight += [(now + 60.0, send) for send in new]
+        for due, send in [row for row in in_flight if row[0] <= now]:
+            in_flight.remove((due, send))
+            sends += of(StartAttempt, control.handle(now, [outcome(send, AttemptResult.OK)]))
     to_cold = [send for send in sends if int(send.endpoint[1:]) < cold]
     return len(to_cold) / len(sends), len(sends) / (seconds * rate)
 
 
 def test_cold_workers_carry_their_part_of_the_load_when_few_are_warm():
     """Seen on upgrade+hand: with two warm of nine left the cold ones got a third, and the two the rest."""
-    part, _ = cold_part(7)
+    part, _ = ratio_sent_to_cold(7)
     assert 0.35 < part < 0.75  # 7 x 0.25 cold of 3.75 in all is 0.47; by the fleet of late it was 0.2
-    _, sent = cold_part(9, seconds=6)
+    _, sent = ratio_sent_to_cold(9, seconds=6)
     assert sent > 0.7  # 0.6 where each waited for a second before the next try
 
 
 def test_cold_worker_among_warm_ones_gets_no_more_than_its_progress():
-    part, _ = cold_part(1, seconds=4)
+    part, _ = ratio_sent_to_cold(1, seconds=4)
     assert part < 2.5 * 0.25 / 9
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -53,7 +53,7 @@
 
 def play(watches, until_ms, starts, service=None):
     """When each gateway first had its watch, and the calls; `starts`: when each begins."""
-    service, listed, timers = service or QueueingService(), {}, []
+    service, watch_ms, timers = service or QueueingService(), {}, []
     for number, watch in enumerate(watches):
         call = watch.next_request(starts[number])
         heapq.heappush(timers, (starts[number] + call.delay_ms, number, "ask", call))
@@ -67,13 +67,13 @@
         if what == "answered":
             watch.on_response(7, call.since_index is None)
             if call.since_index is not None:
-                listed.setdefault(number, now)
+                watch_ms.setdefault(number, now)
                 continue
         else:
             watch.on_call_failed(timed_out=what == "timed out")
         call = watch.next_request(now)
         heapq.heappush(timers, (now + call.delay_ms, number, "ask", call))
-    return listed, service.calls
+    return watch_ms, service.calls
 
 
 def shared(count, seed=0):
@@ -84,18 +84,18 @@
     for seed in range(20):
         rng = random.Random(seed)
         starts = [rng.random() * 100.0 for _ in range(40)]
-        listed, calls = play(shared(40, seed), 60_000.0, starts)
-        times = sorted(listed.values())
+        watch_ms, calls = play(shared(40, seed), 60_000.0, starts)
+        times = sorted(watch_ms.values())
         assert len(times) == 40 and times[35] <= 12_000.0, (seed, times)
         assert len(calls) <= 2 * 40, seed
     # The way that asks an agent of its own would keep such a service at its limit for good.
-    listed, calls = play([EndpointWatch(0, 7, random.Random(n)) for n in range(40)], 60_000.0, [0.0] * 40)
-    assert len(listed) < 20 and len(calls) > 1000
+    watch_ms, calls = play([EndpointWatch(0, 7, random.Random(n)) for n in range(40)], 60_000.0, [0.0] * 40)
+    assert len(watch_ms) < 20 and len(calls) > 1000
 
 
 def test_small_tier_has_a_short_round():
-    listed, _ = play(shared(3), 60_000.0, [0.0] * 3)
-    assert len(listed) == 3 and max(listed.values()) <= 1500.0
+    watch_ms, _ = play(shared(3), 60_000.0, [0.0] * 3)
+    assert len(watch_ms) == 3 and max(watch_ms.values()) <= 1500.0
 
 
 def test_calls_are_spread_evenly_over_a_round_after_all_gateways_failed_at_once():
@@ -139,16 +139,16 @@
         watch = EndpointWatch(0, None, random.Random(0))
         watch.on_response(7, True)
         call = watch.next_request(0.0)
-        spent = call.delay_ms + call.response_timeout_ms
+        elapsed_ms = call.delay_ms + call.response_timeout_ms
         watch.on_call_failed(timed_out=True)
         for _ in range(2):
-            call = watch.next_request(spent)
-            spent += call.delay_ms + (call.response_timeout_ms if lost == "silent" else 0.0)
+            call = watch.next_request(elapsed_ms)
+            elapsed_ms += call.delay_ms + (call.response_timeout_ms if lost == "silent" else 0.0)
             watch.on_call_failed(timed_out=lost == "silent")
-        call = watch.next_request(spent)
+        call = watch.next_request(elapsed_ms)
         assert (
             call.since_index is None
-            and spent + call.delay_ms + call.response_timeout_ms
+            and elapsed_ms + call.delay_ms + call.response_timeout_ms
             <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
         )
     # A shared service, at any moment of the round, at any number.
@@ -158,12 +158,12 @@
                 watch = EndpointWatch(count, 7, random.Random(0), number)
                 watch.on_response(7, False)
                 call = watch.next_request(float(begun))
-                spent = call.delay_ms + call.response_timeout_ms
+                elapsed_ms = call.delay_ms + call.response_timeout_ms
                 watch.on_call_failed(timed_out=True)
-                call = watch.next_request(begun + spent)
+                call = watch.next_request(begun + elapsed_ms)
                 assert (
                     call.since_index == 7
-                    and spent + call.delay_ms + call.response_timeout_ms
+                    and elapsed_ms + call.delay_ms + call.response_timeout_ms
                     <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
                 )
 
@@ -171,10 +171,10 @@
 def test_new_address_after_sighup_is_called_in_time():
     """4 s after it what is there counts: its first call may fail, and a second one be in time."""
     watch = EndpointWatch(0, None, random.Random(0))
-    spent = watch.next_request(0.0).response_timeout_ms
+    elapsed_ms = watch.next_request(0.0).response_timeout_ms
     watch.on_call_failed(timed_out=True)
-    call = watch.next_request(spent)
-    assert spent + call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
+    call = watch.next_request(elapsed_ms)
+    assert elapsed_ms + call.delay_ms + call.response_timeout_ms <= 4000.0 - LOOP_DELAY_MARGIN_MS
     for count in (1, 3, 40, 200):
         for number in {0, count // 2, count - 1}:
             for now in range(0, 6000, 89):
@@ -190,11 +190,11 @@
             for all_s, least in ((2.0, 1.0), (4.0, 1.0), (5.7, 0.8)):
                 service = QueueingService(count / all_s, 1, 8000.0, silent)
                 rng = random.Random(count)
-                listed, calls = play(
+                watch_ms, calls = play(
                     shared(count), 60_000.0, [rng.random() * 100.0 for _ in range(count)], service
                 )
-                in_time = sum(ms <= 8000.0 + NOTIFICATION_DEADLINE_MS for ms in listed.values()) / count
-                assert len(listed) == count and in_time >= least, (silent, count, all_s, in_time)
+                in_time = sum(ms <= 8000.0 + NOTIFICATION_DEADLINE_MS for ms in watch_ms.values()) / count
+                assert len(watch_ms) == count and in_time >= least, (silent, count, all_s, in_time)
                 assert len(calls) <= 1.5 * count
 
 
@@ -215,13 +215,13 @@
 
 
 def test_lower_index_is_accepted_only_after_a_second_response_confirms_it():
-    for sharers in (0, 40):
-        watch = EndpointWatch(sharers, None, random.Random(1))
+    for gateway_count in (0, 40):
+        watch = EndpointWatch(gateway_count, None, random.Random(1))
         watch.on_response(41, True)
         with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
             watch.on_response(40, True)
         call = watch.next_request(0.0)
-        assert call.since_index is (41 if sharers else None)
+        assert call.since_index is (41 if gateway_count else None)
         watch.on_response(42, True)
         assert watch.next_request(0.0).since_index == 42
         # A lower index must be confirmed each time it occurs.
--- a/tests/policy/test_health_status.py
+++ b/tests/policy/test_health_status.py
@@ -22,49 +22,49 @@
     return control
 
 
-def asked(asker, home, now, number, customer="c", units=5.0):
+def request_units(requester, owner, now, request_id, customer="c", units=5.0):
     """One request at the asker, its question taken to the home, and the home's answers, not delivered."""
-    arrival = RequestReceived(number, customer, "look", "rated", now + 2500.0, units, 0, 1)
-    told = [action for action in asker.handle(now, [arrival]) if isinstance(action, SendPeerMessage)]
+    arrival = RequestReceived(request_id, customer, "look", "rated", now + 2500.0, units, 0, 1)
+    messages = [action for action in requester.handle(now, [arrival]) if isinstance(action, SendPeerMessage)]
     answers = []
-    for tell in told:
+    for message in messages:
         answers += [
             action
-            for action in home.handle(
-                now + 1, [PeerMessageReceived(asker.settings.gateway_number, tell.data)]
+            for action in owner.handle(
+                now + 1, [PeerMessageReceived(requester.settings.gateway_number, message.data)]
             )
             if isinstance(action, SendPeerMessage)
         ]
-    return told, answers
+    return messages, answers
 
 
 def test_restart_with_the_same_seed_has_a_new_incarnation():
     """Else its first questions would pass for repeats of old ones, be granted again and not be booked."""
-    home = gateway(0, 1000.0)
+    owner = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
-    told, _ = asked(first, home, 1010.0, 1)
-    (store,) = home.state.quota.owner.ledgers.values()
-    booked = len(store.settled)
-    again, _ = asked(second, home, 1410.0, 1)
-    assert told and again and booked == 1 and len(store.settled) == 2
-    assert home.codec.decode(told[0].data).incarnation != home.codec.decode(again[0].data).incarnation
+    messages, _ = request_units(first, owner, 1010.0, 1)
+    (ledger,) = owner.state.quota.owner.ledgers.values()
+    booked = len(ledger.settled)
+    again, _ = request_units(second, owner, 1410.0, 1)
+    assert messages and again and booked == 1 and len(ledger.settled) == 2
+    assert owner.codec.decode(messages[0].data).incarnation != owner.codec.decode(again[0].data).incarnation
 
 
 def test_grant_to_an_earlier_incarnation_is_returned_and_not_used():
     """The home's answer was on the way while the asker restarted, and the next life asks for the same."""
-    home = gateway(0, 1000.0)
+    owner = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
-    _, answers = asked(first, home, 1010.0, 1)
-    assert [item.kind for answer in answers for item in home.codec.decode(answer.data).quota_messages] == [
+    _, answers = request_units(first, owner, 1010.0, 1)
+    assert [item.kind for answer in answers for item in owner.codec.decode(answer.data).quota_messages] == [
         QuotaMessageKind.GRANT
     ]
-    asked(second, home, 1410.0, 1)
+    request_units(second, owner, 1410.0, 1)
     done = second.handle(1411.0, [PeerMessageReceived(0, answers[0].data)])
     request = second.requests[1]
     assert request.awaits_quota and not request.units_charged
     while not [action for action in done if isinstance(action, SendPeerMessage)]:
-        (wake,) = [action for action in done if isinstance(action, SetTimer)][:1]
-        done = second.handle(1411.0 + wake.delay_ms, [TimerFired(wake.name)])
+        (timer,) = [action for action in done if isinstance(action, SetTimer)][:1]
+        done = second.handle(1411.0 + timer.delay_ms, [TimerFired(timer.name)])
     kinds = [
         item.kind
         for action in done
@@ -83,8 +83,8 @@
 
 
 def test_quota_health_is_logged_once_after_it_has_settled():
-    standing = QuotaHealth(4, 1)
-    lines = [standing.update(ms, {2}) for ms in (0.0, SETTLING_MS - 1, SETTLING_MS, SETTLING_MS + 1, 9000.0)]
+    health = QuotaHealth(4, 1)
+    lines = [health.update(ms, {2}) for ms in (0.0, SETTLING_MS - 1, SETTLING_MS, SETTLING_MS + 1, 9000.0)]
     assert lines == [
         None,
         None,
@@ -92,17 +92,17 @@
         None,
         None,
     ]
-    assert standing.update(9100.0, {0, 2, 3}) is None and "no other quota owner" in standing.update(
+    assert health.update(9100.0, {0, 2, 3}) is None and "no other quota owner" in health.update(
         9100.0 + SETTLING_MS, {0, 2, 3}
     )
-    assert standing.update(11_000.0, set()) is None
-    assert standing.update(11_000.0 + SETTLING_MS, set()) == (
+    assert health.update(11_000.0, set()) is None
+    assert health.update(11_000.0 + SETTLING_MS, set()) == (
         "quotas: enforced over all gateways, all quota owners respond"
     )
 
 
 def test_flapping_owner_and_unknown_numbers_are_not_logged():
-    standing = QuotaHealth(4, 1)
-    flapping = [standing.update(step * 300.0, {0} if step % 2 else set()) for step in range(100)]
-    nonsense = [standing.update(60_000.0 + step * 300, {1, 7, -1}) for step in range(100)]
+    health = QuotaHealth(4, 1)
+    flapping = [health.update(step * 300.0, {0} if step % 2 else set()) for step in range(100)]
+    nonsense = [health.update(60_000.0 + step * 300, {1, 7, -1}) for step in range(100)]
     assert not any(flapping) and not any(nonsense)
--- a/tests/policy/test_usage_report.py
+++ b/tests/policy/test_usage_report.py
@@ -50,42 +50,42 @@
     )
 
 
-def collect(gateways, answers, lost=lambda number, tries: False):
+def collect(gateways, reports, is_lost=lambda gateway, attempt: False):
     """Sums and gaps where `answers[number]` is what each would tell; None: it is dead."""
-    collection, t, asked = UsageCollection(gateways, 0.0), 0.0, {}
+    collection, t, polls = UsageCollection(gateways, 0.0), 0.0, {}
     times = []
     while not collection.is_over(t):
-        for number in collection.gateways_to_poll(t):
-            asked[number] = asked.get(number, 0) + 1
+        for gateway in collection.gateways_to_poll(t):
+            polls[gateway] = polls.get(gateway, 0) + 1
             times.append(t)
-            if answers[number] is not None and not lost(number, asked[number]):
-                for data in encode_report(1, 5, PeriodUsage(*answers[number])):
-                    collection.on_report(number, decode(data))
+            if reports[gateway] is not None and not is_lost(gateway, polls[gateway]):
+                for data in encode_report(1, 5, PeriodUsage(*reports[gateway])):
+                    collection.on_report(gateway, decode(data))
         t += 10.0
-    return collection.result(1000.0), asked, times
+    return collection.result(1000.0), polls, times
 
 
 def test_reports_are_added_up_and_missing_ones_are_gaps():
-    answers = [
+    reports = [
         (0, {0: [1, 0, 0, 1.0]}),
         None,
         (400, {0: [2, 1, 0, 2.0], 1: [1, 0, 0, 4.0]}),
         (NOT_COUNTED, {}),
     ]
-    (sums, gaps), asked, _ = collect(4, answers)
-    assert sums == {0: [3, 1, 0, 3.0], 1: [1, 0, 0, 4.0]}
+    (totals, gaps), polls, _ = collect(4, reports)
+    assert totals == {0: [3, 1, 0, 3.0], 1: [1, 0, 0, 4.0]}
     assert gaps == [(1, 0.0, 1000.0), (2, 0.0, 400.0), (3, 0.0, 1000.0)]
-    assert asked == {0: 1, 1: MAX_ATTEMPTS, 2: 1, 3: 1}
+    assert polls == {0: 1, 1: MAX_ATTEMPTS, 2: 1, 3: 1}
 
 
 def test_lost_report_is_polled_again_and_counted_once():
-    answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(3)]
-    (sums, gaps), asked, _ = collect(3, answers, lambda number, tries: number == 1 and tries < 3)
-    assert sums == {0: [3, 0, 0, 3.0]} and not gaps and asked[1] == 3
+    reports = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(3)]
+    (totals, gaps), polls, _ = collect(3, reports, lambda gateway, attempt: gateway == 1 and attempt < 3)
+    assert totals == {0: [3, 0, 0, 3.0]} and not gaps and polls[1] == 3
 
 
 def test_200_gateways_are_polled_at_20_per_second():
-    answers = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(200)]
-    (sums, _), _, times = collect(200, answers)
-    assert sums[0][0] == 200
+    reports = [(0, {0: [1, 0, 0, 1.0]}) for _ in range(200)]
+    (totals, _), _, times = collect(200, reports)
+    assert totals[0][0] == 200
     assert max(sum(begin <= t < begin + 1000 for t in times) for begin in times) <= 24
--- a/tests/support/snapshots.py
+++ b/tests/support/snapshots.py
@@ -10,7 +10,7 @@
 )
 
 
-def export_snapshot(control, now):
+def export_snapshot(controller, now):
     """Return the state that the controller exports, after a round trip through JSON."""
-    (state,) = of(StateExported, control.handle(now, [ExportState()]))
+    (state,) = of(StateExported, controller.handle(now, [ExportState()]))
     return json.loads(json.dumps(state.state, allow_nan=False))
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -27,7 +27,7 @@
     return f"SYNC\t1000\nSWITCH_TO\t0\nCONFIGURE\t7\t{json.dumps(info)}\n{FLEET}YOUR_TURN\n"
 
 
-def sim(text):
+def run_simhost(text):
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["sim"]
     assert command == "exec .venv/bin/python -m plumpick.simhost"
     command = command.replace(".venv/bin/python", sys.executable)
@@ -35,13 +35,13 @@
 
 
 def test_request_is_handed_off_and_end_of_input_exits_0():
-    done = sim(
+    result = run_simhost(
         "SYNC\t900\nYOUR_TURN\n" + start() + "SYNC\t1004\nSWITCH_TO\t0\n"
         "REQUEST\t5\t0\t2\t1\t2500\t0\t00ff00ff00ff00ff\tlook\tbasic\nYOUR_TURN\n"
         "SYNC\t1050\nSWITCH_TO\t0\nVERDICT\t5\t0\t0\tw:1\t40\tok\t1\t0\t-\nYOUR_TURN\n"
     )
-    assert done.returncode == 0 and done.stderr == ""
-    replies = done.stdout.split("FINISHED\n")
+    assert result.returncode == 0 and result.stderr == ""
+    replies = result.stdout.split("FINISHED\n")
     assert replies[0] == "" and "HAND_OFF\t5\tw:1\t" in replies[2] and len(replies) == 5
 
 
@@ -60,26 +60,26 @@
     ],
 )
 def test_malformed_message_is_named_and_ends_the_process(line, names):
-    done = sim(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
-    assert done.returncode != 0 and "Traceback" not in done.stderr
-    assert all(name in done.stderr for name in names)
+    result = run_simhost(start() + f"SYNC\t1004\nSWITCH_TO\t0\n{line}\nYOUR_TURN\n")
+    assert result.returncode != 0 and "Traceback" not in result.stderr
+    assert all(name in result.stderr for name in names)
 
 
 def test_unknown_message_is_reported_once_and_skipped():
-    done = sim(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
-    assert done.returncode == 0 and done.stderr.count("PARADE") == 1
+    result = run_simhost(start() + "SYNC\t1004\nSWITCH_TO\t0\nPARADE\t1\nPARADE\t2\nYOUR_TURN\n")
+    assert result.returncode == 0 and result.stderr.count("PARADE") == 1
 
 
-def changed(path, value):
+def info_with(path, value):
     info = json.loads(json.dumps(INFO))
-    *way, last = path
-    spot = info
-    for step in way:
-        spot = spot[step]
+    *keys, last = path
+    container = info
+    for step in keys:
+        container = container[step]
     if value is None:
-        del spot[last]
+        del container[last]
     else:
-        spot[last] = value
+        container[last] = value
     return info
 
 
@@ -96,8 +96,8 @@
     ],
 )
 def test_invalid_settings_are_rejected_with_their_key(path, value, name):
-    done = sim(start(changed(path, value)))
-    assert done.returncode != 0 and name in done.stderr and "Traceback" not in done.stderr
+    result = run_simhost(start(info_with(path, value)))
+    assert result.returncode != 0 and name in result.stderr and "Traceback" not in result.stderr
 
 
 def test_exception_of_the_module_is_reported_to_the_simulator(monkeypatch, capsys):
@@ -127,7 +127,7 @@
                 text += f"SWITCH_TO\t{n}\nFIRED\tagenda\n"
                 text += f"REQUEST\t{now * 2 + n}\t0\t2\t1\t2500\t0\tff{n}\tlook\tbasic\n"
             text += "YOUR_TURN\n"
-        return [reply.split("FROM\t") for reply in sim(text).stdout.split("FINISHED\n")]
+        return [reply.split("FROM\t") for reply in run_simhost(text).stdout.split("FINISHED\n")]
 
     both, first, second = batch(0, 1), batch(0), batch(1)
     assert sum(len(reply) for reply in both) > 100
