--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -1,4 +1,4 @@
-"""The operator's word in the module: workers taken out and put back, clients sent away."""
+"""Operators' commands in the decision module: disabling and enabling workers, draining clients."""
 
 from dataclasses import replace
 
@@ -37,14 +37,15 @@
 
 
 def command_error(control, now, kind, endpoint="", number=1):
-    """What is wrong with a call; it is answered in its own turn."""
+    """Execute a command in one turn; returns the error text of its answer, empty on success."""
     (completed,) = of(CommandCompleted, control.handle(now, [OperatorCommand(number, kind, endpoint)]))
     assert completed.id == number
     return completed.error
 
 
 def endpoints_used(control, now, count, first=1000):
-    """The servers that so many safe requests of as many firms go to, a dozen of them out at a time."""
+    """Send `count` idempotent requests, each of another customer, with about 12 in flight at a time; returns
+    the endpoints of their attempts."""
     sends, ended = [], 0
     for number in range(first, first + count):
         asked = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
@@ -59,7 +60,7 @@
 
 
 def gateway_without_quota(**more):
-    """A gateway with a plan that has no quota: no home is asked."""
+    """A single gateway with a plan that has no quota, so that no quota owner is involved."""
     given = settings(**more)
     return Controller(replace(given, plans=(*given.plans, Plan(FREE)), gateway_count=1, gateway_number=0), 1)
 
@@ -100,7 +101,8 @@
 
 
 def test_enabled_worker_gets_its_first_attempt_soon_and_then_goes_through_slow_start():
-    """Discovery never showed its restart. Without the debt chance alone would pass it by for long."""
+    """Guards against an enabled worker that gets no attempt for long: load balancing sends few attempts to a
+    worker in slow start, so the first one has to be assigned to it."""
     control = gateway_without_quota()
     control.handle(0.0, [FLEET])
     before = endpoints_used(control, 10.0, 120)
@@ -218,8 +220,8 @@
 
 
 def ratio_sent_to_cold(cold, seconds=2, rate=60):
-    """The part of safe requests that go to cold servers, when so many of nine have just been replaced; and
-    whether some waited."""
+    """Replace `cold` of nine endpoints by newly started ones and send idempotent requests. Returns the ratio
+    of attempts that go to the cold ones, and the number of attempts per request."""
     control = gateway_without_quota(overload_multiple=2.5)
     names = [f"s{n}" for n in range(9)]
     control.handle(
@@ -246,11 +248,12 @@
 
 
 def test_cold_workers_carry_their_part_of_the_load_when_few_are_warm():
-    """Seen on upgrade+hand: with two warm of nine left the cold ones got a third, and the two the rest."""
+    """Guards against overload of the warm workers. In the simulated case upgrade+hand, with two of nine
+    workers still warm, those two got two thirds of the attempts."""
     part, _ = ratio_sent_to_cold(7)
-    assert 0.35 < part < 0.75  # 7 x 0.25 cold of 3.75 in all is 0.47; by the fleet of late it was 0.2
+    assert 0.35 < part < 0.75  # By capacity: 7 x 0.25 of 3.75. It was 0.2 by reference capacity.
     _, sent = ratio_sent_to_cold(9, seconds=6)
-    assert sent > 0.7  # 0.6 where each waited for a second before the next try
+    assert sent > 0.7  # It was 0.6 when each request waited 1 s for the next attempt.
 
 
 def test_cold_worker_among_warm_ones_gets_no_more_than_its_progress():
--- a/tests/policy/test_endpoint_watch.py
+++ b/tests/policy/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""What is asked of discovery, and when: many gateways against one service with a queue, in simulated time."""
+"""The calls to discovery and their times: many gateways with one queueing service, in simulated time."""
 
 import heapq
 import random
@@ -19,17 +19,19 @@
     worst_notification_ms,
 )
 
-CALLS_PER_S = 7.0  # that the service answers
-QUEUE_MS = 2000.0  # a call that waited longer fails
+CALLS_PER_S = 7.0  # Number of calls per second that the service answers
+QUEUE_MS = 2000.0  # Maximum time for which the service queues a call
 
 
 class QueueingService:
-    """One service for all gateways, with a queue. A call that waited too long fails, and is worked on all the
-    same; one that finds a queue of `max_queues` times QUEUE_MS is rejected at once. Until `recovery_ms` it is
-    `silent`, or no connection comes up."""
+    """A shared discovery service with a queue.
+
+    A call that waits longer than QUEUE_MS fails, but still takes up the service's time. A call that finds a
+    queue longer than `max_queues` times QUEUE_MS is rejected at once. Until `recovery_ms` the service accepts
+    connections without responding if `silent`, or else refuses connections."""
 
     def __init__(self, calls_per_s=CALLS_PER_S, max_queues=2, recovery_ms=0.0, silent=False):
-        self.free_ms = 0.0  # when its queue is empty
+        self.free_ms = 0.0  # Time at which the queue will be empty
         self.calls = []
         self.calls_per_s = calls_per_s
         self.max_queues = max_queues
@@ -37,8 +39,8 @@
         self.silent = silent
 
     def call(self, now, timeout_ms):
-        """When the call ends, and how: answered, rejected, timed out, refused. A watch that continues is no
-        call."""
+        """Return the time at which a call ends, and how: answered, rejected, timed out or refused. The
+        continuation of a watch is not a call."""
         if now < self.recovery_ms:
             return (now + timeout_ms, "timed out") if self.silent else (now + RESPONSE_TIMEOUT_MS, "refused")
         self.calls.append(now)
@@ -46,13 +48,14 @@
             return now + 5.0, "rejected"
         self.free_ms = max(self.free_ms, now) + 1000.0 / self.calls_per_s
         end = self.free_ms if self.free_ms - now <= QUEUE_MS else now + QUEUE_MS
-        if end - now > timeout_ms:  # the gateway does not wait for its turn
+        if end - now > timeout_ms:  # The gateway gives up before its turn.
             return now + timeout_ms, "timed out"
         return end, "answered" if end == self.free_ms else "timed out"
 
 
 def play(watches, until_ms, starts, service=None):
-    """When each gateway first had its watch, and the calls; `starts`: when each begins."""
+    """Simulate the calls of all gateways. `starts`: time at which each gateway starts. Returns the times at
+    which each gateway first had its watch, by number, and the times of all calls."""
     service, watch_ms, timers = service or QueueingService(), {}, []
     for number, watch in enumerate(watches):
         call = watch.next_request(starts[number])
@@ -88,7 +91,7 @@
         times = sorted(watch_ms.values())
         assert len(times) == 40 and times[35] <= 12_000.0, (seed, times)
         assert len(calls) <= 2 * 40, seed
-    # The way that asks an agent of its own would keep such a service at its limit for good.
+    # Calls as to an agent would overload such a service permanently.
     watch_ms, calls = play([EndpointWatch(0, 7, random.Random(n)) for n in range(40)], 60_000.0, [0.0] * 40)
     assert len(watch_ms) < 20 and len(calls) > 1000
 
@@ -99,7 +102,8 @@
 
 
 def test_calls_are_spread_evenly_over_a_round_after_all_gateways_failed_at_once():
-    """Within one round all call, evenly spread, and none more than once a round, however often it fails."""
+    """All gateways call within one round, evenly spread. None calls more than once per round, however often
+    its calls fail."""
     for count in (3, 40, 200):
         watches = shared(count)
         span_ms = watches[0]._round_ms
@@ -123,18 +127,19 @@
         assert rounds == (
             set(range(ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS)) if timeouts > MANY_QUEUE_TIMEOUTS else {0, 1}
         )
-    watch.on_call_failed()  # no connection came up: an outage
+    watch.on_call_failed()  # A refused connection means an outage and skips no rounds.
     assert len({watch.next_request(0.0).delay_ms for _ in range(50)}) == 1
     watch.on_response(8, False)
     assert watch.next_request(0.0).delay_ms == 0.0
 
 
 def test_change_is_notified_within_6_s_after_any_failed_calls():
-    """The operators' term; the sum of the waits of each branch, with room for a busy loop."""
+    """The waits of each possible sequence of calls add up to less than the deadline promised to operators,
+    with a margin for a busy event loop."""
     for is_shared in (False, True):
         assert worst_notification_ms(is_shared) <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
-    # An agent: the watch falls silent as it begins, a change right behind; two calls come to nothing, each in
-    # any way.
+    # An agent's watch fails unnoticed as it begins, just before a change; the next two calls fail as well, by
+    # time-out or by refused connections.
     for lost in ("silent", "refused"):
         watch = EndpointWatch(0, None, random.Random(0))
         watch.on_response(7, True)
@@ -151,7 +156,7 @@
             and elapsed_ms + call.delay_ms + call.response_timeout_ms
             <= NOTIFICATION_DEADLINE_MS - LOOP_DELAY_MARGIN_MS
         )
-    # A shared service, at any moment of the round, at any number.
+    # A shared service: the watch fails at any time of the round, for any gateway number.
     for count in (1, 3, 40, 200):
         for number in {0, count // 2, count - 1}:
             for begun in range(0, 5000, 97):
@@ -169,7 +174,7 @@
 
 
 def test_new_address_after_sighup_is_called_in_time():
-    """4 s after it what is there counts: its first call may fail, and a second one be in time."""
+    """A new address must be in use 4 s after SIGHUP: for an agent even if the first call fails."""
     watch = EndpointWatch(0, None, random.Random(0))
     elapsed_ms = watch.next_request(0.0).response_timeout_ms
     watch.on_call_failed(timed_out=True)
@@ -183,8 +188,9 @@
 
 
 def test_all_gateways_are_notified_within_6_s_after_the_service_recovers():
-    """Down or silent for 8 s; it then takes one call of each in 2 or 4 s. One that needs 5.7 s for that tells
-    four in five in time, at 40 and at 200 (docs/design/crossings.md has the table)."""
+    """A shared service is down or unresponsive for 8 s. If it can then answer one call of each gateway within
+    2 or 4 s, all gateways are notified in time; if it needs 5.7 s, four in five are. The table for 40 and 200
+    gateways is in docs/design/crossings.md."""
     for silent in (False, True):
         for count in (40, 200):
             for all_s, least in ((2.0, 1.0), (4.0, 1.0), (5.7, 0.8)):
@@ -203,10 +209,12 @@
     assert watch.next_request(0.0).since_index == 41
     watch.on_call_failed()
     call = watch.next_request(0.0)
-    assert call.since_index == 41 and call.response_timeout_ms >= QUEUE_MS  # its turn may take a while
+    assert (
+        call.since_index == 41 and call.response_timeout_ms >= QUEUE_MS
+    )  # Its turn in the queue may be late.
     assert (
         call.watch_timeout_ms == IMMEDIATE_WATCH_MS
-    )  # and there is nothing to wait for before what it lacks has come
+    )  # The first call fetches the missed changes without waiting for new ones.
     with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
         watch.on_response(40, False)
     assert watch.next_request(0.0).since_index is None
@@ -227,7 +235,7 @@
         # A lower index must be confirmed each time it occurs.
         with pytest.raises(IndexWentBackError, match="^the index of the endpoint list went back to 40$"):
             watch.on_response(40, True)
-        watch.on_response(40, True)  # the service was restarted
+        watch.on_response(40, True)  # A second response confirms the restart of the service.
         assert watch.next_request(0.0).since_index == 40
 
 
--- a/tests/policy/test_health_status.py
+++ b/tests/policy/test_health_status.py
@@ -1,4 +1,4 @@
-"""Which life a gatekeeper's words are of, and in which state of quota-keeping it is."""
+"""Incarnations in quota messages, and the log lines on unreachable quota owners."""
 
 from support.controllers import FLEET
 from support.traffic import settings
@@ -11,7 +11,7 @@
 from plumpick.policy.settings import Plan
 
 PLANS = (Plan("rated", 10.0, 20.0),)
-SEED = 7  # operators may leave it in the file: each start has the same
+SEED = 7  # Seed of every start, as if operators had fixed it in the settings
 
 
 def gateway(number, now):
@@ -23,7 +23,8 @@
 
 
 def request_units(requester, owner, now, request_id, customer="c", units=5.0):
-    """One request at the asker, its question taken to the home, and the home's answers, not delivered."""
+    """Send one request to the gateway `requester` and deliver its messages to `owner`. Returns the messages
+    and the owner's answers, which are not delivered."""
     arrival = RequestReceived(request_id, customer, "look", "rated", now + 2500.0, units, 0, 1)
     messages = [action for action in requester.handle(now, [arrival]) if isinstance(action, SendPeerMessage)]
     answers = []
@@ -39,7 +40,8 @@
 
 
 def test_restart_with_the_same_seed_has_a_new_incarnation():
-    """Else its first questions would pass for repeats of old ones, be granted again and not be booked."""
+    """Guards against units that are granted but not booked: with the same incarnation, the first grant
+    requests after a restart would count as repeats of earlier ones."""
     owner = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
     messages, _ = request_units(first, owner, 1010.0, 1)
@@ -51,7 +53,8 @@
 
 
 def test_grant_to_an_earlier_incarnation_is_returned_and_not_used():
-    """The home's answer was on the way while the asker restarted, and the next life asks for the same."""
+    """The owner's grant is in flight while the requester restarts, and the new incarnation makes the same
+    request."""
     owner = gateway(0, 1000.0)
     first, second = gateway(1, 1000.0), gateway(1, 1400.0)
     _, answers = request_units(first, owner, 1010.0, 1)
--- a/tests/policy/test_scheduled_tasks.py
+++ b/tests/policy/test_scheduled_tasks.py
@@ -1,4 +1,4 @@
-"""When scheduled tasks run, are stopped and are retried."""
+"""Start, stop and retry of the runs of scheduled tasks."""
 
 import random
 
@@ -39,7 +39,9 @@
             assert act.token == 77
             started.append(act.period)
             scheduler.on_run_completed(t + 1.0, "one", act.period)
-    assert started == sorted(set(started)) and len(started) == 11  # ten, and the one before that it caught up
+    assert (
+        started == sorted(set(started)) and len(started) == 11
+    )  # 10 periods, and the one before, which was made up
 
 
 def test_run_is_stopped_when_its_slot_is_lost_and_its_late_result_is_ignored():
--- a/tests/policy/test_usage_report.py
+++ b/tests/policy/test_usage_report.py
@@ -1,4 +1,4 @@
-"""The fleet's usage: counting, messages, collection."""
+"""The fleet's usage: counting, encoding of messages, and collection."""
 
 import pytest
 
@@ -25,7 +25,7 @@
     counter.count(600.0, 0, SERVED, 2.5)
     counter.count(700.0, 0, REJECTED, 9.0)
     counter.count(1500.0, 3, FAILED, 1.0)
-    assert counter.usage(900.0, 0) == (NOT_COUNTED, {})  # not over
+    assert counter.usage(900.0, 0) == (NOT_COUNTED, {})  # The period is not over.
     assert counter.usage(1600.0, 0) == (500, {0: [1, 1, 0, 2.5]})
     assert counter.usage(2600.0, 1) == (0, {3: [0, 0, 1, 0.0]})
     for period in range(2, 40):
@@ -51,7 +51,9 @@
 
 
 def collect(gateways, reports, is_lost=lambda gateway, attempt: False):
-    """Sums and gaps where `answers[number]` is what each would tell; None: it is dead."""
+    """Collect usage from `gateways` gateways. `reports`: the usage of each gateway, or None if it is dead;
+    `is_lost`: whether a gateway's reply to its n-th poll is lost. Returns the result, the number of polls by
+    gateway and the times of all polls."""
     collection, t, polls = UsageCollection(gateways, 0.0), 0.0, {}
     times = []
     while not collection.is_over(t):
--- a/tests/same_actions.py
+++ b/tests/same_actions.py
@@ -1,7 +1,8 @@
-"""Plays fixed histories and prints a digest of all events and actions: `python -m tests.same_actions [DIR]`.
+"""Prints digests of all events and actions in fixed histories: `python -m tests.same_actions [DIR]`.
 
-With DIR the compiled decisions in it serve. The histories are those of the study rig's worlds (several
-gateways, servers that fail in several ways, a release) and hostile events."""
+Equal digests show that the compiled decision module acts like the plain Python one. With DIR the compiled
+module in that directory is used. The histories are simulated worlds with several gateways, failing workers
+and a release, and a list of malformed events."""
 
 import hashlib
 import math
@@ -12,7 +13,7 @@
 
 
 def main():
-    which = (
+    origin = (
         compiled.use_compiled_files(compiled.Path(sys.argv[1]))
         if len(sys.argv) > 1
         else "decisions: plain Python"
@@ -31,9 +32,9 @@
     )
     from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 
-    text, faults = hashlib.sha256(), 0
+    digest, faults = hashlib.sha256(), 0
 
-    class Told:
+    class RecordingRule:
         def __init__(self, settings, seed):
             self.controller = controller.Controller(settings, seed)
 
@@ -41,7 +42,7 @@
             nonlocal faults
             actions = self.controller.handle(now, events)
             faults += len(self.controller.faults)
-            text.update(repr((now, events, actions)).encode())
+            digest.update(repr((now, events, actions)).encode())
             return actions
 
     for failure, load, gateways in (
@@ -51,32 +52,32 @@
         (rig.Failure("fast-error", "server"), 1.2, 2),
         (rig.Failure("liar", "hall"), 0.6, 8),
     ):
-        rig.World(Told, failure, load, gateways, 9, 3, min(3, gateways)).play()
+        rig.World(RecordingRule, failure, load, gateways, 9, 3, min(3, gateways)).play()
 
-    worlds, text = (text.hexdigest(), faults), hashlib.sha256()
-    one = RequestReceived(1, "c", "seat-check", "plan", 3000.0)
-    own = rig.World(Told, rig.Failure(), 0.5, 3, 3, 1).gateways[0].rule
-    good = own.controller.codec.encode(
+    normal, digest = (digest.hexdigest(), faults), hashlib.sha256()
+    request = RequestReceived(1, "c", "seat-check", "plan", 3000.0)
+    module = rig.World(RecordingRule, rig.Failure(), 0.5, 3, 3, 1).gateways[0].rule
+    valid_message = module.controller.codec.encode(
         3, 1.0, [QuotaMessage(QuotaMessageKind.GRANT_REQUEST, 7, 1, 1.0, 2.0, 0, 0, 3)], []
     )
-    hostile = [
-        one,
-        one,
-        replace(one, id=2, deadline_ms=math.nan),
-        replace(one, id=3, units=math.nan),
-        replace(one, id=4, units="x"),
-        replace(one, id=5, customer=None),
-        replace(one, id=6, gateway_set_size=0),
-        replace(one, id=7, gateway_set_size=-3, first_gateway=99),
-        replace(one, id=8, class_name=None),
-        replace(one, id=9, plan_name=7),
-        replace(one, id="ten"),
-        replace(one, id=11, deadline_ms="soon"),
-        replace(one, id=12, deadline_ms=math.inf),
-        replace(one, id=13, units=-1.0),
-        replace(one, id=14, units=1e300),
-        replace(one, id=15, first_gateway="a"),
-        replace(one, id=16, is_client_retry=None),
+    malformed = [
+        request,
+        request,
+        replace(request, id=2, deadline_ms=math.nan),
+        replace(request, id=3, units=math.nan),
+        replace(request, id=4, units="x"),
+        replace(request, id=5, customer=None),
+        replace(request, id=6, gateway_set_size=0),
+        replace(request, id=7, gateway_set_size=-3, first_gateway=99),
+        replace(request, id=8, class_name=None),
+        replace(request, id=9, plan_name=7),
+        replace(request, id="ten"),
+        replace(request, id=11, deadline_ms="soon"),
+        replace(request, id=12, deadline_ms=math.inf),
+        replace(request, id=13, units=-1.0),
+        replace(request, id=14, units=1e300),
+        replace(request, id=15, first_gateway="a"),
+        replace(request, id=16, is_client_retry=None),
         EndpointsUpdated(
             (
                 Endpoint("s0", "hall-a", 0, EndpointState.READY),
@@ -91,10 +92,10 @@
         AttemptCompleted(99, 0, "s0", 1.0, AttemptResult.OK, True),
         AttemptCompleted(1, "0", "s0", 1.0, None, True, load_report=("a",)),
         AttemptCompleted(12, 0, "s0", 5.0, AttemptResult.OK, True, load_report=(math.nan, math.inf)),
-        PeerMessageReceived(1, good),
+        PeerMessageReceived(1, valid_message),
         PeerMessageReceived(1, b"\xff"),
-        PeerMessageReceived(-1, good),
-        PeerMessageReceived("one", good),
+        PeerMessageReceived(-1, valid_message),
+        PeerMessageReceived("one", valid_message),
         PeerMessageReceived(1, None),
         PeerMessageReceived(1, "text"),
         TimerFired("agenda"),
@@ -102,13 +103,13 @@
         7,
         object,
     ]
-    for place, event in enumerate(hostile):
-        own.handle(1000.0 + 4 * place, [event])
-        own.handle(1002.0 + 4 * place, [replace(one, id=100 + place, deadline_ms=4000.0), event])
-    own.handle(9000.0, hostile)
-    print(which)
-    print(worlds[0], text.hexdigest())
-    print(worlds[1], faults - worlds[1])
+    for position, event in enumerate(malformed):
+        module.handle(1000.0 + 4 * position, [event])
+        module.handle(1002.0 + 4 * position, [replace(request, id=100 + position, deadline_ms=4000.0), event])
+    module.handle(9000.0, malformed)
+    print(origin)
+    print(normal[0], digest.hexdigest())
+    print(normal[1], faults - normal[1])
 
 
 if __name__ == "__main__":
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The wire adapter, run as the deploy file's `sim` runs it."""
+"""The simulator's adapter, started by the deploy file's `sim` command."""
 
 import json
 import pathlib
