--- a/plumpick/policy/settings_parser.py
+++ b/plumpick/policy/settings_parser.py
@@ -98,7 +98,7 @@
     def strings(self, key: str) -> tuple[str, ...]:
         """Return a list with its items converted to strings, empty if the key is missing; raises
         SettingsError."""
-        return tuple(str(word) for word in self._get(key, (list,), []))
+        return tuple(str(item) for item in self._get(key, (list,), []))
 
 
 def _request_class(row: JsonObject) -> RequestClass:
--- a/tests/policy/test_disabling_and_draining.py
+++ b/tests/policy/test_disabling_and_draining.py
@@ -48,8 +48,8 @@
     the endpoints of their attempts."""
     sends, ended = [], 0
     for number in range(first, first + count):
-        asked = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
-        sends += of(StartAttempt, control.handle(now, [asked]))
+        request = ask(number, plan=FREE, due=now + 5000.0, customer=f"c{number}")
+        sends += of(StartAttempt, control.handle(now, [request]))
         if len(sends) - ended > 12:
             control.handle(now + 1.0, [outcome(sends[ended], AttemptResult.OK)])
             ended += 1
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -263,22 +263,22 @@
     }
     new = without(without(replace(old, classes=old.classes[::-1], plans=old.plans[::-1]), "look"), "rated")
     actions = control.handle(1000.001, [SettingsChanged(1, new)])
-    told = [
+    sent_messages = [
         item
-        for tell in of(SendPeerMessage, actions)
-        for news in [PeerMessageCodec(old).decode(tell.data)]
-        if news
-        for item in news.quota_messages
+        for action in of(SendPeerMessage, actions)
+        for decoded in [PeerMessageCodec(old).decode(action.data)]
+        if decoded
+        for item in decoded.quota_messages
     ]
-    assert [(item.kind, item.serial) for item in told] == [
+    assert [(item.kind, item.serial) for item in sent_messages] == [
         (QuotaMessageKind.RETURNED, 3)
     ]  # Of the removed plan
     pending = control.state.quota.outbox.waiting.get(1, []) + [
         item
-        for tell in of(SendPeerMessage, actions)
-        for news in [PeerMessageCodec(new).decode(tell.data)]
-        if news
-        for item in news.quota_messages
+        for action in of(SendPeerMessage, actions)
+        for decoded in [PeerMessageCodec(new).decode(action.data)]
+        if decoded
+        for item in decoded.quota_messages
     ]
     assert [item.serial for item in pending] == [1, 4]  # No grant request for the removed class
     assert [new.plans[item.plan_index].name for item in pending] == ["capped", "open"]
