--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -140,9 +140,7 @@
         self._tokens: dict[int, int] = {}  # Fencing tokens of the slots that this process owns
         self._yielding: set[int] = set()  # Owned slots to release once none of their tasks is running
         self.pinned_slots: frozenset[int] = frozenset()  # Slots that budgets still need, not to be released
-        self._timers: list[
-            tuple[float, str]
-        ] = []  # Heap of times and task names; outdated entries are skipped
+        self._timers: list[tuple[float, str]] = []  # Heap of times and task names, some of them outdated
         self._running: dict[str, TaskState] = {}  # Tasks with a run in progress, by name
         self._actions: list[Action] = []
 
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -1,7 +1,7 @@
 """The settings of a gateway: request classes, quota plans and limits. Times are in milliseconds.
 
-settings_parser.py builds these types from the platform's JSON. Error messages name the JSON keys, in snake
-case, because operators know the settings by those."""
+settings_parser.py builds these types from the platform's JSON. Error messages here use names that are close
+to the JSON keys, such as warm_up_ms for warmUpMs, because operators know the settings by those."""
 
 from __future__ import annotations
 
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -243,7 +243,8 @@
         return all(report.is_complete or report.is_given_up(now_ms) for report in self._reports.values())
 
     def result(self, period_ms: float) -> FleetUsage:
-        """Return the sums of the complete reports, and the gaps of the other gateways."""
+        """Return the sums of the complete reports, and the gaps: the whole period for a gateway without a
+        complete report, and the time before a gateway began to count."""
         totals: dict[int, UsageRow] = {}
         gaps: list[UsageGap] = []
         for gateway, report in self._reports.items():
