--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -1,13 +1,17 @@
-"""What one process of a gateway passes to the next, as JSON's values, and how the next goes on from it.
+"""The snapshot that a gateway process passes to its hot-restart successor, as values that JSON can hold.
 
-Passed on: what operators disabled, accounts and ledgers with their hard limits, when peers were heard, the
-concurrency limit, retry tokens, the classes' shares and usual latencies, the endpoints' figures. Not passed
-on: requests, which stay where they were received; numbers of an incarnation, which tell grants apart; when an
-attempt of a class is overdue, what peers reported of endpoints, and which enabled workers still wait for
-their first attempt, all of which is learned again within seconds.
+The snapshot contains the workers that operators disabled, the quota accounts and ledgers with their hard
+limits, the times of the last messages from peers, the concurrency limit, the retry tokens, the shares and
+usual latencies of the classes and the measured state of the endpoints.
 
-Nothing may be granted twice: once a process has exported its state its buckets fill no more, and its messages
-to its own owner go to the successor. Times are of one clock: both processes run on one machine."""
+It does not contain requests, which stay with the process that received them, nor the incarnation and its
+serial numbers, which distinguish grants. It also omits what is measured again within seconds: the latencies
+after which attempts are overdue, reports of peers on endpoints, and the enabled workers that await their
+first attempt.
+
+No unit may be granted twice. So the buckets of a process stop filling once it has exported its state, and its
+messages to itself as quota owner go to the successor. Both processes run on one machine, so times are of the
+same clock."""
 
 from __future__ import annotations
 
@@ -21,19 +25,22 @@
 from plumpick.policy.state import GatewayState
 from plumpick.policy.timers import TimerKind
 
-FORM = 2
-OLD_FORM = 1  # quota/snapshot.py says what it lacks; other forms are not read
+# Version of the snapshot format, and the older version that is still read; quota/snapshot.py explains the
+# differences.
+FORMAT_VERSION = 2
+OLD_FORMAT_VERSION = 1
 
 
 def export_state(state: GatewayState) -> dict[str, Any]:
-    """The state as it is now; from here on this process has a successor."""
+    """Return the snapshot of the present state. From then on this process has a successor: its buckets no
+    longer fill, and its quota ledgers belong to the successor."""
     quota = state.quota
     quota_snapshot.prepare_export(quota, state.plans)
     plans = quota_snapshot.exported_plans(quota, state.plans)
     plan_index = {plan.name: index for index, plan in enumerate(plans)}
     disabled, enabled = state.endpoints.disabled.export_state()
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "number": state.settings.gateway_number,
         "gateways": state.settings.gateway_count,
         "classes": list(state.classes),
@@ -59,31 +66,35 @@
 
 
 def import_state(state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
-    """Go on from an exported state. Raises SnapshotError or ValueError; nothing of it counts then."""
+    """Restore the state from a snapshot. Raises SnapshotError or ValueError, and then changes nothing."""
     settings = state.settings
-    if exported.get("form") not in (FORM, OLD_FORM):
-        raise SnapshotError(f"a state of form {exported.get('form')!r}")
+    if exported.get("form") not in (FORMAT_VERSION, OLD_FORMAT_VERSION):
+        raise SnapshotError(f"unsupported snapshot format {exported.get('form')!r}")
     if exported.get("number") != settings.gateway_number:
-        raise SnapshotError("the state of another gatekeeper")
+        number = settings.gateway_number
+        raise SnapshotError(f"snapshot of gateway number {exported.get('number')!r}, expected {number}")
     if exported.get("gateways") != settings.gateway_count:
-        raise SnapshotError("the state of another gatekeeper")
+        count = settings.gateway_count
+        raise SnapshotError(f"snapshot of a tier of {exported.get('gateways')!r} gateways, expected {count}")
     try:
-        read = _ReadState(state, now_ms, exported)
+        parsed = _ParsedSnapshot(state, now_ms, exported)
     except (KeyError, TypeError, AttributeError, IndexError) as problem:
-        raise SnapshotError(f"a state that cannot be read: {problem!r}") from problem
-    read.take_effect(state, now_ms)
+        raise SnapshotError(f"malformed snapshot: {problem!r}") from problem
+    parsed.apply(state, now_ms)
+
 
+class _ParsedSnapshot:
+    """A validated snapshot that is not yet in force.
 
-class _ReadState:
-    """All that was exported, read and not yet in force but for the limit's figures, which are read last."""
+    The exception is the concurrency limit, which the constructor reads last and sets in `state` directly."""
 
     def __init__(self, state: GatewayState, now_ms: float, exported: Mapping[str, Any]) -> None:
-        is_old_form = exported["form"] == OLD_FORM
+        is_old_form = exported["form"] == OLD_FORMAT_VERSION
         self.quota = quota_snapshot.read_state(state.quota, now_ms, exported, is_old_form)
         self.endpoints = state.endpoints.read_rows(exported["servers"])
-        self.usual_latency_ms = _known(exported["usual"], state.statistics.usual_latency_ms)
-        self.timely_ratio = _known(exported["timely"], state.statistics.timely_ratio)
-        self.shares = _known(exported["shares"], state.queue.shares)
+        self.usual_latency_ms = _of_known_classes(exported["usual"], state.statistics.usual_latency_ms)
+        self.timely_ratio = _of_known_classes(exported["timely"], state.statistics.timely_ratio)
+        self.shares = _of_known_classes(exported["shares"], state.queue.shares)
         self.disabled = [str(name) for name in exported["bans"]]
         self.enabled = [(str(name), float(ms)) for name, ms in exported["back"]]
         draining = exported["draining"]
@@ -93,11 +104,11 @@
         self.reference_capacity = float(exported["reference"])
         limit = list(exported["window"])
         if len(limit) != len(LIMIT_FIELDS):
-            raise SnapshotError("window")
-        snapshot_rows.fill(state.limit, LIMIT_FIELDS, limit)
+            raise SnapshotError(f"window: expected {len(LIMIT_FIELDS)} values, got {len(limit)}")
+        snapshot_rows.set_fields(state.limit, LIMIT_FIELDS, limit)
 
-    def take_effect(self, state: GatewayState, now_ms: float) -> None:
-        """Go on from what was read."""
+    def apply(self, state: GatewayState, now_ms: float) -> None:
+        """Put the snapshot into force."""
         quota_snapshot.import_state(state.quota, self.quota)
         state.statistics.usual_latency_ms.update(self.usual_latency_ms)
         state.statistics.timely_ratio.update(self.timely_ratio)
@@ -123,12 +134,12 @@
         table.classify(now_ms)
 
 
-def _known(values: Mapping[str, Any], known: Mapping[str, object]) -> dict[str, float]:
-    """The figures of the classes that there are here."""
+def _of_known_classes(values: Mapping[str, Any], known: Mapping[str, object]) -> dict[str, float]:
+    """Return the entries of `values` whose class is in `known`, as floats."""
     return {str(name): float(value) for name, value in values.items() if name in known}
 
 
 def resume(state: GatewayState, now_ms: float) -> None:
-    """The process that took over has died; this one goes on."""
+    """Resume service after the successor has died, and schedule the ledgers in which requests wait."""
     for key in quota_snapshot.resume(state.quota, now_ms):
         state.timers.schedule(now_ms, TimerKind.LEDGER, key)
