--- a/plumpick/policy/quota/__init__.py
+++ b/plumpick/policy/quota/__init__.py
@@ -1,6 +1,9 @@
-"""Customers' quotas over all gateways: each customer's units are kept in the ledger of one gateway, its quota
-owner.
+"""Distributed customer quotas: one gateway, the quota owner, keeps the ledger of a customer's units and
+grants units to the other gateways.
 
-records.py: accounts and ledgers; requester.py: a gateway that asks for grants; owner.py: the one that grants
-them; outbox.py: messages between them; liveness.py: who is unreachable; manager.py: all of it together;
-hard_limits.py and bounds.py: how far limits can be passed."""
+- records.py: data classes of accounts (requesting gateway) and ledgers (quota owner)
+- requester.py: the requesting gateway; owner.py: the quota owner; manager.py: a gateway's two roles combined
+- ledger.py: rules of a single ledger; hard_limits.py: static division of hard limits
+- outbox.py: outgoing messages; liveness.py: detection of unreachable gateways
+- reconfiguration.py: changes of settings in service; snapshot.py: export and import for a hot restart
+- bounds.py: upper bounds on the units granted beyond quotas and hard limits"""
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -1,9 +1,9 @@
-"""How far quotas and hard limits can be passed, from the settings alone.
+"""Upper bounds on the units granted beyond quotas and hard limits, computed from the settings alone.
 
-Every figure is an upper bound on the units that all gateways together grant one customer of a plan within a
-window, beyond `burst + rate x window` (its quota) or the same of its hard limit. The derivation stands in
-docs/design/quotas.md; each term here names the method that keeps it. A customer is taken to name one set of
-gateways, as the protocol has it.
+Each bound applies to one customer of a plan and one time window: the units that all gateways together can
+grant beyond `burst + rate x window`, with burst and rate of the quota or of the hard limit. See
+docs/design/quotas.md for the derivation; comments on the terms below name the method that enforces each one.
+The bounds assume that all requests of a customer name the same set of gateways, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from plumpick.policy.settings import Plan, Settings
 
 WINDOWS_S = (1.0, 10.0, 60.0)
-MOST_SPREAD = 4  # gateways of a customer's set, as the protocol has it at this site
-DIAL_S = 0.25  # for which a connection is waited for at most; a first attempt that found none is made again
+MOST_SPREAD = 4  # default size of a customer's gateway set in the protocol
+DIAL_S = 0.25  # connect timeout; a first attempt that fails to connect is repeated
 
 
 class BoundsError(ValueError):
-    """An argument that makes no sense; the text names it."""
+    """An argument of a bound is out of range; the message names the argument."""
 
 
 class Situation(Enum):
-    """What has become of the shared count."""
+    """Operating condition of the quota system for which a bound holds; values are shown to operators."""
 
     SERVICE = "in service"
     ONE_HOME = "one home restarts"
@@ -37,29 +37,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """The most units beyond, for one plan, window and situation."""
+    """Maximum units beyond the quota and the hard limit of one plan, for one window and situation."""
 
     plan: str
     situation: Situation
     window_s: float
-    quota: float  # units that the quota allows in the window
-    beyond_quota: float
-    ceiling: float  # units that the ceiling allows; 0: the plan has none
-    beyond_ceiling: float  # as sent on to servers
+    quota: float  # units allowed by the quota within the window
+    beyond_quota: float  # maximum units granted beyond the quota
+    ceiling: float  # units allowed by the hard limit within the window; 0 if the plan has no hard limit
+    beyond_ceiling: float  # maximum units forwarded to endpoints beyond the hard limit
 
     @property
     def ceiling_share(self) -> float:
-        """Units beyond the ceiling as a share of what it allows."""
+        """Units beyond the hard limit as a fraction of the units it allows; 0 without a hard limit."""
         return self.beyond_ceiling / self.ceiling if self.ceiling else 0.0
 
 
 def held_s(settings: Settings) -> float:
-    """For how long at most after its units are drawn a try comes whole to its first server, in seconds.
+    """Maximum time in seconds from charging a request's units to forwarding its first attempt completely.
 
-    `RequestLifecycle._schedule_ends` sets a FIRST_ATTEMPT timer: by then it is forwarded or rejected, and
-    that is before the objective (the deadline, where late answers have value). Its time counts from the
-    request's arrival and units are charged later, so this is more than can be. On top come attempts that
-    found no connection."""
+    `RequestLifecycle._schedule_ends` sets a FIRST_ATTEMPT timer, which fires before the latency objective
+    (before the deadline for classes whose late responses have value); the request is forwarded or rejected by
+    then. The timer runs from the arrival of the request, before its units are charged, so the result is an
+    overestimate. Connect timeouts of failed attempts are added."""
     longest_ms = max(
         kind.deadline_ms
         if kind.late_priority_weight > 0
@@ -70,7 +70,8 @@
 
 
 def spread_of(settings: Settings, spread: int | None) -> int:
-    """The size of a customer's set that is reckoned with."""
+    """Size of a customer's gateway set for the bounds: `spread`, or MOST_SPREAD if None, at most the number
+    of gateways. Raises BoundsError if `spread` is below 1."""
     if spread is not None and spread < 1:
         raise BoundsError(f"spread: {spread} is no number of gateways")
     return min(settings.gateway_count, MOST_SPREAD if spread is None else spread)
@@ -87,8 +88,11 @@
     restarts: int = 1,
     far: int | None = None,
 ) -> float:
-    """Units beyond the quota. `restarts`: of the home within the window; `far`: gateways of the set that are
-    cut off from the home (all but one, by default); `loss`: share of messages lost, from 0 to 1."""
+    """Maximum units granted beyond the quota of a plan in one situation and window.
+
+    `restarts`: restarts of the quota owner within the window. `far`: number of gateways in the set that are
+    partitioned from the quota owner (default: all but one). `loss`: fraction of messages lost, 0 to 1. Raises
+    BoundsError for an argument out of range."""
     count = spread_of(settings, spread)
     if not 0 <= loss <= 1:
         raise BoundsError(f"loss: {loss} is no share")
@@ -96,32 +100,35 @@
         raise BoundsError("restarts and windows are not below nothing")
     if not plan.rate_per_s:
         return 0.0
-    # What each gateway may spend without asking (QuotaRequester._fill: local_units never holds more;
-    # on_grant_timeout: one request of any size without a grant). The owner hears of it (SPENT) and its ledger
-    # goes below 0 for it. What was spent before the window may be forwarded in it.
+    # Units that each gateway may spend without a grant: the local bucket (capped by QuotaRequester._fill) and
+    # one request of any size after a grant timeout (on_grant_timeout). The owner is notified (SPENT) and
+    # charges its ledger, which may become negative. Units charged before the window may be forwarded in it.
     own = count * (LOCAL_BURST_RATIO * plan.burst + settings.max_units) + plan.rate_per_s * held_s(settings)
     if situation is Situation.SERVICE:
         return own
     if situation is Situation.LOSS:
-        # A SPENT that is lost is charged nowhere: of what all own buckets spend, which fill at the quota's
-        # rate in sum, and of what they held.
+        # Units of a lost SPENT message are never charged. Affected are all units spent from local buckets:
+        # their content at the start of the window and their refill, at the quota's rate in total.
         return own + loss * (own + plan.rate_per_s * window_s)
     if situation in (Situation.ONE_HOME, Situation.ALL_HOMES):
-        # QuotaOwner._ledger_for: a new ledger is full. A customer has one owner, so all restarting is one for
-        # it. What its gateways spent while it was away is charged nowhere, but nor did the owner grant then.
+        # QuotaOwner._ledger_for creates a full ledger. A customer has a single owner, so a restart of all
+        # gateways adds no more than a restart of the owner. Units that other gateways spent while the owner
+        # was down are never charged, but the owner granted none in that time.
         return own + restarts * plan.burst
-    # A split: the far side lives on own buckets, which fill at their part of the quota. From
-    # SILENCE_HEARTBEATS after the last message on that is the even part (QuotaRequester._fill), and the owner
-    # withholds as much (QuotaOwner.granted_ratio); their last messages may lie one apart, and two more where
-    # heartbeats were lost. Before that, the far side's parts make the quota at most.
+    # Partition: gateways on the far side spend from local buckets, which fill at their part of the quota.
+    # SILENCE_HEARTBEATS after the last message received, that part becomes the even one
+    # (QuotaRequester._fill) and the owner withholds as much (QuotaOwner.granted_ratio). The two sides may
+    # differ by one heartbeat in the time of their last message, and by two more after lost heartbeats. Before
+    # that time, the parts of the far side add up to at most the quota.
     cut_off = count - 1 if far is None else far
     if not 0 <= cut_off < max(2, count):
         raise BoundsError(f"far: {cut_off} of {count} gateways")
     if not cut_off:
         return own
     unsure_s = min(window_s, (SILENCE_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
-    # Among many gateways only those that asked an owner of late send it heartbeats, so a customer that goes
-    # to a gateway new to it has its even part there besides.
+    # With more gateways than MAX_ALL_TO_ALL, an owner receives heartbeats only from gateways that requested
+    # grants recently. A customer's first requests at another gateway get that gateway's even part, which the
+    # owner does not withhold.
     new = 0.0 if settings.gateway_count - 1 <= MAX_ALL_TO_ALL else (window_s - unsure_s) * cut_off / count
     return own + plan.rate_per_s * (unsure_s + new)
 
@@ -136,7 +143,9 @@
     restarts: int,
     split: bool,
 ) -> float:
-    """Units beyond the quota where all of it comes at once: the sum of what each situation adds."""
+    """Maximum units granted beyond the quota if all situations coincide: the sum of their increments.
+
+    `split` includes a partition; the other arguments are those of `beyond_quota`."""
 
     def of(situation: Situation) -> float:
         return beyond_quota(plan, settings, situation, window_s, spread=spread, loss=loss, restarts=restarts)
@@ -147,12 +156,13 @@
 
 
 def beyond_ceiling(plan: Plan, settings: Settings, window_s: float) -> float:
-    """Units sent on beyond the ceiling, in any situation.
+    """Maximum units forwarded to endpoints beyond the hard limit of a plan, in any situation.
 
-    Its parts are divided for good (OWNER_RATIO at the owner, SET_RATIO evenly over the set), begin empty with
-    every process (`hard_limit_units` of ledgers and accounts) and are never given back, so no loss, split or
-    restart grants more. What was drawn may be sent on later, and comes on top of what the window itself
-    fills, so the parts make only USED_RATIO of the hard limit together."""
+    The hard limit is divided statically: OWNER_RATIO for the quota owner, SET_RATIO over the gateway set.
+    Each part (`hard_limit_units` of ledgers and accounts) starts empty in a new process and units are never
+    returned to it, so message loss, a partition or a restart grants no more. Units charged before the window
+    may be forwarded in it, in addition to the window's own refill; therefore the parts add up to only
+    USED_RATIO of the hard limit. Raises BoundsError if `window_s` is not positive."""
     if window_s <= 0:
         raise BoundsError("windows are not below nothing")
     allowed = plan.hard_limit_burst + plan.hard_limit_per_s * window_s
@@ -168,7 +178,8 @@
     restarts: int = 1,
     windows_s: tuple[float, ...] = WINDOWS_S,
 ) -> list[Bound]:
-    """All bounds, for each plan, situation and window. Raises BoundsError."""
+    """Bounds for each combination of plan, situation and window; arguments as in `beyond_quota`. Raises
+    BoundsError."""
     rows = []
     for plan in settings.plans:
         for situation in Situation:
--- a/plumpick/policy/quota/hard_limits.py
+++ b/plumpick/policy/quota/hard_limits.py
@@ -1,22 +1,24 @@
-"""A hard limit divided for good: each gateway's part of it, by its place in the customer's set alone.
+"""Static division of a hard limit over a customer's gateway set.
 
-The parts sum to the whole whatever breaks, since each is a function of settings and numbers. The quota owner
-has OWNER_RATIO of it; the rest is the set's."""
+A gateway's part depends only on the settings and on its place in the set, so that the parts never add up to
+more than the hard limit, whatever fails. The quota owner has OWNER_RATIO of it; SET_RATIO is divided over the
+set."""
 
 from __future__ import annotations
 
-# of a hard limit, that its parts make together: what was spent may be forwarded a little later
+# Sum of all parts as a fraction of the hard limit; below 1 since units are forwarded after they are charged
 USED_RATIO = 0.96
-OWNER_RATIO = 0.7 * USED_RATIO  # the quota and more, where the hard limit is 1.7 times it
-SET_RATIO = 0.3 * USED_RATIO  # divided over the set, for units spent without a grant
+# Fraction for the quota owner; exceeds the quota if the hard limit is at least 1.7 times the quota
+OWNER_RATIO = 0.7 * USED_RATIO
+SET_RATIO = 0.3 * USED_RATIO  # fraction divided over the set, for units spent without a grant
 
 
 def set_part(burst: float, set_size: int, place: int) -> float:
-    """One gateway's part of what is the set's: `burst` units for all of its gateways, the one at `place`
-    counted from the quota owner, which is 0.
+    """Fraction of the set's part that one gateway has. `burst`: units of the whole set; `place`: position of
+    the gateway in the set, counted from the quota owner at 0.
 
-    Even parts where each holds a unit. Else as many gateways as there are units have one each and the others
-    none: parts under one unit could never be spent."""
+    The division is even if each part holds at least one unit. Otherwise one unit each goes to as many
+    gateways as there are whole units, and nothing to the others; less than one unit could never be spent."""
     whole_units = int(burst)
     if burst >= set_size or whole_units < 1 or set_size == 1:
         return 1 / set_size
--- a/plumpick/policy/quota/liveness.py
+++ b/plumpick/policy/quota/liveness.py
@@ -1,7 +1,7 @@
-"""Which gateways are unreachable, by when they were heard last; and how often heartbeats are sent.
+"""Detection of unreachable gateways by the time of their last message, and the heartbeat interval.
 
-Both sides of a broken path reckon from what they heard last, so what the two take to be so is the same: the
-silent gateway spends by its even part, and its owner withholds that part."""
+Both sides of a broken path count from the last message they received, so they reach the same conclusion: the
+gateway that lost its quota owner spends its even part of the quota, and the owner withholds that part."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 from plumpick.policy.settings import Settings
 
 MIN_HEARTBEAT_MS = 500.0
-HEARTBEAT_INBOX_RATIO = 0.3  # of an inbox, that the heartbeats of all gateways fill in a large tier
-MAX_ALL_TO_ALL = 8  # other gateways: with no more of them heartbeats go to all, else to quota owners
-SILENCE_HEARTBEATS = 4.0  # a gateway that was silent for so many of them is unreachable
+HEARTBEAT_INBOX_RATIO = 0.3  # maximum fraction of a gateway's inbox rate used by heartbeats of all others
+# Maximum number of other gateways with heartbeats to all; in larger tiers they go to quota owners only
+MAX_ALL_TO_ALL = 8
+SILENCE_HEARTBEATS = 4.0  # heartbeat intervals without a message after which a gateway is unreachable
 
 
 def heartbeat_ms(settings: Settings) -> float:
-    """For how long a gateway that asked an owner is silent to it at most, messages lost aside."""
+    """Heartbeat interval in ms: the maximum time between messages to a quota owner if none is lost."""
     others = settings.gateway_count - 1
     inbox_per_s = settings.peer_inbox_per_s or math.inf
     return max(MIN_HEARTBEAT_MS, 1000 * others / (HEARTBEAT_INBOX_RATIO * inbox_per_s))
@@ -28,23 +29,25 @@
 
 
 class PeerLiveness:
-    """When each gateway was heard, and which quota owners leave requests unanswered."""
+    """Time of the last message from each gateway, and quota owners that do not answer grant requests."""
 
     def __init__(self) -> None:
         self.silence_limit_ms = SILENCE_HEARTBEATS * MIN_HEARTBEAT_MS
-        self.last_heard_ms: dict[int, float] = {}  # in this incarnation
+        self.last_heard_ms: dict[int, float] = {}  # by gateway, since the start of this incarnation
         self.unresponsive_owners: set[int] = set()
 
     def reconfigure(self, settings: Settings) -> None:
-        """Other settings from now on."""
+        """Adopt the heartbeat interval of changed settings."""
         self.silence_limit_ms = SILENCE_HEARTBEATS * heartbeat_ms(settings)
 
     def begin(self, now_ms: float, settings: Settings) -> None:
-        """A new incarnation: a gateway that says nothing from the start may be cut off."""
+        """Start an incarnation: with heartbeats to all, every other gateway counts as received from now, so
+        that one that never sends a message is detected as unreachable."""
         if sends_heartbeats_to_all(settings):
             others = set(range(settings.gateway_count)) - {settings.gateway_number}
             self.last_heard_ms = dict.fromkeys(others, now_ms)
 
     def is_unreachable(self, now_ms: float, gateway: int) -> bool:
-        """Whether a gateway that was heard in this incarnation has been silent for too long."""
+        """Whether no message of a gateway was received for `silence_limit_ms`; False for a gateway without
+        any message in this incarnation."""
         return now_ms - self.last_heard_ms.get(gateway, now_ms) > self.silence_limit_ms
--- a/plumpick/policy/quota/manager.py
+++ b/plumpick/policy/quota/manager.py
@@ -1,6 +1,6 @@
-"""Quotas of all customers at one gateway: as one that spends units, and as the owner of some ledgers.
+"""Quotas of all customers at one gateway, in its two roles: requester of units, and owner of some ledgers.
 
-The manager begins an incarnation, sends heartbeats, and hands each message to the part that it is for.
+The manager starts incarnations, sends heartbeats and dispatches quota messages to the requester or the owner.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 from plumpick.policy.settings import Settings
 from plumpick.policy.timers import TimerQueue
 
-INCARNATIONS = 1 << 16  # so many can be told apart
+INCARNATIONS = 1 << 16  # number of distinct incarnations
 REPLIES = (QuotaMessageKind.GRANT, QuotaMessageKind.QUEUED, QuotaMessageKind.DENIED)
 
 
 class QuotaManager:
-    """All of quota keeping; see requester.py for `on_reply` and `on_denied`."""
+    """The quota requester and the quota owner of one gateway; QuotaRequester documents `on_reply` and
+    `on_denied`."""
 
     def __init__(
         self,
@@ -43,8 +44,10 @@
         self.owner = QuotaOwner(self.context, messenger, self.liveness, timers)
 
     def begin(self, now_ms: float) -> None:
-        """An incarnation of its own: with the numbers of the last one its grants would pass for ours, and
-        what we ask for what was granted before."""
+        """Start an incarnation with a random incarnation number and serial number.
+
+        If a process reused the numbers of its predecessor, grants to the predecessor would be taken as its
+        own, and its requests as repetitions of requests already granted."""
         self.context.index()
         self.liveness.reconfigure(self.context.settings)
         chance = random.Random(f"{self.context.incarnation}/{now_ms}")
@@ -52,20 +55,21 @@
         self.liveness.begin(now_ms, self.context.settings)
 
     def replace_settings(self, settings: Settings) -> None:
-        """Other settings from now on; reconfiguration.py moves what goes by their names."""
+        """Adopt changed settings; reconfiguration.py moves the state that depends on names of plans and
+        classes."""
         self.context.settings = settings
         self.outbox.settings = settings
         self.context.index()
         self.liveness.reconfigure(settings)
 
     def on_period(self, now_ms: float) -> None:
-        """One period has gone by."""
+        """Periodic work: decay of the outbox's counts, and heartbeats."""
         self.outbox.on_period()
         self._send_heartbeats(now_ms)
 
     def _send_heartbeats(self, now_ms: float) -> None:
-        """To the owners of our customers, or to all gateways in a small tier, where nothing was sent of
-        late."""
+        """Queue heartbeats to all gateways (in a large tier: to the owners of this gateway's customers) that
+        were sent nothing within the heartbeat interval."""
         settings = self.context.settings
         if not settings.can_message_peers or self.context.has_successor:
             return
@@ -80,19 +84,19 @@
                 self.outbox.add_heartbeat(now_ms, gateway, interval_ms)
 
     def on_peer_heard(self, now_ms: float, gateway: int) -> None:
-        """Another gateway has sent us something."""
+        """Record that a datagram of another gateway was received."""
         self.outbox.on_heard(now_ms, gateway)
         self.liveness.last_heard_ms[gateway] = now_ms
         self.requester.on_owner_heard(now_ms, gateway)
 
     def on_message(self, now_ms: float, sender: int, incarnation: int, message: QuotaMessage) -> None:
-        """A quota message, also from this gateway to itself."""
+        """Dispatch a quota message of any gateway, including this one, to the requester or the owner."""
         if message.kind in REPLIES:
             self.requester.on_owner_reply(now_ms, sender, message)
         elif not self.context.has_successor:
             self.owner.on_message(now_ms, (sender, incarnation, message.serial), message)
 
     def forget(self, now_ms: float, open_requests: Iterable[Request]) -> None:
-        """Forget a part of the accounts and ledgers that hold nothing."""
+        """Visit a part of the accounts and ledgers, and evict those that a new one would equal."""
         self.requester.forget(now_ms, open_requests)
         self.owner.forget(now_ms)
--- a/plumpick/policy/quota/outbox.py
+++ b/plumpick/policy/quota/outbox.py
@@ -1,5 +1,7 @@
-"""Messages to peers: what waits for whom, and when it may go. What comes faster than an inbox takes is lost,
-so messages wait for company while inboxes fill up."""
+"""Outgoing quota messages: a queue for each gateway, and the time at which its next packet may be sent.
+
+A gateway's inbox has a limited rate and drops packets beyond it, so messages are delayed and batched while
+inboxes fill up."""
 
 from __future__ import annotations
 
@@ -10,42 +12,43 @@
 from plumpick.policy.settings import Settings
 from plumpick.policy.timers import TimerKind, TimerQueue
 
-MAX_WAITING_PACKETS = 4  # of quota messages, for one gateway
-INBOX_RATIO = 0.75  # of an inbox, that all others may fill
+MAX_WAITING_PACKETS = 4  # maximum packets of quota messages queued for one gateway
+INBOX_RATIO = 0.75  # maximum fraction of an inbox's rate used by all other gateways together
 MAX_DELAY_MS = 60.0
-ACTIVITY_MEMORY_MS = 1000.0  # a gateway heard within so long shares our peers' inboxes with us
-MIN_SENT_COUNT = 0.1
+# Time constant of packet counts; a gateway heard from within this time is counted as another sender to peers
+ACTIVITY_MEMORY_MS = 1000.0
+MIN_SENT_COUNT = 0.1  # decayed packet count below which the count of a gateway is dropped
 
 
 class PeerOutbox:
-    """Quota messages by receiving gateway. Bound: MAX_WAITING_PACKETS for each."""
+    """Queued quota messages by receiving gateway; at most MAX_WAITING_PACKETS packets each after a flush."""
 
     def __init__(self, settings: Settings, timers: TimerQueue) -> None:
         self.settings = settings
         self.timers = timers
         self.waiting: dict[int, list[QuotaMessage]] = {}
-        self.sent_ms: dict[int, float] = {}  # when each gateway was last sent something
-        self.sent_count: dict[int, float] = {}  # fading
-        self.heard_ms: dict[int, float] = {}  # when each gateway last sent us something
-        self.heard_count = 0.0  # fading
-        self.flush_ms = 0.0
+        self.sent_ms: dict[int, float] = {}  # time of the last packet sent to each gateway
+        self.sent_count: dict[int, float] = {}  # packets sent to each gateway, exponentially decayed
+        self.heard_ms: dict[int, float] = {}  # time of the last packet received from each gateway
+        self.heard_count = 0.0  # packets received from all gateways, exponentially decayed
+        self.flush_ms = 0.0  # time of the scheduled flush timer
 
     def add(self, gateway: int, message: QuotaMessage) -> None:
-        """A message goes to a gateway, soon."""
+        """Queue a message to a gateway; `take_packets` returns it when its packet may be sent."""
         self.waiting.setdefault(gateway, []).append(message)
 
     def add_heartbeat(self, now_ms: float, gateway: int, interval_ms: float) -> None:
-        """A gateway gets a message, if it got none for so long."""
+        """Queue an empty packet to a gateway if none was sent to it for `interval_ms`."""
         if now_ms - self.sent_ms.get(gateway, -math.inf) >= interval_ms:
             self.waiting.setdefault(gateway, [])
 
     def on_heard(self, now_ms: float, gateway: int) -> None:
-        """A gateway has sent us something."""
+        """Record that a packet of another gateway was received."""
         self.heard_ms[gateway] = now_ms
         self.heard_count += 1
 
     def on_period(self) -> None:
-        """One period has gone by."""
+        """Decay the packet counts by one period (PERIOD_MS)."""
         keep = math.exp(-PERIOD_MS / ACTIVITY_MEMORY_MS)
         self.heard_count *= keep
         self.sent_count = {
@@ -53,7 +56,8 @@
         }
 
     def take_packets(self, now_ms: float, max_messages: int) -> list[tuple[int, list[QuotaMessage]]]:
-        """What each gateway is sent now, so many messages each at most. What has to wait gets a timer."""
+        """Remove and return the packets that may be sent now, as pairs of gateway and at most `max_messages`
+        messages. Schedules an OUTBOX timer if messages remain."""
         self.heard_ms = {
             other: heard_ms
             for other, heard_ms in self.heard_ms.items()
@@ -76,8 +80,10 @@
         return self.sent_ms.get(gateway, -math.inf) + self._delay_ms(gateway)
 
     def _delay_ms(self, gateway: int) -> float:
-        """How long after the last message the next one goes. Our own inbox stands in for our peers'; for a
-        gateway that says nothing, what we send it."""
+        """Minimum interval in ms between packets to a gateway, from the estimated fill of its inbox.
+
+        The fill of this gateway's own inbox serves as the estimate; for a gateway that sends nothing, the
+        number of packets sent to it counts as well."""
         inbox_per_s = INBOX_RATIO * self.settings.peer_inbox_per_s or math.inf
         fullness = min(1.0, max(0.0, 2 * self.heard_count / inbox_per_s - 1))
         if gateway not in self.heard_ms:
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -1,8 +1,8 @@
-"""The quota owner: one gateway keeps a customer's ledger and grants units to the gateways that ask, by
+"""The quota owner: the gateway that keeps a customer's ledger and grants units to requesting gateways, by
 priority.
 
-A customer whose requests cannot be granted in time is denied at once: it would wait for nothing. Units of
-members that are unreachable are withheld, since those spend by their own parts."""
+Requests that cannot be granted in time are denied at once, so that they do not wait in vain. The parts of
+unreachable members of the gateway set are withheld, since these gateways may be spending them."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 from plumpick.policy.settings import Plan, RequestClass
 from plumpick.policy.timers import TimerKind, TimerQueue
 
-WITHHELD_MEMORY_MS = 1000.0  # over which withheld units are dropped once all members are heard
-SETTLED_MEMORY_MS = 5000.0  # for which a settled request is remembered against its repetition,
-MIN_SETTLED = 64  # and how many are kept at least
-SLOT_OBJECTIVES = 1.5  # after so many objectives a slot whose end was never told is free again
-IDLE_MS = 8000.0  # after which a full ledger may be forgotten
+WITHHELD_MEMORY_MS = 1000.0  # time constant of the decay of withheld units while all members are reachable
+SETTLED_MEMORY_MS = 5000.0  # time for which settled requests are kept to recognize duplicate messages
+MIN_SETTLED = 64  # number of settled requests of a ledger up to which none is dropped
+SLOT_OBJECTIVES = 1.5  # latency objectives after which a slot without a RETURNED message is released
+IDLE_MS = 8000.0  # time without messages after which a full ledger is evicted
 
 GRANT_REQUESTS = (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETRY_GRANT_REQUEST)
 SPENDINGS = (QuotaMessageKind.SPENT, QuotaMessageKind.LATE)
 
 
 class QuotaOwner:
-    """The ledgers that this gateway owns. Bound: customers that asked of late, or whose units are not all
-    back."""
+    """The ledgers that this gateway owns: those of customers with recent messages, and those that have not
+    refilled; others are evicted."""
 
     def __init__(
         self, context: QuotaContext, messenger: QuotaMessenger, liveness: PeerLiveness, timers: TimerQueue
@@ -48,7 +48,7 @@
         self.liveness = liveness
         self.timers = timers
         self.ledgers: dict[int, QuotaLedger] = {}  # by ledger_key
-        # Of plans that the settings dropped, by their key with plan index 0, and the plan's name.
+        # Ledgers of plans removed from the settings, by ledger key with plan index 0, and by name of the plan
         self.detached: dict[tuple[int, str], QuotaLedger] = {}
         self.unvisited_ledgers: list[int] = []
         self.unvisited_detached: list[tuple[int, str]] = []
@@ -56,7 +56,8 @@
     # -- messages
 
     def on_message(self, now_ms: float, key: GrantKey, message: QuotaMessage) -> None:
-        """A gateway asks for units, says what it spent without a grant, or returns units."""
+        """Handle a message of a requesting gateway: a grant request, units spent without a grant, or units
+        returned."""
         plan = self.context.settings.plans[message.plan_index]
         request_class = self.context.settings.classes[message.class_index]
         ledger = self._ledger_for(now_ms, message, plan)
@@ -68,7 +69,7 @@
             self._on_returned(now_ms, ledger, key, message, plan)
 
     def _ledger_for(self, now_ms: float, message: QuotaMessage, plan: Plan) -> QuotaLedger:
-        """The ledger that a message is about; a new one where there is none."""
+        """Ledger of a message's customer and plan; created full if there is none."""
         name = ledger_key(message)
         ledger = self.ledgers.get(name) or self.ledgers.pop(old_ledger_key(message), None)
         if ledger is None:
@@ -79,7 +80,8 @@
         return ledger
 
     def _members_of(self, message: QuotaMessage) -> tuple[int, ...]:
-        """The other gateways of a customer's set, of which this one is the owner."""
+        """The other gateways in the gateway set of a message's customer, whose quota owner is this
+        gateway."""
         settings = self.context.settings
         set_size = message.gateway_set_size
         first = settings.gateway_number - owner_position(message.customer_tag, set_size)
@@ -98,9 +100,8 @@
         self._record_requester(now_ms, ledger, key[0], message)
         if key in ledger.settled:
             if key in ledger.spent:
-                ledger.returned.add(
-                    key
-                )  # it was spent without a grant: this one comes too late and is returned
+                # Its units were spent without a grant: the requester will return this late grant
+                ledger.returned.add(key)
             self._reply(now_ms, QuotaMessageKind.GRANT, key, message, ledger)  # the first reply was lost
         elif not is_queued:
             ledger.demand_units += message.units
@@ -122,16 +123,16 @@
     def _on_spent(
         self, now_ms: float, ledger: QuotaLedger, key: GrantKey, message: QuotaMessage, plan: Plan
     ) -> None:
-        """Units were spent without a grant."""
+        """Charge units that a gateway spent without a grant; a duplicate message changes nothing."""
         if key in ledger.spent:
-            return  # it was heard before
+            return
         if key not in ledger.settled:
             self._settle_spent(now_ms, ledger, key, message)
             ledger.spent.add(key)
             return
         ledger.spent.add(key)
-        # It was granted as well, and that grant comes too late and is returned: what was returned already
-        # is charged again, what is still to come is not taken back.
+        # The request was granted as well, but the grant arrived after its units were spent, so the requester
+        # returns it. A return already credited is charged again; one still to come is not credited.
         if key in ledger.returned and not plan.max_in_flight:
             ledger.units = max(min(-plan.burst, ledger.units), ledger.units - message.units)
         ledger.returned.add(key)
@@ -141,23 +142,25 @@
         ledger.queue = [pending for pending in ledger.queue if pending.key != key]
         ledger.demand_units += 0.0 if is_queued else message.units
         is_late = message.kind is QuotaMessageKind.LATE
-        released = min(ledger.withheld_units, message.units) if is_late else 0.0  # withheld for just this
+        # Units withheld for an unreachable member cover what it spent
+        released = min(ledger.withheld_units, message.units) if is_late else 0.0
         ledger.withheld_units -= released
         ledger.units += released
         units = ledger.units
         self._settle(now_ms, ledger, key, message, 0.0)
-        # What was spent beyond a quota during a split takes nothing of it afterwards: a customer would be
-        # rejected for that debt with its quota unused.
+        # Units spent beyond the quota during a partition are not charged to the quota afterwards; the
+        # customer would be rejected because of this debt with its quota unused.
         if is_late and units < message.units:
             ledger.units = units
 
     def _on_returned(
         self, now_ms: float, ledger: QuotaLedger, key: GrantKey, message: QuotaMessage, plan: Plan
     ) -> None:
-        """Units were not used, or a slot is free."""
+        """Handle a RETURNED message: release the request's slot or credit its unused units, once only."""
         had_slot = ledger.slots.pop(key, None) is not None
         is_settled = key in ledger.settled and not plan.max_in_flight
-        if not had_slot and is_settled and key not in ledger.returned:  # once: two late grants return twice
+        # A request granted twice is returned twice, but credited once
+        if not had_slot and is_settled and key not in ledger.returned:
             ledger.returned.add(key)
             ledger.units = min(plan.burst, ledger.units + message.units)
         self.serve(now_ms, ledger_key(message))
@@ -165,7 +168,8 @@
     # -- granting
 
     def serve(self, now_ms: float, name: int) -> None:
-        """Grant what a ledger has to those that wait: by priority, of equal ones the newest first."""
+        """Grant a ledger's units to waiting requests, in order of priority and, for equal priority, newest
+        first. `name` is the ledger's key."""
         ledger = self.ledgers[name]
         plan = ledger.plan
         ratio = self._refill(now_ms, ledger)
@@ -182,7 +186,8 @@
             self._reply(now_ms, QuotaMessageKind.GRANT, pending.key, pending.message, ledger)
 
     def _refill(self, now_ms: float, ledger: QuotaLedger) -> float:
-        """Account for the time gone by; returns the part of the rate that is granted here."""
+        """Refill a ledger for the time since its last update, and drop expired requests and slots. Returns
+        the fraction of the rate that the owner grants (`granted_ratio`)."""
         plan = ledger.plan
         elapsed_s = (now_ms - ledger.updated_ms) / MS_PER_S
         ledger.updated_ms = now_ms
@@ -202,7 +207,7 @@
         return ratio
 
     def _wait_s(self, now_ms: float, ledger: QuotaLedger, pending: PendingGrant, ratio: float) -> float:
-        """For how long the next request has to wait; 0 or less: it can be granted."""
+        """Time in seconds until a request can be granted; 0 or less if it can be granted now."""
         plan, units = ledger.plan, pending.message.units
         wait_s = 0.0
         if plan.rate_per_s:
@@ -216,7 +221,8 @@
         return wait_s
 
     def _schedule(self, now_ms: float, name: int, ledger: QuotaLedger, wait_s: float) -> None:
-        """Serve a ledger again when its next request can be granted, unless that is scheduled already."""
+        """Set a timer to serve a ledger when its next request can be granted, in `wait_s` seconds, unless an
+        earlier one, or one at most a period later, is set."""
         at_ms = now_ms + wait_s * MS_PER_S
         if not ledger.queue or now_ms < ledger.next_serve_ms <= at_ms + PERIOD_MS:
             return
@@ -224,13 +230,13 @@
         self.timers.schedule(ledger.next_serve_ms, TimerKind.LEDGER, name)
 
     def on_timer(self, now_ms: float, name: int) -> None:
-        """A ledger can grant again."""
+        """Handle a LEDGER timer: serve the ledger with key `name`."""
         self.ledgers[name].next_serve_ms = math.inf
         self.serve(now_ms, name)
 
     def _deny_hopeless(self, now_ms: float, ledger: QuotaLedger, rate_per_s: float) -> None:
-        """Deny the requests that cannot be granted in time, by what the ledger lacks and who is before
-        them."""
+        """Deny the waiting requests that would expire before the ledger refills for them and for the requests
+        ahead of them. `rate_per_s`: refill rate in units per second."""
         ahead = 0.0
         kept: list[PendingGrant] = []
         for pending in reversed(ledger.queue):
@@ -245,12 +251,12 @@
         ledger.queue = kept[::-1]
 
     def deny(self, now_ms: float, pending: PendingGrant, ledger: QuotaLedger) -> None:
-        """Tell a gateway that its request will not be granted."""
+        """Send the requesting gateway a DENIED reply to a waiting request."""
         self._reply(now_ms, QuotaMessageKind.DENIED, pending.key, pending.message, ledger)
 
     def granted_ratio(self, now_ms: float, ledger: QuotaLedger) -> float:
-        """The part of a rate that its owner grants: all but the even parts of unreachable members. Those may
-        be dead, or cut off and spend by these parts."""
+        """Fraction of a plan's rate that the owner grants: all but the even parts of unreachable members,
+        which may be alive on the other side of a partition and spend these parts."""
         sends_to_all = sends_heartbeats_to_all(self.context.settings)
         unreachable = 0
         for member in ledger.members:
@@ -264,10 +270,12 @@
     def _settle(
         self, now_ms: float, ledger: QuotaLedger, key: GrantKey, message: QuotaMessage, limit_units: float
     ) -> None:
-        """Charge a request's units. `limit_units`: what it takes of the owner's part of a hard limit."""
+        """Charge a request's units and occupy its slot. `limit_units`: units to charge to the owner's part of
+        the hard limit."""
         self._forget_settled(now_ms, ledger)
         ledger.settled[key] = now_ms
-        floor = min(-ledger.plan.burst, ledger.units)  # it may owe more, by a larger burst before
+        # Debt is limited to the burst; it may be higher already if the plan's burst has been reduced
+        floor = min(-ledger.plan.burst, ledger.units)
         ledger.units = max(floor, ledger.units - message.units)
         ledger.hard_limit_units -= limit_units
         if ledger.plan.max_in_flight:
@@ -303,14 +311,14 @@
     # -- housekeeping
 
     def forget(self, now_ms: float) -> None:
-        """Forget a part of the ledgers that nobody uses and that are full again."""
+        """Visit a part of the ledgers, and evict those that are idle and full."""
         for name in next_part(self.ledgers, self.unvisited_ledgers):
             ledger = self.ledgers[name]
             if now_ms - ledger.updated_ms > IDLE_MS and is_full(ledger, now_ms, hard_limits.OWNER_RATIO):
                 del self.ledgers[name]
 
     def forget_detached(self, now_ms: float) -> None:
-        """The same for the ledgers of plans that the settings dropped."""
+        """Visit a part of the ledgers of plans removed from the settings, and evict those that are full."""
         for key in next_part(self.detached, self.unvisited_detached):
             if is_full(self.detached[key], now_ms, hard_limits.OWNER_RATIO):
                 del self.detached[key]
--- a/plumpick/policy/quota/reconfiguration.py
+++ b/plumpick/policy/quota/reconfiguration.py
@@ -1,13 +1,15 @@
-"""Quotas when settings change in service. Nothing that is granted jumps up. By change of a plan:
-
-rate up or down     what has filled until now filled by the old rate; from now on by the new one
-burst up            units stay and fill on; burst down: what is above it is gone
-hard limit          the same; where there was none its parts begin empty, as at a start
-max_in_flight       slots stay taken until they are returned, or by their time
-plan dropped        its ledgers are kept until they are full again by their old figures
-back before that    filled for the gap by the lower of both rates, up to the lower of both bursts
-accounts' buckets   settled when the customer asks next: of the time since it asked last, what was before the
-                    change fills nothing
+"""Quota state across a change of settings in service; no change increases the available units at once.
+
+Effect by kind of change:
+
+rate                units refilled until the change follow the old rate, later units the new one
+burst increased     units stay and refill up to the new burst
+burst reduced       units above the new burst are dropped
+hard limit          as for rate and burst; parts of a newly set hard limit start empty, as in a new process
+max_in_flight       slots stay occupied until they are returned or expire
+plan removed        its ledgers are kept, with the old rate and burst, until they are full
+plan added again    ledgers still kept refill for the gap at the lower of both rates, up to the lower burst
+local buckets       updated at the customer's next request; the time before the change does not refill them
 """
 
 from __future__ import annotations
@@ -34,7 +36,8 @@
     plans: Mapping[str, Plan],
     deny: Callable[[Request], None],
 ) -> None:
-    """Requests that wait for units under a class or plan that goes are denied, here and by their owners."""
+    """Deny requests that wait for units under a removed class or plan: this gateway's own requests by calling
+    `deny`, and requests queued in its ledgers by a reply. `classes` and `plans` are the remaining ones."""
     for request in list(quota.requester.pending.values()):
         is_kept = request.request_class.name in classes and request.plan.name in plans
         if request.awaits_quota and not is_kept:
@@ -48,13 +51,13 @@
             is_kept = ledger.plan.name in plans and class_name in classes
             (kept if is_kept else dropped).append(pending)
         ledger.queue = kept
-        if not quota.context.has_successor:  # else the successor answers them
+        if not quota.context.has_successor:  # a hot-restart successor answers them otherwise
             for pending in dropped:
                 quota.owner.deny(now_ms, pending, ledger)
 
 
 def serve_by_old_plans(quota: QuotaManager, now_ms: float, plans: Mapping[str, Plan]) -> None:
-    """What fills until now, and who gets it, goes by the old figures."""
+    """Refill and serve ledgers of changed plans by the old plans, up to `now_ms`. `plans`: the new ones."""
     if not quota.context.has_successor:
         ledgers = quota.owner.ledgers
         changed = [key for key, ledger in ledgers.items() if plans.get(ledger.plan.name) is not ledger.plan]
@@ -64,20 +67,21 @@
 
 
 class IndexTranslation:
-    """Classes and plans under other settings: messages name them by their indexes."""
+    """Translation of the class and plan indexes in quota messages from old settings to new ones."""
 
     def __init__(self, before: Settings, after: Settings) -> None:
         class_index = {request_class.name: index for index, request_class in enumerate(after.classes)}
         plan_index = {plan.name: index for index, plan in enumerate(after.plans)}
         self.class_to = [class_index.get(request_class.name) for request_class in before.classes]
         self.plan_to = [plan_index.get(plan.name) for plan in before.plans]
-        # What was spent or is returned counts also where its class is gone: a slot is then held for the
-        # longest.
+        # Units spent or returned are counted even if their class was removed; the class with the longest
+        # latency objective takes its place, so that a slot is not released too early.
         objectives = [request_class.latency_objective_ms for request_class in after.classes]
         self._longest = max(range(len(objectives)), key=objectives.__getitem__)
 
     def translate(self, messages: list[QuotaMessage]) -> list[QuotaMessage]:
-        """The messages under the new indexes; those that mean nothing any more are left out."""
+        """The messages with new indexes, without messages of removed plans and grant requests of removed
+        classes."""
         translated = []
         for message in messages:
             plan, request_class = self.plan_to[message.plan_index], self.class_to[message.class_index]
@@ -94,8 +98,10 @@
     max_messages: int,
     send_now: Callable[[int, list[QuotaMessage]], None],
 ) -> None:
-    """All that waits to be sent goes by the new indexes. What names a plan that is gone is sent at once, by
-    the old ones, in packets of so many messages."""
+    """Translate the indexes of all messages that wait to be sent and of all requests queued in ledgers.
+
+    Messages of removed plans are sent at once with their old indexes, by calling `send_now` with a gateway
+    and at most `max_messages` messages."""
     outbox = quota.outbox
     for gateway, messages in outbox.waiting.items():
         dropped = [message for message in messages if translation.plan_to[message.plan_index] is None]
@@ -108,13 +114,14 @@
         gateway: [(ms, new) for ms, message in rows for new in translation.translate([message])]
         for gateway, rows in quota.requester.unconfirmed.items()
     }
-    for ledger in quota.owner.ledgers.values():  # of those whose plan goes nobody waits any more
+    for ledger in quota.owner.ledgers.values():  # queues of removed plans are empty: deny_dropped ran before
         for pending in ledger.queue:
             (pending.message,) = translation.translate([pending.message])
 
 
 def move_ledgers(quota: QuotaManager, timers: TimerQueue, now_ms: float, plans: Mapping[str, Plan]) -> None:
-    """Ledgers go by their plan's new index and figures; those of plans that are gone are kept apart."""
+    """Move ledgers to the new indexes and values of their plans; ledgers of removed plans are moved to
+    `owner.detached`."""
     owner, plan_index = quota.owner, quota.context.plan_index
     if not owner.detached and all(
         plans.get(ledger.plan.name) is ledger.plan
@@ -135,7 +142,8 @@
 
 
 class _Moved:
-    """The ledgers under their new keys, and which of them have other figures."""
+    """Result of moving an owner's ledgers to changed plans: `ledgers` by new key, `new_keys` by old key, and
+    the new keys of the ledgers whose plan has `changed`."""
 
     def __init__(
         self, owner: QuotaOwner, now_ms: float, plans: Mapping[str, Plan], plan_index: Mapping[str, int]
@@ -161,8 +169,8 @@
 
 
 def change_ledger_plan(owner: QuotaOwner, ledger: QuotaLedger, plan: Plan, now_ms: float) -> None:
-    """Other figures for a ledger. For the time since it was filled last the lower of both count, and units
-    above the new burst are gone."""
+    """Replace the plan of a ledger. The time since its last refill counts with the lower rates and bursts of
+    both plans; units above the new burst are dropped."""
     before = ledger.plan
     elapsed_s = max(0.0, (now_ms - ledger.updated_ms) / MS_PER_S)
     rate = min(before.rate_per_s, plan.rate_per_s)
@@ -172,7 +180,8 @@
     ledger.withheld_units = min(plan.burst, ledger.withheld_units)
     rate = min(before.hard_limit_per_s, plan.hard_limit_per_s) * hard_limits.OWNER_RATIO
     burst = min(before.hard_limit_burst, plan.hard_limit_burst) * hard_limits.OWNER_RATIO
-    units = ledger.hard_limit_units if before.hard_limit_per_s else 0.0  # without one it is only counted down
+    # Without a hard limit hard_limit_units is only decremented, so its value is not used
+    units = ledger.hard_limit_units if before.hard_limit_per_s else 0.0
     units = max(units, min(burst, units + rate * elapsed_s))
     ledger.hard_limit_units = min(plan.hard_limit_burst * hard_limits.OWNER_RATIO, units)
     ledger.demand_units *= math.exp(-elapsed_s * MS_PER_S / DEMAND_MEMORY_MS)
--- a/plumpick/policy/quota/records.py
+++ b/plumpick/policy/quota/records.py
@@ -1,4 +1,4 @@
-"""Records of quotas. Owners: QuotaRequester (accounts) and QuotaOwner (ledgers)."""
+"""Data classes of quota state: accounts, modified by QuotaRequester, and ledgers, modified by QuotaOwner."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 
 @dataclass(slots=True, eq=False)
 class CustomerAccount:
-    """One customer at this gateway."""
+    """Local quota state of one customer and plan at a requesting gateway."""
 
     plan: Plan
     customer_tag: int
     gateway_set_size: int
-    owner: int  # the gateway of its set that keeps its ledger
-    updated_ms: float
-    local_units: float = 0.0  # this gateway's own bucket; below 0 after units spent without a grant
-    hard_limit_units: float = 0.0  # in this gateway's part of the hard limit
-    hard_limit_ratio: float = 0.0  # that part, of the whole
-    demand_units: float = 0.0  # fading sum of the units asked of this gateway
-    set_demand_per_s: float = 0.0  # units asked of the whole set, as the owner told it last
-    set_demand_ms: float = -math.inf
-    last_set_demand_per_s: float = 0.0  # the same, kept for longer
-    last_set_demand_ms: float = -math.inf
-    requests_in_flight: int = 0  # admitted and not ended
+    owner: int  # number of the gateway that keeps the customer's ledger
+    updated_ms: float  # time of the last refill
+    local_units: float = 0.0  # units in the local bucket; negative after units spent without a grant
+    hard_limit_units: float = 0.0  # units left in this gateway's part of the hard limit
+    hard_limit_ratio: float = 0.0  # this gateway's part as a fraction of the hard limit
+    demand_units: float = 0.0  # units requested at this gateway, exponentially decayed sum
+    set_demand_per_s: float = 0.0  # demand at the whole set, from the owner's last reply; 0 if outdated
+    set_demand_ms: float = -math.inf  # time of that reply
+    last_set_demand_per_s: float = 0.0  # demand at the whole set, from the owner's last reply, never reset
+    last_set_demand_ms: float = -math.inf  # time of that reply
+    requests_in_flight: int = 0  # number of admitted requests that have not ended
 
 
 @dataclass(slots=True, eq=False)
 class PendingGrant:
-    """A request for a grant that waits at the quota owner."""
+    """A grant request that waits at the quota owner."""
 
     key: GrantKey
     message: QuotaMessage
@@ -67,24 +67,23 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaLedger:
-    """One customer's units, at its quota owner."""
+    """Units of one customer and plan, kept at the customer's quota owner."""
 
     plan: Plan
     units: float
     updated_ms: float
-    hard_limit_units: float = 0.0  # the owner's part of the hard limit
-    demand_units: float = 0.0  # fading sum of the units that the whole set asked for
+    hard_limit_units: float = 0.0  # units left in the owner's part of the hard limit
+    demand_units: float = 0.0  # units requested at the whole set, exponentially decayed sum
     queue: list[PendingGrant] = field(default_factory=list)
-    slots: dict[GrantKey, float] = field(default_factory=dict)  # of max_in_flight: taken, until when
-    settled: dict[GrantKey, float] = field(
-        default_factory=dict
-    )  # granted, or spent without a grant, and when
-    returned: set[GrantKey] = field(default_factory=set)  # of these, not to be returned once more
-    spent: set[GrantKey] = field(default_factory=set)  # of these, told as spent without a grant
+    slots: dict[GrantKey, float] = field(default_factory=dict)  # occupied slots of max_in_flight: expiry time
+    # Requests granted, or spent without a grant: time of the charge
+    settled: dict[GrantKey, float] = field(default_factory=dict)
+    returned: set[GrantKey] = field(default_factory=set)  # settled requests whose next return is not credited
+    spent: set[GrantKey] = field(default_factory=set)  # settled requests reported as spent without a grant
     members: tuple[int, ...] = ()  # the other gateways of the customer's set
-    requesters: dict[int, float] = field(default_factory=dict)  # of them, who asked, and when last
-    withheld_units: float = 0.0  # not granted, since members are unreachable that spend by parts of their own
-    next_serve_ms: float = math.inf
+    requesters: dict[int, float] = field(default_factory=dict)  # time of each member's last grant request
+    withheld_units: float = 0.0  # units not granted because unreachable members may be spending them
+    next_serve_ms: float = math.inf  # time of the scheduled LEDGER timer
     created_ms: float = 0.0
-    prior_demand_per_s: float = 0.0  # that its requesters had asked for before they first asked here
-    initial_ratio: float = 1.0  # the part of its burst that it is taken to have begun with
+    prior_demand_per_s: float = 0.0  # demand at its requesters before their first message to this ledger
+    initial_ratio: float = 1.0  # fraction of the burst that the ledger started with, given prior_demand_per_s
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -1,8 +1,8 @@
-"""A gateway that spends customers' units: from its own small bucket, by grants of the quota owner, or, while
-the owner is unreachable, without a grant from its own part (unconfirmed spend).
+"""The requesting side of quotas: a gateway charges a request's units to a small local bucket, or to a grant
+of the quota owner, or, while the owner is unreachable, to its own part of the quota without a grant
+(unconfirmed spend).
 
-When an owner does not answer, GRANT_ATTEMPTS requests go out before its customers live by this gateway's
-parts."""
+An owner counts as unresponsive after GRANT_ATTEMPTS grant requests without a reply."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
 from plumpick.policy.settings import Plan
 from plumpick.policy.timers import TimerKind, TimerQueue
 
-LOCAL_BURST_RATIO = 0.03  # of the burst, that all own buckets hold together: the owner may grant it as well
-DEMAND_MAX_AGE_MS = 2 * DEMAND_MEMORY_MS  # after which nothing counts as heard of a set's demand
-UNCONFIRMED_DEMAND_MAX_AGE_MS = 30_000.0  # the same for units spent without a grant
+# Capacity of all local buckets together as a fraction of the burst; kept low, as the owner may grant it again
+LOCAL_BURST_RATIO = 0.03
+DEMAND_MAX_AGE_MS = 2 * DEMAND_MEMORY_MS  # age after which the set's demand reported by the owner is ignored
+UNCONFIRMED_DEMAND_MAX_AGE_MS = 30_000.0  # maximum age of that demand when it limits unconfirmed spend
 
 INITIAL_ROUND_TRIP_MS = 60.0
-ROUND_TRIP_GAIN = 0.05
-GRANT_TIMEOUT_RATIO = 2.5  # times the usual round trip
+ROUND_TRIP_GAIN = 0.05  # weight of a new measurement in the average round trip
+GRANT_TIMEOUT_RATIO = 2.5  # timeout of a grant request in average round trips
 MIN_GRANT_TIMEOUT_MS = 100.0
 GRANT_ATTEMPTS = 3
-MAX_GRANT_WAIT_RATIO = 0.4  # of the objective, after which an owner that has not answered is unresponsive
-CUSTOMER_INBOX_RATIO = 0.5  # of an owner's inbox, that one customer's requests may fill;
-CUSTOMER_RATE_RATIO = 2.0  # or so many times its quota
-
-# for so long an owner is told again what was spent while it was unreachable
-UNCONFIRMED_MAX_AGE_MS = 10_000.0
-MAX_UNCONFIRMED = 256  # messages for each owner
-USED_MEMORY_MS = 5000.0  # for which a used grant is remembered against its repetition
+MAX_GRANT_WAIT_RATIO = 0.4  # fraction of the latency objective after which no further grant request is sent
+CUSTOMER_INBOX_RATIO = 0.5  # fraction of an owner's inbox that grant requests of one customer may use
+CUSTOMER_RATE_RATIO = 2.0  # multiple of its quota that a customer may request even beyond that fraction
+
+UNCONFIRMED_MAX_AGE_MS = 10_000.0  # age up to which unconfirmed spend is reported to an owner that is back
+MAX_UNCONFIRMED = 256  # maximum number of such messages for each owner
+USED_MEMORY_MS = 5000.0  # time for which a used grant is remembered to recognize a duplicate grant
 MAX_SERIAL = 0xFFFF
-IDLE_MS = 8000.0  # after which an account may be forgotten
+IDLE_MS = 8000.0  # time without requests after which an account may be evicted
 
 
 class QuotaRequester:
-    """Accounts of the customers that this gateway serves. Bound: those with requests of late."""
+    """Accounts of the customers that this gateway serves; accounts without recent requests are evicted."""
 
     def __init__(
         self,
@@ -56,8 +56,8 @@
         on_reply: Callable[[Request, bool], None],
         on_denied: Callable[[Request], None],
     ) -> None:
-        """`on_reply`: the owner has granted a request, or queued it; `on_denied`: it will not be granted in
-        time."""
+        """`on_reply` is called when the owner has granted (True) or queued (False) a request, `on_denied`
+        when the owner cannot grant it in time."""
         self.context = context
         self.messenger = messenger
         self.liveness = liveness
@@ -70,18 +70,17 @@
         self.accounts: dict[AccountKey, CustomerAccount] = {}
         self.unvisited_accounts: list[AccountKey] = []
         self.pending: dict[int, Request] = {}  # by serial number
-        self.used_ms: dict[int, float] = {}  # requests that ended having used their units, by serial number
-        self.unconfirmed: dict[
-            int, list[tuple[float, QuotaMessage]]
-        ] = {}  # spent while an owner was unreachable
+        self.used_ms: dict[int, float] = {}  # end times of requests that used their units, by serial number
+        # Units spent while an owner was unresponsive, by owner: time of the spend, and LATE message
+        self.unconfirmed: dict[int, list[tuple[float, QuotaMessage]]] = {}
 
     # -- accounts
 
     def account_of(self, now_ms: float, received: RequestReceived, plan: Plan) -> CustomerAccount:
-        """The customer's account, its buckets filled for the time gone by.
+        """The account of a request's customer, with its buckets refilled up to `now_ms`; created if missing.
 
-        What a request says of its customer's plan and set is part of the key: one that says otherwise must
-        not bind the others."""
+        The plan and the gateway set that a request states are part of the key, so that a request with wrong
+        values does not affect others of the customer."""
         key = received.customer, plan.name, received.gateway_set_size, received.first_gateway
         account = self.accounts.get(key)
         if account is None:
@@ -104,12 +103,13 @@
         return account
 
     def _fill(self, now_ms: float, account: CustomerAccount, plan: Plan, elapsed_s: float) -> None:
-        """Fill the own bucket by this gateway's part of the set's demand, and the part of the hard limit."""
+        """Refill the local bucket, in proportion to this gateway's part of the set's demand, and this
+        gateway's part of the hard limit."""
         is_unreachable = account.owner in self.liveness.unresponsive_owners and (
             self.liveness.is_unreachable(now_ms, account.owner)
         )
         if is_unreachable or now_ms - account.set_demand_ms > DEMAND_MAX_AGE_MS:
-            account.set_demand_per_s = 0.0  # nothing is heard: the even part serves
+            account.set_demand_per_s = 0.0  # unknown: the bucket refills by the even part
         own_demand_per_s = account.demand_units * MS_PER_S / DEMAND_MEMORY_MS
         if account.set_demand_per_s:
             part = min(1.0, own_demand_per_s / account.set_demand_per_s)
@@ -117,13 +117,14 @@
             part = 1 / account.gateway_set_size
         filled = account.local_units + plan.rate_per_s * part * elapsed_s
         account.local_units = min(plan.burst * LOCAL_BURST_RATIO * part, filled)
-        # Divided for good, and empty at first: a restart cannot grant again what was spent.
+        # Parts of the hard limit are static and start empty, so a restart cannot grant spent units again.
         burst = plan.hard_limit_burst * account.hard_limit_ratio
         filled_limit = plan.hard_limit_per_s * account.hard_limit_ratio * elapsed_s
         account.hard_limit_units = min(burst, account.hard_limit_units + filled_limit)
 
     def hard_limit_ratio(self, account: CustomerAccount, first_gateway: int) -> float:
-        """This gateway's part of a customer's hard limit, without the owner. `first_gateway`: of its set."""
+        """Fraction of a customer's hard limit that this gateway may spend without a grant. `first_gateway`:
+        first gateway of the customer's set."""
         settings = self.context.settings
         place_in_set = (settings.gateway_number - first_gateway) % settings.gateway_count
         owner_place = owner_position(account.customer_tag, account.gateway_set_size)
@@ -134,8 +135,8 @@
     def change_plan(
         self, now_ms: float, account: CustomerAccount, first_gateway: int, elapsed_s: float
     ) -> tuple[float, Plan]:
-        """For how long an account's buckets fill now and by which plan, where the settings may have changed
-        since its customer asked last."""
+        """Update an account's plan after a change of settings. Returns the time in seconds to refill its
+        buckets for (`elapsed_s`, limited to the time since the change), and the plan to refill by."""
         index = self.context.plan_index.get(account.plan.name)
         if index is None:
             return 0.0, account.plan
@@ -150,8 +151,8 @@
         return max(0.0, min(elapsed_s, since_change_s)), plan
 
     def forget(self, now_ms: float, open_requests: Iterable[Request]) -> None:
-        """Forget a part of the accounts without requests whose buckets are full: made anew they hold no
-        more."""
+        """Visit a part of the accounts, and evict those without requests whose buckets are full: a new
+        account holds no more."""
         open_accounts = {id(request.account) for request in open_requests}
         for key in next_part(self.accounts, self.unvisited_accounts):
             account = self.accounts[key]
@@ -174,10 +175,11 @@
     # -- spending
 
     def request_units(self, now_ms: float, request: Request) -> bool:
-        """Whether a request may go on now. Where the bucket here lacks units, its owner is asked."""
+        """Charge a request's units to the local bucket, or send a grant request to the owner if the bucket
+        lacks units. Returns whether the request may proceed now."""
         account, plan, units = request.account, request.plan, request.received.units
         if not (plan.rate_per_s or plan.max_in_flight or plan.hard_limit_per_s):
-            return True  # nothing is counted
+            return True  # the plan has no limits
         is_local = plan.rate_per_s and not plan.max_in_flight and units <= account.local_units
         if is_local and self.spend_local(now_ms, request):
             return True
@@ -186,11 +188,12 @@
         return False
 
     def _may_ask_owner(self, account: CustomerAccount, plan: Plan) -> bool:
-        """Whether this request is among those that the owner is asked for.
+        """Whether a grant request is sent for this request; decided at random for customers of high demand.
 
-        Requests that an owner's inbox cannot take are lost there with everyone else's. Of a customer that
-        asks for more than its part of the inbox and than its rate, only so many are sent, chosen at random,
-        as the owner can receive; the others wait and are rejected at their first attempt's deadline."""
+        Messages beyond the rate of an owner's inbox are dropped there, along with those of other customers.
+        If a customer's demand exceeds both its part of the inbox and CUSTOMER_RATE_RATIO times its rate, only
+        the number of grant requests that the owner can receive is sent. The other requests wait and are
+        rejected at their first attempt's deadline."""
         settings = self.context.settings
         inbox_per_s = CUSTOMER_INBOX_RATIO * settings.peer_inbox_per_s
         received_per_s = max(inbox_per_s, CUSTOMER_RATE_RATIO * plan.rate_per_s)
@@ -199,8 +202,8 @@
         return self.rng.random() * account.set_demand_per_s <= received_per_s
 
     def spend_local(self, now_ms: float, request: Request) -> bool:
-        """Spend from the buckets here, where this gateway's part of the hard limit allows; the owner is
-        told."""
+        """Charge a request's units to the local bucket and notify the owner. Returns False, with nothing
+        charged, if this gateway's part of the hard limit lacks units."""
         account, units = request.account, request.received.units
         if request.plan.hard_limit_per_s and units > account.hard_limit_units:
             return False
@@ -211,7 +214,7 @@
         return True
 
     def request_grant(self, now_ms: float, request: Request) -> None:
-        """Ask the owner, and look again if it does not answer."""
+        """Send a grant request to the owner, and set a timer for its reply."""
         request.grant_requests += 1
         request.grant_requested_ms = now_ms
         is_retry = request.received.is_client_retry
@@ -231,10 +234,11 @@
         return request.received_ms + MAX_GRANT_WAIT_RATIO * request.request_class.latency_objective_ms
 
     def on_grant_timeout(self, now_ms: float, request: Request) -> bool:
-        """The owner has not answered: ask again, then spend without a grant, one request of a customer at a
-        time. Returns whether the request may go on."""
+        """Handle a missing reply of the owner: send another grant request or, after the last one, mark the
+        owner unresponsive and spend without a grant while the local bucket is not negative. Returns whether
+        the request may proceed."""
         if request.owner_has_replied:
-            return False  # it is queued there
+            return False  # queued at the owner
         account = self.account_of(now_ms, request.received, request.plan)
         may_ask_again = request.grant_requests < GRANT_ATTEMPTS and now_ms < self._last_grant_wait_ms(request)
         if may_ask_again and account.owner not in self.liveness.unresponsive_owners:
@@ -251,14 +255,15 @@
         return self.spend_local(now_ms, request)
 
     def _exceeds_last_demand(self, now_ms: float, account: CustomerAccount, plan: Plan) -> bool:
-        """Of a customer that asked for more than its quota when its owner was heard, only so many go on as
-        its quota is of that."""
+        """Whether a request is held back from unconfirmed spend, since the customer's demand exceeded its
+        quota at the owner's last reply; decided at random, so that the fraction quota / demand proceeds."""
         if not now_ms - account.last_set_demand_ms < UNCONFIRMED_DEMAND_MAX_AGE_MS:
             return False
         return self.rng.random() * account.last_set_demand_per_s > (plan.rate_per_s or math.inf)
 
     def notify_owner(self, now_ms: float, kind: QuotaMessageKind, request: Request) -> None:
-        """Send a message about a request to its owner. Of a plan that was dropped nobody has a ledger."""
+        """Send a message about a request to the customer's owner; nothing is sent if its plan was removed
+        from the settings, as no gateway has a ledger for it."""
         account, plan_index = request.account, self.context.plan_index.get(request.plan.name)
         if plan_index is None:
             return
@@ -271,7 +276,8 @@
             request.grant_serial,
             request.received.units,
             account.demand_units * MS_PER_S / DEMAND_MEMORY_MS,
-            self.context.class_index.get(request.request_class.name, 0),  # what is returned is of any class
+            # A class removed from the settings occurs in RETURNED messages only, whose class does not matter
+            self.context.class_index.get(request.request_class.name, 0),
             plan_index,
             account.gateway_set_size,
         )
@@ -282,14 +288,15 @@
             self.unconfirmed[account.owner] = [*waiting[1 - MAX_UNCONFIRMED :], again]
 
     def on_owner_heard(self, now_ms: float, owner: int) -> None:
-        """A gateway has sent us something: it is told again what was spent while it was unreachable."""
+        """Handle a message of any gateway: it is responsive again as an owner, and is sent the units spent
+        while it was not (LATE), up to UNCONFIRMED_MAX_AGE_MS."""
         self.liveness.unresponsive_owners.discard(owner)
         for sent_ms, message in self.unconfirmed.pop(owner, ()):
             if now_ms - sent_ms <= UNCONFIRMED_MAX_AGE_MS:
                 self.messenger.send(now_ms, owner, message)
 
     def on_request_end(self, now_ms: float, request: Request) -> None:
-        """A request has ended: what it was charged and did not use is returned, and its slot is free."""
+        """Handle the end of a request: return units charged but not used, and release its slot."""
         self.pending.pop(request.grant_serial, None)
         if not request.units_charged:
             return
@@ -299,7 +306,7 @@
             self.notify_owner(now_ms, QuotaMessageKind.RETURNED, request)
 
     def _remember_used(self, now_ms: float, serial: int) -> None:
-        self.used_ms.pop(serial, None)  # the newest last, also when the numbers have come round
+        self.used_ms.pop(serial, None)  # keeps insertion order by time after serial numbers wrap around
         self.used_ms[serial] = now_ms
         while now_ms - next(iter(self.used_ms.values())) > USED_MEMORY_MS:
             del self.used_ms[next(iter(self.used_ms))]
@@ -307,11 +314,11 @@
     # -- replies
 
     def on_owner_reply(self, now_ms: float, sender: int, message: QuotaMessage) -> None:
-        """The owner has granted, queued or denied a request."""
+        """Handle a reply of an owner that has granted, queued or denied a request."""
         request = self.pending.get(message.serial)
         if request is None or not self._is_about(request, sender, message):
-            # It has ended meanwhile. A request sent twice is granted twice; where the first grant was used,
-            # the second is no unit to return.
+            # The request has ended. A grant request sent twice is granted twice; if the first grant was used,
+            # the second grant must not be returned.
             if message.kind is QuotaMessageKind.GRANT and message.serial not in self.used_ms:
                 self.messenger.send(now_ms, sender, message._replace(kind=QuotaMessageKind.RETURNED))
             return
@@ -327,7 +334,7 @@
         elif not request.units_charged:
             is_granted = message.kind is QuotaMessageKind.GRANT
             request.units_charged = request.received.units * is_granted
-            if not request.units_charged:  # the owner drops it then, so nothing is waited for any longer
+            if not request.units_charged:  # queued: the owner drops it when its target wait has passed
                 expires_ms = request.grant_requested_ms + target_wait_ms(request.request_class)
                 self.timers.schedule(expires_ms, TimerKind.GRANT_EXPIRY, request.received.id)
             self.on_reply(request, is_granted)
