--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -1,13 +1,15 @@
-"""The bytes that gateways send each other, at most 256: quota messages and outlier reports.
-
-Version 4. The head holds a digest of the names of classes and plans in their order: an index means nothing to
-a gateway with other names, so its messages are dropped, as those of another version are. An index takes as
-many bytes as the settings need.
-
-Names travel as tags, which may collide. Of 40,000 customers two share a tag with a chance of 3 in a million;
-an owner of both takes them for one, if their plan is the same as well. The tags are no secret: who may choose
-names can make two collide. Of 5,900 endpoints two share one with a chance of 0.4 %; of such a pair no peer's
-report counts (endpoints_by_tag). An endpoint that the sender knows and we do not yet may share one with ours.
+"""Codec of the datagrams between gateways, at most 256 bytes each: quota messages and outlier reports.
+
+Protocol version 4. The header holds a digest of the names of classes and plans in order. An index of a class
+or plan has no meaning to a gateway with other names, so datagrams with another digest are dropped, as are
+those of another version. An index takes as many bytes as the number of classes and plans requires.
+
+Customers and endpoints are sent as tags (hashes of their names), which may collide. Among 40,000 customers
+two share a tag with a probability of 3 in a million; a quota owner of both treats them as one customer if
+their plan is the same too. Tags are not secret: whoever can choose names can produce a collision. Among 5,900
+endpoints two share a tag with a probability of 0.4 %; peers' reports on such a pair are ignored
+(endpoints_by_tag). A report on an endpoint that the receiver does not know yet may be attributed to a known
+endpoint with the same tag.
 """
 
 from __future__ import annotations
@@ -29,55 +31,56 @@
 VERSION = 4
 MAX_OUTLIER_REPORTS = 4
 MAX_ENCODED_SET_SIZE = 15
-UNITS_SCALE = 16  # a unit, and one a second, in the numbers sent
-CAPACITY_SCALE = 64
+UNITS_SCALE = 16  # encoded value of one unit, and of one unit per second
+CAPACITY_SCALE = 64  # encoded value of a capacity of 1
 MAX_NUMBER = 0xFFFF
 TAG_LOW_BITS = 32
 _TAG_LOW_MASK = 0xFFFFFFFF
 _HEAD = "<BIHHB"  # version, digest of names, incarnation, capacity, number of quota messages
-_QUOTA_MESSAGE = "<BIHHHH"  # kind and set size, tag (low, high), serial, units, demand; then both indexes
+_QUOTA_MESSAGE = "<BIHHHH"  # kind and set size, tag (low, high), serial, units, demand; then class and plan
 _OUTLIER_REPORT = "<I"  # endpoint tag; then class and grade
 _KIND_SHIFT = 4
 _SET_SIZE_MASK = 15
-_GRADES = 16  # of an outlier report
+_GRADES = 16  # number of grades of an outlier report
 _FAILED_GRADE = 15
-_USUAL_GRADE = 4  # as fast as usual; two grades for each doubling
+_USUAL_GRADE = 4  # grade of the usual latency
 _GRADES_PER_DOUBLING = 2
 _MIN_LATENCY_RATIO = 0.25
 _MAX_LATENCY_RATIO = 32.0
 
 
 class QuotaMessageKind(IntEnum):
-    """What a quota message says."""
+    """Kind of a quota message, between a requesting gateway and a quota owner."""
 
-    GRANT_REQUEST = 1  # to the owner: may so many units be spent?
-    GRANT = 2  # from the owner: they may
-    QUEUED = 3  # from the owner: not yet
-    SPENT = 4  # to the owner: they were spent without a grant
-    RETURNED = 5  # to the owner: not used, or no longer in flight
-    RETRY_GRANT_REQUEST = 6  # a GRANT_REQUEST for a client's retry
-    DENIED = 7  # from the owner: not in any time that is of use
-    LATE = 8  # to the owner: a SPENT once more, since it may not have been heard
+    GRANT_REQUEST = 1  # to the owner: request to spend units
+    GRANT = 2  # from the owner: the units are granted
+    QUEUED = 3  # from the owner: the request waits for units
+    SPENT = 4  # to the owner: units were spent without a grant
+    RETURNED = 5  # to the owner: units were not used, or a request is no longer in flight
+    RETRY_GRANT_REQUEST = 6  # to the owner: a GRANT_REQUEST for a client's retry
+    DENIED = 7  # from the owner: the units cannot be granted in time
+    LATE = 8  # to the owner: a SPENT repeated, as the owner was unreachable when it was sent
 
 
 _KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
 
 
 class QuotaMessage(NamedTuple):
-    """One message about the units of one request."""
+    """A quota message about the units of one request."""
 
     kind: QuotaMessageKind
     customer_tag: int
     serial: int
     units: float
-    demand_per_s: float  # units asked of the sender; from an owner, of the whole set
+    demand_per_s: float  # customer's demand at the sender; from an owner, at the whole gateway set
     class_index: int
     plan_index: int
-    gateway_set_size: int = 1  # of the customer; 0 where it is over MAX_ENCODED_SET_SIZE
+    gateway_set_size: int = 1  # size of the customer's gateway set; decoded as 0 above MAX_ENCODED_SET_SIZE
 
 
 class OutlierReport(NamedTuple):
-    """How one attempt at an endpoint went at the sender."""
+    """Latency or failure of one attempt at an endpoint, as observed by the sending gateway; `grade` encodes
+    the ratio to the usual latency."""
 
     endpoint_tag: int
     class_index: int
@@ -85,16 +88,17 @@
 
 
 class PeerMessage(NamedTuple):
-    """All that one datagram holds."""
+    """Decoded content of one datagram."""
 
     incarnation: int
-    capacity: float  # of the sender's concurrency limit
+    capacity: float  # capacity of the sender's concurrency limit
     quota_messages: tuple[QuotaMessage, ...]
     outlier_reports: tuple[OutlierReport, ...]
 
 
 def outlier_report(endpoint_id: str, class_index: int, latency_ratio: float) -> OutlierReport:
-    """What was seen of an endpoint: the latency against the usual one, or inf for a failure."""
+    """Report on an attempt at an endpoint. `latency_ratio`: ratio to the usual latency, inf for a failure;
+    other values are limited to _MIN_LATENCY_RATIO and _MAX_LATENCY_RATIO and rounded to a grade."""
     if latency_ratio == math.inf:
         return OutlierReport(endpoint_tag(endpoint_id), class_index, _FAILED_GRADE)
     bounded = max(_MIN_LATENCY_RATIO, min(_MAX_LATENCY_RATIO, latency_ratio))
@@ -103,53 +107,56 @@
 
 
 def latency_ratio_of(report: OutlierReport) -> float:
-    """The latency against the usual one that a report tells, inf for a failure."""
+    """Ratio to the usual latency that a report states; inf for a failure."""
     if report.grade == _FAILED_GRADE:
         return math.inf
     return 2 ** ((report.grade - _USUAL_GRADE) / _GRADES_PER_DOUBLING)
 
 
 def customer_tag(customer: str) -> int:
-    """A short stand-in for a customer's name, 48 bits; the same at every gateway. The lower 32 are those of
-    version 3, by which quota owners go: a rolling upgrade moves no owner, so that no customer has two."""
+    """48-bit hash of a customer's name, the same at every gateway.
+
+    The lower 32 bits are the tag of protocol version 3 and determine the quota owner, so that no customer has
+    two owners during a rolling upgrade."""
     name = customer.encode()
     high = int.from_bytes(hashlib.blake2b(name, digest_size=2).digest(), "little")
     return high << TAG_LOW_BITS | zlib.crc32(name)
 
 
 def owner_position(tag: int, set_size: int) -> int:
-    """The place of a customer's quota owner in its set of gateways."""
+    """Position of a customer's quota owner in the gateway set, from the customer's tag."""
     return (tag & _TAG_LOW_MASK) % set_size
 
 
 def endpoint_tag(endpoint_id: str) -> int:
-    """A short stand-in for an endpoint's id, 32 bits."""
+    """32-bit hash of an endpoint's id."""
     return zlib.crc32(endpoint_id.encode(errors="surrogatepass"))
 
 
 def endpoints_by_tag(tracked: Mapping[str, T]) -> dict[int, T]:
-    """The endpoints by their tags, without those that share one: a report on it may be on the other."""
+    """The tracked endpoints by tag, without those that share a tag: a report on one could be meant for the
+    other."""
     tags = {name: endpoint_tag(name) for name in tracked}
     holders = Counter(tags.values())
     return {tag: tracked[name] for name, tag in tags.items() if holders[tag] == 1}
 
 
 def _clip(value: float) -> int:
-    """A number as it is sent: rounded, and cut to what two bytes hold."""
+    """A scaled value rounded and limited to an unsigned 16-bit integer; 0 for NaN and negative values."""
     if 0 <= value <= MAX_NUMBER:
         return round(value)
     return MAX_NUMBER if value > 0 else 0
 
 
 def _width(count: int) -> str:
-    """The struct letter of the smallest unsigned number that tells so many apart."""
+    """The struct format character of the smallest unsigned integer with at least `count` distinct values."""
     if count <= 1 << 8:
         return "B"
     return "H" if count <= 1 << 16 else "I"
 
 
 class PeerMessageCodec:
-    """Messages to bytes and back, between gateways of the same classes and plans."""
+    """Encodes and decodes datagrams between gateways with the same classes and plans."""
 
     def __init__(self, settings: Settings) -> None:
         self.class_count = len(settings.classes)
@@ -172,8 +179,10 @@
         quota_messages: list[QuotaMessage],
         outlier_reports: list[OutlierReport],
     ) -> bytes:
-        """The bytes of a message; what it has no space for is left out. Raises ValueError where an index is
-        none of the settings': packed all the same, it would be another class's."""
+        """Encode a datagram; quota messages and outlier reports beyond its size are left out.
+
+        Raises ValueError if an index or a grade is out of range, since the packed value would name another
+        class or plan."""
         quota_messages = quota_messages[: self.max_quota_messages]
         number, count = incarnation & MAX_NUMBER, len(quota_messages)
         parts = [self._head.pack(self.version, self.digest, number, _clip(capacity * CAPACITY_SCALE), count)]
@@ -203,7 +212,7 @@
         return self._outlier_report.pack(report.endpoint_tag, report.class_index * _GRADES + report.grade)
 
     def decode(self, data: bytes) -> PeerMessage | None:
-        """The message in these bytes, or None where they cannot be read."""
+        """Decode a datagram; None if it is malformed, or if its version or digest of names differs."""
         if len(data) < self._head.size or len(data) > MAX_BYTES:
             return None
         version, digest, incarnation, capacity, count = self._head.unpack_from(data)
--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -1,8 +1,9 @@
-"""Quotas in a snapshot: rows of accounts and ledgers, and how they are read.
+"""Export and import of quota state for a snapshot, as rows of accounts and ledgers.
 
-Form 1 had tags of 32 bits and no class names. It is read: an account's tag comes from its customer's name,
-and a ledger waits under the old key for its customer's first message. Requests that wait in it are left out,
-since whoever sent them reads no reply of ours; they are sent again or rejected in time."""
+Snapshot format 1 had 32-bit customer tags and no class names, and can still be imported: an account's tag is
+computed from the customer's name, and a ledger is kept under its old key until the customer's first message.
+Requests queued in such a ledger are dropped, since their senders cannot decode a reply of this version; they
+are sent again or rejected in time."""
 
 from __future__ import annotations
 
@@ -27,16 +28,15 @@
 from plumpick.policy.settings import Plan
 
 PLAN_SNAPSHOT_FIELDS = ("rate_per_s", "burst", "max_in_flight", "hard_limit_per_s", "hard_limit_burst")
-OLD_PLAN_INDEXES = 16  # in a ledger's key of form 1
-GATEWAY_TIMES = (
-    "last_ms",
-    "heard_ms",
-    "told_ms",
-)  # when gateways were heard in this incarnation, of late, and sent to
+OLD_PLAN_INDEXES = 16  # number of plan indexes in a ledger key of snapshot format 1
+# Keys of the tables with a time for each gateway: last message in this incarnation (PeerLiveness), last
+# packet received recently and last packet sent (PeerOutbox)
+GATEWAY_TIMES = ("last_ms", "heard_ms", "told_ms")
 
 
 def prepare_export(quota: QuotaManager, plans: Mapping[str, Plan]) -> None:
-    """From here on another process keeps the ledgers, and nothing fills by a plan that has changed."""
+    """Hand over the ledgers to a hot-restart successor: this process no longer modifies them, and accounts of
+    changed plans adopt the new plan, without a refill for the time before the change."""
     quota.context.has_successor = True
     quota.context.has_sibling = True
     changed_ms = quota.context.plans_changed_ms
@@ -47,18 +47,18 @@
 
 
 def exported_plans(quota: QuotaManager, plans: Mapping[str, Plan]) -> list[Plan]:
-    """The plans in force, and those that were dropped and of which ledgers are not full yet."""
+    """Plans to export: those of the settings, and removed ones that still have ledgers."""
     dropped = {ledger.plan.name: ledger.plan for ledger in quota.owner.detached.values()}
     return [*plans.values(), *dropped.values()]
 
 
 def plan_figures(plan: Plan) -> list[Any]:
-    """What decides whether a plan has changed."""
+    """The values of a plan whose change affects quota state, in the order of PLAN_SNAPSHOT_FIELDS."""
     return snapshot_rows.row_of(plan, PLAN_SNAPSHOT_FIELDS)
 
 
 def export_accounts(quota: QuotaManager) -> list[list[Any]]:
-    """A row for each account: its key and its figures."""
+    """One row for each account: its key, and its values in the order of ACCOUNT_SNAPSHOT_FIELDS."""
     return [
         [list(key), snapshot_rows.row_of(account, ACCOUNT_SNAPSHOT_FIELDS)]
         for key, account in quota.requester.accounts.items()
@@ -66,7 +66,7 @@
 
 
 def export_ledgers(quota: QuotaManager, plan_index: Mapping[str, int]) -> list[list[Any]]:
-    """A row for each ledger. `plan_index`: of the exported plans, by their names."""
+    """One row for each ledger. `plan_index`: index of each exported plan, by its name."""
     owner = quota.owner
     ledgers = [*owner.ledgers.items(), *((key[0], ledger) for key, ledger in owner.detached.items())]
     return [_ledger_row(key, ledger, plan_index[ledger.plan.name]) for key, ledger in ledgers]
@@ -93,7 +93,8 @@
 
 
 def export_times(quota: QuotaManager) -> dict[str, list[list[Any]]]:
-    """When other gateways were heard and sent to, by GATEWAY_TIMES."""
+    """Times of the last messages from and to each gateway, as pairs of gateway and time in ms; keys are
+    GATEWAY_TIMES."""
     tables = quota.liveness.last_heard_ms, quota.outbox.heard_ms, quota.outbox.sent_ms
     return {
         name: [[gateway, ms] for gateway, ms in table.items()]
@@ -101,12 +102,12 @@
     }
 
 
-# -- reading
+# -- import
 
 
 @dataclass(slots=True)
 class QuotaState:
-    """What a snapshot says of quotas, read and not yet in force."""
+    """Quota state parsed from a snapshot, not yet applied; see `import_state`."""
 
     accounts: dict[AccountKey, CustomerAccount]
     ledgers: dict[int, QuotaLedger]
@@ -119,7 +120,9 @@
 def read_state(
     quota: QuotaManager, now_ms: float, snapshot: Mapping[str, Any], is_old_form: bool
 ) -> QuotaState:
-    """Read the rows; raises an error of a lookup, type or value where they cannot be read."""
+    """Parse the quota rows of a snapshot. Raises LookupError, TypeError or ValueError if they are malformed.
+
+    `is_old_form`: the snapshot has format 1."""
     settings = quota.context.settings
     plans = {plan.name: plan for plan in settings.plans}
     figures = {
@@ -170,8 +173,10 @@
 
 
 class _LedgerReader:
-    """Reads ledgers one by one. `class_indexes`: of the classes that there are still, by their indexes
-    then."""
+    """Parses the ledger rows of a snapshot into `ledgers` and, for plans not in the settings, `detached`.
+
+    `plans`: plans of the settings; `figures`: plans with the values of the snapshot; `class_indexes`: current
+    index by index in the snapshot, for classes that still exist; `is_old_form`: the snapshot has format 1."""
 
     def __init__(
         self,
@@ -192,7 +197,8 @@
         self.detached: dict[tuple[int, str], QuotaLedger] = {}
 
     def read(self, row: list[Any], plan_names: list[str]) -> None:
-        """One ledger; of a plan that neither side knows, none."""
+        """Parse one ledger row; a ledger whose plan neither the settings nor the snapshot define is
+        dropped."""
         key, plan_place, figures, members, requesters, settled, returned, spent, slots, queue = row
         plan_name = plan_names[plan_place]
         key = old_key_of(*divmod(int(key), OLD_PLAN_INDEXES)) if self.is_old_form else int(key)
@@ -220,7 +226,8 @@
             change_ledger_plan(self.quota.owner, ledger, plan, self.now_ms)
 
     def _pending(self, row: list[Any], plan_index: int) -> PendingGrant | None:
-        """A request that waits; None where its class is gone. Its plan is its ledger's."""
+        """Parse a queued grant request; None if its class no longer exists. Its plan is that of the
+        ledger."""
         kind, tag, serial, units, demand_per_s, class_index, _, set_size = row[1]
         if class_index not in self.class_indexes:
             return None
@@ -243,7 +250,7 @@
 
 
 def import_state(quota: QuotaManager, state: QuotaState) -> None:
-    """Go on from what was read."""
+    """Replace a gateway's quota state by the state parsed from its predecessor's snapshot."""
     quota.context.has_sibling = True
     quota.requester.accounts = state.accounts
     quota.owner.ledgers = state.ledgers
@@ -259,8 +266,10 @@
 
 
 def resume(quota: QuotaManager, now_ms: float) -> list[int]:
-    """The process that took over has died. What it granted is not known here, so nothing counts as having
-    filled since, and hard limits begin empty, as at a start. Returns the ledgers with requests that wait."""
+    """Take the ledgers back after the hot-restart successor has died.
+
+    The successor's grants are unknown, so nothing refills for the time it was running, and the parts of hard
+    limits start empty, as in a new process. Returns the keys of ledgers with waiting requests."""
     quota.context.has_successor = False
     for account in quota.requester.accounts.values():
         account.local_units = min(0.0, account.local_units)
