--- a/plumpick/policy/dynamic_config/__init__.py
+++ b/plumpick/policy/dynamic_config/__init__.py
@@ -1,4 +1,5 @@
-"""Versioned settings: which version a gateway makes active and when, and what a service of versions answers.
+"""Policy of versioned settings: when a gateway activates which version, and what a version service answers.
 
-No I/O and no clock: plumpick/gateway/dynamic_config/ is a gateway's client, plumpick/tools/ has the service.
+This package has no I/O and reads no clock; plumpick/gateway/dynamic_config/ has the client of a gateway and
+plumpick/tools/ the service.
 """
--- a/plumpick/policy/dynamic_config/delta.py
+++ b/plumpick/policy/dynamic_config/delta.py
@@ -1,9 +1,9 @@
-"""The difference between two settings objects, its application, and the digest of one.
+"""Deltas between two settings objects: computation, application, and the digest of a settings object.
 
-Settings here are the object of the platform's JSON without the keys that are each gateway's own
-(GATEWAY_OWN_KEYS). Rows of `classes` and `packages` are identified by their names, everything else by its top
-key. A delta is only as right as its base: whoever applies one compares the result's digest with the published
-one. All functions raise DeltaError for input that they cannot use, and leave their arguments as they were.
+A settings object is the platform's JSON object without the keys specific to each gateway (GATEWAY_OWN_KEYS).
+Rows of `classes` and `packages` are identified by their names, all other values by their top-level key. A
+delta applied to a wrong base gives wrong settings, so the caller must compare the digest of the result with
+the published digest. All functions raise DeltaError for unusable input, and do not modify their arguments.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from plumpick.policy.dynamic_config.errors import DeltaError
 
-GATEWAY_OWN_KEYS = ("myNumber", "locality")  # from the gateway's own file, never published
-KEYED_LISTS = ("classes", "packages")  # lists whose rows have names
+GATEWAY_OWN_KEYS = ("myNumber", "locality")  # keys set in each gateway's own file and never published
+KEYED_LISTS = ("classes", "packages")  # keys of lists with rows identified by name
 
 SettingsJson = dict[str, Any]
 
 
 def shared_settings(settings: SettingsJson) -> SettingsJson:
-    """The settings without what is each gateway's own."""
+    """Copy of the settings without the keys specific to each gateway."""
     return {key: value for key, value in settings.items() if key not in GATEWAY_OWN_KEYS}
 
 
 def canonical_json(value: Any) -> str:
-    """The one text of a value: keys sorted, no spaces; raises DeltaError."""
+    """Canonical JSON text of a value: keys sorted, no spaces. Raises DeltaError if it has none."""
     try:
         return json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False)
     except (ValueError, TypeError, RecursionError) as problem:
@@ -34,10 +34,10 @@
 
 
 def settings_digest(settings: SettingsJson) -> str:
-    """SHA-256 over the canonical JSON of the shared settings, in hex; raises DeltaError.
+    """SHA-256 of the canonical JSON of the shared settings, in hex; raises DeltaError.
 
-    Row by row: one call for 11,000 rows would hold the interpreter, and with it the event loop, until its
-    end.
+    Rows are encoded one by one, since a single call for 11,000 rows would hold the interpreter lock, and so
+    block the event loop, until it returns.
     """
     sha = hashlib.sha256(b"{")
     for index, key in enumerate(sorted(shared_settings(settings))):
@@ -55,7 +55,7 @@
 
 
 def changes_between(before: SettingsJson, after: SettingsJson) -> dict[str, Any]:
-    """The delta that makes `after` of `before`, in the service's JSON; raises DeltaError."""
+    """The delta from `before` to `after`, as in the service's JSON; raises DeltaError."""
     before = shared_settings(before)
     after = shared_settings(after)
     changes: dict[str, Any] = {"drop": [key for key in before if key not in after], "set": {}, "rows": {}}
@@ -72,8 +72,8 @@
 
 
 def apply_changes(before: SettingsJson, changes: Any) -> SettingsJson:
-    """The settings after the changes; raises DeltaError. `before` stays as it was; unchanged rows are
-    shared."""
+    """The settings that result from applying a delta to `before`; raises DeltaError. `before` is not
+    modified, but the result shares its unchanged rows."""
     try:
         after = shared_settings(before)
         for key in changes["drop"]:
@@ -90,7 +90,7 @@
 
 
 def _rows_by_name(rows: Any) -> dict[str, Any] | None:
-    """Rows by their names, in their order; None where a row has no name or a name is used twice."""
+    """Rows by name, in the same order; None if `rows` is not a list of objects with unique names."""
     if not isinstance(rows, list):
         return None
     by_name = {row["name"]: row for row in rows if isinstance(row, dict) and isinstance(row.get("name"), str)}
@@ -98,12 +98,13 @@
 
 
 def _has_same_json(one: Any, other: Any) -> bool:
-    """Whether both have the same canonical text: 1 and 1.0 do not."""
+    """Whether two values have the same canonical JSON; 1 and 1.0 differ."""
     return one is other or one == other and canonical_json(one) == canonical_json(other)
 
 
 def _row_changes(before: dict[str, Any], after: dict[str, Any]) -> dict[str, Any]:
-    """Rows that are gone, rows changed in their places, new rows with their predecessors, and a new order."""
+    """Delta of a keyed list: names of removed rows (`drop`), changed rows (`put`), new rows with the name of
+    the row before (`new`) and, if the order of the common rows has changed, all names in order (`order`)."""
     changes: dict[str, Any] = {
         "drop": [name for name in before if name not in after],
         "put": [
@@ -122,7 +123,8 @@
 
 
 def _apply_row_changes(before: dict[str, Any], changes: Any) -> list[Any]:
-    """The list of rows after the changes; raises DeltaError, KeyError or TypeError."""
+    """The list of rows that results from applying the delta of a keyed list; raises DeltaError, KeyError or
+    TypeError."""
     rows = dict(before)
     for name in changes["drop"]:
         del rows[name]
@@ -140,12 +142,12 @@
 
 
 def _insert_rows(rows: dict[str, Any], new_rows: Any) -> dict[str, Any]:
-    """All rows by name, each new one behind its predecessor; raises DeltaError."""
+    """All rows by name, with each new row after its predecessor; raises DeltaError."""
     new_by_predecessor = {predecessor: row for predecessor, row in new_rows}
     merged: dict[str, Any] = {}
 
     def insert_behind(predecessor: str | None) -> None:
-        """The chain of new rows behind that one."""
+        """Insert the new row with this predecessor, then the new row after that one, and so on."""
         while predecessor in new_by_predecessor:
             row = new_by_predecessor.pop(predecessor)
             predecessor = row["name"]
--- a/plumpick/policy/dynamic_config/errors.py
+++ b/plumpick/policy/dynamic_config/errors.py
@@ -1,31 +1,32 @@
-"""The errors of versioned settings: all are values that somebody else sent or published."""
+"""Errors of versioned settings, raised for input that a service or a publisher sent."""
 
 from __future__ import annotations
 
 
 class DynamicConfigError(ValueError):
-    """A base for the errors of this package; the text is one line for operators."""
+    """Base class of the errors of this package; the message is one line for operators."""
 
 
 class DeltaError(DynamicConfigError):
-    """Changes that cannot be applied, or settings that have no digest."""
+    """A delta cannot be applied, or a value has no canonical JSON and so no digest."""
 
 
 class InvalidUpdateError(DynamicConfigError):
-    """An answer of a service that is not what it says; it tells nothing about the version."""
+    """A service sent a malformed update, or one that does not result in the digest it states. The version
+    itself may be valid."""
 
 
 class EarlyResponseError(DynamicConfigError):
-    """A service ended a watch without a change long before its time."""
+    """A service ended a watch without a change long before the watch timeout."""
 
 
 class UpdateDeclinedError(DynamicConfigError):
-    """An update that is not worth reading, by what is active, staged or rejected here."""
+    """An update is not parsed, given the versions that are active, staged or rejected at this gateway."""
 
 
 class VersionNotStagedError(DynamicConfigError):
-    """A version that was read and is not staged: outdated meanwhile, or rejected."""
+    """A parsed version is not staged: it is rejected, or no longer newer than the staged version."""
 
 
 class PublishError(DynamicConfigError):
-    """A version that the store does not take."""
+    """A published version is not accepted by the version store."""
--- a/plumpick/policy/dynamic_config/rollout_report.py
+++ b/plumpick/policy/dynamic_config/rollout_report.py
@@ -1,8 +1,8 @@
-"""What several services report together: whether the newest version is active at all gateways, and who lacks
-it.
+"""Rollout report over several services: whether the newest version is active at all gateways, and which
+gateways lack it.
 
-The input is each service's status JSON (`VersionStore.status`). A service that is silent is not in it: the
-caller names it.
+The input is the status JSON of each service (`VersionStore.status`). Services that do not answer are not in
+the input; the caller reports them.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from plumpick.policy.dynamic_config.subscriber import ACTIVATION_DEADLINE_MS, WATCH_GRACE_MS, WATCH_TIMEOUT_MS
 from plumpick.policy.dynamic_config.version_store import SubscriberStatus
 
-UNREACHABLE_AFTER_MS = 6000.0  # a gateway that has not called for so long is named: it calls every 2.5 s
-MAX_NUMBERS_SHOWN = 20
+# Time without a call after which a gateway is reported as unreachable; it normally calls every 2.5 s
+UNREACHABLE_AFTER_MS = 6000.0
+MAX_NUMBERS_SHOWN = 20  # maximum number of gateway numbers listed in one line
 
 ServiceStatus = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutReport:
-    """Lines for operators. `is_complete`: all gateways that are expected have the newest version, as far as
-    it is due by now, and nothing is wrong."""
+    """Report lines for operators. `is_complete`: no problem was found, and every expected gateway has the
+    newest version or still has time to activate it."""
 
     lines: list[str]
     is_complete: bool
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _KnownVersion:
-    """A version by what the services report of it; `published_ms`: where it came first."""
+    """A version as reported by the services; `published_ms`: the earliest publication at any service."""
 
     number: int
     digest: str
@@ -38,7 +39,8 @@
     published_ms: float
 
     def is_due(self, now_ms: float) -> bool:
-        """Whether every gateway should have it: it is reported with the call after its activation."""
+        """Whether every gateway should have reported the version as active, which it does with its first call
+        after the activation."""
         published_long_ago_ms = self.published_ms + ACTIVATION_DEADLINE_MS
         reported_ms = self.activates_at_ms + WATCH_TIMEOUT_MS + WATCH_GRACE_MS
         return now_ms >= max(published_long_ago_ms, reported_ms)
@@ -46,7 +48,7 @@
 
 @dataclass(slots=True)
 class _Findings:
-    """Lines in their order; a problem makes the rollout incomplete."""
+    """Report lines in order, and whether one of them is a problem that makes the rollout incomplete."""
 
     lines: list[str] = field(default_factory=list)
     has_problem: bool = False
@@ -57,7 +59,7 @@
 
 
 def report_rollout(statuses: list[ServiceStatus]) -> RolloutReport:
-    """The report on the newest version that any of these services knows; at least one status is due."""
+    """The report on the newest version that any service knows; `statuses` must not be empty."""
     now_ms = max(status["now_ms"] for status in statuses)
     findings = _Findings()
     versions = _known_versions(statuses, findings)
@@ -78,7 +80,7 @@
 
 
 def _known_versions(statuses: list[ServiceStatus], findings: _Findings) -> dict[int, _KnownVersion]:
-    """All versions by number; two contents under one number are a problem."""
+    """Versions of all services by number; adds a problem for two contents under one number."""
     versions: dict[int, _KnownVersion] = {}
     for status in statuses:
         for number, digest, activates_at_ms, published_ms in status["versions"]:
@@ -94,7 +96,7 @@
 
 
 def _latest_subscribers(statuses: list[ServiceStatus]) -> list[SubscriberStatus]:
-    """Each gateway as it reported last, to whichever service, by name."""
+    """The most recent status of each gateway at any service, sorted by name."""
     latest: dict[str, SubscriberStatus] = {}
     for status in statuses:
         for row in status["watchers"]:
@@ -130,7 +132,7 @@
 def _check_subscriber(
     subscriber: SubscriberStatus, newest: _KnownVersion, now_ms: float, findings: _Findings
 ) -> None:
-    """What one gateway has instead of the newest version, what it rejected, and whether it is unreachable."""
+    """Add findings on one gateway: a version other than the newest, a rejected version, no recent call."""
     name = subscriber.name
     problem = _active_version_problem(subscriber, newest, now_ms)
     if problem:
@@ -145,7 +147,7 @@
 
 
 def _active_version_problem(subscriber: SubscriberStatus, newest: _KnownVersion, now_ms: float) -> str | None:
-    """What is wrong with a gateway's active version; None where it is the newest, or that is not due yet."""
+    """Problem of a gateway's active version; None if it is the newest version or that one is not due yet."""
     active = subscriber.active_version
     if _has_active(subscriber, newest):
         return None
@@ -166,7 +168,7 @@
 def _check_missing_numbers(
     subscribers: list[SubscriberStatus], expected_count: int, findings: _Findings
 ) -> None:
-    """Gateways that never called any service, by their numbers."""
+    """Add a problem for the gateway numbers that have never called any service."""
     called = {subscriber.number for subscriber in subscribers}
     missing = [number for number in range(expected_count) if number not in called]
     if not missing:
--- a/plumpick/policy/dynamic_config/subscriber.py
+++ b/plumpick/policy/dynamic_config/subscriber.py
@@ -1,17 +1,18 @@
-"""One gateway's subscription to its settings: which version is active, which is staged and from when, which
-were rejected and why; what to ask next, of which address and when, and what to report with it.
+"""A gateway's subscription to versioned settings: the active, staged and rejected versions, and the next call
+to a service with its address, time and reported status.
 
-A version becomes active entirely or not at all, and numbers only go up: to go back, the old settings are
-published under a new number. An answer was true when it was sent. It may arrive late, twice or behind a newer
-one, and another may have been staged while it was read: `stage` checks again.
+A version becomes active completely or not at all, and version numbers only increase: for a rollback, the old
+settings are published under a new number. Responses may be delayed, duplicated or reordered, and another
+version may be staged while one is parsed; `stage` therefore checks the number again.
 
-Time. A waiting watch is answered at once when a version is published. A silent watch ends after
-WATCH_TIMEOUT_MS + WATCH_GRACE_MS; then the next address is asked for what there is, within
-RESPONSE_TIMEOUT_MS, and so on: `worst_notification_ms` is the sum. After failures each gateway calls in a
-slot of its own, by its number, within a backoff that doubles, so that 550 gateways whose service died do not
-call at once.
+Timing. A service answers a waiting watch as soon as a version is published. A watch without a response ends
+after WATCH_TIMEOUT_MS + WATCH_GRACE_MS; then the next address is called for an immediate answer, within
+RESPONSE_TIMEOUT_MS, and so on; `worst_notification_ms` is the sum. After failures, each gateway calls in its
+own time slot, given by its number, within an exponential backoff, so that 550 gateways do not call at the
+same time after a failure of their service.
 
-It raises DynamicConfigError for what it refuses; the failure is counted by then, and the caller only logs it.
+Methods raise DynamicConfigError for responses that they decline. The failure is already recorded then, and
+the caller only logs the error.
 """
 
 from __future__ import annotations
@@ -27,24 +28,27 @@
 )
 from plumpick.policy.dynamic_config.updates import OWN_FILE, SettingsVersion, VersionUpdate
 
-ACTIVATION_DEADLINE_MS = 6000.0  # the operators' term, from publishing to active everywhere
+ACTIVATION_DEADLINE_MS = 6000.0  # time allowed by operators from publishing to activation at all gateways
 WATCH_TIMEOUT_MS = 2000.0
-WATCH_GRACE_MS = 500.0  # a watch that is so much late is broken
-RESPONSE_TIMEOUT_MS = 1000.0  # to connect, and for what is answered at once
-IMMEDIATE_WATCH_MS = 1.0  # how long the first watch at an address waits
-BODY_TIMEOUT_MS = 3000.0  # for the rest of a long answer, once it has begun
+WATCH_GRACE_MS = 500.0  # additional time after WATCH_TIMEOUT_MS before a watch counts as failed
+RESPONSE_TIMEOUT_MS = 1000.0  # timeout of connecting, and of a response that needs no waiting
+IMMEDIATE_WATCH_MS = 1.0  # watch timeout of the first call at an address
+BODY_TIMEOUT_MS = 3000.0  # timeout of the rest of a long response after its first bytes
 INITIAL_BACKOFF_MS = 100.0
 MAX_BACKOFF_MS = 2000.0
-MIN_WATCH_INTERVAL_MS = 20.0  # after an update: a service that always has one is not asked in a tight loop
-MAX_UNCHANGED_WATCHES = 10  # at one address; another one may know of a newer version
-MAX_ACTIVATION_DELAY_MS = 86_400_000.0  # a version that is to become active later is rejected
-MAX_REJECTED_VERSIONS = 16  # the lowest number is forgotten first
+# Pause after an update, so that a service with an update for every call is not called in a tight loop
+MIN_WATCH_INTERVAL_MS = 20.0
+# Consecutive watches without a change at one address; then the next one is used, as it may have a newer
+# version
+MAX_UNCHANGED_WATCHES = 10
+MAX_ACTIVATION_DELAY_MS = 86_400_000.0  # maximum time until activation of a version that is not rejected
+MAX_REJECTED_VERSIONS = 16  # maximum number of rejected versions kept; the lowest number is dropped first
 MAX_REASON_CHARS = 200
 
 
 def worst_notification_ms(silent_addresses: int) -> float:
-    """From publishing to notification, where so many addresses in turn are silent and the next one
-    answers."""
+    """Maximum time in ms from publishing to notification if `silent_addresses` consecutive addresses do not
+    answer and the next one does."""
     backoffs = (
         2 * min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2.0**failures) for failures in range(silent_addresses)
     )
@@ -54,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedVersion:
-    """A version that is never made active here, and why: one line."""
+    """A version that this gateway will not activate, by its digest, with a reason of one line."""
 
     digest: str
     reason: str
@@ -62,23 +66,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigWatchRequest:
-    """What to ask, of which address, after how long; and the gateway's own state, reported with it."""
+    """The next call to a service: address, times, base version, and the status of the gateway to report."""
 
     address_index: int
-    delay_ms: float  # before the call
-    watch_timeout_ms: float  # so long the service may wait for a newer version
-    response_timeout_ms: float  # when its answer is overdue
-    since_number: int  # the newest version that is here
-    since_digest: str  # the base for a delta; "": a snapshot is wanted
+    delay_ms: float  # time to wait before the call
+    watch_timeout_ms: float  # maximum time that the service waits for a newer version
+    response_timeout_ms: float  # time after which the call has failed without a response
+    since_number: int  # number of the newest version at this gateway
+    since_digest: str  # digest of the base for a delta; "" to request a snapshot
     active_number: int
     active_digest: str
-    staged_number: int  # 0: none
-    rejected_number: int  # the highest one: neither it nor an older one is wanted; 0: none
+    staged_number: int  # 0 if none
+    rejected_number: int  # highest rejected number; the service sends only newer versions; 0 if none
     rejection_reason: str
 
 
 class Assessment(Enum):
-    """Whether an update is worth reading; the value is the text for operators."""
+    """Result of checking an update against the versions at this gateway; the value is a text for
+    operators."""
 
     WANTED = "read"
     OUTDATED = "an older version, or the one at hand"
@@ -88,8 +93,10 @@
 
 
 class ConfigSubscriber:
-    """One gateway's state. `gateway_number` of `gateway_count` is its slot in a backoff; `address_count`: how
-    many services there are; `rng`: jitter. All times are Unix ms, by the clock that all machines read."""
+    """State of one gateway's subscription.
+
+    `gateway_number` of `gateway_count` determines its time slot in a backoff; `address_count` is the number
+    of services; `rng` draws the jitter. All times are Unix ms of the clock shared by all machines."""
 
     def __init__(
         self,
@@ -100,29 +107,29 @@
         now_ms: float,
     ) -> None:
         self._slot_start_ratio = (gateway_number % max(1, gateway_count)) / max(1, gateway_count)
-        self._slot_ratio = 1 / max(1, gateway_count)  # of a backoff
+        self._slot_ratio = 1 / max(1, gateway_count)  # length of a slot as a fraction of the backoff
         self._address_count = address_count
         self._rng = rng
         self.active = OWN_FILE
         self.staged: SettingsVersion | None = None
-        self.rejected: dict[int, RejectedVersion] = {}  # by number, at most MAX_REJECTED_VERSIONS
+        self.rejected: dict[int, RejectedVersion] = {}  # by number
         self.address_index = gateway_number % address_count
         self.consecutive_failures = 0
-        self.last_response_ms = now_ms  # or the start, before the first response
-        self._unchanged_watches = 0  # at this address, in a row
-        self._may_watch = False  # this address has answered, and a watch may wait there
+        self.last_response_ms = now_ms  # time of the last valid response; start time before the first one
+        self._unchanged_watches = 0  # consecutive watches without a change at the current address
+        self._may_watch = False  # whether the current address has answered, so that a watch may wait there
         self._wants_snapshot = False
-        self._had_update = False  # the last answer brought one
+        self._had_update = False  # whether the last response contained an update
 
     @property
     def newest(self) -> SettingsVersion:
-        """The newest version that is here: the base for a delta."""
+        """The staged version, or the active one if none is staged; the base for a delta."""
         return self.staged or self.active
 
     # -- requests
 
     def next_request(self, now_ms: float) -> ConfigWatchRequest:
-        """The call to make now; draws jitter after a failure."""
+        """The next call to a service; draws jitter for its delay after a failure."""
         delay_ms = self._delay_ms(now_ms)
         watch_timeout_ms = IMMEDIATE_WATCH_MS
         response_timeout_ms = RESPONSE_TIMEOUT_MS
@@ -146,7 +153,8 @@
         )
 
     def _delay_ms(self, now_ms: float) -> float:
-        """The wait before a call: after failures until this gateway's slot in the backoff, with jitter."""
+        """Delay before the next call in ms: after failures, the time to this gateway's slot in the backoff,
+        plus jitter."""
         if not self.consecutive_failures:
             return MIN_WATCH_INTERVAL_MS if self._had_update else 0.0
         doublings = min(self.consecutive_failures - 1, 30)
@@ -157,7 +165,8 @@
     # -- responses
 
     def on_unchanged(self, now_ms: float, request: ConfigWatchRequest, elapsed_ms: float) -> None:
-        """The service has nothing newer. Raises EarlyResponseError where it did not wait for it."""
+        """Record a response without a newer version. Raises EarlyResponseError if the service answered long
+        before the watch timeout."""
         if request.watch_timeout_ms >= WATCH_TIMEOUT_MS and elapsed_ms < WATCH_TIMEOUT_MS / 2:
             self.on_call_failed()
             raise EarlyResponseError("an answer without news before its time")
@@ -167,12 +176,12 @@
             self._use_next_address()
 
     def on_call_failed(self) -> None:
-        """A call failed, or its answer is of no use: another address is next."""
+        """Record a failed call or an unusable response; the next call goes to the next address."""
         self.consecutive_failures += 1
         self._use_next_address()
 
     def on_invalid_update(self) -> None:
-        """An answer is not what it says: a snapshot is wanted, and another address is next."""
+        """Record an invalid update; the next call requests a snapshot from the next address."""
         self._wants_snapshot = True
         self.on_call_failed()
 
@@ -191,7 +200,7 @@
     # -- updates
 
     def assess(self, update: VersionUpdate) -> Assessment:
-        """Whether an update is worth reading."""
+        """Check the number, digest and base of an update against the versions at this gateway."""
         for known in (self.active, self.staged):
             if known is not None and update.number == known.number and update.digest != known.digest:
                 return Assessment.DIGEST_CONFLICT
@@ -204,8 +213,7 @@
         return Assessment.WANTED
 
     def require_wanted(self, update: VersionUpdate) -> None:
-        """Raises UpdateDeclinedError for an update that is not worth reading, which counts as a failed
-        call."""
+        """Raise UpdateDeclinedError, and record a failed call, unless the update is assessed as WANTED."""
         assessment = self.assess(update)
         if assessment is Assessment.WANTED:
             return
@@ -219,9 +227,10 @@
         raise UpdateDeclinedError(f"version {update.number}: {assessment.value}")
 
     def stage(self, now_ms: float, version: SettingsVersion) -> None:
-        """A version that was read and whose settings are good: it becomes active at its time.
+        """Stage a parsed version with valid settings, to be activated at its activation time.
 
-        Raises VersionNotStagedError where it is outdated by now, or to become active too far ahead.
+        Raises VersionNotStagedError if it is no longer newer than the staged or active version, or if its
+        activation time is more than MAX_ACTIVATION_DELAY_MS ahead.
         """
         self._on_version_read(now_ms, version)
         if version.activates_at_ms > now_ms + MAX_ACTIVATION_DELAY_MS:
@@ -229,12 +238,13 @@
         self.staged = version
 
     def reject(self, now_ms: float, version: SettingsVersion, reason: str) -> None:
-        """A version that was read and whose settings are bad: raises VersionNotStagedError."""
+        """Reject a parsed version with invalid settings; always raises VersionNotStagedError."""
         self._on_version_read(now_ms, version)
         self._raise_rejected(version, reason)
 
     def _on_version_read(self, now_ms: float, version: SettingsVersion) -> None:
-        """Another version may have been staged since this one was asked for: raises VersionNotStagedError."""
+        """Record a valid response. Raises VersionNotStagedError if the version is outdated or rejected, as
+        another one may have been staged since the call."""
         self._on_response(now_ms)
         self._wants_snapshot = False
         self._had_update = True
@@ -255,18 +265,18 @@
     # -- activation
 
     def due_version(self, now_ms: float) -> SettingsVersion | None:
-        """The version that has to become active now."""
+        """The staged version if its activation time has come; otherwise None."""
         if self.staged is None or self.staged.activates_at_ms > now_ms:
             return None
         return self.staged
 
     def on_activated(self, version: SettingsVersion) -> None:
-        """The gateway works by that version now."""
+        """Record that the gateway has activated a version."""
         self.active = version
         self._unstage_if_done(version)
 
     def on_activation_failed(self, version: SettingsVersion, reason: str) -> None:
-        """The gateway could not take that version over, and nothing has changed there."""
+        """Reject a version that the gateway could not activate; its active version has not changed."""
         self._reject(version.number, version.digest, reason)
         self._unstage_if_done(version)
 
@@ -277,14 +287,15 @@
             self.staged = None
 
     def is_newer_than_active(self, version: SettingsVersion) -> bool:
-        """Whether a version that the previous process had active is to be made active here, at once and
-        whatever is staged."""
+        """Whether to activate at once, regardless of the staged version, a version that was active in the
+        hot-restart predecessor."""
         return version.number > self.active.number and version.number not in self.rejected
 
     # -- for operators
 
     def status_line(self, now_ms: float) -> str:
-        """One line: what is active, staged and rejected, and since when no service has answered."""
+        """Status line for operators: active, staged and rejected versions, and the time since the last
+        response of a service."""
         active = self.active
         parts = [f"version {active.number} {active.digest[:12] or '(own file)'} in force"]
         if self.staged is not None:
--- a/plumpick/policy/dynamic_config/updates.py
+++ b/plumpick/policy/dynamic_config/updates.py
@@ -1,7 +1,8 @@
-"""A version of the settings, and the update in which a service sends one: as a snapshot or as a delta.
+"""A version of the settings, and the update that transfers it from a service, as a snapshot or as a delta.
 
-`parse_update` checks an update's form, `resolve_update` makes the version of it. Both raise
-InvalidUpdateError, which tells nothing about the version itself: the caller asks elsewhere, for the snapshot.
+`parse_update` validates the form of an update, `resolve_update` computes the version from it. Both raise
+InvalidUpdateError, which does not mean that the version is invalid: the caller requests a snapshot from
+another service.
 """
 
 from __future__ import annotations
@@ -12,12 +13,13 @@
 from plumpick.policy.dynamic_config.delta import SettingsJson, apply_changes, settings_digest, shared_settings
 from plumpick.policy.dynamic_config.errors import DeltaError, InvalidUpdateError
 
-MAX_VERSION_NUMBER = 2**53  # JSON numbers are exact integers up to here
+MAX_VERSION_NUMBER = 2**53  # integers up to this number are exact in JSON
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsVersion:
-    """A version with its settings, which are never changed. Number 0: those of the gateway's own file."""
+    """A version with its settings, which must not be modified. Number 0: the settings of the gateway's own
+    file."""
 
     number: int
     digest: str
@@ -30,25 +32,26 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionUpdate:
-    """A version as a service sends it: its settings (a snapshot), or the changes from a base (a delta)."""
+    """A version as sent by a service: with its settings (snapshot), or with the changes from a base
+    (delta)."""
 
     number: int
     digest: str
     activates_at_ms: float  # Unix ms
-    settings: SettingsJson | None  # None: a delta
+    settings: SettingsJson | None  # settings of a snapshot; None for a delta
     changes: Any = None
     base_number: int = 0
     base_digest: str = ""
 
     def applies_to(self, base: SettingsVersion) -> bool:
-        """Whether it is a snapshot, or a delta of that base."""
+        """Whether the update is a snapshot, or a delta from this base."""
         if self.settings is not None:
             return True
         return (self.base_number, self.base_digest) == (base.number, base.digest)
 
 
 def parse_update(value: Any) -> VersionUpdate:
-    """An update in the service's JSON; raises InvalidUpdateError."""
+    """Parse an update from the service's JSON; raises InvalidUpdateError."""
     if not isinstance(value, dict):
         raise InvalidUpdateError("an answer that is no object")
     activates_at_ms: Any = value.get("in_force_ms")
@@ -68,8 +71,8 @@
 
 
 def resolve_update(update: VersionUpdate, base: SettingsVersion) -> SettingsVersion:
-    """The version that an update makes of its base, with the digest that it names; raises
-    InvalidUpdateError."""
+    """The version that results from an update and its base. Raises InvalidUpdateError if a delta is from
+    another base or cannot be applied, or if the digest of the result differs from the stated one."""
     try:
         if update.settings is not None:
             settings = update.settings
--- a/plumpick/policy/dynamic_config/version_store.py
+++ b/plumpick/policy/dynamic_config/version_store.py
@@ -1,7 +1,8 @@
-"""A service's decisions: which versions are published, what a subscriber is answered, what each one reported.
+"""State of a version service: published versions, responses to subscribers, and the status each one reported.
 
-In memory only. A number is never given to two contents. A service that was restarted knows nothing: its
-subscribers keep what they have, since numbers only go up, and publishing the same version again completes it.
+The state is kept in memory only. A version number never has two contents. After a restart the service has no
+versions: subscribers keep theirs, since version numbers only increase, and publishing the same version again
+restores it.
 """
 
 from __future__ import annotations
@@ -14,26 +15,26 @@
 from plumpick.policy.dynamic_config.errors import DeltaError, InvalidUpdateError, PublishError
 from plumpick.policy.dynamic_config.updates import OWN_FILE, SettingsVersion, parse_update, resolve_update
 
-MAX_VERSIONS = 64  # the lowest number is dropped first
-MAX_SUBSCRIBERS = 4096  # names; the one that has not called for longest is dropped first
-MAX_CACHED_RESPONSES = 64  # for bases that many ask from
+MAX_VERSIONS = 64  # maximum number of stored versions; the lowest number is dropped first
+MAX_SUBSCRIBERS = 4096  # maximum number of subscribers; the one with the oldest call is dropped first
+MAX_CACHED_RESPONSES = 64  # maximum number of bases with a cached response to the newest version
 
 
 @dataclass(slots=True)
 class SubscriberStatus:
-    """What a gateway reported with its last call."""
+    """Status of a gateway, as reported with its last call."""
 
     name: str
     number: int
     active_version: int
     active_digest: str
-    staged_version: int  # 0: none
-    rejected_version: int  # 0: none
+    staged_version: int  # 0 if none
+    rejected_version: int  # highest version number it rejected; 0 if none
     rejection_reason: str
     last_call_ms: float
 
     def to_row(self) -> list[Any]:
-        """Its row in the JSON of a service's status."""
+        """Row of this subscriber in a service's status JSON."""
         return [
             self.name,
             self.number,
@@ -48,27 +49,28 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredVersion:
-    """A version, and when it was published here (Unix ms)."""
+    """A version, and the time of its publication at this service (Unix ms)."""
 
     version: SettingsVersion
     published_ms: float
 
 
 class VersionStore:
-    """The versions and the subscribers of one service. All times are Unix ms."""
+    """Published versions and subscribers of one service. All times are Unix ms."""
 
     def __init__(self) -> None:
-        self.versions: dict[int, StoredVersion] = {}  # by number, at most MAX_VERSIONS
-        self.subscribers: dict[str, SubscriberStatus] = {}  # by name, the last caller last
-        self._responses: dict[tuple[int, str], bytes] = {}  # by base; dropped at each new version
+        self.versions: dict[int, StoredVersion] = {}  # by number
+        self.subscribers: dict[str, SubscriberStatus] = {}  # by name, in order of the last call
+        self._responses: dict[tuple[int, str], bytes] = {}  # cache by base; cleared by each new version
 
     @property
     def newest(self) -> SettingsVersion | None:
-        """The version with the highest number."""
+        """The version with the highest number; None without any version."""
         return self.versions[max(self.versions)].version if self.versions else None
 
     def publish(self, now_ms: float, value: Any) -> None:
-        """Store a version in the service's JSON; the same one twice is stored once. Raises PublishError."""
+        """Store a version given in the service's JSON; publishing the same version again has no effect.
+        Raises PublishError."""
         version = _published_version(value)
         known = self.versions.get(version.number)
         if known is not None:
@@ -83,17 +85,17 @@
             del self.versions[min(self.versions)]
 
     def record_subscriber(self, status: SubscriberStatus) -> None:
-        """A gateway has called."""
+        """Store the status that a gateway reported with a call."""
         self.subscribers.pop(status.name, None)
         self.subscribers[status.name] = status
         while len(self.subscribers) > MAX_SUBSCRIBERS:
             del self.subscribers[next(iter(self.subscribers))]
 
     def response_for(self, since_number: int, since_digest: str, rejected_number: int) -> bytes | None:
-        """The newest version as JSON, for a subscriber that has `since_number`; None where it has nothing
-        newer.
+        """The newest version as JSON, for a subscriber that has version `since_number`; None unless it is
+        newer than both `since_number` and `rejected_number`.
 
-        A delta where the base is stored and the delta is shorter, else a snapshot.
+        The response is a delta if the base is stored and the delta is shorter, otherwise a snapshot.
         """
         newest = self.newest
         if newest is None or newest.number <= max(since_number, rejected_number):
@@ -108,7 +110,7 @@
         return self._responses[key]
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """All that `plumpick configuration status` reads of one service."""
+        """Status JSON of this service, as read by `plumpick configuration status`."""
         return {
             "now_ms": now_ms,
             "versions": [
@@ -125,7 +127,8 @@
         }
 
     def _gateway_count(self) -> int:
-        """How many gateways there are, by the newest version that has a usable count; 0 where none has."""
+        """Number of gateways according to the newest version with a valid `balancers` value; 0 if none has
+        one."""
         for number in sorted(self.versions, reverse=True):
             count = self.versions[number].version.settings.get("balancers")
             if type(count) is int and 0 < count <= MAX_SUBSCRIBERS:
@@ -134,7 +137,7 @@
 
 
 def _published_version(value: Any) -> SettingsVersion:
-    """The version that a publisher sent; raises PublishError."""
+    """Parse the version that a publisher sent, which must be a snapshot; raises PublishError."""
     try:
         update = parse_update(value)
         if update.settings is None:
@@ -150,7 +153,7 @@
 
 
 def _encode_response(newest: SettingsVersion, base: SettingsVersion | None) -> bytes:
-    """The shorter one of snapshot and delta, as JSON."""
+    """The newest version as JSON: the shorter one of snapshot and delta; a snapshot without a base."""
     head: dict[str, Any] = {
         "version": newest.number,
         "digest": newest.digest,
