--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -26,7 +26,7 @@
 from plumpick.policy.budgets.report_schedule import MAX_REPORTS_PER_S
 from plumpick.policy.dynamic_config import subscriber, version_store
 from plumpick.policy.errors import ReconfigurationError
-from plumpick.policy.quota.liveness import SILENCE_HEARTBEATS, heartbeat_ms
+from plumpick.policy.quota.liveness import UNREACHABLE_AFTER_HEARTBEATS, heartbeat_ms
 from plumpick.policy.reconfiguration import check
 from plumpick.policy.settings import MAX_CLASSES, Idempotency, Plan, RequestClass, Settings
 from plumpick.tools.configuration_service import MAX_CONNECTIONS
@@ -117,7 +117,7 @@
         "arc_workers": math.ceil(sizes["workers"] * subsetting.subset_ratio(sizes["workers"], gatekeepers)),
         "worker_part": UPSTREAM_DESCRIPTOR_RATIO,
         "classes_most": float(MAX_CLASSES),
-        "home_lost_s": SILENCE_HEARTBEATS * heartbeat_ms(tier) / 1000,
+        "home_lost_s": UNREACHABLE_AFTER_HEARTBEATS * heartbeat_ms(tier) / 1000,
         "gather_each_ms": usage_report.POLL_INTERVAL_MS,
         "gather_longest_s": usage_report.max_collection_ms(gatekeepers) / 1000,
         "askings_per_s": MAX_REPORTS_PER_S,
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -173,7 +173,7 @@
             state.limit.observe_peer(message.capacity, state.endpoints.capacity)
             if not self.turn.is_stalled:
                 self._on_outlier_reports(event.sender, message.outlier_reports)
-            quota.on_peer_heard(now_ms, event.sender)
+            quota.on_datagram_received(now_ms, event.sender)
         elif not quota.context.has_sibling or message.incarnation == quota.context.incarnation:
             return  # another process of ours speaks of quotas alone
         for quota_message in message.quota_messages:
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from plumpick.policy.quota.hard_limits import USED_RATIO
-from plumpick.policy.quota.liveness import MAX_ALL_TO_ALL, SILENCE_HEARTBEATS, heartbeat_ms
+from plumpick.policy.quota.liveness import MAX_ALL_TO_ALL, UNREACHABLE_AFTER_HEARTBEATS, heartbeat_ms
 from plumpick.policy.quota.requester import LOCAL_BURST_RATIO
 from plumpick.policy.settings import Plan, Settings
 
@@ -116,7 +116,7 @@
         # was down are never charged, but the owner granted none in that time.
         return own + restarts * plan.burst
     # Partition: gateways on the far side spend from local buckets, which fill at their part of the quota.
-    # SILENCE_HEARTBEATS after the last message received, that part becomes the even one
+    # UNREACHABLE_AFTER_HEARTBEATS after the last message received, that part becomes the even one
     # (QuotaRequester._fill) and the owner withholds as much (QuotaOwner.granted_ratio). The two sides may
     # differ by one heartbeat in the time of their last message, and by two more after lost heartbeats. Before
     # that time, the parts of the far side add up to at most the quota.
@@ -125,7 +125,7 @@
         raise BoundsError(f"far: {cut_off} of {count} gateways")
     if not cut_off:
         return own
-    unsure_s = min(window_s, (SILENCE_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
+    unsure_s = min(window_s, (UNREACHABLE_AFTER_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
     # With more gateways than MAX_ALL_TO_ALL, an owner receives heartbeats only from gateways that requested
     # grants recently. A customer's first requests at another gateway get that gateway's even part, which the
     # owner does not withhold.
--- a/plumpick/policy/quota/liveness.py
+++ b/plumpick/policy/quota/liveness.py
@@ -13,7 +13,7 @@
 HEARTBEAT_INBOX_RATIO = 0.3  # maximum fraction of a gateway's inbox rate used by heartbeats of all others
 # Maximum number of other gateways with heartbeats to all; in larger tiers they go to quota owners only
 MAX_ALL_TO_ALL = 8
-SILENCE_HEARTBEATS = 4.0  # heartbeat intervals without a message after which a gateway is unreachable
+UNREACHABLE_AFTER_HEARTBEATS = 4.0  # number of heartbeat intervals without a message
 
 
 def heartbeat_ms(settings: Settings) -> float:
@@ -32,22 +32,22 @@
     """Time of the last message from each gateway, and quota owners that do not answer grant requests."""
 
     def __init__(self) -> None:
-        self.silence_limit_ms = SILENCE_HEARTBEATS * MIN_HEARTBEAT_MS
-        self.last_heard_ms: dict[int, float] = {}  # by gateway, since the start of this incarnation
+        self.unreachable_after_ms = UNREACHABLE_AFTER_HEARTBEATS * MIN_HEARTBEAT_MS
+        self.last_received_ms: dict[int, float] = {}  # by gateway, since the start of this incarnation
         self.unresponsive_owners: set[int] = set()
 
     def reconfigure(self, settings: Settings) -> None:
         """Adopt the heartbeat interval of changed settings."""
-        self.silence_limit_ms = SILENCE_HEARTBEATS * heartbeat_ms(settings)
+        self.unreachable_after_ms = UNREACHABLE_AFTER_HEARTBEATS * heartbeat_ms(settings)
 
     def begin(self, now_ms: float, settings: Settings) -> None:
         """Start an incarnation: with heartbeats to all, every other gateway counts as received from now, so
         that one that never sends a message is detected as unreachable."""
         if sends_heartbeats_to_all(settings):
             others = set(range(settings.gateway_count)) - {settings.gateway_number}
-            self.last_heard_ms = dict.fromkeys(others, now_ms)
+            self.last_received_ms = dict.fromkeys(others, now_ms)
 
     def is_unreachable(self, now_ms: float, gateway: int) -> bool:
-        """Whether no message of a gateway was received for `silence_limit_ms`; False for a gateway without
-        any message in this incarnation."""
-        return now_ms - self.last_heard_ms.get(gateway, now_ms) > self.silence_limit_ms
+        """Whether no message of a gateway was received for `unreachable_after_ms`; False for a gateway
+        without any message in this incarnation."""
+        return now_ms - self.last_received_ms.get(gateway, now_ms) > self.unreachable_after_ms
--- a/plumpick/policy/quota/manager.py
+++ b/plumpick/policy/quota/manager.py
@@ -83,11 +83,11 @@
             if gateway != settings.gateway_number:
                 self.outbox.add_heartbeat(now_ms, gateway, interval_ms)
 
-    def on_peer_heard(self, now_ms: float, gateway: int) -> None:
+    def on_datagram_received(self, now_ms: float, gateway: int) -> None:
         """Record that a datagram of another gateway was received."""
-        self.outbox.on_heard(now_ms, gateway)
-        self.liveness.last_heard_ms[gateway] = now_ms
-        self.requester.on_owner_heard(now_ms, gateway)
+        self.outbox.on_packet_received(now_ms, gateway)
+        self.liveness.last_received_ms[gateway] = now_ms
+        self.requester.on_peer_message(now_ms, gateway)
 
     def on_message(self, now_ms: float, sender: int, incarnation: int, message: QuotaMessage) -> None:
         """Dispatch a quota message of any gateway, including this one, to the requester or the owner."""
--- a/plumpick/policy/quota/outbox.py
+++ b/plumpick/policy/quota/outbox.py
@@ -29,8 +29,8 @@
         self.waiting: dict[int, list[QuotaMessage]] = {}
         self.sent_ms: dict[int, float] = {}  # time of the last packet sent to each gateway
         self.sent_count: dict[int, float] = {}  # packets sent to each gateway, exponentially decayed
-        self.heard_ms: dict[int, float] = {}  # time of the last packet received from each gateway
-        self.heard_count = 0.0  # packets received from all gateways, exponentially decayed
+        self.received_ms: dict[int, float] = {}  # time of the last packet received from each gateway
+        self.received_count = 0.0  # packets received from all gateways, exponentially decayed
         self.flush_ms = 0.0  # time of the scheduled flush timer
 
     def add(self, gateway: int, message: QuotaMessage) -> None:
@@ -42,15 +42,15 @@
         if now_ms - self.sent_ms.get(gateway, -math.inf) >= interval_ms:
             self.waiting.setdefault(gateway, [])
 
-    def on_heard(self, now_ms: float, gateway: int) -> None:
+    def on_packet_received(self, now_ms: float, gateway: int) -> None:
         """Record that a packet of another gateway was received."""
-        self.heard_ms[gateway] = now_ms
-        self.heard_count += 1
+        self.received_ms[gateway] = now_ms
+        self.received_count += 1
 
     def on_period(self) -> None:
         """Decay the packet counts by one period (PERIOD_MS)."""
         keep = math.exp(-PERIOD_MS / ACTIVITY_MEMORY_MS)
-        self.heard_count *= keep
+        self.received_count *= keep
         self.sent_count = {
             other: count * keep for other, count in self.sent_count.items() if count > MIN_SENT_COUNT
         }
@@ -58,10 +58,10 @@
     def take_packets(self, now_ms: float, max_messages: int) -> list[tuple[int, list[QuotaMessage]]]:
         """Remove and return the packets that may be sent now, as pairs of gateway and at most `max_messages`
         messages. Schedules an OUTBOX timer if messages remain."""
-        self.heard_ms = {
-            other: heard_ms
-            for other, heard_ms in self.heard_ms.items()
-            if now_ms - heard_ms <= ACTIVITY_MEMORY_MS
+        self.received_ms = {
+            other: received_ms
+            for other, received_ms in self.received_ms.items()
+            if now_ms - received_ms <= ACTIVITY_MEMORY_MS
         }
         ready = [other for other in self.waiting if now_ms > self._ready_ms(other)]
         packets = [(other, self.waiting.pop(other)) for other in ready]
@@ -85,7 +85,7 @@
         The fill of this gateway's own inbox serves as the estimate; for a gateway that sends nothing, the
         number of packets sent to it counts as well."""
         inbox_per_s = INBOX_RATIO * self.settings.peer_inbox_per_s or math.inf
-        fullness = min(1.0, max(0.0, 2 * self.heard_count / inbox_per_s - 1))
-        if gateway not in self.heard_ms:
+        fullness = min(1.0, max(0.0, 2 * self.received_count / inbox_per_s - 1))
+        if gateway not in self.received_ms:
             fullness = max(fullness, min(1.0, 4 * self.sent_count.get(gateway, 0.0) / inbox_per_s))
-        return min(MAX_DELAY_MS, fullness * max(1, len(self.heard_ms)) * 1000 / inbox_per_s)
+        return min(MAX_DELAY_MS, fullness * max(1, len(self.received_ms)) * 1000 / inbox_per_s)
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -262,9 +262,9 @@
         for member in ledger.members:
             if not self.liveness.is_unreachable(now_ms, member):
                 continue
-            heard_ms = self.liveness.last_heard_ms[member]
+            received_ms = self.liveness.last_received_ms[member]
             asked_ms = ledger.requesters.get(member, -math.inf)
-            unreachable += sends_to_all or heard_ms - asked_ms <= 2 * DEMAND_MEMORY_MS
+            unreachable += sends_to_all or received_ms - asked_ms <= 2 * DEMAND_MEMORY_MS
         return 1 - unreachable / (1 + len(ledger.members))
 
     def _settle(
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -287,7 +287,7 @@
             waiting = self.unconfirmed.get(account.owner, ())
             self.unconfirmed[account.owner] = [*waiting[1 - MAX_UNCONFIRMED :], again]
 
-    def on_owner_heard(self, now_ms: float, owner: int) -> None:
+    def on_peer_message(self, now_ms: float, owner: int) -> None:
         """Handle a message of any gateway: it is responsive again as an owner, and is sent the units spent
         while it was not (LATE), up to UNCONFIRMED_MAX_AGE_MS."""
         self.liveness.unresponsive_owners.discard(owner)
--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -95,7 +95,7 @@
 def export_times(quota: QuotaManager) -> dict[str, list[list[Any]]]:
     """Times of the last messages from and to each gateway, as pairs of gateway and time in ms; keys are
     GATEWAY_TIMES."""
-    tables = quota.liveness.last_heard_ms, quota.outbox.heard_ms, quota.outbox.sent_ms
+    tables = quota.liveness.last_received_ms, quota.outbox.received_ms, quota.outbox.sent_ms
     return {
         name: [[gateway, ms] for gateway, ms in table.items()]
         for name, table in zip(GATEWAY_TIMES, tables, strict=True)
@@ -258,8 +258,8 @@
     quota.requester.unvisited_accounts = []
     quota.owner.unvisited_ledgers = []
     quota.owner.unvisited_detached = []
-    quota.liveness.last_heard_ms.update(state.times["last_ms"])
-    quota.outbox.heard_ms = state.times["heard_ms"]
+    quota.liveness.last_received_ms.update(state.times["last_ms"])
+    quota.outbox.received_ms = state.times["heard_ms"]
     quota.outbox.sent_ms = state.times["told_ms"]
     quota.liveness.unresponsive_owners = state.unresponsive_owners
     quota.requester.round_trip_ms = state.round_trip_ms
--- a/tests/policy/quota/test_hard_limits.py
+++ b/tests/policy/quota/test_hard_limits.py
@@ -43,7 +43,7 @@
         assert rig.count(8000, 24_000, {3}) == pytest.approx(rate / 4 * 16, rel=0.25)
         assert rig.count(8000, 24_000, {0, 1, 2}) == pytest.approx(rate * 3 / 4 * 16, rel=0.25)
         assert rig.count(26_000, 30_000) >= rate * 4 * 0.7  # and after it, the whole quota again
-    monkeypatch.setattr(liveness, "SILENCE_HEARTBEATS", math.inf)
+    monkeypatch.setattr(liveness, "UNREACHABLE_AFTER_HEARTBEATS", math.inf)
     loose = [both_sides_crowd(seed) for seed in (1, 2, 3)]
     assert all(rig.count(8000, 24_000) > rate * 16 * 1.15 for rig in loose)
 
@@ -300,10 +300,10 @@
     def split(rig):
         return beyond_quota(plan, rig.settings(0), Situation.SPLIT, 60.0, spread=4, far=3)
 
-    before = [rig.modules[0].state.quota.liveness.silence_limit_ms for rig in (narrow, wide)]
+    before = [rig.modules[0].state.quota.liveness.unreachable_after_ms for rig in (narrow, wide)]
     assert before[0] == before[1]  # not begun yet
     for rig in (narrow, wide):
         rig.run(100)
-    assert narrow.modules[0].state.quota.liveness.silence_limit_ms == 2000.0
-    assert 8000.0 < wide.modules[0].state.quota.liveness.silence_limit_ms < 9000.0
+    assert narrow.modules[0].state.quota.liveness.unreachable_after_ms == 2000.0
+    assert 8000.0 < wide.modules[0].state.quota.liveness.unreachable_after_ms < 9000.0
     assert split(wide) > split(narrow)
--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -291,12 +291,12 @@
     assert one.state.quota.owner.ledgers  # other figures, the same names: it is heard
     dropped = without(settings(), "feed")
     change(one, 1008.0, dropped)
-    heard_ms = dict(one.state.quota.outbox.heard_ms)
+    received_ms = dict(one.state.quota.outbox.received_ms)
     one.handle(1012.0, [PeerMessageReceived(1, data)])
-    assert one.state.quota.outbox.heard_ms == heard_ms
+    assert one.state.quota.outbox.received_ms == received_ms
     change(two, 1016.0, replace(dropped, gateway_number=1))
     one.handle(1020.0, [PeerMessageReceived(1, two.codec.encode(1, 1.0, [], []))])
-    assert one.state.quota.outbox.heard_ms[1] == 1020.0
+    assert one.state.quota.outbox.received_ms[1] == 1020.0
 
 
 def test_slots_that_are_taken_stay_taken_over_a_change_and_come_back():
