--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from plumpick.policy.quota.bounds import beyond_ceiling, together
+from plumpick.policy.quota.bounds import max_combined_excess, max_excess_over_hard_limit
 from plumpick.policy.settings_parser import parse_settings
 from plumpick.rehearsal.records import Asked, Record, Took
 from plumpick.simulation.commands import seeds_of
@@ -107,17 +107,17 @@
             Row(
                 plan.name,
                 round(windows.worst[plan.name, "quota"], 2),
-                together(
+                max_combined_excess(
                     plan,
                     settings,
                     case.seconds,
-                    spread=case.gatekeepers,
+                    set_size=case.gatekeepers,
                     restarts=restarts,
-                    split=split,
+                    has_partition=split,
                     loss=1 - (1 - loss) * (1 - world.fleet.scenario.peers.loss),
                 ),
                 round(windows.worst[plan.name, "ceiling"], 2),
-                beyond_ceiling(plan, settings, 1.0) if plan.hard_limit_per_s else 0.0,
+                max_excess_over_hard_limit(plan, settings, 1.0) if plan.hard_limit_per_s else 0.0,
             )
         )
     return result, rows
--- a/benchmarks/scale/runs.py
+++ b/benchmarks/scale/runs.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.points import LIMITS, Point
 from benchmarks.scale.tier import BEGIN_MS, CHANGING, COUNTED, SETTLE, Make, Tier, TierError
 from plumpick.policy.controller import Controller
-from plumpick.policy.quota.bounds import together
+from plumpick.policy.quota.bounds import max_combined_excess
 
 # Until a firm's use is known to its home; what is counted; while workers warm up.
 SETTLE_S, COUNTED_S, CHANGING_S = 3.0, 3.0, 1.8
@@ -64,14 +64,14 @@
     """The units beyond its quota in the worst window of a firm, against what bounds.py allows; the most."""
     spread = max((firm.spread for firm in tier.firms), default=1)
     allowed = {
-        name: together(
+        name: max_combined_excess(
             plan,
             tier.load.settings_of(0),
             seconds,
-            spread=spread,
+            set_size=spread,
             loss=tier.loss,
             restarts=restarts,
-            split=split,
+            has_partition=split,
         )
         for name, plan in tier.plans.items()
     }
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -17,8 +17,8 @@
 from plumpick.policy.settings import Plan, Settings
 
 WINDOWS_S = (1.0, 10.0, 60.0)
-MOST_SPREAD = 4  # default size of a customer's gateway set in the protocol
-DIAL_S = 0.25  # connect timeout; a first attempt that fails to connect is repeated
+DEFAULT_GATEWAY_SET_SIZE = 4  # default size of a customer's gateway set in the protocol
+CONNECT_TIMEOUT_S = 0.25  # connect timeout; a first attempt that fails to connect is repeated
 
 
 class BoundsError(ValueError):
@@ -28,11 +28,11 @@
 class Situation(Enum):
     """Operating condition of the quota system for which a bound holds; values are shown to operators."""
 
-    SERVICE = "in service"
-    ONE_HOME = "one home restarts"
-    ALL_HOMES = "all gateways restart"
-    SPLIT = "a split into two sides"
-    LOSS = "messages are lost"
+    NORMAL = "in service"
+    OWNER_RESTART = "one home restarts"
+    ALL_RESTART = "all gateways restart"
+    PARTITION = "a split into two sides"
+    MESSAGE_LOSS = "messages are lost"
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,18 +42,20 @@
     plan: str
     situation: Situation
     window_s: float
-    quota: float  # units allowed by the quota within the window
-    beyond_quota: float  # maximum units granted beyond the quota
-    ceiling: float  # units allowed by the hard limit within the window; 0 if the plan has no hard limit
-    beyond_ceiling: float  # maximum units forwarded to endpoints beyond the hard limit
+    quota_units: float  # units allowed by the quota within the window
+    max_excess_over_quota: float  # maximum units granted beyond the quota
+    hard_limit_units: (
+        float  # units allowed by the hard limit within the window; 0 if the plan has no hard limit
+    )
+    max_excess_over_hard_limit: float  # maximum units forwarded to endpoints beyond the hard limit
 
     @property
-    def ceiling_share(self) -> float:
+    def hard_limit_excess_ratio(self) -> float:
         """Units beyond the hard limit as a fraction of the units it allows; 0 without a hard limit."""
-        return self.beyond_ceiling / self.ceiling if self.ceiling else 0.0
+        return self.max_excess_over_hard_limit / self.hard_limit_units if self.hard_limit_units else 0.0
 
 
-def held_s(settings: Settings) -> float:
+def max_forwarding_delay_s(settings: Settings) -> float:
     """Maximum time in seconds from charging a request's units to forwarding its first attempt completely.
 
     `RequestLifecycle._schedule_ends` sets a FIRST_ATTEMPT timer, which fires before the latency objective
@@ -61,39 +63,39 @@
     then. The timer runs from the arrival of the request, before its units are charged, so the result is an
     overestimate. Connect timeouts of failed attempts are added."""
     longest_ms = max(
-        kind.deadline_ms
-        if kind.late_priority_weight > 0
-        else min(kind.deadline_ms, kind.latency_objective_ms)
-        for kind in settings.classes
+        request_class.deadline_ms
+        if request_class.late_priority_weight > 0
+        else min(request_class.deadline_ms, request_class.latency_objective_ms)
+        for request_class in settings.classes
     )
-    return longest_ms / 1000 + DIAL_S * settings.max_attempts
+    return longest_ms / 1000 + CONNECT_TIMEOUT_S * settings.max_attempts
 
 
-def spread_of(settings: Settings, spread: int | None) -> int:
-    """Size of a customer's gateway set for the bounds: `spread`, or MOST_SPREAD if None, at most the number
-    of gateways. Raises BoundsError if `spread` is below 1."""
-    if spread is not None and spread < 1:
-        raise BoundsError(f"spread: {spread} is no number of gateways")
-    return min(settings.gateway_count, MOST_SPREAD if spread is None else spread)
+def gateway_set_size(settings: Settings, set_size: int | None) -> int:
+    """Size of a customer's gateway set for the bounds: `set_size`, or DEFAULT_GATEWAY_SET_SIZE if None, at
+    most the number of gateways. Raises BoundsError if `set_size` is below 1."""
+    if set_size is not None and set_size < 1:
+        raise BoundsError(f"spread: {set_size} is no number of gateways")
+    return min(settings.gateway_count, DEFAULT_GATEWAY_SET_SIZE if set_size is None else set_size)
 
 
-def beyond_quota(
+def max_excess_over_quota(
     plan: Plan,
     settings: Settings,
     situation: Situation,
     window_s: float,
     *,
-    spread: int | None = None,
+    set_size: int | None = None,
     loss: float = 0.0,
     restarts: int = 1,
-    far: int | None = None,
+    partitioned_gateways: int | None = None,
 ) -> float:
     """Maximum units granted beyond the quota of a plan in one situation and window.
 
-    `restarts`: restarts of the quota owner within the window. `far`: number of gateways in the set that are
-    partitioned from the quota owner (default: all but one). `loss`: fraction of messages lost, 0 to 1. Raises
-    BoundsError for an argument out of range."""
-    count = spread_of(settings, spread)
+    `restarts`: restarts of the quota owner within the window. `partitioned_gateways`: number of gateways in
+    the set that are partitioned from the quota owner (default: all but one). `loss`: fraction of messages
+    lost, 0 to 1. Raises BoundsError for an argument out of range."""
+    count = gateway_set_size(settings, set_size)
     if not 0 <= loss <= 1:
         raise BoundsError(f"loss: {loss} is no share")
     if restarts < 0 or window_s <= 0:
@@ -103,88 +105,96 @@
     # Units that each gateway may spend without a grant: the local bucket (capped by QuotaRequester._fill) and
     # one request of any size after a grant timeout (on_grant_timeout). The owner is notified (SPENT) and
     # charges its ledger, which may become negative. Units charged before the window may be forwarded in it.
-    own = count * (LOCAL_BURST_RATIO * plan.burst + settings.max_units) + plan.rate_per_s * held_s(settings)
-    if situation is Situation.SERVICE:
-        return own
-    if situation is Situation.LOSS:
+    ungranted = count * (
+        LOCAL_BURST_RATIO * plan.burst + settings.max_units
+    ) + plan.rate_per_s * max_forwarding_delay_s(settings)
+    if situation is Situation.NORMAL:
+        return ungranted
+    if situation is Situation.MESSAGE_LOSS:
         # Units of a lost SPENT message are never charged. Affected are all units spent from local buckets:
         # their content at the start of the window and their refill, at the quota's rate in total.
-        return own + loss * (own + plan.rate_per_s * window_s)
-    if situation in (Situation.ONE_HOME, Situation.ALL_HOMES):
+        return ungranted + loss * (ungranted + plan.rate_per_s * window_s)
+    if situation in (Situation.OWNER_RESTART, Situation.ALL_RESTART):
         # QuotaOwner._ledger_for creates a full ledger. A customer has a single owner, so a restart of all
         # gateways adds no more than a restart of the owner. Units that other gateways spent while the owner
         # was down are never charged, but the owner granted none in that time.
-        return own + restarts * plan.burst
+        return ungranted + restarts * plan.burst
     # Partition: gateways on the far side spend from local buckets, which fill at their part of the quota.
     # UNREACHABLE_AFTER_HEARTBEATS after the last message received, that part becomes the even one
     # (QuotaRequester._fill) and the owner withholds as much (QuotaOwner.granted_ratio). The two sides may
     # differ by one heartbeat in the time of their last message, and by two more after lost heartbeats. Before
     # that time, the parts of the far side add up to at most the quota.
-    cut_off = count - 1 if far is None else far
-    if not 0 <= cut_off < max(2, count):
-        raise BoundsError(f"far: {cut_off} of {count} gateways")
-    if not cut_off:
-        return own
-    unsure_s = min(window_s, (UNREACHABLE_AFTER_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
+    partitioned = count - 1 if partitioned_gateways is None else partitioned_gateways
+    if not 0 <= partitioned < max(2, count):
+        raise BoundsError(f"far: {partitioned} of {count} gateways")
+    if not partitioned:
+        return ungranted
+    undetected_s = min(window_s, (UNREACHABLE_AFTER_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
     # With more gateways than MAX_ALL_TO_ALL, an owner receives heartbeats only from gateways that requested
     # grants recently. A customer's first requests at another gateway get that gateway's even part, which the
     # owner does not withhold.
-    new = 0.0 if settings.gateway_count - 1 <= MAX_ALL_TO_ALL else (window_s - unsure_s) * cut_off / count
-    return own + plan.rate_per_s * (unsure_s + new)
+    unwithheld_s = (
+        0.0
+        if settings.gateway_count - 1 <= MAX_ALL_TO_ALL
+        else (window_s - undetected_s) * partitioned / count
+    )
+    return ungranted + plan.rate_per_s * (undetected_s + unwithheld_s)
 
 
-def together(
+def max_combined_excess(
     plan: Plan,
     settings: Settings,
     window_s: float,
     *,
-    spread: int | None = None,
+    set_size: int | None = None,
     loss: float,
     restarts: int,
-    split: bool,
+    has_partition: bool,
 ) -> float:
     """Maximum units granted beyond the quota if all situations coincide: the sum of their increments.
 
-    `split` includes a partition; the other arguments are those of `beyond_quota`."""
+    `has_partition` includes a partition; the other arguments are those of `max_excess_over_quota`."""
 
-    def of(situation: Situation) -> float:
-        return beyond_quota(plan, settings, situation, window_s, spread=spread, loss=loss, restarts=restarts)
+    def excess(situation: Situation) -> float:
+        return max_excess_over_quota(
+            plan, settings, situation, window_s, set_size=set_size, loss=loss, restarts=restarts
+        )
 
-    plain = of(Situation.SERVICE)
-    kinds = [Situation.LOSS, Situation.ALL_HOMES] + [Situation.SPLIT] * split
-    return plain + sum(of(kind) - plain for kind in kinds)
+    baseline = excess(Situation.NORMAL)
+    increments = [Situation.MESSAGE_LOSS, Situation.ALL_RESTART] + [Situation.PARTITION] * has_partition
+    return baseline + sum(excess(situation) - baseline for situation in increments)
 
 
-def beyond_ceiling(plan: Plan, settings: Settings, window_s: float) -> float:
+def max_excess_over_hard_limit(plan: Plan, settings: Settings, window_s: float) -> float:
     """Maximum units forwarded to endpoints beyond the hard limit of a plan, in any situation.
 
     The hard limit is divided statically: OWNER_RATIO for the quota owner, SET_RATIO over the gateway set.
     Each part (`hard_limit_units` of ledgers and accounts) starts empty in a new process and units are never
     returned to it, so message loss, a partition or a restart grants no more. Units charged before the window
-    may be forwarded in it, in addition to the window's own refill; therefore the parts add up to only
+    may be forwarded in it, in addition to the window's ungranted refill; therefore the parts add up to only
     USED_RATIO of the hard limit. Raises BoundsError if `window_s` is not positive."""
     if window_s <= 0:
         raise BoundsError("windows are not below nothing")
     allowed = plan.hard_limit_burst + plan.hard_limit_per_s * window_s
-    drawn = plan.hard_limit_burst + plan.hard_limit_per_s * (window_s + held_s(settings))
-    return max(0.0, USED_RATIO * drawn - allowed)
+    charged = plan.hard_limit_burst + plan.hard_limit_per_s * (window_s + max_forwarding_delay_s(settings))
+    return max(0.0, USED_RATIO * charged - allowed)
 
 
-def table(
+def compute_bounds(
     settings: Settings,
     *,
-    spread: int | None = None,
+    set_size: int | None = None,
     loss: float = 0.08,
     restarts: int = 1,
     windows_s: tuple[float, ...] = WINDOWS_S,
 ) -> list[Bound]:
-    """Bounds for each combination of plan, situation and window; arguments as in `beyond_quota`. Raises
-    BoundsError."""
+    """Bounds for each combination of plan, situation and window; arguments as in `max_excess_over_quota`.
+    Raises BoundsError."""
     rows = []
     for plan in settings.plans:
         for situation in Situation:
             for window_s in windows_s:
-                ceiling = (
+                hard_limit_units = (
                     (plan.hard_limit_burst + plan.hard_limit_per_s * window_s)
                     if plan.hard_limit_per_s
                     else 0.0
@@ -195,11 +205,17 @@
                         situation,
                         window_s,
                         plan.burst + plan.rate_per_s * window_s,
-                        beyond_quota(
-                            plan, settings, situation, window_s, spread=spread, loss=loss, restarts=restarts
+                        max_excess_over_quota(
+                            plan,
+                            settings,
+                            situation,
+                            window_s,
+                            set_size=set_size,
+                            loss=loss,
+                            restarts=restarts,
                         ),
-                        ceiling,
-                        beyond_ceiling(plan, settings, window_s) if ceiling else 0.0,
+                        hard_limit_units,
+                        max_excess_over_hard_limit(plan, settings, window_s) if hard_limit_units else 0.0,
                     )
                 )
     return rows
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -15,7 +15,7 @@
 from plumpick.gateway.operator_config import FleetSettings, load
 from plumpick.policy.budgets.bounds import BudgetBound, max_vacancy_s
 from plumpick.policy.budgets.bounds import bounds_of as budget_table
-from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, held_s, table
+from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, compute_bounds, max_forwarding_delay_s
 from plumpick.policy.settings import Settings
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
@@ -32,29 +32,31 @@
         "plan": bound.plan,
         "situation": bound.situation.value,
         "window_s": bound.window_s,
-        "quota": round(bound.quota, 3),
-        "beyond_quota": round(bound.beyond_quota, 3),
-        "ceiling": round(bound.ceiling, 3),
-        "beyond_ceiling": round(bound.beyond_ceiling, 3),
-        "ceiling_share": round(bound.ceiling_share, 5),
+        "quota": round(bound.quota_units, 3),
+        "beyond_quota": round(bound.max_excess_over_quota, 3),
+        "ceiling": round(bound.hard_limit_units, 3),
+        "beyond_ceiling": round(bound.max_excess_over_hard_limit, 3),
+        "ceiling_share": round(bound.hard_limit_excess_ratio, 5),
     }
 
 
 def text_of(rows: list[Bound], settings: Settings) -> str:
     """The table for a person."""
     lines = [
-        f"{settings.gateway_count} gatekeepers; a try is held for {held_s(settings):.2f} s at most",
+        f"{settings.gateway_count} gatekeepers; "
+        f"a try is held for {max_forwarding_delay_s(settings):.2f} s at most",
         f"{'plan':<12}{'situation':<24}{'window':>8}{'quota':>10}{'beyond':>9}{'ceiling':>10}{'beyond':>16}",
     ]
     for row in rows:
         ceiling = (
-            f"{row.ceiling:>10.1f}{row.beyond_ceiling:>8.1f}{100 * row.ceiling_share:>6.1f} %"
-            if (row.ceiling)
+            f"{row.hard_limit_units:>10.1f}{row.max_excess_over_hard_limit:>8.1f}"
+            f"{100 * row.hard_limit_excess_ratio:>6.1f} %"
+            if row.hard_limit_units
             else f"{'-':>10}{'-':>8}"
         )
         lines.append(
-            f"{row.plan:<12}{row.situation.value:<24}{row.window_s:>6g} s{row.quota:>10.1f}"
-            f"{row.beyond_quota:>9.1f}{ceiling}"
+            f"{row.plan:<12}{row.situation.value:<24}{row.window_s:>6g} s{row.quota_units:>10.1f}"
+            f"{row.max_excess_over_quota:>9.1f}{ceiling}"
         )
     return "\n".join(lines)
 
@@ -91,7 +93,7 @@
     """The tool."""
     try:
         settings = settings_in(given.config)
-        rows = table(settings, spread=given.spread, loss=given.loss, restarts=given.restarts)
+        rows = compute_bounds(settings, set_size=given.spread, loss=given.loss, restarts=given.restarts)
         fleet, budgets = budgets_in(given.operator, settings.gateway_count) if given.operator else (None, [])
     except OSError as problem:
         print(f"plumpick: {given.config}: {problem.strerror}", file=sys.stderr)
@@ -107,7 +109,7 @@
             json.dumps(
                 {
                     "situations": [one.value for one in Situation],
-                    "held_s": held_s(settings),
+                    "held_s": max_forwarding_delay_s(settings),
                     "bounds": [as_dict(row) for row in rows],
                     **({"budgets": [asdict(row) for row in budgets]} if given.operator else {}),
                 },
--- a/tests/policy/quota/test_bounds.py
+++ b/tests/policy/quota/test_bounds.py
@@ -14,7 +14,14 @@
 from plumpick.policy.events import PeerMessageReceived
 from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 from plumpick.policy.quota import hard_limits, requester
-from plumpick.policy.quota.bounds import BoundsError, Situation, beyond_ceiling, beyond_quota, held_s, table
+from plumpick.policy.quota.bounds import (
+    BoundsError,
+    Situation,
+    compute_bounds,
+    max_excess_over_hard_limit,
+    max_excess_over_quota,
+    max_forwarding_delay_s,
+)
 from plumpick.policy.quota.owner import QuotaOwner
 from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
@@ -62,9 +69,9 @@
 @pytest.mark.parametrize("times", [1.7, 2.3])
 def test_the_hard_ceiling_is_passed_by_two_per_cent_of_a_minute_at_most(rate, burst_s, times):
     for settings in (site(rate, burst_s, times), site(rate, burst_s, times, gateway_count=4)):
-        rows = [row for row in table(settings) if row.plan == "amplio" and row.window_s == 60]
+        rows = [row for row in compute_bounds(settings) if row.plan == "amplio" and row.window_s == 60]
         assert {row.situation for row in rows} == set(Situation)
-        assert all(row.ceiling_share <= 0.02 for row in rows)
+        assert all(row.hard_limit_excess_ratio <= 0.02 for row in rows)
 
 
 def test_each_situation_adds_what_it_stands_for():
@@ -72,36 +79,40 @@
     plan = settings.plans[0]
 
     def of(situation, window_s=60.0, **more):
-        return beyond_quota(plan, settings, situation, window_s, **more)
+        return max_excess_over_quota(plan, settings, situation, window_s, **more)
 
-    plain = of(Situation.SERVICE)
+    plain = of(Situation.NORMAL)
     assert 0 < plain < plan.burst * 2 + 3 * settings.max_units
-    assert of(Situation.ONE_HOME, restarts=2) == pytest.approx(plain + 2 * plan.burst)
-    assert of(Situation.LOSS, loss=0.0) == plain < of(Situation.LOSS, loss=0.08)
-    assert of(Situation.SPLIT, far=0) == plain
+    assert of(Situation.OWNER_RESTART, restarts=2) == pytest.approx(plain + 2 * plan.burst)
+    assert of(Situation.MESSAGE_LOSS, loss=0.0) == plain < of(Situation.MESSAGE_LOSS, loss=0.08)
+    assert of(Situation.PARTITION, partitioned_gateways=0) == plain
     # For a while neither side knows; then each goes by its even parts. Among many gateways a firm may go to
     # one that never asked its home, which so keeps nothing back.
-    assert of(Situation.SPLIT) == pytest.approx(plain + 0.8 * 3.5)
+    assert of(Situation.PARTITION) == pytest.approx(plain + 0.8 * 3.5)
     many = site(gateway_count=30)
-    plain = beyond_quota(plan, many, Situation.SERVICE, 60.0)
+    plain = max_excess_over_quota(plan, many, Situation.NORMAL, 60.0)
     new = 0.8 * 56.5 * 3 / 4
-    assert beyond_quota(plan, many, Situation.SPLIT, 60.0) == pytest.approx(plain + 0.8 * 3.5 + new)
-    assert of(Situation.SPLIT, spread=1) == of(Situation.SERVICE, spread=1)
-    assert beyond_quota(Plan("free"), settings, Situation.SPLIT, 60.0) == 0
-    assert held_s(settings) == pytest.approx(2.0 + 5 * 0.25)
+    assert max_excess_over_quota(plan, many, Situation.PARTITION, 60.0) == pytest.approx(
+        plain + 0.8 * 3.5 + new
+    )
+    assert of(Situation.PARTITION, set_size=1) == of(Situation.NORMAL, set_size=1)
+    assert max_excess_over_quota(Plan("free"), settings, Situation.PARTITION, 60.0) == 0
+    assert max_forwarding_delay_s(settings) == pytest.approx(2.0 + 5 * 0.25)
     amplio = settings.plans[1]
-    assert beyond_ceiling(amplio, settings, 1.0) > beyond_ceiling(amplio, settings, 60.0)
+    assert max_excess_over_hard_limit(amplio, settings, 1.0) > max_excess_over_hard_limit(
+        amplio, settings, 60.0
+    )
 
 
 @pytest.mark.parametrize(
-    "wrong", [{"loss": 1.5}, {"loss": -0.1}, {"restarts": -1}, {"spread": 0}, {"far": 7}]
+    "wrong", [{"loss": 1.5}, {"loss": -0.1}, {"restarts": -1}, {"set_size": 0}, {"partitioned_gateways": 7}]
 )
 def test_what_makes_no_sense_is_named(wrong):
     settings = site()
     with pytest.raises(BoundsError):
-        beyond_quota(settings.plans[0], settings, Situation.SPLIT, 60.0, **wrong)
+        max_excess_over_quota(settings.plans[0], settings, Situation.PARTITION, 60.0, **wrong)
     with pytest.raises(BoundsError):
-        beyond_quota(settings.plans[0], settings, Situation.SERVICE, 0.0)
+        max_excess_over_quota(settings.plans[0], settings, Situation.NORMAL, 0.0)
 
 
 def test_no_window_of_a_simulated_run_is_beyond_the_bound():
--- a/tests/policy/quota/test_hard_limits.py
+++ b/tests/policy/quota/test_hard_limits.py
@@ -12,14 +12,14 @@
 from plumpick.policy.events import PeerMessageReceived
 from plumpick.policy.peer_messages import QuotaMessage, QuotaMessageKind
 from plumpick.policy.quota import hard_limits, liveness, requester
-from plumpick.policy.quota.bounds import Situation, beyond_quota
+from plumpick.policy.quota.bounds import Situation, max_excess_over_quota
 from plumpick.policy.quota.hard_limits import USED_RATIO
 from plumpick.policy.quota.requester import MAX_UNCONFIRMED
 from plumpick.policy.settings import Plan
 
 
 def bound(rig, situation, seconds, **more):
-    return beyond_quota(rig.plan, rig.settings(0), situation, seconds, **more)
+    return max_excess_over_quota(rig.plan, rig.settings(0), situation, seconds, **more)
 
 
 def both_sides_crowd(seed):
@@ -36,7 +36,7 @@
     """The even part that the lone gateway lives by is kept back at the home; without that it comes on top."""
     rigs = [both_sides_crowd(seed) for seed in (1, 2, 3)]
     rate = rigs[0].plan.rate_per_s
-    assert all(rig.beyond(1000.0) <= bound(rig, Situation.SPLIT, 20.0) for rig in rigs)
+    assert all(rig.beyond(1000.0) <= bound(rig, Situation.PARTITION, 20.0) for rig in rigs)
     # Between 4 s after the cut and its end both sides together grant the quota, and each has its part.
     for rig in rigs:
         assert rig.count(8000, 24_000) <= rate * 16 * 1.1
@@ -56,7 +56,7 @@
     rig.crowd([3], 24, 4000, 26_000, firm)
     rig.run(26_000)
     rate = rig.plan.rate_per_s
-    assert rig.beyond() <= bound(rig, Situation.SPLIT, 20.0)
+    assert rig.beyond() <= bound(rig, Situation.PARTITION, 20.0)
     for second in range(8, 20, 4):
         assert rig.count(second * 1000, second * 1000 + 4000) >= 0.75 * rate / 4 * 4
     assert rig.count(23_000, 26_000) >= 0.8 * rate * 3
@@ -73,7 +73,7 @@
     rig.crowd([0, 1, 2], 8, 0, 20_000, firm)
     rig.crowd([3], 12, 0, 20_000, firm)
     rig.run(20_000)
-    assert rig.beyond() <= bound(rig, Situation.SERVICE, 20.0) + rig.plan.rate_per_s * 3.5
+    assert rig.beyond() <= bound(rig, Situation.NORMAL, 20.0) + rig.plan.rate_per_s * 3.5
 
 
 def test_a_firm_that_asked_for_more_than_its_quota_gets_the_like_part_on_credit(monkeypatch):
@@ -120,7 +120,7 @@
     rig.crowd([0, 1, 2], 12, 0, 20_000, firm)
     rig.crowd([3], 12, 0, 20_000, firm)
     rig.run(20_000)
-    assert rig.beyond() <= bound(rig, Situation.SPLIT, 20.0)
+    assert rig.beyond() <= bound(rig, Situation.PARTITION, 20.0)
     assert rig.count(7000, 15_000) <= rig.plan.rate_per_s * 8 * 1.15
     assert rig.count(16_000, 20_000) >= rig.plan.rate_per_s * 4 * 0.7
 
@@ -145,7 +145,7 @@
     next life does not grant a burst again to who has asked for more than its quota."""
     rig, home, at = dies_at_a_grant(0)
     assert at < 9000 and rig.grants(home, at + 900)
-    assert rig.beyond() <= min(bound(rig, Situation.ONE_HOME, 12.0), 0.5 * rig.plan.burst)
+    assert rig.beyond() <= min(bound(rig, Situation.OWNER_RESTART, 12.0), 0.5 * rig.plan.burst)
     assert rig.count(at + 50, at + 900) >= 1  # its firm is not shut out meanwhile
     assert rig.count(at + 2000, 12_000) >= 0.7 * rig.plan.rate_per_s * (10 - at / 1000)
 
@@ -154,7 +154,7 @@
     rig, home, at = dies_at_a_grant(1)
     assert at < 9000
     (store,) = rig.modules[home].state.quota.owner.ledgers.values()
-    assert rig.beyond() <= bound(rig, Situation.SERVICE, 12.0) and store.units <= store.plan.burst
+    assert rig.beyond() <= bound(rig, Situation.NORMAL, 12.0) and store.units <= store.plan.burst
     assert rig.count(at + 2000, 12_000) >= 0.7 * rig.plan.rate_per_s * (10 - at / 1000)
 
 
@@ -165,7 +165,7 @@
         rig.at(ms, rig.kill, (rig.home() + place) % 4, 300.0)
     rig.at(3600, rig.kill, rig.home(), 300.0)
     rig.run(20_000)
-    assert rig.beyond() <= bound(rig, Situation.ONE_HOME, 20.0, restarts=2)
+    assert rig.beyond() <= bound(rig, Situation.OWNER_RESTART, 20.0, restarts=2)
     assert rig.count(14_000, 20_000) >= 0.75 * rig.plan.rate_per_s * 6
 
 
@@ -176,7 +176,7 @@
     for ms, number in ((5000, rig.home()), (9000, (rig.home() + 1) % 4)):
         rig.at(ms, rig.still.__setitem__, number, ms + 2000.0)
     rig.run(20_000)
-    assert rig.beyond() <= bound(rig, Situation.LOSS, 20.0, loss=0.08)
+    assert rig.beyond() <= bound(rig, Situation.MESSAGE_LOSS, 20.0, loss=0.08)
     assert rig.count(12_000, 20_000) >= 0.8 * rig.plan.rate_per_s * 8
 
 
@@ -197,7 +197,7 @@
     assert not any(
         item.kind is QuotaMessageKind.RETURNED for *_, news in rig.told for item in news.quota_messages
     )
-    assert rig.beyond() <= bound(rig, Situation.SERVICE, 20.0)
+    assert rig.beyond() <= bound(rig, Situation.NORMAL, 20.0)
     assert all(len(module.state.quota.requester.used_ms) <= 20 / 4 * 8 for module in rig.modules)
 
 
@@ -298,7 +298,9 @@
     plan = narrow.plan
 
     def split(rig):
-        return beyond_quota(plan, rig.settings(0), Situation.SPLIT, 60.0, spread=4, far=3)
+        return max_excess_over_quota(
+            plan, rig.settings(0), Situation.PARTITION, 60.0, set_size=4, partitioned_gateways=3
+        )
 
     before = [rig.modules[0].state.quota.liveness.unreachable_after_ms for rig in (narrow, wide)]
     assert before[0] == before[1]  # not begun yet
