--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -52,7 +52,7 @@
     return [*plans.values(), *dropped.values()]
 
 
-def plan_figures(plan: Plan) -> list[Any]:
+def plan_values(plan: Plan) -> list[Any]:
     """The values of a plan whose change affects quota state, in the order of PLAN_SNAPSHOT_FIELDS."""
     return snapshot_rows.row_of(plan, PLAN_SNAPSHOT_FIELDS)
 
@@ -165,7 +165,7 @@
         account.customer_tag = customer_tag(customer)
         account.hard_limit_ratio = quota.requester.hard_limit_ratio(account, int(first_gateway))
         before = figures.get(plan_name, plan)
-        if plan_figures(before) != plan_figures(plan):
+        if plan_values(before) != plan_values(plan):
             account.updated_ms = now_ms
             if not before.hard_limit_per_s:
                 account.hard_limit_units = 0.0
@@ -220,7 +220,7 @@
         waiting = (self._pending(pending, plan_index) for pending in queue)
         ledger.queue = [pending for pending in waiting if pending is not None]
         plan = self.plans[plan_name]
-        if plan_figures(ledger.plan) == plan_figures(plan):
+        if plan_values(ledger.plan) == plan_values(plan):
             ledger.plan = plan
         else:
             change_ledger_plan(self.quota.owner, ledger, plan, self.now_ms)
--- a/plumpick/policy/snapshot.py
+++ b/plumpick/policy/snapshot.py
@@ -38,7 +38,7 @@
         "gateways": state.settings.gateway_count,
         "classes": list(state.classes),
         "plans": list(plan_index),
-        "figures": {plan.name: quota_snapshot.plan_figures(plan) for plan in plans},
+        "figures": {plan.name: quota_snapshot.plan_values(plan) for plan in plans},
         "bans": list(disabled),
         "back": [list(row) for row in enabled],
         "draining": state.draining.since_ms,
