--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -118,22 +118,22 @@
 
 
 def read_state(
-    quota: QuotaManager, now_ms: float, snapshot: Mapping[str, Any], is_old_form: bool
+    quota: QuotaManager, now_ms: float, snapshot: Mapping[str, Any], is_format_1: bool
 ) -> QuotaState:
     """Parse the quota rows of a snapshot. Raises LookupError, TypeError or ValueError if they are malformed.
 
-    `is_old_form`: the snapshot has format 1."""
+    `is_format_1`: the snapshot has format 1."""
     settings = quota.context.settings
     plans = {plan.name: plan for plan in settings.plans}
-    figures = {
+    snapshot_plans = {
         name: Plan(name, **dict(zip(PLAN_SNAPSHOT_FIELDS, row, strict=True)))
         for name, row in snapshot.get("figures", {}).items()
     }
     current = {request_class.name: index for index, request_class in enumerate(settings.classes)}
-    class_names = () if is_old_form else snapshot["classes"]
-    indexes = {index: current[name] for index, name in enumerate(class_names) if name in current}
-    accounts = _read_accounts(quota, now_ms, snapshot["accounts"], plans, figures)
-    reader = _LedgerReader(quota, now_ms, plans, figures, indexes, is_old_form)
+    class_names = () if is_format_1 else snapshot["classes"]
+    class_indexes = {index: current[name] for index, name in enumerate(class_names) if name in current}
+    accounts = _read_accounts(quota, now_ms, snapshot["accounts"], plans, snapshot_plans)
+    reader = _LedgerReader(quota, now_ms, plans, snapshot_plans, class_indexes, is_format_1)
     for row in snapshot["stores"]:
         reader.read(row, snapshot["plans"])
     return QuotaState(
@@ -151,7 +151,7 @@
     now_ms: float,
     rows: list[Any],
     plans: Mapping[str, Plan],
-    figures: Mapping[str, Plan],
+    snapshot_plans: Mapping[str, Plan],
 ) -> dict[AccountKey, CustomerAccount]:
     accounts: dict[AccountKey, CustomerAccount] = {}
     for key, row in rows:
@@ -164,7 +164,7 @@
         snapshot_rows.fill(account, ACCOUNT_SNAPSHOT_FIELDS, row)
         account.customer_tag = customer_tag(customer)
         account.hard_limit_ratio = quota.requester.hard_limit_ratio(account, int(first_gateway))
-        before = figures.get(plan_name, plan)
+        before = snapshot_plans.get(plan_name, plan)
         if plan_values(before) != plan_values(plan):
             account.updated_ms = now_ms
             if not before.hard_limit_per_s:
@@ -175,38 +175,39 @@
 class _LedgerReader:
     """Parses the ledger rows of a snapshot into `ledgers` and, for plans not in the settings, `detached`.
 
-    `plans`: plans of the settings; `figures`: plans with the values of the snapshot; `class_indexes`: current
-    index by index in the snapshot, for classes that still exist; `is_old_form`: the snapshot has format 1."""
+    `plans`: plans of the settings; `snapshot_plans`: plans with the values of the snapshot; `class_indexes`:
+    current index by index in the snapshot, for classes that still exist; `is_format_1`: the snapshot has
+    format 1."""
 
     def __init__(
         self,
         quota: QuotaManager,
         now_ms: float,
         plans: Mapping[str, Plan],
-        figures: Mapping[str, Plan],
+        snapshot_plans: Mapping[str, Plan],
         class_indexes: Mapping[int, int],
-        is_old_form: bool,
+        is_format_1: bool,
     ) -> None:
         self.quota = quota
         self.now_ms = now_ms
         self.plans = plans
-        self.figures = figures
+        self.snapshot_plans = snapshot_plans
         self.class_indexes = class_indexes
-        self.is_old_form = is_old_form
+        self.is_format_1 = is_format_1
         self.ledgers: dict[int, QuotaLedger] = {}
         self.detached: dict[tuple[int, str], QuotaLedger] = {}
 
     def read(self, row: list[Any], plan_names: list[str]) -> None:
         """Parse one ledger row; a ledger whose plan neither the settings nor the snapshot define is
         dropped."""
-        key, plan_place, figures, members, requesters, settled, returned, spent, slots, queue = row
-        plan_name = plan_names[plan_place]
-        key = old_key_of(*divmod(int(key), OLD_PLAN_INDEXES)) if self.is_old_form else int(key)
+        key, plan_position, values, members, requesters, settled, returned, spent, slots, queue = row
+        plan_name = plan_names[plan_position]
+        key = old_key_of(*divmod(int(key), OLD_PLAN_INDEXES)) if self.is_format_1 else int(key)
         plan_index = self.quota.context.plan_index.get(plan_name, 0)
-        if plan_name not in self.plans and plan_name not in self.figures:
+        if plan_name not in self.plans and plan_name not in self.snapshot_plans:
             return
-        ledger = QuotaLedger(self.figures.get(plan_name) or self.plans[plan_name], 0.0, self.now_ms)
-        snapshot_rows.fill(ledger, LEDGER_SNAPSHOT_FIELDS, figures)
+        ledger = QuotaLedger(self.snapshot_plans.get(plan_name) or self.plans[plan_name], 0.0, self.now_ms)
+        snapshot_rows.fill(ledger, LEDGER_SNAPSHOT_FIELDS, values)
         ledger.members = tuple(int(member) for member in members)
         ledger.requesters = {int(gateway): float(ms) for gateway, ms in requesters}
         ledger.settled = {_grant_key(grant): float(ms) for grant, ms in settled}
