--- a/plumpick/policy/dynamic_config/delta.py
+++ b/plumpick/policy/dynamic_config/delta.py
@@ -30,7 +30,7 @@
     try:
         return json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False)
     except (ValueError, TypeError, RecursionError) as problem:
-        raise DeltaError(f"no canonical JSON: {problem}") from problem
+        raise DeltaError(f"value has no canonical JSON: {problem}") from problem
 
 
 def settings_digest(settings: SettingsJson) -> str:
@@ -82,11 +82,11 @@
         for key, row_changes in changes["rows"].items():
             old_rows = _rows_by_name(after[key])
             if key not in KEYED_LISTS or old_rows is None:
-                raise DeltaError(f"{key}: its rows have no names")
+                raise DeltaError(f"{key}: row changes need a list of rows with unique names")
             after[key] = _apply_row_changes(old_rows, row_changes)
         return after
     except (KeyError, TypeError, ValueError, AttributeError) as problem:
-        raise DeltaError(f"changes that cannot be applied: {problem!r}") from problem
+        raise DeltaError(f"changes cannot be applied to the base settings: {problem!r}") from problem
 
 
 def _rows_by_name(rows: Any) -> dict[str, Any] | None:
@@ -130,14 +130,14 @@
         del rows[name]
     for row in changes["put"]:
         if row["name"] not in rows:
-            raise DeltaError(f"{row['name']!r} is not there to be changed")
+            raise DeltaError(f"changed row {row['name']!r} is not in the base settings")
         rows[row["name"]] = row
     merged = _insert_rows(rows, changes["new"])
     order = changes.get("order")
     if order is None:
         return list(merged.values())
     if len(order) != len(merged):
-        raise DeltaError("the order does not name each row once")
+        raise DeltaError(f"order lists {len(order)} rows, expected {len(merged)}")
     return [merged[name] for name in order]
 
 
@@ -158,5 +158,5 @@
         merged[name] = row
         insert_behind(name)
     if new_by_predecessor or len(merged) != len(rows) + len(new_rows):
-        raise DeltaError("a new row has no place")
+        raise DeltaError("a new row names an unknown predecessor or repeats a name")
     return merged
--- a/plumpick/policy/dynamic_config/rollout_report.py
+++ b/plumpick/policy/dynamic_config/rollout_report.py
@@ -175,4 +175,4 @@
         return
     shown = ", ".join(map(str, missing[:MAX_NUMBERS_SHOWN]))
     more = " ..." if len(missing) > MAX_NUMBERS_SHOWN else ""
-    findings.add_problem(f"{len(missing)} never heard, by number: {shown}{more}")
+    findings.add_problem(f"{len(missing)} never called a service, gatekeeper numbers: {shown}{more}")
--- a/plumpick/policy/dynamic_config/subscriber.py
+++ b/plumpick/policy/dynamic_config/subscriber.py
@@ -86,10 +86,10 @@
     operators."""
 
     WANTED = "read"
-    OUTDATED = "an older version, or the one at hand"
+    OUTDATED = "not newer than the active or staged version"
     ALREADY_REJECTED = "a version that was refused before"
-    DIGEST_CONFLICT = "another digest under a number at hand"
-    BASE_MISMATCH = "changes from another base"
+    DIGEST_CONFLICT = "its number is active or staged with another digest"
+    BASE_MISMATCH = "its changes are based on another version"
 
 
 class ConfigSubscriber:
@@ -169,7 +169,7 @@
         before the watch timeout."""
         if request.watch_timeout_ms >= WATCH_TIMEOUT_MS and elapsed_ms < WATCH_TIMEOUT_MS / 2:
             self.on_call_failed()
-            raise EarlyResponseError("an answer without news before its time")
+            raise EarlyResponseError("service ended a watch without a newer version before the watch timeout")
         self._on_response(now_ms)
         self._unchanged_watches += 1
         if self._unchanged_watches >= MAX_UNCHANGED_WATCHES and self._address_count > 1:
@@ -300,7 +300,9 @@
         parts = [f"version {active.number} {active.digest[:12] or '(own file)'} in force"]
         if self.staged is not None:
             delay_s = max(0.0, self.staged.activates_at_ms - now_ms) / 1000
-            parts.append(f"{self.staged.number} {self.staged.digest[:12]} staged for in {delay_s:.1f} s")
+            parts.append(
+                f"{self.staged.number} {self.staged.digest[:12]} staged, in force in {delay_s:.1f} s"
+            )
         if self.rejected:
             number = max(self.rejected)
             rejected = self.rejected[number]
--- a/plumpick/policy/dynamic_config/updates.py
+++ b/plumpick/policy/dynamic_config/updates.py
@@ -53,10 +53,10 @@
 def parse_update(value: Any) -> VersionUpdate:
     """Parse an update from the service's JSON; raises InvalidUpdateError."""
     if not isinstance(value, dict):
-        raise InvalidUpdateError("an answer that is no object")
+        raise InvalidUpdateError(f"update must be a JSON object, got {type(value).__name__}")
     activates_at_ms: Any = value.get("in_force_ms")
     if type(activates_at_ms) not in (int, float) or not 0 <= activates_at_ms <= MAX_VERSION_NUMBER:
-        raise InvalidUpdateError("in_force_ms is no time")
+        raise InvalidUpdateError(f"in_force_ms must be a number of Unix ms from 0 to {MAX_VERSION_NUMBER}")
     number = _parse_number(value.get("version"))
     digest = _parse_digest(value.get("digest"))
     settings = value.get("settings")
@@ -64,7 +64,7 @@
         return VersionUpdate(number, digest, float(activates_at_ms), shared_settings(settings))
     changes = value.get("changes")
     if not isinstance(changes, dict):
-        raise InvalidUpdateError("neither settings nor changes")
+        raise InvalidUpdateError("update has neither settings nor changes")
     base_number = _parse_number(value.get("base"))
     base_digest = _parse_digest(value.get("base_digest"))
     return VersionUpdate(number, digest, float(activates_at_ms), None, changes, base_number, base_digest)
@@ -79,9 +79,12 @@
         elif update.applies_to(base):
             settings = apply_changes(base.settings, update.changes)
         else:
-            raise InvalidUpdateError("changes from another base")
+            raise InvalidUpdateError(
+                f"changes are based on version {update.base_number} {update.base_digest[:12]}, "
+                f"not on version {base.number} {base.digest[:12]}"
+            )
         if settings_digest(settings) != update.digest:
-            raise InvalidUpdateError("the digest is not that of the settings")
+            raise InvalidUpdateError(f"digest {update.digest[:12]} does not match the settings")
     except DeltaError as problem:
         raise InvalidUpdateError(str(problem)) from problem
     return SettingsVersion(update.number, update.digest, update.activates_at_ms, settings)
@@ -89,11 +92,13 @@
 
 def _parse_number(value: Any) -> int:
     if type(value) is not int or not 1 <= value <= MAX_VERSION_NUMBER:
-        raise InvalidUpdateError(f"{value!r:.40} is no version")
+        raise InvalidUpdateError(
+            f"version must be an integer from 1 to {MAX_VERSION_NUMBER}, got {value!r:.40}"
+        )
     return int(value)
 
 
 def _parse_digest(value: Any) -> str:
     if not isinstance(value, str) or len(value) != 64 or set(value) - set("0123456789abcdef"):
-        raise InvalidUpdateError(f"{value!r:.80} is no digest")
+        raise InvalidUpdateError(f"digest must be 64 lowercase hexadecimal digits, got {value!r:.80}")
     return value
--- a/plumpick/policy/dynamic_config/version_store.py
+++ b/plumpick/policy/dynamic_config/version_store.py
@@ -141,7 +141,7 @@
     try:
         update = parse_update(value)
         if update.settings is None:
-            raise PublishError("the whole settings are due")
+            raise PublishError("publishing needs the whole settings, got changes")
         return resolve_update(update, OWN_FILE)
     except InvalidUpdateError as problem:
         raise PublishError(str(problem)) from problem
@@ -149,7 +149,7 @@
 
 def _require_same(known: SettingsVersion, version: SettingsVersion) -> None:
     if (known.digest, known.activates_at_ms) != (version.digest, version.activates_at_ms):
-        raise PublishError(f"version {version.number} is here with another content or time")
+        raise PublishError(f"version {version.number} is already published with another content or time")
 
 
 def _encode_response(newest: SettingsVersion, base: SettingsVersion | None) -> bytes:
--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -193,7 +193,10 @@
     def _pack_quota_message(self, message: QuotaMessage) -> bytes:
         is_class = 0 <= message.class_index < self.class_count
         if not (is_class and 0 <= message.plan_index < self.plan_count):
-            raise ValueError(f"no index of class and plan: {message!r}")
+            raise ValueError(
+                f"class index must be below {self.class_count} and plan index below {self.plan_count}, "
+                f"got {message!r}"
+            )
         is_small = message.gateway_set_size <= MAX_ENCODED_SET_SIZE
         set_size = message.gateway_set_size if is_small else 0
         return self._quota_message.pack(
@@ -208,7 +211,9 @@
 
     def _pack_outlier_report(self, report: OutlierReport) -> bytes:
         if not (0 <= report.class_index < self.class_count and 0 <= report.grade < _GRADES):
-            raise ValueError(f"no index of a class, or no grade: {report!r}")
+            raise ValueError(
+                f"class index must be below {self.class_count} and grade below {_GRADES}, got {report!r}"
+            )
         return self._outlier_report.pack(report.endpoint_tag, report.class_index * _GRADES + report.grade)
 
     def decode(self, data: bytes) -> PeerMessage | None:
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -75,7 +75,7 @@
     """Size of a customer's gateway set for the bounds: `set_size`, or DEFAULT_GATEWAY_SET_SIZE if None, at
     most the number of gateways. Raises BoundsError if `set_size` is below 1."""
     if set_size is not None and set_size < 1:
-        raise BoundsError(f"spread: {set_size} is no number of gateways")
+        raise BoundsError(f"spread must be at least 1 gateway, got {set_size}")
     return min(settings.gateway_count, DEFAULT_GATEWAY_SET_SIZE if set_size is None else set_size)
 
 
@@ -97,9 +97,11 @@
     lost, 0 to 1. Raises BoundsError for an argument out of range."""
     count = gateway_set_size(settings, set_size)
     if not 0 <= loss <= 1:
-        raise BoundsError(f"loss: {loss} is no share")
+        raise BoundsError(f"loss must be from 0 to 1, got {loss}")
     if restarts < 0 or window_s <= 0:
-        raise BoundsError("restarts and windows are not below nothing")
+        raise BoundsError(
+            f"restarts must not be negative and window_s must be positive, got {restarts} and {window_s}"
+        )
     if not plan.rate_per_s:
         return 0.0
     # Units that each gateway may spend without a grant: the local bucket (capped by QuotaRequester._fill) and
@@ -126,7 +128,7 @@
     # that time, the parts of the far side add up to at most the quota.
     partitioned = count - 1 if partitioned_gateways is None else partitioned_gateways
     if not 0 <= partitioned < max(2, count):
-        raise BoundsError(f"far: {partitioned} of {count} gateways")
+        raise BoundsError(f"partitioned_gateways must be from 0 to {max(2, count) - 1}, got {partitioned}")
     if not partitioned:
         return ungranted
     undetected_s = min(window_s, (UNREACHABLE_AFTER_HEARTBEATS + 3) * heartbeat_ms(settings) / 1000)
@@ -174,7 +176,7 @@
     may be forwarded in it, in addition to the window's ungranted refill; therefore the parts add up to only
     USED_RATIO of the hard limit. Raises BoundsError if `window_s` is not positive."""
     if window_s <= 0:
-        raise BoundsError("windows are not below nothing")
+        raise BoundsError(f"window_s must be positive, got {window_s}")
     allowed = plan.hard_limit_burst + plan.hard_limit_per_s * window_s
     charged = plan.hard_limit_burst + plan.hard_limit_per_s * (window_s + max_forwarding_delay_s(settings))
     return max(0.0, USED_RATIO * charged - allowed)
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -27,7 +27,7 @@
         await machine.put(4, published(4), 60_000.0)
         while "4 " not in await says(calls):
             pass
-        assert "staged for in" in await says(calls)
+        assert "staged, in force in" in await says(calls)
         await machine.put(5, {**published(5), "limits": {}})
         while "refused" not in await says(calls):
             pass
@@ -148,7 +148,10 @@
             report = report_rollout([store.status(store.versions[3].published_ms + 5900)])
             assert report.is_complete and report.lines[-1] == "1 of 3 have it"  # the term is not over
             report = report_rollout([store.status(store.versions[3].published_ms + 6100)])
-            assert not report.is_complete and "2 never heard, by number: 1, 2" in report.lines
+            assert (
+                not report.is_complete
+                and "2 never called a service, gatekeeper numbers: 1, 2" in report.lines
+            )
             assert machine.put_in_force(old.pid) == [] and await is_up(machine.port, 5.0)
 
     on_a_machine(tmp_path, scenario)
--- a/tests/policy/dynamic_config/test_rollout_report.py
+++ b/tests/policy/dynamic_config/test_rollout_report.py
@@ -36,7 +36,7 @@
         "n3 has not been heard for 7.0 s",
         "n4 has version 8, which no service knows",
         "n5 has version 7 with another content",
-        "1 never heard, by number: 6",
+        "1 never called a service, gatekeeper numbers: 6",
         "2 of 7 have it",
     ):
         assert word in text, word
--- a/tests/policy/dynamic_config/test_subscriber.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -123,7 +123,7 @@
     side.activate_due(3999.0)
     assert side.activated == [] and side.subscriber.staged.number == 1
     line = side.subscriber.status_line(1000.0)
-    assert "1 " in line and "staged for in 3.0 s" in line
+    assert "1 " in line and "staged, in force in 3.0 s" in line
     side.activate_due(4000.0)
     assert [version for _, version, _ in side.activated] == [1] and side.subscriber.staged is None
 
