--- a/tests/policy/dynamic_config/test_delta.py
+++ b/tests/policy/dynamic_config/test_delta.py
@@ -1,4 +1,4 @@
-"""Deltas and digests: applied to its base a delta makes the very settings that were published."""
+"""Deltas and digests of settings: a delta applied to its base must give exactly the published settings."""
 
 import contextlib
 import copy
@@ -25,7 +25,7 @@
 SCALARS = st.one_of(st.integers(-9, 9), st.floats(-9, 9), st.booleans(), st.text(max_size=3), st.none())
 ROWS = st.lists(
     st.builds(
-        lambda name, worth, more: {"name": name, "worth": worth, **more},
+        lambda name, worth, other_fields: {"name": name, "worth": worth, **other_fields},
         st.sampled_from("abcdefgh"),
         SCALARS,
         st.dictionaries(st.text(max_size=2), SCALARS, max_size=2),
@@ -48,16 +48,16 @@
 
 @effort(max_examples=300, deadline=None)
 @given(OBJECTS, OBJECTS)
-def test_a_delta_applied_to_its_base_is_the_published_settings_in_order_and_number_types(before, after):
-    kept = copy.deepcopy(before)
-    made = apply_changes(before, json.loads(json.dumps(changes_between(before, after))))
-    assert settings_digest(made) == settings_digest(after) and before == kept
-    assert canonical_json(made) == canonical_json(shared_settings(after))
+def test_delta_applied_to_its_base_gives_the_target_with_order_and_number_types(before, after):
+    original = copy.deepcopy(before)
+    result = apply_changes(before, json.loads(json.dumps(changes_between(before, after))))
+    assert settings_digest(result) == settings_digest(after) and before == original
+    assert canonical_json(result) == canonical_json(shared_settings(after))
 
 
 @effort(max_examples=200, deadline=None)
 @given(OBJECTS)
-def test_the_digest_is_sha256_over_canonical_json_without_the_gateways_own_keys(value):
+def test_digest_is_sha256_of_canonical_json_without_gateway_specific_keys(value):
     text = json.dumps(
         {key: item for key, item in value.items() if key not in GATEWAY_OWN_KEYS},
         sort_keys=True,
@@ -69,18 +69,19 @@
 
 @effort(max_examples=300, deadline=None)
 @given(OBJECTS, OBJECTS, OBJECTS)
-def test_a_delta_with_a_wrong_base_resolves_to_the_published_settings_or_is_invalid(base, other, after):
-    """Some make it by chance, where the two bases differ in what is changed anyway."""
+def test_delta_with_a_wrong_base_is_invalid_or_gives_the_published_settings(base, other, after):
+    """A wrong base gives the right result if it differs from the right base only in values that the delta
+    replaces."""
     base_version = SettingsVersion(4, settings_digest(other), 0.0, other)
     update = VersionUpdate(
         5, settings_digest(after), 0.0, None, changes_between(base, after), 4, base_version.digest
     )
     try:
-        made = resolve_update(update, base_version)
+        resolved = resolve_update(update, base_version)
     except InvalidUpdateError:
         assert canonical_json(shared_settings(base)) != canonical_json(shared_settings(other))
         return
-    assert canonical_json(made.settings) == canonical_json(shared_settings(after))
+    assert canonical_json(resolved.settings) == canonical_json(shared_settings(after))
 
 
 JSON = st.recursive(
@@ -94,15 +95,15 @@
 
 @effort(max_examples=300, deadline=None)
 @given(JSON)
-def test_malformed_changes_raise_a_delta_error_and_leave_the_base(changes):
+def test_malformed_changes_raise_only_delta_error_and_do_not_modify_the_base(changes):
     base = published(1)
-    kept = copy.deepcopy(base)
+    original = copy.deepcopy(base)
     with contextlib.suppress(DeltaError):
         apply_changes(base, changes)
-    assert base == kept
+    assert base == original
 
 
-def test_a_delta_of_one_row_among_many_has_that_row_only():
+def test_delta_of_few_changed_rows_contains_only_those_rows():
     before = published(0, 1000)
     after = copy.deepcopy(before)
     after["classes"].insert(500, {**before["classes"][0], "name": "new"})
@@ -113,6 +114,6 @@
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), {1, 2}])
-def test_what_has_no_canonical_json_has_no_digest(value):
+def test_digest_of_a_value_without_canonical_json_raises_delta_error(value):
     with pytest.raises(DeltaError):
         settings_digest({"limits": value})
--- a/tests/policy/dynamic_config/test_rollout_report.py
+++ b/tests/policy/dynamic_config/test_rollout_report.py
@@ -1,4 +1,4 @@
-"""What is reported of who has which version, by what several services have."""
+"""Rollout report: which gateways have which version, from the status of several services."""
 
 from support.dynamic_config import document, published, status_of
 
@@ -8,27 +8,26 @@
 from plumpick.policy.dynamic_config.version_store import VersionStore
 
 
-def test_the_report_names_who_lacks_or_rejected_it_is_unreachable_or_never_called():
+def test_report_names_gateways_that_lack_or_reject_the_version_or_do_not_call():
     first, second = VersionStore(), VersionStore()
     value = {**published(7), "balancers": 7}
-    its = settings_digest(value)
+    digest = settings_digest(value)
     first.publish(1000.0, document(7, value, 4000.0))
     now = 1000.0 + ACTIVATION_DEADLINE_MS + 500
-    first.record_subscriber(status_of("n0", 0, 7, its, now))
+    first.record_subscriber(status_of("n0", 0, 7, digest, now))
     first.record_subscriber(status_of("n1", 1, 6, "6" * 64, now, staged=7))
     first.record_subscriber(
         status_of("n2", 2, 6, "6" * 64, now, rejected=7, reason="settings.limits: an object is due")
     )
-    second.record_subscriber(status_of("n3", 3, 7, its, now - 7000))
+    second.record_subscriber(status_of("n3", 3, 7, digest, now - 7000))
     second.record_subscriber(status_of("n4", 4, 8, "8" * 64, now))
-    second.record_subscriber(
-        status_of("n1", 1, 5, "5" * 64, now - 3000)
-    )  # what was told elsewhere later counts
+    # Older than the status of n1 at the first service, which counts
+    second.record_subscriber(status_of("n1", 1, 5, "5" * 64, now - 3000))
     second.record_subscriber(status_of("n5", 5, 7, "7" * 64, now))
     report = report_rollout([first.status(now), second.status(now)])
     text = "\n".join(report.lines)
     assert not report.is_complete and "version 7" in report.lines[0]
-    for word in (
+    for line in (
         "service 2 lacks it",
         "n1 lacks it: has version 6, 7 staged",
         "n2 lacks it",
@@ -39,10 +38,10 @@
         "1 never called a service, gatekeeper numbers: 6",
         "2 of 7 have it",
     ):
-        assert word in text, word
+        assert line in text, line
 
 
-def test_a_rollout_is_complete_where_all_have_it_or_it_is_not_due_yet():
+def test_rollout_is_complete_if_all_gateways_have_the_version_or_it_is_not_due():
     store = VersionStore()
     value = {**published(7), "balancers": 2}
     store.publish(1000.0, document(7, value, 4000.0))
@@ -55,7 +54,7 @@
     assert not report_rollout([VersionStore().status(0.0)]).is_complete
 
 
-def test_two_contents_under_one_number_at_two_services_are_reported():
+def test_different_contents_of_a_version_at_two_services_are_reported():
     one, other = VersionStore(), VersionStore()
     one.publish(0.0, document(3, published(1)))
     other.publish(0.0, document(3, published(2)))
--- a/tests/policy/dynamic_config/test_subscriber.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -1,4 +1,5 @@
-"""Which version is active: never back, never half, never another content than was published."""
+"""Subscriber of versioned settings: the active version never goes back to an older one, is never active in
+part, and never differs from the published content."""
 
 import contextlib
 import random
@@ -28,25 +29,28 @@
 )
 from plumpick.policy.dynamic_config.updates import SettingsVersion
 
-BAD = 3  # versions that this divides are no settings for a gatekeeper
+INVALID_VERSION_INTERVAL = 3  # versions with multiples of this number have invalid settings
 
 
-def history(count, times):
-    """Published versions: (document, settings)."""
+def published_documents(count, activation_times):
+    """Documents of versions 1 to `count`, some with invalid settings."""
     return [
         document(
-            number, {**published(number), **({"bad": True} if number % BAD == 0 else {})}, times[number - 1]
+            number,
+            {**published(number), **({"bad": True} if number % INVALID_VERSION_INTERVAL == 0 else {})},
+            activation_times[number - 1],
         )
         for number in range(1, count + 1)
     ]
 
 
-def delta(base, news):
+def delta(base, target):
+    """Update from one document to another, as a delta."""
     return {
-        **{key: value for key, value in news.items() if key != "settings"},
+        **{key: value for key, value in target.items() if key != "settings"},
         "base": base["version"],
         "base_digest": base["digest"],
-        "changes": changes_between(base["settings"], news["settings"]),
+        "changes": changes_between(base["settings"], target["settings"]),
     }
 
 
@@ -54,9 +58,19 @@
     return "bad" if settings.get("bad") else ""
 
 
-MOVES = st.lists(
+STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["whole", "delta", "old-base", "torn", "wait", "restart", "liar"]),
+        st.sampled_from(
+            [
+                "snapshot",
+                "delta",
+                "mislabelled base",
+                "wrong digest",
+                "wait",
+                "restart",
+                "conflicting number",
+            ]
+        ),
         st.integers(0, 7),
         st.integers(0, 7),
         st.integers(0, 4000),
@@ -66,58 +80,62 @@
 
 
 @effort(max_examples=400, deadline=None)
-@given(MOVES, st.lists(st.integers(0, 12_000), min_size=8, max_size=8))
-def test_in_any_order_of_updates_the_active_version_never_goes_back_and_was_published(moves, times):
-    """Offers in any order, doubled, late, of other bases, torn, under numbers of others; restarts."""
-    known = history(8, times)
-    now, lives = 0.0, [Subscription(0.0, reason_against=bad_reason)]
-    for kind, place, other, passed in moves:
+@given(STEPS, st.lists(st.integers(0, 12_000), min_size=8, max_size=8))
+def test_active_version_only_increases_and_is_a_published_one_for_any_order_of_updates(
+    steps, activation_times
+):
+    """Updates are reordered, repeated, delayed, with a wrong base, with a wrong digest or under the number of
+    another version; the subscriber restarts in between."""
+    documents = published_documents(8, activation_times)
+    now, incarnations = 0.0, [Subscription(0.0, reason_against=bad_reason)]
+    for kind, place, other, passed in steps:
         now += passed
-        side, news = lives[-1], known[place]
-        if kind == "whole":
-            side.receive(now, news)
+        side, offered = incarnations[-1], documents[place]
+        if kind == "snapshot":
+            side.receive(now, offered)
         elif kind == "delta":
-            side.receive(now, delta(known[other], news))
-        elif kind == "old-base":  # its changes are of another base than it says
+            side.receive(now, delta(documents[other], offered))
+        elif kind == "mislabelled base":  # the changes are based on another version than stated
             side.receive(
                 now,
                 {
-                    **delta(known[other], news),
+                    **delta(documents[other], offered),
                     "base": side.subscriber.newest.number or 1,
-                    "base_digest": side.subscriber.newest.digest or known[0]["digest"],
+                    "base_digest": side.subscriber.newest.digest or documents[0]["digest"],
                 },
             )
-        elif kind == "torn":
-            side.receive(now, {**news, "settings": published(99)})
-        elif kind == "liar":  # the number is in use
-            side.receive(now, document(news["version"], published(50), now))
+        elif kind == "wrong digest":
+            side.receive(now, {**offered, "settings": published(99)})
+        elif kind == "conflicting number":  # other content under the number of a published version
+            side.receive(now, document(offered["version"], published(50), now))
         elif kind == "restart":
-            lives.append(Subscription(now, reason_against=side.reason_against))
-        lives[-1].activate_due(now)
-    right = {row["version"]: row["digest"] for row in known} | {-1: settings_digest(published(50))}
-    for side in lives:
+            incarnations.append(Subscription(now, reason_against=side.reason_against))
+        incarnations[-1].activate_due(now)
+    published_digests = {row["version"]: row["digest"] for row in documents}
+    conflicting_digest = settings_digest(published(50))
+    for side in incarnations:
         numbers = [version for _, version, _ in side.activated]
         assert numbers == sorted(set(numbers))
-        for at, version, its in side.activated:
-            assert its in (right[version], right[-1])
-            if its == right[version]:
-                assert version % BAD and at >= times[version - 1]
+        for at, version, digest in side.activated:
+            assert digest in (published_digests[version], conflicting_digest)
+            if digest == published_digests[version]:
+                assert version % INVALID_VERSION_INTERVAL and at >= activation_times[version - 1]
         assert len(side.subscriber.rejected) <= MAX_REJECTED_VERSIONS
 
 
 @effort(max_examples=200, deadline=None)
 @given(st.permutations(range(8)), st.randoms(use_true_random=False))
-def test_the_newest_version_is_active_once_all_came_in_any_order(order, chance):
-    known = history(8, [0.0] * 8)
+def test_newest_version_is_active_after_all_were_received_in_any_order(order, chance):
+    documents = published_documents(8, [0.0] * 8)
     side = Subscription(reason_against=bad_reason)
     for place in order:
         for _ in range(chance.randrange(1, 3)):
-            side.receive(1.0, known[place])
+            side.receive(1.0, documents[place])
     assert side.subscriber.active.number == 8
-    assert side.subscriber.active.digest == known[7]["digest"]
+    assert side.subscriber.active.digest == documents[7]["digest"]
 
 
-def test_a_version_is_activated_at_its_time_and_not_before():
+def test_staged_version_is_activated_at_its_activation_time_and_not_before():
     side = Subscription()
     side.receive(1000.0, document(1, published(1), 4000.0))
     side.activate_due(3999.0)
@@ -128,7 +146,7 @@
     assert [version for _, version, _ in side.activated] == [1] and side.subscriber.staged is None
 
 
-def test_a_newer_version_replaces_the_staged_one_whatever_their_times():
+def test_newer_version_replaces_the_staged_one_regardless_of_activation_times():
     for at_ms in (2000.0, 9000.0):
         side = Subscription()
         side.receive(0.0, document(1, published(1), 5000.0))
@@ -138,7 +156,7 @@
         assert [version for _, version, _ in side.activated] == [2]
 
 
-def test_a_rejected_version_is_reported_and_leaves_the_active_and_the_staged_one():
+def test_rejected_version_is_reported_and_does_not_replace_the_active_or_staged_version():
     side = Subscription(
         reason_against=lambda value: "settings.classes[0].name is missing" if value.get("bad") else ""
     )
@@ -155,7 +173,7 @@
     assert side.subscriber.active.number == 4
 
 
-def test_a_version_that_fails_to_activate_is_rejected_and_the_active_one_stays():
+def test_version_that_fails_to_activate_is_rejected_and_the_active_version_stays():
     subscriber = Subscription().subscriber
     first, second = SettingsVersion(1, "a" * 64, 0.0, {}), SettingsVersion(2, "b" * 64, 5.0, {})
     subscriber.stage(0.0, first)
@@ -170,7 +188,7 @@
     assert subscriber.staged is None
 
 
-def test_the_same_number_with_another_digest_is_rejected_and_reported():
+def test_active_number_with_another_digest_is_rejected_and_reported():
     side = Subscription()
     side.receive(0.0, document(1, published(1)))
     side.receive(0.0, document(1, published(2)))
@@ -178,21 +196,21 @@
     assert side.subscriber.next_request(0.0).rejection_reason and "another digest" in side.problems[-1]
 
 
-def test_a_version_that_activates_too_far_ahead_is_rejected():
+def test_version_with_an_activation_time_too_far_ahead_is_rejected():
     side = Subscription()
     side.receive(0.0, document(1, published(1), MAX_ACTIVATION_DELAY_MS + 1))
     assert 1 in side.subscriber.rejected and side.subscriber.staged is None
 
 
-def test_after_a_wrong_base_or_digest_a_snapshot_is_requested():
-    for wrong in (
+def test_snapshot_is_requested_after_an_update_with_a_wrong_base_or_digest():
+    for invalid in (
         delta(document(5, published(5)), document(6, published(6))),
         {**document(6, published(6)), "digest": "0" * 64},
     ):
         side = Subscription()
         side.receive(0.0, document(1, published(1)))
         assert side.subscriber.next_request(0.0).since_digest
-        side.receive(0.0, wrong)
+        side.receive(0.0, invalid)
         request = side.subscriber.next_request(0.0)
         assert (request.since_digest, request.since_number) == ("", 1)
         assert request.delay_ms <= 2 * INITIAL_BACKOFF_MS
@@ -200,9 +218,10 @@
         assert side.subscriber.next_request(0.0).since_digest == settings_digest(published(6))
 
 
-def test_a_version_is_notified_in_time_with_two_silent_addresses_in_turn():
-    """Played, against the sum that the module states: the watch falls silent as it begins, a change right
-    behind; the next address takes connections and says nothing; the third answers."""
+def test_notification_with_two_addresses_that_do_not_answer_takes_at_most_the_stated_time():
+    """The worst case of `worst_notification_ms`, step by step: a version is published just after a watch has
+    started that gets no response; the next address accepts connections and does not answer; the third one
+    answers."""
     for number in range(0, 550, 7):
         subscriber = ConfigSubscriber(number, 550, 3, random.Random(number), 0.0)
         now = 500.0 + number
@@ -220,39 +239,39 @@
         assert request.watch_timeout_ms == IMMEDIATE_WATCH_MS
         assert spent <= worst_notification_ms(2) + 1e-6
         assert worst_notification_ms(2) + RESPONSE_TIMEOUT_MS <= ACTIVATION_DEADLINE_MS
-    assert worst_notification_ms(1) <= 3000.0  # before the 3 s after which a version is due
+    assert worst_notification_ms(1) <= 3000.0  # before a version's activation, 3 s after publishing
     assert worst_notification_ms(0) == 0.0
 
 
-def test_gateways_whose_service_died_call_in_slots_of_a_growing_backoff():
+def test_gateways_spread_their_calls_over_an_exponential_backoff_after_failures():
     subscribers = [ConfigSubscriber(number, 550, 1, random.Random(number), 0.0) for number in range(550)]
-    for fails in range(1, 8):
+    for failures in range(1, 8):
         for subscriber in subscribers:
             subscriber.on_call_failed()
-        round_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (fails - 1))
-        at = sorted(subscriber.next_request(12_345.6).delay_ms for subscriber in subscribers)
-        tenths = [
-            sum(place <= value < place + round_ms / 10 for value in at)
-            for place in (round_ms * tenth / 10 for tenth in range(10))
+        backoff_ms = min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** (failures - 1))
+        delays_ms = sorted(subscriber.next_request(12_345.6).delay_ms for subscriber in subscribers)
+        calls_per_tenth = [
+            sum(start_ms <= delay_ms < start_ms + backoff_ms / 10 for delay_ms in delays_ms)
+            for start_ms in (backoff_ms * tenth / 10 for tenth in range(10))
         ]
-        assert max(at) <= round_ms * (1 + 2 / 550) and max(tenths) <= 60
+        assert max(delays_ms) <= backoff_ms * (1 + 2 / 550) and max(calls_per_tenth) <= 60
 
 
-def test_addresses_are_used_in_turn_after_failures_and_after_many_unchanged_watches():
+def test_next_address_is_used_after_a_failure_and_after_many_unchanged_watches():
     subscriber = ConfigSubscriber(1, 3, 3, random.Random(1), 0.0)
-    asked = []
+    called = []
     for _ in range(6):
-        asked.append(subscriber.next_request(0.0).address_index)
+        called.append(subscriber.next_request(0.0).address_index)
         subscriber.on_call_failed()
-    assert asked == [1, 2, 0, 1, 2, 0]
+    assert called == [1, 2, 0, 1, 2, 0]
     for _ in range(MAX_UNCHANGED_WATCHES):
-        asked.append(subscriber.next_request(0.0).address_index)
+        called.append(subscriber.next_request(0.0).address_index)
         request = subscriber.next_request(0.0)
         subscriber.on_unchanged(0.0, request, request.watch_timeout_ms)
-    assert subscriber.next_request(0.0).address_index != asked[-1]
+    assert subscriber.next_request(0.0).address_index != called[-1]
 
 
-def test_a_service_that_always_answers_at_once_is_not_called_in_a_tight_loop():
+def test_service_that_answers_every_call_at_once_is_not_called_in_a_tight_loop():
     subscriber = ConfigSubscriber(0, 3, 2, random.Random(1), 0.0)
     now, calls = 0.0, 0
     while now < 20_000.0:
@@ -263,14 +282,14 @@
             subscriber.on_unchanged(now, request, 0.1)
     assert calls < 20_000 / INITIAL_BACKOFF_MS * 4
     side, now, calls = Subscription(), 0.0, 0
-    while now < 2000.0:  # and one that has a new version each time
+    while now < 2000.0:  # a service with a new version for every call
         now += side.subscriber.next_request(now).delay_ms + 0.1
         calls += 1
         side.receive(now, document(calls, published(calls)))
     assert calls <= 2000 / MIN_WATCH_INTERVAL_MS + 2
 
 
-def test_the_status_line_says_for_how_long_services_are_silent():
+def test_status_line_states_the_time_since_the_last_response():
     subscriber = ConfigSubscriber(0, 3, 1, random.Random(1), 1000.0)
     assert "version 0 (own file) in force" in subscriber.status_line(1000.0)
     subscriber.on_call_failed()
@@ -278,14 +297,14 @@
     assert WATCH_GRACE_MS < WATCH_TIMEOUT_MS
 
 
-def test_the_previous_processs_version_is_activated_unless_one_as_new_is_active():
+def test_version_of_the_hot_restart_predecessor_is_activated_only_if_newer_than_the_active_one():
     subscriber = Subscription().subscriber
     staged = SettingsVersion(9, "9" * 64, 5000.0, {})
     subscriber.stage(0.0, staged)
-    before = SettingsVersion(8, "8" * 64, 0.0, {})
-    assert subscriber.is_newer_than_active(before)
-    subscriber.on_activated(before)
-    assert (subscriber.active, subscriber.staged) == (before, staged)
+    predecessors = SettingsVersion(8, "8" * 64, 0.0, {})
+    assert subscriber.is_newer_than_active(predecessors)
+    subscriber.on_activated(predecessors)
+    assert (subscriber.active, subscriber.staged) == (predecessors, staged)
     assert not subscriber.is_newer_than_active(SettingsVersion(7, "7" * 64, 0.0, {}))
     newer = SettingsVersion(10, "a" * 64, 0.0, {})
     subscriber.on_activated(newer)
--- a/tests/policy/dynamic_config/test_updates.py
+++ b/tests/policy/dynamic_config/test_updates.py
@@ -1,4 +1,4 @@
-"""Whether an answer of a service is a version."""
+"""Validation of updates that a service sends."""
 
 import pytest
 from support.dynamic_config import document
@@ -28,6 +28,6 @@
         {**document(1, {}), "settings": None, "changes": {}},
     ],
 )
-def test_an_answer_that_is_no_version_is_invalid(value):
+def test_malformed_update_raises_invalid_update_error(value):
     with pytest.raises(InvalidUpdateError):
         parse_update(value)
--- a/tests/policy/dynamic_config/test_version_store.py
+++ b/tests/policy/dynamic_config/test_version_store.py
@@ -1,4 +1,4 @@
-"""The service's decisions: what it stores and what it answers."""
+"""Version store of a service: stored versions, responses to subscribers, and subscribers."""
 
 import json
 
@@ -12,13 +12,13 @@
 
 
 def publish_problem(store, value):
-    """What the store says against a version."""
+    """Message of the PublishError that the store raises for a version."""
     with pytest.raises(PublishError) as raised:
         store.publish(0.0, value)
     return str(raised.value)
 
 
-def test_publishing_rejects_other_content_or_time_under_a_number_and_older_numbers():
+def test_publishing_rejects_changed_content_or_time_of_a_number_and_older_numbers():
     store = VersionStore()
     assert store.publish(0.0, document(5, published(5))) is None
     assert store.publish(0.0, document(5, published(5))) is None
@@ -40,7 +40,7 @@
     assert list(store.versions) == [5]
 
 
-def test_a_delta_is_sent_for_a_stored_base_a_snapshot_otherwise_nothing_if_up_to_date():
+def test_response_is_a_delta_for_a_stored_base_a_snapshot_otherwise_and_none_if_up_to_date():
     store = VersionStore()
     assert store.response_for(0, "", 0) is None
     for number in range(1, MAX_VERSIONS + 3):
@@ -48,24 +48,23 @@
     assert len(store.versions) == MAX_VERSIONS
     newest = MAX_VERSIONS + 2
     base = SettingsVersion(3, settings_digest(published(3, 50)), 0.0, published(3, 50))
-    answer = json.loads(store.response_for(3, base.digest, 0))
-    assert "changes" in answer and resolve_update(parse_update(answer), base).settings == published(
-        newest, 50
-    )
-    for since, its in ((2, settings_digest(published(2, 50))), (3, "0" * 64), (0, ""), (3, "")):
-        assert "settings" in json.loads(store.response_for(since, its, 0))
+    response = json.loads(store.response_for(3, base.digest, 0))
+    assert "changes" in response
+    assert resolve_update(parse_update(response), base).settings == published(newest, 50)
+    for since, digest in ((2, settings_digest(published(2, 50))), (3, "0" * 64), (0, ""), (3, "")):
+        assert "settings" in json.loads(store.response_for(since, digest, 0))
     assert store.response_for(newest, "", 0) is None and store.response_for(newest + 4, "", 0) is None
-    assert store.response_for(3, base.digest, newest) is None  # it was refused: not offered again
+    assert store.response_for(3, base.digest, newest) is None  # a rejected version is not sent again
 
 
-def test_a_snapshot_is_sent_where_the_delta_is_not_shorter():
+def test_response_is_a_snapshot_if_the_delta_is_not_shorter():
     store = VersionStore()
     store.publish(0.0, document(1, {"limits": {"a": 1}}))
     store.publish(0.0, document(2, {"limits": {"a": 2}}))
     assert "settings" in json.loads(store.response_for(1, settings_digest({"limits": {"a": 1}}), 0))
 
 
-def test_subscribers_are_bounded_and_the_longest_silent_one_is_dropped():
+def test_number_of_subscribers_is_limited_and_the_one_with_the_oldest_call_is_dropped():
     store = VersionStore()
     for number in range(MAX_SUBSCRIBERS + 1):
         store.record_subscriber(status_of(f"n{number}", number, 0, ""))
