--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -137,18 +137,18 @@
     """The tracked endpoints by tag, without those that share a tag: a report on one could be meant for the
     other."""
     tags = {name: endpoint_tag(name) for name in tracked}
-    holders = Counter(tags.values())
-    return {tag: tracked[name] for name, tag in tags.items() if holders[tag] == 1}
+    tag_counts = Counter(tags.values())
+    return {tag: tracked[name] for name, tag in tags.items() if tag_counts[tag] == 1}
 
 
-def _clip(value: float) -> int:
+def _to_uint16(value: float) -> int:
     """A scaled value rounded and limited to an unsigned 16-bit integer; 0 for NaN and negative values."""
     if 0 <= value <= MAX_NUMBER:
         return round(value)
     return MAX_NUMBER if value > 0 else 0
 
 
-def _width(count: int) -> str:
+def _index_format(count: int) -> str:
     """The struct format character of the smallest unsigned integer with at least `count` distinct values."""
     if count <= 1 << 8:
         return "B"
@@ -167,8 +167,10 @@
         self.version = VERSION
         self.digest = int.from_bytes(digest, "little")
         self._head = struct.Struct(_HEAD)
-        self._quota_message = struct.Struct(_QUOTA_MESSAGE + _width(self.class_count * self.plan_count))
-        self._outlier_report = struct.Struct(_OUTLIER_REPORT + _width(self.class_count * _GRADES))
+        self._quota_message = struct.Struct(
+            _QUOTA_MESSAGE + _index_format(self.class_count * self.plan_count)
+        )
+        self._outlier_report = struct.Struct(_OUTLIER_REPORT + _index_format(self.class_count * _GRADES))
         space = MAX_BYTES - self._head.size - MAX_OUTLIER_REPORTS * self._outlier_report.size
         self.max_quota_messages = space // self._quota_message.size
 
@@ -185,7 +187,9 @@
         class or plan."""
         quota_messages = quota_messages[: self.max_quota_messages]
         number, count = incarnation & MAX_NUMBER, len(quota_messages)
-        parts = [self._head.pack(self.version, self.digest, number, _clip(capacity * CAPACITY_SCALE), count)]
+        parts = [
+            self._head.pack(self.version, self.digest, number, _to_uint16(capacity * CAPACITY_SCALE), count)
+        ]
         parts += map(self._pack_quota_message, quota_messages)
         parts += map(self._pack_outlier_report, outlier_reports[:MAX_OUTLIER_REPORTS])
         return b"".join(parts)
@@ -204,8 +208,8 @@
             message.customer_tag & _TAG_LOW_MASK,
             message.customer_tag >> TAG_LOW_BITS,
             message.serial & MAX_NUMBER,
-            _clip(message.units * UNITS_SCALE),
-            _clip(message.demand_per_s * UNITS_SCALE),
+            _to_uint16(message.units * UNITS_SCALE),
+            _to_uint16(message.demand_per_s * UNITS_SCALE),
             message.class_index * self.plan_count + message.plan_index,
         )
 
--- a/plumpick/policy/quota/outbox.py
+++ b/plumpick/policy/quota/outbox.py
@@ -15,7 +15,7 @@
 MAX_WAITING_PACKETS = 4  # maximum packets of quota messages queued for one gateway
 INBOX_RATIO = 0.75  # maximum fraction of an inbox's rate used by all other gateways together
 MAX_DELAY_MS = 60.0
-# Time constant of packet counts; a gateway heard from within this time is counted as another sender to peers
+# Time constant of packet counts; gateways that sent a packet within this time count as senders to each peer
 ACTIVITY_MEMORY_MS = 1000.0
 MIN_SENT_COUNT = 0.1  # decayed packet count below which the count of a gateway is dropped
 
@@ -49,10 +49,10 @@
 
     def on_period(self) -> None:
         """Decay the packet counts by one period (PERIOD_MS)."""
-        keep = math.exp(-PERIOD_MS / ACTIVITY_MEMORY_MS)
-        self.received_count *= keep
+        decay = math.exp(-PERIOD_MS / ACTIVITY_MEMORY_MS)
+        self.received_count *= decay
         self.sent_count = {
-            other: count * keep for other, count in self.sent_count.items() if count > MIN_SENT_COUNT
+            other: count * decay for other, count in self.sent_count.items() if count > MIN_SENT_COUNT
         }
 
     def take_packets(self, now_ms: float, max_messages: int) -> list[tuple[int, list[QuotaMessage]]]:
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -33,7 +33,7 @@
 IDLE_MS = 8000.0  # time without messages after which a full ledger is evicted
 
 GRANT_REQUESTS = (QuotaMessageKind.GRANT_REQUEST, QuotaMessageKind.RETRY_GRANT_REQUEST)
-SPENDINGS = (QuotaMessageKind.SPENT, QuotaMessageKind.LATE)
+SPEND_REPORTS = (QuotaMessageKind.SPENT, QuotaMessageKind.LATE)
 
 
 class QuotaOwner:
@@ -63,7 +63,7 @@
         ledger = self._ledger_for(now_ms, message, plan)
         if message.kind in GRANT_REQUESTS:
             self._on_grant_request(now_ms, ledger, key, message, request_class)
-        elif message.kind in SPENDINGS:
+        elif message.kind in SPEND_REPORTS:
             self._on_spent(now_ms, ledger, key, message, plan)
         elif message.kind is QuotaMessageKind.RETURNED:
             self._on_returned(now_ms, ledger, key, message, plan)
@@ -178,7 +178,7 @@
             wait_s = self._wait_s(now_ms, ledger, pending, ratio)
             if wait_s > 0:
                 if plan.rate_per_s and not plan.max_in_flight:
-                    self._deny_hopeless(now_ms, ledger, plan.rate_per_s * ratio)
+                    self._deny_unservable(now_ms, ledger, plan.rate_per_s * ratio)
                 self._schedule(now_ms, name, ledger, wait_s)
                 return
             ledger.queue.pop()
@@ -194,8 +194,8 @@
         ledger.demand_units *= math.exp(-elapsed_s * MS_PER_S / DEMAND_MEMORY_MS)
         ratio = self.granted_ratio(now_ms, ledger)
         withheld = ledger.withheld_units + plan.rate_per_s * (1 - ratio) * elapsed_s
-        fade = 1.0 if ratio < 1 else math.exp(-elapsed_s * MS_PER_S / WITHHELD_MEMORY_MS)
-        ledger.withheld_units = min(plan.burst, withheld) * fade
+        decay = 1.0 if ratio < 1 else math.exp(-elapsed_s * MS_PER_S / WITHHELD_MEMORY_MS)
+        ledger.withheld_units = min(plan.burst, withheld) * decay
         ledger.units = min(plan.burst, ledger.units + plan.rate_per_s * ratio * elapsed_s)
         filled_limit = plan.hard_limit_per_s * hard_limits.OWNER_RATIO * elapsed_s
         limit_burst = plan.hard_limit_burst * hard_limits.OWNER_RATIO
@@ -234,7 +234,7 @@
         self.ledgers[name].next_serve_ms = math.inf
         self.serve(now_ms, name)
 
-    def _deny_hopeless(self, now_ms: float, ledger: QuotaLedger, rate_per_s: float) -> None:
+    def _deny_unservable(self, now_ms: float, ledger: QuotaLedger, rate_per_s: float) -> None:
         """Deny the waiting requests that would expire before the ledger refills for them and for the requests
         ahead of them. `rate_per_s`: refill rate in units per second."""
         ahead = 0.0
--- a/plumpick/policy/quota/reconfiguration.py
+++ b/plumpick/policy/quota/reconfiguration.py
@@ -72,21 +72,24 @@
     def __init__(self, before: Settings, after: Settings) -> None:
         class_index = {request_class.name: index for index, request_class in enumerate(after.classes)}
         plan_index = {plan.name: index for index, plan in enumerate(after.plans)}
-        self.class_to = [class_index.get(request_class.name) for request_class in before.classes]
-        self.plan_to = [plan_index.get(plan.name) for plan in before.plans]
+        self.new_class_index = [class_index.get(request_class.name) for request_class in before.classes]
+        self.new_plan_index = [plan_index.get(plan.name) for plan in before.plans]
         # Units spent or returned are counted even if their class was removed; the class with the longest
         # latency objective takes its place, so that a slot is not released too early.
         objectives = [request_class.latency_objective_ms for request_class in after.classes]
-        self._longest = max(range(len(objectives)), key=objectives.__getitem__)
+        self._longest_class = max(range(len(objectives)), key=objectives.__getitem__)
 
     def translate(self, messages: list[QuotaMessage]) -> list[QuotaMessage]:
         """The messages with new indexes, without messages of removed plans and grant requests of removed
         classes."""
         translated = []
         for message in messages:
-            plan, request_class = self.plan_to[message.plan_index], self.class_to[message.class_index]
+            plan, request_class = (
+                self.new_plan_index[message.plan_index],
+                self.new_class_index[message.class_index],
+            )
             if request_class is None and message.kind not in GRANT_REQUESTS:
-                request_class = self._longest
+                request_class = self._longest_class
             if plan is not None and request_class is not None:
                 translated.append(message._replace(class_index=request_class, plan_index=plan))
         return translated
@@ -104,7 +107,7 @@
     and at most `max_messages` messages."""
     outbox = quota.outbox
     for gateway, messages in outbox.waiting.items():
-        dropped = [message for message in messages if translation.plan_to[message.plan_index] is None]
+        dropped = [message for message in messages if translation.new_plan_index[message.plan_index] is None]
         for first in range(0, len(dropped), max_messages):
             send_now(gateway, dropped[first : first + max_messages])
     outbox.waiting = {
@@ -129,7 +132,7 @@
         for key, ledger in owner.ledgers.items()
     ):
         return
-    moved = _Moved(owner, now_ms, plans, plan_index)
+    moved = _MovedLedgers(owner, now_ms, plans, plan_index)
     if moved.changed or list(moved.ledgers) != list(owner.ledgers):
         timers.rekey_ledgers(moved.new_keys, set(moved.changed))
     owner.ledgers = moved.ledgers
@@ -141,7 +144,7 @@
             timers.schedule(now_ms, TimerKind.LEDGER, key)
 
 
-class _Moved:
+class _MovedLedgers:
     """Result of moving an owner's ledgers to changed plans: `ledgers` by new key, `new_keys` by old key, and
     the new keys of the ledgers whose plan has `changed`."""
 
--- a/plumpick/policy/reconfiguration.py
+++ b/plumpick/policy/reconfiguration.py
@@ -112,7 +112,7 @@
     quota_reconfiguration.translate_waiting(state.quota, translation, most, send)
     reports = []
     for seen_ms, report in state.outliers.reports:
-        class_index = translation.class_to[report.class_index]
+        class_index = translation.new_class_index[report.class_index]
         if class_index is not None:
             reports.append((seen_ms, report._replace(class_index=class_index)))
     state.outliers.reports = reports
