--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -26,12 +26,28 @@
 
 
 class Situation(Enum):
-    """Operating condition of the quota system for which a bound holds; values are shown to operators."""
+    """Operating condition of the quota system for which a bound holds; values are shown to operators.
 
+    The comment on each member explains the units that `max_excess_over_quota` allows for it."""
+
+    # Units that each gateway may spend without a grant: the local bucket (capped by QuotaRequester._fill) and
+    # one request of any size after a grant timeout (on_grant_timeout). The owner is notified (SPENT) and
+    # charges its ledger, which may become negative. Units charged before the window may be forwarded in it.
     NORMAL = "in service"
+    # QuotaOwner._ledger_for creates a full ledger after a restart of the quota owner.
     OWNER_RESTART = "one home restarts"
+    # A customer has a single owner, so a restart of all gateways adds no more than a restart of the owner.
+    # Units that other gateways spent while the owner was down are never charged, but the owner granted none
+    # in that time.
     ALL_RESTART = "all gateways restart"
+    # Gateways on the far side spend from local buckets, which fill at their part of the quota.
+    # UNREACHABLE_AFTER_HEARTBEATS after the last message received, that part becomes the even one
+    # (QuotaRequester._fill) and the owner withholds as much (QuotaOwner.granted_ratio). The two sides may
+    # differ by one heartbeat in the time of their last message, and by two more after lost heartbeats. Before
+    # that time, the parts of the far side add up to at most the quota.
     PARTITION = "a split into two sides"
+    # Units of a lost SPENT message are never charged. Affected are all units spent from local buckets: their
+    # content at the start of the window and their refill, at the quota's rate in total.
     MESSAGE_LOSS = "messages are lost"
 
 
@@ -104,28 +120,16 @@
         )
     if not plan.rate_per_s:
         return 0.0
-    # Units that each gateway may spend without a grant: the local bucket (capped by QuotaRequester._fill) and
-    # one request of any size after a grant timeout (on_grant_timeout). The owner is notified (SPENT) and
-    # charges its ledger, which may become negative. Units charged before the window may be forwarded in it.
+    # Situation has the derivation of each term
     ungranted = count * (
         LOCAL_BURST_RATIO * plan.burst + settings.max_units
     ) + plan.rate_per_s * max_forwarding_delay_s(settings)
     if situation is Situation.NORMAL:
         return ungranted
     if situation is Situation.MESSAGE_LOSS:
-        # Units of a lost SPENT message are never charged. Affected are all units spent from local buckets:
-        # their content at the start of the window and their refill, at the quota's rate in total.
         return ungranted + loss * (ungranted + plan.rate_per_s * window_s)
     if situation in (Situation.OWNER_RESTART, Situation.ALL_RESTART):
-        # QuotaOwner._ledger_for creates a full ledger. A customer has a single owner, so a restart of all
-        # gateways adds no more than a restart of the owner. Units that other gateways spent while the owner
-        # was down are never charged, but the owner granted none in that time.
         return ungranted + restarts * plan.burst
-    # Partition: gateways on the far side spend from local buckets, which fill at their part of the quota.
-    # UNREACHABLE_AFTER_HEARTBEATS after the last message received, that part becomes the even one
-    # (QuotaRequester._fill) and the owner withholds as much (QuotaOwner.granted_ratio). The two sides may
-    # differ by one heartbeat in the time of their last message, and by two more after lost heartbeats. Before
-    # that time, the parts of the far side add up to at most the quota.
     partitioned = count - 1 if partitioned_gateways is None else partitioned_gateways
     if not 0 <= partitioned < max(2, count):
         raise BoundsError(f"partitioned_gateways must be from 0 to {max(2, count) - 1}, got {partitioned}")
