--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -60,9 +60,7 @@
     window_s: float
     quota_units: float  # units allowed by the quota within the window
     max_excess_over_quota: float  # maximum units granted beyond the quota
-    hard_limit_units: (
-        float  # units allowed by the hard limit within the window; 0 if the plan has no hard limit
-    )
+    hard_limit_units: float  # units allowed by the hard limit within the window; 0 without a hard limit
     max_excess_over_hard_limit: float  # maximum units forwarded to endpoints beyond the hard limit
 
     @property
@@ -120,7 +118,7 @@
         )
     if not plan.rate_per_s:
         return 0.0
-    # Situation has the derivation of each term
+    # See the members of Situation for the derivation of each term
     ungranted = count * (
         LOCAL_BURST_RATIO * plan.burst + settings.max_units
     ) + plan.rate_per_s * max_forwarding_delay_s(settings)
--- a/plumpick/policy/quota/ledger.py
+++ b/plumpick/policy/quota/ledger.py
@@ -66,9 +66,8 @@
         return
     ledger.prior_demand_per_s += max(0.0, demand_per_s)
     unspent = (rate - ledger.prior_demand_per_s) / (NEW_LEDGER_DEMAND_RATIO * rate)
-    ratio = max(
-        0.0, min(ledger.initial_ratio, unspent)
-    )  # never raised, even if the plan's rate has increased
+    # Never raised, even if the plan's rate has increased
+    ratio = max(0.0, min(ledger.initial_ratio, unspent))
     ledger.units = max(-burst, ledger.units - (ledger.initial_ratio - ratio) * burst)
     ledger.initial_ratio = ratio
 
--- a/plumpick/policy/quota/liveness.py
+++ b/plumpick/policy/quota/liveness.py
@@ -13,7 +13,7 @@
 HEARTBEAT_INBOX_RATIO = 0.3  # maximum fraction of a gateway's inbox rate used by heartbeats of all others
 # Maximum number of other gateways with heartbeats to all; in larger tiers they go to quota owners only
 MAX_ALL_TO_ALL = 8
-UNREACHABLE_AFTER_HEARTBEATS = 4.0  # number of heartbeat intervals without a message
+UNREACHABLE_AFTER_HEARTBEATS = 4.0  # intervals without a message until a gateway is unreachable
 
 
 def heartbeat_ms(settings: Settings) -> float:
