--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -311,12 +311,12 @@
     assert one.state.quota.owner.ledgers  # The names are equal, so the message is accepted.
     dropped = without(settings(), "feed")
     change(one, 1008.0, dropped)
-    heard_ms = dict(one.state.quota.outbox.heard_ms)
+    received_ms = dict(one.state.quota.outbox.received_ms)
     one.handle(1012.0, [PeerMessageReceived(1, data)])
-    assert one.state.quota.outbox.heard_ms == heard_ms
+    assert one.state.quota.outbox.received_ms == received_ms
     change(two, 1016.0, replace(dropped, gateway_number=1))
     one.handle(1020.0, [PeerMessageReceived(1, two.codec.encode(1, 1.0, [], []))])
-    assert one.state.quota.outbox.heard_ms[1] == 1020.0
+    assert one.state.quota.outbox.received_ms[1] == 1020.0
 
 
 def test_slots_in_use_stay_in_use_over_a_change_until_they_are_returned():
@@ -404,10 +404,10 @@
     """A quota rig that changes its customer's plan at all gateways, one after the other."""
 
     def put(self, number, plan):
-        config = self.modules[number].settings
-        self.notice(
+        config = self.controllers[number].settings
+        self.add_event(
             number,
-            self.life[number],
+            self.incarnations[number],
             SettingsChanged(1, replace(config, plans=(plan,) if plan else (Plan("other", 1.0, 1.0),))),
         )
 
@@ -436,7 +436,7 @@
         rig.change(change_ms, step and replace(rig.plan, rate_per_s=step[0], burst=step[1]))
         changes.append((change_ms, step))
     rig.run(20_000.0)
-    for now, _ in rig.granted:
+    for now, _ in rig.forwarded:
         while changes and changes[0][0] <= now:
             when, step = changes.pop(0)
             bucket.change(when, *step) if step else bucket.drop(when)
@@ -461,7 +461,7 @@
         changes.append((change_ms, step))
     rig.run(20_000.0)
     free, counted = False, 0
-    for now, _ in rig.granted:
+    for now, _ in rig.forwarded:
         while changes and changes[0][0] <= now:
             when, step = changes.pop(0)
             if step and step[0]:
