--- a/plumpick/policy/budgets/__init__.py
+++ b/plumpick/policy/budgets/__init__.py
@@ -1,6 +1,7 @@
-"""Fleet-wide budgets: a limit that all gateways together never pass, whatever fails. No I/O, no clock.
+"""Fleet-wide budgets: limits that all gateways together never exceed, whatever fails. No I/O, no clock.
 
-The entry point is ledger.BudgetLedger, all budgets at one gateway. rate_limiter.py: what may be spent now;
-allocator.py and fair_share.py: who is granted how much; matching.py: which requests are charged to a budget;
-codec.py: messages between gateways; bounds.py: what the promises come to. docs/design/budgets.md numbers the
-promises."""
+The entry point is ledger.BudgetLedger, which manages all budgets at one gateway. rate_limiter.py decides what
+one gateway may spend now; allocator.py and fair_share.py decide the amount granted to each gateway;
+matching.py selects the budgets that a request is charged to; codec.py encodes messages between gateways;
+bounds.py computes how much can be spent in each state of the fleet. docs/design/budgets.md numbers and
+explains the guarantees."""
--- a/plumpick/policy/budgets/allocator.py
+++ b/plumpick/policy/budgets/allocator.py
@@ -1,10 +1,12 @@
-"""Who is granted how much of one budget, and until when.
+"""The allocator of one budget: decides how much of the budget each gateway is granted, and until when.
 
-The allocator runs at the gateway that holds the lease of the budget's slot. Guards against:
-- grants of the allocator before: it grants nothing until all of them have ended;
-- a grant that is lost or delayed: it counts as outstanding until its end;
-- a smaller grant that its receiver does not know yet: the larger one counts until the receiver reports it;
-- a restarted receiver: what was granted to its last incarnation counts until its end."""
+The allocator runs at the gateway that holds the lease of the budget's slot. To keep the sum of all grants
+within the limit, it accounts for:
+- grants of the previous allocator: it grants nothing until all of them have expired;
+- lost or delayed grants: every grant counts as outstanding until it expires;
+- a smaller grant that has not reached its receiver yet: the earlier, larger grant counts until the receiver
+  reports the smaller one;
+- a restarted receiver: grants to its previous incarnation count until they expire."""
 
 from __future__ import annotations
 
@@ -17,14 +19,15 @@
 from plumpick.policy.budgets.messages import DemandReport
 from plumpick.policy.budgets.token_bucket import TokenBucket
 
-# Both in grant terms.
-BURST_TURN_TERMS = 2.0  # how long one receiver keeps a burst that others wait for
-RECEIVER_EXPIRY_TERMS = 2.0  # without a report for so long, and with nothing outstanding, it is forgotten
+# Time for which a receiver keeps a burst that other receivers wait for, in grant terms.
+BURST_TURN_TERMS = 2.0
+# Time without a demand report after which a receiver with no outstanding grant is removed, in grant terms.
+RECEIVER_EXPIRY_TERMS = 2.0
 
 
 @dataclass(slots=True)
 class OutstandingGrant:
-    """A grant that was sent and may be in use until `expires_ms`."""
+    """A sent grant, which its receiver may use until `expires_ms`."""
 
     request_id: int
     amount: float
@@ -34,22 +37,24 @@
 
 @dataclass(slots=True)
 class GrantReceiver:
-    """One incarnation of a gateway, as the allocator knows it. Owns its outstanding grants, each until it
-    ends."""
+    """The allocator's record of one incarnation of a gateway: its last demand report, and its outstanding
+    grants, each until it expires."""
 
     reported_ms: float
     request_id: int = 0
     demand: float = 0.0
-    reported_granted: float = 0.0  # its own count, which may be above its last grant
+    # Granted amount by the receiver's own report, which may exceed its last grant.
+    reported_granted: float = 0.0
     reported_granted_until_ms: float = 0.0
     largest_request: float = 0.0
-    waiting_since_ms: float = math.inf  # for a burst that one request fits in
+    # Start of the wait for a burst that is large enough for one request; infinity while it does not wait.
+    waiting_since_ms: float = math.inf
     turn_began_ms: float = -math.inf
     outstanding: list[OutstandingGrant] = field(default_factory=list)
 
     def record(self, now_ms: float, report: DemandReport, until_ms: float) -> None:
-        """Take in its demand, its own count of what it was granted (valid until `until_ms`), and that all
-        before the last grant that it accepted has ended."""
+        """Record a demand report. The granted amount in the report counts until `until_ms`. Grants that are
+        older than the last one that the receiver accepted are no longer outstanding."""
         self.reported_ms = now_ms
         self.request_id = report.request_id
         self.demand = max(0.0, report.demand)
@@ -63,19 +68,19 @@
         ]
 
     def granted_amount(self, now_ms: float) -> float:
-        """What counts as granted to it: the largest that it may go by."""
+        """The amount that counts as granted to this receiver: the largest one that it may still apply."""
         self.outstanding = [grant for grant in self.outstanding if now_ms < grant.expires_ms]
         reported = self.reported_granted if now_ms < self.reported_granted_until_ms else 0.0
         return max([reported, *(grant.amount for grant in self.outstanding)])
 
     def granted_burst(self, now_ms: float) -> float:
-        """The largest burst that it may go by."""
+        """The largest burst that this receiver may still apply."""
         return max([0.0, *(grant.burst for grant in self.outstanding if now_ms < grant.expires_ms)])
 
 
 class BudgetAllocator:
-    """Grants one budget. Table: one entry for each incarnation of a gateway that reported of late or has a
-    grant outstanding."""
+    """Grants shares of one budget to gateways. Keeps one entry for each incarnation of a gateway that
+    reported within `RECEIVER_EXPIRY_TERMS` or has an outstanding grant."""
 
     def __init__(
         self,
@@ -87,8 +92,8 @@
         drift: float,
         from_ms: float | None = None,
     ) -> None:
-        """Starts when the lease was acquired. `from_ms`: when the last grant of anybody before has ended, if
-        that is known; otherwise one grant term from now."""
+        """Create the allocator when the lease is acquired. `from_ms`: time at which the last grant of all
+        previous allocators has expired; None if unknown, and then nothing is granted for one grant term."""
         self.budget = budget
         self.fencing_token = fencing_token
         self._gateways = gateways
@@ -99,14 +104,14 @@
         self._grantable_burst = budget.grantable_burst
         self._receivers: dict[tuple[int, int], GrantReceiver] = {}
         self._clock_factor = 1 / (1 + drift)
-        # What is not granted fills this bucket, and a new grant's first tokens come out of it.
+        # Fills at the rate that is not granted; the initial tokens of each new grant are taken from it.
         self._reserve = TokenBucket(
             self.grants_from_ms, self._grantable * self._clock_factor, self._grantable_burst
         )
 
     def set_limits(self, now_ms: float, budget: Budget) -> None:
-        """Use other limits from now on. Grants above a lower limit stay until their end; until then nothing
-        more is granted and the reserve does not fill."""
+        """Apply new limits. Where the limit is lowered, earlier grants above it remain valid until they
+        expire; until then nothing more is granted, and the reserve does not fill."""
         self._reserve.refill(now_ms)
         self.budget = budget
         self._grantable = budget.grantable_limit(self._gateways)
@@ -115,7 +120,7 @@
         self._reserve.tokens = min(self._reserve.tokens, self._reserve.capacity)
 
     def granted_amount(self, now_ms: float) -> float:
-        """All that counts as granted."""
+        """The sum of the amounts that count as granted to all receivers."""
         return sum(receiver.granted_amount(now_ms) for receiver in self._receivers.values())
 
     def request_grant(
@@ -126,9 +131,9 @@
         report: DemandReport,
         lease_end_ms: float = math.inf,
     ) -> Grant | None:
-        """Answer the demand report of an incarnation of a gateway; None for an outdated one, and while
-        nothing may be granted. `lease_end_ms`: when the lease ends under which this is granted; no grant may
-        end later."""
+        """Return the grant that answers a demand report of gateway `number`; None for an outdated report, and
+        while nothing may be granted. `lease_end_ms`: end of the allocator's lease, which no grant may
+        outlast."""
         if not 0 <= number < self._gateways:
             return None
         if now_ms < self.grants_from_ms or now_ms + self._grant_ms > lease_end_ms:
@@ -149,8 +154,8 @@
                 del self._receivers[key]
 
     def _fair_share(self, now_ms: float, number: int) -> float:
-        """The max-min share of a gateway among those that reported within a grant term. Of several
-        incarnations only the one that reported last counts."""
+        """The max-min fair share of gateway `number` among the gateways that reported within the last grant
+        term. Where several incarnations of a gateway reported, only the most recent report counts."""
         demands: dict[int, float] = {}
         latest_ms: dict[int, float] = {}
         for (other, _), receiver in self._receivers.items():
@@ -163,14 +168,15 @@
         return max_min_shares(self._grantable, demands).get(number, 0.0)
 
     def _ungranted(self, now_ms: float, receiver: GrantReceiver) -> float:
-        """What is granted to nobody but this receiver."""
+        """The grantable amount minus all that is granted to other receivers."""
         return self._grantable - sum(
             other.granted_amount(now_ms) for other in self._receivers.values() if other is not receiver
         )
 
     def _ungranted_burst(self, now_ms: float, receiver: GrantReceiver) -> float:
-        """The burst that is granted to nobody but this receiver. It is not always in proportion to the rate:
-        a receiver whose turn it is has more, and grants by earlier limits may be outstanding."""
+        """The grantable burst minus all that is granted to other receivers, at least 0. Granted bursts are
+        not always proportional to granted rates: a receiver that has its turn in the rotation of bursts holds
+        more, and grants under earlier limits may be outstanding."""
         others = sum(
             other.granted_burst(now_ms) for other in self._receivers.values() if other is not receiver
         )
@@ -181,7 +187,8 @@
         return max(0.0, min(self._fair_share(now_ms, number), ungranted))
 
     def _grant_rate(self, now_ms: float, number: int, receiver: GrantReceiver) -> Grant:
-        """A fair share of the rate, the same part of the burst, and first tokens out of the reserve."""
+        """Grant a fair share of the rate, the same fraction of the burst, and initial tokens from the
+        reserve."""
         self._reserve.refill(now_ms)
         fair_share = self._fair_share(now_ms, number)
         amount = max(0.0, min(fair_share, self._ungranted(now_ms, receiver)))
@@ -201,7 +208,7 @@
         return Grant(grant.request_id, grant.fencing_token, grant.amount, grant.burst, tokens)
 
     def _resize_reserve(self, now_ms: float) -> None:
-        """Let the reserve fill at the rate that is not granted, up to the burst that is not granted."""
+        """Set the reserve to fill at the rate that is not granted, up to the burst that is not granted."""
         ungranted = max(0.0, self._grantable - self.granted_amount(now_ms))
         self._reserve.rate_per_s = ungranted * self._clock_factor
         granted_burst = sum(receiver.granted_burst(now_ms) for receiver in self._receivers.values())
@@ -210,13 +217,14 @@
     def _rotate_burst(
         self, now_ms: float, receiver: GrantReceiver, previous_burst: float, ungranted_burst: float
     ) -> tuple[float, float]:
-        """Amount and burst where a fair part of the burst holds no whole request.
+        """Return amount and burst for a receiver if a fair share of the burst is smaller than one request.
 
-        If each of seven gateways had a seventh of a burst of four units, none could ever send a request of
-        one unit. So as many receivers as there are requests in the burst have one request's burst each, full
-        at first, and their part of the rate, for `BURST_TURN_TERMS`; the others have nothing. The one that
-        has waited longest is next. Where that part of the rate would not fill one request within a turn,
-        the rate stays with the reserve, and a turn is one request.
+        If each of seven gateways were granted a seventh of a burst of four units, none could ever send a
+        request of one unit. Therefore the burst rotates: as many receivers as the burst has room for requests
+        are granted a burst of one request each, initially full, and an equal part of the rate, for
+        `BURST_TURN_TERMS`; the others are granted nothing. The receiver that has waited longest is next. If
+        its part of the rate could not refill one request within a turn, the rate stays with the reserve and a
+        turn allows one request.
         """
         receivers = max(1, int(self._grantable_burst / receiver.largest_request))
         rate_each = self._grantable / receivers
@@ -238,7 +246,8 @@
         return amount, receiver.largest_request
 
     def _waiting_longer(self, now_ms: float, receiver: GrantReceiver) -> int:
-        """How many others wait for a burst for longer, and reported within half a grant term."""
+        """The number of other receivers that have waited longer for a burst and reported within the last half
+        of a grant term."""
         return sum(
             now_ms - other.reported_ms <= self._grant_ms / 2
             and other.waiting_since_ms < receiver.waiting_since_ms
--- a/plumpick/policy/budgets/allocator_directory.py
+++ b/plumpick/policy/budgets/allocator_directory.py
@@ -1,8 +1,8 @@
-"""Which gateway is thought to allocate the budgets of a slot, and whom to ask where that is not known.
+"""Directory of allocators: the gateway that is presumed to allocate the budgets of each slot.
 
-An acceptor of the leases knows the owner of a slot, and answers a demand report that was sent to it with a
-hint. Guards against an allocator that has gone: after `MAX_UNANSWERED_REPORTS` the acceptors are asked in
-turn."""
+Where the allocator of a slot is unknown, demand reports go to an acceptor of the leases, which knows the
+owner of the slot and replies with a hint. An allocator that leaves `MAX_UNANSWERED_REPORTS` reports
+unanswered is presumed down, and the acceptors are asked in turn."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 from plumpick.policy.budgets.messages import AllocatorHint
 from plumpick.policy.leases.terms import LeaseTerms
 
-MAX_UNANSWERED_REPORTS = 2
+MAX_UNANSWERED_REPORTS = 2  # number of reports to one allocator without an answer
 
 
 class AllocatorDirectory:
-    """Owns two tables, each with at most one entry for each slot."""
+    """Tracks the presumed allocator and the unanswered reports of each slot: at most one entry per slot in
+    each of its two tables."""
 
     def __init__(self, number: int, gateways: int, terms: LeaseTerms, rng: Random) -> None:
         self._number = number
         self._gateways = gateways
         self._terms = terms
         self._allocators: dict[int, int] = {}
-        self._unanswered: dict[int, int] = {}  # reports since the last answer
+        self._unanswered: dict[int, int] = {}  # number of reports since the last answer, by slot
         self._next_acceptor = rng.randrange(len(terms.acceptors))
 
     def allocator_of(self, slot: int) -> int | None:
-        """The gateway that is thought to own the slot."""
+        """The gateway that is presumed to own the slot; None if unknown."""
         return self._allocators.get(slot)
 
     def is_own(self, slot: int) -> bool:
@@ -34,22 +35,23 @@
         return self._allocators.get(slot) == self._number
 
     def record_acquired(self, slot: int) -> None:
-        """This gateway owns the slot from now on."""
+        """Record that this gateway has acquired the slot's lease."""
         self._allocators[slot] = self._number
 
     def record_lost(self, slot: int) -> None:
-        """This gateway does not own the slot any more."""
+        """Record that this gateway has lost the slot's lease."""
         if self.is_own(slot):
             del self._allocators[slot]
 
     def record_answer(self, slot: int, allocator: int) -> None:
-        """That gateway has granted something of the slot."""
+        """Record that gateway `allocator` has answered a report on a budget of the slot with a grant."""
         self._allocators[slot] = allocator
         self._unanswered[slot] = 0
 
     def accept_hint(self, hint: AllocatorHint) -> bool:
-        """Whether an acceptor's hint names another gateway than is known so far. An acceptor may know no more
-        than that we owned the slot before; believing it, a gateway would ask itself."""
+        """Apply an acceptor's hint; return whether it names a new allocator for the slot. A hint that names
+        this gateway is ignored: the acceptor may only know that this gateway owned the slot earlier, and
+        following the hint, the gateway would send reports to itself."""
         if hint.gateway == self._number or hint.gateway >= self._gateways:
             return False
         if hint.slot >= self._terms.slots or self.is_own(hint.slot):
@@ -61,8 +63,8 @@
         return True
 
     def next_target(self, slot: int) -> int:
-        """The gateway to send the next report to: the allocator, or else the next acceptor. Counts as a
-        report without an answer so far, unless it is this gateway."""
+        """Return the gateway to send the next demand report to: the allocator, or else the next acceptor. The
+        report is counted as unanswered, unless the target is this gateway."""
         allocator = self._allocators.get(slot)
         if allocator == self._number:
             return allocator
--- a/plumpick/policy/budgets/bounds.py
+++ b/plumpick/policy/budgets/bounds.py
@@ -1,6 +1,6 @@
-"""How much of a budget can be spent in each state of the fleet, from the settings alone: no I/O, no clock.
+"""Bounds on the spending of a budget in each state of the fleet, computed from the settings alone.
 
-docs/design/budgets.md derives these bounds; `plumpick bounds --operator` prints them."""
+No I/O, no clock. docs/design/budgets.md derives these bounds; `plumpick bounds --operator` prints them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from plumpick.policy.budgets.budget import Budget, grants_end_within_lease, longest_duration_ms
 from plumpick.policy.leases.terms import LeaseTerms
 
-WINDOWS_S = (1.0, 10.0, 60.0)
-MAX_VACANCY_TERMS = 2.0  # lease terms within which a slot has a next owner (docs/design/ownership.md, 4)
+WINDOWS_S = (1.0, 10.0, 60.0)  # lengths of the windows that bounds are computed for, in seconds
+# Maximum time until a slot has a new owner, in lease terms (guarantee 4 in docs/design/ownership.md).
+MAX_VACANCY_TERMS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetBound:
-    """One budget, state and window. `most`: units that all processes together can spend at most, whatever
-    fails. `sure`: units that can be spent where there is demand, in that state."""
+    """The bounds for one budget in one state of the fleet and one window. `most`: maximum number of units
+    that all processes together can spend, whatever fails. `sure`: number of units that can be spent for
+    certain in that state if the demand is high enough."""
 
     budget: str
     state: str
@@ -26,9 +28,9 @@
 
 
 def max_vacancy_s(terms: LeaseTerms, grant_term_ms: float) -> float:
-    """For how many seconds at most only guaranteed limits serve after an allocator's death, while a majority
-    of acceptors is connected: until the slot has an owner again and, where grants may outlive leases, until
-    the last grant has ended."""
+    """Maximum time in seconds after an allocator's death in which only the guaranteed limits can be spent,
+    while a majority of acceptors is connected. It ends when the slot has an owner again and, if grants may
+    outlast their lease, the last grant has expired."""
     wait_ms = 0.0
     if not grants_end_within_lease(grant_term_ms, terms.term_ms):
         wait_ms = longest_duration_ms(grant_term_ms, terms.drift_ratio)
@@ -36,9 +38,9 @@
 
 
 def bounds_of(budget: Budget, gateways: int, terms: LeaseTerms, grant_term_ms: float) -> list[BudgetBound]:
-    """The bounds for all windows and states. A burst that is available when the window begins is not counted
-    as sure; where an allocator's part of the burst holds no whole request, nothing is
-    (BudgetAllocator._rotate_burst)."""
+    """Return the bounds of one budget for all windows and states. `sure` does not include a burst that is
+    available when the window begins, and does not hold where the share of the burst that each gateway is
+    granted is smaller than one request (see BudgetAllocator._rotate_burst)."""
     slowest_clock = 1 / (1 + terms.drift_ratio)
     all_guaranteed = sum(budget.guaranteed_limit(number, gateways) for number in range(gateways))
     all_guaranteed *= slowest_clock
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -1,8 +1,10 @@
-"""The bytes of messages about budgets. They travel as payloads within the messages of leases
-(plumpick/policy/leases/codec.py), of at most `MAX_PAYLOAD_BYTES` bytes each; long lists take several.
+"""Binary encoding of the messages about budgets.
 
-Amounts are doubles in full: a grant must be counted with the value that was sent, to the last bit, or
-rounding up in each of many grants would sum to more than the limit. Bytes that are no message decode to None;
+They are payloads of lease messages (plumpick/policy/leases/codec.py) of at most `MAX_PAYLOAD_BYTES` each;
+longer lists are split into several payloads.
+
+Amounts are encoded as 64-bit floats: sender and receiver must count a grant with exactly the same value, or
+the rounding errors of many grants could add up to more than the limit. Malformed bytes decode to None, and
 the caller drops them."""
 
 from __future__ import annotations
@@ -22,14 +24,14 @@
 )
 from plumpick.policy.leases.codec import MAX_PAYLOAD_BYTES
 
-# The first byte of a payload; usage reports begin with others (usage_report.py).
+# Kinds of messages, in the first byte of the payload. Usage reports use other values (usage_report.py).
 DEMAND_REPORT = 0x21
 GRANT = 0x22
 ALLOCATOR_HINT = 0x23
 LIMITS_QUERY = 0x24
 LIMITS = 0x25
 
-# budget, request id, demand, granted, last grant id, largest request, fingerprint
+# Budget, request id, demand, granted, last grant id, largest request, fingerprint.
 _REPORT_ROW = struct.Struct(">HIfdIfI")
 _GRANT_HEADER = struct.Struct(">BI16s")  # kind, incarnation of the receiver, fencing token
 _GRANT_ROW = struct.Struct(">HIdddI")  # budget, request id, amount, burst, initial tokens, fingerprint
@@ -43,7 +45,7 @@
 
 
 def encode_demand_reports(reports: list[DemandReport]) -> list[bytes]:
-    """The payloads that carry all of these reports."""
+    """Encode demand reports into as many payloads as they need."""
     return [
         bytes([DEMAND_REPORT]) + b"".join(map(_report_row, reports[begin : begin + REPORTS_PER_MESSAGE]))
         for begin in range(0, len(reports), REPORTS_PER_MESSAGE)
@@ -51,7 +53,8 @@
 
 
 def encode_grants(incarnation: int, fencing_token: int, rows: list[GrantRow]) -> list[bytes]:
-    """The payloads that carry all of these grants, made under one token, to one incarnation of a gateway."""
+    """Encode grants that were made under one fencing token to one incarnation of a gateway, into as many
+    payloads as they need."""
     header = _GRANT_HEADER.pack(GRANT, incarnation, fencing_token.to_bytes(_TOKEN_BYTES, "big"))
     return [
         header + b"".join(map(_grant_row, rows[begin : begin + GRANTS_PER_MESSAGE]))
@@ -60,23 +63,23 @@
 
 
 def encode_allocator_hint(hint: AllocatorHint) -> bytes:
-    """The payload of a hint."""
+    """Encode an allocator hint into one payload."""
     return _HINT.pack(ALLOCATOR_HINT, hint.slot, hint.gateway)
 
 
 def encode_limits(message: LimitsMessage) -> bytes:
-    """The payload of a limits message."""
+    """Encode a limits message into one payload."""
     kind = LIMITS_QUERY if message.is_query else LIMITS
     return _LIMITS.pack(kind, message.budget_index, message.limit, message.burst)
 
 
 def is_budget_message(data: bytes) -> bool:
-    """Whether a payload is for the budgets, by its first byte; it may still be malformed."""
+    """Whether the first byte of a payload is that of a budget message; the rest may still be malformed."""
     return data[:1] in _KINDS
 
 
 def decode(data: bytes) -> Message | None:
-    """The message in these bytes; None where there is none, or one that no gateway sends."""
+    """Decode a payload; None if it is malformed or contains values that no gateway sends, such as NaN."""
     kind = data[0] if data else 0
     decoder = _DECODERS.get(kind)
     return None if decoder is None else decoder(data)
--- a/plumpick/policy/budgets/concurrency_limiter.py
+++ b/plumpick/policy/budgets/concurrency_limiter.py
@@ -1,8 +1,8 @@
-"""How many units of a concurrency budget this gateway may have in use now.
+"""Limits the units of a concurrency budget that are in use at one gateway.
 
-It has whole units of its guaranteed limit, and those of the last grant that it accepted. Guards against late
-grants as rate_limiter.py does, and against units that the process before left in use: the guaranteed limit
-opens only when they are released."""
+The limit is the gateway's guaranteed units plus those of the last grant that it accepted. Late grants are
+rejected as in rate_limiter.py. Units that the gateway's previous process left in use are accounted for: the
+guaranteed units become available only after those have been released."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class UnitSource(Enum):
-    """Which limit a unit counts against while it is in use."""
+    """The limit that a unit counts against while it is in use."""
 
     GUARANTEED = "guaranteed"
     GRANTED = "granted"
 
 
 class LocalConcurrencyLimiter:
-    """One gateway's part of a concurrency budget."""
+    """One gateway's guaranteed and granted units of a concurrency budget, and the number of them in use."""
 
     def __init__(
         self, budget: Budget, number: int, gateways: int, now_ms: float, grant_term_ms: float
@@ -33,14 +33,14 @@
         self._guaranteed_from_ms = now_ms + budget.release_delay_ms
         self.guaranteed_in_use = 0
         self.granted_in_use = 0
-        self.last_grant_id = 0  # the request that the last accepted grant answers
+        self.last_grant_id = 0  # id of the request that the last accepted grant answers
         self.fencing_token = 0
         self._granted_units = 0
         self._grant_expires_ms = -math.inf
-        self._rejected = 0  # since the demand was last read
+        self._rejected = 0  # number of rejected units since the last call of `excess_demand`
 
     def available(self, now_ms: float, duration_ms: float = 0.0) -> int:
-        """Units that may be acquired now, each for at most `duration_ms`."""
+        """Number of units that may be acquired now, each for at most `duration_ms`."""
         guaranteed = 0
         if now_ms >= self._guaranteed_from_ms:
             guaranteed = self._guaranteed_units - self.guaranteed_in_use
@@ -50,8 +50,8 @@
         return max(0, guaranteed) + max(0, granted)
 
     def try_acquire(self, now_ms: float, duration_ms: float) -> UnitSource | None:
-        """Take one unit, which the caller releases within `duration_ms`, naming the source that is returned;
-        None where there is no unit."""
+        """Acquire one unit. Return its source, which the caller passes to `release` within `duration_ms`;
+        None if no unit is available."""
         if now_ms >= self._guaranteed_from_ms and self.guaranteed_in_use < self._guaranteed_units:
             self.guaranteed_in_use += 1
             return UnitSource.GUARANTEED
@@ -62,27 +62,30 @@
         return None
 
     def release(self, source: UnitSource) -> None:
-        """Give a unit back."""
+        """Release a unit that `try_acquire` took from `source`."""
         if source is UnitSource.GUARANTEED:
             self.guaranteed_in_use -= 1
         else:
             self.granted_in_use -= 1
 
     def excess_demand(self, _now_ms: float) -> float:
-        """Units wanted beyond the guaranteed limit: those in use, and those rejected since the last call."""
+        """Number of units requested beyond the guaranteed limit: granted units in use, plus units rejected
+        since the last call."""
         wanted = self.granted_in_use + self._rejected
         self._rejected = 0
         return float(wanted)
 
     def granted_amount(self, now_ms: float) -> float:
-        """Units that count as granted to this gateway: the grant, or more where units of an earlier, larger
-        one are still in use."""
+        """Number of units that count as granted to this gateway: those of the current grant, or more while
+        units of an earlier, larger grant are in use."""
         granted = self._granted_units if now_ms < self._grant_expires_ms else 0
         return float(max(granted, self.granted_in_use))
 
     def accept_grant(self, _now_ms: float, grant: Grant, sent_ms: float | None) -> bool:
-        """Replace the last grant by this one. False, and nothing changed, unless it answers a pending
-        request, sent at `sent_ms`, that is later than the last grant's, of no earlier allocator."""
+        """Replace the last grant with a newer one; return whether it was accepted. Rejected without any
+        change: a grant that answers no pending request (`sent_ms` is None), one that answers the same or an
+        earlier request than the last grant, and one of an earlier allocator. `sent_ms`: time at which the
+        request was sent."""
         if sent_ms is None or grant.request_id <= self.last_grant_id:
             return False
         if grant.fencing_token < self.fencing_token:
--- a/plumpick/policy/budgets/errors.py
+++ b/plumpick/policy/budgets/errors.py
@@ -1,19 +1,20 @@
-"""What can be wrong with a budget or its state: every error of this package derives from BudgetError."""
+"""Errors of the budgets package; all derive from BudgetError."""
 
 from __future__ import annotations
 
 
 class BudgetError(ValueError):
-    """Base of this package's errors."""
+    """Base class of all errors about budgets."""
 
 
 class InvalidBudgetError(BudgetError):
-    """A budget whose limits cannot hold. The text begins with the budget's name and the operator's key."""
+    """A setting of a budget is out of range. The text begins with the budget's name and the setting's key."""
 
 
 class BudgetMismatchError(BudgetError):
-    """New budgets differ from those in service in more than limit and burst: all gateways must restart."""
+    """New budgets differ from the current ones in more than limit and burst, which requires a restart of all
+    gateways."""
 
 
 class InvalidSnapshotError(BudgetError):
-    """The state that the process before left describes a grant that cannot exist."""
+    """A state passed on by the previous process in a hot restart describes an impossible grant."""
--- a/plumpick/policy/budgets/fair_share.py
+++ b/plumpick/policy/budgets/fair_share.py
@@ -1,7 +1,7 @@
 """Weighted max-min fairness by progressive filling (Bertsekas and Gallager 1987, section 6.5.2).
 
-Everybody gets what it demands, but nobody more than its weight's part while another's demand is not met. What
-nobody demands is not given out."""
+Each participant receives its demand, but no more than its weighted share while another participant's demand
+is unmet. An amount that no participant demands is not distributed."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 def max_min_shares(
     limit: float, demands: Mapping[int, float], weights: Mapping[int, float] | None = None
 ) -> dict[int, float]:
-    """Each one's share by its number, in the units of `limit`: at most its demand, and together at most the
-    limit. Weights are above 0, and 1 where none is named; a demand that is not finite counts as 0."""
+    """Return the share of each participant by its number, in the units of `limit`. No share exceeds its
+    demand, and their sum does not exceed the limit. Weights must be positive and default to 1; a demand that
+    is not finite counts as 0."""
     demanded = {
         number: demand if demand > 0 and math.isfinite(demand) else 0.0 for number, demand in demands.items()
     }
     shares = dict.fromkeys(demanded, 0.0)
     weight = {number: (weights or {}).get(number, 1.0) for number in demanded}
     remaining = max(0.0, limit)
-    # Whoever demands least for its weight is settled first; what it leaves goes to the others.
+    # The participant with the smallest demand per weight is served first; what it does not need goes to the
+    # others.
     order = sorted(
         (number for number in demanded if demanded[number] > 0),
         key=lambda number: (demanded[number] / weight[number], number),
@@ -35,8 +37,8 @@
 
 
 def max_min_integer_shares(limit: int, demands: Mapping[int, float]) -> dict[int, int]:
-    """The same in whole units, of equal weights. Units that rounding down leaves go one each to those that
-    lost most by it, the lower number first."""
+    """Return max-min fair shares with equal weights as integers. Units left over by rounding down go one each
+    to the participants with the largest rounding losses, lower numbers first."""
     shares = max_min_shares(
         limit,
         {
