--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -1,14 +1,18 @@
-"""All budgets at one gateway: what it may spend, what it reports, and what it allocates. No I/O, no clock.
-
-It stands beside the scheduled tasks: a budget belongs to a lease slot by its name, and the gateway that
-holds the slot's lease allocates it. A gateway with demand beyond its guaranteed limits reports that to the
-allocator. The caller tells when leases are acquired and lost, delivers messages, calls `on_timer` at
-`next_timer_ms`, and sends what is in `outbox`. While no allocator is reachable, guaranteed limits serve.
-
-Guards against: an allocator that has gone (allocator_directory.py); a grant for an earlier incarnation; an
-allocator whose lease has ended (`on_lease_lost` must be called before later messages are delivered); two
-processes of one gateway number, each with its guaranteed limits (`resume_guaranteed` is called only when the
-other has ended); gateways with different limits (limits_agreement.py)."""
+"""All budgets at one gateway: spending, demand reports and allocation. No I/O, no clock.
+
+Budgets use the same lease slots as scheduled tasks: the name of a budget determines its slot, and the gateway
+that holds the slot's lease allocates the budget. A gateway with demand beyond its guaranteed limits reports
+it to the allocator. The caller reports acquired and lost leases, delivers messages, calls `on_timer` at
+`next_timer_ms`, and sends the messages in `outbox`. While no allocator is reachable, only the guaranteed
+limits can be spent.
+
+Failures that are handled:
+- an allocator that is down or unreachable (allocator_directory.py);
+- a grant for an earlier incarnation of this gateway: it is rejected;
+- an allocator whose lease has ended: `on_lease_lost` must be called before later messages are delivered;
+- two processes with the same gateway number, each with guaranteed limits: `resume_guaranteed` must be called
+  only when the other process has ended;
+- gateways with different limits (limits_agreement.py)."""
 
 from __future__ import annotations
 
@@ -43,12 +47,14 @@
 from plumpick.policy.leases.terms import LeaseTerms
 from plumpick.policy.scheduled_tasks import slot_of
 
-REJECTION_LOG_TERMS = 10.0  # grant terms between two log lines on one budget's rejections
+# Minimum time between two log lines about rejected requests of one budget, in grant terms.
+REJECTION_LOG_TERMS = 10.0
 
 
 class BudgetLedger:
-    """Owns one record for each configured budget, and an index of those with demand beyond their guaranteed
-    limit, each until there has been none for `DEMAND_MEMORY_TERMS`."""
+    """The state of all budgets at one gateway: one record for each configured budget, and an index of the
+    budgets with demand beyond their guaranteed limit. A budget leaves the index after `DEMAND_MEMORY_TERMS`
+    without such demand."""
 
     def __init__(
         self,
@@ -78,7 +84,7 @@
         self._by_slot: dict[int, list[LocalBudget]] = {}
         for budget in self._by_index:
             self._by_slot.setdefault(budget.slot, []).append(budget)
-            # Until it is known that no other process has this gateway's number.
+            # Another process may run with this gateway's number until `resume_guaranteed` is called.
             budget.limiter.suspend_guaranteed(now_ms)
         self._is_guaranteed_resumed = False
         self._with_excess_demand: dict[str, None] = {}
@@ -87,16 +93,17 @@
         self._allocations = SlotAllocations(gateways, terms, grant_term_ms)
         self.allocators = self._allocations.allocators
         self._limits = LimitsAgreement(number, grant_term_ms, self.allocators)
-        self.outbox: list[tuple[int, bytes]] = []  # receiver and payload
-        self.warnings = self._limits.warnings  # lines for the log
+        self.outbox: list[tuple[int, bytes]] = []  # receivers and payloads of messages to send
+        self.warnings = self._limits.warnings  # lines that the caller writes to the log and removes
         self._rejections_logged_ms: dict[str, float] = {}
 
     # -- spending
 
     def try_spend(self, now_ms: float, charges: list[tuple[str, float]]) -> bool:
-        """Charge a request to these budgets, so many units each; False, and nothing spent, where one of them
-        has too few. `now_ms` is read from a clock that goes on through a stall, at the moment of spending."""
-        if len(charges) == 1:  # most requests: the bucket is looked at once
+        """Charge a request to budgets, given as pairs of name and units. Return whether all of them have
+        enough units; if not, nothing is spent. `now_ms` must be read at the moment of spending, from a clock
+        that keeps running while the process is stalled."""
+        if len(charges) == 1:  # the most frequent case, in which the bucket is read only once
             ((name, units),) = charges
             budget = self.budgets[name]
             is_met = budget.limiter.try_spend(now_ms, units)
@@ -113,7 +120,8 @@
         return is_met
 
     def resume_guaranteed(self, now_ms: float) -> None:
-        """No other process has this gateway's number from now on: the guaranteed limits may be spent."""
+        """Allow spending of the guaranteed limits. The caller ensures that no other process runs with this
+        gateway's number from now on."""
         if self._is_guaranteed_resumed:
             return
         self._is_guaranteed_resumed = True
@@ -121,8 +129,8 @@
             budget.limiter.resume_guaranteed(now_ms)
 
     def set_limits(self, now_ms: float, budgets: tuple[Budget, ...]) -> None:
-        """Use the limits and bursts of these budgets from now on; what is granted by the limits before stays
-        until its end. Raises BudgetMismatchError where anything else differs; then nothing has changed."""
+        """Apply the limits and bursts of `budgets`; grants under the previous limits remain valid until they
+        expire. Raises BudgetMismatchError if any other setting differs, and then changes nothing."""
         configured = [budget.configured for budget in self._by_index]
         if [(one.name, one.kind, one.guaranteed_ratio) for one in budgets] != [
             (one.name, one.kind, one.guaranteed_ratio) for one in configured
@@ -138,7 +146,7 @@
     def _record_outcome(self, now_ms: float, budget: LocalBudget, is_met: bool) -> None:
         if not is_met:
             budget.rejected += 1
-            self._schedule.report_early(now_ms)  # something may have become available to grant
+            self._schedule.report_early(now_ms)  # the allocator may be able to grant more by now
         if budget.limiter.has_excess_demand(now_ms):
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
                 self._schedule.on_demand_began(now_ms)
@@ -149,21 +157,23 @@
     # -- leases
 
     def on_lease_acquired(self, now_ms: float, slot: int, fencing_token: int) -> None:
-        """This gateway holds the slot's lease and allocates its budgets."""
+        """Start allocating the budgets of a slot, whose lease this gateway has acquired under
+        `fencing_token`."""
         self._directory.record_acquired(slot)
         self._allocations.start(now_ms, slot, fencing_token, self._by_slot.get(slot, ()))
 
     def on_lease_lost(self, slot: int) -> None:
-        """This gateway allocates nothing of the slot any more."""
+        """Stop allocating the budgets of a slot, whose lease this gateway no longer holds."""
         self._directory.record_lost(slot)
         self._allocations.remove(self._by_slot.get(slot, ()))
 
     def stop_granting(self, slots: set[int]) -> None:
-        """The leases of these slots are to be given back once `slots_with_grants` has none of them."""
+        """Make no more grants for the budgets of these slots, whose leases are to be released. Each lease may
+        be released once `slots_with_grants` no longer contains its slot."""
         self._allocations.stop(slots)
 
     def slots_with_grants(self, now_ms: float) -> frozenset[int]:
-        """Slots whose leases may not be given back yet, as a grant relies on them."""
+        """Slots whose leases must not be released yet, because grants made under them are outstanding."""
         return self._allocations.slots_with_grants(now_ms)
 
     # -- messages
@@ -178,9 +188,10 @@
         lease_holder_of: Callable[[int], int | None],
         lease_end_of: Callable[[int], float] = lambda _slot: math.inf,
     ) -> None:
-        """A payload came from that incarnation of the sender; one that cannot be decoded is dropped.
-        `lease_holder_of` tells, at an acceptor, who holds a slot's lease; `lease_end_of`, at its holder, when
-        it ends by the own clock."""
+        """Handle a payload from `incarnation` of gateway `sender`; a malformed one is dropped.
+        `lease_holder_of` returns the holder of a slot's lease if this gateway is an acceptor and knows it,
+        otherwise None. `lease_end_of` returns the end of a slot's lease by this gateway's clock if it holds
+        that lease."""
         message = decode(data)
         if isinstance(message, AllocatorHint):
             if self._directory.accept_hint(message):
@@ -208,7 +219,8 @@
             if query is not None:
                 self.outbox.append((sender, encode_limits(query)))
             if row.grant.burst < previous_burst / 2:
-                # The larger burst counts as granted until the allocator knows that this one has come.
+                # The allocator counts the earlier, larger burst as granted until a report confirms the new
+                # grant.
                 self._schedule.report_early(now_ms)
 
     def _on_limits(self, now_ms: float, sender: int, message: LimitsMessage) -> None:
@@ -231,7 +243,8 @@
         lease_holder_of: Callable[[int], int | None],
         lease_end_of: Callable[[int], float],
     ) -> None:
-        """Grant what is allocated here, and name the owner of the other slots."""
+        """Answer reports on budgets that are allocated here with grants, and others with hints to the
+        allocator."""
         rows_by_token: dict[int, list[GrantRow]] = {}
         other_slots: set[int] = set()
         for report in reports:
@@ -260,13 +273,13 @@
     # -- time
 
     def on_timer(self, now_ms: float) -> None:
-        """Report demand if that is due; forget grants that have ended."""
+        """Drop the records of expired grants, and send demand reports if they are due."""
         self._allocations.forget_ended(now_ms)
         if now_ms < self._schedule.next_ms:
             return
         self._schedule.begin_reports(now_ms)
         reports: dict[int, list[DemandReport]] = {}  # by receiver
-        targets: dict[int, int] = {}  # by slot
+        targets: dict[int, int] = {}  # receiver of the reports, by slot
         for name in list(self._with_excess_demand):
             budget = self.budgets[name]
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
@@ -283,14 +296,14 @@
             self._schedule.schedule_next(now_ms)
 
     def next_timer_ms(self) -> float:
-        """When `on_timer` has something to do, or a lease can be given back."""
+        """Time of the next demand reports, or of the next release of a lease if that is earlier."""
         if not self._allocations.stopped_slots:
             return self._schedule.next_ms
         return min(self._schedule.next_ms, self._allocations.next_release_ms(self._directory.is_own))
 
     def _log_rejections(self, now_ms: float, budget: LocalBudget) -> None:
-        """Add a warning for requests that were rejected, once in a while; none for those of the first grant
-        term, as every start begins with nothing."""
+        """Add a warning about rejected requests, at most once in `REJECTION_LOG_TERMS`. Rejections in the
+        first grant term are not logged, because every gateway starts without a grant."""
         name = budget.configured.name
         logged_ms = self._rejections_logged_ms.get(name, -math.inf)
         if not budget.rejected or now_ms - logged_ms <= REJECTION_LOG_TERMS * self.grant_term_ms:
@@ -308,7 +321,7 @@
     # -- operators
 
     def status(self, now_ms: float) -> list[BudgetStatus]:
-        """All budgets, by name."""
+        """Status of all budgets, sorted by name."""
         return [self._status_of(now_ms, self.budgets[name]) for name in sorted(self.budgets)]
 
     def _status_of(self, now_ms: float, budget: LocalBudget) -> BudgetStatus:
@@ -332,10 +345,10 @@
     # -- hot restart
 
     def export_state(self, now_ms: float) -> dict[str, Any]:
-        """What the next process goes on from. Here nothing is left to spend, and nothing is allocated any
-        more; the next process allocates only when the grants made here have ended."""
+        """Return the state for the next process of a hot restart. Afterwards this ledger neither spends nor
+        allocates. The next process allocates only after the grants made by this one have expired."""
         self.allocators.clear()
-        self._is_guaranteed_resumed = True  # so that the guaranteed limits are not resumed here any more
+        self._is_guaranteed_resumed = True  # makes later calls of `resume_guaranteed` ineffective
         self._schedule.stop()
         return {
             "lent": [[slot, end_ms] for slot, end_ms in self._allocations.grants_end_ms.items()],
@@ -352,8 +365,9 @@
         }
 
     def import_state(self, now_ms: float, state: dict[str, Any]) -> None:
-        """Go on from that. Raises InvalidSnapshotError, ValueError, TypeError or KeyError where a part cannot
-        be used: grants then end by their time, and the guaranteed limits begin empty."""
+        """Continue from a state of `export_state`. Raises InvalidSnapshotError, ValueError, TypeError or
+        KeyError if a part of it is malformed: the grants in it then expire unused, and guaranteed limits
+        start empty."""
         for slot, end_ms in state["lent"]:
             self._allocations.grants_end_ms[int(slot)] = min(float(end_ms), now_ms + self.terms.term_ms)
         for name, row in state["holders"].items():
@@ -367,7 +381,7 @@
 
 
 def _report_of(now_ms: float, budget: LocalBudget) -> DemandReport:
-    """A new request for a grant of that budget."""
+    """Open a request for a grant of a budget, and return the demand report that carries it."""
     limiter = budget.limiter
     return DemandReport(
         budget.index,
--- a/plumpick/policy/budgets/limits_agreement.py
+++ b/plumpick/policy/budgets/limits_agreement.py
@@ -1,8 +1,9 @@
-"""Which limits hold while gateways have different ones configured: the lowest of all that report demand.
+"""Agreement on limits while gateways are configured with different ones: the lowest limits of all gateways
+that report demand apply.
 
-Demand reports and grants carry a fingerprint of limits; the limits themselves are sent only where
-fingerprints differ. A gateway then asks the allocator, which lowers its limits and answers with them, and the
-gateway lowers its own guaranteed limit likewise."""
+Demand reports and grants carry a fingerprint of the limits; the limits themselves are sent only if
+fingerprints differ. The gateway then sends a query with its limits to the allocator, which lowers its own
+limits if necessary and answers with them, and the gateway lowers its guaranteed limit in the same way."""
 
 from __future__ import annotations
 
@@ -16,8 +17,8 @@
 
 
 class LimitsAgreement:
-    """Works on the records of budgets and the allocators of this gateway; `warnings` are lines for its log,
-    which the caller empties."""
+    """Applies the agreed limits to the budgets and allocators of this gateway. `warnings` holds lines for the
+    log, which the caller removes."""
 
     def __init__(self, number: int, grant_term_ms: float, allocators: Mapping[str, BudgetAllocator]) -> None:
         self._number = number
@@ -26,8 +27,8 @@
         self.warnings: list[str] = []
 
     def on_grant(self, now_ms: float, budget: LocalBudget, fingerprint: int) -> LimitsMessage | None:
-        """A grant by the limits of this fingerprint was accepted. Returns the query that is due where our own
-        are others."""
+        """Handle an accepted grant that was made under the limits with `fingerprint`. Return the query to
+        send to the allocator if they differ from this gateway's limits, otherwise None."""
         configured = budget.configured
         if fingerprint == configured.fingerprint:
             budget.allocator_limits = None
@@ -40,7 +41,8 @@
         return LimitsMessage(budget.index, configured.limit, configured.burst, True)
 
     def on_limits(self, now_ms: float, sender: int, budget: LocalBudget, message: LimitsMessage) -> None:
-        """The allocator said which limits it goes by: use them where they are lower than ours."""
+        """Apply the limits that the allocator uses where they are lower than this gateway's configured
+        limits."""
         budget.allocator_limits = message.limit, message.burst
         budget.limiter.set_limits(now_ms, budget.configured.capped_at(message.limit, message.burst))
         self._log_difference(sender, budget, message)
@@ -48,8 +50,8 @@
     def on_query(
         self, now_ms: float, sender: int, budget: LocalBudget, message: LimitsMessage
     ) -> LimitsMessage | None:
-        """Another gateway has other limits than the allocator: remember lower ones. Returns the answer; None
-        where the allocator does not run here."""
+        """Handle a query of gateway `sender`, whose limits differ from the allocator's: record them if they
+        are lower. Return the answer; None if the budget is not allocated here."""
         answer = None
         allocator = self._allocators.get(budget.configured.name)
         if allocator is not None:
@@ -59,7 +61,7 @@
         return answer
 
     def on_report(self, now_ms: float, sender: int, budget: LocalBudget, fingerprint: int) -> None:
-        """A demand report came from a gateway with the limits of this fingerprint."""
+        """Update the recorded lower limits of gateway `sender` from the fingerprint in its demand report."""
         if not budget.lower_limits:
             return
         lower = budget.lower_limits.get(sender)
@@ -70,7 +72,7 @@
         self.apply_lowest(now_ms, budget)
 
     def configure(self, now_ms: float, budget: LocalBudget, configured: Budget) -> None:
-        """The operator has configured other limits of this budget."""
+        """Apply limits of a budget that an operator has configured at this gateway."""
         budget.configured = configured
         budget.logged_limits = None
         limits = configured
@@ -81,7 +83,8 @@
             self.apply_lowest(now_ms, budget)
 
     def apply_lowest(self, now_ms: float, budget: LocalBudget) -> None:
-        """Make the allocator, which must run here, go by the lowest limits that anybody reported of late."""
+        """Set the budget's allocator, which must run here, to the lowest limits that any gateway reported
+        within `DEMAND_MEMORY_TERMS`."""
         allocator = self._allocators[budget.configured.name]
         lowest = budget.configured
         for number, lower in list(budget.lower_limits.items()):
--- a/plumpick/policy/budgets/matching.py
+++ b/plumpick/policy/budgets/matching.py
@@ -1,8 +1,9 @@
-"""Which budgets a request is charged to, by its class, plan and customer.
+"""Selects the budgets that a request is charged to, by its request class, plan and customer.
 
-Thousands of budgets may be configured, most of them for a single customer, and every request is matched. So
-budgets of customers are indexed by customer, and the others are worked out once for each class and plan that
-occurs. tests/policy/budgets/test_budget_matching.py compares the result with a scan of all budgets."""
+Thousands of budgets may be configured, most of them for a single customer, and every request has to be
+matched. Therefore budgets for named customers are indexed by customer, and the matches of all others are
+cached for each pair of class and plan. tests/policy/budgets/test_budget_matching.py compares the result with
+a scan of all budgets."""
 
 from __future__ import annotations
 
@@ -11,8 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetRule:
-    """The requests that one budget is for: those of any of the named classes, plans and customers, where an
-    empty set means all. `charges_units`: a request is charged its units, otherwise 1."""
+    """The requests that are charged to one budget: those with one of the given classes, one of the given
+    plans and one of the given customers; an empty set matches all. `charges_units`: whether a request is
+    charged the units that it takes, otherwise 1."""
 
     name: str
     charges_units: bool = False
@@ -21,14 +23,15 @@
     customers: frozenset[str] = frozenset()
 
     def matches(self, class_name: str, plan_name: str) -> bool:
-        """Whether class and plan match, whoever the customer is."""
+        """Whether the rule applies to the class and the plan, regardless of the customer."""
         is_class = not self.classes or class_name in self.classes
         return is_class and (not self.plans or plan_name in self.plans)
 
 
 class BudgetMatcher:
-    """Matches requests with rules. Owns two tables: rules by customer, bounded by the settings; and one
-    cached entry for each class and plan that occurs, bounded by the platform's settings."""
+    """Matches requests with budget rules. Keeps the rules for named customers, by customer, bounded by the
+    budget settings; and one cache entry for each pair of class and plan in use, bounded by the platform's
+    settings."""
 
     def __init__(self, rules: list[BudgetRule]) -> None:
         self._rules_for_all = [rule for rule in rules if not rule.customers]
@@ -36,14 +39,14 @@
         for rule in rules:
             for customer in rule.customers:
                 self._rules_by_customer.setdefault(customer, []).append(rule)
-        # The charges where no rule counts units, whether one does, and the rules.
+        # By class and plan: charges of 1 unit each, whether any rule charges units, and the matching rules.
         self._cache: dict[tuple[str, str], tuple[list[tuple[str, float]], bool, list[BudgetRule]]] = {}
 
     def charges_for(
         self, class_name: str, plan_name: str, customer: str, units: float
     ) -> list[tuple[str, float]]:
-        """The names of the budgets that match, and the units that the request is charged to each. The list is
-        shared between calls: the caller must not change it."""
+        """Return pairs of the name of a matching budget and the units to charge to it, for a request that
+        takes `units`. The list may be shared between calls, and the caller must not modify it."""
         key = class_name, plan_name
         cached = self._cache.get(key)
         if cached is None:
--- a/plumpick/policy/budgets/messages.py
+++ b/plumpick/policy/budgets/messages.py
@@ -1,5 +1,6 @@
-"""What gateways tell each other about budgets. A budget is named by its place among the configured ones,
-which all gateways have alike (the digest of the leases' settings makes sure of that)."""
+"""Messages between gateways about budgets. A budget is identified by its position in the list of configured
+budgets, which is identical at all gateways: they ignore messages whose digest of the lease settings
+differs."""
 
 from __future__ import annotations
 
@@ -11,9 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DemandReport:
-    """A request for a grant, sent to the allocator or, where it is not known, to an acceptor. `demand` and
-    `granted` are in units a second; `last_grant_id` is the request that the last accepted grant answered; one
-    request takes up to `largest_request` units; `fingerprint` is that of the sender's own limits."""
+    """A request for a grant, sent to the budget's allocator or, if that is unknown, to an acceptor of the
+    leases.
+
+    `demand` and `granted`: units per second (units of a concurrency budget). `last_grant_id`: id of the
+    request that the last accepted grant answered. `largest_request`: maximum units that one request takes.
+    `fingerprint`: checksum of the limits configured at the sender."""
 
     budget_index: int
     request_id: int
@@ -25,7 +29,7 @@
 
 
 class GrantRow(NamedTuple):
-    """A grant of one budget, and the fingerprint of the limits that it is granted by."""
+    """A grant of one budget, with the fingerprint of the limits under which it was made."""
 
     budget_index: int
     grant: Grant
@@ -34,7 +38,8 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantMessage:
-    """An allocator's answer to demand reports, for one incarnation of their sender."""
+    """An allocator's answer to demand reports. `incarnation`: the incarnation of the reporting gateway that
+    the grants are valid for."""
 
     incarnation: int
     rows: list[GrantRow]
@@ -42,7 +47,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocatorHint:
-    """An acceptor's answer to a demand report that should have gone to another: who owns the slot."""
+    """An acceptor's answer to a demand report on a budget that is allocated elsewhere: the gateway that owns
+    the budget's slot."""
 
     slot: int
     gateway: int
@@ -50,8 +56,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsMessage:
-    """The limits that the sender has configured, which `is_query` asks the allocator to take into account; or
-    the allocator's answer, the limits that it goes by. Limit in units a second, burst in units."""
+    """If `is_query`, the limits configured at the sender, which it asks the allocator to take into account;
+    otherwise the allocator's answer, the limits that it uses. Limit in units per second, burst in units."""
 
     budget_index: int
     limit: float
