--- a/plumpick/policy/budgets/rate_limiter.py
+++ b/plumpick/policy/budgets/rate_limiter.py
@@ -1,11 +1,13 @@
-"""How much of a rate budget this gateway may spend now.
+"""Limits the spending of a rate budget at one gateway.
 
-It has two token buckets: one for its guaranteed limit, one for the last grant that it accepted. Guards
-against:
-- a grant that answers an earlier request, or comes from an earlier allocator: its request id, its token;
-- a grant that arrives twice: its tokens are added once;
-- a stall: the clock is read where a unit is spent, and no bucket fills past a grant's end;
-- a restart: the bucket of the guaranteed limit begins empty."""
+The gateway has two token buckets: one for its guaranteed limit, one for the last grant that it accepted.
+Failures that are handled:
+- a grant that answers an outdated request or comes from an earlier allocator: rejected by its request id or
+  its fencing token;
+- a duplicated grant: its initial tokens are added once;
+- a stall of the process: the clock is read when a unit is spent, and a bucket stops filling when its grant
+  expires;
+- a restart: the bucket for the guaranteed limit starts empty."""
 
 from __future__ import annotations
 
@@ -16,17 +18,18 @@
 from plumpick.policy.budgets.grant import Grant
 from plumpick.policy.budgets.token_bucket import TokenBucket
 
-DEMAND_WINDOW_MS = 300.0  # demand is the larger of the last window and the one before
+# Length of the windows in which demand is measured. The reported demand is the maximum over recent windows.
+DEMAND_WINDOW_MS = 300.0
 
 
 class LocalRateLimiter:
-    """One gateway's part of a rate budget. Times are in milliseconds of one clock that goes on while the
-    process is suspended."""
+    """One gateway's guaranteed and granted parts of a rate budget, and its demand. All times are in
+    milliseconds of one clock that keeps running while the process is suspended."""
 
     def __init__(
         self, budget: Budget, number: int, gateways: int, now_ms: float, grant_term_ms: float, drift: float
     ) -> None:
-        """`drift`: the ratio by which this clock may run too fast; buckets fill slower by as much."""
+        """`drift`: maximum ratio by which this clock runs too fast; buckets fill slower by the same ratio."""
         assert budget.kind is BudgetKind.RATE
         self.budget = budget
         self.grant_term_ms = grant_term_ms
@@ -39,7 +42,7 @@
             budget.guaranteed_burst(gateways),
         )
         self.granted = TokenBucket(now_ms, 0.0, 0.0, expires_ms=now_ms)
-        self.last_grant_id = 0  # the request that the last accepted grant answers
+        self.last_grant_id = 0  # id of the request that the last accepted grant answers
         self.fencing_token = 0
         self._granted_per_s = 0.0
         self._window_units = 0.0
@@ -47,17 +50,17 @@
         self._demand_per_s = 0.0
         self._previous_demand_per_s = 0.0
         self._largest_in_window = 0.0
-        self.largest_request = 0.0  # units of one request, while there is demand
+        self.largest_request = 0.0  # maximum units that one request took, 0 without recent demand
 
     # -- spending
 
     def available(self, now_ms: float) -> float:
-        """Units that may be spent now."""
+        """Number of units that may be spent now."""
         return self.granted.available(now_ms) + self.guaranteed.available(now_ms)
 
     def try_spend(self, now_ms: float, units: float) -> bool:
-        """Spend so many units, from the grant first, as that ends. False, and nothing spent, where there are
-        fewer. Either way they count as demand."""
+        """Spend `units`, from the grant first because it expires. Return whether enough units were available;
+        if not, nothing is spent. In either case `units` count as demand."""
         self._window_units += units
         if units > self._largest_in_window:
             self._largest_in_window = units
@@ -71,14 +74,14 @@
         return True
 
     def record_demand(self, units: float) -> None:
-        """Count units as demand that are not spent, because another budget of the request has too few."""
+        """Count `units` as demand without spending them, for a request that another budget rejects."""
         self._window_units += units
         self._largest_in_window = max(self._largest_in_window, units)
 
     # -- demand
 
     def excess_demand(self, now_ms: float) -> float:
-        """Units a second that are wanted beyond the guaranteed limit; never below 0."""
+        """Demand beyond the guaranteed limit, in units per second, at least 0."""
         elapsed_ms = now_ms - self._window_begin_ms
         if elapsed_ms >= DEMAND_WINDOW_MS:
             self._close_window(now_ms, elapsed_ms)
@@ -88,7 +91,7 @@
         return max(0.0, demand_per_s - self.guaranteed.rate_per_s)
 
     def has_excess_demand(self, now_ms: float) -> bool:
-        """Whether `excess_demand` is above 0; cheaper while demand is low."""
+        """Whether `excess_demand` is above 0; takes less time than `excess_demand` while demand is low."""
         if (
             now_ms - self._window_begin_ms < DEMAND_WINDOW_MS
             and not self._demand_per_s
@@ -103,8 +106,8 @@
         self._demand_per_s = self._window_units / elapsed_ms * 1000
         self._window_units = 0.0
         self._window_begin_ms = now_ms
-        # The size of a request must be remembered for as long as the demand: without it the allocator would
-        # grant a burst that no request fits in.
+        # The largest request must be remembered for as long as the demand: without it the allocator would
+        # grant a burst that is smaller than one request.
         if self._largest_in_window or not (self._demand_per_s or self._previous_demand_per_s):
             self.largest_request = self._largest_in_window
         self._largest_in_window = 0.0
@@ -112,12 +115,14 @@
     # -- grants
 
     def granted_amount(self, now_ms: float) -> float:
-        """Units a second that are granted to this gateway now."""
+        """Rate of the current grant in units per second; 0 without one."""
         return self._granted_per_s if now_ms < self.granted.expires_ms else 0.0
 
     def accept_grant(self, now_ms: float, grant: Grant, sent_ms: float | None) -> bool:
-        """Replace the last grant by this one. False, and nothing changed, unless it answers a pending
-        request, sent at `sent_ms`, that is later than the last grant's, of no earlier allocator."""
+        """Replace the last grant with a newer one; return whether it was accepted. Rejected without any
+        change: a grant that answers no pending request (`sent_ms` is None), one that answers the same or an
+        earlier request than the last grant, and one of an earlier allocator. `sent_ms`: time at which the
+        request was sent."""
         if sent_ms is None or grant.request_id <= self.last_grant_id:
             return False
         if grant.fencing_token < self.fencing_token:
@@ -138,7 +143,7 @@
     # -- the guaranteed limit
 
     def set_limits(self, now_ms: float, budget: Budget) -> None:
-        """Use other limits: for the guaranteed part at once, for a grant from the next one on."""
+        """Apply new limits: to the guaranteed part immediately, to grants from the next grant on."""
         self.budget = budget
         self.guaranteed.refill(now_ms)
         self.guaranteed.rate_per_s = (
@@ -148,12 +153,14 @@
         self.guaranteed.tokens = min(self.guaranteed.tokens, self.guaranteed.capacity)
 
     def suspend_guaranteed(self, now_ms: float) -> None:
-        """Neither spend nor fill the guaranteed limit until it is resumed."""
+        """Stop spending and filling the bucket of the guaranteed limit until `resume_guaranteed` is
+        called."""
         self.guaranteed.refill(now_ms)
         self.guaranteed.expires_ms = now_ms
 
     def resume_guaranteed(self, now_ms: float) -> None:
-        """Fill the guaranteed limit from now on, with nothing for the time in between."""
+        """Resume spending and filling the bucket of the guaranteed limit; the time of the suspension adds no
+        tokens."""
         self.guaranteed = TokenBucket(
             now_ms, self.guaranteed.rate_per_s, self.guaranteed.capacity, self.guaranteed.tokens
         )
@@ -161,7 +168,8 @@
     # -- hot restart
 
     def export_state(self, now_ms: float) -> list[float]:
-        """What the next process of this gateway goes on from; here nothing is left to spend."""
+        """Return the state for the next process of a hot restart, and leave nothing to spend in this
+        process."""
         self.granted.refill(now_ms)
         self.guaranteed.refill(now_ms)
         state = [
@@ -178,9 +186,10 @@
         return state
 
     def import_state(self, now_ms: float, state: list[float], fencing_token: int) -> None:
-        """Go on from the state of the process before, on the same machine and so by the same clock. Of the
-        guaranteed limit only the tokens pass on; it fills again once it is resumed. Raises
-        InvalidSnapshotError, ValueError or TypeError, and then nothing has changed."""
+        """Continue from a state exported by the previous process, which ran on the same machine and thus used
+        the same clock. Of the guaranteed limit only its tokens are imported; its bucket fills again after
+        `resume_guaranteed`. Raises InvalidSnapshotError, ValueError or TypeError for a malformed state, and
+        then changes nothing."""
         grant_id, per_s, capacity, tokens, expires_ms, guaranteed_tokens, exported_ms = map(float, state)
         is_valid = grant_id >= 0 <= per_s and 0 <= tokens <= capacity and guaranteed_tokens >= 0
         if not (is_valid and exported_ms <= now_ms):
--- a/plumpick/policy/budgets/report_schedule.py
+++ b/plumpick/policy/budgets/report_schedule.py
@@ -1,48 +1,50 @@
-"""When this gateway reports its demand to allocators.
+"""Schedule of the demand reports that a gateway sends to allocators.
 
-Where all want more than there is, requests are rejected all the time. If each rejection led to a report, as
-many as a peer accepts, they would crowd out the messages that renew leases. So each early report is followed
-by a longer pause, until none was needed."""
+While demand exceeds a budget everywhere, requests are rejected continuously. If each rejection caused a
+report, the reports would use up the message rate that peers accept, and crowd out the messages that renew
+leases. Therefore each early report doubles the pause before the next early one, until a regular report has
+been sent without any early one being requested."""
 
 from __future__ import annotations
 
 import math
 from random import Random
 
-REPORT_INTERVAL_RATIO = 0.25  # of a grant term, between two reports
-MIN_REPORT_INTERVAL_MS = 100.0
-MAX_REPORTS_PER_S = 30.0  # to one gateway, from all others together
+REPORT_INTERVAL_RATIO = 0.25  # regular time between two reports, as a ratio of the grant term
+MIN_REPORT_INTERVAL_MS = 100.0  # minimum time between two reports
+MAX_REPORTS_PER_S = 30.0  # maximum rate of reports that one gateway receives from all others together
 
 
 class ReportSchedule:
-    """Decides when the next reports are due; one schedule serves all budgets of a gateway."""
+    """Determines when the next demand reports of a gateway are due; shared by all of its budgets."""
 
     def __init__(self, gateways: int, grant_term_ms: float, rng: Random) -> None:
         self._rng = rng
         self._min_interval_ms = max(MIN_REPORT_INTERVAL_MS, 1000 * gateways / MAX_REPORTS_PER_S)
         self._interval_ms = max(self._min_interval_ms, REPORT_INTERVAL_RATIO * grant_term_ms)
-        self._early_interval_ms = self._min_interval_ms  # the shortest pause before an early report
+        self._early_interval_ms = self._min_interval_ms  # minimum pause before an early report
         self._is_early = False
         self.last_report_ms = -math.inf
         self.next_ms = math.inf
 
     def report_at_once(self, now_ms: float) -> None:
-        """Something new is known about whom to ask."""
+        """Make a report due immediately, after a hint to another allocator or a sudden begin of demand."""
         self.next_ms = min(self.next_ms, now_ms)
 
     def report_early(self, now_ms: float) -> None:
-        """Report before the regular time, after the pause that early reports must keep."""
+        """Make a report due before its regular time, but not before the minimum pause for early reports."""
         self.next_ms = min(self.next_ms, max(now_ms, self.last_report_ms + self._early_interval_ms))
         self._is_early = True
 
     def on_demand_began(self, now_ms: float) -> None:
-        """Demand for a budget beyond its guaranteed limit began: report at once, and pause briefly."""
+        """Make a report due immediately because demand beyond a guaranteed limit has begun, and reset the
+        pause before early reports to its minimum."""
         self.report_at_once(now_ms)
         self._early_interval_ms = self._min_interval_ms
 
     def begin_reports(self, now_ms: float) -> None:
-        """Reports are made now; the pause before an early one doubles, up to the regular one, where these
-        were early."""
+        """Record that reports are sent now. If they were early, the pause before the next early report
+        doubles, up to the regular interval; otherwise it returns to its minimum."""
         self.next_ms = math.inf
         self.last_report_ms = now_ms
         if self._is_early:
@@ -52,9 +54,9 @@
         self._is_early = False
 
     def schedule_next(self, now_ms: float) -> None:
-        """Report again after the regular pause, with jitter."""
+        """Schedule the next report after the regular interval, with jitter."""
         self.next_ms = now_ms + self._interval_ms * self._rng.uniform(0.9, 1.1)
 
     def stop(self) -> None:
-        """Report no more."""
+        """Cancel the next report, so that none is sent until another one is requested."""
         self.next_ms = math.inf
--- a/plumpick/policy/budgets/slot_allocations.py
+++ b/plumpick/policy/budgets/slot_allocations.py
@@ -1,9 +1,9 @@
-"""The allocators that run at this gateway, one for each budget of the slots whose leases it holds, and until
-when grants made under each lease are outstanding.
+"""The allocators that run at this gateway, one for each budget of the slots whose leases it holds, and the
+time until which grants made under each lease are outstanding.
 
-Where grants end within leases, those of other gateways have ended when a lease is acquired. Those that this
-gateway made under an earlier lease, or its process before this one, may be outstanding; and a lease may not
-be given back while a grant made under it is."""
+If grants expire within the lease under which they are made, all grants of other gateways have expired when a
+lease is acquired. Grants that this gateway made under an earlier lease, or in a previous process, may still
+be outstanding. A lease must not be released while grants made under it are outstanding."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 class SlotAllocations:
-    """Owns three tables: allocators by the budget's name; the end of the last grant by slot, until it has
-    passed; and the slots that are to be given back."""
+    """Keeps the allocators by name of their budget; the time at which the last grant of each slot expires,
+    until then; and the slots whose leases are to be released."""
 
     def __init__(self, gateways: int, terms: LeaseTerms, grant_term_ms: float) -> None:
         self._gateways = gateways
@@ -32,7 +32,7 @@
         self.stopped_slots: set[int] = set()
 
     def start(self, now_ms: float, slot: int, fencing_token: int, budgets: Iterable[LocalBudget]) -> None:
-        """Allocate these budgets of a slot whose lease was acquired."""
+        """Start allocating the budgets of a slot whose lease was acquired."""
         self.stopped_slots.discard(slot)
         from_ms = max(now_ms, self.grants_end_ms.get(slot, now_ms)) if self._end_within_lease else None
         for budget in budgets:
@@ -48,28 +48,29 @@
             )
 
     def remove(self, budgets: Iterable[LocalBudget]) -> None:
-        """Allocate these budgets no more: the lease of their slot was lost."""
+        """Stop allocating budgets because the lease of their slot was lost."""
         for budget in budgets:
             self.allocators.pop(budget.configured.name, None)
 
     def stop(self, slots: set[int]) -> None:
-        """Grant nothing more of these slots, so that their leases can be given back."""
+        """Make no more grants for the budgets of these slots, so that their leases can be released."""
         self.stopped_slots |= slots
 
     def slots_with_grants(self, now_ms: float) -> frozenset[int]:
-        """Slots whose leases may not be given back yet, as a grant relies on them."""
+        """Slots whose leases must not be released yet, because grants made under them are outstanding."""
         return frozenset(
             slot for slot, end_ms in self.grants_end_ms.items() if self._end_within_lease and now_ms < end_ms
         )
 
     def forget_ended(self, now_ms: float) -> None:
-        """Drop the ends that have passed. Without this, `next_release_ms` would lie in the past for a slot
-        whose scheduled task still runs, and the timer would fire again and again."""
+        """Remove expiry times that have passed. Otherwise `next_release_ms` would return a time in the past
+        while a scheduled task of the slot still runs, and the timer would fire continuously."""
         for slot in [slot for slot, end_ms in self.grants_end_ms.items() if now_ms >= end_ms]:
             del self.grants_end_ms[slot]
 
     def next_release_ms(self, is_own: Callable[[int], bool]) -> float:
-        """When the last grant of some slot ends that we own and want to give back."""
+        """Earliest time at which all grants of a slot that this gateway owns and is to release have expired.
+        `is_own` returns whether this gateway owns a slot."""
         return min(
             (self.grants_end_ms.get(slot, math.inf) for slot in self.stopped_slots if is_own(slot)),
             default=math.inf,
@@ -84,8 +85,8 @@
         report: DemandReport,
         lease_end_of: Callable[[int], float],
     ) -> Grant | None:
-        """What the budget's allocator, which must run here, grants to the sender of a report; None where it
-        grants nothing now."""
+        """Return the grant of the budget's allocator, which must run here, to the sender of a report; None if
+        nothing may be granted now."""
         allocator = self.allocators[budget.configured.name]
         lease_end_ms = lease_end_of(budget.slot) if self._end_within_lease else math.inf
         grant = allocator.request_grant(now_ms, sender, incarnation, report, lease_end_ms)
--- a/plumpick/policy/budgets/token_bucket.py
+++ b/plumpick/policy/budgets/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket that stops filling at a fixed time."""
+"""A token bucket that expires at a fixed time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 class TokenBucket:
-    """Fills with `rate_per_s` tokens a second up to `capacity`, until `expires_ms`; empty afterwards."""
+    """Fills at `rate_per_s` tokens per second up to `capacity`, until `expires_ms`; no token is available
+    afterwards."""
 
     __slots__ = ("rate_per_s", "capacity", "tokens", "expires_ms", "_refilled_ms")
 
@@ -25,7 +26,7 @@
         self._refilled_ms = now_ms
 
     def refill(self, now_ms: float) -> None:
-        """Add what came in until now, or until the bucket expired."""
+        """Add the tokens for the time since the last refill, up to now or to the bucket's expiry."""
         end_ms = now_ms if now_ms < self.expires_ms else self.expires_ms
         if end_ms > self._refilled_ms:
             tokens = self.tokens + (end_ms - self._refilled_ms) / 1000 * self.rate_per_s
@@ -33,6 +34,6 @@
             self._refilled_ms = end_ms
 
     def available(self, now_ms: float) -> float:
-        """Tokens that may be taken now."""
+        """Number of tokens that may be taken now."""
         self.refill(now_ms)
         return self.tokens if now_ms < self.expires_ms else 0.0
--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -1,9 +1,12 @@
-"""One acceptor's votes: it grants each lease to one process at a time, for longer than that process counts.
+"""One acceptor of the leases: it grants each lease to one process at a time, for longer than that process
+holds it.
 
-Guards against: an acceptor that restarts and has forgotten its grants (it grants nothing for the longest
-term); messages that come late, twice or out of order (each request has a serial, which only grows in an
-incarnation); a token that gets smaller (a request has to be above all that this incarnation of the acceptor
-has granted)."""
+Failures that are handled:
+- an acceptor that has restarted and lost its grants: it grants nothing for the longest possible term;
+- messages that arrive late, twice or out of order: each request carries a serial number, which only grows
+  within an incarnation of its sender;
+- a smaller fencing token: a request must not have a smaller token than any that this incarnation of the
+  acceptor has granted for the lease."""
 
 from __future__ import annotations
 
@@ -12,41 +15,42 @@
 from plumpick.policy.leases.codec import NO_HOLDER, LeaseVote, Vote
 from plumpick.policy.leases.terms import LeaseTerms, fencing_token, token_counter, token_owner
 
-RECENT_GRANT_MS = 1000.0
+RECENT_GRANT_MS = 1000.0  # time after a first grant in which its holder may not have a quorum yet
 
 Owner = tuple[int, int]  # gateway's number, incarnation
 
 
 @dataclass(slots=True)
 class Grant:
-    """A lease that this acceptor has granted."""
+    """One acceptor's grant of a lease."""
 
     token: int
-    serial: int  # of the latest request that it answered
+    serial: int  # serial number of the latest request that was granted
     expires_ms: float
     granted_ms: float = 0.0
 
     @property
     def owner(self) -> Owner:
-        """To whom it is granted."""
+        """Gateway and incarnation that hold the grant."""
         return token_owner(self.token)
 
 
 class Acceptor:
-    """Owns one grant, highest token and last release for each lease, of which there are `terms.leases`."""
+    """Votes on requests for leases. Keeps at most one grant, one highest token and one last release for each
+    of the `terms.leases` leases."""
 
     def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         self._terms = terms
         self.silent_until_ms = now_ms + terms.silence_ms
         self.grants: dict[int, Grant] = {}
-        self.highest_tokens: dict[int, int] = {}  # granted in this incarnation
-        self.releases: dict[int, tuple[Owner, int]] = {}  # the last one, and its serial
+        self.highest_tokens: dict[int, int] = {}  # largest token granted in this incarnation, by lease
+        self.releases: dict[int, tuple[Owner, int]] = {}  # last release's owner and serial, by lease
 
     def on_request(
         self, now_ms: float, lease: int, owner: Owner, counter: int, serial: int
     ) -> LeaseVote | None:
-        """The vote on a request to grant or renew a lease; None: it is stale or invalid, and gets no
-        reply."""
+        """Return the vote on a request to grant or renew a lease; None for an outdated or invalid request,
+        which gets no response."""
         if not 0 <= lease < self._terms.leases or not 0 < counter < 1 << 48:
             return None
         if now_ms < self.silent_until_ms:
@@ -66,7 +70,7 @@
         return LeaseVote(lease, Vote.GRANTED, False, counter, owner[0])
 
     def _is_released_since(self, lease: int, owner: Owner, serial: int) -> bool:
-        """Whether the owner released the lease after this request."""
+        """Whether the owner released the lease after it sent the request with this serial number."""
         release = self.releases.get(lease)
         return release is not None and release[0] == owner and serial <= release[1]
 
@@ -79,11 +83,12 @@
         self.highest_tokens[lease] = token
 
     def _is_recent(self, now_ms: float, grant: Grant) -> bool:
-        """Whether the holder may not have its quorum yet."""
+        """Whether a grant is so recent that its holder may not have a quorum yet."""
         return now_ms - grant.granted_ms < RECENT_GRANT_MS
 
     def on_release(self, lease: int, owner: Owner, serial: int) -> bool:
-        """Whether the release freed the lease. A grant that was requested again since then stays."""
+        """Handle a release; return whether it ended a grant. A grant that its owner requested again after the
+        release remains."""
         if not 0 <= lease < self._terms.leases:
             return False
         grant = self.grants.get(lease)
@@ -98,25 +103,27 @@
         return True
 
     def active_grant(self, now_ms: float, lease: int) -> Grant | None:
-        """The grant of a lease, unless it has expired."""
+        """The grant of a lease; None if there is none or it has expired."""
         grant = self.grants.get(lease)
         return grant if grant is not None and now_ms < grant.expires_ms else None
 
     def expire_grants(self, now_ms: float) -> set[Owner]:
-        """Drop the grants that have expired; whose they were. None while this acceptor is silent."""
+        """Remove expired grants and return their owners. While this acceptor is silent, nothing is
+        removed."""
         if now_ms < self.silent_until_ms:
             return set()
         expired = [lease for lease, grant in self.grants.items() if now_ms >= grant.expires_ms]
         return {self.grants.pop(lease).owner for lease in expired}
 
     def free_slots(self, now_ms: float) -> list[int]:
-        """The slots that this acceptor has granted to nobody; none while it is silent."""
+        """Slots without a grant at this acceptor; empty while it is silent after its start."""
         if now_ms < self.silent_until_ms:
             return []
         return [lease for lease in range(self._terms.slots) if lease not in self.grants]
 
     def next_due_ms(self, now_ms: float) -> float:
-        """When a lease may become free because a grant expires or the silence ends."""
+        """Next time at which a lease may become free, because a grant expires or the silence after the start
+        of this acceptor ends; infinity if there is none."""
         times = [grant.expires_ms for grant in self.grants.values() if grant.expires_ms > now_ms]
         if now_ms < self.silent_until_ms:
             times.append(self.silent_until_ms)
--- a/plumpick/policy/leases/actions.py
+++ b/plumpick/policy/leases/actions.py
@@ -1,4 +1,4 @@
-"""What a participant of the leases wants done: the output of `LeaseParticipant.handle`, in this order."""
+"""Actions of a lease participant: the output of `LeaseParticipant.handle`, to be performed in order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class LossReason(StrEnum):
-    """Why a lease is held no longer, in the operators' words."""
+    """Reason for the loss of a lease, as text for operators."""
 
     RELEASED = "given back"
     NO_QUORUM = "no majority of the voters answered in time"
@@ -17,7 +17,7 @@
 
 
 class DenialReason(StrEnum):
-    """Why a lease could not be acquired, in the operators' words."""
+    """Reason why a lease could not be acquired, as text for operators."""
 
     HELD_BY_OTHER = "another has it"
     ACCEPTORS_SILENT = "voters are silent after their start"
@@ -27,7 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """This process owns the lease from now on; until `usable_until_ms`, unless it is renewed."""
+    """This process has acquired the lease. Work under it may begin until `usable_until_ms`, or later if the
+    lease is renewed."""
 
     lease: int
     token: int
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """This process owns the lease no longer: what runs under it has to be stopped."""
+    """This process has lost the lease: all work under it must be stopped."""
 
     lease: int
     token: int
@@ -45,7 +46,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseYieldRequested:
-    """A preferred gateway is up: begin nothing more under the lease, and release it when nothing runs."""
+    """A gateway that is preferred for the lease is up: begin no more work under the lease, and release it
+    when the running work has ended."""
 
     lease: int
 
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send this datagram to a gateway; it may be lost."""
+    """Send a datagram to a gateway, without a guarantee of delivery."""
 
     receiver: int
     data: bytes
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliverPayload:
-    """Data of a scheduled task or a budget has come from a gateway."""
+    """Pass data of a scheduled task or a budget from another gateway to its handler."""
 
     sender: int
     incarnation: int
@@ -80,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLog:
-    """Write a line to the log, as a warning or for information."""
+    """Write a line to the log, as a warning or as information."""
 
     text: str
     is_warning: bool = True
--- a/plumpick/policy/leases/clock_rates.py
+++ b/plumpick/policy/leases/clock_rates.py
@@ -1,24 +1,26 @@
-"""Detects clocks that drift apart by more than the agreed ratio, from the clocks in acceptors' responses.
+"""Detects clocks that drift apart by more than the agreed ratio, from the clock readings in acceptors'
+responses.
 
-A response's clock was read between our request and its arrival. Over two responses the time that passed at
-the acceptor lies between the shortest and the longest time that passed here, each stretched by what two
-clocks of the agreed drift can differ. Outside of that the guarantee of one owner is off; the caller has to
-warn."""
+The clock in a response was read between the sending of the request and the arrival of the response. The time
+that passed at an acceptor between two responses must therefore lie between the shortest and the longest time
+that may have passed here, each extended by the maximum difference of two clocks within the agreed drift.
+Outside of this range, a lease is not guaranteed to have a single owner, and the caller must log a warning."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
-MIN_INTERVAL_MS = 2000.0  # between two responses that are compared
-MAX_INTERVAL_MS = 120_000.0
-CLOCK_WRAP_MS = 1 << 32
-ROUNDING_MS = 1  # clocks are sent in whole milliseconds
+MIN_INTERVAL_MS = 2000.0  # minimum time between two responses that are compared
+MAX_INTERVAL_MS = 120_000.0  # time after which a later response replaces the first one of a comparison
+CLOCK_WRAP_MS = 1 << 32  # modulus of the clock readings in messages
+ROUNDING_MS = 1  # maximum rounding error of clock readings, which are sent as integers
 
 
 @dataclass(slots=True)
 class ClockSample:
-    """One response: the acceptor's clock, read between two readings of ours."""
+    """The acceptor's clock reading in one response, with the local times of the request and of the
+    response."""
 
     incarnation: int
     requested_ms: float
@@ -27,14 +29,14 @@
 
 
 class ClockRateChange(Enum):
-    """What became of an acceptor's clock."""
+    """A change of an acceptor's clock: it begins to diverge beyond the agreed drift, or no longer does."""
 
     DIVERGED = auto()
     CONVERGED = auto()
 
 
 class ClockRateMonitor:
-    """Compares each acceptor's clock with ours; owns one sample for each acceptor."""
+    """Compares the clock of each acceptor with the local clock. Keeps one sample for each acceptor."""
 
     def __init__(self, drift_ratio: float) -> None:
         self._max_rate = (1 + drift_ratio) / (1 - drift_ratio)
@@ -42,7 +44,8 @@
         self._diverging: set[int] = set()
 
     def observe(self, acceptor: int, sample: ClockSample) -> ClockRateChange | None:
-        """Whether that acceptor's clock diverges from now on, or no longer; None: no change."""
+        """Compare a sample of an acceptor's clock with its first sample. Return the change between diverging
+        and converging clocks; None if nothing has changed or the samples are too close together."""
         first = self._first.get(acceptor)
         if first is None or first.incarnation != sample.incarnation:
             self._first[acceptor] = sample
