--- a/plumpick/policy/leases/codec.py
+++ b/plumpick/policy/leases/codec.py
@@ -1,8 +1,8 @@
-"""The datagrams that gateways send each other about leases, at most 256 bytes each.
+"""Binary encoding of the datagrams about leases between gateways, at most 256 bytes each.
 
-Each begins with MAGIC, with which no message about quotas begins (peer_messages.py), so that a process
-without leases drops it as unreadable. `decode` returns None for bytes that are no such message; the caller
-drops them."""
+Each datagram begins with MAGIC. No quota message begins with this byte (peer_messages.py), so a process
+without leases drops lease datagrams as malformed. `decode` returns None for malformed bytes; the caller drops
+them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 MAGIC = 0xD5
 MAX_MESSAGE_BYTES = 256
-NO_HOLDER = 0xFFFF  # in place of a gateway's number
+NO_HOLDER = 0xFFFF  # value in place of a gateway's number
 _HEADER = struct.Struct(">BBHIIII")  # magic, kind, digest, incarnation, serial, clock, to_incarnation
-_REQUEST = struct.Struct(">HHI")  # lease, and the counter in two parts
-_VOTE = struct.Struct(">HBHIH")  # lease, vote and flag, the counter in two parts, holder
+_REQUEST = struct.Struct(">HHI")  # lease, upper and lower part of the counter
+_VOTE = struct.Struct(">HBHIH")  # lease, vote with flag, upper and lower part of the counter, holder
 MAX_PAYLOAD_BYTES = MAX_MESSAGE_BYTES - _HEADER.size
 _VOTE_MASK = 0x7F
 _FLAG_SHIFT = 7
@@ -25,29 +25,31 @@
 
 
 class MessageKind(IntEnum):
-    """What a message is for; the values are on the wire."""
+    """Kind of a message; the values are sent on the wire."""
 
-    REQUEST = 1  # to an acceptor: grant me these leases, or renew them
-    RELEASE = 2  # to an acceptor: I no longer want them
-    RESPONSE = 3  # from an acceptor
-    NOMINATE = 4  # from an acceptor: these slots are free; request them
-    HEARTBEAT = 5  # to an acceptor: I am up; serial 1: and shutting down
-    PAYLOAD = 6  # data of a scheduled task or a budget
+    REQUEST = 1  # to acceptors: request to grant or renew leases
+    RELEASE = 2  # to acceptors: release of leases
+    RESPONSE = 3  # from an acceptor: votes on the leases of a request
+    NOMINATE = 4  # from an acceptor: invitation to request free slots
+    HEARTBEAT = 5  # to acceptors: the sender is up; serial 1 if it is shutting down
+    PAYLOAD = 6  # to any gateway: data of a scheduled task or a budget
 
 
 class Vote(IntEnum):
-    """An acceptor's vote on one lease; the values are on the wire."""
+    """An acceptor's vote on one lease; the values are sent on the wire."""
 
     GRANTED = 0
     HELD_BY_OTHER = 1
-    STALE_COUNTER = 2  # the counter is below that of a token granted before
-    SILENT = 3  # it has just started, and may have forgotten a grant
+    STALE_COUNTER = 2  # denied: the counter is smaller than that of a token granted earlier
+    SILENT = 3  # denied: the acceptor has just started and may have lost grants
 
 
 class LeaseVote(NamedTuple):
-    """One row of a response.
+    """An acceptor's vote on one lease, as one row of a response.
 
-    `flag`: for GRANTED, whether a preferred gateway is up; for HELD_BY_OTHER, whether the grant is recent."""
+    `flag`: for GRANTED, whether a gateway that is preferred to the holder is up; for HELD_BY_OTHER, whether
+    the other gateway's grant is recent. `counter`: counter of the acceptor's largest token for the lease.
+    `holder`: gateway that holds the acceptor's grant, or NO_HOLDER."""
 
     lease: int
     vote: Vote
@@ -57,21 +59,21 @@
 
 
 class Message(NamedTuple):
-    """One message. `clock_ms` is the sender's clock modulo 2^32."""
+    """One datagram about leases. `clock_ms`: the sender's clock modulo 2^32."""
 
     kind: MessageKind
     terms_digest: int
-    incarnation: int  # the sender's
-    serial: int  # of a request; a response repeats its request's
+    incarnation: int  # incarnation of the sender
+    serial: int  # serial number of a request; a response repeats that of the request
     clock_ms: int
-    to_incarnation: int = 0  # of a response's receiver
-    requested: tuple[tuple[int, int], ...] = ()  # lease, counter; 0 in a RELEASE or a NOMINATE
+    to_incarnation: int = 0  # incarnation of the receiver of a response
+    requested: tuple[tuple[int, int], ...] = ()  # leases and counters; counter 0 in RELEASE and NOMINATE
     votes: tuple[LeaseVote, ...] = ()
     payload: bytes = b""
 
 
 def encode(message: Message) -> bytes:
-    """The message's bytes; leases over MAX_LEASES are left out."""
+    """Encode a message; leases beyond the first MAX_LEASES are omitted."""
     header = _HEADER.pack(
         MAGIC,
         message.kind,
@@ -93,7 +95,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """The message in these bytes, or None when they hold none."""
+    """Decode a datagram; None if it is malformed."""
     if not _HEADER.size <= len(data) <= MAX_MESSAGE_BYTES:
         return None
     if data[0] != MAGIC or data[1] not in _KINDS:
--- a/plumpick/policy/leases/events.py
+++ b/plumpick/policy/leases/events.py
@@ -1,4 +1,4 @@
-"""What happens to a participant of the leases: the input of `LeaseParticipant.handle`. None gets a reply."""
+"""Events of a lease participant: the input of `LeaseParticipant.handle`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A datagram has come from another gateway, which is known by its address."""
+    """A datagram was received from another gateway, which the caller has identified by its address."""
 
     sender: int
     data: bytes
@@ -15,14 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseRequested:
-    """The work under the lease is over, or may not go on: the lease is to be released."""
+    """The work under a lease has ended or must not continue, and the lease is to be released."""
 
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
 class LargerTokenSeen:
-    """A receiver of effects has rejected ours, because it knows this larger token."""
+    """A receiver of an effect of work under a lease has rejected the fencing token of this process, because
+    it knows a larger one, `token`."""
 
     lease: int
     token: int
@@ -30,15 +31,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartPermitWanted:
-    """An operator wants one of the permits for planned restarts, or no longer wants it."""
+    """An operator requests one of the permits for planned restarts, or no longer needs it."""
 
     wanted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This process will end: it acquires no more slots. Each lease that it holds is released by a
-    ReleaseRequested of its own."""
+    """This process is shutting down and acquires no more slots. The leases that it holds are not released by
+    this event, but each by a separate ReleaseRequested."""
 
 
 Event = MessageReceived | ReleaseRequested | LargerTokenSeen | RestartPermitWanted | ShutdownStarted
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -1,9 +1,11 @@
-"""The leases that this process holds and requests. A lease's end counts from the request that renewed it.
+"""The leases that this process holds or requests. The term of a lease counts from the request that renewed
+it.
 
-Guards against: a response to another request than the pending one (dropped, whatever it contains); a stall
-(what has expired is dropped before anything that came meanwhile is looked at); a renewal after the end (there
-is none: what has expired is acquired again, under a larger token); grants that nobody needs (released, so
-that others need not wait)."""
+Failures that are handled:
+- a response to a request that is no longer pending: dropped, whatever it contains;
+- a stall of the process: expired leases are dropped before any message that arrived meanwhile is handled;
+- a renewal after the end of a lease: not possible; an expired lease is acquired again, under a larger token;
+- grants of a request that failed: released, so that other gateways need not wait for them to expire."""
 
 from __future__ import annotations
 
@@ -28,10 +30,13 @@
     token_counter,
 )
 
-RESEND_MS = 150.0  # doubled each time
-ACQUISITION_TIMEOUT_MS = 1000.0  # without a quorum by then its grants are released: another may have the rest
-MAX_ACQUISITION_RETRIES = 3  # with a larger counter, for one nomination
-RENEWAL_DIVISOR = 3  # a lease is renewed after a third of its term; a request may take as long
+RESEND_MS = 150.0  # time until a request is sent again, doubled each time
+# Maximum time of an acquisition. Without a quorum by then, its grants are released, because another gateway
+# may hold the grants of the other acceptors.
+ACQUISITION_TIMEOUT_MS = 1000.0
+MAX_ACQUISITION_RETRIES = 3  # maximum number of retries with a larger counter for one nomination
+# Ratio of the term to the time after which a lease is renewed, which is also the time-out of a renewal.
+RENEWAL_DIVISOR = 3
 
 
 @dataclass(slots=True)
@@ -39,59 +44,60 @@
     """A lease that this process holds."""
 
     token: int
-    requested_ms: float  # of the request that renewed it last: its term counts from then
+    requested_ms: float  # time of the request that last renewed the lease, from which its term counts
     acquired_ms: float
-    yielding: bool = False  # a preferred gateway is up: nothing new begins
+    yielding: bool = False  # whether a preferred gateway is up, so that no new work may begin
 
 
 @dataclass(slots=True)
 class LeaseRequest:
-    """One request to all acceptors, for several leases, that may be sent several times.
+    """A request for several leases to all acceptors, which may be sent several times.
 
-    A lease that it gains ends a term after `requested_ms`, however often it was sent."""
+    A lease that is acquired or renewed by it ends one term after `requested_ms`, however often the request
+    was sent."""
 
     serial: int
     requested_ms: float
-    counters: dict[int, int]  # by lease; those that are not decided yet
-    is_acquisition: bool  # or a renewal
+    counters: dict[int, int]  # counters of the leases that are not decided yet, by lease
+    is_acquisition: bool  # whether it acquires leases; otherwise it renews them
     retries: int = 0
-    grants: dict[int, set[int]] = field(default_factory=dict)  # by lease: acceptors
-    denials: dict[int, dict[int, Vote]] = field(default_factory=dict)  # by lease and acceptor
-    preferred_others: dict[int, int] = field(default_factory=dict)  # by lease: grants with that flag
+    grants: dict[int, set[int]] = field(default_factory=dict)  # acceptors that granted the lease, by lease
+    denials: dict[int, dict[int, Vote]] = field(default_factory=dict)  # votes by lease and acceptor
+    # Number of grants, by lease, whose acceptor knows a gateway that is preferred to this one.
+    preferred_others: dict[int, int] = field(default_factory=dict)
     resend_at_ms: float = 0.0
     resend_interval_ms: float = RESEND_MS
 
 
 class LeaseHolder:
-    """Owns one entry for each lease held or requested, of which there are `terms.leases`.
+    """Keeps one entry for each of the `terms.leases` leases that is held or requested.
 
-    `changes`, `to_send` and `to_release` are its outbox: the caller empties them."""
+    `changes`, `to_send` and `to_release` form its outbox, which the caller processes and empties."""
 
     def __init__(self, terms: LeaseTerms, gateway: int, incarnation: int, counter: int) -> None:
-        """`counter`: tokens begin above it."""
+        """`counter`: lower bound of the counters in new tokens, exclusive."""
         self._terms = terms
         self.gateway = gateway
         self.incarnation = incarnation
-        self.counter = counter  # no token that was granted or seen has a larger one
+        self.counter = counter  # maximum over the counters of all tokens granted or seen so far
         self.serial = 0
         self.held: dict[int, HeldLease] = {}
         self.pending: dict[int, LeaseRequest] = {}  # by lease
         self.changes: list[LeaseChange] = []
-        self.to_send: list[LeaseRequest] = []  # to the acceptors that have not granted it
-        self.to_release: dict[int, None] = {}  # leases, at all acceptors
-        self.pinned: frozenset[int] = (
-            frozenset()
-        )  # leases that must not be released before their end (budgets)
+        self.to_send: list[LeaseRequest] = []  # requests to send to the acceptors that have not granted them
+        self.to_release: dict[int, None] = {}  # leases to release at all acceptors
+        # Leases that must not be released before they expire, because budgets were granted under them.
+        self.pinned: frozenset[int] = frozenset()
 
-    # -- what is held
+    # -- held leases
 
     def usable_until_ms(self, lease: int) -> float:
-        """Until when work under the lease may begin; -inf when it is not held."""
+        """Time until which work under a lease may begin; -inf if this process does not hold the lease."""
         held = self.held.get(lease)
         return -math.inf if held is None else held.requested_ms + self._terms.term_ms - self._terms.guard_ms
 
     def expire(self, now_ms: float) -> None:
-        """Drop the leases that have expired. Called before all else whenever time has passed."""
+        """Drop expired leases. Must be called before anything else whenever time has passed."""
         for lease in [lease for lease in self.held if now_ms >= self.usable_until_ms(lease)]:
             self._lose(lease, LossReason.NO_QUORUM)
             self._drop_pending(lease)
@@ -107,16 +113,18 @@
     # -- requests
 
     def next_counter(self, least: int = 0) -> int:
-        """A counter that no token of this incarnation had, nor any token that it has seen."""
+        """Return a new counter, at least `least` and larger than those of all tokens that this incarnation
+        has requested or seen."""
         self.counter = min(max(self.counter + 1, least), MAX_COUNTER)
         return self.counter
 
     def observe_counter(self, counter: int) -> None:
-        """A token with that counter exists: ours have to be larger."""
+        """Record the counter of an existing token; later tokens of this process get larger ones."""
         self.counter = max(self.counter, min(counter, MAX_COUNTER - 1))
 
     def acquire(self, now_ms: float, leases: list[int], retries: int = 0) -> None:
-        """Request those leases that are neither held nor requested."""
+        """Request those of `leases` that are neither held nor already requested. `retries`: number of earlier
+        requests for the same nomination."""
         wanted = [lease for lease in leases if self._can_acquire(lease)]
         if wanted:
             counters = {lease: self.next_counter() for lease in wanted}
@@ -131,7 +139,7 @@
         return held.requested_ms + self._terms.term_ms / RENEWAL_DIVISOR
 
     def renew(self, now_ms: float) -> None:
-        """Request the renewal of all held leases that are due for it, together."""
+        """Request the renewal of all held leases that are due for it, in a single request."""
         counters = {
             lease: token_counter(held.token)
             for lease, held in self.held.items()
@@ -150,7 +158,8 @@
         self.to_send.append(request)
 
     def missing_grants(self, request: LeaseRequest, acceptor: int) -> dict[int, int]:
-        """The leases, with their counters, that an acceptor has not granted: it may, when asked again."""
+        """Undecided leases of a request, with their counters, that an acceptor has not granted and may still
+        grant when the request is sent to it again."""
         return {
             lease: counter
             for lease, counter in request.counters.items()
@@ -160,7 +169,8 @@
     # -- responses
 
     def on_response(self, now_ms: float, acceptor: int, message: Message) -> LeaseRequest | None:
-        """Count an acceptor's votes; the request that they answer, if it is pending."""
+        """Count the votes in an acceptor's response. Return the request that it answers; None if that is no
+        longer pending."""
         if acceptor not in self._terms.acceptors or message.to_incarnation != self.incarnation:
             return None
         self._reacquire_stale(now_ms, message.votes)
@@ -172,9 +182,11 @@
         return request
 
     def _reacquire_stale(self, now_ms: float, votes: tuple[LeaseVote, ...]) -> None:
-        """Give up leases whose token is smaller than one that the acceptor has granted.
+        """Give up held leases whose token is smaller than one that the acceptor has granted, and acquire them
+        again under a larger token.
 
-        It would reject each renewal, count the lease as free, and nominate for it for ever."""
+        The acceptor would otherwise reject each renewal, treat the lease as free, and nominate gateways for
+        it indefinitely."""
         for lease, vote, _, counter, _ in votes:
             held = self.held.get(lease)
             if vote is Vote.STALE_COUNTER and held is not None and counter > token_counter(held.token):
@@ -192,7 +204,7 @@
         if lease not in request.counters or acceptor in request.grants.get(lease, ()):
             return
         if vote.vote is Vote.GRANTED:
-            request.denials.get(lease, {}).pop(acceptor, None)  # another held it until just now
+            request.denials.get(lease, {}).pop(acceptor, None)  # an earlier, outdated vote
             request.grants.setdefault(lease, set()).add(acceptor)
             request.preferred_others[lease] = request.preferred_others.get(lease, 0) + vote.flag
         else:
@@ -203,10 +215,12 @@
         self._settle(now_ms, request, lease)
 
     def _fails_acquisition(self, vote: LeaseVote) -> bool:
-        """Whether one denial is enough to give up: to retry at once, or to make way for another.
+        """Whether a single denial ends an acquisition, either to retry it immediately with a larger counter
+        or to give way to another gateway.
 
-        Two that were nominated at the same time, each with its own acceptor's grant, would wait for the
-        other's. The preferred one continues, the other releases its grants at once."""
+        Two gateways that were nominated at the same time, each with the grant of a different acceptor, would
+        otherwise block each other. The preferred gateway continues; the other releases its grants
+        immediately."""
         if vote.vote is Vote.STALE_COUNTER:
             return True
         if vote.vote is not Vote.HELD_BY_OTHER or not vote.flag or vote.holder == NO_HOLDER:
@@ -218,14 +232,15 @@
         return rendezvous_rank(lease, gateway), gateway
 
     def _deadline_ms(self, request: LeaseRequest) -> float:
-        """When a request is given up."""
+        """Time at which a request without a decision times out."""
         timeout_ms = self._terms.term_ms / RENEWAL_DIVISOR
         if request.is_acquisition:
             timeout_ms = min(ACQUISITION_TIMEOUT_MS, timeout_ms)
         return request.requested_ms + timeout_ms
 
     def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
-        """Decide a lease as soon as a quorum has granted it, or can no longer do so."""
+        """Complete the request for a lease when a quorum has granted it, or fail it when a quorum has become
+        impossible."""
         terms = self._terms
         if len(request.grants.get(lease, ())) >= terms.quorum:
             counter = request.counters[lease]
@@ -239,7 +254,7 @@
 
     def _gain(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
         end_ms = request.requested_ms + self._terms.term_ms
-        if now_ms >= end_ms - self._terms.guard_ms:  # too late to begin anything
+        if now_ms >= end_ms - self._terms.guard_ms:  # no time is left to begin work under the lease
             self.to_release[lease] = None
             return
         token = fencing_token(counter, self.gateway, self.incarnation)
@@ -254,14 +269,15 @@
             self.changes.append(LeaseYieldRequested(lease))
 
     def _fail(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
-        """The request cannot gain this lease any more."""
+        """End the request for a lease that it can no longer acquire or renew: retry it, or record the loss or
+        the denial."""
         denials = request.denials.get(lease, {})
         votes = set(denials.values())
         self._drop_pending(lease)
         if not request.is_acquisition:
             self._lose(lease, LossReason.GRANTED_TO_OTHER)
             return
-        if len(denials) < len(self._terms.acceptors):  # a grant is there, or may still come
+        if len(denials) < len(self._terms.acceptors):  # an acceptor has granted it or may still do so
             self.to_release[lease] = None
         if Vote.HELD_BY_OTHER in votes:
             reason = DenialReason.HELD_BY_OTHER
@@ -277,18 +293,18 @@
     # -- release
 
     def release(self, lease: int) -> None:
-        """Drop a lease that is held or requested, and release it at the acceptors."""
+        """Drop a held or requested lease, and queue its release at the acceptors."""
         self._drop_pending(lease)
         if lease in self.held:
             self._lose(lease, LossReason.RELEASED)
         self.to_release[lease] = None
 
     def releasable(self) -> list[int]:
-        """Which of `to_release` to release now.
+        """The leases in `to_release` that may be released now.
 
-        A release covers every request sent before it. So a lease that is requested again is left out: the new
-        request replaces the old one. A pinned lease is never released: what was lent under it counts on its
-        end."""
+        A release applies to every request sent before it. A lease that has been requested again is therefore
+        excluded: the new request replaces the old one. A pinned lease is never released, because budgets
+        granted under it remain valid until it expires."""
         return [
             lease
             for lease in self.to_release
@@ -302,7 +318,8 @@
         counter: int,
         reason: LossReason = LossReason.LARGER_TOKEN_AT_RECEIVER,
     ) -> None:
-        """A token with that counter exists: a held lease with a smaller one is acquired again, above it."""
+        """Handle the discovery of a token with a larger or equal counter: drop the lease with `reason` if it
+        is held, and acquire it again under a larger token."""
         self.observe_counter(counter)
         held = self.held.get(lease)
         if held is not None and counter >= token_counter(held.token):
@@ -313,7 +330,7 @@
     # -- time
 
     def on_timer(self, now_ms: float) -> None:
-        """Give up requests, send them again, and renew, whatever is due. Called after `expire`."""
+        """Time out requests, resend requests and renew leases that are due. Must be called after `expire`."""
         for request in {id(request): request for request in self.pending.values()}.values():
             if now_ms >= self._deadline_ms(request):
                 self._time_out(request)
@@ -331,7 +348,7 @@
                 self.changes.append(LeaseDenied(lease, DenialReason.NO_QUORUM))
 
     def next_due_ms(self) -> float:
-        """When `expire` or `on_timer` has something to do."""
+        """Next time at which `expire` or `on_timer` must be called; infinity if there is none."""
         times = [min(request.resend_at_ms, self._deadline_ms(request)) for request in self.pending.values()]
         for lease, held in self.held.items():
             times.append(self.usable_until_ms(lease))
--- a/plumpick/policy/leases/nomination.py
+++ b/plumpick/policy/leases/nomination.py
@@ -1,8 +1,10 @@
-"""Whom an acceptor nominates for a free slot: nobody else has to watch it, whatever the size of the tier.
+"""Selects the gateways that an acceptor nominates for free slots, so that other gateways need not watch them,
+whatever the size of the fleet.
 
-Candidates come in the order of rendezvous hashing, those first that have sent a heartbeat of late. One is
-nominated, then two, four, eight, each 150 ms after the last: 140 dead gateways of 200 cost a second, and two
-seldom want the same slot. A nomination is only a hint: the grants of a quorum decide."""
+Candidates are ordered by rendezvous hashing, those with a recent heartbeat first. One candidate is nominated,
+then two, four, eight, in intervals of 150 ms: 140 dead gateways of 200 delay a nomination by one second, and
+two gateways seldom request the same slot. A nomination is only a hint: a lease is acquired by the grants of a
+quorum."""
 
 from __future__ import annotations
 
@@ -11,19 +13,25 @@
 
 from plumpick.policy.leases.terms import LeaseTerms, rendezvous_rank
 
-STEP_MS = 150.0  # a nomination, its request and the responses take two or three network delays
-NETWORK_DELAY_MS = 40.0  # from one gateway to another, at most
-HEARTBEAT_PER_GATEWAY_MS = 100.0  # an acceptor receives one in so long on average, whatever the tier's size
-MIN_HEARTBEAT_MS = 2000.0
-ROUND_BACKOFF_MS = 450.0  # after all were nominated in vain, doubled each time up to half a term
+# Time between two steps of nominations. A nomination, the request and the responses take two or three network
+# delays.
+STEP_MS = 150.0
+NETWORK_DELAY_MS = 40.0  # maximum delay from one gateway to another
+# Heartbeat interval per gateway of the fleet: the mean time between two heartbeats at an acceptor in a large
+# fleet.
+HEARTBEAT_PER_GATEWAY_MS = 100.0
+MIN_HEARTBEAT_MS = 2000.0  # minimum heartbeat interval of a gateway
+# Pause after a round in which all candidates were nominated, doubled each round up to half a lease term.
+ROUND_BACKOFF_MS = 450.0
 MAX_BACKOFF_DOUBLINGS = 8
-MISSED_HEARTBEATS = 3.0  # after which a gateway is nominated last
-SETTLED_TERMS = 2.0  # a gateway that has been up for so long may get its preferred slots from others
+MISSED_HEARTBEATS = 3.0  # number of missed heartbeats after which a gateway is nominated last
+# Time for which a gateway must be up before it may take over its preferred slots from others, in lease terms.
+SETTLED_TERMS = 2.0
 
 
 @dataclass(slots=True)
 class GatewayPresence:
-    """A gateway that has sent heartbeats."""
+    """An acceptor's record of a gateway that has sent heartbeats."""
 
     incarnation: int
     since_ms: float
@@ -33,33 +41,36 @@
 
 @dataclass(slots=True)
 class NominationProgress:
-    """How far the nominations for one free slot have come."""
+    """Progress of the nominations for one free slot."""
 
-    candidates: list[int]  # not nominated yet in this round
+    candidates: list[int]  # gateways that have not been nominated yet in this round
     next_ms: float
-    step: int = 0  # in each, twice as many are nominated
+    step: int = 0  # number of steps in this round; the number of nominations doubles in each
     rounds: int = 0
 
 
 def heartbeat_interval_ms(gateways: int) -> float:
-    """How often each gateway sends a heartbeat to each acceptor."""
+    """Interval at which each gateway sends heartbeats to each acceptor, for a fleet with this number of
+    gateways."""
     return max(MIN_HEARTBEAT_MS, gateways * HEARTBEAT_PER_GATEWAY_MS)
 
 
 class Nominator:
-    """Owns one entry for each gateway that is up, and one for each slot that is free."""
+    """Nominates gateways for free slots on behalf of one acceptor. Keeps one entry for each gateway that sent
+    heartbeats, and one for each free slot."""
 
     def __init__(self, terms: LeaseTerms, gateways: int, now_ms: float) -> None:
         self._terms = terms
         self._gateways = gateways
-        # The other acceptors' grants expire so much later at most: whoever is nominated finds all expired.
+        # Maximum time by which the grants of other acceptors expire later. The first nomination waits for it,
+        # so that the nominated gateway finds all grants expired.
         self._expiry_spread_ms = 2 * terms.drift_ratio * terms.term_ms + NETWORK_DELAY_MS
         self._stale_after_ms = MISSED_HEARTBEATS * heartbeat_interval_ms(gateways)
         self._present: dict[int, GatewayPresence] = {}
         self._progress: dict[int, NominationProgress] = {}  # by slot
 
     def on_heartbeat(self, now_ms: float, gateway: int, incarnation: int, shutting_down: bool) -> None:
-        """A gateway is up."""
+        """Record a heartbeat of a gateway."""
         presence = self._present.get(gateway)
         if presence is None or presence.incarnation != incarnation or self._is_stale(now_ms, presence):
             presence = self._present[gateway] = GatewayPresence(incarnation, now_ms, now_ms)
@@ -67,7 +78,8 @@
         presence.shutting_down = shutting_down
 
     def on_grant_expired(self, gateway: int, incarnation: int) -> None:
-        """A gateway let a lease expire without releasing it: it counts as down until its next heartbeat."""
+        """Treat a gateway as down until its next heartbeat, because it let a lease expire without releasing
+        it."""
         presence = self._present.get(gateway)
         if presence is not None and presence.incarnation == incarnation:
             del self._present[gateway]
@@ -82,7 +94,7 @@
         return not self._is_stale(now_ms, presence)
 
     def candidates(self, now_ms: float, lease: int) -> list[int]:
-        """All gateways, the first to be nominated first."""
+        """All gateways in the order of their nomination for a lease."""
         return sorted(
             range(self._gateways),
             key=lambda gateway: (
@@ -93,7 +105,7 @@
         )
 
     def prefers_other(self, now_ms: float, lease: int, holder: int) -> bool:
-        """Whether a gateway that has been up for long enough is preferred to the holder of this lease."""
+        """Whether any gateway that is preferred to the holder of a lease has been up for `SETTLED_TERMS`."""
         if lease >= self._terms.slots:
             return False
         settled_ms = SETTLED_TERMS * self._terms.term_ms
@@ -106,7 +118,7 @@
         )
 
     def nominate(self, now_ms: float, free_slots: list[int]) -> dict[int, list[int]]:
-        """Which gateways to nominate now, and for which slots."""
+        """Return the slots to nominate gateways for now, by gateway."""
         nominations: dict[int, list[int]] = {}
         for slot in [slot for slot in self._progress if slot not in free_slots]:
             del self._progress[slot]
@@ -122,7 +134,8 @@
         return nominations
 
     def _advance(self, now_ms: float, slot: int, progress: NominationProgress) -> list[int]:
-        """The next candidates for a slot: twice as many as before, or the first one of a new round."""
+        """Return the next candidates for a slot: twice as many as in the previous step, or the first one of a
+        new round."""
         if not progress.candidates:
             progress.candidates = self.candidates(now_ms, slot)
             progress.step = 0
@@ -139,5 +152,5 @@
         return nominated
 
     def next_due_ms(self) -> float:
-        """When `nominate` has something to do."""
+        """Next time at which `nominate` must be called; infinity if there is none."""
         return min((progress.next_ms for progress in self._progress.values()), default=math.inf)
