--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -1,9 +1,9 @@
-"""One gateway's part in the leases: events in, messages and changes of its leases out.
+"""One gateway's participation in the leases, as acceptor and holder: events in, actions out.
 
-`LeaseParticipant.handle(now_ms, events) -> actions` is the only way in, and `due_ms` says when it wants to be
-called again. `now_ms` is a clock that keeps running while the machine or the process is suspended. It always
-does, in this order: drop what has expired; read what came; do what is due. Nothing that peers send raises:
-what cannot be read is dropped."""
+The entry point is `LeaseParticipant.handle(now_ms, events) -> actions`; `due_ms` is the time at which it must
+be called again. `now_ms` is read from a clock that keeps running while the machine or the process is
+suspended. `handle` first drops expired leases, then handles the events, then performs what is due. No message
+of a peer causes an exception: malformed messages are dropped."""
 
 from __future__ import annotations
 
@@ -41,12 +41,13 @@
 from plumpick.policy.leases.restart_permits import RestartPermits
 from plumpick.policy.leases.terms import LeaseTerms, token_counter
 
-MAX_FIRST_HEARTBEAT_MS = 500.0
-HEARTBEAT_JITTER_RATIO = (0.9, 1.1)
+MAX_FIRST_HEARTBEAT_MS = 500.0  # maximum time from the start to the first heartbeat
+HEARTBEAT_JITTER_RATIO = (0.9, 1.1)  # range of the random factor of the heartbeat interval
 
 
 class LeaseParticipant:
-    """Owns its parts' tables, and one entry for each peer whose terms differ from ours."""
+    """Combines one gateway's lease holder, acceptor, nominator, restart permits and clock monitor. Keeps one
+    entry for each peer whose lease terms differ from those of this gateway."""
 
     def __init__(
         self,
@@ -59,8 +60,8 @@
         unix_ms: float,
         accepts: bool = True,
     ) -> None:
-        """`unix_ms`: a hint of where counters may begin; no guarantee rests on it. Unless it `accepts`, it
-        becomes an acceptor only by `become_acceptor`."""
+        """`unix_ms`: the wall clock, as the initial value of token counters; no guarantee depends on it.
+        `accepts`: whether to be an acceptor from the start; otherwise only after `become_acceptor`."""
         self.terms = terms
         self.gateway = gateway
         self.incarnation = incarnation
@@ -80,11 +81,13 @@
         self._heartbeat_ms = now_ms + chance.uniform(0, first_heartbeat_ms)
         self._peers_with_other_terms: set[int] = set()
         self._actions: list[Action] = []
-        self.not_held_reasons: dict[int, LossReason | DenialReason] = {}  # by lease
+        # Reason of the last loss or denial of each lease that this process does not hold, by lease.
+        self.not_held_reasons: dict[int, LossReason | DenialReason] = {}
         self.due_ms = now_ms
 
     def become_acceptor(self, now_ms: float) -> None:
-        """Be an acceptor from now on, if the terms name this gateway; silent at first, as after any start."""
+        """Become an acceptor, if the terms name this gateway as one. As after any start of an acceptor, it
+        grants nothing at first."""
         if self.gateway in self.terms.acceptors and self.acceptor is None:
             self.acceptor = Acceptor(self.terms, now_ms)
             self._nominator = Nominator(self.terms, self._gateways, now_ms)
@@ -92,12 +95,12 @@
     # -- events
 
     def handle(self, now_ms: float, events: Iterable[Event] = ()) -> list[Action]:
-        """What is to be done, in this order; nothing after `capture`."""
+        """Handle events and timers. Return the actions to perform, in order; none after `capture`."""
         self._actions = []
         if self.closed:
             return []
         self.holder.expire(now_ms)
-        self._flush(now_ms)  # what has expired is reported before anything that came is looked at
+        self._flush(now_ms)  # losses of expired leases come before all effects of the events
         for event in events:
             self._on_event(now_ms, event)
         self._on_timer(now_ms)
@@ -246,7 +249,8 @@
     # -- messages out
 
     def _flush(self, now_ms: float) -> None:
-        """Report changes and send messages; our own acceptor's response may bring more of them."""
+        """Turn the changes and messages queued by the lease holder into actions. Repeats while there are any,
+        because the response of this gateway's own acceptor may queue more."""
         holder = self.holder
         while holder.to_send or holder.to_release or holder.changes:
             changes = holder.changes
@@ -283,7 +287,8 @@
                 self._send(now_ms, acceptor, MessageKind.REQUEST, request.serial, requested=requested)
 
     def payload_message(self, now_ms: float, receiver: int, payload: bytes) -> SendMessage:
-        """A message with data of a scheduled task or a budget, of up to codec.MAX_PAYLOAD_BYTES."""
+        """Return the action that sends data of a scheduled task or a budget, of up to
+        codec.MAX_PAYLOAD_BYTES."""
         message = Message(
             MessageKind.PAYLOAD, self.terms.digest, self.incarnation, 0, int(now_ms), payload=payload
         )
@@ -299,7 +304,7 @@
         requested: tuple[tuple[int, int], ...] = (),
         votes: tuple[LeaseVote, ...] = (),
     ) -> None:
-        """Send a message; one to ourselves is handled at once."""
+        """Send a message to a gateway; a message to this gateway itself is handled immediately."""
         message = Message(
             kind,
             self.terms.digest,
@@ -318,16 +323,18 @@
     # -- hot restart
 
     def capture(self) -> dict[str, Any]:
-        """What the next process continues from. From here on this one holds, sends and reads nothing:
-        whatever becomes of the state, no lease is ever held by both."""
+        """Return the state for the next process of a hot restart. Afterwards this participant holds no lease,
+        and sends and handles nothing, so that no lease is held by both processes, whatever happens to the
+        state."""
         state = snapshot.capture(self.terms, self.holder, self.permits.wanted, self.acceptor)
         self.closed = True
         return state
 
     def restore(self, now_ms: float, state: dict[str, Any], accepts: bool = True) -> None:
-        """Continue from a state of the process before, as acceptor too if it `accepts`.
+        """Continue from a state captured by the previous process. `accepts`: whether to restore the acceptor,
+        too.
 
-        Raises LeaseSnapshotError where that cannot be, and then nothing has changed."""
+        Raises LeaseSnapshotError if the state cannot be used, and then changes nothing."""
         captured = snapshot.parse(self.terms, state)
         self.incarnation = captured.incarnation
         captured.restore(self.holder)
--- a/plumpick/policy/leases/release_retransmission.py
+++ b/plumpick/policy/leases/release_retransmission.py
@@ -1,6 +1,7 @@
-"""Sends each release several times: where it is lost, the lease stays granted to nobody for a whole term.
+"""Retransmission of lease releases: without it, the loss of a release would leave the lease unused for a
+whole term.
 
-A retransmission has the serial of its release, so that it says nothing of what is requested later."""
+A retransmission carries the serial number of the original release, so it does not affect later requests."""
 
 from __future__ import annotations
 
@@ -10,21 +11,21 @@
 
 from plumpick.policy.leases.lease_holder import RESEND_MS
 
-MAX_RETRANSMISSIONS = 2
+MAX_RETRANSMISSIONS = 2  # maximum number of retransmissions of one release
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRelease:
-    """A release that is to be sent once more."""
+    """A release that is to be retransmitted at `due_ms`."""
 
     due_ms: float
     serial: int
     leases: tuple[int, ...]
-    sent: int  # how often
+    sent: int  # number of transmissions so far
 
 
 class ReleaseRetransmission:
-    """Owns the releases that are to be sent again, each at most MAX_RETRANSMISSIONS times."""
+    """Sends releases and retransmits each of them MAX_RETRANSMISSIONS times, with a growing interval."""
 
     def __init__(self, send: Callable[[float, int, tuple[int, ...]], None]) -> None:
         """`send(now_ms, serial, leases)` sends a release to all acceptors."""
@@ -32,7 +33,7 @@
         self._pending: list[PendingRelease] = []
 
     def send(self, now_ms: float, serial: int, leases: tuple[int, ...]) -> None:
-        """Send a release for the first time."""
+        """Send a new release, and schedule its retransmissions."""
         self._transmit(now_ms, serial, leases, 0)
 
     def _transmit(self, now_ms: float, serial: int, leases: tuple[int, ...], sent: int) -> None:
@@ -42,7 +43,7 @@
             self._pending.append(PendingRelease(due_ms, serial, leases, sent + 1))
 
     def on_timer(self, now_ms: float) -> None:
-        """Send again what is due."""
+        """Retransmit the releases that are due."""
         pending = self._pending
         self._pending = []
         for release in pending:
@@ -52,5 +53,5 @@
                 self._pending.append(release)
 
     def next_due_ms(self) -> float:
-        """When `on_timer` has something to do."""
+        """Time of the next retransmission; infinity if there is none."""
         return min((release.due_ms for release in self._pending), default=math.inf)
--- a/plumpick/policy/leases/restart_permits.py
+++ b/plumpick/policy/leases/restart_permits.py
@@ -1,6 +1,7 @@
-"""Permits for planned restarts: so many gateways, and no more, may be out of service at one time.
+"""Permits for planned restarts: they limit the number of gateways that are out of service at the same time.
 
-A permit is a lease that whoever wants one requests, at random among the permits, until it has one."""
+Each permit is a lease. A gateway that needs a permit requests a randomly chosen one, repeatedly, until it
+holds one."""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 from plumpick.policy.leases.lease_holder import LeaseHolder
 from plumpick.policy.leases.terms import LeaseTerms
 
-RETRY_MS = 400.0  # up to twice as long
+RETRY_MS = 400.0  # minimum time between two requests for a permit; the maximum is twice as long
 
 
 class RestartPermits:
-    """Requests one permit while an operator wants one, and holds it until it is no longer wanted."""
+    """Requests a permit when an operator wants one, and holds it until the operator no longer does."""
 
     def __init__(self, terms: LeaseTerms, holder: LeaseHolder, chance: Random) -> None:
         self._leases = range(terms.slots, terms.leases)
@@ -24,11 +25,12 @@
         self.next_due_ms = math.inf
 
     def held(self) -> int | None:
-        """The permit that this process holds, as a lease's number."""
+        """Lease number of the permit that this process holds; None without one."""
         return next((lease for lease in self._leases if lease in self._holder.held), None)
 
     def set_wanted(self, now_ms: float, wanted: bool) -> None:
-        """Request a permit from now on, or release the one that is held or requested."""
+        """Start requesting a permit if `wanted`; otherwise stop, and release a permit that is held or
+        requested."""
         if wanted and not self.wanted:
             self.next_due_ms = now_ms
         self.wanted = wanted
@@ -40,7 +42,7 @@
                 self._holder.release(lease)
 
     def on_timer(self, now_ms: float) -> None:
-        """Request a random permit when it is time to, and none is held or requested."""
+        """Request a random permit if a request is due and no permit is held or requested."""
         if now_ms < self.next_due_ms:
             return
         self.next_due_ms = now_ms + RETRY_MS * self._chance.uniform(1, 2)
--- a/plumpick/policy/leases/snapshot.py
+++ b/plumpick/policy/leases/snapshot.py
@@ -1,8 +1,9 @@
-"""What one process of a gateway passes to the next in a hot restart, so that both are one participant.
+"""The lease state that a process passes to the next one in a hot restart, so that both act as one
+participant.
 
-The keys are those of the landed format: an old process's state has to be read, too. `parse` raises
-LeaseSnapshotError for a state that cannot be used, and then nothing has changed: the next process starts like
-any other, and what was held ends by its time."""
+The keys are part of a stable format, because states of older versions must remain readable. `parse` raises
+LeaseSnapshotError for an unusable state without changing anything: the next process then starts without a
+state, and the leases of the previous process expire."""
 
 from __future__ import annotations
 
@@ -13,16 +14,18 @@
 from plumpick.policy.leases.lease_holder import HeldLease, LeaseHolder
 from plumpick.policy.leases.terms import LeaseTerms
 
-SERIALS_SKIPPED = 1000  # the next process continues so much further: no response to the last one is its own
+# Number of serial numbers skipped by the next process, so that it accepts no response to the previous
+# process.
+SERIALS_SKIPPED = 1000
 
 
 class LeaseSnapshotError(ValueError):
-    """A state that cannot be used; the text gives the reason."""
+    """A lease state of the previous process cannot be used; the text states the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptorSnapshot:
-    """An acceptor's grants."""
+    """The state of one acceptor: its grants, largest tokens and last releases, by lease."""
 
     silent_until_ms: float
     grants: dict[int, Grant]
@@ -30,7 +33,7 @@
     releases: dict[int, tuple[Owner, int]]
 
     def restore(self, acceptor: Acceptor) -> None:
-        """Let an acceptor continue from here."""
+        """Replace the state of an acceptor with this snapshot."""
         acceptor.silent_until_ms = self.silent_until_ms
         acceptor.grants = self.grants
         acceptor.highest_tokens = self.highest_tokens
@@ -39,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParticipantSnapshot:
-    """What a participant continues from."""
+    """The state of one lease participant: its held leases and, if it is an acceptor, the acceptor's state."""
 
     incarnation: int
     serial: int
@@ -49,7 +52,7 @@
     acceptor: AcceptorSnapshot | None
 
     def restore(self, holder: LeaseHolder) -> None:
-        """Let a lease holder continue from here."""
+        """Replace the state of a lease holder with this snapshot."""
         holder.incarnation = self.incarnation
         holder.serial = self.serial
         holder.held = self.held
@@ -59,7 +62,7 @@
 def capture(
     terms: LeaseTerms, holder: LeaseHolder, permit_wanted: bool, acceptor: Acceptor | None
 ) -> dict[str, Any]:
-    """A participant's state, for JSON."""
+    """Return the state of a lease participant as values that can be encoded as JSON."""
     state: dict[str, Any] = {
         "life": holder.incarnation,
         "serial": holder.serial,
@@ -89,7 +92,8 @@
 
 
 def parse(terms: LeaseTerms, state: dict[str, Any]) -> ParticipantSnapshot:
-    """The state that `capture` gave, under the same terms; raises LeaseSnapshotError."""
+    """Parse a state that `capture` returned. Raises LeaseSnapshotError if it is malformed or was captured
+    under other terms."""
     try:
         if state["digest"] != terms.digest:
             raise ValueError("its settings of duties are not ours")
