--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -204,7 +204,7 @@
         if lease not in request.counters or acceptor in request.grants.get(lease, ()):
             return
         if vote.vote is Vote.GRANTED:
-            request.denials.get(lease, {}).pop(acceptor, None)  # an earlier, outdated vote
+            request.denials.get(lease, {}).pop(acceptor, None)  # the grant replaces an earlier denial
             request.grants.setdefault(lease, set()).add(acceptor)
             request.preferred_others[lease] = request.preferred_others.get(lease, 0) + vote.flag
         else:
