--- a/plumpick/policy/budgets/budget.py
+++ b/plumpick/policy/budgets/budget.py
@@ -47,11 +47,17 @@
     def __post_init__(self) -> None:
         is_fractional = self.kind is BudgetKind.CONCURRENCY and self.limit != int(self.limit)
         if not 0 <= self.limit < MAX_LIMIT or is_fractional:
-            raise InvalidBudgetError(f"{self.name}: whole: {self.limit} is none")
+            raise InvalidBudgetError(
+                f"{self.name}: whole: got {self.limit}, expected a number from 0 to below {MAX_LIMIT:.0f}, "
+                "and an integer for a concurrency"
+            )
         if not 0 <= self.guaranteed_ratio <= 1:
-            raise InvalidBudgetError(f"{self.name}: floor: from 0 to 1")
+            raise InvalidBudgetError(f"{self.name}: floor: got {self.guaranteed_ratio}, expected 0 to 1")
         if self.burst < 0 or self.release_delay_ms < 0:
-            raise InvalidBudgetError(f"{self.name}: burst, outlives_ms: not below 0")
+            raise InvalidBudgetError(
+                f"{self.name}: burst, outlives_ms: got {self.burst} and {self.release_delay_ms}, "
+                "expected at least 0"
+            )
 
     @property
     def fingerprint(self) -> int:
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -135,7 +135,9 @@
         if [(one.name, one.kind, one.guaranteed_ratio) for one in budgets] != [
             (one.name, one.kind, one.guaranteed_ratio) for one in configured
         ]:
-            raise BudgetMismatchError("budgets: other names or floors take effect at the next start of all")
+            raise BudgetMismatchError(
+                "budgets: changed names, kinds or floors take effect at the next start of all gatekeepers"
+            )
         for new, budget in zip(budgets, self._by_index, strict=True):
             if new == budget.configured:
                 continue
@@ -312,9 +314,9 @@
             return
         self._rejections_logged_ms[name] = now_ms
         self.warnings.append(
-            f"budget {name}: {budget.rejected} requests turned back, nothing left of a "
-            f"share of {budget.limiter.granted_amount(now_ms):.6g} and a floor of "
-            f"{budget.limiter.guaranteed.rate_per_s:.6g} a second"
+            f"budget {name}: {budget.rejected} requests rejected, because a grant of "
+            f"{budget.limiter.granted_amount(now_ms):.6g} and a floor of "
+            f"{budget.limiter.guaranteed.rate_per_s:.6g} units per second are used up"
         )
         budget.rejected = 0
 
--- a/plumpick/policy/budgets/limits_agreement.py
+++ b/plumpick/policy/budgets/limits_agreement.py
@@ -112,6 +112,7 @@
             return
         budget.logged_limits = limits
         self.warnings.append(
-            f"budget {configured.name}: n{sender} has whole {message.limit:.6g}, burst {message.burst:.6g}, "
-            f"this gatekeeper {configured.limit:.6g}, {configured.burst:.6g}: the lower hold"
+            f"budget {configured.name}: gatekeeper n{sender} has whole {message.limit:.6g} and burst "
+            f"{message.burst:.6g}, this one whole {configured.limit:.6g} and burst {configured.burst:.6g}; "
+            "the lower values apply"
         )
--- a/plumpick/policy/budgets/rate_limiter.py
+++ b/plumpick/policy/budgets/rate_limiter.py
@@ -193,9 +193,15 @@
         grant_id, per_s, capacity, tokens, expires_ms, guaranteed_tokens, exported_ms = map(float, state)
         is_valid = grant_id >= 0 <= per_s and 0 <= tokens <= capacity and guaranteed_tokens >= 0
         if not (is_valid and exported_ms <= now_ms):
-            raise InvalidSnapshotError("a share that cannot be")
+            raise InvalidSnapshotError(
+                f"impossible grant: got {state}, expected amounts of at least 0, tokens within the burst and "
+                "an export in the past"
+            )
         if expires_ms - exported_ms > self.grant_term_ms or not math.isfinite(per_s + capacity):
-            raise InvalidSnapshotError("a share longer than its term")
+            raise InvalidSnapshotError(
+                f"impossible grant: got {state}, expected an end within {self.grant_term_ms:g} ms after the "
+                "export and finite amounts"
+            )
         self.last_grant_id = int(grant_id)
         self.fencing_token = fencing_token
         self._granted_per_s = per_s
--- a/plumpick/policy/leases/actions.py
+++ b/plumpick/policy/leases/actions.py
@@ -9,9 +9,9 @@
 class LossReason(StrEnum):
     """Reason for the loss of a lease, as text for operators."""
 
-    RELEASED = "given back"
+    RELEASED = "released"
     NO_QUORUM = "no majority of the voters answered in time"
-    GRANTED_TO_OTHER = "the voters gave it to another"
+    GRANTED_TO_OTHER = "the voters granted it to another gatekeeper"
     LARGER_TOKEN_AT_ACCEPTOR = "a voter knows a larger token"
     LARGER_TOKEN_AT_RECEIVER = "a receiver knows a larger token"
 
@@ -19,9 +19,9 @@
 class DenialReason(StrEnum):
     """Reason why a lease could not be acquired, as text for operators."""
 
-    HELD_BY_OTHER = "another has it"
-    ACCEPTORS_SILENT = "voters are silent after their start"
-    STALE_COUNTER = "its token is not large enough"
+    HELD_BY_OTHER = "another gatekeeper holds it"
+    ACCEPTORS_SILENT = "voters grant nothing for a time after their start"
+    STALE_COUNTER = "the requested token was smaller than a token known to a voter"
     NO_QUORUM = "no majority of the voters answered"
 
 
--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -136,7 +136,10 @@
         if sender in self._peers_with_other_terms:
             return
         self._peers_with_other_terms.add(sender)
-        text = f"duties: the settings of gatekeeper {sender} are not ours; its word counts for nothing here"
+        text = (
+            f"duties: gatekeeper {sender} has other settings of duties or budgets than this one; its "
+            "messages are ignored"
+        )
         self._actions.append(WriteLog(text))
 
     # -- messages
@@ -201,12 +204,12 @@
         change = self._clock_rates.observe(sender, sample)
         if change is ClockRateChange.DIVERGED:
             text = (
-                f"duties: the clock of gatekeeper {sender} and ours run apart by more than "
-                f"{self.terms.drift_ratio:.1%} each: the promise of one owner is off"
+                f"duties: the clocks of gatekeeper {sender} and this one drift apart by more than "
+                f"{self.terms.drift_ratio:.1%} each; a duty may have two owners at a time"
             )
             self._actions.append(WriteLog(text, is_warning=True))
         elif change is ClockRateChange.CONVERGED:
-            text = f"duties: the clock of gatekeeper {sender} and ours run alike again"
+            text = f"duties: the clocks of gatekeeper {sender} and this one are within the agreed drift again"
             self._actions.append(WriteLog(text, is_warning=False))
 
     # -- timers
--- a/plumpick/policy/leases/snapshot.py
+++ b/plumpick/policy/leases/snapshot.py
@@ -96,10 +96,10 @@
     under other terms."""
     try:
         if state["digest"] != terms.digest:
-            raise ValueError("its settings of duties are not ours")
+            raise ValueError("it was captured under other settings of duties")
         return _parse(state)
     except (KeyError, TypeError, ValueError) as problem:
-        text = f"duties: what the process before left cannot be used: {problem}"
+        text = f"duties: the state of the previous process cannot be used: {problem}"
         raise LeaseSnapshotError(text) from problem
 
 
--- a/plumpick/policy/leases/terms.py
+++ b/plumpick/policy/leases/terms.py
@@ -42,17 +42,28 @@
 
     def __post_init__(self) -> None:
         if not self.acceptors or len(set(self.acceptors)) < len(self.acceptors):
-            raise LeaseTermsError("voters: at least one, and none twice")
+            raise LeaseTermsError(
+                f"voters: got {list(self.acceptors)}, expected at least one number and no duplicates"
+            )
         if any(not 0 <= acceptor < 1 << GATEWAY_BITS for acceptor in self.acceptors):
-            raise LeaseTermsError("voters: no such number")
+            raise LeaseTermsError(
+                f"voters: got {list(self.acceptors)}, expected numbers from 0 to {(1 << GATEWAY_BITS) - 1}"
+            )
         if self.slots < 1 or self.restart_permits < 0 or self.leases > MAX_LEASES:
-            raise LeaseTermsError(f"slots: 1 to {MAX_LEASES}, the turns included")
+            raise LeaseTermsError(
+                f"slots: got {self.slots} slots and {self.restart_permits} turns, expected at least 1 slot "
+                f"and at most {MAX_LEASES} of both together"
+            )
         if not MIN_TERM_MS <= self.term_ms <= MAX_TERM_MS:
-            raise LeaseTermsError("term_ms: from 500 to 600000")
+            raise LeaseTermsError(
+                f"term_ms: got {self.term_ms}, expected {MIN_TERM_MS:.0f} to {MAX_TERM_MS:.0f}"
+            )
         if not 0.0 <= self.drift_ratio <= MAX_DRIFT_RATIO:
-            raise LeaseTermsError("drift: from 0 to 0.2")
+            raise LeaseTermsError(f"drift: got {self.drift_ratio}, expected 0 to {MAX_DRIFT_RATIO}")
         if self.longest_past_term_ms and self.longest_past_term_ms < self.term_ms:
-            raise LeaseTermsError("longest_ms: under term_ms")
+            raise LeaseTermsError(
+                f"longest_ms: got {self.longest_past_term_ms}, expected at least term_ms, {self.term_ms}"
+            )
 
     @property
     def leases(self) -> int:
--- a/tests/policy/budgets/test_budget_ledger.py
+++ b/tests/policy/budgets/test_budget_ledger.py
@@ -60,7 +60,9 @@
     fleet.ledgers[at].set_limits(fleet.now, (low,))
     fleet.run(GRANT_TERM_MS * 2, [200, 200, 200])
     assert 0.9 < spent_of(fleet, 5000, low) < 1.0
-    logged = [line for ledger in fleet.ledgers for line in ledger.warnings if "the lower hold" in line]
+    logged = [
+        line for ledger in fleet.ledgers for line in ledger.warnings if "the lower values apply" in line
+    ]
     assert 1 <= len(logged) <= 4 and any("30" in line and "60" in line for line in logged)
     fleet.ledgers[at].set_limits(fleet.now, (ONE,))
     fleet.run(GRANT_TERM_MS * 3, [200, 200, 200])
@@ -210,7 +212,7 @@
     fleet = LedgerFleet()
     fleet.run(4000, [200, 0, 0])
     (line,) = fleet.ledgers[0].warnings
-    assert line.startswith("budget one: ") and "turned back" in line
+    assert line.startswith("budget one: ") and "requests rejected" in line
 
 
 def test_few_messages_report_only_budgets_in_demand_of_ten_thousand():
