--- a/plumpick/gateway/cluster/status.py
+++ b/plumpick/gateway/cluster/status.py
@@ -100,6 +100,6 @@
         granted_ms = grant.expires_ms - now_ms
         return [lease, grant.owner[0], f"{grant.token:x}", None, round(granted_ms), ""]
     reason: str = participant.not_held_reasons.get(lease, "")
-    if acceptor is not None and now_ms < acceptor.silent_until_ms:
+    if acceptor is not None and now_ms < acceptor.startup_wait_until_ms:
         reason = "this voter is silent after its start"
     return [lease, None, "", None, None, reason]
--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -41,7 +41,7 @@
 
     def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         self._terms = terms
-        self.silent_until_ms = now_ms + terms.silence_ms
+        self.startup_wait_until_ms = now_ms + terms.startup_wait_ms
         self.grants: dict[int, Grant] = {}
         self.highest_tokens: dict[int, int] = {}  # largest token granted in this incarnation, by lease
         self.releases: dict[int, tuple[Owner, int]] = {}  # last release's owner and serial, by lease
@@ -53,7 +53,7 @@
         which gets no response."""
         if not 0 <= lease < self._terms.leases or not 0 < counter < 1 << 48:
             return None
-        if now_ms < self.silent_until_ms:
+        if now_ms < self.startup_wait_until_ms:
             return LeaseVote(lease, Vote.SILENT, False, 0, NO_HOLDER)
         if self._is_released_since(lease, owner, serial):
             return None
@@ -110,14 +110,14 @@
     def expire_grants(self, now_ms: float) -> set[Owner]:
         """Remove expired grants and return their owners. While this acceptor is silent, nothing is
         removed."""
-        if now_ms < self.silent_until_ms:
+        if now_ms < self.startup_wait_until_ms:
             return set()
         expired = [lease for lease, grant in self.grants.items() if now_ms >= grant.expires_ms]
         return {self.grants.pop(lease).owner for lease in expired}
 
     def free_slots(self, now_ms: float) -> list[int]:
         """Slots without a grant at this acceptor; empty while it is silent after its start."""
-        if now_ms < self.silent_until_ms:
+        if now_ms < self.startup_wait_until_ms:
             return []
         return [lease for lease in range(self._terms.slots) if lease not in self.grants]
 
@@ -125,6 +125,6 @@
         """Next time at which a lease may become free, because a grant expires or the silence after the start
         of this acceptor ends; infinity if there is none."""
         times = [grant.expires_ms for grant in self.grants.values() if grant.expires_ms > now_ms]
-        if now_ms < self.silent_until_ms:
-            times.append(self.silent_until_ms)
+        if now_ms < self.startup_wait_until_ms:
+            times.append(self.startup_wait_until_ms)
         return min(times, default=float("inf"))
--- a/plumpick/policy/leases/snapshot.py
+++ b/plumpick/policy/leases/snapshot.py
@@ -27,14 +27,14 @@
 class AcceptorSnapshot:
     """The state of one acceptor: its grants, largest tokens and last releases, by lease."""
 
-    silent_until_ms: float
+    startup_wait_until_ms: float
     grants: dict[int, Grant]
     highest_tokens: dict[int, int]
     releases: dict[int, tuple[Owner, int]]
 
     def restore(self, acceptor: Acceptor) -> None:
         """Replace the state of an acceptor with this snapshot."""
-        acceptor.silent_until_ms = self.silent_until_ms
+        acceptor.startup_wait_until_ms = self.startup_wait_until_ms
         acceptor.grants = self.grants
         acceptor.highest_tokens = self.highest_tokens
         acceptor.releases = self.releases
@@ -81,7 +81,7 @@
 
 def _capture_acceptor(acceptor: Acceptor) -> dict[str, Any]:
     return {
-        "silent": acceptor.silent_until_ms,
+        "silent": acceptor.startup_wait_until_ms,
         "grants": [
             [lease, f"{grant.token:x}", grant.serial, grant.expires_ms]
             for lease, grant in acceptor.grants.items()
@@ -121,7 +121,7 @@
 
 def _parse_acceptor(rows: dict[str, Any]) -> AcceptorSnapshot:
     return AcceptorSnapshot(
-        silent_until_ms=float(rows["silent"]),
+        startup_wait_until_ms=float(rows["silent"]),
         grants={
             int(lease): Grant(int(token, 16), int(serial), float(expires_ms))
             for lease, token, serial, expires_ms in rows["grants"]
--- a/plumpick/policy/leases/terms.py
+++ b/plumpick/policy/leases/terms.py
@@ -90,7 +90,7 @@
         return (term_ms or self.term_ms) * (1 + self.drift_ratio) / (1 - self.drift_ratio) + 1.0
 
     @property
-    def silence_ms(self) -> float:
+    def startup_wait_ms(self) -> float:
         """Time after its start in which an acceptor grants nothing, because it may have lost grants of its
         previous process."""
         return self.acceptor_hold_ms(self.longest_past_term_ms)
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -88,7 +88,7 @@
 def _acceptor_key(acceptor: Acceptor) -> Any:
     grants = tuple((one.token, one.serial, one.expires_ms) for one in acceptor.grants.values())
     return (
-        acceptor.silent_until_ms,
+        acceptor.startup_wait_until_ms,
         grants,
         tuple(acceptor.highest_tokens.items()),
         tuple(acceptor.releases.items()),
@@ -343,7 +343,7 @@
 
     def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         super().__init__(terms, now_ms)
-        self.silent_until_ms = now_ms
+        self.startup_wait_until_ms = now_ms
 
 
 class CountsFromAnswer(LeaseHolder):
--- a/tests/policy/leases/test_acceptor.py
+++ b/tests/policy/leases/test_acceptor.py
@@ -10,10 +10,10 @@
     assert (
         terms.acceptor_hold_ms() / 1.01 >= 1000 / 0.99
     )  # by true time: a fast acceptor against a slow holder
-    assert terms.silence_ms / 1.01 >= 5000 / 0.99
+    assert terms.startup_wait_ms / 1.01 >= 5000 / 0.99
     acceptor = Acceptor(terms, 0.0)
-    assert acceptor.on_request(terms.silence_ms - 1, 0, (1, 1), 1, 1).vote is Vote.SILENT
-    assert acceptor.on_request(terms.silence_ms, 0, (1, 1), 1, 1).vote is Vote.GRANTED
+    assert acceptor.on_request(terms.startup_wait_ms - 1, 0, (1, 1), 1, 1).vote is Vote.SILENT
+    assert acceptor.on_request(terms.startup_wait_ms, 0, (1, 1), 1, 1).vote is Vote.GRANTED
 
 
 def test_a_release_covers_only_requests_sent_before_it():
--- a/tests/policy/leases/test_lease_snapshot.py
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -34,7 +34,7 @@
 def test_a_restored_acceptor_keeps_its_grants_and_a_fresh_one_is_silent():
     terms = LeaseTerms((0, 1, 2), term_ms=1000)
     old = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0)
-    old.acceptor.silent_until_ms = 0.0
+    old.acceptor.startup_wait_until_ms = 0.0
     assert old.acceptor.on_request(1.0, 0, (1, 5), 7, 1).vote is Vote.GRANTED
     state = old.capture()
     new = LeaseParticipant(terms, 0, 3, 2, random.Random(1), 10.0, 0.0)
