--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -54,7 +54,7 @@
         if not 0 <= lease < self._terms.leases or not 0 < counter < 1 << 48:
             return None
         if now_ms < self.startup_wait_until_ms:
-            return LeaseVote(lease, Vote.SILENT, False, 0, NO_HOLDER)
+            return LeaseVote(lease, Vote.STARTING, False, 0, NO_HOLDER)
         if self._is_released_since(lease, owner, serial):
             return None
         grant = self.active_grant(now_ms, lease)
@@ -116,7 +116,7 @@
         return {self.grants.pop(lease).owner for lease in expired}
 
     def free_slots(self, now_ms: float) -> list[int]:
-        """Slots without a grant at this acceptor; empty while it is silent after its start."""
+        """Slots without a grant at this acceptor; empty during the wait after its start."""
         if now_ms < self.startup_wait_until_ms:
             return []
         return [lease for lease in range(self._terms.slots) if lease not in self.grants]
--- a/plumpick/policy/leases/actions.py
+++ b/plumpick/policy/leases/actions.py
@@ -20,7 +20,7 @@
     """Reason why a lease could not be acquired, as text for operators."""
 
     HELD_BY_OTHER = "another gatekeeper holds it"
-    ACCEPTORS_SILENT = "voters grant nothing for a time after their start"
+    ACCEPTORS_STARTING = "voters grant nothing for a time after their start"
     STALE_COUNTER = "the requested token was smaller than a token known to a voter"
     NO_QUORUM = "no majority of the voters answered"
 
--- a/plumpick/policy/leases/codec.py
+++ b/plumpick/policy/leases/codec.py
@@ -41,7 +41,7 @@
     GRANTED = 0
     HELD_BY_OTHER = 1
     STALE_COUNTER = 2  # denied: the counter is smaller than that of a token granted earlier
-    SILENT = 3  # denied: the acceptor has just started and may have lost grants
+    STARTING = 3  # denied: the acceptor has just started and may have lost grants
 
 
 class LeaseVote(NamedTuple):
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -284,8 +284,8 @@
         elif Vote.STALE_COUNTER in votes and request.retries < MAX_ACQUISITION_RETRIES:
             self.acquire(now_ms, [lease], request.retries + 1)
             return
-        elif Vote.SILENT in votes:
-            reason = DenialReason.ACCEPTORS_SILENT
+        elif Vote.STARTING in votes:
+            reason = DenialReason.ACCEPTORS_STARTING
         else:
             reason = DenialReason.STALE_COUNTER
         self.changes.append(LeaseDenied(lease, reason))
--- a/tests/policy/leases/test_acceptor.py
+++ b/tests/policy/leases/test_acceptor.py
@@ -12,7 +12,7 @@
     )  # by true time: a fast acceptor against a slow holder
     assert terms.startup_wait_ms / 1.01 >= 5000 / 0.99
     acceptor = Acceptor(terms, 0.0)
-    assert acceptor.on_request(terms.startup_wait_ms - 1, 0, (1, 1), 1, 1).vote is Vote.SILENT
+    assert acceptor.on_request(terms.startup_wait_ms - 1, 0, (1, 1), 1, 1).vote is Vote.STARTING
     assert acceptor.on_request(terms.startup_wait_ms, 0, (1, 1), 1, 1).vote is Vote.GRANTED
 
 
--- a/tests/policy/leases/test_lease_snapshot.py
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -44,5 +44,5 @@
         LeaseParticipant(terms, 0, 3, 2, random.Random(1), 10.0, 0.0)
         .acceptor.on_request(20.0, 0, (2, 6), 9, 1)
         .vote
-        is Vote.SILENT
+        is Vote.STARTING
     )
