--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -108,8 +108,8 @@
         return grant if grant is not None and now_ms < grant.expires_ms else None
 
     def expire_grants(self, now_ms: float) -> set[Owner]:
-        """Remove expired grants and return their owners. While this acceptor is silent, nothing is
-        removed."""
+        """Remove expired grants and return their owners. During the wait after its start, an acceptor removes
+        nothing."""
         if now_ms < self.startup_wait_until_ms:
             return set()
         expired = [lease for lease, grant in self.grants.items() if now_ms >= grant.expires_ms]
@@ -122,8 +122,8 @@
         return [lease for lease in range(self._terms.slots) if lease not in self.grants]
 
     def next_due_ms(self, now_ms: float) -> float:
-        """Next time at which a lease may become free, because a grant expires or the silence after the start
-        of this acceptor ends; infinity if there is none."""
+        """Next time at which a lease may become free, because a grant expires or the wait after the start of
+        this acceptor ends; infinity if there is none."""
         times = [grant.expires_ms for grant in self.grants.values() if grant.expires_ms > now_ms]
         if now_ms < self.startup_wait_until_ms:
             times.append(self.startup_wait_until_ms)
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -99,10 +99,10 @@
     def expire(self, now_ms: float) -> None:
         """Drop expired leases. Must be called before anything else whenever time has passed."""
         for lease in [lease for lease in self.held if now_ms >= self.usable_until_ms(lease)]:
-            self._lose(lease, LossReason.NO_QUORUM)
+            self._record_loss(lease, LossReason.NO_QUORUM)
             self._drop_pending(lease)
 
-    def _lose(self, lease: int, reason: LossReason) -> None:
+    def _record_loss(self, lease: int, reason: LossReason) -> None:
         self.changes.append(LeaseLost(lease, self.held.pop(lease).token, reason))
 
     def _drop_pending(self, lease: int) -> None:
@@ -209,12 +209,12 @@
             request.preferred_others[lease] = request.preferred_others.get(lease, 0) + vote.flag
         else:
             request.denials.setdefault(lease, {})[acceptor] = vote.vote
-            if request.is_acquisition and self._fails_acquisition(vote):
+            if request.is_acquisition and self._ends_acquisition(vote):
                 self._fail(now_ms, request, lease)
                 return
-        self._settle(now_ms, request, lease)
+        self._decide(now_ms, request, lease)
 
-    def _fails_acquisition(self, vote: LeaseVote) -> bool:
+    def _ends_acquisition(self, vote: LeaseVote) -> bool:
         """Whether a single denial ends an acquisition, either to retry it immediately with a larger counter
         or to give way to another gateway.
 
@@ -238,7 +238,7 @@
             timeout_ms = min(ACQUISITION_TIMEOUT_MS, timeout_ms)
         return request.requested_ms + timeout_ms
 
-    def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+    def _decide(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
         """Complete the request for a lease when a quorum has granted it, or fail it when a quorum has become
         impossible."""
         terms = self._terms
@@ -246,13 +246,13 @@
             counter = request.counters[lease]
             self._drop_pending(lease)
             if request.is_acquisition:
-                self._gain(now_ms, request, lease, counter)
+                self._complete_acquisition(now_ms, request, lease, counter)
             else:
-                self._extend(request, lease)
+                self._complete_renewal(request, lease)
         elif len(request.denials.get(lease, ())) > len(terms.acceptors) - terms.quorum:
             self._fail(now_ms, request, lease)
 
-    def _gain(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
+    def _complete_acquisition(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
         end_ms = request.requested_ms + self._terms.term_ms
         if now_ms >= end_ms - self._terms.guard_ms:  # no time is left to begin work under the lease
             self.to_release[lease] = None
@@ -261,7 +261,7 @@
         self.held[lease] = HeldLease(token, request.requested_ms, now_ms)
         self.changes.append(LeaseAcquired(lease, token, self.usable_until_ms(lease)))
 
-    def _extend(self, request: LeaseRequest, lease: int) -> None:
+    def _complete_renewal(self, request: LeaseRequest, lease: int) -> None:
         held = self.held[lease]
         held.requested_ms = request.requested_ms
         if request.preferred_others[lease] >= self._terms.quorum and not held.yielding:
@@ -275,7 +275,7 @@
         votes = set(denials.values())
         self._drop_pending(lease)
         if not request.is_acquisition:
-            self._lose(lease, LossReason.GRANTED_TO_OTHER)
+            self._record_loss(lease, LossReason.GRANTED_TO_OTHER)
             return
         if len(denials) < len(self._terms.acceptors):  # an acceptor has granted it or may still do so
             self.to_release[lease] = None
@@ -296,7 +296,7 @@
         """Drop a held or requested lease, and queue its release at the acceptors."""
         self._drop_pending(lease)
         if lease in self.held:
-            self._lose(lease, LossReason.RELEASED)
+            self._record_loss(lease, LossReason.RELEASED)
         self.to_release[lease] = None
 
     def releasable(self) -> list[int]:
@@ -323,7 +323,7 @@
         self.observe_counter(counter)
         held = self.held.get(lease)
         if held is not None and counter >= token_counter(held.token):
-            self._lose(lease, reason)
+            self._record_loss(lease, reason)
             self._drop_pending(lease)
             self.acquire(now_ms, [lease])
 
--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -55,7 +55,7 @@
         gateway: int,
         gateways: int,
         incarnation: int,
-        chance: Random,
+        rng: Random,
         now_ms: float,
         unix_ms: float,
         accepts: bool = True,
@@ -66,19 +66,19 @@
         self.gateway = gateway
         self.incarnation = incarnation
         self._gateways = gateways
-        self._chance = chance
+        self._rng = rng
         self.holder = LeaseHolder(terms, gateway, incarnation, int(unix_ms))
         self.acceptor: Acceptor | None = None
         self._nominator: Nominator | None = None
         if accepts:
             self.become_acceptor(now_ms)
         self._clock_rates = ClockRateMonitor(terms.drift_ratio)
-        self.permits = RestartPermits(terms, self.holder, chance)
+        self.permits = RestartPermits(terms, self.holder, rng)
         self._releases = ReleaseRetransmission(self._send_release)
         self.shutting_down = False
         self.closed = False
         first_heartbeat_ms = min(MAX_FIRST_HEARTBEAT_MS, heartbeat_interval_ms(gateways))
-        self._heartbeat_ms = now_ms + chance.uniform(0, first_heartbeat_ms)
+        self._heartbeat_ms = now_ms + rng.uniform(0, first_heartbeat_ms)
         self._peers_with_other_terms: set[int] = set()
         self._actions: list[Action] = []
         # Reason of the last loss or denial of each lease that this process does not hold, by lease.
@@ -232,7 +232,7 @@
             self._send(now_ms, gateway, MessageKind.NOMINATE, 0, requested=requested)
 
     def _send_heartbeats(self, now_ms: float) -> None:
-        jitter = self._chance.uniform(*HEARTBEAT_JITTER_RATIO)
+        jitter = self._rng.uniform(*HEARTBEAT_JITTER_RATIO)
         self._heartbeat_ms = now_ms + heartbeat_interval_ms(self._gateways) * jitter
         for acceptor in self.terms.acceptors:
             self._send(now_ms, acceptor, MessageKind.HEARTBEAT, int(self.shutting_down))
--- a/plumpick/policy/leases/restart_permits.py
+++ b/plumpick/policy/leases/restart_permits.py
@@ -17,10 +17,10 @@
 class RestartPermits:
     """Requests a permit when an operator wants one, and holds it until the operator no longer does."""
 
-    def __init__(self, terms: LeaseTerms, holder: LeaseHolder, chance: Random) -> None:
+    def __init__(self, terms: LeaseTerms, holder: LeaseHolder, rng: Random) -> None:
         self._leases = range(terms.slots, terms.leases)
         self._holder = holder
-        self._chance = chance
+        self._rng = rng
         self.wanted = False
         self.next_due_ms = math.inf
 
@@ -45,6 +45,6 @@
         """Request a random permit if a request is due and no permit is held or requested."""
         if now_ms < self.next_due_ms:
             return
-        self.next_due_ms = now_ms + RETRY_MS * self._chance.uniform(1, 2)
+        self.next_due_ms = now_ms + RETRY_MS * self._rng.uniform(1, 2)
         if self.held() is None and not any(lease in self._holder.pending for lease in self._leases):
-            self._holder.acquire(now_ms, [self._chance.choice(self._leases)])
+            self._holder.acquire(now_ms, [self._rng.choice(self._leases)])
