--- a/plumpick/policy/budgets/allocator.py
+++ b/plumpick/policy/budgets/allocator.py
@@ -149,8 +149,8 @@
 
     def _forget_expired(self, now_ms: float) -> None:
         for key, receiver in list(self._receivers.items()):
-            is_silent = now_ms - receiver.reported_ms > RECEIVER_EXPIRY_TERMS * self._grant_ms
-            if is_silent and receiver.granted_amount(now_ms) == 0:
+            is_inactive = now_ms - receiver.reported_ms > RECEIVER_EXPIRY_TERMS * self._grant_ms
+            if is_inactive and receiver.granted_amount(now_ms) == 0:
                 del self._receivers[key]
 
     def _fair_share(self, now_ms: float, number: int) -> float:
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -106,18 +106,18 @@
         if len(charges) == 1:  # the most frequent case, in which the bucket is read only once
             ((name, units),) = charges
             budget = self.budgets[name]
-            is_met = budget.limiter.try_spend(now_ms, units)
-            self._record_outcome(now_ms, budget, is_met)
-            return is_met
+            has_enough = budget.limiter.try_spend(now_ms, units)
+            self._record_outcome(now_ms, budget, has_enough)
+            return has_enough
         charged = [(self.budgets[name], units) for name, units in charges]
-        is_met = all(budget.limiter.available(now_ms) >= units for budget, units in charged)
+        has_enough = all(budget.limiter.available(now_ms) >= units for budget, units in charged)
         for budget, units in charged:
-            if is_met:
+            if has_enough:
                 budget.limiter.try_spend(now_ms, units)
             else:
                 budget.limiter.record_demand(units)
-            self._record_outcome(now_ms, budget, is_met)
-        return is_met
+            self._record_outcome(now_ms, budget, has_enough)
+        return has_enough
 
     def resume_guaranteed(self, now_ms: float) -> None:
         """Allow spending of the guaranteed limits. The caller ensures that no other process runs with this
@@ -145,8 +145,8 @@
             if new.name in self._with_excess_demand:
                 self._schedule.report_early(now_ms)
 
-    def _record_outcome(self, now_ms: float, budget: LocalBudget, is_met: bool) -> None:
-        if not is_met:
+    def _record_outcome(self, now_ms: float, budget: LocalBudget, has_enough: bool) -> None:
+        if not has_enough:
             budget.rejected += 1
             self._schedule.report_early(now_ms)  # the allocator may be able to grant more by now
         if budget.limiter.has_excess_demand(now_ms):
@@ -265,8 +265,8 @@
                 row = GrantRow(report.budget_index, grant, allocator.budget.fingerprint)
                 rows_by_token.setdefault(allocator.fencing_token, []).append(row)
         for fencing_token, rows in rows_by_token.items():
-            for note in encode_grants(incarnation, fencing_token, rows):
-                self.outbox.append((sender, note))
+            for payload in encode_grants(incarnation, fencing_token, rows):
+                self.outbox.append((sender, payload))
         for slot in sorted(other_slots):
             holder = lease_holder_of(slot)
             if holder is not None and holder != sender:
@@ -292,8 +292,8 @@
             reports.setdefault(targets[budget.slot], []).append(_report_of(now_ms, budget))
             self._log_rejections(now_ms, budget)
         for receiver, rows in reports.items():
-            for note in encode_demand_reports(rows):
-                self.outbox.append((receiver, note))
+            for payload in encode_demand_reports(rows):
+                self.outbox.append((receiver, payload))
         if reports:
             self._schedule.schedule_next(now_ms)
 
