--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -349,10 +349,10 @@
 class CountsFromAnswer(LeaseHolder):
     """The lease's end counts from the answer, not from the request."""
 
-    def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+    def _decide(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
         if len(request.grants.get(lease, ())) >= self._terms.quorum:
             request.requested_ms = now_ms
-        super()._settle(now_ms, request, lease)
+        super()._decide(now_ms, request, lease)
 
 
 class TokenTwice(LeaseHolder):
