--- a/tests/policy/budgets/test_budget_allocator.py
+++ b/tests/policy/budgets/test_budget_allocator.py
@@ -1,4 +1,5 @@
-"""Grants never sum to more than the limit, whatever is lost, late, dead or stalled; mutants are found."""
+"""The sum of grants never exceeds the limit under message loss, delays, restarts and stalls, and mutants of
+the allocator and of the limiters are detected."""
 
 import random
 
@@ -15,61 +16,64 @@
 CONCURRENCY = Budget("open", BudgetKind.CONCURRENCY, 12, guaranteed_ratio=0.3, release_delay_ms=200.0)
 
 
-def greedy(number, t):
+# Demand patterns: number of requests of gateway `number` in the step at time `t`.
+
+
+def equal_demand(number, t):
     return 2
 
 
-def one_side(number, t):
+def one_gateway(number, t):
     return 4 if number == 0 else 0
 
 
-def shifting(number, t):
+def shifting_gateway(number, t):
     return 10 if number == int(t / 1500) % 3 else 0
 
 
-def bursts(number, t):
+def periodic_bursts(number, t):
     return 10 if t % 4000 > 3000 else 0
 
 
-WANTS = (greedy, one_side, shifting, bursts)
+DEMANDS = (equal_demand, one_gateway, shifting_gateway, periodic_bursts)
 
 
 @pytest.mark.parametrize("budget", [RATE, CONCURRENCY], ids=["rate", "concurrency"])
 @pytest.mark.parametrize("seed", range(32))
-def test_limit_is_never_passed_whatever_fails(budget, seed):
-    fleet = Fleet(seed, budget, gateways=(3, 5, 7)[seed % 3], want=WANTS[seed % 4])
-    fleet.faults(30)
+def test_limit_is_never_exceeded_under_random_faults(budget, seed):
+    fleet = Fleet(seed, budget, gateways=(3, 5, 7)[seed % 3], demand=DEMANDS[seed % 4])
+    fleet.schedule_faults(30)
     fleet.run(35_000)
-    assert not fleet.over, fleet.over[:3]
+    assert not fleet.violations, fleet.violations[:3]
 
 
 @pytest.mark.parametrize("budget", [RATE, CONCURRENCY], ids=["rate", "concurrency"])
-def test_most_of_the_limit_is_used_where_demand_is_and_again_after_faults(budget):
-    for want in (greedy, one_side):
-        fleet = Fleet(1, budget, want=want)
-        fleet.faults(10)
+def test_most_of_the_limit_is_used_by_gateways_with_demand_after_faults_have_ended(budget):
+    for demand in (equal_demand, one_gateway):
+        fleet = Fleet(1, budget, demand=demand)
+        fleet.schedule_faults(10)
         fleet.run(12_000)
-        fleet.fault("heal")
+        fleet.inject_fault("heal")
         fleet.allocator_stalled_until = 0.0
         fleet.run(3 * GRANT_TERM_MS)
-        begin, fleet.max_in_use = fleet.total, 0
+        begin, fleet.max_in_use = fleet.total_units, 0
         fleet.run(10_000)
         if budget.kind is BudgetKind.RATE:
-            assert fleet.total - begin >= 0.7 * budget.limit * 10
+            assert fleet.total_units - begin >= 0.7 * budget.limit * 10
         else:
-            assert fleet.max_in_use >= (0.75 if want is one_side else 0.9) * budget.limit
-        assert not fleet.over
+            assert fleet.max_in_use >= (0.75 if demand is one_gateway else 0.9) * budget.limit
+        assert not fleet.violations
 
 
 def test_only_guaranteed_limits_are_spent_while_there_is_no_allocator():
-    fleet = Fleet(2, RATE, want=greedy)
+    fleet = Fleet(2, RATE, demand=equal_demand)
     fleet.allocator = None
     fleet.run(10_000)
-    assert fleet.total == pytest.approx(0.3 * 60 * 10 / 1.01, rel=0.05)
+    assert fleet.total_units == pytest.approx(0.3 * 60 * 10 / 1.01, rel=0.05)
 
 
-class GrantsAtOnce(BudgetAllocator):
-    """Grants before the grants of the allocator before have ended."""
+class GrantsBeforeEarlierGrantsExpire(BudgetAllocator):
+    """Mutant: a new allocator grants before the grants of the previous allocator have expired."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -77,7 +81,7 @@
 
 
 class ForgetsOutstandingGrants(BudgetAllocator):
-    """Counts only the last grant of each gateway."""
+    """Mutant: the allocator counts only the last grant of each gateway."""
 
     def _record_grant(self, now_ms, receiver, amount, burst=0.0):
         receiver.outstanding.clear()
@@ -85,32 +89,32 @@
         return super()._record_grant(now_ms, receiver, amount, burst)
 
 
-class CountsFromArrival(LocalConcurrencyLimiter):
-    """Counts a grant's end from when it arrived."""
+class CountsTermFromArrival(LocalConcurrencyLimiter):
+    """Mutant: the term of a grant counts from its arrival instead of the request."""
 
     def accept_grant(self, now_ms, grant, sent_ms):
         return super().accept_grant(now_ms, grant, now_ms)
 
 
-class FillsPastTheEnd(LocalRateLimiter):
-    """A grant's bucket fills past the grant's end."""
+class FillsAfterExpiry(LocalRateLimiter):
+    """Mutant: the bucket of a grant fills after the grant has expired."""
 
     def accept_grant(self, now_ms, grant, sent_ms):
-        taken = super().accept_grant(now_ms, grant, sent_ms)
+        accepted = super().accept_grant(now_ms, grant, sent_ms)
         self.granted.expires_ms += 20_000.0
-        return taken
+        return accepted
 
 
-class BeginsFull(LocalRateLimiter):
-    """A restarted gateway begins with a full bucket."""
+class StartsWithFullBucket(LocalRateLimiter):
+    """Mutant: a restarted gateway starts with a full bucket."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
         self.guaranteed.tokens = self.guaranteed.capacity
 
 
-class OpensAtOnce(LocalConcurrencyLimiter):
-    """A restarted gateway uses its guaranteed units while those of the process before are still in use."""
+class IgnoresUnitsInUse(LocalConcurrencyLimiter):
+    """Mutant: a restarted gateway uses its guaranteed units while its previous process's units are in use."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -118,42 +122,48 @@
 
 
 @pytest.mark.parametrize(
-    ("budget", "make"),
+    ("budget", "classes"),
     [
-        (CONCURRENCY, {"allocator": GrantsAtOnce}),
-        (Budget("lent", BudgetKind.RATE, 60.0, burst=3.0, guaranteed_ratio=0.0), {"allocator": GrantsAtOnce}),
+        (CONCURRENCY, {"allocator": GrantsBeforeEarlierGrantsExpire}),
+        (
+            Budget("granted", BudgetKind.RATE, 60.0, burst=3.0, guaranteed_ratio=0.0),
+            {"allocator": GrantsBeforeEarlierGrantsExpire},
+        ),
         (CONCURRENCY, {"allocator": ForgetsOutstandingGrants}),
-        (CONCURRENCY, {"limiter": CountsFromArrival}),
-        (RATE, {"limiter": FillsPastTheEnd}),
-        (Budget("floors", BudgetKind.RATE, 60.0, burst=30.0, guaranteed_ratio=1.0), {"limiter": BeginsFull}),
-        (CONCURRENCY, {"limiter": OpensAtOnce}),
+        (CONCURRENCY, {"limiter": CountsTermFromArrival}),
+        (RATE, {"limiter": FillsAfterExpiry}),
+        (
+            Budget("guaranteed", BudgetKind.RATE, 60.0, burst=30.0, guaranteed_ratio=1.0),
+            {"limiter": StartsWithFullBucket},
+        ),
+        (CONCURRENCY, {"limiter": IgnoresUnitsInUse}),
     ],
     ids=lambda one: next(iter(one.values())).__name__ if isinstance(one, dict) else one.name,
 )
-def test_mutant_passes_the_limit(budget, make):
+def test_mutant_exceeds_the_limit(budget, classes):
     for seed in range(60):
-        fleet = Fleet(seed, budget, want=WANTS[seed % 4], **make)
-        fleet.faults(30)
+        fleet = Fleet(seed, budget, demand=DEMANDS[seed % 4], **classes)
+        fleet.schedule_faults(30)
         fleet.run(35_000)
-        if fleet.over:
+        if fleet.violations:
             return
-    raise AssertionError("not found in 60 seeds")
+    raise AssertionError("the mutant did not exceed the limit with any of 60 seeds")
 
 
-def test_limits_below_one_unit_for_each_gateway_are_used_and_never_passed():
+def test_limit_smaller_than_one_unit_per_gateway_is_used_and_never_exceeded():
     one = Budget("one", BudgetKind.CONCURRENCY, 1, guaranteed_ratio=0.0)
-    fleet = Fleet(3, one, gateways=20, want=greedy)
-    fleet.faults(10)
+    fleet = Fleet(3, one, gateways=20, demand=equal_demand)
+    fleet.schedule_faults(10)
     fleet.run(20_000)
-    assert not fleet.over and fleet.max_in_use == 1
+    assert not fleet.violations and fleet.max_in_use == 1
     slow = Budget("slow", BudgetKind.RATE, 0.3, burst=1.0, guaranteed_ratio=0.0)
-    fleet = Fleet(4, slow, gateways=20, want=one_side)
+    fleet = Fleet(4, slow, gateways=20, demand=one_gateway)
     fleet.run(60_000)
-    assert not fleet.over and fleet.total >= 1
+    assert not fleet.violations and fleet.total_units >= 1
 
 
 @pytest.mark.parametrize(
-    ("limit", "burst", "units", "gateways", "least"),
+    ("limit", "burst", "units", "gateways", "min_used_ratio"),
     [
         (20.0, 4.0, 1.0, 7, 0.66),
         (60.0, 60.0, 50.0, 3, 0.5),
@@ -162,76 +172,78 @@
         (0.3, 2.0, 1.0, 7, 0.85),
     ],
 )
-def test_burst_of_one_request_rotates_where_no_fair_part_holds_a_request(
-    limit, burst, units, gateways, least
+def test_burst_rotates_among_gateways_if_its_fair_share_is_smaller_than_a_request(
+    limit, burst, units, gateways, min_used_ratio
 ):
-    budget = Budget("thin", BudgetKind.RATE, limit, burst=burst, guaranteed_ratio=0.0)
+    budget = Budget("small", BudgetKind.RATE, limit, burst=burst, guaranteed_ratio=0.0)
     for faults in (False, True):
-        fleet = Fleet(5, budget, gateways, greedy, units)
+        fleet = Fleet(5, budget, gateways, equal_demand, units)
         if faults:
-            fleet.faults(30)
+            fleet.schedule_faults(30)
         fleet.run(35_000)
-        assert not fleet.over, fleet.over[:3]
-    fleet = Fleet(6, budget, gateways, greedy, units)
+        assert not fleet.violations, fleet.violations[:3]
+    fleet = Fleet(6, budget, gateways, equal_demand, units)
     fleet.run(100_000)
-    assert fleet.total >= least * limit * 100, fleet.total / limit / 100
+    assert fleet.total_units >= min_used_ratio * limit * 100, fleet.total_units / limit / 100
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_granted_rates_and_bursts_never_sum_to_more_than_the_limits(seed):
-    """Requests of many sizes, demands that come and go: bursts rotate among some, others have a fair part."""
-    chance, term = random.Random(seed), 1000.0
+    """Request sizes and demands vary, so that bursts rotate among some gateways and others hold a fair share.
+    Limits change during the run."""
+    rng, term = random.Random(seed), 1000.0
     budget = Budget("reports", BudgetKind.RATE, 100.0, burst=10.0, guaranteed_ratio=0.0)
     allocator, now = BudgetAllocator(budget, 5, 0.0, 1, term, 0.0, from_ms=0.0), 0.0
-    serials, has, given = [0] * 5, [0] * 5, [[] for _ in range(5)]
-    limits = [(0.0, budget)]  # since when
+    request_ids, received_ids, sent_grants = [0] * 5, [0] * 5, [[] for _ in range(5)]
+    limits = [(0.0, budget)]  # settings with the time from which they apply
     for _ in range(600):
-        now += chance.choice((1.0, 20.0, 100.0))
-        number = chance.randrange(5)
-        if chance.random() < 0.01:  # other limits in service
+        now += rng.choice((1.0, 20.0, 100.0))
+        number = rng.randrange(5)
+        if rng.random() < 0.01:  # the limits change
             budget = Budget(
                 "reports",
                 BudgetKind.RATE,
-                chance.choice((0.0, 50.0, 100.0, 200.0)),
-                burst=chance.choice((4.0, 10.0, 20.0)),
+                rng.choice((0.0, 50.0, 100.0, 200.0)),
+                burst=rng.choice((4.0, 10.0, 20.0)),
                 guaranteed_ratio=0.0,
             )
             allocator.set_limits(now, budget)
             limits.append((now, budget))
-        serials[number] += 1
-        demand = chance.choice((0.0, 0.5, 3.0, 20.0, 500.0))
-        largest = chance.choice((1.0, 1.0, 3.0, 9.0))
-        report = DemandReport(0, serials[number], demand, 0.0, has[number], largest, 0)
+        request_ids[number] += 1
+        demand = rng.choice((0.0, 0.5, 3.0, 20.0, 500.0))
+        largest = rng.choice((1.0, 1.0, 3.0, 9.0))
+        report = DemandReport(0, request_ids[number], demand, 0.0, received_ids[number], largest, 0)
         grant = allocator.request_grant(now, number, 7, report)
-        given[number].append((grant, now + term))
-        if chance.random() < 0.7:  # it has arrived
-            has[number] = grant.request_id
-        out = [
-            [grant for grant, until in grants if now < until and grant.request_id >= has[one]]
-            for one, grants in enumerate(given)
+        sent_grants[number].append((grant, now + term))
+        if rng.random() < 0.7:  # the grant is received
+            received_ids[number] = grant.request_id
+        outstanding = [
+            [grant for grant, until in grants if now < until and grant.request_id >= received_ids[one]]
+            for one, grants in enumerate(sent_grants)
         ]
-        # A grant by other limits is outstanding until its end.
+        # A grant under earlier limits is outstanding until it expires.
         while len(limits) > 1 and limits[1][0] + term + 1 < now:
             del limits[0]
         assert (
-            sum(max((grant.amount for grant in grants), default=0.0) for grants in out)
+            sum(max((grant.amount for grant in grants), default=0.0) for grants in outstanding)
             <= max(one.limit for _, one in limits) + 1e-9
         )
         assert (
-            sum(max((grant.burst for grant in grants), default=0.0) for grants in out)
+            sum(max((grant.burst for grant in grants), default=0.0) for grants in outstanding)
             <= max(one.burst * (one.limit > 0) for _, one in limits) + 1e-9
         )
 
 
-def test_one_unit_for_two_hundred_gateways_is_never_in_use_twice():
-    """A concurrency of 1, and a rate of 1 a second with a burst of 1, wanted by all, with faults."""
-    chance = random.Random(7)
+def test_single_unit_is_never_used_by_two_of_200_gateways_at_once():
+    """All gateways have demand for a concurrency of 1, and for a rate of 1 per second with a burst of 1;
+    faults are injected."""
+    rng = random.Random(7)
     for budget in (
         Budget("one", BudgetKind.CONCURRENCY, 1, guaranteed_ratio=0.0, release_delay_ms=200.0),
         Budget("one", BudgetKind.RATE, 1.0, burst=1.0, guaranteed_ratio=0.0),
     ):
-        fleet = Fleet(7, budget, 200, lambda _number, _t: int(chance.random() < 0.05))
-        fleet.faults(6)
+        fleet = Fleet(7, budget, 200, lambda _number, _t: int(rng.random() < 0.05))
+        fleet.schedule_faults(6)
         fleet.run(10_000)
-        assert not fleet.over
-        assert fleet.max_in_use == 1 if budget.kind is BudgetKind.CONCURRENCY else fleet.total >= 1
+        assert not fleet.violations
+        assert fleet.max_in_use == 1 if budget.kind is BudgetKind.CONCURRENCY else fleet.total_units >= 1
