--- a/tests/support/ledger_fleet.py
+++ b/tests/support/ledger_fleet.py
@@ -1,4 +1,4 @@
-"""The budget ledgers of all gateways, without a network between them."""
+"""The budget ledgers of all gateways, connected without a network."""
 
 import random
 
@@ -13,18 +13,19 @@
 
 
 class LedgerFleet:
-    """Ledgers whose messages arrive at once. The test says who holds all leases."""
+    """Budget ledgers of several gateways, whose messages arrive immediately. The test chooses the gateway
+    that holds all leases."""
 
     def __init__(self, budgets=(ONE,), gateways=3):
         self.now = 0.0
         self.budgets, self.gateways = tuple(budgets), gateways
         self.owner, self.token = None, 0
-        self.partitioned = set()  # gateways that nobody else reaches
+        self.partitioned = set()  # gateways that exchange no messages with others
         self.ledgers = [self.ledger(number) for number in range(gateways)]
         self.incarnations = [100 + number for number in range(gateways)]
 
     def ledger(self, number, resume_guaranteed=True):
-        """A new ledger of that gateway."""
+        """Create a new ledger of gateway `number`."""
         ledger = BudgetLedger(
             self.budgets, number, self.gateways, TERMS, GRANT_TERM_MS, random.Random(number), self.now
         )
@@ -33,7 +34,7 @@
         return ledger
 
     def give_leases_to(self, number):
-        """All leases are lost, and that gateway acquires them; nobody where it is None."""
+        """Move all leases to gateway `number`; None: no gateway holds them."""
         for ledger in self.ledgers:
             for slot in range(TERMS.slots):
                 ledger.on_lease_lost(slot)
@@ -42,36 +43,37 @@
             for slot in range(TERMS.slots):
                 self.ledgers[number].on_lease_acquired(self.now, slot, self.token)
 
-    def deliver(self, sender, receiver, note):
+    def deliver(self, sender, receiver, payload):
         if {sender, receiver} & self.partitioned and sender != receiver:
             return
-        is_voter = receiver in TERMS.acceptors
+        is_acceptor = receiver in TERMS.acceptors
         self.ledgers[receiver].on_message(
             self.now,
             sender,
             self.incarnations[sender],
-            note,
+            payload,
             self.incarnations[receiver],
-            lambda _slot: self.owner if is_voter else None,
+            lambda _slot: self.owner if is_acceptor else None,
         )
 
     def run(self, ms, demand=(), units=1.0):
-        """Go on for so long, with so many requests a second at each gateway; how many each let through."""
-        got = [0] * self.gateways
+        """Advance time by `ms` with `demand` requests per second at each gateway, of `units` each. Return the
+        number of accepted requests by gateway."""
+        accepted = [0] * self.gateways
         end = self.now + ms
         while self.now < end:
             self.now += 10.0
             for number, rate in enumerate(demand):
                 for _ in range(int(rate * self.now / 1000) - int(rate * (self.now - 10) / 1000)):
-                    got[number] += self.ledgers[number].try_spend(
+                    accepted[number] += self.ledgers[number].try_spend(
                         self.now, [(one.name, units) for one in self.budgets]
                     )
             for ledger in self.ledgers:
                 ledger.on_timer(self.now)
             while any(ledger.outbox for ledger in self.ledgers):
                 for number, ledger in enumerate(self.ledgers):
-                    notes, ledger.outbox = ledger.outbox, []
-                    for receiver, note in notes:
-                        assert len(note) <= MAX_PAYLOAD_BYTES
-                        self.deliver(number, receiver, note)
-        return got
+                    messages, ledger.outbox = ledger.outbox, []
+                    for receiver, payload in messages:
+                        assert len(payload) <= MAX_PAYLOAD_BYTES
+                        self.deliver(number, receiver, payload)
+        return accepted
