--- a/tests/policy/budgets/test_budget.py
+++ b/tests/policy/budgets/test_budget.py
@@ -1,4 +1,4 @@
-"""The settings of a budget: what is rejected, and how its limit is split."""
+"""The settings of a budget: rejection of invalid values, and the split of the limit."""
 
 import pytest
 
@@ -20,13 +20,13 @@
         ("release_delay_ms", -1, "outlives_ms"),
     ],
 )
-def test_invalid_budget_is_rejected_by_its_key(field, value, key):
+def test_invalid_budget_is_rejected_with_the_key_in_the_error(field, value, key):
     with pytest.raises(InvalidBudgetError, match=key):
         Budget(**{"name": "x", "kind": BudgetKind.CONCURRENCY, "limit": 5, field: value})
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 7, 200])
 @pytest.mark.parametrize("budget", [RATE, CONCURRENCY, MANY], ids=lambda budget: budget.name)
-def test_guaranteed_and_grantable_limits_make_the_limit(budget, gateways):
+def test_guaranteed_and_grantable_limits_add_up_to_the_limit(budget, gateways):
     guaranteed = sum(budget.guaranteed_limit(number, gateways) for number in range(gateways))
     assert guaranteed + budget.grantable_limit(gateways) == pytest.approx(budget.limit)
--- a/tests/policy/budgets/test_budget_bounds.py
+++ b/tests/policy/budgets/test_budget_bounds.py
@@ -1,11 +1,11 @@
-"""The bounds of budgets against what ledgers do."""
+"""Bounds on the spending of budgets, compared with the spending of ledgers."""
 
 from support.ledger_fleet import GRANT_TERM_MS, ONE, TERMS, LedgerFleet
 
 from plumpick.policy.budgets.bounds import bounds_of
 
 
-def test_guaranteed_limits_alone_serve_what_the_bounds_call_sure():
+def test_spending_without_an_allocator_equals_the_bound_without_a_quorum():
     fleet = LedgerFleet()
     fleet.run(1000, [200, 200, 200])
     sure = next(
@@ -13,5 +13,5 @@
         for row in bounds_of(ONE, 3, TERMS, GRANT_TERM_MS)
         if row.state == "no majority of voters" and row.window_s == 10.0
     )
-    got = sum(fleet.run(10_000, [200, 200, 200]))
-    assert sure - 3 <= got <= sure + 3
+    accepted = sum(fleet.run(10_000, [200, 200, 200]))
+    assert sure - 3 <= accepted <= sure + 3
--- a/tests/policy/budgets/test_budget_codec.py
+++ b/tests/policy/budgets/test_budget_codec.py
@@ -1,4 +1,4 @@
-"""The bytes of messages about budgets."""
+"""Binary encoding of the messages about budgets."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,8 +24,9 @@
 KINDS = (DEMAND_REPORT, GRANT, ALLOCATOR_HINT, LIMITS_QUERY, LIMITS)
 
 
-def test_every_message_that_is_encoded_is_recognized_as_one_for_budgets():
-    """Guards against a kind that is encoded and decoded, but dropped where payloads are dispatched."""
+def test_every_kind_of_encoded_message_is_recognized_as_a_budget_message():
+    """Guards against a kind of message that is encoded and decoded, but dropped by the dispatch of
+    payloads."""
     payloads = [
         *encode_demand_reports([DemandReport(0, 1, 0.5, 0.1, 1, 1.0, 7)]),
         *encode_grants(9, 1, [GrantRow(0, Grant(1, 1, 0.1, 1.0, 1.0), 9)]),
@@ -39,7 +40,7 @@
 
 
 @given(st.binary(max_size=MAX_PAYLOAD_BYTES))
-def test_any_bytes_are_taken_without_an_error(data):
+def test_arbitrary_bytes_raise_no_error(data):
     fleet = LedgerFleet()
     fleet.give_leases_to(0)
     fleet.run(1200)
@@ -48,15 +49,15 @@
         fleet.deliver(1, 2, (first + data)[:MAX_PAYLOAD_BYTES])
 
 
-def test_messages_are_decoded_as_they_were_encoded_to_the_last_bit():
+def test_messages_decode_exactly_as_encoded():
     reports = [DemandReport(n, n + 1, 0.5 * n, 0.1 * n, n, 1.0, 7 * n) for n in range(25)]
-    notes = encode_demand_reports(reports)
-    assert [report for note in notes for report in decode(note)] == reports
+    payloads = encode_demand_reports(reports)
+    assert [report for payload in payloads for report in decode(payload)] == reports
     rows = [GrantRow(n, Grant(n, 1 << 90 | 7, 0.1 * n, 1 / 3, 2 / 3), 9 * n) for n in range(20)]
-    messages = [decode(note) for note in encode_grants(9, 1 << 90 | 7, rows)]
+    messages = [decode(payload) for payload in encode_grants(9, 1 << 90 | 7, rows)]
     assert [row for message in messages for row in message.rows] == rows
     assert {message.incarnation for message in messages} == {9}
-    assert all(len(note) <= MAX_PAYLOAD_BYTES for note in notes + encode_grants(9, 1, rows))
+    assert all(len(payload) <= MAX_PAYLOAD_BYTES for payload in payloads + encode_grants(9, 1, rows))
     assert decode(encode_allocator_hint(AllocatorHint(3, 4))) == AllocatorHint(3, 4)
     for is_query in (False, True):
         limits = LimitsMessage(7, 0.1, 1 / 3, is_query)
