--- a/tests/policy/leases/test_lease_codec.py
+++ b/tests/policy/leases/test_lease_codec.py
@@ -1,4 +1,4 @@
-"""The datagrams about leases, and bytes that are none."""
+"""Encoding of the datagrams about leases, and malformed bytes."""
 
 import random
 
@@ -22,17 +22,17 @@
         bytes(range(256)),
     ],
 )
-def test_bytes_that_are_no_message_change_nothing(data):
+def test_malformed_datagram_is_ignored(data):
     assert decode(data) is None
     participant = LeaseParticipant(LeaseTerms((0, 1, 2)), 0, 3, 1, random.Random(1), 0.0, 0.0)
     participant.handle(0.0, [MessageReceived(1, data), MessageReceived(77, data)])
     assert not participant.holder.pending
 
 
-def test_messages_hold_all_leases_in_256_bytes_and_decode_as_encoded():
+def test_message_with_all_leases_fits_in_256_bytes_and_decodes_as_encoded():
     leases = tuple((lease, (1 << 48) - 1 - lease) for lease in range(20))
-    asked = Message(MessageKind.REQUEST, 65535, 2**32 - 1, 2**32 - 1, 2**32 - 1, 0, leases)
-    answered = Message(
+    request = Message(MessageKind.REQUEST, 65535, 2**32 - 1, 2**32 - 1, 2**32 - 1, 0, leases)
+    response = Message(
         MessageKind.RESPONSE,
         1,
         2,
@@ -43,5 +43,5 @@
             (lease, Vote.HELD_BY_OTHER, bool(lease % 2), counter, 65535) for lease, counter in leases
         ),
     )
-    for message in (asked, answered):
+    for message in (request, response):
         assert len(encode(message)) <= MAX_MESSAGE_BYTES and decode(encode(message)) == message
--- a/tests/policy/leases/test_lease_participant.py
+++ b/tests/policy/leases/test_lease_participant.py
@@ -1,4 +1,4 @@
-"""Who holds which lease, over participants in modelled time with faults between them."""
+"""Ownership of leases among several participants in simulated time, with faults in processes and network."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_no_two_processes_hold_a_lease_under_any_faults(seed):
+def test_no_two_processes_hold_a_lease_under_random_faults(seed):
     tier = LeaseTier(seed, gateways=(3, 5, 7)[seed % 3], drift=0.01, acceptors=(0, 1, 2), term_ms=2000)
     tier.draw_faults(20)
     tier.run(26_000)
@@ -31,19 +31,19 @@
     )
 
 
-def test_a_dead_holders_lease_is_reacquired_within_two_terms_and_1_2_in_the_median():
-    took = []
+def test_lease_of_a_dead_holder_is_reacquired_within_two_terms_and_1_2_terms_in_the_median():
+    elapsed_terms = []
     for seed in range(40):
         tier = LeaseTier(seed, gateways=5, term_ms=6000)
         tier.delay, tier.loss = (2.0, 40.0), 0.03
         tier.run(16_000 + tier.rng.uniform(0, 3000), judge=False)
         tier.kill(tier.holder(0))
-        took.append(tier.run_until(lambda tier=tier: tier.holder(0) is not None, 30_000) / 6000)
-    assert sorted(took)[20] <= 1.2 and max(took) <= 2.0
+        elapsed_terms.append(tier.run_until(lambda tier=tier: tier.holder(0) is not None, 30_000) / 6000)
+    assert sorted(elapsed_terms)[20] <= 1.2 and max(elapsed_terms) <= 2.0
 
 
 @pytest.mark.parametrize("lost", range(24))
-def test_a_lease_is_reacquired_whichever_one_message_is_lost(lost):
+def test_lease_is_reacquired_if_any_single_message_is_lost(lost):
     tier = LeaseTier(5, gateways=3, term_ms=2000)
     tier.run(6000)
     tier.kill(tier.holder(0))
@@ -59,7 +59,7 @@
     assert tier.run_until(lambda: tier.holder(0) is not None, 8000) is not None and not tier.overlaps
 
 
-def test_a_holder_without_a_quorum_drops_its_lease_before_its_end_and_reports_why():
+def test_holder_without_a_quorum_drops_its_lease_before_expiry_and_reports_the_reason():
     tier = LeaseTier(1, gateways=5, term_ms=2000)
     tier.run(6000)
     owner = tier.holder(0)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("acceptors", [(0, 1, 2), (0, 1, 2, 3, 4)])
-def test_leases_stay_where_they_are_when_a_minority_of_acceptors_dies(acceptors):
+def test_holders_keep_their_leases_when_a_minority_of_acceptors_dies(acceptors):
     tier = LeaseTier(2, gateways=7, term_ms=2000, acceptors=acceptors)
     tier.run(6000)
     owners = {lease: tier.holder(lease) for lease in range(3)}
@@ -86,7 +86,7 @@
     assert dead and len(tier.lost) == before and {lease: tier.holder(lease) for lease in range(3)} == owners
 
 
-def test_a_stalled_holder_drops_its_lease_before_it_reads_messages():
+def test_stalled_holder_drops_its_lease_before_it_handles_messages():
     tier = LeaseTier(3, gateways=3, term_ms=2000)
     tier.run(6000)
     owner = tier.holder(0)
@@ -98,10 +98,10 @@
     assert isinstance(first, LeaseLost)
 
 
-def test_tokens_grow_past_the_receivers_when_all_restart_with_counters_at_zero():
+def test_token_exceeds_the_receivers_token_after_all_restart_with_counters_at_zero():
     tier = LeaseTier(4, gateways=3, term_ms=2000)
     tier.run(6000)
-    known = max(token for _, _, lease, token in tier.acquired if lease == 0)  # what the receiver knows
+    known = max(token for _, _, lease, token in tier.acquired if lease == 0)  # known to the receiver
     for number in range(3):
         tier.kill(number)
     tier.run(500)
@@ -110,25 +110,25 @@
     assert tier.run_until(lambda: tier.holder(0) is not None, 6000) is not None
     process = tier.processes[tier.holder(0)]
     assert process.participant.holder.held[0].token < known
-    process.handle([LargerTokenSeen(0, known)])  # the receiver refuses it and says why
+    process.handle([LargerTokenSeen(0, known)])  # the receiver rejects the smaller token
     assert tier.run_until(lambda: tier.holder(0) is not None, 3000) is not None
     assert tier.processes[tier.holder(0)].participant.holder.held[0].token > known and not tier.overlaps
 
 
-def test_a_restart_moves_only_preferred_leases_and_a_death_only_its_own():
+def test_death_moves_only_the_dead_gateways_leases_and_restart_moves_them_back():
     tier = LeaseTier(6, gateways=6, term_ms=2000, slots=12)
     tier.run(14_000)
     before = {lease: tier.holder(lease) for lease in range(12)}
     assert before == {
         lease: min(range(6), key=lambda n, lease=lease: rendezvous_rank(lease, n)) for lease in range(12)
     }
-    gone = before[0]
-    tier.kill(gone)
+    dead = before[0]
+    tier.kill(dead)
     tier.run(8000)
     after = {lease: tier.holder(lease) for lease in range(12)}
     assert None not in after.values()
-    assert all(after[lease] == before[lease] for lease in before if before[lease] != gone)
-    tier.start(gone)
+    assert all(after[lease] == before[lease] for lease in before if before[lease] != dead)
+    tier.start(dead)
     tier.run(20_000)
     assert {lease: tier.holder(lease) for lease in range(12)} == before and not tier.overlaps
 
@@ -147,10 +147,10 @@
     assert len(logged) == 1 and "gatekeeper 1" in logged[0].text and not participant.holder.pending
 
 
-def test_a_response_to_an_earlier_incarnation_is_ignored():
+def test_response_to_another_incarnation_is_ignored():
     terms = LeaseTerms((0, 1, 2))
     participant = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0, accepts=False)
-    tells = participant.handle(
+    actions = participant.handle(
         0.0,
         [
             MessageReceived(
@@ -158,14 +158,15 @@
             )
         ],
     )
-    asked = decode(
+    request = decode(
         next(
-            one.data
-            for one in tells
-            if isinstance(one, SendMessage) and decode(one.data).kind is MessageKind.REQUEST
+            action.data
+            for action in actions
+            if isinstance(action, SendMessage) and decode(action.data).kind is MessageKind.REQUEST
         )
     )
-    for life, gains in ((2, 0), (1, 1)):  # of a life before, then of this one
+    # First responses to another incarnation, then to the current one.
+    for incarnation, acquired in ((2, 0), (1, 1)):
         responses = [
             MessageReceived(
                 acceptor,
@@ -174,19 +175,20 @@
                         MessageKind.RESPONSE,
                         terms.digest,
                         9,
-                        asked.serial,
+                        request.serial,
                         0,
-                        life,
-                        votes=((0, Vote.GRANTED, False, asked.requested[0][1], 0),),
+                        incarnation,
+                        votes=((0, Vote.GRANTED, False, request.requested[0][1], 0),),
                     )
                 ),
             )
             for acceptor in (1, 2)
         ]
-        assert sum(isinstance(one, LeaseAcquired) for one in participant.handle(1.0, responses)) == gains
+        actions = participant.handle(1.0, responses)
+        assert sum(isinstance(action, LeaseAcquired) for action in actions) == acquired
 
 
-def test_no_lease_is_held_while_a_quorum_is_down_and_all_are_when_it_is_back():
+def test_no_lease_is_held_without_a_quorum_and_all_are_after_it_returns():
     tier = LeaseTier(11, gateways=5, term_ms=2000)
     tier.run(6000)
     for number in (0, 1):
@@ -197,23 +199,23 @@
         assert tier.holder(0) is None
     for number in (0, 1):
         tier.start(number)
-    took = tier.run_until(lambda: all(tier.holder(lease) is not None for lease in range(3)), 10_000)
-    assert took is not None and took <= 2 * 2000 and not tier.overlaps
+    elapsed_ms = tier.run_until(lambda: all(tier.holder(lease) is not None for lease in range(3)), 10_000)
+    assert elapsed_ms is not None and elapsed_ms <= 2 * 2000 and not tier.overlaps
 
 
-def test_leases_stay_where_they_are_when_an_acceptor_is_cut_off_one_way():
-    for way in (0, 1):
-        tier = LeaseTier(12 + way, gateways=5, term_ms=2000)
+def test_holders_keep_their_leases_when_an_acceptor_is_partitioned_in_one_direction():
+    for direction in (0, 1):  # no messages from the acceptor, then none to it
+        tier = LeaseTier(12 + direction, gateways=5, term_ms=2000)
         tier.run(6000)
         owners = {lease: tier.holder(lease) for lease in range(3)}
         acceptor = next(number for number in (0, 1, 2) if number not in owners.values())
-        tier.drops = lambda a, b, data, acceptor=acceptor, way=way: acceptor == (a, b)[way]
+        tier.drops = lambda a, b, data, acceptor=acceptor, direction=direction: acceptor == (a, b)[direction]
         before = len(tier.lost)
         tier.run(15_000)
         assert len(tier.lost) == before and not tier.overlaps
 
 
-def test_a_lease_is_kept_by_renewals_under_the_same_token():
+def test_renewed_lease_keeps_its_holder_and_token():
     tier = LeaseTier(14, gateways=3, term_ms=2000)
     tier.run(6000)
     owner = tier.holder(0)
--- a/tests/policy/leases/test_lease_rate_limit.py
+++ b/tests/policy/leases/test_lease_rate_limit.py
@@ -1,4 +1,4 @@
-"""The limit on messages to each peer."""
+"""The rate limit on messages about leases and budgets to each peer."""
 
 from plumpick.policy.leases.rate_limit import (
     BURST_MESSAGES,
@@ -8,13 +8,13 @@
 )
 
 
-def test_messages_to_one_peer_stay_within_the_rate():
+def test_messages_to_one_peer_stay_within_the_rate_and_do_not_limit_another_peer():
     rate_limit = PeerRateLimit()
     sent = sum(rate_limit.allow(float(t), 1) for t in range(10_000))
     assert sent <= BURST_MESSAGES + RATE_PER_S * 10 + 1 and rate_limit.allow(10_000.0, 2)
 
 
-def test_budget_messages_leave_a_reserve_for_lease_messages():
+def test_budget_messages_cannot_use_the_reserve_for_lease_messages():
     rate_limit = PeerRateLimit()
     assert (
         sum(rate_limit.allow(0.0, 1, is_lease_message=False) for _ in range(100))
--- a/tests/policy/leases/test_lease_snapshot.py
+++ b/tests/policy/leases/test_lease_snapshot.py
@@ -1,4 +1,4 @@
-"""What one process of a gateway passes to the next."""
+"""The lease state that a process passes to the next one in a hot restart."""
 
 import random
 
@@ -12,7 +12,7 @@
 from plumpick.policy.leases.terms import LeaseTerms
 
 
-def test_a_hot_restart_keeps_one_holder_and_never_has_two():
+def test_hot_restart_keeps_the_lease_at_a_single_holder():
     tier = LeaseTier(9, gateways=3, term_ms=2000)
     tier.run(6000)
     owner = tier.holder(0)
@@ -25,13 +25,12 @@
     before = len(tier.acquired)
     tier.run(10_000)
     assert tier.holder(0) == owner and len(tier.acquired) == before and not tier.overlaps
+    with_other_terms = LeaseParticipant(LeaseTerms((0,)), 0, 1, 1, random.Random(1), 0.0, 0.0)
     with pytest.raises(LeaseSnapshotError, match="cannot be used"):
-        LeaseParticipant(LeaseTerms((0,)), 0, 1, 1, random.Random(1), 0.0, 0.0).restore(
-            0.0, state
-        )  # other settings
+        with_other_terms.restore(0.0, state)
 
 
-def test_a_restored_acceptor_keeps_its_grants_and_a_fresh_one_is_silent():
+def test_restored_acceptor_keeps_its_grants_and_new_one_grants_nothing():
     terms = LeaseTerms((0, 1, 2), term_ms=1000)
     old = LeaseParticipant(terms, 0, 3, 1, random.Random(1), 0.0, 0.0)
     old.acceptor.startup_wait_until_ms = 0.0
--- a/tests/policy/leases/test_lease_terms.py
+++ b/tests/policy/leases/test_lease_terms.py
@@ -1,4 +1,4 @@
-"""Parameters of leases, and fencing tokens."""
+"""Validation of the lease parameters, and fencing tokens."""
 
 import pytest
 
@@ -23,12 +23,12 @@
         ({"longest_past_term_ms": 600.0}, "longest_ms"),
     ],
 )
-def test_terms_that_contradict_each_other_name_the_operators_key(wrong, key):
+def test_invalid_terms_are_rejected_with_the_key_in_the_error(wrong, key):
     with pytest.raises(LeaseTermsError, match=key):
         LeaseTerms(**{"acceptors": (0, 1, 2), **wrong})
 
 
-def test_tokens_are_ordered_by_counter_and_name_their_owner():
+def test_tokens_are_ordered_by_counter_and_contain_their_owner():
     assert (
         fencing_token(2, 0, 0) > fencing_token(1, 65535, 2**32 - 1)
         and token_counter(fencing_token(7, 3, 9)) == 7
