--- a/plumpick/policy/budgets/messages.py
+++ b/plumpick/policy/budgets/messages.py
@@ -1,6 +1,8 @@
-"""Messages between gateways about budgets. A budget is identified by its position in the list of configured
-budgets, which is identical at all gateways: they ignore messages whose digest of the lease settings
-differs."""
+"""Messages between gateways about budgets.
+
+A budget is identified by its position in the list of configured budgets. The list is identical at all
+gateways that communicate, because a gateway ignores messages whose digest of the lease settings differs from
+its own."""
 
 from __future__ import annotations
 
--- a/plumpick/policy/budgets/report_schedule.py
+++ b/plumpick/policy/budgets/report_schedule.py
@@ -28,7 +28,7 @@
         self.next_ms = math.inf
 
     def report_at_once(self, now_ms: float) -> None:
-        """Make a report due immediately, after a hint to another allocator or a sudden begin of demand."""
+        """Make a report due immediately, for example after a hint that names another allocator."""
         self.next_ms = min(self.next_ms, now_ms)
 
     def report_early(self, now_ms: float) -> None:
