--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -88,7 +88,7 @@
 def _acceptor_key(acceptor: Acceptor) -> Any:
     grants = tuple((one.token, one.serial, one.expires_ms) for one in acceptor.grants.values())
     return (
-        acceptor.silent_until_ms,
+        acceptor.startup_wait_until_ms,
         grants,
         tuple(acceptor.highest_tokens.items()),
         tuple(acceptor.releases.items()),
@@ -343,16 +343,16 @@
 
     def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         super().__init__(terms, now_ms)
-        self.silent_until_ms = now_ms
+        self.startup_wait_until_ms = now_ms
 
 
 class CountsFromAnswer(LeaseHolder):
     """The lease's end counts from the answer, not from the request."""
 
-    def _settle(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
+    def _decide(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
         if len(request.grants.get(lease, ())) >= self._terms.quorum:
             request.requested_ms = now_ms
-        super()._settle(now_ms, request, lease)
+        super()._decide(now_ms, request, lease)
 
 
 class TokenTwice(LeaseHolder):
