--- a/plumpick/gateway/__init__.py
+++ b/plumpick/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: sockets, signals and files round the decisions of plumpick.policy."""
+"""The gateway process: sockets, signals and files. All decisions are made by plumpick.policy."""
--- a/plumpick/gateway/attempt_runner.py
+++ b/plumpick/gateway/attempt_runner.py
@@ -1,7 +1,7 @@
-"""The attempts that the policy asks for: started on the connection pool, their results reported back.
+"""Runs the attempts that the policy requests: starts them on the connection pool and reports their results.
 
-An attempt that cannot be started completes as NOT_STARTED; the first good result is the request's final
-response. Nothing is raised."""
+An attempt that cannot be started completes as NOT_STARTED. The first successful result becomes the request's
+final response. No method raises."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptRunner:
-    """Starts and cancels attempts for the requests of the table."""
+    """Starts and cancels attempts for the open requests, and delivers their responses."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._streams = streams
 
     def start(self, action: StartAttempt) -> None:
-        """The policy starts an attempt for a request, which may have ended or lost its client meanwhile."""
+        """Start an attempt for a request, unless the request has ended or its client has disconnected."""
         requests = self._requests
         request = requests.open.get(action.id)
         if request is None:
@@ -47,15 +47,15 @@
         if stream is not None:
             is_previous_in_flight = number > 0 and (request.id, number - 1) in requests.attempts
             if stream.is_started or is_previous_in_flight:
-                # What has been forwarded is not retained, and a body goes one way.
+                # Forwarded parts of a body are not retained, so it can be sent by one attempt only.
                 self._post_not_started(action, number, False)
                 return
-        if request.sink.has_disconnected():  # nothing was read there that would have said so
+        if request.sink.has_disconnected():  # the disconnect has not been read yet
             requests.on_disconnect(request)
             request.sink.abort()
             self._post_not_started(action, number, True)
             return
-        # The policy's timeout counts from its turn; that of a body that still arrives has not begun.
+        # The policy's timeout counts from its event turn. For a body still being received it has not begun.
         deadline_ms = request.deadline_ms
         if stream is None:
             deadline_ms = min(self._turn.started_ms + action.timeout_ms, deadline_ms)
@@ -78,7 +78,7 @@
         self._pool.start(attempt)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """The policy cancels an attempt, unless it has completed."""
+        """Cancel an attempt on behalf of the policy; does nothing if it has completed."""
         attempt = self._requests.attempts.get((action.id, action.attempt))
         if attempt is not None:
             attempt.end(AttemptResult.CANCELLED)
@@ -89,12 +89,13 @@
         )
 
     def _on_stream_started(self, attempt: Attempt) -> None:
-        """A body that is not retained begins to leave: from here on there is one attempt. Its times say
-        nothing of the worker until its last byte is there."""
+        """Report to the policy that a streamed body is being sent and cannot be sent by another attempt. Its
+        timing says nothing about the worker until its last byte has been sent."""
         self._turn.post(ResponseStarted(attempt.request_id, attempt.number, attempt.worker_id, False))
 
     def _on_large_response(self, attempt: Attempt, length: int, content_type: bytes) -> Any:
-        """A response begins that is too large to be buffered: who takes it; None if nobody waits for it."""
+        """Start to stream a response too large to be buffered; returns its sink, or None if the request has
+        ended or another attempt's response is already being streamed."""
         request = self._requests.open.get(attempt.request_id)
         if request is None or request.responding_attempt is not None:
             return None
@@ -117,14 +118,14 @@
         content_type: bytes,
         load_report: tuple[float, ...],
     ) -> None:
-        """An attempt has its result. The first good one is the request's final response."""
+        """Report an attempt's result to the policy; the first successful one is the final response."""
         requests = self._requests
         del requests.attempts[attempt.request_id, attempt.number]
         request = requests.open.get(attempt.request_id)
         has_response_started = attempt.response_started_ms > 0
         is_decisive = result is AttemptResult.OK or has_response_started
         if request is not None and is_decisive:
-            requests.close(request)  # what has begun to leave is the final response, complete or broken
+            requests.close(request)  # a response that is being streamed is final, even if it breaks off
             requests.count(request, SERVED if result is AttemptResult.OK else FAILED)
             if not has_response_started:
                 request.sink.respond(200, body, content_type)
--- a/plumpick/gateway/event_turn.py
+++ b/plumpick/gateway/event_turn.py
@@ -1,8 +1,8 @@
-"""The event turn: all that happens in one turn of the loop goes to the policy in one call, and the actions
-that it returns are carried out in their order.
+"""The event turn: the events of one event loop iteration go to the policy in one call, and the actions that
+the policy returns are executed in order.
 
-A policy that raises must not end all requests: the fault is logged, the actions of that turn are lost, and
-each request's deadline timer gives its final response."""
+An exception in the policy must not break open requests. It is logged, the actions of that turn are lost, and
+the deadline timer of each affected request gives its final response."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class EventTurn:
-    """The events of this turn of the loop, and the handler of each type of action."""
+    """Queues the events of one event loop iteration and dispatches the resulting actions to `handlers`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, controller: Any) -> None:
         self.handlers: dict[type[Any], Callable[[Any], None]] = {}
-        self.started_ms = 0.0  # the policy's time of the last turn
+        self.started_ms = 0.0  # time that the policy was given in the latest turn
         self._loop = loop
         self._clock = clock
         self._controller = controller
@@ -34,19 +34,19 @@
         self._next_fault_log_ms = 0.0
 
     def next_id(self) -> int:
-        """A number for a request or a command that no other one has."""
+        """Return a new number that identifies one request or command within this process."""
         self._last_id += 1
         return self._last_id
 
     def post(self, event: Event) -> None:
-        """Add an event to the policy's next turn, at the end of this turn of the loop."""
+        """Queue an event for the policy, which handles it at the end of this event loop iteration."""
         if not self._events:
             self._loop.call_soon(self.run)
         self._events.append(event)
 
     def run(self) -> None:
-        """Have the policy decide on what has been posted, at once."""
-        if not self._events:  # a command did not wait for the end of the loop's turn
+        """Pass the queued events to the policy now and execute the actions that it returns."""
+        if not self._events:  # already handled: an operator's command runs the turn at once
             return
         events = self._events
         self._events = []
@@ -59,7 +59,12 @@
             faults = [problem]
         if faults and self._clock.now() >= self._next_fault_log_ms:
             self._next_fault_log_ms = self._clock.now() + FAULT_LOG_INTERVAL_MS
-            log.error("policy failed: faults=%d events=%d", len(faults), len(events), exc_info=faults[0])
+            log.error(
+                "policy raised; actions of this turn may be lost: faults=%d events=%d",
+                len(faults),
+                len(events),
+                exc_info=faults[0],
+            )
         handlers = self.handlers
         for action in actions:
             handlers[type(action)](action)
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -1,8 +1,9 @@
-"""The gateway: events in, actions out. It knows no protocol.
+"""The protocol-independent core of the gateway: passes events to the policy and executes its actions.
 
-What happens becomes an event of the policy (event_turn.py), whose actions are carried out: on the table of
-open requests (request_table.py), by attempts (attempt_runner.py), or here. What may fail raises a
-GatewayError and changes nothing; every request has a final response by its deadline, whatever fails."""
+Everything that happens is posted to the policy as an event (event_turn.py). The actions that the policy
+returns are executed on the table of open requests (request_table.py), by the attempt runner
+(attempt_runner.py) or in this module. A method that can fail raises a GatewayError and leaves the state
+unchanged. Every request gets a final response by its deadline, whatever fails."""
 
 from __future__ import annotations
 
@@ -63,17 +64,18 @@
 )
 from plumpick.policy.health_status import QuotaHealth
 
-# Of the descriptors. Clients have up to 0.46 (listeners/http/connection_admission.py); the rest, 30 of the
-# smallest limit of 256, is for discovery, peers and the loop itself.
+# Share of the descriptor limit that connections to workers may use. Clients may use up to 0.46 of it
+# (listeners/http/connection_admission.py). The remainder (30 descriptors at the smallest limit of 256) is for
+# discovery, peers and the event loop.
 UPSTREAM_DESCRIPTOR_RATIO = 0.42
-STREAM_MEMORY_RATIO = 0.25  # of the memory limit, for streamed bodies
-LEASE_MESSAGE_TAG = b"\xd5"  # the first byte of a message about leases (plumpick/policy/leases/codec.py)
+STREAM_MEMORY_RATIO = 0.25  # share of the memory limit that streamed bodies may use
+LEASE_MESSAGE_TAG = b"\xd5"  # first byte of every lease message (plumpick/policy/leases/codec.py)
 
 log = logging.getLogger(__name__)
 
 
 class Gateway:
-    """One gateway: the policy, its open requests, and the ways to clients, workers and peers."""
+    """One gateway: the policy, the open requests, and the connections to clients, workers and peers."""
 
     def __init__(
         self,
@@ -87,7 +89,7 @@
         self.settings = config.settings
         self.clock = platform.clock()
         self.timers = Timers(loop, self.clock)
-        self.controller: Any = controller or Controller(config.settings, config.seed)  # tests have another
+        self.controller: Any = controller or Controller(config.settings, config.seed)  # replaced in tests
         self.connection_pool = ConnectionPool(
             loop,
             self.clock,
@@ -100,11 +102,10 @@
             was_transport_reset=platform.was_reset,
         )
         self.peers = Peers(config, self.on_peer_message, platform.create_datagram_socket)
-        self.sweeps: list[Callable[[float], None]] = []  # of others that are due as often as the listeners'
-        self.sibling: SiblingProcess | None = None  # the other process, while there are two of this gateway
-        # Where the operator names work for the whole tier, and a service of settings.
-        self.participant: ClusterParticipant | None = None
-        self.settings_source: SettingsSource | None = None
+        self.sweeps: list[Callable[[float], None]] = []  # further callbacks, called every SWEEP_INTERVAL_MS
+        self.sibling: SiblingProcess | None = None  # the other process of this gateway during a hot restart
+        self.participant: ClusterParticipant | None = None  # None unless cluster tasks are configured
+        self.settings_source: SettingsSource | None = None  # None unless a settings service is configured
         self._listeners: list[Listener] = []
         self._quota_health = QuotaHealth(config.settings.gateway_count, config.settings.gateway_number)
         self._init_lifecycle()
@@ -122,12 +123,12 @@
         self.timers.at(self.clock.now() + REQUEST_ID_RETENTION_MS, self.requests.expire_ids)
 
     def _init_lifecycle(self) -> None:
-        self.is_ready = False  # of all that follows, what listeners are told
-        self.is_draining = False
+        self.is_ready = False  # readiness that listeners report; derived from the fields below
+        self.is_draining = False  # whether each response closes its connection; derived from the fields below
         self.is_serving = False
         self.is_shutting_down = False
-        self.is_closing_connections = False  # so late in a shutdown that no connection is left open
-        self.has_handed_over = False  # the sibling takes the clients now
+        self.is_closing_connections = False  # late phase of a shutdown, which leaves no connection open
+        self.has_handed_over = False  # whether the sibling process now accepts the clients
         self.admission_state = AdmissionState.OPEN
 
     def _action_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
@@ -148,18 +149,18 @@
     # -- events
 
     def post_event(self, event: Event) -> None:
-        """Add an event to the policy's next turn, at the end of this turn of the loop."""
+        """Queue an event for the policy, which handles it at the end of this event loop iteration."""
         self._turn.post(event)
 
     def on_worker_list(self, workers: WorkerList) -> None:
-        """Discovery has sent a list of workers, or a change of it."""
+        """Apply a full or incremental list of workers from discovery."""
         displaced = self.connection_pool.update(workers)
         endpoints = [entry.server for entry in workers.entries]
         endpoints += [replace(entry.server, state=EndpointState.GONE) for entry in displaced]
         self._turn.post(EndpointsUpdated(tuple(endpoints), workers.complete))
 
     def on_peer_message(self, sender: int, data: bytes) -> None:
-        """A peer has sent a message."""
+        """Handle a datagram of a peer: lease messages go to the cluster participant, others to the policy."""
         if self.participant is not None and data[:1] == LEASE_MESSAGE_TAG:
             self.participant.on_datagram(sender, data)
             return
@@ -168,28 +169,29 @@
             self.sibling.on_peer_message(sender, data)
 
     def on_relayed_message(self, sender: int, data: bytes) -> None:
-        """The sibling has passed on a message of a peer, or has sent one itself."""
+        """Handle a peer message that the sibling process received or sent."""
         self._turn.post(PeerMessageReceived(sender, data))
 
     def set_participant(self, participant: ClusterParticipant | None) -> None:
-        """This gateway's part in the work for the whole tier, which counts how requests end."""
+        """Set the cluster participant, which also counts the outcomes of requests; None removes it."""
         self.participant = participant
         self.requests.participant = participant
 
     # -- operators
 
     def execute_command(self, name: str, argument: str) -> str:
-        """Carry out an operator's command before this returns; the text of the reply. Raises
-        CommandRejectedError, and ValueError for a command that the policy does not know."""
+        """Execute an operator's command synchronously and return the text of the reply.
+
+        Raises CommandRejectedError, and ValueError for a command that the policy does not know."""
         return self._commands.execute(name, argument)
 
     def apply_command(self, name: str, argument: str) -> None:
-        """The same for a command of this process's own, or one that is in force in the sibling: only the
-        policy is asked. Raises as `execute_command`."""
+        """Have only the policy execute a command. For commands that this process issues itself, or that the
+        sibling process has already executed. Raises the same errors as `execute_command`."""
         self._commands.apply(name, argument)
 
     def readiness(self) -> str:
-        """The reply to READY; raises CommandRejectedError while this process takes no clients."""
+        """Return the reply to READY; raises CommandRejectedError while this process accepts no clients."""
         if not self.is_serving:
             raise CommandRejectedError("not up yet")
         if self.is_shutting_down:
@@ -199,10 +201,11 @@
         return "draining" if self.admission_state else "ready"
 
     def reconfigure(self, config: Config) -> None:
-        """Go on by other settings from the next turn on. `config`: the present one but for its settings.
+        """Put new settings in force, from the next event turn on. `config` must equal the present
+        configuration in everything except its settings.
 
-        Open requests keep their class and plan, and no connection closes. Raises SettingsRejectedError, and
-        then nothing has changed."""
+        Open requests keep their class and plan, and no connection is closed. If SettingsRejectedError is
+        raised, nothing has changed."""
         self._commands.change_settings(self.config, config)
         self.config = config
         self.settings = config.settings
@@ -213,16 +216,21 @@
             listener.reconfigure(config.settings)
 
     def request_lifetimes_ms(self) -> list[float]:
-        """How long requests may be open: of each class in force, and what is left to those that are open,
-        which may be of older ones."""
+        """Return the deadline of each request class in force and the remaining time of each open request,
+        whose class may since have been removed or changed."""
         return [one.deadline_ms for one in self.settings.classes] + self.requests.remaining_ms()
 
     def _set_admission_state(self, action: SetAdmissionState) -> None:
-        """Clients are sent away, or taken again."""
+        """Change which clients are accepted: SetAdmissionState of the policy."""
         before = self.admission_state
         self.admission_state = action.state
         if before != self.admission_state and AdmissionState.OPEN in (before, self.admission_state):
-            log.info("clients are %s", "sent away" if self.admission_state else "taken again")
+            log.info(
+                "draining %s",
+                "has begun: /up answers 503 and each response closes its connection"
+                if self.admission_state
+                else "has ended: clients' connections stay open again",
+            )
         if before < AdmissionState.BOUNDING_LATE_REQUESTS <= self.admission_state:
             self.requests.late_deadline_ms = self.clock.now() + LATE_REQUEST_TIME_MS
         elif self.admission_state < AdmissionState.BOUNDING_LATE_REQUESTS:
@@ -230,47 +238,47 @@
         self._update_readiness()
 
     def _update_readiness(self) -> None:
-        # Who asks the older of two processes whether it is ready means the gateway.
-        is_taking_clients = self.has_handed_over or not self.is_shutting_down
-        self.is_ready = self.is_serving and not self.admission_state and is_taking_clients
+        # During a hot restart a readiness check may reach the predecessor: it must answer for the gateway.
+        is_accepting_clients = self.has_handed_over or not self.is_shutting_down
+        self.is_ready = self.is_serving and not self.admission_state and is_accepting_clients
         self.is_draining = self.is_closing_connections or self.has_handed_over or bool(self.admission_state)
 
     # -- listeners
 
     def add_listener(self, listener: Listener) -> None:
-        """One more listener takes requests."""
+        """Add a listener that accepts requests for this gateway."""
         self._listeners.append(listener)
 
     def spare_descriptors(self) -> int:
-        """Descriptors reserved for workers that are not used now."""
+        """Return how many of the descriptors reserved for workers clients may use now: half of the unused."""
         return self.connection_pool.unused_connections() // 2
 
     def has_stalled(self) -> bool:
-        """Whether what is read now may have waited for this process."""
+        """Whether bytes read now may have waited unread during a stall of this process."""
         return self._stalls.unread_ms(self.clock.now()) > 0.0
 
     def create_request_stream(self, source: PausableSource, length: int) -> Any:
-        """The RequestStream for a body of so many bytes (-1: not known)."""
+        """Create the RequestStream for a request body of `length` bytes (-1: unknown)."""
         return self._streams.create(source, length)
 
     def submit(self, sink: ResponseSink, incoming: IncomingRequest) -> OpenRequest:
-        """Open a request, which is owed one final response; raises DuplicateRequestIdError."""
+        """Open a request, which then gets exactly one final response; raises DuplicateRequestIdError."""
         now = self.clock.now()
         return self.requests.submit(sink, incoming, now, self._stalls.unread_ms(now))
 
     def on_body_complete(self, request: OpenRequest) -> None:
-        """The last byte of a streamed body has come: from now on its client waits."""
+        """Start the request's deadline: the last byte of its streamed body has been received."""
         self.requests.on_body_complete(request)
 
     def on_disconnect(self, request: OpenRequest) -> None:
-        """The client of that request has left; if it has its response, nothing happens."""
+        """Close the request of a client that has disconnected; does nothing after the final response."""
         self.requests.on_disconnect(request)
 
     # -- other actions
 
     def _set_timer(self, action: SetTimer) -> None:
         event = TimerFired(action.name)
-        # On the grid of the policy's ticks, so that timers due within one tick take one turn.
+        # Rounded up to the policy's tick, so that all timers due within one tick share one event turn.
         due_ms = self.clock.now() + action.delay_ms
         tick_ms = max(1.0, self.settings.tick_ms)
         self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self._turn.post(event))
@@ -282,7 +290,7 @@
             self.sibling.on_own_message(action.data)
 
     def _ignore(self, _action: Action) -> None:
-        """Discovery is watched unasked, and workers may not be probed."""
+        """Ignore an action: discovery is always watched, and workers may not be probed."""
 
     # -- housekeeping
 
@@ -300,12 +308,12 @@
             sweep(now)
 
     def descriptor_count(self) -> int:
-        """How many descriptors are open now, but for a few of the program's own."""
+        """Return how many descriptors connections to clients and workers use now."""
         client_count = sum(listener.connection_count() for listener in self._listeners)
         return self.connection_pool.connection_count() + client_count
 
     def set_descriptor_limit(self, descriptors: int) -> None:
-        """From now on open no more descriptors than go with that limit."""
+        """Adapt the limits on connections to the process's new descriptor limit."""
         self.connection_pool.set_max_connections(int(descriptors * UPSTREAM_DESCRIPTOR_RATIO))
         for listener in self._listeners:
             listener.set_descriptor_limit(descriptors)
@@ -313,66 +321,67 @@
     # -- start, hot restart and shutdown
 
     def start_serving(self, is_shutting_down: bool = False) -> None:
-        """Take clients from now on; never ready if it was told to stop before (`is_shutting_down`)."""
+        """Accept clients from now on. With `is_shutting_down` (SIGTERM came during the start) the process
+        serves them but never reports that it is ready."""
         self.is_serving = True
         self.is_shutting_down = is_shutting_down
         self._update_readiness()
 
     def export_state(self) -> Mapping[str, Any]:
-        """The state that the sibling goes on from, which owns it from now on. Raises
+        """Return the policy's state for the successor of a hot restart, which owns it from then on. Raises
         StateNotExportedError."""
         return self._state_transfer.export_state()
 
     def start_handover(self, sibling: SiblingProcess) -> None:
-        """The sibling takes the clients from now on."""
+        """Let the successor process accept all clients from now on."""
         self.sibling = sibling
         self.has_handed_over = True
         self._update_readiness()
 
     def import_state(self, state: Mapping[str, Any]) -> None:
-        """Go on from the state of the process before."""
+        """Restore the policy's state that the predecessor of a hot restart exported."""
         self._state_transfer.import_state(state)
 
     def resume_after_failed_handover(self) -> None:
-        """The sibling has died; clients are taken here again."""
+        """Accept clients again after the successor of a hot restart has died."""
         self.has_handed_over = False
         self.sibling = None
         self._turn.post(ResumeAfterFailedHandover())
         self._update_readiness()
 
     def close_idle_upstream_connections(self) -> None:
-        """The sibling takes what comes: no more descriptors are needed here than are in use."""
+        """Close the idle connections to workers: after a handover their descriptors are not needed here."""
         self.connection_pool.close_idle()
 
     def shut_down_within(self, timeout_ms: float) -> None:
-        """A planned shutdown: what comes is served as before, but by then all has its response, also what is
-        open."""
+        """Begin a planned shutdown: requests are still accepted, but each request, open or new, gets its
+        final response within `timeout_ms` from now."""
         self.is_shutting_down = True
         self.requests.shut_down_by(self.clock.now() + timeout_ms)
         self._update_readiness()
 
     def start_closing_connections(self) -> None:
-        """From now on each response closes its connection."""
+        """Make each response close its connection from now on."""
         self.is_closing_connections = True
         self._update_readiness()
 
     def close_idle(self) -> None:
-        """Close the clients' connections on which nothing is open."""
+        """Close the clients' connections that have no open request."""
         for listener in self._listeners:
             listener.close_idle()
 
     def is_idle(self) -> bool:
-        """Whether no request is open and no client connected."""
+        """Whether no request is open and no client is connected."""
         return not self.requests.open and not self._has_connections()
 
     def has_answered_all(self) -> bool:
-        """Whether each request has its response, and the kernel all of its bytes."""
+        """Whether every request has its response and all response bytes are handed to the kernel."""
         return not self.requests.open and not any(
             listener.has_unwritten_data() for listener in self._listeners
         )
 
     def has_unfinished_work(self) -> bool:
-        """Whether a request is open or a client connected, once new idle connections are closed."""
+        """Close idle connections, then return whether a request is open or a client still connected."""
         self.close_idle()
         return bool(self.requests.open) or self._has_connections()
 
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -1,8 +1,8 @@
-"""The table of open requests: each gets one final response, by its deadline at the latest.
+"""The table of open requests: each request gets exactly one final response, at the latest by its deadline.
 
-A request is in the table from its submission until that response. Whatever the policy or a worker does, the
-table gives it one FINAL_RESPONSE_MARGIN_MS before its client gives up; listeners need only deliver it. The
-table is bounded by the listeners' connections and by the requests' deadlines."""
+A request is in the table from its submission until its final response. If neither the policy nor a worker has
+produced a response by FINAL_RESPONSE_MARGIN_MS before the client's timeout, the table answers 504. The size
+of the table is bounded by the listeners' connections and the requests' deadlines."""
 
 from __future__ import annotations
 
@@ -18,25 +18,26 @@
 from plumpick.policy.actions import FailRequest, RejectRequest
 from plumpick.policy.events import AttemptResult, ClientDisconnected, RequestReceived
 
-DEADLINE_MARGIN_MS = 20.0  # the policy gets a deadline so much earlier: the network and timers take time
-FINAL_RESPONSE_MARGIN_MS = 5.0  # so long before the client gives up it gets a response
+# Time by which the policy's deadline precedes the client's, to allow for network and timer delays.
+DEADLINE_MARGIN_MS = 20.0
+FINAL_RESPONSE_MARGIN_MS = 5.0  # time before the client's timeout at which an open request is answered 504
 
-# How a request ended: the values of plumpick/policy/usage_report.py, which is loaded only where usage is
-# reported.
+# Outcomes of a request. They equal those of plumpick/policy/usage_report.py, which is not imported here
+# because it is loaded only if usage is reported.
 SERVED = 0
 REJECTED = 1
 FAILED = 2
 
 
 class RequestTable:
-    """The open requests by id, and the attempts in flight, also those of requests that have ended."""
+    """The open requests by id, and all attempts in flight, including those of requests that have ended."""
 
     def __init__(self, clock: Clock, timers: Timers, turn: EventTurn, streams: BodyStreams) -> None:
         self.open: dict[int, OpenRequest] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request and number
-        self.participant: ClusterParticipant | None = None  # counts how requests end, where there is one
-        self.shutdown_deadline_ms = math.inf  # whatever comes has its response by then
-        self.late_deadline_ms = math.inf  # the same, while AdmissionState bounds late requests
+        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request id and number of the attempt
+        self.participant: ClusterParticipant | None = None  # counts the outcomes of requests if present
+        self.shutdown_deadline_ms = math.inf  # upper bound on all deadlines during a shutdown
+        self.late_deadline_ms = math.inf  # upper bound on new deadlines while late requests are bounded
         self._clock = clock
         self._timers = timers
         self._turn = turn
@@ -46,10 +47,11 @@
     def submit(
         self, sink: ResponseSink, incoming: IncomingRequest, now: float, unread_ms: float
     ) -> OpenRequest:
-        """Open a request; raises DuplicateRequestIdError. `unread_ms`: how long it may have waited for this
-        process after a stall."""
+        """Open a request and return it; raises DuplicateRequestIdError. `unread_ms`: maximum time for which
+        it may have been unread during a stall of this process."""
         self._ids.claim(incoming.id)
-        waited_ms = unread_ms + now - incoming.received_ms  # it may have waited behind another one, too
+        # A pipelined request has also waited for the responses to earlier ones since `received_ms`.
+        waited_ms = unread_ms + now - incoming.received_ms
         wait_ms = max(incoming.timeout_ms - waited_ms, min(incoming.timeout_ms, 2 * DEADLINE_MARGIN_MS))
         end_ms = min(self.shutdown_deadline_ms, self.late_deadline_ms)
         deadline_ms = min(now + wait_ms, max(end_ms, now + 2 * DEADLINE_MARGIN_MS))
@@ -61,7 +63,8 @@
             incoming.stream.last_progress_ms = now
             self._streams.add(request)
         self.open[request.id] = request
-        # A streamed body's time has not begun; the policy has to start its attempt soon all the same.
+        # The policy gets a deadline for a streamed body too: its time has not begun, but its attempt must
+        # start soon.
         self._turn.post(
             RequestReceived(
                 request.id,
@@ -77,10 +80,10 @@
         )
         return request
 
-    # -- what happens to a request
+    # -- events of a request
 
     def on_body_complete(self, request: OpenRequest) -> None:
-        """The last byte of a streamed body has come: from now on its client waits."""
+        """Start the request's deadline: the last byte of its streamed body has been received."""
         if request.id not in self.open:
             return
         if request.deadline_timer is None and request.responding_attempt is None:
@@ -89,14 +92,14 @@
             self._set_deadline(request, min(now + request.wait_ms, end_ms))
 
     def on_disconnect(self, request: OpenRequest) -> None:
-        """The client of that request has left; if it has its response, nothing happens."""
+        """Close the request of a client that has disconnected; does nothing after the final response."""
         if self.close(request):
             self._turn.post(ClientDisconnected(request.id))
             if request.stream is not None or request.responding_attempt is not None:
                 self._cancel_attempts(request)
 
     def _on_deadline(self, request: OpenRequest) -> None:
-        """The policy has not decided, and the client is about to give up, or this process ends."""
+        """Answer 504: the client is about to time out, or this process to exit, without a response."""
         if self.close(request):
             self.count(request, FAILED)
             request.sink.respond(504)
@@ -105,38 +108,38 @@
                 self._cancel_attempts(request)
 
     def on_upload_stalled(self, request: OpenRequest) -> None:
-        """The client has stopped sending the request's body."""
+        """Answer 408 and cancel the attempts: the client has stopped sending the request's body."""
         if self.close(request):
             request.sink.respond(408)
             self._turn.post(ClientDisconnected(request.id))
             self._cancel_attempts(request)
 
     def reject(self, action: RejectRequest) -> None:
-        """The policy rejects the request."""
+        """Answer 503 with a Retry-After: the policy has rejected the request."""
         request = self.open.get(action.id)
         if request is not None and self.close(request):
             self.count(request, REJECTED)
             request.sink.respond(503, retry_after_ms=action.retry_after_ms)
 
     def fail(self, action: FailRequest) -> None:
-        """The policy has given the request up."""
+        """Answer 502: the policy has decided on no further attempt for the request."""
         request = self.open.get(action.id)
         if request is not None and self.close(request):
             self.count(request, FAILED)
             request.sink.respond(502)
 
-    # -- its end
+    # -- end of a request
 
     def close(self, request: OpenRequest) -> bool:
-        """Take a request off the table; False if it has had its final response before."""
+        """Remove a request from the table; returns False if it was closed before."""
         if self.open.pop(request.id, None) is None:
             return False
         self._ids.release(request.client_id)
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         self._streams.discard(request)
-        # An attempt begins when its connection has come up. One that must not be cancelled would otherwise
-        # begin after its request's final response.
+        # The request of an attempt is written once its connection is up. If the policy may not cancel the
+        # attempt, it would otherwise be written after the final response.
         for number in range(request.attempt_count):
             attempt = self.attempts.get((request.id, number))
             if attempt is not None and attempt.connection is None:
@@ -144,12 +147,12 @@
         return True
 
     def count(self, request: OpenRequest, outcome: int) -> None:
-        """A request has ended: SERVED, REJECTED or FAILED."""
+        """Count the outcome of a request that has ended: SERVED, REJECTED or FAILED."""
         if self.participant is not None:
             self.participant.usage.count(request.plan, outcome, request.units)
 
     def _cancel_attempts(self, request: OpenRequest) -> None:
-        """Nobody waits for the request any more."""
+        """Cancel all attempts of a request whose response is no longer wanted."""
         for number in range(request.attempt_count):
             attempt = self.attempts.get((request.id, number))
             if attempt is not None:
@@ -158,21 +161,21 @@
     # -- deadlines
 
     def _set_deadline(self, request: OpenRequest, deadline_ms: float) -> None:
-        """See to it that the request has its final response by then."""
+        """Set the time by which the request gets its final response, also for its attempts in flight."""
         if request.deadline_timer is not None:
             request.deadline_timer.cancel()
         request.deadline_ms = deadline_ms
         for number in range(request.attempt_count):
             attempt = self.attempts.get((request.id, number))
-            if attempt is not None:  # its message says how much time is left, if it has not left yet
+            if attempt is not None:  # a request not yet written states the remaining time
                 attempt.deadline_ms = min(attempt.deadline_ms, deadline_ms)
         request.deadline_timer = self._timers.at(
             deadline_ms - FINAL_RESPONSE_MARGIN_MS, lambda: self._on_deadline(request)
         )
 
     def shut_down_by(self, deadline_ms: float) -> None:
-        """All requests, also those to come, have their response by then: a worker that stalls would keep them
-        open until this process is killed."""
+        """Bound the deadlines of all open and future requests by `deadline_ms`: otherwise a stalled worker
+        would keep requests open until this process is killed."""
         self.shutdown_deadline_ms = deadline_ms
         for request in list(self.open.values()):
             is_waiting = request.deadline_timer is not None and request.responding_attempt is None
@@ -180,7 +183,7 @@
                 self._set_deadline(request, deadline_ms)
 
     def remaining_ms(self) -> list[float]:
-        """How long each open request may still be open."""
+        """Return the remaining time of each open request; for a body still being streamed, its full time."""
         now = self._clock.now()
         return [
             request.deadline_ms - now if request.deadline_ms < math.inf else request.wait_ms
@@ -188,6 +191,6 @@
         ]
 
     def expire_ids(self) -> None:
-        """Forget the ids of requests that ended a while ago; repeats itself."""
+        """Forget the ids of requests that ended before the previous call; reschedules itself."""
         self._timers.at(self._clock.now() + REQUEST_ID_RETENTION_MS, self.expire_ids)
         self._ids.expire()
