--- a/plumpick/gateway/body_streams.py
+++ b/plumpick/gateway/body_streams.py
@@ -1,7 +1,7 @@
-"""The open requests whose request or response body is streamed: their share of memory, and their stalls.
+"""The open requests whose request or response body is streamed: their memory budget and stall detection.
 
-A stalled response ends its attempt with RESET; of a stalled request body the owner is told, who must give the
-request its final response."""
+The attempt of a stalled response ends with RESET. A stalled request body is reported to the caller of
+`BodyStreams.sweep`, which must give the request its final response."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 from plumpick.gateway.upstream.streaming_body import MemoryBudget, StreamingBody
 from plumpick.policy.events import AttemptResult
 
-RESPONSE_STALL_MS = 10_000.0  # without progress for so long a response is given up
-UPLOAD_STALL_MS = 2500.0  # and a request's body, whose client has stopped
+RESPONSE_STALL_MS = 10_000.0  # time without progress after which a streamed response is aborted
+UPLOAD_STALL_MS = 2500.0  # time without progress after which a streamed request body counts as stalled
 
 
 class BodyStreams:
-    """The requests with a streamed body; bounded by the table of open requests."""
+    """The open requests with a streamed body. Their number is bounded by that of the open requests."""
 
     def __init__(self, total_bytes: int) -> None:
         self._budget = MemoryBudget(total_bytes)
         self._requests: dict[OpenRequest, None] = {}
 
     def create(self, source: Any, length: int) -> StreamingBody:
-        """A body of so many bytes (-1: not known) from a PausableSource; it counts from `add` on."""
+        """Create the body of `length` bytes (-1: unknown) that `source`, a PausableSource, provides. It takes
+        a share of the memory budget once its request is passed to `add`."""
         return StreamingBody(source, length, self._budget.high_water_bytes())
 
     def high_water_bytes(self) -> int:
-        """How much of a response may wait for its client before its source is paused."""
+        """Return how many bytes of a response may be buffered for its client before its source is paused."""
         return self._budget.high_water_bytes()
 
     def add(self, request: OpenRequest) -> None:
-        """A body of the request is streamed from now on."""
+        """Register a request whose request or response body is now streamed."""
         if request not in self._requests:
             self._requests[request] = None
             self._budget.stream_count += 1
 
     def discard(self, request: OpenRequest) -> None:
-        """The request has ended, if it was one of these."""
+        """Remove a request that has ended; does nothing if it has no streamed body."""
         if request in self._requests:
             del self._requests[request]
             self._budget.stream_count -= 1
 
     def sweep(self, now: float, on_upload_stalled: Callable[[OpenRequest], None]) -> None:
-        """Give up the bodies of which nothing moves: a client or a worker has stopped."""
+        """End the attempts of stalled responses, and call `on_upload_stalled` for stalled request bodies."""
         for request in list(self._requests):
             attempt = request.responding_attempt
             if attempt is not None:
@@ -55,8 +56,8 @@
 
 
 def _has_upload_stalled(stream: Any, now: float) -> bool:
-    """Whether a client has stopped sending. It cannot send while its source is paused: at most half of the
-    time counts then."""
+    """Whether a client has sent nothing of the request body `stream` for UPLOAD_STALL_MS. While its source is
+    paused the client cannot send: then at most half of that time counts."""
     if stream is None or stream.is_complete:
         return False
     if stream.is_paused:
--- a/plumpick/gateway/clock.py
+++ b/plumpick/gateway/clock.py
@@ -1,4 +1,5 @@
-"""The gateway's clock and its timers. An error of a callback goes to the event loop; other timers go on."""
+"""The gateway's clock and timers. An exception in a timer's callback propagates to the event loop; the other
+timers still fire."""
 
 from __future__ import annotations
 
@@ -10,7 +11,8 @@
 
 
 class Clock:
-    """Unix time in milliseconds, read once; from then on it only advances, also if the machine's is set."""
+    """Unix time in milliseconds that never goes back: the system time is read once, and the monotonic clock
+    is added, so that later changes of the system time have no effect."""
 
     def __init__(self) -> None:
         self._base_ms = time.time() * 1000 - time.monotonic() * 1000
@@ -21,20 +23,21 @@
 
 
 class Timer:
-    """A callback that is due later, unless it is cancelled before."""
+    """A callback to be called at a later time unless cancelled."""
 
     __slots__ = ("callback",)
 
     def __init__(self, callback: Callable[[], None]) -> None:
-        self.callback: Callable[[], None] | None = callback  # None: cancelled, or fired
+        self.callback: Callable[[], None] | None = callback  # None once cancelled or fired
 
     def cancel(self) -> None:
-        """It does not fire; nothing happens if it has."""
+        """Prevent the callback from being called; does nothing if it has been called."""
         self.callback = None
 
 
 class Timers:
-    """All timers of the gateway on one timer of the loop: most never fire, and setting them is cheap."""
+    """All timers of the gateway, in a heap behind a single timer of the event loop. Most timers never fire,
+    so setting and cancelling them is kept cheap."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock) -> None:
         self._loop = loop
@@ -45,7 +48,7 @@
         self._armed_ms = math.inf
 
     def at(self, when_ms: float, callback: Callable[[], None]) -> Timer:
-        """Call at that time of the clock or soon after, never before."""
+        """Schedule the callback for the clock time `when_ms` or soon after, never earlier."""
         self._serial += 1
         timer = Timer(callback)
         heapq.heappush(self._heap, (when_ms, self._serial, timer))
@@ -57,20 +60,21 @@
         if self._handle is not None:
             self._handle.cancel()
         self._armed_ms = when_ms
-        # The loop's timers count whole milliseconds from when its turn began: rounded up, none is early.
+        # The event loop counts whole milliseconds from the start of its iteration: rounding up avoids firing
+        # early.
         delay_ms = math.ceil(max(0.0, when_ms - self._clock.now()))
         self._handle = self._loop.call_later(delay_ms / 1000, self._fire)
 
     def _fire(self) -> None:
         self._handle = None
-        self._armed_ms = -math.inf  # no arming while the due ones are called
+        self._armed_ms = -math.inf  # prevents arming while the due callbacks run
         now = self._clock.now()
         heap = self._heap
         try:
             while heap and heap[0][0] <= now:
                 timer = heapq.heappop(heap)[2]
                 callback = timer.callback
-                timer.callback = None  # it may refer to the timer in turn
+                timer.callback = None  # breaks the reference cycle if the callback refers to its timer
                 if callback is not None:
                     callback()
         finally:
--- a/plumpick/gateway/errors.py
+++ b/plumpick/gateway/errors.py
@@ -1,19 +1,19 @@
-"""The errors that the gateway raises to its own process; their texts are what operators read."""
+"""Errors raised by the gateway; their texts are shown to operators."""
 
 from __future__ import annotations
 
 
 class GatewayError(ValueError):
-    """The gateway has refused what was asked of it, and nothing has changed."""
+    """The gateway rejected a call; its state is unchanged."""
 
 
 class CommandRejectedError(GatewayError):
-    """An operator's command is rejected; the text is the reply to it."""
+    """An operator's command was rejected; the text is the reply to the operator."""
 
 
 class SettingsRejectedError(GatewayError):
-    """Settings cannot be taken into service; the text is one line that names the key."""
+    """New settings cannot be put in force; the text is one line that names the key."""
 
 
 class StateNotExportedError(GatewayError):
-    """The policy gave no state for the next process."""
+    """The policy failed to export its state for the successor of a hot restart."""
--- a/plumpick/gateway/event_turn.py
+++ b/plumpick/gateway/event_turn.py
@@ -60,7 +60,7 @@
         if faults and self._clock.now() >= self._next_fault_log_ms:
             self._next_fault_log_ms = self._clock.now() + FAULT_LOG_INTERVAL_MS
             log.error(
-                "policy raised; actions of this turn may be lost: faults=%d events=%d",
+                "policy failed, actions of this turn may be lost: faults=%d events=%d",
                 len(faults),
                 len(events),
                 exc_info=faults[0],
--- a/plumpick/gateway/http_client.py
+++ b/plumpick/gateway/http_client.py
@@ -1,7 +1,7 @@
-"""A GET over one connection that is kept open: what the clients of discovery and of settings share.
+"""HTTP GET over one persistent connection, shared by the clients of discovery and of the settings service.
 
-How long each step may take is the caller's to say. Whatever goes wrong is a CallFailedError for a caller that
-works within `call_errors`; it then aborts the connection.
+Timeouts are set by the caller. Within `call_errors` every failure of a call is raised as CallFailedError; the
+caller must then abort the connection.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 
 class CallFailedError(Exception):
-    """A call failed; the text tells why. `timed_out`: its connection was up, and its answer did not come in
-    time."""
+    """A call failed for the reason in the text. `timed_out`: the connection was established, but the response
+    did not arrive in time."""
 
     def __init__(self, text: str, timed_out: bool = False) -> None:
         super().__init__(text)
@@ -25,7 +25,7 @@
 
 
 class HttpResponse:
-    """One response as its bytes come, up to `max_bytes` of them."""
+    """Parser of one response of at most `max_bytes` bytes, head included."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
@@ -39,7 +39,7 @@
 
     @property
     def status(self) -> int:
-        """The status code."""
+        """The status code of the response, once its head has been received."""
         return self._parser.get_status_code()
 
     @property
@@ -48,10 +48,11 @@
         return b"".join(self._parts)
 
     def feed(self, data: bytes) -> None:
-        """Bytes from the connection, none at its end; raises CallFailedError or httptools.HttpParserError."""
+        """Parse bytes from the connection; empty bytes mean that the peer has closed it. Raises
+        CallFailedError or httptools.HttpParserError."""
         self.received_bytes += len(data)
         if not data:
-            # An end without a length ends the body (RFC 9112, 6.3); a reset never does.
+            # A close completes a body without a declared length (RFC 9112, 6.3); a reset never does.
             self.is_complete = self.is_complete or self._is_in_body and not self._has_length
             if not self.is_complete:
                 raise CallFailedError("the connection ended")
@@ -63,25 +64,25 @@
     # -- the parser's callbacks
 
     def on_header(self, name: bytes, _value: bytes) -> None:
-        """One header."""
+        """Parser callback: note whether the response declares its length."""
         self._has_length = self._has_length or name.lower() in (b"content-length", b"transfer-encoding")
 
     def on_headers_complete(self) -> None:
-        """The body begins."""
+        """Parser callback: the head is complete and the body begins."""
         self._is_in_body = True
 
     def on_body(self, part: bytes) -> None:
-        """A part of the body."""
+        """Parser callback: collect a part of the body."""
         self._parts.append(part)
 
     def on_message_complete(self) -> None:
-        """The body is complete."""
+        """Parser callback: the body is complete."""
         self.is_complete = True
-        self.keeps_alive = self._parser.should_keep_alive()  # the parser knows this here and no later
+        self.keeps_alive = self._parser.should_keep_alive()  # only valid during this callback
 
 
 class HttpConnection:
-    """A connection to a service, opened when it is needed."""
+    """A connection to a service, opened on demand and reused."""
 
     def __init__(self) -> None:
         self._address: Address | None = None
@@ -90,11 +91,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether it was opened and not aborted."""
+        """Whether the connection has been opened and not aborted since."""
         return self._writer is not None
 
     async def open(self, address: Address) -> None:
-        """Connect, unless that is done; raises OSError."""
+        """Connect to the address unless already connected to it; raises OSError."""
         if self._address != address:
             self.abort()
         if self._writer is None:
@@ -102,18 +103,19 @@
             self._address = address
 
     def send_get(self, target: str) -> None:
-        """Write a request."""
+        """Write a GET request for the target (path and query)."""
         assert self._writer is not None
         assert self._address is not None
         self._writer.write(f"GET {target} HTTP/1.1\r\nHost: {host_of(self._address)}\r\n\r\n".encode())
 
     async def read(self, max_bytes: int) -> bytes:
-        """What has come, or nothing at the connection's end; raises OSError."""
+        """Wait for bytes and return them; empty if the peer has closed the connection. Raises OSError."""
         assert self._reader is not None
         return await self._reader.read(max_bytes)
 
     def finish(self, response: HttpResponse, statuses: tuple[int, ...]) -> bytes:
-        """The body of a complete response; raises CallFailedError for another status."""
+        """Return the body of a complete response; raises CallFailedError if its status is not in `statuses`.
+        Aborts the connection if the server does not keep it open."""
         if response.status not in statuses:
             raise CallFailedError(f"status {response.status}")
         if not response.keeps_alive:
@@ -121,7 +123,7 @@
         return response.body
 
     def abort(self) -> None:
-        """Close it at once, if it is open."""
+        """Close the connection at once if it is open."""
         if self._writer is not None:
             self._writer.transport.abort()
         self._reader = None
@@ -130,7 +132,7 @@
 
 @contextmanager
 def call_errors(connection: HttpConnection) -> Iterator[None]:
-    """Raise what can go wrong with a call as CallFailedError."""
+    """Convert time-outs, connection errors and malformed responses of a call to CallFailedError."""
     try:
         yield
     except TimeoutError as problem:
@@ -142,5 +144,5 @@
 
 
 def host_of(address: Address) -> str:
-    """An address as text."""
+    """Format an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/plumpick/gateway/open_request.py
+++ b/plumpick/gateway/open_request.py
@@ -1,7 +1,7 @@
-"""A request that has no final response yet, and the ids that such requests have.
+"""The record of a request without a final response, and the set of request ids in use.
 
-Records alone: the gateway's table owns them (request_table.py), and bounds them by each request's
-deadline."""
+Both are owned by the table of open requests (request_table.py), which bounds their number by the requests'
+deadlines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from plumpick.gateway.listeners.interface import DuplicateRequestIdError, IncomingRequest, ResponseSink
 from plumpick.gateway.upstream.attempt import Attempt
 
-REQUEST_ID_RETENTION_MS = 2000.0  # for once to twice as long an id stays in use after its request has ended
+# Time between two calls of RequestIds.expire: an id stays reserved for one to two such periods after its
+# request has ended.
+REQUEST_ID_RETENTION_MS = 2000.0
 
 
 class OpenRequest:
@@ -38,22 +40,22 @@
         self.id = number
         self.client_id = incoming.id
         self.sink = sink
-        self.head = head  # of each attempt's message, see request_encoding.encode_head
+        self.head = head  # encoded head that all attempts share, see request_encoding.encode_head
         self.body = incoming.body
         self.stream = incoming.stream
         self.is_head = incoming.method == b"HEAD"
         self.plan = incoming.plan
         self.units = incoming.units
-        self.wait_ms = 0.0  # how long its client waits
-        self.deadline_ms = math.inf  # it has its response by then; a streamed body's time has not begun
+        self.wait_ms = 0.0  # time allowed for the response, from the last byte of the request
+        self.deadline_ms = math.inf  # time of the final response; infinite until a streamed body is complete
         self.deadline_timer: Timer | None = None
         self.attempt_count = 0
-        self.responding_attempt: Attempt | None = None  # whose streamed response is on its way to the client
+        self.responding_attempt: Attempt | None = None  # attempt whose response is streamed to the client
 
 
 class RequestIds:
-    """The clients' ids of the requests that are open or ended a moment ago. An id is one request: a second
-    one with it, of whichever client, would pass for a retry of the first."""
+    """The x-request-id values of requests that are open or have recently ended. An id must be unique, also
+    across clients: workers would take a second request with it for a retry of the first."""
 
     def __init__(self) -> None:
         self._open: set[bytes] = set()
@@ -61,21 +63,23 @@
         self._ended_before: set[bytes] = set()
 
     def claim(self, client_id: bytes) -> None:
-        """A request with that id opens; raises DuplicateRequestIdError."""
+        """Reserve an id for a new request; raises DuplicateRequestIdError if the id is in use."""
         if client_id in self._open or client_id in self._ended or client_id in self._ended_before:
-            raise DuplicateRequestIdError("x-request-id is in use")
+            raise DuplicateRequestIdError(
+                f"x-request-id {client_id.decode()!r} belongs to an open or recently ended request"
+            )
         self._open.add(client_id)
 
     def release(self, client_id: bytes) -> None:
-        """The request with that id has ended."""
+        """Mark an id as ended; it remains reserved until `expire` has been called twice."""
         self._open.discard(client_id)
         self._ended.add(client_id)
 
     def expire(self) -> None:
-        """Forget the ids released before the previous call; due every REQUEST_ID_RETENTION_MS."""
+        """Forget the ids released before the previous call; to be called every REQUEST_ID_RETENTION_MS."""
         self._ended_before = self._ended
         self._ended = set()
 
     def is_empty(self) -> bool:
-        """Whether no id is in use."""
+        """Whether no id is reserved."""
         return not self._open and not self._ended and not self._ended_before
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -1,8 +1,7 @@
-"""Operators' commands, and other settings in service: what the policy decides on is in force before a call
-returns.
+"""Execution of operators' commands and of settings changes. Both are in force when the call returns.
 
-A command or settings that cannot be carried out raise a GatewayError whose text is the reply; nothing has
-changed then."""
+A command or settings change that is rejected raises a GatewayError whose text is the reply, and leaves the
+state unchanged."""
 
 from __future__ import annotations
 
@@ -17,9 +16,9 @@
 from plumpick.policy.actions import CommandCompleted
 from plumpick.policy.events import CommandKind, OperatorCommand, SettingsChanged
 
-# Fields of the configuration outside `settings`. A published version replaces settings alone and keeps them;
-# the check holds for any other caller. reconfiguration.FIXED names the settings that are fixed until a
-# restart. The list of workers is discovery's to change.
+# Fields of the configuration outside `settings` that only a restart can change. A version published by the
+# settings service never differs in them; the check protects against other callers. The settings that only a
+# restart can change are listed in reconfiguration.FIXED. The list of workers is updated by discovery.
 RESTART_ONLY_FIELDS = (
     "name",
     "listen",
@@ -35,26 +34,26 @@
 
 
 class CommandContext(Protocol):
-    """What commands ask of the gateway."""
+    """What operators' commands need of the gateway."""
 
     participant: ClusterParticipant | None
     settings_source: SettingsSource | None
     sibling: SiblingProcess | None
 
     def readiness(self) -> str:
-        """The reply to READY; raises CommandRejectedError."""
+        """Return the reply to READY; raises CommandRejectedError."""
 
 
 class OperatorCommands:
-    """Carries out operators' commands, with the policy where it decides on them."""
+    """Executes operators' commands, passing to the policy those that it decides on."""
 
     def __init__(self, context: CommandContext, turn: EventTurn) -> None:
         self._context = context
         self._turn = turn
-        self._errors: dict[int, str] = {}  # by command, until they are read in the same turn
+        self._errors: dict[int, str] = {}  # the policy's replies ("" = done) by command id, read at once
 
     def execute(self, name: str, argument: str) -> str:
-        """Carry out an operator's command; returns the text of the reply. Raises CommandRejectedError, and
+        """Execute an operator's command and return the text of the reply. Raises CommandRejectedError, and
         ValueError for a command that the policy does not know."""
         context = self._context
         if name == "READY":
@@ -73,7 +72,7 @@
         try:
             self.apply(name, argument)
         except CommandRejectedError as problem:
-            log.info("operator: %s: refused, %s", text, problem)
+            log.info("operator: %s: rejected: %s", text, problem)
             raise
         if context.sibling is not None:
             context.sibling.on_operator_command(name, argument)
@@ -81,7 +80,7 @@
         return text
 
     def _execute_cluster_command(self, name: str, argument: str) -> str:
-        """A command that concerns the whole tier; raises CommandRejectedError."""
+        """Execute a command that concerns all gateways; raises CommandRejectedError."""
         participant = self._context.participant
         if participant is None:
             raise CommandRejectedError(
@@ -97,18 +96,21 @@
         return text
 
     def _drain_in_turn(self, participant: ClusterParticipant, argument: str) -> str:
-        """DRAIN FLEET: this gateway drains when it is its turn; raises CommandRejectedError."""
+        """Execute DRAIN FLEET: this gateway drains once it holds the fleet's restart permit. Raises
+        CommandRejectedError."""
         if argument.upper() != "FLEET":
             raise CommandRejectedError("DRAIN takes FLEET, or nothing more")
         error = participant.want_restart_permit(True)
-        log.info("operator: DRAIN FLEET: %s", f"refused, {error}" if error else "waits for a turn")
+        log.info(
+            "operator: DRAIN FLEET: %s", f"rejected: {error}" if error else "waiting for a restart permit"
+        )
         if error:
             raise CommandRejectedError(error)
         return "DRAIN FLEET: when it is our turn"
 
     def apply(self, name: str, argument: str) -> None:
-        """Have the policy carry out a command at once; raises CommandRejectedError, and ValueError for one
-        that it does not know."""
+        """Have the policy execute a command now. Raises CommandRejectedError, and ValueError for a command
+        that the policy does not know."""
         kind = CommandKind(name.lower())
         command_id = self._turn.next_id()
         self._turn.post(OperatorCommand(command_id, kind, argument))
@@ -117,7 +119,7 @@
             raise CommandRejectedError(error)
 
     def change_settings(self, present: Config, config: Config) -> None:
-        """Have the policy go on by other settings at once; raises SettingsRejectedError."""
+        """Have the policy put new settings in force now; raises SettingsRejectedError."""
         _check_reconfiguration(present, config)
         command_id = self._turn.next_id()
         self._turn.post(SettingsChanged(command_id, config.settings))
@@ -126,18 +128,19 @@
             raise SettingsRejectedError(error)
 
     def _run(self, command_id: int, failure: str) -> str:
-        """Run the turn; the policy's error about a command, or `failure` if it gave no answer."""
+        """Run the event turn and return the policy's error about a command, empty if it succeeded, or
+        `failure` if the policy did not complete the command."""
         self._turn.run()
         return self._errors.pop(command_id, failure)
 
     def on_completed(self, action: CommandCompleted) -> None:
-        """The policy has carried out a command, or rejects it."""
+        """Record the policy's result of a command: an error text, empty if it succeeded."""
         self._errors[action.id] = action.error
 
 
 def _check_reconfiguration(present: Config, config: Config) -> None:
-    """Whether the gateway's own part of a configuration may follow the present one in service; raises
-    SettingsRejectedError."""
+    """Check that `config` can replace `present` without a restart, as far as the gateway itself is concerned;
+    raises SettingsRejectedError."""
     for name in RESTART_ONLY_FIELDS:
         if getattr(config, name) != getattr(present, name):
             raise SettingsRejectedError(f"{name}: it cannot change before a restart")
--- a/plumpick/gateway/shutdown.py
+++ b/plumpick/gateway/shutdown.py
@@ -1,8 +1,9 @@
-"""The end of a gateway after SIGTERM: how long it may take, and how its listener closes.
+"""Graceful shutdown after SIGTERM: its time limits, and how the listener closes.
 
-After SIGTERM connections go on coming for up to 0.4 s, clients go on using those that they have, and peers
-find their customers' quota owner here. All this is served until it is time to finish: SIGKILL comes no sooner
-than the longest deadline, of MAX_GRACE_DEADLINE_S at most, and EXTRA_GRACE_S after SIGTERM."""
+For up to 0.4 s after SIGTERM new connections still arrive, clients keep using open ones, and peers still
+treat this gateway as the quota owner of its customers. All this is served until the shutdown must complete.
+SIGKILL follows SIGTERM no earlier than after the longest class deadline (at most MAX_GRACE_DEADLINE_S) plus
+EXTRA_GRACE_S."""
 
 from __future__ import annotations
 
@@ -15,24 +16,26 @@
 
 from plumpick.gateway.listeners.http.listener import HttpListener
 
-MAX_GRACE_DEADLINE_S = 3.0
-EXTRA_GRACE_S = 0.7
-# So long before SIGKILL all is answered, or this part of the grace period, where that is less.
+MAX_GRACE_DEADLINE_S = 3.0  # maximum part of the grace period that a class deadline accounts for
+EXTRA_GRACE_S = 0.7  # part of the grace period beyond the longest class deadline
+# All requests are answered by the smaller of these two margins before SIGKILL: a time, and a share of the
+# grace period.
 ANSWER_MARGIN_S = 0.5
 ANSWER_MARGIN_RATIO = 0.25
-CLOSING_WINDOW_S = 1.0  # so long before that no connection is kept any more,
-MIN_SERVING_S = 0.45  # but not sooner than this after SIGTERM
-EXIT_MARGIN_S = 0.1  # so long before SIGKILL the process has exited, but for bodies that are still streamed
+CLOSING_WINDOW_S = 1.0  # maximum time, until all requests are answered, in which responses close connections
+MIN_SERVING_S = 0.45  # minimum time after SIGTERM in which connections are kept open
+EXIT_MARGIN_S = 0.1  # time before SIGKILL at which the process exits unless bodies are still being streamed
 
 log = logging.getLogger(__name__)
 
 
 def shutdown_times(deadlines_s: Iterable[float]) -> tuple[float, float, float]:
-    """What SIGTERM leaves time for, in seconds from it, by the deadlines of the classes: until when what
-    comes is served and connections are kept; until when all is answered; when the process exits.
+    """Return the phases of a shutdown, in seconds after SIGTERM, for the deadlines of the request classes:
+    the end of normal service with persistent connections, the time by which all requests are answered, and
+    the time at which the process exits.
 
-    New connections come for 0.4 s, and what is accepted last has as long as its client waits, or
-    CLOSING_WINDOW_S."""
+    New connections arrive for 0.4 s. The request accepted last has its whole deadline, but at most
+    CLOSING_WINDOW_S, to be answered."""
     longest = max(deadlines_s)
     grace = min(longest, MAX_GRACE_DEADLINE_S) + EXTRA_GRACE_S
     answered = grace - min(ANSWER_MARGIN_S, ANSWER_MARGIN_RATIO * grace)
@@ -41,28 +44,28 @@
 
 
 class StopRequest:
-    """SIGTERM, which may come more than once and at any stage; its time counts from the first."""
+    """Records SIGTERM, which may arrive repeatedly and at any stage; the first one starts the shutdown."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._requested = asyncio.Event()
-        self.requested_s = math.inf  # by the loop's clock
+        self.requested_s = math.inf  # time of the first SIGTERM by the event loop's clock
 
     def request(self) -> None:
-        """SIGTERM has come."""
+        """Record a SIGTERM."""
         self.requested_s = min(self.requested_s, self._loop.time())
         self._requested.set()
 
     def is_requested(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether SIGTERM has been received."""
         return self._requested.is_set()
 
     async def wait(self) -> None:
-        """Until SIGTERM comes."""
+        """Wait until SIGTERM is received."""
         await self._requested.wait()
 
     async def wait_for(self, event: asyncio.Event, timeout_s: float) -> bool:
-        """Whether the event comes within that time; SIGTERM ends the wait as if it had."""
+        """Wait for the event or SIGTERM for at most `timeout_s`; returns whether one of them occurred."""
         tasks = [self._loop.create_task(one.wait()) for one in (event, self._requested)]
         try:
             await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
@@ -75,11 +78,11 @@
 async def close_listener(
     loop: asyncio.AbstractEventLoop, server: Any, listening: socket.socket | None, listener: HttpListener
 ) -> None:
-    """Accept no more clients.
+    """Close the listening socket after accepting all connections in its backlog.
 
-    Connections that the system has accepted and this process has not are reset when the listening socket
-    closes, and requests on them are lost. So it is emptied first; what comes between the last look and the
-    close is reset before its client has a response to lose, and retries elsewhere."""
+    Closing a listening socket resets the connections in its backlog, and requests already sent on them would
+    be lost. A connection that arrives between the last accept and the close is still reset, but no request on
+    it has been processed, and its client retries elsewhere."""
     accepted = _accept_all(listening) if listening is not None else []
     server.close()
     for connection in accepted:
@@ -87,18 +90,20 @@
             connection.setblocking(False)
             await loop.connect_accepted_socket(listener.create_connection, connection)
         except OSError as problem:
-            log.warning("a connection was lost: %s", problem)
+            log.warning("client connection from the listener's backlog lost at shutdown: %s", problem)
             connection.close()
 
 
 def _accept_all(listening: socket.socket) -> list[socket.socket]:
-    """The connections in the backlog of a listening socket."""
+    """Accept and return the connections in the backlog of a listening socket."""
     accepted = []
     while True:
         try:
             accepted.append(listening.accept()[0])
         except (BlockingIOError, ConnectionAbortedError):
             return accepted
-        except OSError as problem:  # no descriptor is free, say
-            log.warning("the listener was not emptied: %s", problem)
+        except OSError as problem:  # for example, no descriptor is free
+            log.warning(
+                "cannot accept the rest of the listener's backlog, its clients are reset: %s", problem
+            )
             return accepted
--- a/plumpick/gateway/stall_detector.py
+++ b/plumpick/gateway/stall_detector.py
@@ -1,4 +1,4 @@
-"""Stalls of this process: after one, what is read now may have waited in the kernel all through it."""
+"""Detects stalls of this process. Bytes read after a stall may have waited in the kernel during all of it."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 
 from plumpick.gateway.listeners.interface import STALL_THRESHOLD_MS, Listener
 
-# After a stall the loop accepts connections that waited one turn after the other, and reads each in the next.
-BACKLOG_READ_MS = 20.0  # for so long, at least, what is read may date from the stall,
-QUIET_TURNS = 3  # and until so many turns of the loop in a row have accepted nothing,
-MAX_BACKLOG_MS = 1000.0  # but no longer than that: clients that come all the time are not a backlog
+# After a stall the event loop accepts waiting connections over several iterations and reads each of them one
+# iteration later. These bounds tell for how long bytes read may date from the stall.
+BACKLOG_READ_MS = 20.0  # minimum time after the stall
+QUIET_TURNS = 3  # number of consecutive loop iterations without a new connection that end the backlog
+MAX_BACKLOG_MS = 1000.0  # maximum time after the stall: under steady traffic connections never cease
 
 
 class StallDetector:
-    """Tells by the listeners' sweeps, which are due at fixed times, whether and for how long we stalled.
-    `call_soon` has something called in the loop's next turn."""
+    """Detects stalls by the delay of the listeners' sweeps, which are due at fixed intervals. `call_soon`
+    schedules a callback for the next iteration of the event loop."""
 
     def __init__(self, listeners: list[Listener], call_soon: Callable[[Callable[[], None]], Any]) -> None:
         self._listeners = listeners
         self._call_soon = call_soon
-        self._last_stall_ms = 0.0  # how long it was
-        self._backlog_until_ms = 0.0
-        self._backlog_ends_ms = 0.0  # at the latest
+        self._last_stall_ms = 0.0  # duration of the latest stall
+        self._backlog_until_ms = 0.0  # earliest end of its backlog
+        self._backlog_ends_ms = 0.0  # latest end of its backlog
         self._quiet_turns_left = 0
-        self._accepted = 0  # connections, up to the last turn
+        self._accepted = 0  # connections accepted up to the previous loop iteration
 
     def unread_ms(self, now: float) -> float:
-        """How long what is read now may have waited for this process, at most; 0.0 without a stall."""
+        """Return the maximum time for which bytes read now may have been unread; 0.0 without a stall."""
         delay_ms = self._sweep_delay_ms(now)
         if delay_ms > STALL_THRESHOLD_MS:
             return delay_ms
@@ -35,7 +36,8 @@
         return self._last_stall_ms if is_accepting or now < self._backlog_until_ms else 0.0
 
     def sweep(self, now: float) -> None:
-        """Note a stall; due before the listeners sweep, which ends their delay."""
+        """Record a stall, if there was one. To be called before the listeners sweep, which resets their
+        delay."""
         delay_ms = self._sweep_delay_ms(now)
         if delay_ms <= STALL_THRESHOLD_MS:
             return
@@ -47,7 +49,7 @@
         self._quiet_turns_left = QUIET_TURNS
 
     def _on_turn(self) -> None:
-        """A turn of the loop has begun."""
+        """Check at the start of a loop iteration whether the previous one accepted connections."""
         accepted = sum(listener.accepted_connections for listener in self._listeners)
         is_quiet = accepted == self._accepted
         self._accepted = accepted
--- a/plumpick/gateway/state_transfer.py
+++ b/plumpick/gateway/state_transfer.py
@@ -1,4 +1,4 @@
-"""The policy's state in a hot restart: out of the process before, into the next one."""
+"""Export and import of the policy's state, from the predecessor to the successor of a hot restart."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 
 class StateTransfer:
-    """Exports and imports the policy's state, each in a turn of its own."""
+    """Exports and imports the policy's state; each call runs one event turn at once."""
 
     def __init__(self, turn: EventTurn) -> None:
         self._turn = turn
         self._state: Mapping[str, Any] | None = None
 
     def export_state(self) -> Mapping[str, Any]:
-        """The state for the next process, which owns it from now on; raises StateNotExportedError."""
+        """Return the state for the successor process, which owns it from then on; raises
+        StateNotExportedError."""
         self._state = None
         self._turn.post(ExportState())
         self._turn.run()
-        state = self._exported()  # by a call: the compiler takes the None from above to stand for this too
+        state = self._exported()  # a method, since the compiler assumes that `_state` is still None here
         if state is None:
-            raise StateNotExportedError("the module gave no state")
+            raise StateNotExportedError("the policy failed to export its state; see the log")
         return state
 
     def _exported(self) -> Mapping[str, Any] | None:
         return self._state
 
     def on_exported(self, action: StateExported) -> None:
-        """The policy has given its state."""
+        """Keep the state that the policy has exported, for `export_state` to return."""
         self._state = action.state
 
     def import_state(self, state: Mapping[str, Any]) -> None:
-        """Go on from the state of the process before."""
+        """Have the policy restore the state that the predecessor process exported."""
         self._turn.post(ImportState(state))
         self._turn.run()
