--- a/plumpick/gateway/listeners/__init__.py
+++ b/plumpick/gateway/listeners/__init__.py
@@ -1,2 +1,2 @@
-"""Listeners, a package for each protocol. What a listener and the gateway know of one another is in
-interface.py."""
+"""Listeners, in one package for each protocol. interface.py defines the interface between a listener and the
+gateway."""
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -1,10 +1,10 @@
-"""The operators' listener: one command a connection, a line that is answered with one of +OK or -ERR.
+"""The operators' listener: each connection carries one command line and gets one reply line, +OK or -ERR.
 
-It decides nothing: a command goes to the gateway, and its reply back. Hundreds of connections that send
-nothing must not lock operators out while clients hold every descriptor that they may: a few connections are
-open at a time, out of a reserve of their own; one more replaces the oldest without a complete command; and no
-command is waited for longer than COMMAND_TIMEOUT_MS. A malformed command is answered with -ERR and its
-reason."""
+Commands are passed to the gateway, which decides on them. Operators must not be locked out by hundreds of
+idle connections or by clients that use up their descriptors. So the listener has its own reserve of
+descriptors for a few connections. A connection above that limit replaces the oldest one without a complete
+command, and a complete command must arrive within COMMAND_TIMEOUT_MS. A malformed command is answered with
+-ERR and the reason."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 from plumpick.gateway.listeners.interface import OperatorGateway
 
 MAX_CONNECTIONS = 12
-HARD_MAX_CONNECTIONS = 40  # those that come in one go are all read before some are closed
-MAX_LINE_BYTES = 512  # its end included
-COMMAND_TIMEOUT_MS = 5000.0  # for a complete line
-EVICTION_DELAY_MS = 5.0  # after one connection too many
+# Maximum number of connections during EVICTION_DELAY_MS, so that connections that arrive together are all
+# read before some are closed.
+HARD_MAX_CONNECTIONS = 40
+MAX_LINE_BYTES = 512  # including the line ending
+COMMAND_TIMEOUT_MS = 5000.0  # time limit for receiving a complete line
+EVICTION_DELAY_MS = 5.0  # time from exceeding MAX_CONNECTIONS to closing the excess connections
 LISTEN_BACKLOG = 512
 
-# Commands, and how many arguments each takes: at least, at most.
+# Minimum and maximum number of arguments of each command.
 ARGUMENT_COUNTS = {
     b"READY": (0, 0),
     b"DISABLE": (1, 1),
@@ -34,18 +36,19 @@
 
 
 class CommandError(ValueError):
-    """A line that is no command; the text is the reply to it."""
+    """A line that is not a valid command; the text is the reply to it."""
 
 
 class CommandLineReader:
-    """The bytes of one command, however they are split."""
+    """Collects the bytes of one command line from any number of reads."""
 
     def __init__(self) -> None:
-        self.buffered = b""  # at most one byte more than a line
+        self.buffered = b""  # bounded: at most MAX_LINE_BYTES + 1 bytes of each read are added
 
     def feed(self, data: bytes, ended: bool = False) -> bytes | None:
-        """The complete line without its end, or None; raises CommandError where it is too long. A line that
-        the end of the sending ends is complete too."""
+        """Add bytes and return the complete line without its line ending, or None if it is incomplete. With
+        `ended` (the peer has ended its sending) a line without a line ending counts as complete. Raises
+        CommandError if the line is too long."""
         self.buffered += data[: MAX_LINE_BYTES + 1]
         line, end, _ = self.buffered.partition(b"\n")
         if len(line) + len(end) > MAX_LINE_BYTES:
@@ -56,7 +59,8 @@
 
 
 def parse_command(line: bytes) -> tuple[str, str]:
-    """The command and its argument, or an empty one; raises CommandError. Case matters in an id only."""
+    """Return the command and its argument (empty if none); raises CommandError. The command is not
+    case-sensitive, its argument is."""
     if not line.isascii() or not line.decode().isprintable():
         raise CommandError("the line holds what is no text")
     word, *arguments = line.split()[:3] or [b""]
@@ -76,42 +80,42 @@
 
 
 class AdminConnection:
-    """One connection: an asyncio.Protocol by its methods."""
+    """One connection of an operator. It has the methods of asyncio.Protocol but does not derive from it."""
 
     def __init__(self, listener: AdminListener) -> None:
-        self.is_done = False  # answered, or closed
+        self.is_done = False  # whether the command has been answered or the connection closed
         self.opened_ms = 0.0
         self._listener = listener
         self._reader = CommandLineReader()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Register the new connection with its listener."""
         self._transport = transport  # type: ignore[assignment]
         self._listener.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the command have come."""
+        """Handle received bytes of the command line."""
         self._on_input(data, False)
 
     def eof_received(self) -> bool:
-        """The other side has ended its sending; False closes the connection, True lets the reply go out."""
+        """Handle the end of the peer's sending: complete the line. Returning False closes the connection."""
         self._on_input(b"", True)
         return not self.is_done
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        """The connection is closed."""
+        """Remove the closed connection from its listener."""
         self.is_done = True
         self._listener.on_disconnected(self)
 
     def pause_writing(self) -> None:
-        """A reply is one line: it always fits."""
+        """Do nothing: a reply is one line, which always fits the write buffer."""
 
     def resume_writing(self) -> None:
-        """See pause_writing."""
+        """Do nothing, see pause_writing."""
 
     def _on_input(self, data: bytes, ended: bool) -> None:
-        if self.is_done:  # what comes behind the line is ignored
+        if self.is_done:  # bytes after the command line are ignored
             return
         try:
             line = self._reader.feed(data, ended)
@@ -121,7 +125,7 @@
                 return
             text = self._listener.gateway.execute_command(*parse_command(line))
             is_rejected = False
-        except ValueError as problem:  # a CommandError, or the gateway rejects the command
+        except ValueError as problem:  # a CommandError, or an error of the gateway that rejects the command
             text = str(problem)
             is_rejected = True
         self.is_done = True
@@ -131,31 +135,31 @@
         transport = self._transport
         assert transport is not None
         transport.write(f"{'-ERR' if is_rejected else '+OK'}{' ' if text else ''}{text}\n".encode())
-        # To close over unread bytes resets the connection, and the reply may be lost with it. So our side
-        # ends, what still comes is read and dropped, and the sweep closes what stays.
+        # Closing a connection with unread bytes resets it, and the reply may be lost. So only the sending
+        # side is shut down, further input is read and discarded, and the sweep closes the connection.
         transport.write_eof()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         self.is_done = True
         if self._transport is not None:
             self._transport.abort()
 
 
 class AdminListener:
-    """All connections of operators."""
+    """Accepts connections of operators and limits their number and lifetime."""
 
     def __init__(self, gateway: OperatorGateway) -> None:
         self.gateway = gateway
-        self.connections: dict[AdminConnection, None] = {}  # in the order in which they came
+        self.connections: dict[AdminConnection, None] = {}  # in order of arrival
         self._is_eviction_due = False
 
     def create_connection(self) -> AdminConnection:
-        """A connection for a new transport."""
+        """Create the protocol object for a new transport."""
         return AdminConnection(self)
 
     def on_connected(self, connection: AdminConnection) -> None:
-        """A connection is up; soon after one too many the oldest are closed."""
+        """Register a new connection; above MAX_CONNECTIONS the oldest ones are closed shortly afterwards."""
         connection.opened_ms = self.gateway.clock.now()
         if len(self.connections) >= HARD_MAX_CONNECTIONS:
             self._evict(HARD_MAX_CONNECTIONS - 1)
@@ -167,12 +171,12 @@
             )
 
     def on_disconnected(self, connection: AdminConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
 
     def _evict(self, maximum: int) -> None:
-        """Close the oldest, half a line read or none: the newest may not have been read yet. Those that have
-        their reply are closed last."""
+        """Close the oldest connections without a complete command until `maximum` remain; newer ones may not
+        have been read yet. Answered connections are closed last, so that their replies are delivered."""
         self._is_eviction_due = False
         by_age = [one for one in self.connections if not one.is_done]
         by_age += [one for one in self.connections if one.is_done]
@@ -180,13 +184,13 @@
             self._abort(connection)
 
     def sweep(self, now: float) -> None:
-        """Close what has had its time."""
+        """Close the connections that have been open for longer than COMMAND_TIMEOUT_MS."""
         for connection in list(self.connections):
             if now - connection.opened_ms > COMMAND_TIMEOUT_MS:
                 self._abort(connection)
 
     def close(self) -> None:
-        """Close all connections, whatever their state."""
+        """Close all connections at once, whatever their state."""
         for connection in list(self.connections):
             self._abort(connection)
 
@@ -198,7 +202,7 @@
 async def start_server(
     listener: AdminListener, address: tuple[str, int], loop: asyncio.AbstractEventLoop
 ) -> Any:
-    """Listen for operators at that address; raises OSError."""
+    """Start listening for operators at the address and return the asyncio server; raises OSError."""
     return await loop.create_server(
         listener.create_connection, *address, backlog=LISTEN_BACKLOG, reuse_address=True
     )
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -1,9 +1,10 @@
-"""The interface between listeners and the gateway: bytes become an IncomingRequest, which gets one final
-response.
+"""The interface between listeners and the gateway: a listener parses bytes into an IncomingRequest, and the
+gateway gives it exactly one final response.
 
-A listener knows the gateway by RequestGateway alone, the gateway a listener by Listener and whoever sent a
-request by ResponseSink; no listener knows another. Beside them are the protocols by which the gateway knows
-the other parts of this process, so that none of them is imported before an operator asks for it."""
+A listener depends on the gateway only through RequestGateway. The gateway depends on a listener only through
+Listener, and on the sender of a request only through ResponseSink. Listeners do not depend on each other. The
+other protocols here decouple the gateway from optional parts of this process, whose modules are imported only
+if the operator's configuration enables them."""
 
 from __future__ import annotations
 
@@ -13,22 +14,22 @@
 from plumpick.policy.draining import AdmissionState
 from plumpick.policy.settings import RequestClass, Settings
 
-SWEEP_INTERVAL_MS = 100.0  # how often listeners close what has had its time
-STALL_THRESHOLD_MS = 100.0  # a sweep so much late: this process stalled
+SWEEP_INTERVAL_MS = 100.0  # interval at which listeners close connections that have timed out
+STALL_THRESHOLD_MS = 100.0  # delay of a sweep above which this process counts as stalled
 
 
 class DuplicateRequestIdError(ValueError):
-    """The id of a request is that of another one that is open or has just ended; the text says so."""
+    """The id of a request equals that of another request that is open or has recently ended."""
 
 
 class IncomingRequest(NamedTuple):
-    """A validated request: what the policy decides by, and what a worker is sent."""
+    """A validated request: the policy's input and the data that workers are sent."""
 
     id: bytes
     customer: str
     request_class: RequestClass
     plan: str
-    timeout_ms: float  # how long its client waits, from `received_ms`
+    timeout_ms: float  # time for which the client waits, from `received_ms`
     units: float
     spread: int
     first: int
@@ -38,12 +39,12 @@
     target: bytes
     content_type: bytes | None
     body: bytes
-    received_ms: float  # when its last byte was read; if its body is streamed, its head
-    stream: Any = None  # a RequestStream in place of the body
+    received_ms: float  # time at which the last byte was read, or of the head if the body is streamed
+    stream: Any = None  # RequestStream that replaces `body` if the body is streamed
 
 
 class RequestStream(Protocol):
-    """A request's body that goes on while it comes (upstream/streaming_body.py)."""
+    """A request's body that is forwarded while it is received (upstream/streaming_body.py)."""
 
     length: int
     is_started: bool
@@ -53,159 +54,164 @@
 
 
 class PausableSource(Protocol):
-    """Where a streamed body comes from."""
+    """The connection that provides a streamed body."""
 
     def pause(self) -> None:
-        """Give no more for now."""
+        """Stop reading from the connection."""
 
     def resume(self) -> None:
-        """Give again."""
+        """Continue reading from the connection."""
 
 
 class ResponseSink(Protocol):
-    """Whoever sent a request: takes its response."""
+    """The client connection of a request, as the receiver of its response."""
 
     def start_response(
         self, length: int, content_type: bytes, source: PausableSource, high_water_bytes: int
     ) -> None:
-        """A 200 whose body follows by `write_chunk`, until `finish_response` or `abort_response`. `length`:
-        bytes, -1 if it is not known; `high_water_bytes`: that may wait to be written before the source is
-        paused."""
+        """Start a response with status 200. Its body follows in calls of `write_chunk`, up to
+        `finish_response` or `abort_response`.
+
+        `length`: of the body in bytes, -1 if unknown. `high_water_bytes`: number of unwritten bytes above
+        which the source is paused."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of its body."""
+        """Write the next bytes of the streamed response body."""
 
     def finish_response(self) -> None:
-        """The body is complete."""
+        """End the streamed response: its body is complete."""
 
     def abort_response(self) -> None:
-        """The rest will not come: the response must not look complete."""
+        """Break off the streamed response in such a way that the client cannot take it for complete."""
 
     def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """The one final response: a status of HTTP, and with 200 a worker's complete body and its type."""
+        """Send the final response: an HTTP status, with 200 also the worker's complete body and its content
+        type. A `retry_after_ms` above 0 is sent as Retry-After."""
 
     def has_disconnected(self) -> bool:
-        """Whether the client has left, though that may not have been read yet."""
+        """Whether the client has disconnected, even if the event loop has not processed that yet."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
 
 
 class Listener(Protocol):
-    """What the gateway asks of a listener."""
+    """A listener as the gateway uses it."""
 
-    accepted_connections: int  # since the start
+    accepted_connections: int  # number of connections accepted since the start
 
     def sweep_delay_ms(self, now: float) -> float:
-        """How late its next sweep is: this process may have stalled for so long."""
+        """Return by how much the next sweep is overdue, which is the duration of a possible stall."""
 
     def sweep(self, now: float, is_shutting_down: bool) -> None:
-        """Close what has had its time; `is_shutting_down`: the gateway keeps no connection any more. What
-        RequestGateway.admission_state says closes besides."""
+        """Close the connections that have timed out, by the shorter timeouts of a shutdown if
+        `is_shutting_down`, and those that RequestGateway.admission_state excludes."""
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is open."""
+        """Close the connections that have no open request."""
 
     def has_connections(self) -> bool:
         """Whether a connection is still open."""
 
     def has_unwritten_data(self) -> bool:
-        """Whether some bytes of a response are not with the system yet."""
+        """Whether some response bytes have not been handed to the kernel yet."""
 
     def connection_count(self) -> int:
-        """How many connections there are."""
+        """Return the number of open connections."""
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """How many descriptors the process may hold from now on."""
+        """Adapt the limits on connections to the process's new descriptor limit."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """Requests that are read from now on go by these; of what is open nothing changes."""
+        """Validate requests by these settings from now on; open requests are not affected."""
 
 
 class RequestGateway(Protocol):
-    """What a listener asks of the gateway."""
+    """The gateway as a listener uses it."""
 
     clock: Clock
     timers: Timers
-    is_ready: bool  # the answer to `/up`
-    is_draining: bool  # each response closes its connection
-    admission_state: AdmissionState  # what else is closed
+    is_ready: bool  # readiness reported at `/up`
+    is_draining: bool  # whether each response closes its connection
+    admission_state: AdmissionState  # stage of draining, which determines further connections to close
 
     def spare_descriptors(self) -> int:
-        """Descriptors reserved for workers that are not used now."""
+        """Return how many of the descriptors reserved for workers clients may use now."""
 
     def has_stalled(self) -> bool:
-        """Whether what is read now may have waited for this process; timers come before it."""
+        """Whether bytes read now may have waited unread during a stall of this process. After a stall, timers
+        fire before the waiting bytes are read."""
 
     def create_request_stream(self, source: PausableSource, length: int) -> Any:
-        """The RequestStream for a body of so many bytes (-1: not known), to be fed by the caller."""
+        """Create the RequestStream for a body of `length` bytes (-1: unknown); the caller must feed it."""
 
     def on_body_complete(self, request: Any) -> None:
-        """The last byte of a streamed body has come: the request's time counts from now on."""
+        """Start the request's deadline: the last byte of its streamed body has been received."""
 
     def submit(self, sink: ResponseSink, incoming: IncomingRequest) -> Any:
-        """A request has come: from here on it is owed one final response. Returns its handle for
-        `on_disconnect` and `on_body_complete`; raises DuplicateRequestIdError."""
+        """Open a request, which then gets exactly one final response. Returns its handle for `on_disconnect`
+        and `on_body_complete`; raises DuplicateRequestIdError."""
 
     def on_disconnect(self, request: Any) -> None:
-        """The client of that request has left; if it has been answered, nothing happens."""
+        """Close the request of a client that has disconnected; does nothing after the final response."""
 
 
 class OperatorGateway(Protocol):
-    """What the operators' listener asks of the gateway."""
+    """The gateway as the operators' listener uses it."""
 
     clock: Clock
     timers: Timers
 
     def execute_command(self, name: str, argument: str) -> str:
-        """Carry out an operator's command; the text of the reply. Raises ValueError where it is rejected,
-        with the text of that reply."""
+        """Execute an operator's command and return the text of the reply. If the command is rejected, raises
+        ValueError with the text of the reply."""
 
 
 class SiblingProcess(Protocol):
-    """What the gateway tells another process of the same gateway, while there are two (hot_restart/)."""
+    """The other process of this gateway during a hot restart (hot_restart/), as the gateway notifies it."""
 
     def on_peer_message(self, sender: int, data: bytes) -> None:
-        """A message of a peer has come here."""
+        """Forward a peer message that this process has received."""
 
     def on_own_message(self, data: bytes) -> None:
-        """The policy sends a message to this gateway's own number."""
+        """Forward a message that this process's policy has sent to its own gateway number."""
 
     def on_operator_command(self, name: str, argument: str) -> None:
-        """An operator's command is in force here."""
+        """Forward an operator's command that this process has executed."""
 
 
 class RequestCounter(Protocol):
-    """Counts requests for the fleet's usage (cluster/usage_collector.py)."""
+    """Counts requests for the fleet's usage reports (cluster/usage_collector.py)."""
 
     def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final outcome: served (0), rejected (1) or failed (2)."""
+        """Count a request with its final outcome: served (0), rejected (1) or failed (2)."""
 
 
 class ClusterParticipant(Protocol):
-    """This process's part in what is done for the whole tier (cluster/lease_runner.py)."""
+    """This process as a participant in the tasks that all gateways share (cluster/lease_runner.py)."""
 
     @property
     def usage(self) -> RequestCounter:
-        """Where requests are counted."""
+        """The counter of this process's requests."""
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """A datagram about leases has come from a gateway."""
+        """Handle a lease message from another gateway."""
 
     def want_restart_permit(self, wanted: bool) -> str:
-        """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
+        """Request a restart permit, after whose grant this gateway drains, or withdraw the request. Returns
+        an error text, empty if the request is accepted."""
 
     def tasks_status(self, argument: str) -> tuple[bool, str]:
-        """The reply to DUTIES: whether the command is rejected, and one line."""
+        """Return whether a DUTIES command is rejected, and its reply of one line."""
 
     def budgets_status(self, argument: str) -> tuple[bool, str]:
-        """The reply to BUDGETS: whether the command is rejected, and one line."""
+        """Return whether a BUDGETS command is rejected, and its reply of one line."""
 
 
 class SettingsSource(Protocol):
-    """What the gateway asks of the client of its settings (dynamic_config/client.py)."""
+    """The client of the settings service as the gateway uses it (dynamic_config/client.py)."""
 
     def status_line(self) -> str:
-        """The reply to CONFIGURATION."""
+        """Return the reply to CONFIGURATION."""
