--- a/plumpick/gateway/listeners/http/__init__.py
+++ b/plumpick/gateway/listeners/http/__init__.py
@@ -1,1 +1,1 @@
-"""Requests over HTTP/1.1: connections, what a request has to look like, which connections may stay."""
+"""The HTTP/1.1 listener: client connections, limits on them, and validation of requests."""
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -1,6 +1,6 @@
-"""A client's connection: which request has its turn, when reading is suspended, and when it may close.
+"""A client's connection: the order of pipelined requests, suspension of reading, and closing.
 
-What is wrong with a request is answered on the connection itself; nothing is raised to the transport."""
+An invalid request is answered with an error on the connection; no exception reaches the transport."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from plumpick.gateway.listeners.http.response_writer import REASON_PHRASES
 from plumpick.gateway.listeners.http.validation import BadRequestError
 
-# After a bad request nothing is read for so long; it doubles with each.
+# After each bad request, reading from the connection pauses for a time that doubles from FIRST_PAUSE_MS.
 FIRST_PAUSE_MS = 50.0
 MAX_PAUSE_MS = 1000.0
 MAX_PAUSE_DOUBLINGS = 10
 
 
 class ClientConnection(RequestReader):
-    """One connection of a client: an asyncio.Protocol by its methods, since compiled classes have no parents
-    that are not compiled. Its requests are answered one after the other, in the order in which they came;
-    while one is open nothing more is read than came along with it."""
+    """One connection of a client. It has the methods of asyncio.Protocol but does not derive from it, since a
+    compiled class cannot have an uncompiled base class. Its requests are answered one at a time, in order of
+    arrival. While a request is open, requests read together with it are queued and no further ones are
+    read."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__(listener)
@@ -31,36 +32,36 @@
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Register the new connection with its listener."""
         self.transport = transport  # type: ignore[assignment]
         self.listener.on_connected(self)
 
     def eof_received(self) -> None:
-        """A client that ends its sending has gone away: the connection closes."""
+        """Treat the end of the client's sending as a disconnect: by returning None, close the connection."""
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        """The connection is closed."""
+        """Report the closed connection, and a request open on it, to the listener."""
         self.is_closing = True
-        self.parser = None  # it refers to this connection: the two would wait for the garbage collector
+        self.parser = None  # breaks a reference cycle, which would wait for the garbage collector
         self.response_source = None
         self.pipelined.clear()
         request = self.open_request
         self.open_request = None
         self.listener.on_disconnected(self, request)
 
-    # -- one request after the other
+    # -- requests in order
 
     def serve_next(self) -> None:
-        """Serve what is pipelined, as far as it is its turn.
+        """Serve pipelined requests until one is open, the connection closes or reading is paused.
 
-        While reading is suspended the end of the connection is not read: a client that has gone meanwhile
-        gets nothing served any more."""
+        While reading is suspended, a disconnect of the client is not read. So it is checked first, and the
+        requests of a client that has disconnected are dropped."""
         if self.is_reading_suspended and self.pipelined and self.has_disconnected():
             self.abort()
             return
         while self.open_request is None and not self.is_closing and not self.is_paused:
             if not self.pipelined:
-                if self._stream_incoming():  # its turn has come
+                if self._stream_incoming():
                     continue
                 break
             parsed = self.pipelined.pop(0)
@@ -77,8 +78,8 @@
         self.update_reading()
 
     def _stream_incoming(self) -> bool:
-        """Stream the request that is being read, if its body is known to be too large to be buffered; whether
-        it is accepted."""
+        """Start to stream the request being read if its body is too large to be buffered. Returns whether it
+        was submitted and accepted."""
         incoming = self.incoming
         if incoming is None or incoming.stream is not None:
             return False
@@ -94,8 +95,8 @@
             self._reject_and_pause(problem.status)
 
     def start_stream(self, parsed: ParsedRequest) -> bool:
-        """Submit a request whose body is too large to be buffered; whether it is its turn and it is
-        accepted."""
+        """Submit a request whose body is too large to be buffered. Returns False if earlier requests are not
+        answered yet or the request is rejected."""
         if self.open_request is not None or self.pipelined or self.is_closing or self.is_paused:
             return False
         if parsed.error_status:
@@ -104,7 +105,7 @@
         self.current = parsed
         try:
             self.open_request = self.listener.submit(self, parsed)
-        except BadRequestError as problem:  # the rest of it would be read for nothing
+        except BadRequestError as problem:  # the rest of the body is not worth reading
             self.is_unreadable = True
             self.request_started = False
             self.reject(problem.status)
@@ -123,8 +124,8 @@
             self.respond(503, b"not up\n", b"text/plain")
 
     def _reject_and_pause(self, status: int) -> None:
-        """Reject a complete request that is malformed. The error goes out at once and the connection may
-        stay, but nothing is read for a while: some clients repeat the same request at full speed."""
+        """Reject a complete but invalid request. The error is sent at once and a persistent connection stays
+        open, but reading pauses, since some clients repeat the same request without delay."""
         current = self.current
         if current is None or not current.keep_alive or self.gateway.is_draining:
             self.reject(status)
@@ -143,13 +144,13 @@
     def _end_pause(self) -> None:
         self.is_paused = False
         if self.transport is not None and not self.transport.is_closing() and not self.is_closing:
-            self.is_reading_suspended = True  # it is: what is pipelined comes first
+            self.is_reading_suspended = True  # the transport is still paused; pipelined requests come first
             self.serve_next()
 
     # -- flow control
 
     def update_reading(self) -> None:
-        """Read nothing more while requests wait behind an open one."""
+        """Suspend reading while requests wait behind an open one, otherwise resume it."""
         transport = self.transport
         if transport is None or self.is_closing or self.is_paused or transport.is_closing():
             return
@@ -164,31 +165,31 @@
             transport.resume_reading()
 
     def _is_stream_paused(self) -> bool:
-        """Whether the open request's body may not go on for now."""
+        """Whether the open request has a streamed body whose source is paused."""
         current = self.current
         if current is None or current.stream is None:
             return False
         return self.open_request is not None and bool(current.stream.is_paused)
 
     def pause(self) -> None:
-        """As the source of a streamed body: read no more of it for now."""
+        """Stop reading, as the source of a streamed body."""
         if self.transport is not None and not self.is_closing:
             self.is_reading_suspended = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """As the source of a streamed body: read on."""
+        """Resume reading, as the source of a streamed body."""
         if self.transport is None or not self.is_reading_suspended:
             return
         if not self.is_closing and not self.is_paused:
             self.is_reading_suspended = False
             self.transport.resume_reading()
 
-    # -- what the admission of connections and the listener ask of it
+    # -- called by the admission of connections and by the listener
 
     def close_if_idle(self) -> None:
-        """Close between two requests; not while one is open or coming in, nor while something that came is
-        not read yet: a request would be lost with it."""
+        """Close the connection if no request is open or partly received and no bytes wait unread in the
+        kernel: a request among them would be lost."""
         transport = self.transport
         if transport is None or transport.is_closing() or not self.is_idle():
             return
@@ -196,22 +197,23 @@
             self.close_gracefully()
 
     def time_out_request(self) -> None:
-        """The time for a complete request is over."""
+        """Answer 408 to a partly received request and close; without one, close if idle."""
         if self.request_started:
             self.reject(408)
         else:
             self.close_if_idle()
 
     def reject_incomplete_request(self) -> None:
-        """No request is accepted any more; one that is not complete can be sent elsewhere."""
+        """Answer 503 to a partly received request, which its client can send to another gateway, and close;
+        without one, close if idle."""
         if self.request_started:
             self.reject(503)
         else:
             self.close_if_idle()
 
     def transfer(self, pass_on: Callable[[int], bool]) -> bool:
-        """Give the connection to another process, as it is: what is unread stays in it. False, and nothing
-        has changed, where `pass_on` cannot pass on its descriptor now."""
+        """Transfer the connection to another process, with its unread bytes. `pass_on` sends the descriptor
+        and returns whether it could; if not, returns False and the connection is unchanged."""
         transport = self.transport
         if transport is not None and not transport.is_closing():
             if not pass_on(transport.get_extra_info("socket").fileno()):
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -1,8 +1,8 @@
-"""Which connections of clients may stay: how many, how long without a request, and which close first.
+"""Admission and eviction of client connections: limits on their number, their idle time and their requests.
 
-A connection is in one of three tables, or in none while a request of it is open: it is awaiting a request (it
-is new, or a request has started to come in), it is idle after a response, or it is closing. Each table is in
-order of time. Nothing is raised: a connection that may not stay is closed."""
+A connection is in one of three tables: awaiting a request (it is new, or a request is partly received), idle
+after a response, or closing. While one of its requests is open it is in none of them. Each table is ordered
+by time. No method raises; a connection that exceeds a limit is closed."""
 
 from __future__ import annotations
 
@@ -11,65 +11,67 @@
 
 from plumpick.gateway.listeners.interface import STALL_THRESHOLD_MS, SWEEP_INTERVAL_MS
 
-# Of the descriptors that the process may hold:
-MAX_CONNECTIONS_RATIO = 0.38  # all connections of clients,
-HARD_MAX_CONNECTIONS_RATIO = 0.46  # those and what has not closed yet,
-MAX_LONG_IDLE_RATIO = 0.02  # idle ones that may stay for long,
-CROWDED_RATIO = 0.26  # and when idle time is short: clients hold a third at most for requests.
+# Limits on client connections, as shares of the process's descriptor limit.
+MAX_CONNECTIONS_RATIO = 0.38  # maximum number of connections (soft limit)
+HARD_MAX_CONNECTIONS_RATIO = 0.46  # maximum number including excess ones that are not evicted yet
+MAX_LONG_IDLE_RATIO = 0.02  # maximum number of idle connections that may stay longer than MIN_IDLE_MS
+# Number of open connections above which idle ones are closed after CROWDED_IDLE_MS. It is below the maximum,
+# as connections with an open request take at most a third of the descriptors.
+CROWDED_RATIO = 0.26
 
-# Within so long a head has to be complete, and so long after it a body, and longer by what has come of it;
-# clients may take 2 s for a head, and are owed an error or a close within 3 s.
+# Time limit for receiving a head, and after it for a body, which is extended by the bytes received. Clients
+# may take 2 s for a head, and must get an error or a close within 3 s.
 REQUEST_TIMEOUT_MS = 2500.0
-SHUTDOWN_REQUEST_TIMEOUT_MS = 500.0
-MIN_IDLE_MS = 2000.0  # for so long an idle connection stays
-CROWDED_IDLE_MS = 250.0  # and for so long while clients hold nearly all the connections that they may
-MAX_IDLE_MS = 60_000.0
-NEW_CONNECTION_MS = 100.0  # a client that means to send a request starts within so long,
-STOPPED_SENDING_MS = 400.0  # and sends on within so long
-LINGER_MS = 1000.0  # what comes after our end of a connection is read for so long without a byte,
-MAX_LINGER_MS = 5000.0  # and in all
-SHUTDOWN_LINGER_MS = 200.0
-UNREAD_RESPONSE_TIMEOUT_MS = 10_000.0  # a response of which nothing is taken for so long is given up
-SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0
+SHUTDOWN_REQUEST_TIMEOUT_MS = 500.0  # replaces REQUEST_TIMEOUT_MS during a shutdown
+MIN_IDLE_MS = 2000.0  # time for which an idle connection stays open unless connections are crowded
+CROWDED_IDLE_MS = 250.0  # replaces MIN_IDLE_MS while connections are crowded (CROWDED_RATIO)
+MAX_IDLE_MS = 60_000.0  # time for which up to MAX_LONG_IDLE_RATIO of idle connections may stay open
+NEW_CONNECTION_MS = 100.0  # time within which a genuine client starts to send its first request
+STOPPED_SENDING_MS = 400.0  # time without bytes of a started request after which its client has stopped
+LINGER_MS = 1000.0  # time without input for which a half-closed connection is still read
+MAX_LINGER_MS = 5000.0  # total time for which a half-closed connection is still read
+SHUTDOWN_LINGER_MS = 200.0  # replaces LINGER_MS during a shutdown
+UNREAD_RESPONSE_TIMEOUT_MS = 10_000.0  # time without progress in writing after which a response is dropped
+SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0  # replaces UNREAD_RESPONSE_TIMEOUT_MS during a shutdown
 
 
 class AdmittedConnection:
-    """A connection as its admission knows it."""
+    """The part of a client connection that its admission uses."""
 
     def __init__(self) -> None:
-        self.request_started = False  # a request is coming in, and none is open
-        self.last_activity_ms = 0.0  # when bytes came last
-        self.received_while_closing = False  # since the last sweep
+        self.request_started = False  # whether a request is partly received while no other is open
+        self.last_activity_ms = 0.0  # time at which bytes were last received
+        self.received_while_closing = False  # whether bytes were received since the last sweep
         self.closing_since_ms = 0.0
-        self.unwritten_at_last_sweep = 0  # bytes
+        self.unwritten_at_last_sweep = 0  # number of response bytes not yet handed to the kernel
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         raise NotImplementedError
 
     def close_if_idle(self) -> None:
-        """Close, unless a request is open or coming in."""
+        """Close the connection unless a request is open or partly received."""
         raise NotImplementedError
 
     def time_out_request(self) -> None:
-        """The time for a complete request is over."""
+        """Close the connection because no complete request was received in time."""
         raise NotImplementedError
 
     def reject_incomplete_request(self) -> None:
-        """No request is accepted any more."""
+        """Close the connection because draining excludes further requests."""
         raise NotImplementedError
 
     def unwritten_bytes(self) -> int:
-        """Bytes of responses that the system has not taken yet."""
+        """Return the number of response bytes not yet handed to the kernel."""
         raise NotImplementedError
 
     def body_time_allowance_ms(self) -> float:
-        """By how much the body received so far extends the time for the request."""
+        """Return by how much the body bytes received so far extend the time limit of the request."""
         raise NotImplementedError
 
 
 class ConnectionAdmission:
-    """The connections of clients, and the limits on them."""
+    """The table of client connections, which enforces the limits on their number and times."""
 
     def __init__(self, sockets: int, now: float = -1.0) -> None:
         self.max_connections = 0
@@ -77,15 +79,16 @@
         self.max_long_idle = 0
         self.crowded_connections = 0
         self.set_descriptor_limit(sockets)
-        self.connections: dict[AdmittedConnection, None] = {}  # in the order in which they came
-        self._awaiting_request: dict[AdmittedConnection, float] = {}  # since when
-        self._idle: dict[AdmittedConnection, float] = {}  # since when
-        self._closing: dict[AdmittedConnection, float] = {}  # since when, or since something moved
-        self._last_sweep_ms = now  # below 0: never
+        self.connections: dict[AdmittedConnection, None] = {}  # in order of arrival
+        self._awaiting_request: dict[AdmittedConnection, float] = {}  # start of the time limit
+        self._idle: dict[AdmittedConnection, float] = {}  # time of the latest response
+        self._closing: dict[AdmittedConnection, float] = {}  # start, or time of the latest progress
+        self._last_sweep_ms = now  # below 0 until the first sweep
         self._next_eviction_ms = -1.0
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """How many descriptors the process may hold; excess ones close when the next connection comes."""
+        """Derive the limits from the process's descriptor limit. Excess connections are closed when the next
+        one arrives."""
         self.max_connections = int(sockets * MAX_CONNECTIONS_RATIO)
         self.hard_max_connections = int(sockets * HARD_MAX_CONNECTIONS_RATIO)
         self.max_long_idle = int(sockets * MAX_LONG_IDLE_RATIO)
@@ -95,11 +98,12 @@
         return len(self.connections)
 
     def admit(self, connection: AdmittedConnection, now: float, spare: int = 0) -> bool:
-        """A new connection; False if it is over the hard limit. `spare`: descriptors that nobody else uses.
+        """Add a new connection; returns False if the hard limit is reached. `spare`: number of further
+        descriptors that no other part of the process needs now.
 
-        After a stall of this process all that waits comes in one go, first those whose clients have long
-        gone, last those that still wait for a response. What is over the soft limit closes once all are
-        read."""
+        After a stall of this process all waiting connections arrive together. The first ones are of clients
+        that have given up, and the last ones of clients that still wait for a response. So connections above
+        the soft limit are evicted only once all have been read."""
         if len(self.connections) >= self.hard_max_connections + spare:
             return False
         self.connections[connection] = None
@@ -107,8 +111,9 @@
         return True
 
     def evict_disconnected(self, now: float, has_ended: Callable[[AdmittedConnection], bool]) -> bool:
-        """Close connections whose clients have gone before anything of them was read; whether any was.
-        Tried again at once only if it helped: each try asks the system about all of them."""
+        """Close the connections whose clients disconnected before anything was read from them; returns
+        whether there were any. If not, the next try is delayed by SWEEP_INTERVAL_MS, since each try makes a
+        system call for every waiting connection."""
         if now < self._next_eviction_ms:
             return False
         ended = [one for one in self._awaiting_request if not one.request_started and has_ended(one)]
@@ -118,10 +123,10 @@
             connection.abort()
         return bool(ended)
 
-    # -- what happens on a connection
+    # -- events of a connection
 
     def remove(self, connection: AdmittedConnection) -> None:
-        """It is closed."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         self._remove_from_tables(connection)
 
@@ -130,45 +135,47 @@
             table.pop(connection, None)
 
     def on_request_started(self, connection: AdmittedConnection, now: float) -> None:
-        """A request starts to come in. The time of a new connection counts from when it came."""
+        """Start the time limit of a request whose first byte was received. For the first request of a
+        connection it already runs from the connection's arrival."""
         self._idle.pop(connection, None)
         self._awaiting_request.setdefault(connection, now)
 
     def on_body_started(self, connection: AdmittedConnection, now: float) -> None:
-        """The head is complete: the time for the body counts from here."""
+        """Restart the time limit for the body of a request whose head is complete."""
         if connection in self._awaiting_request:
             del self._awaiting_request[connection]
             self._awaiting_request[connection] = now
 
     def on_request_received(self, connection: AdmittedConnection) -> None:
-        """A request is complete, or its body is being streamed."""
+        """End the time limit of a request that is complete or whose body is now streamed."""
         self._awaiting_request.pop(connection, None)
 
     def on_response_sent(self, connection: AdmittedConnection, now: float) -> None:
-        """The connection is idle."""
+        """Record a connection as idle after a response."""
         self._idle[connection] = now
 
     def on_closing(self, connection: AdmittedConnection, now: float) -> None:
-        """Our side of the connection has ended."""
+        """Record a connection as closing: this side of it has been shut down."""
         self._remove_from_tables(connection)
         self._closing[connection] = now
 
     def is_new(self, connection: AdmittedConnection, now: float) -> bool:
-        """Whether it has come just now: its first request may be on its way, and would be lost if the
-        connection closed."""
+        """Whether the connection arrived within NEW_CONNECTION_MS: closing it might lose a first request that
+        is still in transit."""
         return now - self._awaiting_request.get(connection, -math.inf) <= NEW_CONNECTION_MS
 
     # -- limits
 
     def capacity(self, spare: int) -> int:
-        """How many may stay, where so many descriptors are unused."""
+        """Return how many connections may stay open if `spare` further descriptors are unused."""
         return min(self.hard_max_connections, self.max_connections + spare)
 
     def evict_excess(self, now: float, spare: int = 0) -> None:
-        """Over the limit those close that are of least use; not those with an open request.
+        """Close the least useful connections above the limit; those with an open request are exempt.
 
-        In a crowd that never completes its requests, the one that waits longest is a real client that writes
-        slowly. So of those whose request has started the ones that stopped sending close first."""
+        Among many connections that never complete a request, the oldest with a started request may be a real
+        client that sends slowly. So among started requests, those whose client stopped sending are closed
+        first."""
         excess = len(self.connections) - self.capacity(spare)
         if excess <= 0:
             return
@@ -187,8 +194,8 @@
             connection.abort()
 
     def close_for_draining(self, now: float, reject_incomplete: bool) -> None:
-        """Close idle connections; with `reject_incomplete` also those on which no request is complete. A new
-        connection has a moment: it may ask whether this process is up."""
+        """Close idle connections; with `reject_incomplete` also those with a partly received request. A new
+        connection stays for CROWDED_IDLE_MS, since it may bring a readiness check."""
         for connection in list(self._idle):
             connection.close_if_idle()
         waiting = [one for one, since in self._awaiting_request.items() if now - since > CROWDED_IDLE_MS]
@@ -201,14 +208,14 @@
     # -- the sweep
 
     def sweep_delay_ms(self, now: float) -> float:
-        """How late the next sweep is; over STALL_THRESHOLD_MS this process stalled for so long."""
+        """Return by how much the next sweep is overdue; above STALL_THRESHOLD_MS that is a stall."""
         return now - self._last_sweep_ms - SWEEP_INTERVAL_MS if self._last_sweep_ms >= 0 else 0.0
 
     def sweep(self, now: float, is_shutting_down: bool) -> None:
-        """Close what has had its time.
+        """Close the connections that have exceeded their time limits.
 
-        After a stall of this process the sweep may come before what was sent meanwhile is read, and would
-        close connections that hold complete requests. So a stall counts on no connection's time."""
+        After a stall of this process the sweep may run before bytes that arrived meanwhile are read, and
+        would close connections with complete requests. So all time limits are extended by the stall."""
         stalled_ms = self.sweep_delay_ms(now)
         self._last_sweep_ms = now
         if stalled_ms > STALL_THRESHOLD_MS:
@@ -230,11 +237,12 @@
             connection.time_out_request()
 
     def _close_idle(self, now: float) -> None:
-        """Clients hold only so many connections: those that asked once and stay would keep others out."""
+        """Close idle connections by time, sooner if connections are crowded or many are idle: since the
+        number of connections is limited, idle ones would keep other clients out."""
         has_many_idle = len(self._idle) > self.max_long_idle
         max_idle_ms = MIN_IDLE_MS if has_many_idle else MAX_IDLE_MS
         excess = len(self.connections) - len(self._closing) - self.crowded_connections
-        if excess > 0:  # a client that means to send a request does so at once
+        if excess > 0:  # a genuine client sends its request without delay
             quiet = [
                 one
                 for one, since in self._awaiting_request.items()
@@ -250,14 +258,15 @@
             connection.close_if_idle()
 
     def _end_lingering(self, now: float, is_shutting_down: bool) -> None:
-        """Close those whose client has read its response, and sends nothing more or too long."""
+        """Close the half-closed connections whose client has read its response and sends nothing more, sends
+        for too long, or has stopped reading."""
         linger_ms = SHUTDOWN_LINGER_MS if is_shutting_down else LINGER_MS
         unread_ms = SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS if is_shutting_down else UNREAD_RESPONSE_TIMEOUT_MS
         for connection in [one for one, since in self._closing.items() if now - since > linger_ms]:
             unwritten = connection.unwritten_bytes()
             before = connection.unwritten_at_last_sweep
             connection.unwritten_at_last_sweep = unwritten
-            if unwritten and unwritten != before:  # its client reads, if slowly
+            if unwritten and unwritten != before:  # the client is still reading
                 self._closing[connection] = now
             elif unwritten and now - self._closing[connection] <= unread_ms:
                 continue
--- a/plumpick/gateway/listeners/http/connection_state.py
+++ b/plumpick/gateway/listeners/http/connection_state.py
@@ -1,8 +1,8 @@
-"""What all parts of a client's connection share: its fields, and what it asks of the listener that owns it.
+"""The state that all layers of a client's connection share, and the interface of the listener that owns it.
 
-A connection is built in layers, one a module, each a subclass of the one before: ConnectionState here,
-ResponseWriter, RequestReader, ClientConnection. They are one object, since compiled code calls its own
-methods directly; the transport and the parser see the last layer only."""
+A connection is built as a chain of subclasses, one in each module: ConnectionState (here), ResponseWriter,
+RequestReader and ClientConnection. It is one object rather than several because compiled code calls methods
+of the same object directly. The transport and the parser use ClientConnection only."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from plumpick.gateway.listeners.http.parsed_request import ParsedRequest
 from plumpick.gateway.listeners.interface import RequestGateway
 
-# Slowest rate at which a body may arrive: half of what the slowest clients do.
+# Minimum rate at which a body must arrive: half the rate of the slowest genuine clients.
 MIN_BODY_RATE_BYTES_PER_MS = 32.0
 
 
 class ConnectionOwner:
-    """The listener as its connections know it.
+    """The listener as its connections use it.
 
-    `has_peer_closed` tells whether the other side of a transport has ended it, `has_no_unread_input` whether
-    nothing waits on it unread; both ask the operating system."""
+    `has_peer_closed` returns whether the peer of a transport has closed it, `has_no_unread_input` whether no
+    received bytes wait unread; both query the operating system."""
 
     def __init__(
         self,
@@ -37,48 +37,48 @@
         self.has_no_unread_input = has_no_unread_input
 
     def on_connected(self, connection: ConnectionState) -> None:
-        """A client has connected."""
+        """Admit a new connection, or close it."""
         raise NotImplementedError
 
     def on_request_started(self, connection: ConnectionState) -> None:
-        """The first byte of a request has come, and no other is open on the connection."""
+        """Handle the first byte of a request on a connection without an open request."""
         raise NotImplementedError
 
     def submit(self, connection: ConnectionState, parsed: ParsedRequest) -> Any:
-        """A request has come: complete, or its head if its body is streamed. Returns the gateway's handle of
-        it; raises BadRequestError."""
+        """Validate and submit a complete request, or one with a complete head whose body is streamed. Returns
+        the gateway's handle of it; raises BadRequestError."""
         raise NotImplementedError
 
     def on_response_sent(self, connection: ConnectionState) -> None:
-        """The connection is idle after a response."""
+        """Handle a connection that has become idle after a response."""
         raise NotImplementedError
 
     def on_disconnected(self, connection: ConnectionState, request: Any) -> None:
-        """The connection is closed; `request` was open on it, if not None."""
+        """Handle a closed connection; `request` is the handle of the request open on it, or None."""
         raise NotImplementedError
 
 
 class ConnectionState(AdmittedConnection):
-    """The fields of a connection and the questions that need nothing else."""
+    """The fields of a connection, and the queries that depend on them alone."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__()
         self.listener = listener
         self.gateway = listener.gateway
         self.transport: asyncio.Transport | None = None
-        self.open_request: Any = None  # the gateway's handle of the request that is not answered yet
-        self.incoming: ParsedRequest | None = None  # is being read
-        self.current: ParsedRequest | None = None  # is open, or was last
-        self.pipelined: list[ParsedRequest] = []  # complete or rejected, behind the open one
-        self.is_closing = False  # nothing more is read from it
-        self.is_unreadable = False  # what comes cannot be parsed any more
-        self.is_paused = False  # nothing is read for a while after a bad request
-        self.is_reading_suspended = False  # while a request is open, or its body may not go on
-        self.is_inherited = False  # another process of this gateway had it before
+        self.open_request: Any = None  # the gateway's handle of the request without a response
+        self.incoming: ParsedRequest | None = None  # request being read
+        self.current: ParsedRequest | None = None  # open request, or the latest one
+        self.pipelined: list[ParsedRequest] = []  # requests read, or rejected, behind the open one
+        self.is_closing = False  # whether further input is discarded
+        self.is_unreadable = False  # whether further input cannot be parsed, after a malformed request
+        self.is_paused = False  # whether reading pauses after a bad request
+        self.is_reading_suspended = False  # whether reading is suspended for an open request or its body
+        self.is_inherited = False  # whether it was transferred by the predecessor of a hot restart
 
     def has_disconnected(self) -> bool:
-        """Whether its client has left. An end that is not read yet is asked of the system: while reading is
-        suspended nothing is read, and after a stall of this process not yet."""
+        """Whether the client has disconnected. While reading is suspended or paused, or after a stall of this
+        process, a disconnect may not have been read yet: then the operating system is queried."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return True
@@ -87,24 +87,24 @@
         return False
 
     def is_idle(self) -> bool:
-        """Whether no request is open on it, and none has started to come in."""
+        """Whether no request is open or partly received."""
         if self.open_request is not None or self.request_started:
             return False
         return not self.is_closing and not self.is_paused
 
     def unwritten_bytes(self) -> int:
-        """Bytes of responses that the system has not taken yet."""
+        """Return the number of response bytes not yet handed to the kernel."""
         transport = self.transport
         return 0 if transport is None or transport.is_closing() else transport.get_write_buffer_size()
 
     def body_time_allowance_ms(self) -> float:
-        """By how much the body received so far extends the time for the request."""
+        """Return by how much the body bytes received so far extend the time limit of the request."""
         if self.incoming is None:
             return 0.0
         return self.incoming.body_received_bytes / MIN_BODY_RATE_BYTES_PER_MS
 
     def abort(self) -> None:
-        """Close at once; unwritten bytes are lost."""
+        """Close the connection at once; unwritten bytes are lost."""
         self.is_closing = True
         if self.transport is not None:
             self.transport.abort()
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: its connections, which of them may stay, and the way of a request to the gateway."""
+"""The HTTP listener: owns the client connections, limits them, and submits their requests to the gateway."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 from plumpick.policy.draining import AdmissionState
 from plumpick.policy.settings import Settings
 
-EVICTION_DELAY_MS = 1.0  # after one connection too many
+EVICTION_DELAY_MS = 1.0  # time from exceeding the soft limit on connections to closing the excess ones
 
 
 class HttpListener(ConnectionOwner):
-    """All HTTP connections of clients: a Listener. `has_peer_closed` tells whether the other side of a
-    transport has ended it, `has_no_unread_input` whether nothing waits on it unread."""
+    """The HTTP connections of all clients; implements the Listener protocol.
+
+    `has_peer_closed` returns whether the peer of a transport has closed it, `has_no_unread_input` whether no
+    received bytes wait unread."""
 
     def __init__(
         self,
@@ -36,16 +38,16 @@
         self.accepted_connections = 0
 
     def create_connection(self) -> ClientConnection:
-        """A connection for a new transport."""
+        """Create the protocol object for a new transport."""
         return ClientConnection(self)
 
     def create_inherited_connection(self) -> ClientConnection:
-        """A connection for a transport that another process of this gateway had: it is idle."""
+        """Create the protocol object for an idle transport from the predecessor of a hot restart."""
         connection = ClientConnection(self)
         connection.is_inherited = True
         return connection
 
-    # -- as the owner of connections
+    # -- methods of ConnectionOwner
 
     def on_connected(self, connection: ConnectionState) -> None:
         """Admit a new connection, or close it."""
@@ -55,7 +57,7 @@
         if not self._admit(connection, now, spare):
             connection.abort()
         elif len(self.admission) > self.admission.capacity(spare) and not self._is_eviction_due:
-            # Not at once: of those that came in one go, the ones with a request are read first, and stay.
+            # Delayed, so that connections that arrived together are read first and those with a request stay.
             self._is_eviction_due = True
             self.gateway.timers.at(self.gateway.clock.now() + EVICTION_DELAY_MS, self._evict_excess)
         if connection.is_inherited:
@@ -76,18 +78,18 @@
         self.admission.evict_excess(self.gateway.clock.now(), self.gateway.spare_descriptors())
 
     def on_request_started(self, connection: ConnectionState) -> None:
-        """The first byte of a request has come."""
+        """Start the time limit of a request whose first byte was received."""
         self.admission.on_request_started(connection, self.gateway.clock.now())
 
     def submit(self, connection: ConnectionState, parsed: ParsedRequest) -> Any:
-        """A request has come: complete, or its head if its body is streamed, as it is too large to be
-        buffered. Returns the gateway's handle of it; raises BadRequestError."""
+        """Validate and submit a complete request, or one with a complete head whose body is streamed because
+        it is too large to be buffered. Returns the gateway's handle of it; raises BadRequestError."""
         method = parsed.method
         headers = parsed.headers
         target = origin_form(parsed.url)
         head = self.validator.validate(method, target, headers, bool(parsed.body) or not parsed.is_complete)
         if not parsed.is_complete:
-            source: Any = connection  # a PausableSource, too
+            source: Any = connection  # it also is a PausableSource
             parsed.stream = self.gateway.create_request_stream(source, parsed.body_length)
         body = bytes(parsed.body) if parsed.is_complete else b""
         content_type = headers.get(b"content-type")
@@ -102,53 +104,54 @@
         return handle
 
     def on_response_sent(self, connection: ConnectionState) -> None:
-        """The connection is idle after a response."""
+        """Record a connection as idle after a response."""
         self.admission.on_response_sent(connection, self.gateway.clock.now())
 
     def on_disconnected(self, connection: ConnectionState, request: Any) -> None:
-        """The connection is closed; `request` was open on it, if not None."""
+        """Remove a closed connection and report the `request` open on it, if not None, to the gateway."""
         self.admission.remove(connection)
         if request is not None:
             self.gateway.on_disconnect(request)
 
-    # -- what the gateway asks (see Listener)
+    # -- methods of Listener, called by the gateway
 
     def sweep_delay_ms(self, now: float) -> float:
-        """How late the next sweep is: this process may have stalled for so long."""
+        """Return by how much the next sweep is overdue, which is the duration of a possible stall."""
         return self.admission.sweep_delay_ms(now)
 
     def sweep(self, now: float, is_shutting_down: bool) -> None:
-        """Close what has had its time, and what the admission state closes."""
+        """Close the connections that have timed out and those that the admission state excludes."""
         self.admission.sweep(now, is_shutting_down)
         state = self.gateway.admission_state
         if state >= AdmissionState.CLOSING_IDLE:
             self.admission.close_for_draining(now, state >= AdmissionState.CLOSING_UNREAD)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is open; a new one may still bring a request."""
+        """Close the connections without an open request, except new ones, which may still bring one."""
         now = self.gateway.clock.now()
         for connection in list(self.admission.connections):
             if not self.admission.is_new(connection, now):
                 connection.close_if_idle()
 
     def connection_count(self) -> int:
-        """How many connections there are."""
+        """Return the number of open connections."""
         return len(self.admission)
 
     def set_descriptor_limit(self, sockets: int) -> None:
-        """How many descriptors the process may hold from now on."""
+        """Adapt the limits on connections to the process's new descriptor limit."""
         self.admission.set_descriptor_limit(sockets)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Requests that are read from now on are validated by these."""
+        """Validate requests by these settings from now on."""
         self.validator = RequestValidator(settings)
 
     def transfer_idle_connections(self, pass_on: Callable[[int], bool]) -> bool:
-        """Give the connections on which nothing is open to another process. `pass_on` gets the descriptor of
-        each, and says whether it has gone; once it has not, the rest stays, and False is returned.
+        """Transfer the connections without an open request to another process. `pass_on` sends the descriptor
+        of each and returns whether it could. At the first failure the remaining connections stay here, and
+        False is returned.
 
-        What is not written of a response does not pass over: the rest of it would never come, or the next one
-        in its place. Such a connection stays here."""
+        A connection with unwritten response bytes stays here: these bytes are not transferred, and the client
+        would never get the rest of its response, or get the next response in its place."""
         for connection in list(self.admission.connections):
             assert isinstance(connection, ClientConnection)
             is_transferable = connection.is_idle() and not connection.unwritten_bytes()
@@ -157,9 +160,9 @@
         return True
 
     def has_connections(self) -> bool:
-        """Whether a connection is open."""
+        """Whether any connection is open."""
         return bool(self.admission)
 
     def has_unwritten_data(self) -> bool:
-        """Whether some bytes of a response are not with the system yet."""
+        """Whether some response bytes have not been handed to the kernel yet."""
         return any(connection.unwritten_bytes() for connection in self.admission.connections)
--- a/plumpick/gateway/listeners/http/parsed_request.py
+++ b/plumpick/gateway/listeners/http/parsed_request.py
@@ -1,7 +1,7 @@
-"""One HTTP request while it is read, and the limits on what is read of it.
+"""The record of an HTTP request while it is read, and the limits on its size.
 
-A request over a limit is marked with the status that rejects it (`error_status`); the connection answers it
-in its turn and then closes."""
+A request that exceeds a limit is marked with the HTTP status that rejects it (`error_status`). The connection
+sends that status after the responses to earlier requests, and then closes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is streamed
-# Of one message as it is sent, if its body is buffered: chunks of a byte each take six.
+# Maximum size on the wire of a message with a buffered body: a chunk of one byte takes six bytes there.
 MAX_RAW_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
-MAX_BODY_BYTES = 1 << 40  # that Content-Length may announce
+MAX_BODY_BYTES = 1 << 40  # maximum Content-Length
 MAX_CONTENT_LENGTH_DIGITS = 15
-MAX_PIPELINED_REQUESTS = 16  # read behind an open request; more of them in one read end the connection
+MAX_PIPELINED_REQUESTS = 16  # maximum number queued behind an open request; one more closes the connection
 
 KNOWN_HEADERS = {
     b"x-request-id",
@@ -31,7 +31,7 @@
 
 
 class ParsedRequest:
-    """A request from its first byte until it is answered."""
+    """A request from its first byte until its response has been sent."""
 
     __slots__ = (
         "url",
@@ -56,14 +56,14 @@
         self.method = b""
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.head_bytes = 0  # names and values of all headers and trailers
-        self.raw_bytes = 0  # of the reads that it came in
-        self.error_status = 0  # the HTTP status that rejects it; 0: none so far
+        self.head_bytes = 0  # total length of the names and values of all headers and trailers
+        self.raw_bytes = 0  # total length of the reads that contained parts of it
+        self.error_status = 0  # HTTP status that rejects the request; 0 if no error was found
         self.in_head = True
         self.is_complete = False
         self.keep_alive = True
         self.is_http_1_0 = False
-        self.body_length = 0  # as announced; -1: chunked
-        self.stream: Any = None  # a RequestStream, if the body is too large to be buffered
-        self.received_ms = 0.0  # when its last byte was read; of a streamed one its head
+        self.body_length = 0  # Content-Length; -1 if the body is chunked
+        self.stream: Any = None  # RequestStream of a body too large to be buffered
+        self.received_ms = 0.0  # time at which the last byte was read, or of the head if the body is streamed
         self.body_received_bytes = 0
--- a/plumpick/gateway/listeners/http/request_reader.py
+++ b/plumpick/gateway/listeners/http/request_reader.py
@@ -1,6 +1,7 @@
-"""Requests of a client: bytes of its connection become ParsedRequests, checked against the limits.
+"""Parses the bytes of a client connection into ParsedRequests and enforces the size limits.
 
-What cannot be parsed, or is over a limit, ends the connection behind the responses that are due before."""
+Bytes that cannot be parsed, or a request that exceeds a limit, close the connection after the responses to
+earlier requests."""
 
 from __future__ import annotations
 
@@ -23,23 +24,23 @@
 
 
 class RequestReader(ResponseWriter):
-    """The reading half of a connection: callbacks of the transport and of the parser."""
+    """The reading half of a connection: the callbacks of the transport and of the HTTP parser."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__(listener)
         self.parser: Any = httptools.HttpRequestParser(self)
 
-    # -- what the layer above adds
+    # -- implemented by ClientConnection
 
     def start_stream(self, parsed: ParsedRequest) -> bool:
-        """Submit a request whose body is too large to be buffered; whether it is its turn and it is
-        accepted."""
+        """Submit a request whose body is too large to be buffered. Returns False if earlier requests are not
+        answered yet or the request is rejected."""
         raise NotImplementedError
 
     # -- the transport's callback
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Parse received bytes, check the limits and serve the requests that are complete."""
         if self.is_closing or self.is_unreadable:
             self.received_while_closing = True
             return
@@ -58,11 +59,12 @@
                 and incoming.body_length < 0
                 and incoming.raw_bytes > MAX_RAW_MESSAGE_BYTES
             ):
-                self._reject_incoming(incoming, 413)  # counts what the parser skips, as chunk extensions
+                # Raw bytes include what the parser skips, such as chunk extensions.
+                self._reject_incoming(incoming, 413)
         self.serve_next()
 
     def _reject_unparsable(self) -> None:
-        """What is not HTTP ends the connection, behind the responses that are due before."""
+        """Reject malformed input with status 400 after the responses to earlier requests."""
         incoming = self.incoming
         if incoming is None:
             incoming = ParsedRequest()
@@ -70,14 +72,15 @@
         self._reject_incoming(incoming, 400)
 
     def _reject_incoming(self, incoming: ParsedRequest, status: int) -> None:
-        """A message is malformed: nothing can be read behind it. An earlier status of it stays."""
+        """Mark a malformed request with the status, unless it already has one, and stop parsing: the start of
+        the next request is unknown."""
         self.is_unreadable = True
         incoming.error_status = incoming.error_status or status
         self.incoming = None
         if incoming is not self.current:
             self.pipelined.append(incoming)
             return
-        # Its body is being streamed: the end of it will not come.
+        # The body of this request is being streamed, and its end will never be read.
         if self.open_request is not None:
             request = self.open_request
             self.open_request = None
@@ -87,7 +90,7 @@
     # -- the parser's callbacks
 
     def on_message_begin(self) -> None:
-        """The first byte of a request."""
+        """Parser callback: a request begins."""
         if self.is_unreadable:
             return
         self.incoming = ParsedRequest()
@@ -98,12 +101,13 @@
             self._reject_incoming(self.incoming, 400)
 
     def on_url(self, url: bytes) -> None:
-        """Some bytes of the target."""
+        """Parser callback: collect bytes of the request target."""
         if self.incoming is not None:
             self.incoming.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header, or behind a chunked body a trailer: that only counts against the limit."""
+        """Parser callback: collect a known header. A trailer of a chunked body only counts against the size
+        limit."""
         incoming = self.incoming
         if incoming is None:
             return
@@ -115,11 +119,12 @@
         name = name.lower()
         if name in KNOWN_HEADERS:
             if name in incoming.headers:
-                incoming.error_status = incoming.error_status or 400  # ambiguous
+                incoming.error_status = incoming.error_status or 400  # a repeated header is ambiguous
             incoming.headers[name] = value.strip(b" \t")  # RFC 9110, 5.5
 
     def on_headers_complete(self) -> None:
-        """The head is complete: what its body will be like is known."""
+        """Parser callback: the head is complete. Check how the body is delimited, and start to stream it if
+        it is too large to be buffered."""
         incoming = self.incoming
         if incoming is None:
             return
@@ -140,27 +145,27 @@
             self.listener.admission.on_body_started(self, self.gateway.clock.now())
 
     def _check_body_framing(self, incoming: ParsedRequest) -> None:
-        """Mark a head that is too large, or leaves open where the request ends."""
+        """Mark a request with an error status if its head is too large or its length is ambiguous."""
         headers = incoming.headers
         length = headers.get(b"content-length", b"0")
         if b"content-length" in headers and b"transfer-encoding" in headers:
-            incoming.error_status = 400  # one of them lies about where the request ends
+            incoming.error_status = 400  # the two contradict each other on the end of the request
         elif not length.isdigit():
             incoming.error_status = 400
         elif len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
             incoming.error_status = 413
-        elif len(incoming.url) + incoming.head_bytes > MAX_HEAD_BYTES:  # it came in one read, end and all
+        elif len(incoming.url) + incoming.head_bytes > MAX_HEAD_BYTES:  # a whole head received in one read
             incoming.error_status = 431
 
     def _send_continue(self, incoming: ParsedRequest) -> None:
-        """Ask for the body, if its client waits for that and it is the request's turn."""
+        """Send 100 Continue if the client expects it and no earlier request waits for its response."""
         if incoming.headers.get(b"expect", b"").lower() != b"100-continue" or incoming.is_http_1_0:
             return
         if self.open_request is None and not self.pipelined and self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, part: bytes) -> None:
-        """Some bytes of the body."""
+        """Parser callback: buffer or forward bytes of the body."""
         incoming = self.incoming
         if incoming is None:
             return
@@ -175,14 +180,14 @@
             self.start_stream(incoming)
 
     def on_message_complete(self) -> None:
-        """The last byte of a request."""
+        """Parser callback: the request is complete. Queue it, or end its streamed body."""
         incoming = self.incoming
         self.incoming = None
         if incoming is None:
             return
         incoming.is_complete = True
         incoming.received_ms = self.gateway.clock.now()
-        incoming.keep_alive = self.parser.should_keep_alive()  # the parser knows this here and no later
+        incoming.keep_alive = self.parser.should_keep_alive()  # only valid during this callback
         if incoming.stream is None:
             self.pipelined.append(incoming)
         elif self.open_request is not None and incoming is self.current:
--- a/plumpick/gateway/listeners/http/response_writer.py
+++ b/plumpick/gateway/listeners/http/response_writer.py
@@ -1,6 +1,6 @@
-"""Responses to a client, and the orderly end of its connection.
+"""Writes responses to a client and closes its connection without losing them.
 
-Nothing is raised to the caller: a response to a client that has gone is dropped."""
+No method raises: a response to a client that has disconnected is dropped."""
 
 from __future__ import annotations
 
@@ -24,34 +24,34 @@
 
 
 class ResponseWriter(ConnectionState):
-    """The writing half of a connection: a ResponseSink."""
+    """The writing half of a connection; implements the ResponseSink protocol."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__(listener)
-        self.response_source: Any = None  # of a response that is streamed,
-        self.is_chunked = False  # and whether it goes in chunks
+        self.response_source: Any = None  # PausableSource of the response being streamed
+        self.is_chunked = False  # whether the streamed response uses chunked encoding
 
-    # -- what the layers above add
+    # -- implemented by ClientConnection
 
     def serve_next(self) -> None:
-        """Serve what is pipelined, as far as it is its turn."""
+        """Serve pipelined requests until one is open, the connection closes or reading is paused."""
         raise NotImplementedError
 
     def update_reading(self) -> None:
-        """Read on, or suspend reading, by what is open now."""
+        """Suspend reading while requests wait behind an open one, otherwise resume it."""
         raise NotImplementedError
 
-    # -- one response in one piece
+    # -- a buffered response
 
     def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
     ) -> None:
-        """The response to the open request, in one piece."""
+        """Write the complete response to the open request."""
         self.open_request = None
         current = self.current
         if self.transport is None or self.transport.is_closing():
             return
-        # The rest of a body that has not come completely is not read.
+        # If the request's body is incomplete, its rest is not read and the connection must close.
         is_cut_short = current is None or not current.is_complete
         close = self.is_closing or self.gateway.is_draining or is_cut_short
         close = close or not current.keep_alive  # type: ignore[union-attr]
@@ -78,27 +78,27 @@
         self._on_response_written(close)
 
     def reject(self, status: int) -> None:
-        """An error for what cannot be read, and the end of the connection."""
+        """Answer an unreadable or incomplete request with an error status, then close the connection."""
         self.close_gracefully(
             b"HTTP/1.1 %d %s\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
             % (status, REASON_PHRASES[status].encode())
         )
 
     def _keep_alive_header(self) -> bytes:
-        """A client of HTTP/1.0 has to be told that its connection stays."""
+        """Return the header that an HTTP/1.0 client needs to keep its connection; empty for HTTP/1.1."""
         if self.current is not None and self.current.is_http_1_0:
             return b"Connection: keep-alive\r\n"
         return b""
 
     def _on_response_written(self, close: bool) -> None:
-        """The response to the open request is written; the next request has its turn."""
+        """After a complete response, close the connection or serve the next request."""
         if close:
             self.close_gracefully()
             return
         if self.pipelined or self.incoming is not None:
             self.request_started = True
             self.listener.on_request_started(self)
-            # Not within the answer to another request.
+            # Deferred, so that the next request is not served within the call that answered this one.
             self.gateway.timers.at(self.gateway.clock.now(), self.serve_next)
         else:
             self.listener.on_response_sent(self)
@@ -107,7 +107,9 @@
     # -- a streamed response
 
     def start_response(self, length: int, content_type: bytes, source: Any, high_water_bytes: int) -> None:
-        """The head of a 200; its body follows by `write_chunk`. `length`: -1 if it is not known."""
+        """Write the head of a response with status 200, whose body follows in calls of `write_chunk`.
+        `length`: of the body in bytes, -1 if unknown. `high_water_bytes`: number of unwritten bytes above
+        which `source` is paused."""
         current = self.current
         transport = self.transport
         if transport is None or transport.is_closing() or current is None:
@@ -132,13 +134,13 @@
         transport.write(head)
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of the response's body."""
+        """Write the next bytes of the streamed response body."""
         if self.transport is None or self.transport.is_closing() or not data:
             return
         self.transport.write(b"%x\r\n%s\r\n" % (len(data), data) if self.is_chunked else data)
 
     def finish_response(self) -> None:
-        """The response's body is complete."""
+        """End the streamed response: its body is complete."""
         self.open_request = None
         self.response_source = None
         if self.transport is None or self.transport.is_closing():
@@ -148,29 +150,29 @@
         self._on_response_written(self.current is None or not self.current.keep_alive)
 
     def abort_response(self) -> None:
-        """The rest of the body will not come: reset, so that the response cannot pass for complete."""
+        """Reset the connection, so that the client cannot take a truncated streamed response for complete."""
         self.open_request = None
         self.response_source = None
         self.abort()
 
     def pause_writing(self) -> None:
-        """The transport's buffer is full: the source of the response waits. The sweep closes the connection
-        if its client reads nothing."""
+        """Pause the source of a streamed response, as the write buffer is full. If the client reads nothing,
+        the sweep closes the connection."""
         if self.response_source is not None:
             self.response_source.pause()
 
     def resume_writing(self) -> None:
-        """The client reads on."""
+        """Resume the source of a streamed response, as the write buffer has room again."""
         if self.response_source is not None:
             self.response_source.resume()
 
-    # -- the end of the connection
+    # -- closing the connection
 
     def close_gracefully(self, data: bytes = b"") -> None:
-        """The one way to close: write, end our side, then read on for a while and drop what comes.
+        """Write `data`, shut down this side of the connection, and discard further input for a while.
 
-        To close over unread bytes is a reset, which erases what was written before and is still on its way
-        (RFC 9112, 9.6). What comes from now on is never taken: its client retries elsewhere."""
+        Closing a connection with unread bytes resets it, which destroys response bytes still in transit
+        (RFC 9112, 9.6). Requests that arrive from now on are not served; their client retries elsewhere."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
--- a/plumpick/gateway/listeners/http/validation.py
+++ b/plumpick/gateway/listeners/http/validation.py
@@ -1,7 +1,7 @@
-"""What a client's request has to look like: one that does not is rejected before the policy sees it.
+"""Validation of a client's request, before it reaches the policy.
 
-The reader of a connection calls `RequestValidator.validate`; it raises BadRequestError, whose status goes to
-the client."""
+The listener calls `RequestValidator.validate`, which raises BadRequestError. The client is sent the error's
+status only, not its text."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
-MAX_CUSTOMER_ID = 1 << 33  # a customer is a number below
+MAX_CUSTOMER_ID = 1 << 33  # exclusive upper bound of customer ids
 MAX_INTEGER_DIGITS = 15
-CALL_TERMS_CACHE_SIZE = 512
+CALL_TERMS_CACHE_SIZE = 512  # maximum number of distinct X-Call-Terms values cached
 _UNITS_PATTERN = re.compile(rb"\d{1,9}(?:\.\d{1,9})?")
 _REQUEST_ID_PATTERN = re.compile(rb"[0-9A-Za-z._~-]{1,64}")
 _CUSTOMER_ID_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
@@ -23,7 +23,7 @@
 
 
 class BadRequestError(ValueError):
-    """A request that is rejected; the text names the part at fault, `status` is that of HTTP."""
+    """A request is invalid; the text names the invalid part, `status` is the HTTP status of the response."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -31,7 +31,7 @@
 
 
 class RequestHead(NamedTuple):
-    """What a request's head says of it; the first fields of an IncomingRequest."""
+    """The validated values from a request's head. They are the first fields of an IncomingRequest."""
 
     id: bytes
     customer: str
@@ -46,12 +46,12 @@
 
 
 class RequestValidator:
-    """Validates requests by the settings in force."""
+    """Validates requests against the settings in force."""
 
     def __init__(self, settings: Settings) -> None:
         self._classes = {one.name.encode(): one for one in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        # A customer's terms are the same every time; an error is not cached.
+        # Customers repeat the same X-Call-Terms, so parsed values are cached; errors are not.
         self._call_terms = functools.lru_cache(CALL_TERMS_CACHE_SIZE)(
             functools.partial(parse_call_terms, gateways=settings.gateway_count, max_units=settings.max_units)
         )
@@ -59,18 +59,21 @@
     def validate(
         self, method: bytes, target: bytes, headers: Mapping[bytes, bytes], has_body: bool
     ) -> RequestHead:
-        """The head of a request whose target is a path (see `origin_form`); raises BadRequestError."""
+        """Validate a request whose target is a path (see `origin_form`), and return the values from its head.
+        Raises BadRequestError."""
         request_class = self._request_class(method, target, has_body)
         key = _idempotency_key(request_class, headers)
         request_id = required_header(headers, b"x-request-id")
         customer = required_header(headers, b"x-api-key")
         if not _REQUEST_ID_PATTERN.fullmatch(request_id):
-            raise BadRequestError("x-request-id is malformed")
+            raise BadRequestError(
+                "x-request-id: expected 1 to 64 characters of A-Z, a-z, 0-9, '.', '_', '~', '-'"
+            )
         if not _CUSTOMER_ID_PATTERN.fullmatch(customer) or int(customer, 16) >= MAX_CUSTOMER_ID:
-            raise BadRequestError("x-api-key is no customer")
+            raise BadRequestError(f"x-api-key: expected 16 hexadecimal digits below {MAX_CUSTOMER_ID:x}")
         plan = self._plans.get(required_header(headers, b"x-tier"))
         if plan is None:
-            raise BadRequestError("there is no such plan")
+            raise BadRequestError("x-tier: not the name of a plan in the settings")
         timeout_ms = parse_integer(required_header(headers, b"x-deadline-ms"), 1)
         units, spread, first = self._call_terms(required_header(headers, b"x-call-terms"))
         return RequestHead(
@@ -78,7 +81,7 @@
             customer.decode(),
             request_class,
             plan,
-            min(timeout_ms, request_class.deadline_ms),  # no longer than the class allows
+            min(timeout_ms, request_class.deadline_ms),
             units,
             spread,
             first,
@@ -87,33 +90,37 @@
         )
 
     def _request_class(self, method: bytes, target: bytes, has_body: bool) -> RequestClass:
-        """The class that the target names; raises BadRequestError where it or the method does not fit."""
+        """Return the request class named by the first segment of the target's path. Raises BadRequestError if
+        there is none, or if the class does not allow the method or the body."""
         if not target.startswith(b"/"):
-            raise BadRequestError("the target is no path")
+            raise BadRequestError("request target: expected a path beginning with '/'")
         request_class = self._classes.get(target[1:].partition(b"?")[0].partition(b"/")[0])
         if request_class is None:
-            raise BadRequestError("there is no such class", 404)
+            raise BadRequestError("request target: the first segment is not the name of a request class", 404)
         is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
         if method not in ((b"GET", b"HEAD") if is_idempotent else (b"POST",)):
-            raise BadRequestError("the class has another method", 405)
+            expected = "GET or HEAD" if is_idempotent else "POST"
+            raise BadRequestError(f"method: request class {request_class.name} expects {expected}", 405)
         if has_body and method != b"POST":
-            raise BadRequestError("a GET with a body")
+            raise BadRequestError("a GET or HEAD request must not have a body")
         return request_class
 
 
 def _idempotency_key(request_class: RequestClass, headers: Mapping[bytes, bytes]) -> bytes | None:
-    """The request's key, exactly where its class has one; raises BadRequestError."""
+    """Return the idempotency key, or None if the class takes none. Raises BadRequestError if the key is
+    missing or malformed, or sent for a class that takes none."""
     key = headers.get(b"idempotency-key")
     if request_class.idempotency is Idempotency.KEYED:
         if key is None or not _IDEMPOTENCY_KEY_PATTERN.fullmatch(key):
-            raise BadRequestError("idempotency-key is missing or malformed")
+            raise BadRequestError("idempotency-key: expected 1 to 128 visible ASCII characters")
     elif key is not None:
-        raise BadRequestError("idempotency-key on a class that has none")
+        raise BadRequestError(f"idempotency-key: request class {request_class.name} takes none")
     return key
 
 
 def origin_form(target: bytes) -> bytes:
-    """The path and query of a target; one in absolute form (RFC 9112, 3.2.2) loses scheme and host."""
+    """Return the path and query of a request target, without scheme and host if it is in absolute form
+    (RFC 9112, 3.2.2)."""
     if target[:7].lower() != b"http://":
         return target
     rest = target[7:]
@@ -125,24 +132,24 @@
 
 
 def parse_integer(text: bytes, minimum: int, maximum: float = math.inf) -> int:
-    """A whole number in plain digits, within bounds; raises BadRequestError."""
+    """Parse an integer of decimal digits between `minimum` and `maximum`; raises BadRequestError."""
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS or not minimum <= int(text) <= maximum:
-        raise BadRequestError(f"{text[:20]!r} is out of place")
+        raise BadRequestError(f"{text[:20]!r}: expected an integer from {minimum} to {maximum}")
     return int(text)
 
 
 def parse_call_terms(text: bytes, *, gateways: int, max_units: float) -> tuple[float, int, int]:
-    """Units, spread and first of X-Call-Terms; raises BadRequestError."""
+    """Parse X-Call-Terms and return its units, spread and first; raises BadRequestError."""
     terms: dict[bytes, bytes] = {}
     for part in text.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name in terms:
-            raise BadRequestError("X-Call-Terms names a thing twice")
+            raise BadRequestError(f"X-Call-Terms: {name[:20]!r} is given twice")
         terms[name] = value
     if not terms.keys() >= {b"units", b"spread", b"first"}:
-        raise BadRequestError("X-Call-Terms cannot be read")
+        raise BadRequestError("X-Call-Terms: expected units, spread and first")
     if not _UNITS_PATTERN.fullmatch(terms[b"units"]) or not 0 < float(terms[b"units"]) <= max_units:
-        raise BadRequestError("units are out of range")
+        raise BadRequestError(f"X-Call-Terms: expected units above 0 and up to {max_units:g}")
     return (
         float(terms[b"units"]),
         parse_integer(terms[b"spread"], 1, gateways),
@@ -151,8 +158,8 @@
 
 
 def required_header(headers: Mapping[bytes, bytes], name: bytes) -> bytes:
-    """The value of a header that has to be there; raises BadRequestError."""
+    """Return the value of a mandatory header; raises BadRequestError if it is missing or empty."""
     value = headers.get(name)
     if not value:
-        raise BadRequestError(f"{name.decode()} is missing")
+        raise BadRequestError(f"{name.decode()}: header is missing or empty")
     return value
