--- a/plumpick/gateway/upstream/__init__.py
+++ b/plumpick/gateway/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Who is asked: connections to workers, and the attempts on them."""
+"""Connections to workers, and the attempts that are sent on them."""
--- a/plumpick/gateway/upstream/attempt.py
+++ b/plumpick/gateway/upstream/attempt.py
@@ -1,7 +1,7 @@
-"""An attempt: one request on its way to one worker. It ends once, with one result.
+"""An attempt to execute one request on one worker. It completes exactly once, with one result.
 
-Nothing here raises. Whoever starts an attempt must wait for its `on_completed`; to give it up is to call
-`end` with the result that the caller wants to be told."""
+No method raises. The code that starts an attempt receives the result by `on_completed`. To abort an attempt,
+call `end` with the result to be reported."""
 
 from __future__ import annotations
 
@@ -14,45 +14,47 @@
 from plumpick.gateway.upstream.streaming_body import StreamingBody
 from plumpick.policy.events import AttemptResult
 
-# The attempt, its result, the response's body and content type, and the worker's load report.
+# Called with the attempt, its result, the response's body and content type, and the worker's load report.
 OnCompleted = Callable[["Attempt", AttemptResult, bytes, bytes, tuple[float, ...]], None]
 
 
 class ResponseBodySink(Protocol):
-    """Where a response's body goes that is streamed."""
+    """The receiver of a streamed response body."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of the body."""
+        """Forward the next bytes of the body."""
 
     def finish_response(self) -> None:
-        """The body is complete."""
+        """End the response: its body is complete."""
 
     def abort_response(self) -> None:
-        """The rest will not come."""
+        """Break off the response: the rest of its body is lost."""
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt is on."""
+    """The worker connection that carries an attempt."""
 
     def abort(self) -> None:
-        """Close it at once, whatever is still to come on it."""
+        """Close the connection at once, even in the middle of a response."""
 
     def pause(self) -> None:
-        """Read no more of the response for now."""
+        """Stop reading the response."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading the response."""
 
 
 class Attempt:
-    """One request on its way to one worker; ends once, by `on_completed`.
+    """An attempt to execute one request on one worker; completes exactly once, by `on_completed`.
 
-    `head`, `body`: of its message, whose last header is the time left until `deadline_ms` when its first byte
-    leaves, `timeout_ms` at most; a body that still arrives has all of `timeout_ms`.
-    `stream`: a body that follows the message while it arrives.
-    `on_large_response(attempt, length, content_type)`: a response begins that is too large to be buffered;
-    returns who takes its body, or None if nobody wants it any more.
-    `on_stream_started(attempt)`: the first byte of a stream leaves; it is not retained."""
+    `head`, `body`: parts of the message to the worker. The value of the last header of the head is the time
+    left until `deadline_ms` when the message is written, at most `timeout_ms`; a request whose body is still
+    being received gets all of `timeout_ms`.
+    `stream`: body that is forwarded after the message while it is received.
+    `on_large_response(attempt, length, content_type)`: called when a response too large to be buffered
+    begins; returns the sink of its body, or None if it is no longer wanted.
+    `on_stream_started(attempt)`: called when the first byte of `stream` is forwarded. Forwarded bytes are not
+    retained, so no other attempt can send them."""
 
     __slots__ = (
         "request_id",
@@ -106,10 +108,10 @@
         self.on_large_response = on_large_response
         self.on_stream_started = on_stream_started
         self.response_sink: ResponseBodySink | None = None
-        self.response_started_ms = 0.0  # of a streamed response
-        self.last_progress_ms = 0.0  # of a streamed response
+        self.response_started_ms = 0.0  # start of a streamed response; 0.0 if there is none
+        self.last_progress_ms = 0.0  # time at which bytes of a streamed response were last received
         self.started_ms = 0.0
-        self.start_by_ms = math.inf  # its first byte leaves by then, or never
+        self.start_by_ms = math.inf  # latest time at which the request may be written to the worker
         self.connection: AttemptConnection | None = None
         self.connect_task: asyncio.Task[Any] | None = None
         self.timer: Timer | None = None
@@ -122,7 +124,8 @@
         content_type: bytes = b"",
         load_report: tuple[float, ...] = (),
     ) -> None:
-        """Report the result, once, and release what the attempt still has."""
+        """Report the result and release the attempt's timers and connection; does nothing if the attempt has
+        already completed."""
         on_completed = self.on_completed
         self.on_completed = None
         if on_completed is None:
@@ -132,7 +135,7 @@
                 timer.cancel()
         if self.connect_task is not None:
             self.connect_task.cancel()
-        if self.connection is not None:  # the response is not complete: its end tells the worker
+        if self.connection is not None:  # the response is incomplete: the close tells the worker to stop
             self.connection.abort()
         sink = self.response_sink
         self.response_sink = None
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -1,8 +1,8 @@
-"""A connection to a worker: writes one attempt's request at a time and reads its response.
+"""A connection to a worker: writes the request of one attempt at a time and reads its response.
 
-Every fault of a worker or of its connection becomes the AttemptResult of the attempt that is on it; nothing
-is raised, and nothing is sent twice. What the result must get right is whether the request may have been
-executed."""
+Every fault of a worker or its connection is reported as the AttemptResult of the attempt that the connection
+carries. No method raises, and no request is sent twice. The result must state correctly whether the worker
+may have executed the request."""
 
 from __future__ import annotations
 
@@ -18,58 +18,58 @@
 from plumpick.gateway.upstream.streaming_body import MAX_BUFFERED_BODY_BYTES, StreamingBody
 from plumpick.policy.events import AttemptResult
 
-MAX_HEAD_BYTES = 16 * 1024  # of a response, its interim ones included
+MAX_HEAD_BYTES = 16 * 1024  # maximum size of a response's head together with interim responses
 MAX_LENGTH_DIGITS = 15
-MAX_RESPONSE_BYTES = 256 * 1024 * 1024
-WRITE_BUFFER_BYTES = 8 * 1024  # a request up to this size fits the empty buffer of any socket
+MAX_RESPONSE_BYTES = 256 * 1024 * 1024  # maximum Content-Length of a response
+WRITE_BUFFER_BYTES = 8 * 1024  # size of a request that fits the empty send buffer of any socket
 
 
 class ConnectionOwner:
-    """What a connection asks of its pool, which derives from this class."""
+    """The connection pool as its connections use it; ConnectionPool derives from this class."""
 
-    is_transport_quiet: Callable[[Any], bool]  # whether neither bytes nor an end wait unread
-    was_transport_reset: Callable[[Any], bool]
+    is_transport_quiet: Callable[[Any], bool]  # whether neither bytes nor a close wait unread in the kernel
+    was_transport_reset: Callable[[Any], bool]  # whether the peer reset the connection
 
     def now(self) -> float:
-        """The time in ms."""
+        """Return the current time in ms."""
         raise NotImplementedError
 
     def on_request_written(self, attempt: Attempt) -> None:
-        """The last byte of a streamed request has been written."""
+        """Start the worker's time: the last byte of a streamed request has been written."""
         raise NotImplementedError
 
     def parse_load_report(self, text: bytes) -> tuple[float, ...]:
-        """The load report in a response's header; empty where there is none."""
+        """Return the load report from a response's header; empty if it is missing or invalid."""
         raise NotImplementedError
 
     def release(self, connection: WorkerConnection) -> None:
-        """A complete response has come: the connection may serve another attempt."""
+        """Return a connection to the pool after a complete response."""
         raise NotImplementedError
 
     def on_closed(self, connection: WorkerConnection) -> None:
-        """The connection has ended, or never came up."""
+        """Remove a connection that has closed or could not be established."""
         raise NotImplementedError
 
 
 class Worker:
-    """One process of a worker, as discovery lists it, with the connections to it."""
+    """One incarnation of a worker, as listed by discovery, and the connections to it."""
 
     __slots__ = ("entry", "idle", "connection_count", "connecting")
 
     def __init__(self, entry: WorkerEntry) -> None:
         self.entry = entry
-        self.idle: list[WorkerConnection] = []  # the most recently used is last
-        self.connection_count = 0  # open or being opened
-        self.connecting: list[Attempt] = []  # that wait for a connection to come up
+        self.idle: list[WorkerConnection] = []  # idle connections, the most recently used last
+        self.connection_count = 0  # number of connections that are open or being opened
+        self.connecting: list[Attempt] = []  # attempts that wait for their connection to be established
 
     def is_same_process(self, entry: WorkerEntry) -> bool:
-        """Whether an entry of a later list is this process, and not one that replaced it."""
+        """Whether an entry of a later list denotes this incarnation of the worker, not its replacement."""
         return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
 
 
 class WorkerConnection:
-    """One connection to a worker, which carries one attempt at a time. An asyncio.Protocol by its methods:
-    compiled classes have no parents that are not."""
+    """One connection to a worker, which carries one attempt at a time. It has the methods of asyncio.Protocol
+    but does not derive from it, since a compiled class cannot have an uncompiled base class."""
 
     def __init__(self, pool: ConnectionOwner, worker: Worker) -> None:
         self.pool = pool
@@ -78,12 +78,12 @@
         self.attempt: Attempt | None = None
         self.idle_since_ms = 0.0
         self.is_closed = False
-        self.has_unsent_bytes = False  # the last byte of the request has not been handed to the kernel
-        self.is_write_buffer_full = False  # above the high water mark; the loop calls when it is below
+        self.has_unsent_bytes = False  # whether the last byte of the request is not with the kernel yet
+        self.is_write_buffer_full = False  # whether the event loop has called pause_writing
         self.parser: Any = None
         self.head_bytes = 0
         self.status = 0
-        self.stream: StreamingBody | None = None  # the request's body, while it arrives
+        self.stream: StreamingBody | None = None  # request body being forwarded while it is received
         self._reset_response()
 
     def _is_busy(self) -> bool:
@@ -92,8 +92,8 @@
     def _reset_response(self) -> None:
         self.is_in_head = True
         self.is_response_complete = False
-        self.has_excess = False  # more has come than one response
-        self.is_invalid = False  # too large, or with a length that cannot be
+        self.has_excess = False  # whether bytes were received after the end of the response
+        self.is_invalid = False  # whether the response is too large or its length is malformed
         self.chunks: list[bytes] = []
         self.body_bytes = 0
         self.content_type = b""
@@ -101,20 +101,20 @@
         self.says_not_executed = False
         self.may_reuse = False
         self.is_chunked = False
-        self.content_length = -1  # as the head tells it
-        self.ends_at_close = False  # only the end of the connection ends the body
+        self.content_length = -1  # value of Content-Length; -1 if missing
+        self.ends_at_close = False  # whether only the close of the connection ends the body
 
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """Keep the transport of the established connection."""
         self.transport = transport  # type: ignore[assignment]
-        # Only what may not fit the socket at once is watched: see pause_writing.
+        # Requests up to this size fit the socket at once; for larger ones pause_writing is called.
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """A large request has not left yet: should the connection break now, the worker never had all of
-        it."""
+        """Note that part of a large request is still unsent: if the connection breaks now, the worker cannot
+        have received the whole request."""
         self.has_unsent_bytes = True
         self.is_write_buffer_full = True
         stream = self.stream
@@ -122,7 +122,7 @@
             stream.pause()
 
     def resume_writing(self) -> None:
-        """The write buffer has room again."""
+        """Resume the source of a streamed request body: the write buffer has room again."""
         stream = self.stream
         self.is_write_buffer_full = False
         self.has_unsent_bytes = stream is not None and not stream.is_complete
@@ -130,10 +130,10 @@
             stream.last_progress_ms = self.pool.now()
             stream.resume()
 
-    # -- a streamed request: the BodySink of its body
+    # -- streamed request: methods of BodySink
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of the request's body."""
+        """Write the next bytes of the streamed request body."""
         transport = self.transport
         if transport is None or self.is_closed:
             return
@@ -143,11 +143,11 @@
         transport.write(data)
 
     def finish(self) -> None:
-        """All of the request's body has been written.
+        """End the streamed request body.
 
-        What the loop still buffers leaves with its next turn, and no callback tells it. Only while the buffer
-        is full, which its draining would tell, is the last byte surely here; otherwise the worker may have
-        the complete request."""
+        The event loop sends buffered bytes in its next iteration without a callback. Only while the buffer is
+        full (resume_writing has not been called) is the last byte certainly unsent. Otherwise the worker may
+        have received the complete request."""
         stream = self.stream
         transport = self.transport
         attempt = self.attempt
@@ -158,22 +158,22 @@
         self.has_unsent_bytes = self.is_write_buffer_full
         self.pool.on_request_written(attempt)
 
-    # -- a streamed response: the PausableSource of its body
+    # -- streamed response: methods of PausableSource
 
     def pause(self) -> None:
-        """Read no more of the response for now."""
+        """Stop reading the response."""
         if self.transport is not None and not self.is_closed:
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue reading the response."""
         if self.transport is not None and not self.is_closed:
             self.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a response have come."""
+        """Parse received bytes; ends the attempt once its response is complete or invalid."""
         if self.attempt is None or self.is_closed:
-            self.abort()  # no request is open: these bytes belong to none
+            self.abort()  # bytes without an open request belong to no response
             return
         if self.is_in_head:
             self.head_bytes += len(data)
@@ -184,7 +184,7 @@
                 self._fail(AttemptResult.ERROR)
                 return
             self.has_excess = True
-        if not self._is_busy():  # the attempt was cancelled while its response was read
+        if not self._is_busy():  # the attempt was cancelled while its response was being parsed
             return
         if self.is_response_complete and not self.is_invalid:
             self._complete()
@@ -192,8 +192,8 @@
             self._fail(AttemptResult.ERROR)
 
     def eof_received(self) -> None:
-        """A worker that ends its sending has closed, and so does the transport. A response that has neither a
-        length nor chunks is complete then; a process that dies resets its connections."""
+        """Handle the end of the worker's sending, after which the transport closes. It completes a response
+        that has neither a length nor chunks, unless the connection was reset, as a dying process does."""
         if not self.ends_at_close or self.attempt is None or self.is_response_complete or self.is_closed:
             return
         if self.pool.was_transport_reset(self.transport):
@@ -204,8 +204,8 @@
         self._complete()
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        """The connection has ended, by whomever."""
-        self.parser = None  # it refers to this connection: the two would wait for the garbage collector
+        """Fail the current attempt, if any: the connection has been closed by either side."""
+        self.parser = None  # breaks a reference cycle, which would wait for the garbage collector
         self._mark_closed()
         if self._is_busy():
             self._fail(AttemptResult.CONNECT_FAILED if self.has_unsent_bytes else AttemptResult.RESET)
@@ -213,12 +213,12 @@
     # -- the parser's callbacks
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header of the response, or a trailer."""
+        """Parser callback: read the headers used here; trailers are ignored."""
         if self.is_response_complete or not self.is_in_head:
             return
         if len(name) in (6, 9, 12, 14):
             name = name.lower()
-            value = value.strip(b" \t")  # no part of it (RFC 9110, 5.5)
+            value = value.strip(b" \t")  # surrounding whitespace is not part of the value (RFC 9110, 5.5)
             if name == b"x-load":
                 self.load_text = value
             elif name == b"x-not-run":
@@ -235,12 +235,13 @@
             not value.isdigit()
             or len(value) > MAX_LENGTH_DIGITS
             or int(value) > MAX_RESPONSE_BYTES
-            or self.content_length >= 0  # a second one
+            or self.content_length >= 0  # repeated header
         )
         self.content_length = -1 if self.is_invalid else int(value)
 
     def on_headers_complete(self) -> None:
-        """The head of a response, or of an interim one, is complete."""
+        """Parser callback: the head of a final or interim response is complete. Determine how the body ends,
+        and start to stream it if it is too large to be buffered."""
         attempt = self.attempt
         if self.is_response_complete or attempt is None:
             return
@@ -248,7 +249,7 @@
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if attempt.is_head and not self.is_response_complete:  # the parser waits for a body that won't come
+        if attempt.is_head and not self.is_response_complete:  # no body follows, but the parser expects one
             self.is_response_complete = True
             self.status = status
             self.may_reuse = False
@@ -258,7 +259,7 @@
             self._start_streaming()
 
     def on_body(self, chunk: bytes) -> None:
-        """The next bytes of the response's body."""
+        """Parser callback: buffer or forward the next bytes of the response body."""
         attempt = self.attempt
         if self.is_response_complete or self.is_invalid or attempt is None:
             return
@@ -270,12 +271,12 @@
         self.chunks.append(chunk)
         if self.body_bytes > MAX_BUFFERED_BODY_BYTES:
             if self.parser.get_status_code() != 200:
-                self.is_invalid = True  # an error's body is of no use to anyone
+                self.is_invalid = True  # the body of an error is not forwarded, so it is not worth streaming
             else:
                 self._start_streaming()
 
     def _start_streaming(self) -> None:
-        """The response is too large to be buffered: from here on it goes to its client while it arrives."""
+        """Forward a response that is too large to be buffered to its client while it is received."""
         attempt = self.attempt
         if attempt is None or attempt.response_sink is not None:
             return
@@ -289,7 +290,7 @@
         attempt.response_sink = sink
         attempt.response_started_ms = now
         attempt.last_progress_ms = now
-        if attempt.timer is not None:  # from here on only a stall ends it
+        if attempt.timer is not None:  # from now on the attempt has no timeout, only stall detection
             attempt.timer.cancel()
         chunks = self.chunks
         self.chunks = []
@@ -297,28 +298,28 @@
             sink.write_chunk(chunk)
 
     def on_message_begin(self) -> None:
-        """A response begins; a second one to one request is excess."""
+        """Parser callback: a response begins. A second response to the same request is excess."""
         self.has_excess = self.is_response_complete
 
     def on_message_complete(self) -> None:
-        """A response, or an interim one, is complete."""
+        """Parser callback: a final or interim response is complete."""
         if self.parser.get_status_code() < 200:
-            self._reset_response()  # the final one follows; all of them share one limit on the head
+            self._reset_response()  # head_bytes is kept: one limit applies to all heads together
         elif not self.has_excess:
             self.is_response_complete = True
-            self.status = self.parser.get_status_code()  # later it would be that of the excess
-            # Asked any later, the parser has forgotten the length and takes every response for the last.
+            self.status = self.parser.get_status_code()  # excess bytes would change it later
+            # Only valid during this callback: later the parser has forgotten the length of the response.
             self.may_reuse = self.parser.should_keep_alive()
 
     def is_quiet(self) -> bool:
-        """Whether nothing waits on the connection: bytes, or its end. The loop may not have read them yet,
-        and once a request has left they would pass for its response, or for a reset during its execution."""
+        """Whether neither bytes nor a close wait unread in the kernel. After the next request is written they
+        would be taken for its response, or for a reset during its execution."""
         return self.pool.is_transport_quiet(self.transport)
 
-    # -- one attempt
+    # -- attempts
 
     def send(self, attempt: Attempt) -> None:
-        """Write the request of the attempt, in one piece."""
+        """Write the request of the attempt; a streamed body is forwarded while it is received."""
         self._reset_response()
         self.head_bytes = 0
         self.parser = httptools.HttpResponseParser(self)
@@ -327,7 +328,7 @@
         stream = attempt.stream
         self.stream = stream
         self.has_unsent_bytes = stream is not None
-        # Only now: a connection that came up late took some of the time.
+        # Computed at the time of the write, since establishing the connection took part of the time.
         left_ms = min(attempt.timeout_ms, attempt.deadline_ms - self.pool.now())
         self.transport.write(encode_message(attempt.head, left_ms, attempt.body))  # type: ignore[union-attr]
         if stream is not None:
@@ -358,11 +359,11 @@
             if sink is not None:
                 sink.finish_response()
             elif attempt.is_head:
-                body = b"%d" % max(0, self.content_length)  # the length that a GET would have
+                body = b"%d" % max(0, self.content_length)  # Content-Length in the response to HEAD
             attempt.end(AttemptResult.OK, body, self.content_type, load_report)
         elif status in (503, 504) and self.says_not_executed:
             attempt.end(AttemptResult.REJECTED_BY_WORKER, load_report=load_report)
-        else:  # also a 503 or 504 that does not say so: it may have been executed
+        else:  # including a 503 or 504 without X-Not-Run: the request may have been executed
             attempt.end(AttemptResult.ERROR, load_report=load_report)
 
     def _fail(self, result: AttemptResult) -> None:
@@ -374,7 +375,7 @@
             attempt.end(result)
 
     def abort(self) -> None:
-        """Close at once, whatever is still to come on it."""
+        """Close the connection at once, without reporting a result for its attempt."""
         self.attempt = None
         stream = self.stream
         self.stream = None
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -1,9 +1,9 @@
-"""The pool of connections to workers, and the start of attempts on them.
+"""The pool of connections to workers, which also starts the attempts on them.
 
-Nothing is resent here: each attempt goes out once, or not at all. Of one that cannot go out the worker has
-seen no byte: it ends with CONNECT_FAILED where the worker does not accept the connection, and with
-NOT_STARTED where it is this gateway that lacks a connection or the time, or the worker has left service.
-Nothing is raised."""
+The pool never resends: the request of an attempt is written once or not at all. If it cannot be written, the
+worker has received no byte of it. The attempt then ends with CONNECT_FAILED if the worker does not accept the
+connection, and with NOT_STARTED if this gateway has no connection or no time left or the worker has left
+service. No method raises."""
 
 from __future__ import annotations
 
@@ -22,26 +22,28 @@
 from plumpick.gateway.upstream.connection import ConnectionOwner, Worker, WorkerConnection
 from plumpick.policy.events import AttemptResult, EndpointState
 
-IDLE_TIMEOUT_RATIO = 0.6  # of the worker's own: an idle connection is closed here well before it is there
-MAX_CONNECTIONS_PER_WORKER = 128  # in use or idle
+# Share of the workers' idle timeout after which the gateway closes an idle connection, well before they do.
+IDLE_TIMEOUT_RATIO = 0.6
+MAX_CONNECTIONS_PER_WORKER = 128  # including idle ones
 MAX_IDLE_PER_WORKER = 24
-SWEEP_INTERVAL_MS = 1000.0
-# An idle connection rests before it is used again: what follows a response some milliseconds late shows by
-# then, and later it would pass for the response to the next request. Where many connections to one worker
-# rest, the shorter time is enough, or a busy gateway would open connections without end.
+SWEEP_INTERVAL_MS = 1000.0  # interval at which idle connections are checked
+# Time between a response and the reuse of its connection. Excess bytes that follow a response some
+# milliseconds late are detected by then; after the next request they would be taken for its response. If
+# MAX_RESTING_CONNECTIONS to one worker are idle, the shorter time applies: otherwise a busy gateway would
+# keep opening connections.
 REUSE_DELAY_MS = 20.0
 MIN_REUSE_DELAY_MS = 2.0
 MAX_RESTING_CONNECTIONS = 8
-# Errors of a connection that say nothing of the worker: no descriptor, port or memory is left here.
+# Connection errors that are not the worker's fault: this machine has no descriptor, port or memory left.
 LOCAL_SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM)
-MAX_LOAD_VALUE = 1e6  # a load report with a field beyond that is none
+MAX_LOAD_VALUE = 1e6  # maximum value of a field of a load report; reports above it are ignored
 
 log = logging.getLogger(__name__)
 _decode_json = json.JSONDecoder().decode
 
 
 class ConnectionPool(ConnectionOwner):
-    """The workers in service by id, with the connections to each."""
+    """The workers in service by id, with the open connections to each."""
 
     def __init__(
         self,
@@ -70,41 +72,41 @@
     def reconfigure(
         self, idle_timeout_ms: float, connect_timeout_ms: float, load_report_fields: tuple[str, ...]
     ) -> None:
-        """These hold from now on; a connection that is being opened keeps its timeout. `idle_timeout_ms`: the
-        workers' own."""
+        """Change the timeouts (`idle_timeout_ms`: that of the workers) and the fields of load reports. A
+        connection that is being opened keeps its timeout."""
         self._idle_timeout_ms = idle_timeout_ms * IDLE_TIMEOUT_RATIO
         self._connect_timeout_ms = connect_timeout_ms
         self._load_report_fields = load_report_fields
 
     def connection_count(self) -> int:
-        """How many connections are open or being opened."""
+        """Return the number of connections that are open or being opened."""
         return self._connection_count
 
     def close_idle(self) -> None:
-        """Close the connections that carry no attempt."""
+        """Close all idle connections."""
         for worker in self._workers.values():
             while worker.idle:
                 worker.idle[0].abort()
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Open no more connections than that from now on; idle ones beyond it are closed."""
+        """Set the maximum number of connections; idle connections above it are closed."""
         self._max_connections = max_connections
         for worker in self._workers.values():
             while worker.idle and self._connection_count > max_connections:
                 worker.idle[0].abort()
 
     def unused_connections(self) -> int:
-        """How many more connections may be opened."""
+        """Return how many more connections may be opened."""
         return self._max_connections - self._connection_count
 
     # -- discovery
 
     def update(self, workers: WorkerList) -> list[WorkerEntry]:
-        """Apply an endpoint list. A worker that left service or restarted loses its idle connections and the
-        attempts that wait for one.
+        """Apply a full or incremental endpoint list. When a worker has left service or restarted, its idle
+        connections are closed and the attempts waiting for a connection to it end with NOT_STARTED.
 
-        Returns the entries that are gone though the list does not say so yet: a new worker has their address
-        and would get, still warming up, what was meant for them."""
+        Returns the entries of workers that are gone although the list does not say so yet: a new worker has
+        their address, and would receive their requests while it is still warming up."""
         if workers.complete:
             listed = {entry.server.id for entry in workers.entries}
             for worker_id in [worker_id for worker_id in self._workers if worker_id not in listed]:
@@ -125,7 +127,7 @@
             self._workers[entry.server.id] = Worker(entry)
 
     def _retire_displaced(self, workers: WorkerList) -> list[WorkerEntry]:
-        """Retire the workers whose address another one has now; returns their entries."""
+        """Retire the workers whose address now belongs to another worker; returns their entries."""
         successors = {
             entry.address: entry.server
             for entry in workers.entries
@@ -142,22 +144,23 @@
         return displaced
 
     def _retire(self, worker: Worker) -> None:
-        """Nothing new goes there. Attempts that are in flight may still get their response."""
+        """Stop sending to a worker. Attempts in flight may still get their response."""
         for connection in list(worker.idle):
             connection.abort()
-        for attempt in list(worker.connecting):  # not a byte of these was written
+        for attempt in list(worker.connecting):  # no byte of these requests was written
             attempt.end(AttemptResult.NOT_STARTED)
 
     def is_in_service(self, worker: Worker) -> bool:
-        """Whether new attempts may go to that process of a worker."""
+        """Whether this incarnation of a worker may get new attempts."""
         return self._workers.get(worker.entry.server.id) is worker
 
     # -- attempts
 
     def _may_send(self, worker: Worker, attempt: Attempt) -> bool:
-        """Whether the attempt's bytes may leave now. Between the choice and this moment may lie a connection
-        that comes up late, a stall of this process, a drain, the end of the request; and a keyed request that
-        leaves after its deduplication window may be executed twice (tests/gateway/upstream)."""
+        """Whether the attempt's request may still be written. Since the policy chose the worker, establishing
+        the connection may have taken long, this process may have stalled, the worker may have drained, or the
+        request may have ended. A keyed request written after its deduplication window may be executed twice
+        (see tests/gateway/upstream)."""
         now = self._clock.now()
         return (
             attempt.on_completed is not None
@@ -167,10 +170,10 @@
         )
 
     def start(self, attempt: Attempt) -> None:
-        """Send on an idle connection, or on a new one. The attempt never ends before this returns."""
+        """Send the attempt on an idle connection or a new one. It never completes before this returns."""
         now = self._clock.now()
         attempt.started_ms = now
-        if attempt.stream is None:  # a stream's time begins with its last byte: see on_request_written
+        if attempt.stream is None:  # the time of a streamed body begins in on_request_written
             attempt.timer = self._timers.at(attempt.deadline_ms, lambda: attempt.end(AttemptResult.TIMEOUT))
         worker = self._workers.get(attempt.worker_id)
         if worker is None or not self._may_send(worker, attempt):
@@ -189,7 +192,7 @@
             self._connect(worker, attempt, now)
 
     def _connect(self, worker: Worker, attempt: Attempt, now: float) -> None:
-        """Open a connection for the attempt."""
+        """Open a connection for the attempt, with a timeout."""
         worker.connection_count += 1
         self._connection_count += 1
         worker.connecting.append(attempt)
@@ -205,11 +208,11 @@
         )
 
     def now(self) -> float:
-        """The time in ms."""
+        """Return the current time in ms."""
         return self._clock.now()
 
     def on_request_written(self, attempt: Attempt) -> None:
-        """The last byte of a streamed request has been written: the worker's time begins."""
+        """Start the worker's time and the timeout: the last byte of a streamed request has been written."""
         now = self._clock.now()
         attempt.started_ms = now
         if attempt.on_completed is not None and attempt.response_sink is None:
@@ -218,8 +221,8 @@
             )
 
     def _reusable_connection(self, worker: Worker, now: float) -> WorkerConnection | None:
-        """The most recently used idle connection that has rested and on which nothing waits; those on which
-        something does are closed."""
+        """Return the most recently used idle connection that has been idle for the reuse delay and has no
+        unread input, or None. Connections found to have unread input are closed."""
         rested = [one for one in reversed(worker.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS]
         if not rested and len(worker.idle) >= MAX_RESTING_CONNECTIONS:
             rested = [one for one in worker.idle if now - one.idle_since_ms >= MIN_REUSE_DELAY_MS]
@@ -233,26 +236,32 @@
     def _on_connected(
         self, worker: Worker, attempt: Attempt, connection: WorkerConnection, task: asyncio.Task[Any]
     ) -> None:
-        """A connection is up, or has failed. Called for a cancelled task too, even one that never began."""
+        """Send the attempt on its established connection, or end it if connecting failed or came too late.
+        Also called for a cancelled task, even one that never started."""
         worker.connecting.remove(attempt)
         attempt.connect_task = None
         problem = None if task.cancelled() else task.exception()
         if problem is not None and not isinstance(problem, OSError):
-            log.error("connecting to %s failed", worker.entry.address, exc_info=problem)
+            log.error(
+                "unexpected error while connecting to worker %s at %s",
+                worker.entry.server.id,
+                worker.entry.address,
+                exc_info=problem,
+            )
         if attempt.connect_timer is not None:
             attempt.connect_timer.cancel()
         is_up = not task.cancelled() and problem is None and not connection.is_closed
         if is_up and self._may_send(worker, attempt):
             connection.send(attempt)
             return
-        connection.abort()  # nothing was written, and nothing may be any more
-        is_own_doing = is_up or isinstance(problem, OSError) and problem.errno in LOCAL_SHORTAGES
-        attempt.end(AttemptResult.NOT_STARTED if is_own_doing else AttemptResult.CONNECT_FAILED)
+        connection.abort()  # no byte of the request was written
+        is_local_cause = is_up or isinstance(problem, OSError) and problem.errno in LOCAL_SHORTAGES
+        attempt.end(AttemptResult.NOT_STARTED if is_local_cause else AttemptResult.CONNECT_FAILED)
 
     # -- connections
 
     def release(self, connection: WorkerConnection) -> None:
-        """A complete response has come: the connection becomes idle, or is closed."""
+        """Return a connection to the pool after a complete response, or close it if it is not needed."""
         worker = connection.worker
         if connection.is_closed or not self.is_in_service(worker) or len(worker.idle) >= MAX_IDLE_PER_WORKER:
             connection.abort()
@@ -261,7 +270,7 @@
         worker.idle.append(connection)
 
     def on_closed(self, connection: WorkerConnection) -> None:
-        """The connection has ended, or never came up."""
+        """Remove a connection that has closed or could not be established."""
         worker = connection.worker
         worker.connection_count -= 1
         self._connection_count -= 1
@@ -269,7 +278,7 @@
             worker.idle.remove(connection)
 
     def _sweep(self) -> None:
-        """Close what has been idle for long, before the worker does: its end could cross a request."""
+        """Close long-idle connections before the worker does: its close could coincide with a new request."""
         now = self._clock.now()
         self._timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
         max_idle_ms = self._idle_timeout_ms - SWEEP_INTERVAL_MS
@@ -278,11 +287,11 @@
                 worker.idle[0].abort()
 
     def parse_load_report(self, text: bytes) -> tuple[float, ...]:
-        """The load report in a response's header; empty where it lacks a field or cannot be read."""
+        """Return the load report from a response's header; empty if it is malformed or lacks a field."""
         if not text or not self._load_report_fields:
             return ()
         try:
-            report = _decode_json(text.decode())  # json.loads would detect the encoding of bytes first
+            report = _decode_json(text.decode())  # json.loads would spend time on detecting the encoding
             values = tuple(float(report[field]) for field in self._load_report_fields)
         except (ValueError, TypeError, KeyError, OverflowError, RecursionError):
             return ()
--- a/plumpick/gateway/upstream/request_encoding.py
+++ b/plumpick/gateway/upstream/request_encoding.py
@@ -1,4 +1,4 @@
-"""The encoding of an attempt's request as a message of HTTP/1.1 for a worker."""
+"""Encodes the request of an attempt as an HTTP/1.1 message for a worker."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 
 
 def encode_head(incoming: IncomingRequest) -> bytes:
-    """The head that all attempts for a request share, up to the value of its last header, the deadline."""
+    """Encode the part of the head that all attempts of a request share: everything up to the value of the
+    last header, X-Deadline-Ms."""
     parts = [
         incoming.method,
         b" ",
@@ -29,5 +30,6 @@
 
 
 def encode_message(head: bytes, timeout_ms: float, body: bytes) -> bytes:
-    """The message of one attempt, which may take `timeout_ms`; `body` is empty where it is streamed."""
+    """Encode the message of one attempt. `head`: as from `encode_head`; `timeout_ms`: value of X-Deadline-Ms;
+    `body`: empty if the body is streamed."""
     return b"%s%d\r\n\r\n%s" % (head, max(1, int(timeout_ms)), body)
--- a/plumpick/gateway/upstream/streaming_body.py
+++ b/plumpick/gateway/upstream/streaming_body.py
@@ -1,9 +1,8 @@
-"""Request bodies that are too large to be buffered: they are forwarded while they arrive.
+"""Streaming of request bodies that are too large to be buffered: they are forwarded while they are received.
 
-Backpressure: the source is paused while more than the high water mark waits for the sink. All streams, of
-requests and of responses, share one budget of bytes, whatever their number; each has an even share of it as
-its high water mark. Nothing here raises: a stream that stalls is found by its `last_progress_ms`, and its
-owner must end it."""
+Backpressure: the source is paused while more bytes than the high water mark wait for the sink. All streamed
+requests and responses share one memory budget, and each has an equal share of it as its high water mark. No
+method raises. The owner of a stream must detect a stall by `last_progress_ms` and end the stream."""
 
 from __future__ import annotations
 
@@ -17,33 +16,33 @@
 
 
 class MemoryBudget:
-    """The bytes that all streams together may have waiting."""
+    """The number of bytes that all streams together may buffer, `total_bytes`, divided among them."""
 
     def __init__(self, total_bytes: int) -> None:
         self.total_bytes = max(MIN_HIGH_WATER_BYTES, total_bytes)
         self.stream_count = 0
 
     def high_water_bytes(self) -> int:
-        """The high water mark of one more stream."""
+        """Return the high water mark for one more stream."""
         share_bytes = self.total_bytes // (self.stream_count + 1)
         return max(MIN_HIGH_WATER_BYTES, min(MAX_HIGH_WATER_BYTES, share_bytes))
 
 
 class BodySink(Protocol):
-    """Where a streamed body is forwarded to."""
+    """The receiver of a streamed request body: the connection to a worker."""
 
     def write_chunk(self, data: bytes) -> None:
-        """The next bytes of the body."""
+        """Write the next bytes of the body."""
 
     def finish(self) -> None:
-        """The body is complete."""
+        """End the body: it is complete."""
 
 
 class StreamingBody:
-    """A request's body that is forwarded while it arrives. `length`: in bytes; -1 if only its end tells.
+    """A request's body that is forwarded while it is received. `length`: in bytes, -1 if unknown.
 
-    What arrives before there is a sink waits here, up to `high_water_bytes`; then the source is paused. What
-    has been forwarded is not retained, so it goes out once: `is_started` says that it has begun to."""
+    Until there is a sink, received bytes are buffered; at `high_water_bytes` the source is paused. Forwarded
+    bytes are not retained, so the body can be sent only once; `is_started` tells whether that has begun."""
 
     def __init__(self, source: PausableSource, length: int, high_water_bytes: int) -> None:
         self.source = source
@@ -54,11 +53,11 @@
         self.is_started = False
         self.is_complete = False
         self.is_paused = False
-        self.last_progress_ms = 0.0  # when bytes last arrived or left
+        self.last_progress_ms = 0.0  # time at which bytes were last received or forwarded
         self.sink: BodySink | None = None
 
     def feed(self, data: bytes) -> None:
-        """More of the body has arrived."""
+        """Forward received bytes of the body, or buffer them until there is a sink."""
         if self.sink is not None:
             self.sink.write_chunk(data)
             return
@@ -68,13 +67,13 @@
             self.pause()
 
     def finish(self) -> None:
-        """All of the body has arrived."""
+        """Mark the body as complete: its last byte has been received."""
         self.is_complete = True
         if self.sink is not None:
             self.sink.finish()
 
     def forward_to(self, sink: BodySink) -> None:
-        """Forward what waits and what is to come; only once."""
+        """Forward the buffered bytes and all further ones to the sink. May be called only once."""
         self.is_started = True
         self.sink = sink
         chunks = self.waiting
@@ -88,13 +87,13 @@
             self.resume()
 
     def detach(self, sink: BodySink) -> None:
-        """That sink takes no more; what arrives from now on is of no use."""
+        """Disconnect the sink, if it is the current one; bytes received from now on cannot be used."""
         if self.sink is sink:
             self.sink = None
             self.high_water_bytes = 0
 
     def pause(self) -> None:
-        """Pause the source, unless all of the body has arrived."""
+        """Pause the source, unless the body is complete."""
         if not self.is_paused and not self.is_complete:
             self.is_paused = True
             self.source.pause()
