--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -208,16 +208,16 @@
 
 def rearms_at_once() -> Swap:
     """A timer that is due arms itself again for the same instant."""
-    right = Timers.at
+    right = Timers.call_at
 
-    def at(self: Timers, when_ms: float, call: Callable[[], None]) -> Any:
+    def call_at(self: Timers, when_ms: float, call: Callable[[], None]) -> Any:
         def again() -> None:
             call()
             self._loop.call_soon(again)
 
         return right(self, when_ms, again)
 
-    return [(Timers, "at", at)]
+    return [(Timers, "call_at", call_at)]
 
 
 def looks_no_more() -> Swap:
--- a/plumpick/gateway/clock.py
+++ b/plumpick/gateway/clock.py
@@ -47,7 +47,7 @@
         self._handle: asyncio.TimerHandle | None = None
         self._armed_ms = math.inf
 
-    def at(self, when_ms: float, callback: Callable[[], None]) -> Timer:
+    def call_at(self, when_ms: float, callback: Callable[[], None]) -> Timer:
         """Schedule the callback for the clock time `when_ms` or soon after, never earlier."""
         self._serial += 1
         timer = Timer(callback)
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -270,7 +270,7 @@
         if staged.activates_at_ms <= self._clock.now():
             self._activate_due()
         else:
-            self._activation = self._timers.at(staged.activates_at_ms, self._activate_due)
+            self._activation = self._timers.call_at(staged.activates_at_ms, self._activate_due)
 
     def _activate_due(self) -> None:
         """The staged version's time has come."""
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -119,8 +119,8 @@
         self._state_transfer = StateTransfer(self._turn)
         self._stalls = StallDetector(self._listeners, loop.call_soon)
         self._turn.handlers = self._action_handlers()
-        self.timers.at(self.clock.now() + SWEEP_INTERVAL_MS, self._sweep)
-        self.timers.at(self.clock.now() + REQUEST_ID_RETENTION_MS, self.requests.expire_ids)
+        self.timers.call_at(self.clock.now() + SWEEP_INTERVAL_MS, self._sweep)
+        self.timers.call_at(self.clock.now() + REQUEST_ID_RETENTION_MS, self.requests.expire_ids)
 
     def _init_lifecycle(self) -> None:
         self.is_ready = False  # readiness that listeners report; derived from the fields below
@@ -281,7 +281,7 @@
         # Rounded up to the policy's tick, so that all timers due within one tick share one event turn.
         due_ms = self.clock.now() + action.delay_ms
         tick_ms = max(1.0, self.settings.tick_ms)
-        self.timers.at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self._turn.post(event))
+        self.timers.call_at(math.ceil(due_ms / tick_ms) * tick_ms, lambda: self._turn.post(event))
 
     def _send_peer_message(self, action: SendPeerMessage) -> None:
         if action.receiver != self.settings.gateway_number:
@@ -300,7 +300,7 @@
         line = self._quota_health.update(now, self.controller.unresponsive_owners())
         if line:
             log.warning(line)
-        self.timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
+        self.timers.call_at(now + SWEEP_INTERVAL_MS, self._sweep)
         self._streams.sweep(now, self.requests.on_upload_stalled)
         for listener in self._listeners:
             listener.sweep(now, self.is_closing_connections)
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -166,7 +166,7 @@
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS and not self._is_eviction_due:
             self._is_eviction_due = True
-            self.gateway.timers.at(
+            self.gateway.timers.call_at(
                 connection.opened_ms + EVICTION_DELAY_MS, lambda: self._evict(MAX_CONNECTIONS)
             )
 
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -139,7 +139,7 @@
         self.is_paused = True
         pause_ms = min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2 ** min(self.rejected_requests, MAX_PAUSE_DOUBLINGS))
         self.rejected_requests += 1
-        self.gateway.timers.at(self.gateway.clock.now() + pause_ms, self._end_pause)
+        self.gateway.timers.call_at(self.gateway.clock.now() + pause_ms, self._end_pause)
 
     def _end_pause(self) -> None:
         self.is_paused = False
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -59,7 +59,7 @@
         elif len(self.admission) > self.admission.capacity(spare) and not self._is_eviction_due:
             # Delayed, so that connections that arrived together are read first and those with a request stay.
             self._is_eviction_due = True
-            self.gateway.timers.at(self.gateway.clock.now() + EVICTION_DELAY_MS, self._evict_excess)
+            self.gateway.timers.call_at(self.gateway.clock.now() + EVICTION_DELAY_MS, self._evict_excess)
         if connection.is_inherited:
             self.admission.on_request_received(connection)
             self.admission.on_response_sent(connection, now)
--- a/plumpick/gateway/listeners/http/response_writer.py
+++ b/plumpick/gateway/listeners/http/response_writer.py
@@ -99,7 +99,7 @@
             self.request_started = True
             self.listener.on_request_started(self)
             # Deferred, so that the next request is not served within the call that answered this one.
-            self.gateway.timers.at(self.gateway.clock.now(), self.serve_next)
+            self.gateway.timers.call_at(self.gateway.clock.now(), self.serve_next)
         else:
             self.listener.on_response_sent(self)
             self.update_reading()
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -169,7 +169,7 @@
             attempt = self.attempts.get((request.id, number))
             if attempt is not None:  # a request not yet written states the remaining time
                 attempt.deadline_ms = min(attempt.deadline_ms, deadline_ms)
-        request.deadline_timer = self._timers.at(
+        request.deadline_timer = self._timers.call_at(
             deadline_ms - FINAL_RESPONSE_MARGIN_MS, lambda: self._on_deadline(request)
         )
 
@@ -192,5 +192,5 @@
 
     def expire_ids(self) -> None:
         """Forget the ids of requests that ended before the previous call; reschedules itself."""
-        self._timers.at(self._clock.now() + REQUEST_ID_RETENTION_MS, self.expire_ids)
+        self._timers.call_at(self._clock.now() + REQUEST_ID_RETENTION_MS, self.expire_ids)
         self._ids.expire()
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -67,7 +67,7 @@
         self.reconfigure(idle_timeout_ms, connect_timeout_ms, load_report_fields)
         self._workers: dict[str, Worker] = {}
         self._connection_count = 0
-        timers.at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
+        timers.call_at(clock.now() + SWEEP_INTERVAL_MS, self._sweep)
 
     def reconfigure(
         self, idle_timeout_ms: float, connect_timeout_ms: float, load_report_fields: tuple[str, ...]
@@ -174,7 +174,9 @@
         now = self._clock.now()
         attempt.started_ms = now
         if attempt.stream is None:  # the time of a streamed body begins in on_request_written
-            attempt.timer = self._timers.at(attempt.deadline_ms, lambda: attempt.end(AttemptResult.TIMEOUT))
+            attempt.timer = self._timers.call_at(
+                attempt.deadline_ms, lambda: attempt.end(AttemptResult.TIMEOUT)
+            )
         worker = self._workers.get(attempt.worker_id)
         if worker is None or not self._may_send(worker, attempt):
             self._loop.call_soon(attempt.end, AttemptResult.NOT_STARTED)
@@ -196,7 +198,7 @@
         worker.connection_count += 1
         self._connection_count += 1
         worker.connecting.append(attempt)
-        attempt.connect_timer = self._timers.at(
+        attempt.connect_timer = self._timers.call_at(
             now + self._connect_timeout_ms, lambda: attempt.end(AttemptResult.CONNECT_FAILED)
         )
         connection = WorkerConnection(self, worker)
@@ -216,7 +218,7 @@
         now = self._clock.now()
         attempt.started_ms = now
         if attempt.on_completed is not None and attempt.response_sink is None:
-            attempt.timer = self._timers.at(
+            attempt.timer = self._timers.call_at(
                 now + attempt.timeout_ms, lambda: attempt.end(AttemptResult.TIMEOUT)
             )
 
@@ -280,7 +282,7 @@
     def _sweep(self) -> None:
         """Close long-idle connections before the worker does: its close could coincide with a new request."""
         now = self._clock.now()
-        self._timers.at(now + SWEEP_INTERVAL_MS, self._sweep)
+        self._timers.call_at(now + SWEEP_INTERVAL_MS, self._sweep)
         max_idle_ms = self._idle_timeout_ms - SWEEP_INTERVAL_MS
         for worker in self._workers.values():
             while worker.idle and now - worker.idle[0].idle_since_ms > max_idle_ms:
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -280,7 +280,7 @@
     async def scenario(worker, gate, client):
         keeper, times = gate.keeper, []
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-        keeper.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+        keeper.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
             keeper._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
@@ -759,8 +759,11 @@
 
     async def scenario(worker, gate, client):
         gate.keeper.timers = timers = Timers(asyncio.get_running_loop(), gate.keeper.clock)
-        waits, at = [], timers.at
-        timers.at = lambda at_ms, call: (waits.append(round(at_ms - gate.keeper.clock.now())), at(0.0, call))
+        waits, at = [], timers.call_at
+        timers.call_at = lambda at_ms, call: (
+            waits.append(round(at_ms - gate.keeper.clock.now())),
+            at(0.0, call),
+        )
         for _ in range(7):
             assert (await client.send(request(path="/none")).answer())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
--- a/tests/gateway/test_platform.py
+++ b/tests/gateway/test_platform.py
@@ -64,8 +64,8 @@
                 done.set()
 
         for at_ms in (30.5, 10.25, 20.0, 0.0):
-            timers.at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
-        timers.at(start + 15, lambda: fire(15)).cancel()
+            timers.call_at(start + at_ms, lambda at_ms=at_ms: fire(at_ms))
+        timers.call_at(start + 15, lambda: fire(15)).cancel()
         await done.wait()
         assert fired == [0.0, 10.25, 20.0, 30.5]
 
@@ -77,8 +77,8 @@
         loop, clock = asyncio.get_running_loop(), Clock()
         loop.set_exception_handler(lambda *_: None)
         timers, done = Timers(loop, clock), asyncio.Event()
-        timers.at(clock.now(), lambda: 1 / 0)
-        timers.at(clock.now(), done.set)
+        timers.call_at(clock.now(), lambda: 1 / 0)
+        timers.call_at(clock.now(), done.set)
         await done.wait()
 
     run(scenario())
