--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -98,7 +98,7 @@
             connect_timeout_ms=config.dial_timeout_ms,
             max_connections=int(config.sockets * UPSTREAM_DESCRIPTOR_RATIO),
             load_report_fields=config.settings.load_report_fields,
-            is_transport_quiet=platform.has_no_unread_input,
+            has_no_unread_input=platform.has_no_unread_input,
             was_transport_reset=platform.was_reset,
         )
         self.peers = Peers(config, self.on_peer_message, platform.create_datagram_socket)
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -27,7 +27,7 @@
 class ConnectionOwner:
     """The connection pool as its connections use it; ConnectionPool derives from this class."""
 
-    is_transport_quiet: Callable[[Any], bool]  # whether neither bytes nor a close wait unread in the kernel
+    has_no_unread_input: Callable[[Any], bool]  # whether neither bytes nor a close wait unread in the kernel
     was_transport_reset: Callable[[Any], bool]  # whether the peer reset the connection
 
     def now(self) -> float:
@@ -311,10 +311,10 @@
             # Only valid during this callback: later the parser has forgotten the length of the response.
             self.may_reuse = self.parser.should_keep_alive()
 
-    def is_quiet(self) -> bool:
+    def has_no_unread_input(self) -> bool:
         """Whether neither bytes nor a close wait unread in the kernel. After the next request is written they
         would be taken for its response, or for a reset during its execution."""
-        return self.pool.is_transport_quiet(self.transport)
+        return self.pool.has_no_unread_input(self.transport)
 
     # -- attempts
 
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -55,10 +55,10 @@
         connect_timeout_ms: float,
         max_connections: int,
         load_report_fields: tuple[str, ...],
-        is_transport_quiet: Callable[[Any], bool],
+        has_no_unread_input: Callable[[Any], bool],
         was_transport_reset: Callable[[Any], bool] = lambda _transport: False,
     ) -> None:
-        self.is_transport_quiet = is_transport_quiet
+        self.has_no_unread_input = has_no_unread_input
         self.was_transport_reset = was_transport_reset
         self._loop = loop
         self._clock = clock
@@ -229,7 +229,7 @@
         if not rested and len(worker.idle) >= MAX_RESTING_CONNECTIONS:
             rested = [one for one in worker.idle if now - one.idle_since_ms >= MIN_REUSE_DELAY_MS]
         for connection in rested:
-            if connection.is_quiet():
+            if connection.has_no_unread_input():
                 worker.idle.remove(connection)
                 return connection
             connection.abort()
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -349,7 +349,7 @@
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
         writer.write(answer(body=b"twice"))
-        while connection.is_quiet():
+        while connection.has_no_unread_input():
             await asyncio.sleep(0)
         client.send(request())
         ended, again = await worker.asked(), await worker.asked()
