--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -24,7 +24,13 @@
 from plumpick.gateway.clock import Clock, Timer, Timers
 from plumpick.gateway.config import Address, Config
 from plumpick.gateway.errors import SettingsRejectedError
-from plumpick.gateway.http_client import CallFailedError, HttpConnection, HttpResponse, call_errors, host_of
+from plumpick.gateway.http_client import (
+    CallFailedError,
+    HttpConnection,
+    HttpResponse,
+    call_errors,
+    format_address,
+)
 from plumpick.policy.dynamic_config import subscriber as protocol
 from plumpick.policy.dynamic_config.delta import SettingsJson
 from plumpick.policy.dynamic_config.errors import (
@@ -168,7 +174,7 @@
 
     def _on_failure(self, request: ConfigWatchRequest, problem: Exception) -> None:
         self._connection.abort()
-        self._log_problem(f"{host_of(self._addresses[request.address_index])}: {problem}")
+        self._log_problem(f"{format_address(self._addresses[request.address_index])}: {problem}")
 
     def _log_problem(self, problem: str) -> None:
         now_ms = self._clock.now()
--- a/plumpick/gateway/http_client.py
+++ b/plumpick/gateway/http_client.py
@@ -106,7 +106,7 @@
         """Write a GET request for the target (path and query)."""
         assert self._writer is not None
         assert self._address is not None
-        self._writer.write(f"GET {target} HTTP/1.1\r\nHost: {host_of(self._address)}\r\n\r\n".encode())
+        self._writer.write(f"GET {target} HTTP/1.1\r\nHost: {format_address(self._address)}\r\n\r\n".encode())
 
     async def read(self, max_bytes: int) -> bytes:
         """Wait for bytes and return them; empty if the peer has closed the connection. Raises OSError."""
@@ -143,6 +143,6 @@
         raise CallFailedError(f"the connection failed: {problem}") from problem
 
 
-def host_of(address: Address) -> str:
+def format_address(address: Address) -> str:
     """Format an address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -87,7 +87,7 @@
                 "nothing is done for the fleet here: the operator's file names no duties"
             )
         if name == "DRAIN":
-            return self._drain_in_turn(participant, argument)
+            return self._request_fleet_drain(participant, argument)
         is_rejected, text = (
             participant.tasks_status(argument) if name == "DUTIES" else participant.budgets_status(argument)
         )
@@ -95,7 +95,7 @@
             raise CommandRejectedError(text)
         return text
 
-    def _drain_in_turn(self, participant: ClusterParticipant, argument: str) -> str:
+    def _request_fleet_drain(self, participant: ClusterParticipant, argument: str) -> str:
         """Execute DRAIN FLEET: this gateway drains once it holds the fleet's restart permit. Raises
         CommandRejectedError."""
         if argument.upper() != "FLEET":
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -62,7 +62,7 @@
         self.connection_count = 0  # number of connections that are open or being opened
         self.connecting: list[Attempt] = []  # attempts that wait for their connection to be established
 
-    def is_same_process(self, entry: WorkerEntry) -> bool:
+    def is_same_incarnation(self, entry: WorkerEntry) -> bool:
         """Whether an entry of a later list denotes this incarnation of the worker, not its replacement."""
         return self.entry.address == entry.address and self.entry.server.started_ms == entry.server.started_ms
 
@@ -98,7 +98,7 @@
         self.body_bytes = 0
         self.content_type = b""
         self.load_text = b""
-        self.says_not_executed = False
+        self.is_marked_not_executed = False
         self.may_reuse = False
         self.is_chunked = False
         self.content_length = -1  # value of Content-Length; -1 if missing
@@ -222,7 +222,7 @@
             if name == b"x-load":
                 self.load_text = value
             elif name == b"x-not-run":
-                self.says_not_executed = value == b"1"
+                self.is_marked_not_executed = value == b"1"
             elif name == b"content-type":
                 self.content_type = value
             elif name == b"content-length":
@@ -361,7 +361,7 @@
             elif attempt.is_head:
                 body = b"%d" % max(0, self.content_length)  # Content-Length in the response to HEAD
             attempt.end(AttemptResult.OK, body, self.content_type, load_report)
-        elif status in (503, 504) and self.says_not_executed:
+        elif status in (503, 504) and self.is_marked_not_executed:
             attempt.end(AttemptResult.REJECTED_BY_WORKER, load_report=load_report)
         else:  # including a 503 or 504 without X-Not-Run: the request may have been executed
             attempt.end(AttemptResult.ERROR, load_report=load_report)
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -118,7 +118,7 @@
     def _update_worker(self, entry: WorkerEntry) -> None:
         is_ready = entry.server.state is EndpointState.READY
         worker = self._workers.get(entry.server.id)
-        if worker is not None and is_ready and worker.is_same_process(entry):
+        if worker is not None and is_ready and worker.is_same_incarnation(entry):
             worker.entry = entry
             return
         if worker is not None:
