--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -202,7 +202,7 @@
         """A datagram about leases has come from a gateway."""
         self._step([MessageReceived(sender, data)])
 
-    def want_restart_permit(self, wanted: bool) -> str:
+    def request_restart_permit(self, wanted: bool) -> str:
         """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
         if not self._settings.terms.restart_permits:
             return "there are no turns: fleet.turns in the operator's file is 0"
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -199,7 +199,7 @@
     def on_datagram(self, sender: int, data: bytes) -> None:
         """Handle a lease message from another gateway."""
 
-    def want_restart_permit(self, wanted: bool) -> str:
+    def request_restart_permit(self, wanted: bool) -> str:
         """Request a restart permit, after whose grant this gateway drains, or withdraw the request. Returns
         an error text, empty if the request is accepted."""
 
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -67,7 +67,7 @@
         if name in ("DUTIES", "BUDGETS") or (name == "DRAIN" and argument):
             return self._execute_cluster_command(name, argument)
         if name == "UNDRAIN" and context.participant is not None:
-            context.participant.want_restart_permit(False)
+            context.participant.request_restart_permit(False)
         text = f"{name}{' ' if argument else ''}{argument}"
         try:
             self.apply(name, argument)
@@ -100,7 +100,7 @@
         CommandRejectedError."""
         if argument.upper() != "FLEET":
             raise CommandRejectedError("DRAIN takes FLEET, or nothing more")
-        error = participant.want_restart_permit(True)
+        error = participant.request_restart_permit(True)
         log.info(
             "operator: DRAIN FLEET: %s", f"rejected: {error}" if error else "waiting for a restart permit"
         )
--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -121,9 +121,9 @@
 
 def test_a_restart_permit_drains_and_its_release_undrains():
     async def scenario(part, orders):
-        assert part.want_restart_permit(True) == ""
+        assert part.request_restart_permit(True) == ""
         await until(lambda: orders == ["DRAIN"])
-        part.want_restart_permit(False)
+        part.request_restart_permit(False)
         await until(lambda: orders == ["DRAIN", "UNDRAIN"])
 
     run_alone([], scenario, turns=1)
