--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -218,7 +218,8 @@
     def request_lifetimes_ms(self) -> list[float]:
         """Return the deadline of each request class in force and the remaining time of each open request,
         whose class may since have been removed or changed."""
-        return [one.deadline_ms for one in self.settings.classes] + self.requests.remaining_ms()
+        class_deadlines_ms = [request_class.deadline_ms for request_class in self.settings.classes]
+        return class_deadlines_ms + self.requests.remaining_ms()
 
     def _set_admission_state(self, action: SetAdmissionState) -> None:
         """Change which clients are accepted: SetAdmissionState of the policy."""
@@ -255,7 +256,7 @@
 
     def has_stalled(self) -> bool:
         """Whether bytes read now may have waited unread during a stall of this process."""
-        return self._stalls.unread_ms(self.clock.now()) > 0.0
+        return self._stalls.max_unread_ms(self.clock.now()) > 0.0
 
     def create_request_stream(self, source: PausableSource, length: int) -> Any:
         """Create the RequestStream for a request body of `length` bytes (-1: unknown)."""
@@ -264,7 +265,7 @@
     def submit(self, sink: ResponseSink, incoming: IncomingRequest) -> OpenRequest:
         """Open a request, which then gets exactly one final response; raises DuplicateRequestIdError."""
         now = self.clock.now()
-        return self.requests.submit(sink, incoming, now, self._stalls.unread_ms(now))
+        return self.requests.submit(sink, incoming, now, self._stalls.max_unread_ms(now))
 
     def on_body_complete(self, request: OpenRequest) -> None:
         """Start the request's deadline: the last byte of its streamed body has been received."""
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -66,7 +66,7 @@
     word, *arguments = line.split()[:3] or [b""]
     name = word.upper()
     if name not in ARGUMENT_COUNTS:
-        raise CommandError("no such call; there are " + ", ".join(one.decode() for one in ARGUMENT_COUNTS))
+        raise CommandError("no such call; there are " + ", ".join(name.decode() for name in ARGUMENT_COUNTS))
     minimum, maximum = ARGUMENT_COUNTS[name]
     if not minimum <= len(line.split()) - 1 <= maximum:
         raise CommandError(f"{name.decode()} takes {_expected_arguments(minimum, maximum)}")
@@ -178,9 +178,9 @@
         """Close the oldest connections without a complete command until `maximum` remain; newer ones may not
         have been read yet. Answered connections are closed last, so that their replies are delivered."""
         self._is_eviction_due = False
-        by_age = [one for one in self.connections if not one.is_done]
-        by_age += [one for one in self.connections if one.is_done]
-        for connection in by_age[: max(0, len(by_age) - maximum)]:
+        eviction_order = [conn for conn in self.connections if not conn.is_done]
+        eviction_order += [conn for conn in self.connections if conn.is_done]
+        for connection in eviction_order[: max(0, len(eviction_order) - maximum)]:
             self._abort(connection)
 
     def sweep(self, now: float) -> None:
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -110,18 +110,18 @@
         self._awaiting_request[connection] = now
         return True
 
-    def evict_disconnected(self, now: float, has_ended: Callable[[AdmittedConnection], bool]) -> bool:
+    def evict_disconnected(self, now: float, has_closed: Callable[[AdmittedConnection], bool]) -> bool:
         """Close the connections whose clients disconnected before anything was read from them; returns
         whether there were any. If not, the next try is delayed by SWEEP_INTERVAL_MS, since each try makes a
         system call for every waiting connection."""
         if now < self._next_eviction_ms:
             return False
-        ended = [one for one in self._awaiting_request if not one.request_started and has_ended(one)]
-        self._next_eviction_ms = now if ended else now + SWEEP_INTERVAL_MS
-        for connection in ended:
+        closed = [conn for conn in self._awaiting_request if not conn.request_started and has_closed(conn)]
+        self._next_eviction_ms = now if closed else now + SWEEP_INTERVAL_MS
+        for connection in closed:
             self.remove(connection)
             connection.abort()
-        return bool(ended)
+        return bool(closed)
 
     # -- events of a connection
 
@@ -179,17 +179,17 @@
         excess = len(self.connections) - self.capacity(spare)
         if excess <= 0:
             return
-        silent = [one for one in self._awaiting_request if not one.request_started]
+        unstarted = [conn for conn in self._awaiting_request if not conn.request_started]
         started = sorted(
-            (one for one in self._awaiting_request if one.request_started),
-            key=lambda one: one.last_activity_ms,
+            (conn for conn in self._awaiting_request if conn.request_started),
+            key=lambda conn: conn.last_activity_ms,
         )
-        old_silent = [one for one in silent if now - self._awaiting_request[one] > NEW_CONNECTION_MS]
-        new_silent = [one for one in silent if now - self._awaiting_request[one] <= NEW_CONNECTION_MS]
-        stopped = [one for one in started if now - one.last_activity_ms > STOPPED_SENDING_MS]
-        sending = [one for one in started if now - one.last_activity_ms <= STOPPED_SENDING_MS]
-        by_use = [*self._closing, *old_silent, *self._idle, *stopped, *new_silent, *sending]
-        for connection in by_use[:excess]:
+        old = [conn for conn in unstarted if now - self._awaiting_request[conn] > NEW_CONNECTION_MS]
+        new = [conn for conn in unstarted if now - self._awaiting_request[conn] <= NEW_CONNECTION_MS]
+        stopped = [conn for conn in started if now - conn.last_activity_ms > STOPPED_SENDING_MS]
+        sending = [conn for conn in started if now - conn.last_activity_ms <= STOPPED_SENDING_MS]
+        eviction_order = [*self._closing, *old, *self._idle, *stopped, *new, *sending]
+        for connection in eviction_order[:excess]:
             self.remove(connection)
             connection.abort()
 
@@ -198,7 +198,7 @@
         connection stays for CROWDED_IDLE_MS, since it may bring a readiness check."""
         for connection in list(self._idle):
             connection.close_if_idle()
-        waiting = [one for one, since in self._awaiting_request.items() if now - since > CROWDED_IDLE_MS]
+        waiting = [conn for conn, since in self._awaiting_request.items() if now - since > CROWDED_IDLE_MS]
         for connection in waiting:
             if reject_incomplete:
                 connection.reject_incomplete_request()
@@ -229,9 +229,9 @@
 
     def _time_out_requests(self, now: float, timeout_ms: float) -> None:
         overdue = [
-            one
-            for one, since in self._awaiting_request.items()
-            if now - since > timeout_ms and now - since > timeout_ms + one.body_time_allowance_ms()
+            conn
+            for conn, since in self._awaiting_request.items()
+            if now - since > timeout_ms and now - since > timeout_ms + conn.body_time_allowance_ms()
         ]
         for connection in overdue:
             connection.time_out_request()
@@ -243,15 +243,15 @@
         max_idle_ms = MIN_IDLE_MS if has_many_idle else MAX_IDLE_MS
         excess = len(self.connections) - len(self._closing) - self.crowded_connections
         if excess > 0:  # a genuine client sends its request without delay
-            quiet = [
-                one
-                for one, since in self._awaiting_request.items()
-                if not one.request_started and now - since > CROWDED_IDLE_MS
+            candidates = [
+                conn
+                for conn, since in self._awaiting_request.items()
+                if not conn.request_started and now - since > CROWDED_IDLE_MS
             ]
-            quiet += [one for one, since in self._idle.items() if now - since > CROWDED_IDLE_MS]
-            for connection in quiet[:excess]:
+            candidates += [conn for conn, since in self._idle.items() if now - since > CROWDED_IDLE_MS]
+            for connection in candidates[:excess]:
                 connection.close_if_idle()
-        idle = [one for one, since in self._idle.items() if now - since > max_idle_ms]
+        idle = [conn for conn, since in self._idle.items() if now - since > max_idle_ms]
         if has_many_idle:
             idle = idle[: len(self._idle) - self.max_long_idle]
         for connection in idle:
@@ -261,14 +261,16 @@
         """Close the half-closed connections whose client has read its response and sends nothing more, sends
         for too long, or has stopped reading."""
         linger_ms = SHUTDOWN_LINGER_MS if is_shutting_down else LINGER_MS
-        unread_ms = SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS if is_shutting_down else UNREAD_RESPONSE_TIMEOUT_MS
-        for connection in [one for one, since in self._closing.items() if now - since > linger_ms]:
+        unread_timeout_ms = (
+            SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS if is_shutting_down else UNREAD_RESPONSE_TIMEOUT_MS
+        )
+        for connection in [conn for conn, since in self._closing.items() if now - since > linger_ms]:
             unwritten = connection.unwritten_bytes()
             before = connection.unwritten_at_last_sweep
             connection.unwritten_at_last_sweep = unwritten
             if unwritten and unwritten != before:  # the client is still reading
                 self._closing[connection] = now
-            elif unwritten and now - self._closing[connection] <= unread_ms:
+            elif unwritten and now - self._closing[connection] <= unread_timeout_ms:
                 continue
             elif self._may_linger_on(connection, now) and not is_shutting_down:
                 connection.received_while_closing = False
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -67,11 +67,11 @@
     def _admit(self, connection: ConnectionState, now: float, spare: int) -> bool:
         if self.admission.admit(connection, now, spare):
             return True
-        has_room = self.admission.evict_disconnected(
+        has_evicted = self.admission.evict_disconnected(
             now,
             lambda other: self.has_peer_closed(other.transport),  # type: ignore[attr-defined]
         )
-        return has_room and self.admission.admit(connection, now, spare)
+        return has_evicted and self.admission.admit(connection, now, spare)
 
     def _evict_excess(self) -> None:
         self._is_eviction_due = False
--- a/plumpick/gateway/listeners/http/validation.py
+++ b/plumpick/gateway/listeners/http/validation.py
@@ -49,7 +49,7 @@
     """Validates requests against the settings in force."""
 
     def __init__(self, settings: Settings) -> None:
-        self._classes = {one.name.encode(): one for one in settings.classes}
+        self._classes = {request_class.name.encode(): request_class for request_class in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
         # Customers repeat the same X-Call-Terms, so parsed values are cached; errors are not.
         self._call_terms = functools.lru_cache(CALL_TERMS_CACHE_SIZE)(
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -118,9 +118,9 @@
         if error:
             raise CommandRejectedError(error)
 
-    def change_settings(self, present: Config, config: Config) -> None:
+    def change_settings(self, current: Config, config: Config) -> None:
         """Have the policy put new settings in force now; raises SettingsRejectedError."""
-        _check_reconfiguration(present, config)
+        _check_reconfiguration(current, config)
         command_id = self._turn.next_id()
         self._turn.post(SettingsChanged(command_id, config.settings))
         error = self._run(command_id, "the module failed on them; see the log")
@@ -138,11 +138,11 @@
         self._errors[action.id] = action.error
 
 
-def _check_reconfiguration(present: Config, config: Config) -> None:
-    """Check that `config` can replace `present` without a restart, as far as the gateway itself is concerned;
+def _check_reconfiguration(current: Config, config: Config) -> None:
+    """Check that `config` can replace `current` without a restart, as far as the gateway itself is concerned;
     raises SettingsRejectedError."""
     for name in RESTART_ONLY_FIELDS:
-        if getattr(config, name) != getattr(present, name):
+        if getattr(config, name) != getattr(current, name):
             raise SettingsRejectedError(f"{name}: it cannot change before a restart")
     for key, value in (("dialTimeoutMs", config.dial_timeout_ms), ("connIdleMs", config.idle_ms)):
         if not 0 < value < math.inf:
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -45,13 +45,13 @@
         self._ids = RequestIds()
 
     def submit(
-        self, sink: ResponseSink, incoming: IncomingRequest, now: float, unread_ms: float
+        self, sink: ResponseSink, incoming: IncomingRequest, now: float, max_unread_ms: float
     ) -> OpenRequest:
-        """Open a request and return it; raises DuplicateRequestIdError. `unread_ms`: maximum time for which
-        it may have been unread during a stall of this process."""
+        """Open a request and return it; raises DuplicateRequestIdError. `max_unread_ms`: maximum time for
+        which it may have been unread during a stall of this process."""
         self._ids.claim(incoming.id)
         # A pipelined request has also waited for the responses to earlier ones since `received_ms`.
-        waited_ms = unread_ms + now - incoming.received_ms
+        waited_ms = max_unread_ms + now - incoming.received_ms
         wait_ms = max(incoming.timeout_ms - waited_ms, min(incoming.timeout_ms, 2 * DEADLINE_MARGIN_MS))
         end_ms = min(self.shutdown_deadline_ms, self.late_deadline_ms)
         deadline_ms = min(now + wait_ms, max(end_ms, now + 2 * DEADLINE_MARGIN_MS))
--- a/plumpick/gateway/shutdown.py
+++ b/plumpick/gateway/shutdown.py
@@ -66,7 +66,7 @@
 
     async def wait_for(self, event: asyncio.Event, timeout_s: float) -> bool:
         """Wait for the event or SIGTERM for at most `timeout_s`; returns whether one of them occurred."""
-        tasks = [self._loop.create_task(one.wait()) for one in (event, self._requested)]
+        tasks = [self._loop.create_task(awaited.wait()) for awaited in (event, self._requested)]
         try:
             await asyncio.wait(tasks, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
--- a/plumpick/gateway/stall_detector.py
+++ b/plumpick/gateway/stall_detector.py
@@ -10,7 +10,7 @@
 # After a stall the event loop accepts waiting connections over several iterations and reads each of them one
 # iteration later. These bounds tell for how long bytes read may date from the stall.
 BACKLOG_READ_MS = 20.0  # minimum time after the stall
-QUIET_TURNS = 3  # number of consecutive loop iterations without a new connection that end the backlog
+QUIET_ITERATIONS = 3  # number of consecutive loop iterations without a new connection that end the backlog
 MAX_BACKLOG_MS = 1000.0  # maximum time after the stall: under steady traffic connections never cease
 
 
@@ -24,15 +24,15 @@
         self._last_stall_ms = 0.0  # duration of the latest stall
         self._backlog_until_ms = 0.0  # earliest end of its backlog
         self._backlog_ends_ms = 0.0  # latest end of its backlog
-        self._quiet_turns_left = 0
+        self._quiet_iterations_left = 0
         self._accepted = 0  # connections accepted up to the previous loop iteration
 
-    def unread_ms(self, now: float) -> float:
+    def max_unread_ms(self, now: float) -> float:
         """Return the maximum time for which bytes read now may have been unread; 0.0 without a stall."""
         delay_ms = self._sweep_delay_ms(now)
         if delay_ms > STALL_THRESHOLD_MS:
             return delay_ms
-        is_accepting = self._quiet_turns_left > 0 and now < self._backlog_ends_ms
+        is_accepting = self._quiet_iterations_left > 0 and now < self._backlog_ends_ms
         return self._last_stall_ms if is_accepting or now < self._backlog_until_ms else 0.0
 
     def sweep(self, now: float) -> None:
@@ -44,18 +44,20 @@
         self._last_stall_ms = delay_ms
         self._backlog_until_ms = now + BACKLOG_READ_MS
         self._backlog_ends_ms = now + MAX_BACKLOG_MS
-        if not self._quiet_turns_left:
-            self._call_soon(self._on_turn)
-        self._quiet_turns_left = QUIET_TURNS
+        if not self._quiet_iterations_left:
+            self._call_soon(self._on_loop_iteration)
+        self._quiet_iterations_left = QUIET_ITERATIONS
 
-    def _on_turn(self) -> None:
+    def _on_loop_iteration(self) -> None:
         """Check at the start of a loop iteration whether the previous one accepted connections."""
         accepted = sum(listener.accepted_connections for listener in self._listeners)
-        is_quiet = accepted == self._accepted
+        has_accepted_none = accepted == self._accepted
         self._accepted = accepted
-        self._quiet_turns_left = self._quiet_turns_left - 1 if is_quiet else QUIET_TURNS
-        if self._quiet_turns_left:
-            self._call_soon(self._on_turn)
+        self._quiet_iterations_left = (
+            self._quiet_iterations_left - 1 if has_accepted_none else QUIET_ITERATIONS
+        )
+        if self._quiet_iterations_left:
+            self._call_soon(self._on_loop_iteration)
 
     def _sweep_delay_ms(self, now: float) -> float:
         return max((listener.sweep_delay_ms(now) for listener in self._listeners), default=0.0)
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -225,10 +225,10 @@
     def _reusable_connection(self, worker: Worker, now: float) -> WorkerConnection | None:
         """Return the most recently used idle connection that has been idle for the reuse delay and has no
         unread input, or None. Connections found to have unread input are closed."""
-        rested = [one for one in reversed(worker.idle) if now - one.idle_since_ms >= REUSE_DELAY_MS]
-        if not rested and len(worker.idle) >= MAX_RESTING_CONNECTIONS:
-            rested = [one for one in worker.idle if now - one.idle_since_ms >= MIN_REUSE_DELAY_MS]
-        for connection in rested:
+        reusable = [conn for conn in reversed(worker.idle) if now - conn.idle_since_ms >= REUSE_DELAY_MS]
+        if not reusable and len(worker.idle) >= MAX_RESTING_CONNECTIONS:
+            reusable = [conn for conn in worker.idle if now - conn.idle_since_ms >= MIN_REUSE_DELAY_MS]
+        for connection in reusable:
             if connection.has_no_unread_input():
                 worker.idle.remove(connection)
                 return connection
