--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -193,11 +193,11 @@
     def readiness(self) -> str:
         """Return the reply to READY; raises CommandRejectedError while this process accepts no clients."""
         if not self.is_serving:
-            raise CommandRejectedError("not up yet")
+            raise CommandRejectedError("not accepting clients yet")
         if self.is_shutting_down:
-            raise CommandRejectedError("ending")
+            raise CommandRejectedError("shutting down")
         if self.has_handed_over:
-            raise CommandRejectedError("handed over")
+            raise CommandRejectedError("handed over to the successor process")
         return "draining" if self.admission_state else "ready"
 
     def reconfigure(self, config: Config) -> None:
--- a/plumpick/gateway/http_client.py
+++ b/plumpick/gateway/http_client.py
@@ -55,10 +55,10 @@
             # A close completes a body without a declared length (RFC 9112, 6.3); a reset never does.
             self.is_complete = self.is_complete or self._is_in_body and not self._has_length
             if not self.is_complete:
-                raise CallFailedError("the connection ended")
+                raise CallFailedError("the server closed the connection before the response was complete")
             return
         if self.received_bytes > self._max_bytes:
-            raise CallFailedError("an answer without end")
+            raise CallFailedError(f"the response exceeds {self._max_bytes} bytes")
         self._parser.feed_data(data)
 
     # -- the parser's callbacks
@@ -117,7 +117,8 @@
         """Return the body of a complete response; raises CallFailedError if its status is not in `statuses`.
         Aborts the connection if the server does not keep it open."""
         if response.status not in statuses:
-            raise CallFailedError(f"status {response.status}")
+            expected = " or ".join(str(status) for status in statuses)
+            raise CallFailedError(f"unexpected status {response.status}, expected {expected}")
         if not response.keeps_alive:
             self.abort()
         return response.body
@@ -136,11 +137,11 @@
     try:
         yield
     except TimeoutError as problem:
-        raise CallFailedError("no answer in time", timed_out=connection.is_open) from problem
+        raise CallFailedError("no response in time", timed_out=connection.is_open) from problem
     except httptools.HttpParserError as problem:
-        raise CallFailedError("an answer that is no HTTP") from problem
+        raise CallFailedError("the response is not valid HTTP") from problem
     except OSError as problem:
-        raise CallFailedError(f"the connection failed: {problem}") from problem
+        raise CallFailedError(f"connection failed: {problem}") from problem
 
 
 def format_address(address: Address) -> str:
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -52,7 +52,7 @@
         self.buffered += data[: MAX_LINE_BYTES + 1]
         line, end, _ = self.buffered.partition(b"\n")
         if len(line) + len(end) > MAX_LINE_BYTES:
-            raise CommandError("the line is too long")
+            raise CommandError(f"the command line is longer than {MAX_LINE_BYTES} bytes")
         if end or (ended and line):
             return line.removesuffix(b"\r")
         return None
@@ -62,21 +62,24 @@
     """Return the command and its argument (empty if none); raises CommandError. The command is not
     case-sensitive, its argument is."""
     if not line.isascii() or not line.decode().isprintable():
-        raise CommandError("the line holds what is no text")
+        raise CommandError("the command line is not printable ASCII text")
     word, *arguments = line.split()[:3] or [b""]
     name = word.upper()
     if name not in ARGUMENT_COUNTS:
-        raise CommandError("no such call; there are " + ", ".join(name.decode() for name in ARGUMENT_COUNTS))
+        commands = ", ".join(command.decode() for command in ARGUMENT_COUNTS)
+        raise CommandError(f"unknown command {name[:20].decode()!r}, expected one of {commands}")
     minimum, maximum = ARGUMENT_COUNTS[name]
-    if not minimum <= len(line.split()) - 1 <= maximum:
-        raise CommandError(f"{name.decode()} takes {_expected_arguments(minimum, maximum)}")
+    count = len(line.split()) - 1
+    if not minimum <= count <= maximum:
+        expected = _expected_arguments(minimum, maximum)
+        raise CommandError(f"{name.decode()}: expected {expected}, got {count}")
     return name.decode(), arguments[0].decode() if arguments else ""
 
 
 def _expected_arguments(minimum: int, maximum: int) -> str:
     if minimum:
         return "one id"
-    return "one word at most" if maximum else "nothing more"
+    return "at most one argument" if maximum else "no argument"
 
 
 class AdminConnection:
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -61,7 +61,7 @@
         if name == "CONFIGURATION":
             if context.settings_source is None:
                 raise CommandRejectedError(
-                    "settings are those of the file: the operator's names no [configuration]"
+                    "no settings service is configured: the operator's file has no [configuration] table"
                 )
             return context.settings_source.status_line()
         if name in ("DUTIES", "BUDGETS") or (name == "DRAIN" and argument):
@@ -83,9 +83,7 @@
         """Execute a command that concerns all gateways; raises CommandRejectedError."""
         participant = self._context.participant
         if participant is None:
-            raise CommandRejectedError(
-                "nothing is done for the fleet here: the operator's file names no duties"
-            )
+            raise CommandRejectedError("no fleet tasks are configured: the operator's file has no duties")
         if name == "DRAIN":
             return self._request_fleet_drain(participant, argument)
         is_rejected, text = (
@@ -99,14 +97,14 @@
         """Execute DRAIN FLEET: this gateway drains once it holds the fleet's restart permit. Raises
         CommandRejectedError."""
         if argument.upper() != "FLEET":
-            raise CommandRejectedError("DRAIN takes FLEET, or nothing more")
+            raise CommandRejectedError(f"DRAIN: expected FLEET or no argument, got {argument!r}")
         error = participant.request_restart_permit(True)
         log.info(
             "operator: DRAIN FLEET: %s", f"rejected: {error}" if error else "waiting for a restart permit"
         )
         if error:
             raise CommandRejectedError(error)
-        return "DRAIN FLEET: when it is our turn"
+        return "DRAIN FLEET: this gateway drains once it is granted the restart permit"
 
     def apply(self, name: str, argument: str) -> None:
         """Have the policy execute a command now. Raises CommandRejectedError, and ValueError for a command
@@ -114,7 +112,7 @@
         kind = CommandKind(name.lower())
         command_id = self._turn.next_id()
         self._turn.post(OperatorCommand(command_id, kind, argument))
-        error = self._run(command_id, "the order failed; see the log")
+        error = self._run(command_id, "the policy failed to execute the command; see the log")
         if error:
             raise CommandRejectedError(error)
 
@@ -123,7 +121,7 @@
         _check_reconfiguration(current, config)
         command_id = self._turn.next_id()
         self._turn.post(SettingsChanged(command_id, config.settings))
-        error = self._run(command_id, "the module failed on them; see the log")
+        error = self._run(command_id, "the policy failed to apply the settings; see the log")
         if error:
             raise SettingsRejectedError(error)
 
@@ -143,7 +141,9 @@
     raises SettingsRejectedError."""
     for name in RESTART_ONLY_FIELDS:
         if getattr(config, name) != getattr(current, name):
-            raise SettingsRejectedError(f"{name}: it cannot change before a restart")
+            raise SettingsRejectedError(f"{name}: cannot change without a restart")
     for key, value in (("dialTimeoutMs", config.dial_timeout_ms), ("connIdleMs", config.idle_ms)):
         if not 0 < value < math.inf:
-            raise SettingsRejectedError(f"settings.limits.{key}: {value!r} is not above 0")
+            raise SettingsRejectedError(
+                f"settings.limits.{key}: expected a finite number above 0, got {value!r}"
+            )
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -120,7 +120,7 @@
     async def scenario(machine):
         (machine.folder / "operator.toml").write_text("")
         process, calls = await machine.start()
-        assert (await says(calls)).startswith("-ERR settings are those of the file")
+        assert (await says(calls)).startswith("-ERR no settings service is configured")
         assert machine.put_in_force(process.pid) == [] and machine.service.calls == 0
 
     on_a_machine(tmp_path, scenario)
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -508,7 +508,7 @@
         while b"may come here again" not in said:
             said += await first.stderr.read(4096)
         await one.start()
-        assert (await say(one.management[0], b"READY\n")).startswith("-ERR handed over")
+        assert (await say(one.management[0], b"READY\n")).startswith("-ERR handed over to the successor")
         first.send_signal(signal.SIGTERM)
         assert await first.wait() == 0
         client = await Client().open(one.port)
@@ -595,7 +595,7 @@
         clients = [asyncio.create_task(keep_asking(one.port, 1000, counts)) for _ in range(16)]
         while counts["whole"] < 50:
             await asyncio.sleep(0.01)
-        assert await say(one.management[0], b"READY\n") == "-ERR handed over\n"
+        assert await say(one.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
         old.kill()
         await old.wait()
         while counts["whole"] < 100:
@@ -650,7 +650,7 @@
                 await ask_readiness(client, one.port)
             rounds += 1
         await starting
-        assert await say(one.management[0], b"READY\n") == "-ERR handed over\n"
+        assert await say(one.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         for client in clients:
@@ -690,7 +690,7 @@
         assert counts["lost"] == counts["refused"] == 0 and counts["whole"] == counts["sent"]
         assert descriptors_of(old) <= open_before + 8
         new = await one.start()
-        assert await say(one.management[0], b"READY\n") == "-ERR handed over\n"
+        assert await say(one.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0 and new.returncode is None
         assert "Traceback" not in (await old.stderr.read()).decode()
