--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -5,7 +5,7 @@
 import socket
 
 import pytest
-from support.delays import later
+from support.delays import advance_time
 from support.fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
 
 from plumpick.gateway.platform import Platform
@@ -110,7 +110,7 @@
             await asyncio.sleep(0)
         for _ in range(3):  # it is busy for a while
             assert one.unwritten_bytes()
-            later(gate, 1500)
+            advance_time(gate, 1500)
         parts = [await plug.receive()]
         while parts[-1]:
             parts.append(await plug.receive())
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -6,7 +6,7 @@
 import weakref
 
 import pytest
-from support.delays import later
+from support.delays import advance_time
 from support.fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
 
 from plumpick.gateway.clock import Timers
@@ -810,10 +810,10 @@
         while said.strip() and not any(one.incoming for one in gate.front.admission.connections):
             await asyncio.sleep(0)
         await taken(gate, 1)
-        later(gate, 2000)
+        advance_time(gate, 2000)
         (one,) = gate.front.admission.connections
         assert not one.is_closing
-        later(gate, 3000 - SWEEP_INTERVAL_MS)
+        advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
             told = await client.answer()
         except ConnectionResetError:  # blank lines that were not read yet
@@ -933,12 +933,12 @@
             _, writer = await worker.asked()
             writer.write(answer())
             await one.answer()
-        later(gate, 1900)
+        advance_time(gate, 1900)
         assert len(gate.front.admission) == 2
-        later(gate, 2100)
+        advance_time(gate, 2100)
         assert await first.ends()
         assert len(gate.front.admission) == 1
-        later(gate, 61_000)
+        advance_time(gate, 61_000)
         assert await second.ends()
 
     one_worker(scenario)
@@ -955,12 +955,12 @@
             _, writer = await worker.asked()
             writer.write(answer())
             await one.answer()
-        later(gate, 300)
+        advance_time(gate, 300)
         assert await client.ends()
         client.close()  # it has heard our end; until then what it still sends is read and dropped
         while len(gate.front.admission) > 1:
             await asyncio.sleep(0)
-        later(gate, 300)
+        advance_time(gate, 300)
         other.send(request())
         assert (await worker.asked())[0] is not None
 
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -20,8 +20,8 @@
     run,
     settings,
 )
-from support.raw_client import Raw, head_of
-from support.shutdown import served
+from support.raw_client import RawWorker, read_head
+from support.shutdown import run_served_gateway
 
 from plumpick.gateway import process
 from plumpick.gateway.config import parse_config
@@ -183,14 +183,14 @@
 
 def test_a_body_that_goes_on_while_it_comes_goes_on_over_a_change():
     async def scenario():
-        async with Raw() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with RawWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
             client, size = await gate.client(), 4 * MAX_BUFFERED_BODY_BYTES
             head = request("00000000000000f1", "/debit", body=b"-").replace(
                 b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size
             )[:-1]
             client.send(head + b"a" * (size // 2))
-            reader, writer = await worker.came.get()
-            assert "POST /debit" in await head_of(reader)
+            reader, writer = await worker.accepted.get()
+            assert "POST /debit" in await read_head(reader)
             assert put(gate, drop("debit")) == ""
             assert put(gate, lambda _: None) == ""
             assert put(gate, drop("debit")) == ""
@@ -446,7 +446,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         await task
 
-    served(scenario, monkeypatch)
+    run_served_gateway(scenario, monkeypatch)
     assert asked == [[1.234]]
 
 
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -20,7 +20,7 @@
     told,
 )
 from support.processes import UP, free_port, until_up
-from support.shutdown import served
+from support.shutdown import run_served_gateway
 
 from plumpick.gateway import management, process, shutdown
 from plumpick.policy.events import RequestReceived
@@ -78,7 +78,7 @@
         await task
         assert task.exception() is None
 
-    served(scenario, monkeypatch)
+    run_served_gateway(scenario, monkeypatch)
 
 
 def test_sigterm_twice_and_a_sighup_between_end_it_once(monkeypatch):
@@ -95,7 +95,7 @@
         await task
         assert await client.ends()
 
-    served(scenario, monkeypatch)
+    run_served_gateway(scenario, monkeypatch)
 
 
 def test_the_time_to_the_end_counts_from_the_first_sigterm():
@@ -131,7 +131,7 @@
         assert b"200 OK" in await plugs[0].receive()
         plugs[0].close()
 
-    served(scenario, monkeypatch, (0.05, 20.0, 25.0), management=f"{HOST}:{free_port()}")
+    run_served_gateway(scenario, monkeypatch, (0.05, 20.0, 25.0), management=f"{HOST}:{free_port()}")
 
 
 def test_with_no_list_at_all_it_is_ready_once_the_first_has_come(monkeypatch):
@@ -149,4 +149,4 @@
         await until_up(port)
         assert (await client.send(UP).answer())[0] == 200
 
-    served(scenario, monkeypatch, known=listing())
+    run_served_gateway(scenario, monkeypatch, known=listing())
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -5,7 +5,7 @@
 import httptools
 import pytest
 from support.fakes import Client, Gate, Message, Script, entry, request, run
-from support.raw_client import Raw, head_of, whole_answer
+from support.raw_client import RawWorker, read_head, read_response
 
 from plumpick.gateway.upstream.streaming_body import (
     MAX_BUFFERED_BODY_BYTES,
@@ -21,7 +21,7 @@
 
 def one_raw(scenario, **more):
     async def whole():
-        async with Raw() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
+        async with RawWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
             await scenario(worker, gate, await gate.client())
 
     run(whole())
@@ -51,8 +51,8 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         sent = chunked(body) if form == "chunks" else body
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + head + b"\r\n" + sent[:100_000])
         first = await client.reader.readuntil(b"\r\n\r\n")  # before the rest has been written at all
@@ -75,7 +75,7 @@
         )
         if form == "length":  # both connections may be used again
             client.send(request())
-            assert "X-Request-Id" in await head_of(reader)
+            assert "X-Request-Id" in await read_head(reader)
 
     one_raw(scenario)
 
@@ -85,15 +85,15 @@
 def test_an_answer_that_breaks_off_cannot_pass_for_whole(tenth, form):
     async def scenario(worker, gate, client):
         client.send(request())
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         body = bytes(300_000)
         head = b"Content-Length: 300000" if form == "length" else b"Transfer-Encoding: chunked"
         sent = body if form == "length" else chunked(body)
         writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + sent[: tenth * len(sent) // 10])
         await writer.drain()
         writer.close()
-        status, _, got, whole = await whole_answer(client.reader)
+        status, _, got, whole = await read_response(client.reader)
         assert not whole or status != 200
         assert len(got) < 300_000
         assert (await gate.script.event(AttemptCompleted)).result in (
@@ -108,8 +108,8 @@
 def test_a_client_of_http_1_0_gets_a_large_answer_of_unknown_length_to_the_end_of_its_connection():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(bytes(200_000)))
         told = await client.reader.read()
         head, _, body = told.partition(b"\r\n\r\n")
@@ -121,14 +121,14 @@
 def test_a_small_answer_that_ends_with_its_connection_is_whole_and_a_reset_is_not():
     async def scenario(worker, gate, client):
         client.send(request())
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         writer.write_eof()
         assert (await client.answer())[::2] == (200, b"all of it")
         client.send(request())
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\na part")
         await writer.drain()
         await asyncio.sleep(0)
@@ -143,8 +143,8 @@
     async def scenario(worker, gate, client):
         client.writer.transport.pause_reading()
         client.send(request())
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (32 * BIG))
         written = 0
         try:
@@ -167,8 +167,8 @@
 def test_an_answer_of_which_nothing_moves_is_given_up_and_one_that_goes_on_is_not():
     async def scenario(worker, gate, client):
         client.send(request(deadline=100))
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))
         await client.reader.readexactly(70_000)
         now = gate.keeper.clock.now()
@@ -188,10 +188,10 @@
 def test_head_gets_the_head_alone():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"GET", b"HEAD"))
-        reader, writer = await worker.came.get()
-        assert (await head_of(reader)).startswith("HEAD ")
+        reader, writer = await worker.accepted.get()
+        assert (await read_head(reader)).startswith("HEAD ")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n")
-        assert "Content-Length: 1234" in (await head_of(client.reader))
+        assert "Content-Length: 1234" in (await read_head(client.reader))
 
     one_raw(scenario)
 
@@ -213,8 +213,8 @@
     async def scenario(worker, gate, client):
         data = upload(body, form)
         client.send(data[:200_000])
-        reader, writer = await worker.came.get()
-        await head_of(reader)  # before the rest has been sent at all
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)  # before the rest has been sent at all
         client.send(data[200_000:])
         got = b""
         if form == "length":
@@ -228,7 +228,7 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
         assert (await client.answer())[::2] == (200, b"done")
         client.send(request())  # the client's connection is of use again
-        await head_of((await worker.came.get())[0])
+        await read_head((await worker.accepted.get())[0])
 
     one_raw(scenario)
 
@@ -237,8 +237,8 @@
     async def scenario(worker, gate, client):
         data = upload(bytes(300_000), "length", deadline=300)
         client.send(data[:-1])
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         await asyncio.sleep(0.5)
         assert gate.keeper.requests.open
         client.send(data[-1:])
@@ -251,8 +251,8 @@
 def test_a_worker_that_breaks_before_the_last_byte_never_had_it():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.transport.abort()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert (await client.answer())[0] == 502
@@ -263,8 +263,8 @@
 def test_a_worker_that_refuses_before_the_last_byte_has_its_answer_heard():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
         assert (await client.answer())[0] == 502 and not gate.keeper._streams._requests
@@ -275,8 +275,8 @@
 def test_a_client_that_stops_in_its_body_is_told_and_its_worker_let_go():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         await reader.readexactly(900_000)
         gate.keeper._streams.sweep(gate.keeper.clock.now() + 5000.0, gate.keeper.requests.on_upload_stalled)
         assert (await client.answer())[0] == 408
@@ -288,7 +288,7 @@
 def test_a_client_that_goes_in_its_body_leaves_nothing():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "chunks")[:1_000_000])
-        await head_of((await worker.came.get())[0])
+        await read_head((await worker.accepted.get())[0])
         client.writer.transport.abort()
         await gate.script.event(AttemptCompleted)
         assert (
@@ -310,8 +310,8 @@
         client.send(head + b"\r\n\r\n")
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
         client.send(body)
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         await reader.readexactly(100_000)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await client.answer())[0] == 200
@@ -327,8 +327,8 @@
         head, _, body = data.partition(b"\r\n\r\n")
         head = head.replace(b"\r\n", b" \t\r\n").replace(b"HTTP/1.1 \t", b"HTTP/1.1")
         client.send(head + b" \r\n\r\n" + body)
-        reader, writer = await worker.came.get()
-        assert "X-Request-Id" in await head_of(reader) and await reader.readexactly(4) == b"body"
+        reader, writer = await worker.accepted.get()
+        assert "X-Request-Id" in await read_head(reader) and await reader.readexactly(4) == b"body"
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
 
@@ -338,8 +338,8 @@
 def test_a_target_in_absolute_form_goes_on_as_a_path():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"GET /look", b"GET http://api.internal/look?x=1"))
-        reader, _ = await worker.came.get()
-        assert (await head_of(reader)).startswith("GET /look?x=1 HTTP/1.1")
+        reader, _ = await worker.accepted.get()
+        assert (await read_head(reader)).startswith("GET /look?x=1 HTTP/1.1")
 
     one_raw(scenario)
 
@@ -347,12 +347,12 @@
 def test_a_large_request_behind_an_open_one_waits_for_its_turn():
     async def scenario(worker, gate, client):
         client.send(request() + upload(bytes(BIG), "length"))
-        reader, writer = await worker.came.get()
-        await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nfirst")
         assert (await client.answer())[2] == b"first"
-        reader, writer = await worker.came.get()
-        assert "POST /debit" in await head_of(reader)
+        reader, writer = await worker.accepted.get()
+        assert "POST /debit" in await read_head(reader)
         await reader.readexactly(BIG)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
         assert (await client.answer())[2] == b"second"
@@ -411,10 +411,10 @@
         for one in clients:
             one.send(request())
         for _ in clients:
-            reader, writer = await worker.came.get()
-            await head_of(reader)
+            reader, writer = await worker.accepted.get()
+            await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(1_000_000))
-        answers = await asyncio.gather(*(whole_answer(one.reader) for one in clients))
+        answers = await asyncio.gather(*(read_response(one.reader) for one in clients))
         assert all(whole and len(body) == 1_000_000 for _, _, body, whole in answers)
         assert not gate.keeper._streams._budget.stream_count
 
@@ -427,12 +427,12 @@
     async def scenario(worker, gate, _client):
         async def serve():
             while True:
-                reader, writer = await worker.came.get()
+                reader, writer = await worker.accepted.get()
                 tasks.append(asyncio.create_task(answer_all(reader, writer)))
 
         async def answer_all(reader, writer):
             try:
-                while await head_of(reader):
+                while await read_head(reader):
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
-from support.raw_client import whole_answer
+from support.raw_client import read_response
 
 from plumpick.gateway.platform import Platform
 from plumpick.policy.events import AttemptCompleted, AttemptResult
@@ -100,7 +100,7 @@
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
-            status, _, _, whole = await whole_answer(client.reader)
+            status, _, _, whole = await read_response(client.reader)
             assert (status, whole) == ((502, True) if len(part) < 65536 else (200, False))
 
     run(scenario())
--- a/tests/support/delays.py
+++ b/tests/support/delays.py
@@ -1,10 +1,10 @@
-"""Something that happens later on a gateway's clock."""
+"""Helper that advances the clock of a gateway's client connections."""
 
 from plumpick.gateway.listeners.http.connection_admission import SWEEP_INTERVAL_MS
 
 
-def later(gate, ms):
-    """Let so much time go by for the connections of clients, and no stall of ours."""
+def advance_time(gate, ms):
+    """Sweep the client connections as if `ms` had passed without a stall of this process."""
     admission, now = gate.front.admission, gate.keeper.clock.now() + ms
     admission._last_sweep_ms = now - SWEEP_INTERVAL_MS
     admission.sweep(now, gate.keeper.is_draining)
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -1,4 +1,4 @@
-"""A client that reads and writes raw bytes."""
+"""A fake worker that exchanges raw bytes, and helpers that read HTTP messages from a stream."""
 
 import asyncio
 
@@ -6,18 +6,19 @@
 from support.fakes import HOST, Message
 
 
-class Raw:
-    """A worker that gives its connections to the test as they are."""
+class RawWorker:
+    """A fake worker that passes each accepted connection to the test, as a (reader, writer) pair in the queue
+    `accepted`."""
 
     async def __aenter__(self):
-        self.came, self.writers = asyncio.Queue(), []
+        self.accepted, self.writers = asyncio.Queue(), []
         self.server = await asyncio.start_server(self._serve, HOST, 0, limit=2**16)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     async def _serve(self, reader, writer):
         self.writers.append(writer)
-        await self.came.put((reader, writer))
+        await self.accepted.put((reader, writer))
 
     async def __aexit__(self, *_):
         self.server.close()
@@ -25,12 +26,13 @@
             writer.transport.abort()
 
 
-async def head_of(reader):
+async def read_head(reader):
     return (await reader.readuntil(b"\r\n\r\n")).decode()
 
 
-async def whole_answer(reader):
-    """(status, headers, body, whether it is whole) of what comes until it is whole or the connection ends."""
+async def read_response(reader):
+    """Read until the response is complete or the connection ends; return its status, headers, body, and
+    whether it is complete."""
     message = Message(httptools.HttpResponseParser)
     try:
         while not message.whole:
--- a/tests/support/shutdown.py
+++ b/tests/support/shutdown.py
@@ -1,4 +1,4 @@
-"""A served gateway that is told to end."""
+"""A gateway run in the test process, so that tests can send it SIGTERM."""
 
 import asyncio
 
@@ -16,11 +16,12 @@
 from plumpick.gateway.config import parse_config
 
 
-def served(scenario, monkeypatch, ending=(0.05, 0.1, 0.3), **more):
-    """The daemon in this process, which signals reach; `scenario` is given its port and the fake
-    discovery."""
+def run_served_gateway(scenario, monkeypatch, phases_s=(0.05, 0.1, 0.3), **more):
+    """Run the gateway's daemon in this process, where it receives signals, together with a scenario. The
+    scenario is called with the daemon's port, the fake discovery, a fake worker and the daemon's task.
+    `phases_s`: result of `shutdown_times`; `more`: further configuration values."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port = free_port()
             values = {"known": listing(entry("w1", worker.port)), **more}
@@ -32,5 +33,5 @@
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
 
-    monkeypatch.setattr(process, "shutdown_times", lambda _deadlines: ending)
-    run(whole())
+    monkeypatch.setattr(process, "shutdown_times", lambda _deadlines: phases_s)
+    run(run_scenario())
