--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -1,6 +1,6 @@
-"""Between the choice of a worker and the first byte: connections that come up late, clients that go
-meanwhile, windows of repeats that close, word of drains. Each crossing is forced by holding the connection
-back."""
+"""Events between the choice of a worker and the write of the request: slow connection setup, a client
+disconnect, the end of a deduplication window, a drain. The tests force each order of events by delaying the
+connection to the worker."""
 
 import asyncio
 
@@ -29,31 +29,33 @@
     TimerFired,
 )
 
-STAYS = settings(cancel=False)  # where attempts may not be cancelled
+NO_CANCELLATION = settings(cancel=False)  # settings under which attempts may not be cancelled
 
 
-def held(scenario, script=None, **more):
-    """One worker, w1, whose connections come up when the test says so, one gatekeeper and one client."""
+def run_with_held_connections(scenario, script=None, **more):
+    """Run a scenario with one worker, w1, one gateway and one client. Connections to the worker are
+    established only once the scenario sets `dials.go`."""
 
-    async def whole():
+    async def run_scenario():
         async with (
             FakeWorker() as worker,
             Gate(script or Script(), known=[entry("w1", worker.port)], **more) as gate,
         ):
             await scenario(worker, gate, await gate.client(), HeldDials(gate))
 
-    run(whole())
+    run(run_scenario())
 
 
-def test_a_repeat_whose_connection_comes_up_after_its_window_never_leaves():
-    """Seen on the day zone+brink (seed 4): a checkout was sent again outside its window of 1 s, chosen within
-    it, while a connection took up to 0.25 s to come up."""
+def test_retry_is_not_sent_if_its_connection_is_established_after_the_deduplication_window():
+    """Guards against a double execution seen in a rehearsal (zone+brink, seed 4): a retry was chosen within
+    its deduplication window of 1 s, but establishing its connection took up to 0.25 s, and it was sent after
+    the window."""
 
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x"))
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=400.0)]
-        gate.keeper.post_event(TimerFired("again"))
+        received = await gate.script.event(RequestReceived)
+        gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=400.0)]
+        gate.keeper.post_event(TimerFired("retry"))
         await dials.opened.wait()
         clock = gate.keeper.clock
         gate.keeper.connection_pool._clock = type(
@@ -64,23 +66,24 @@
         gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
-    held(scenario, Script(worker=None))
+    run_with_held_connections(scenario, Script(worker=None))
 
 
-def test_a_repeat_chosen_before_a_stalled_turn_does_not_leave_on_a_kept_connection_either():
+def test_retry_is_not_sent_on_an_idle_connection_if_its_window_ended_during_a_stall():
     async def scenario():
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
             writer.write(answer())
-            assert (await client.answer())[0] == 200  # its connection is kept
+            assert (await client.answer())[0] == 200  # the connection to the worker is idle now
             gate.script.worker = None
             client.send(request(path="/book", key="k1", body=b"x"))
             await gate.script.event(RequestReceived)
-            came = await gate.script.event(RequestReceived)
-            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0, start_within_ms=-1.0)]  # over by now
-            gate.keeper.post_event(TimerFired("again"))
+            received = await gate.script.event(RequestReceived)
+            # The window has already ended when the attempt is started.
+            gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=-1.0)]
+            gate.keeper.post_event(TimerFired("retry"))
             await gate.script.event(AttemptCompleted)
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
             gate.script.worker = "w1"
@@ -89,24 +92,25 @@
     run(scenario())
 
 
-def test_nothing_begins_after_the_final_answer_where_attempts_may_not_be_cancelled():
-    """Seen on the variant's day zone+brink: "sent on after its final answer", twice."""
+def test_uncancellable_attempt_is_not_sent_after_the_final_response():
+    """Guards against a fault seen in a rehearsal (zone+brink): two requests were sent to a worker after their
+    final response."""
 
     async def scenario(worker, gate, client, dials):
         client.send(request())
         await dials.opened.wait()
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [RejectRequest(came.id, 250.0)]
-        gate.keeper.post_event(TimerFired("refuse"))
+        received = await gate.script.event(RequestReceived)
+        gate.script.to_do = [RejectRequest(received.id, 250.0)]
+        gate.keeper.post_event(TimerFired("reject"))
         assert (await client.answer())[0] == 503
         dials.go.set()
         await next_is(worker, gate)
         assert not gate.keeper.requests.attempts
 
-    held(scenario, settings=STAYS)
+    run_with_held_connections(scenario, settings=NO_CANCELLATION)
 
 
-def test_nothing_begins_after_its_client_has_gone_where_attempts_may_not_be_cancelled():
+def test_uncancellable_attempt_is_not_sent_after_its_client_has_disconnected():
     async def scenario(worker, gate, client, dials):
         client.send(request())
         await dials.opened.wait()
@@ -115,20 +119,20 @@
         dials.go.set()
         await next_is(worker, gate)
 
-    held(scenario, settings=STAYS)
+    run_with_held_connections(scenario, settings=NO_CANCELLATION)
 
 
-def test_a_second_copy_that_waits_for_its_connection_ends_with_the_first_ones_answer():
+def test_hedged_request_that_waits_for_its_connection_is_not_sent_after_the_first_response():
     async def scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             known = [entry("w1", worker.port), entry("w2", other.port)]
-            async with Gate(Script(), known=known, settings=STAYS) as gate:
+            async with Gate(Script(), known=known, settings=NO_CANCELLATION) as gate:
                 client = await gate.client()
                 client.send(request())
                 _, writer = await worker.asked()
                 dials = HeldDials(gate)
-                came = await gate.script.event(RequestReceived)
-                gate.script.to_do = [StartAttempt(came.id, "w2", 9000.0)]
+                received = await gate.script.event(RequestReceived)
+                gate.script.to_do = [StartAttempt(received.id, "w2", 9000.0)]
                 gate.keeper.post_event(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
@@ -140,29 +144,29 @@
     run(scenario())
 
 
-async def gone_unread(gate, client):
-    """The client ends its sending, and that is there, unread. (Of a close the answer that is written to it
-    would tell by a reset, some time later.)"""
-    (one,) = gate.front.admission.connections
+async def disconnect_unread(gate, client):
+    """Have the client end its sending, and wait until the kernel has received that, still unread by the
+    gateway. (After a full close, a response written to the client would later cause a reset.)"""
+    (connection,) = gate.front.admission.connections
     client.writer.write_eof()
-    while not Platform().has_peer_closed(one.transport):
+    while not Platform().has_peer_closed(connection.transport):
         await asyncio.sleep(0)
-    return one
+    return connection
 
 
-def test_what_waited_behind_an_open_request_is_not_sent_once_its_client_has_gone(monkeypatch):
-    """Reading is held while something waits behind an open request: its client's end is not read."""
+def test_pipelined_request_is_not_sent_after_its_client_has_disconnected(monkeypatch):
+    """While a pipelined request waits, reading is suspended and the client's disconnect is not read."""
     monkeypatch.setattr(
         "plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0
-    )  # its connection is used again at once
+    )  # the connection to the worker is reused without delay
 
     async def scenario():
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request("0000000000000001") + request("0000000000000002"))
             _, writer = await worker.asked()
-            one = await gone_unread(gate, client)
-            assert one.is_reading_suspended and one.open_request is not None
+            connection = await disconnect_unread(gate, client)
+            assert connection.is_reading_suspended and connection.open_request is not None
             writer.write(answer())
             await next_is(worker, gate)
             assert not gate.keeper.requests.open
@@ -170,8 +174,8 @@
     run(scenario())
 
 
-class Again(Script):
-    """Sends a request once more after a bad outcome."""
+class RetryingScript(Script):
+    """A policy that starts another attempt on w1 after a failed one."""
 
     def handle(self, now, events):
         actions = super().handle(now, events)
@@ -181,22 +185,24 @@
         ]
 
 
-@pytest.mark.parametrize("behind", [b"", request("0000000000000002")], ids=["alone", "one behind it"])
-def test_no_further_attempt_begins_once_its_client_has_gone(behind):
+@pytest.mark.parametrize(
+    "pipelined", [b"", request("0000000000000002")], ids=["no pipelined request", "one pipelined request"]
+)
+def test_retry_is_not_sent_after_the_client_has_disconnected(pipelined):
     async def scenario():
-        async with FakeWorker() as worker, Gate(Again(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, Gate(RetryingScript(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
-            client.send(request("0000000000000001") + behind)
+            client.send(request("0000000000000001") + pipelined)
             _, writer = await worker.asked()
-            await gone_unread(gate, client)
-            writer.transport.abort()  # its attempt is reset, and the module sends it again
+            await disconnect_unread(gate, client)
+            writer.transport.abort()  # resets the attempt, after which the policy retries
             await next_is(worker, gate)
 
     run(scenario())
 
 
-def test_after_a_stall_timers_send_nothing_whose_client_has_gone_meanwhile():
-    """Timers come before what is read: its client's end is there, and has not been read yet."""
+def test_attempt_started_by_a_timer_after_a_stall_is_not_sent_if_the_client_has_disconnected():
+    """After a stall, timers fire before waiting bytes are read: the client's disconnect is still unread."""
 
     async def scenario():
         async with (
@@ -205,12 +211,13 @@
         ):
             plug = Plug(gate.port)
             plug.send(request())
-            came = await gate.script.event(RequestReceived)
-            (one,) = gate.front.admission.connections
-            plug.close()  # from here on the loop does not turn
-            assert Platform().has_peer_closed(one.transport) and came.id in gate.keeper.requests.open
+            received = await gate.script.event(RequestReceived)
+            (connection,) = gate.front.admission.connections
+            plug.close()  # from here on the event loop does not run
+            assert Platform().has_peer_closed(connection.transport)
+            assert received.id in gate.keeper.requests.open
             gate.front.admission._last_sweep_ms = gate.keeper.clock.now() - 1000.0
-            gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
+            gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0)]
             gate.keeper.post_event(TimerFired("timer"))
             gate.keeper._turn.run()
             assert not gate.keeper.requests.attempts and not gate.keeper.requests.open
@@ -220,29 +227,30 @@
     run(scenario())
 
 
-def later(gate, by_ms):
-    """The clock by which attempts leave goes on by so much."""
+def advance_pool_clock(gate, by_ms):
+    """Advance the clock of the gateway's connection pool by `by_ms`."""
     clock = gate.keeper.clock
     gate.keeper.connection_pool._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + by_ms)})
 
 
-@pytest.mark.parametrize("script", [Script(), Again("nowhere")], ids=["first", "further"])
-def test_an_attempt_tells_its_worker_what_is_left_when_its_bytes_leave(script):
-    """Seen on zone+brink (brink seed 61): 5 of 21 further attempts told more time than was left."""
+@pytest.mark.parametrize("script", [Script(), RetryingScript("nowhere")], ids=["first attempt", "retry"])
+def test_attempt_states_the_time_left_when_its_request_is_written(script):
+    """Guards against a fault seen in a rehearsal (zone+brink, brink seed 61): 5 of 21 retries stated more
+    time than was left."""
 
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x", deadline=5000))
         await dials.opened.wait()
-        later(gate, 1900.0)
+        advance_pool_clock(gate, 1900.0)
         dials.go.set()
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
-    held(scenario, script)
+    run_with_held_connections(scenario, script)
 
 
-def test_an_attempt_on_a_kept_connection_does_not_tell_more_than_is_left_either():
-    """Between the module's look at the clock and the write the process may stand still."""
+def test_attempt_on_an_idle_connection_states_the_time_left_when_its_request_is_written():
+    """The process may stall between the policy's decision and the write."""
 
     async def scenario():
         async with (
@@ -254,7 +262,7 @@
             _, writer = await worker.asked()
             writer.write(answer())
             assert (await client.answer())[0] == 200
-            later(gate, 1900.0)
+            advance_pool_clock(gate, 1900.0)
             client.send(request(deadline=5000))
             message, _ = await worker.asked()
             assert worker.connections == 1 and 0 < int(message.headers["x-deadline-ms"]) <= 3000
@@ -262,7 +270,7 @@
     run(scenario())
 
 
-def test_an_attempt_of_a_gatekeeper_that_is_told_to_end_tells_what_it_has_left_itself():
+def test_attempt_during_a_shutdown_states_the_time_left_until_the_shutdown_deadline():
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=9000))
         await dials.opened.wait()
@@ -271,38 +279,38 @@
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
 
-    held(scenario)
+    run_with_held_connections(scenario)
 
 
-def test_an_attempt_whose_connection_comes_up_after_its_deadline_never_leaves():
+def test_attempt_is_not_sent_if_its_connection_is_established_after_the_deadline():
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=5000))
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(came.id, "w1", 4900.0)]
+        received = await gate.script.event(RequestReceived)
+        gate.script.to_do = [StartAttempt(received.id, "w1", 4900.0)]
         gate.keeper.post_event(TimerFired("send"))
         await dials.opened.wait()
         clock = gate.keeper.connection_pool._clock
-        later(gate, 4901.0)
+        advance_pool_clock(gate, 4901.0)
         dials.go.set()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
-    held(scenario, Script(worker=None))
+    run_with_held_connections(scenario, Script(worker=None))
 
 
-def test_a_body_that_still_comes_has_its_time_from_its_last_byte_and_its_worker_is_told_so():
+def test_streamed_request_states_the_time_left_since_its_last_byte():
     async def scenario(worker, gate, client, dials):
         body = b"x" * 70_000
         data = request(path="/debit", body=body, deadline=5000)
         client.send(data[:-1])
         await dials.opened.wait()
-        client.send(data[-1:])  # it is whole while its connection comes up
+        client.send(data[-1:])  # the body is complete before the connection is established
         while next(iter(gate.keeper.requests.open.values())).deadline_timer is None:
             await asyncio.sleep(0)
-        later(gate, 1900.0)
+        advance_pool_clock(gate, 1900.0)
         dials.go.set()
         message, _ = await worker.asked()
         assert message.body == body and 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
-    held(scenario)
+    run_with_held_connections(scenario)
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -1,4 +1,4 @@
-"""Attempts that this gateway cannot start, by its own limits: they are not the worker's failures."""
+"""Attempts that this gateway cannot start because of its own limits must not count as worker failures."""
 
 import asyncio
 import errno
@@ -18,26 +18,26 @@
 
 
 def closed_port():
-    """A port where nobody listens."""
+    """Return a port on which no process listens."""
     with socket.create_server((HOST, 0)) as probe:
         return probe.getsockname()[1]
 
 
 async def answer_slowly(worker):
-    """Answer each request after a while, so that connections are in use."""
+    """Answer each request after ANSWER_DELAY_S, so that connections stay in use."""
     while True:
         message, writer = await worker.asked()
         if message is not None:
             asyncio.get_running_loop().call_later(ANSWER_DELAY_S, writer.write, answer())
 
 
-def homed():
-    """A request of a customer whose quota owner is this gateway."""
+def locally_owned_request():
+    """A request of a customer whose quota owner is this gateway, so that no peer is involved."""
     return request().replace(b"spread=2", b"spread=1")
 
 
-def test_in_a_crowd_that_uses_up_our_connections_only_the_worker_that_refuses_is_an_outlier():
-    """Guards against workers that are ejected, and reported to peers, for connections that we lacked."""
+def test_only_the_worker_that_refuses_connections_is_an_outlier_when_the_pool_is_exhausted():
+    """Guards against ejecting workers, and reporting them to peers, when this gateway lacked connections."""
 
     async def scenario():
         async with FakeWorker() as first, FakeWorker() as second:
@@ -48,29 +48,31 @@
                 clients = [await gate.client() for _ in range(CLIENTS)]
                 answers = []
                 for _ in range(ROUNDS):
-                    answers += await asyncio.gather(*(client.send(homed()).answer() for client in clients))
+                    answers += await asyncio.gather(
+                        *(client.send(locally_owned_request()).answer() for client in clients)
+                    )
                 for task in serving:
                     task.cancel()
                 assert {status for status, *_ in answers} <= {200, 502, 503}
                 tracked = gate.keeper.controller.state.endpoints.tracked
-                failed = {name: sum(one.failed.values()) for name, one in tracked.items()}
+                failed = {name: sum(endpoint.failed.values()) for name, endpoint in tracked.items()}
                 assert failed["w1"] == failed["w2"] == 0.0 < failed["w3"]
                 candidates = gate.keeper.controller.state.outliers.candidates
-                assert [one.endpoint.id for one in candidates] == ["w3"]
+                assert [candidate.endpoint.id for candidate in candidates] == ["w3"]
 
     run(scenario())
 
 
-def with_worker(scenario, script=None):
-    async def whole():
+def run_with_worker(scenario, script=None):
+    async def run_scenario():
         async with FakeWorker() as worker, Gate(script or Script(), known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
-    run(whole())
+    run(run_scenario())
 
 
 @pytest.mark.parametrize("limit", ["worker", "all"])
-def test_attempt_beyond_our_own_limit_of_connections_is_not_started(monkeypatch, limit):
+def test_attempt_above_the_limit_on_connections_is_not_started(monkeypatch, limit):
     async def scenario(worker, gate, client):
         if limit == "worker":
             monkeypatch.setattr(f"{POOL}.MAX_CONNECTIONS_PER_WORKER", 1)
@@ -82,13 +84,15 @@
         other.send(request())
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
-    with_worker(scenario)
+    run_with_worker(scenario)
 
 
-@pytest.mark.parametrize("number", ["EMFILE", "ENFILE", "EADDRNOTAVAIL", "ENOBUFS", "ENOMEM"])
-def test_connection_for_which_the_system_has_nothing_left_is_not_the_workers_failure(monkeypatch, number):
+@pytest.mark.parametrize("error_name", ["EMFILE", "ENFILE", "EADDRNOTAVAIL", "ENOBUFS", "ENOMEM"])
+def test_connection_error_from_a_local_resource_shortage_does_not_count_as_worker_failure(
+    monkeypatch, error_name
+):
     async def refuse(*_):
-        raise OSError(getattr(errno, number), "as planted")
+        raise OSError(getattr(errno, error_name), "injected by the test")
 
     async def scenario(worker, gate, client):
         dials = HeldDials(gate)
@@ -97,10 +101,10 @@
         client.send(request())
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
-    with_worker(scenario)
+    run_with_worker(scenario)
 
 
-def test_connection_that_the_worker_refuses_is_its_failure():
+def test_connection_refused_by_the_worker_counts_as_its_failure():
     async def scenario():
         async with Gate(Script(), known=[entry("w1", closed_port())]) as gate:
             client = await gate.client()
@@ -110,15 +114,15 @@
     run(scenario())
 
 
-@pytest.mark.parametrize("what", ["drained", "unknown"])
-def test_attempt_for_a_worker_that_has_left_is_not_its_failure(what):
+@pytest.mark.parametrize("worker_state", ["drained", "unknown"])
+def test_attempt_for_a_worker_that_has_left_service_does_not_count_as_its_failure(worker_state):
     async def scenario(worker, gate, client):
-        if what == "drained":
+        if worker_state == "drained":
             dials = HeldDials(gate)
             client.send(request())
             await dials.opened.wait()
-            news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-            gate.keeper.on_worker_list(parse_worker_list(news, "list"))
+            update = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
+            gate.keeper.on_worker_list(parse_worker_list(update, "list"))
             dials.go.set()
         else:
             gate.script.worker = None
@@ -128,4 +132,4 @@
             gate.keeper.on_worker_list(gate.keeper.config.known)
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
-    with_worker(scenario)
+    run_with_worker(scenario)
