--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""Closing a client's connection, in the very moment in which something comes on it."""
+"""Closing a client's connection at the moment at which bytes arrive on it."""
 
 import asyncio
 import os
@@ -12,41 +12,45 @@
 from plumpick.gateway.shutdown import close_listener
 
 
-def one_worker(scenario):
-    async def whole():
+def run_with_worker(scenario):
+    async def run_scenario():
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
-    run(whole())
+    run(run_scenario())
 
 
-async def exchanged(worker, client, extra=""):
+async def exchange(worker, client, extra=""):
+    """Have the client send a request and the worker answer it."""
     client.send(request(extra=extra))
     _, writer = await worker.asked()
     writer.write(answer())
 
 
 def test_response_is_delivered_when_connection_closes_over_unread_bytes():
-    """Closed over unread bytes a connection is reset; `Connection: close` closed so, at once."""
+    """Guards against closing a connection at once after a response with `Connection: close`: with unread
+    bytes on it the connection is reset, and the response is lost."""
 
     async def scenario(worker, gate, client):
         client.close()
         plug = Plug(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
-        one.transport.pause_reading()  # as if the loop had not come to it
+        connection = busy_connection(gate)
+        connection.transport.pause_reading()  # as if the event loop had not polled the connection yet
         plug.send(b"GET /lo")
         writer.write(answer())
         assert b"200 OK" in await plug.receive() and await plug.receive() == b""
         plug.close()
 
-    one_worker(scenario)
+    run_with_worker(scenario)
 
 
-@pytest.mark.parametrize("late", [b"GET /look HT", request("00000000000000ee")], ids=["half a line", "whole"])
-def test_request_that_arrives_while_an_idle_connection_closes_is_never_submitted(late):
-    """Its client reads a clean end and asks anew; it is neither reset nor sent on."""
+@pytest.mark.parametrize(
+    "late_bytes", [b"GET /look HT", request("00000000000000ee")], ids=["partial request", "complete request"]
+)
+def test_request_that_arrives_while_an_idle_connection_closes_is_never_submitted(late_bytes):
+    """The client reads a regular close, not a reset, so it can safely retry the request elsewhere."""
 
     async def scenario(worker, gate, client):
         client.close()
@@ -54,85 +58,85 @@
         plug.send(request())
         _, writer = await worker.asked()
         writer.write(answer())
-        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
+        connection = busy_connection(gate)
         assert b"200 OK" in await plug.receive()
-        look = gate.front.has_no_unread_input
-
-        def look_and_then(transport):
-            quiet = look(transport)
-            plug.send(late)
-            assert quiet and not look(transport)  # it is there before the loop turns
-            return quiet
-
-        gate.front.has_no_unread_input = look_and_then
-        one.close_if_idle()
-        gate.front.has_no_unread_input = look
-        assert one.is_closing and await plug.receive() == b""
+        has_no_unread_input = gate.front.has_no_unread_input
+
+        def check_then_send(transport):
+            result = has_no_unread_input(transport)
+            plug.send(late_bytes)
+            assert result and not has_no_unread_input(transport)  # received before the loop runs again
+            return result
+
+        gate.front.has_no_unread_input = check_then_send
+        connection.close_if_idle()
+        gate.front.has_no_unread_input = has_no_unread_input
+        assert connection.is_closing and await plug.receive() == b""
         plug.close()
         await next_is(worker, gate)
         assert not gate.keeper.requests.open
 
-    one_worker(scenario)
+    run_with_worker(scenario)
 
 
 def test_idle_connections_closed_together_end_cleanly_while_their_clients_send():
     async def scenario(worker, gate, client):
         clients = [client] + [await gate.client() for _ in range(20)]
-        for one in clients:
-            await exchanged(worker, one)
-            assert (await one.answer())[0] == 200
+        for each_client in clients:
+            await exchange(worker, each_client)
+            assert (await each_client.answer())[0] == 200
         gate.front.close_idle()
-        for one in clients:
-            one.send(request())
-        for one in clients:
-            assert await one.reader.read() == b""
-            one.close()
+        for each_client in clients:
+            each_client.send(request())
+        for each_client in clients:
+            assert await each_client.reader.read() == b""
+            each_client.close()
         while gate.front.admission:
             await asyncio.sleep(0)
         await next_is(worker, gate)
 
-    one_worker(scenario)
+    run_with_worker(scenario)
 
 
 def test_slow_reader_gets_the_whole_response_before_its_connection_closes():
-    """Seen by reading: whatever was not written 1 s after the answer's end was cut off."""
+    """Guards against dropping response bytes that are still unwritten 1 s after the end of the response."""
 
     async def scenario(worker, gate, client):
         client.close()
         plug = Plug(gate.port, room=4096)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
-        small(one)
+        connection = busy_connection(gate)
+        shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
-        while not one.is_closing:
+        while not connection.is_closing:
             await asyncio.sleep(0)
-        for _ in range(3):  # it is busy for a while
-            assert one.unwritten_bytes()
+        for _ in range(3):  # the client does not read for 4.5 s
+            assert connection.unwritten_bytes()
             advance_time(gate, 1500)
         parts = [await plug.receive()]
         while parts[-1]:
             parts.append(await plug.receive())
-        head, _, got = b"".join(parts).partition(b"\r\n\r\n")
-        assert b"200 OK" in head and got == body
+        head, _, received = b"".join(parts).partition(b"\r\n\r\n")
+        assert b"200 OK" in head and received == body
         plug.close()
 
-    one_worker(scenario)
+    run_with_worker(scenario)
 
 
 def test_connection_whose_client_reads_nothing_is_aborted_after_the_unread_timeout():
-    class Stuck:
+    class StuckConnection:
         closing_since_ms, unwritten_at_last_sweep, received_while_closing = 0.0, 0, False
 
         def __init__(self):
-            self.dropped = False
+            self.is_aborted = False
 
         def unwritten_bytes(self):
             return 1000
 
         def abort(self):
-            self.dropped = True
+            self.is_aborted = True
 
     from plumpick.gateway.listeners.http.connection_admission import (
         SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS,
@@ -141,38 +145,39 @@
         ConnectionAdmission,
     )
 
-    for ending, bound in ((False, UNREAD_RESPONSE_TIMEOUT_MS), (True, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS)):
-        stuck, admission = Stuck(), ConnectionAdmission(256, 0.0)
+    cases = ((False, UNREAD_RESPONSE_TIMEOUT_MS), (True, SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS))
+    for is_shutting_down, timeout_ms in cases:
+        stuck, admission = StuckConnection(), ConnectionAdmission(256, 0.0)
         admission.connections[stuck] = None
         admission.on_closing(stuck, 0.0)
-        now, dropped = 0.0, None
-        while now < 2 * UNREAD_RESPONSE_TIMEOUT_MS and dropped is None:
+        now, aborted_ms = 0.0, None
+        while now < 2 * UNREAD_RESPONSE_TIMEOUT_MS and aborted_ms is None:
             now += SWEEP_INTERVAL_MS
-            admission.sweep(now, ending)
-            dropped = now if stuck.dropped else None
-        assert dropped is not None and bound <= dropped <= bound + 2000.0
+            admission.sweep(now, is_shutting_down)
+            aborted_ms = now if stuck.is_aborted else None
+        assert aborted_ms is not None and timeout_ms <= aborted_ms <= timeout_ms + 2000.0
 
 
 def test_connections_in_the_backlog_are_served_when_the_listener_closes():
-    """They wait in the listener's backlog, unseen by us; closed with it they are reset."""
+    """Closing a listener resets the connections in its backlog, which the process has not accepted yet."""
 
     async def scenario():
         loop = asyncio.get_running_loop()
         async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
-            plug = Platform().create_listener((HOST, 0), 16)
-            server = await loop.create_server(gate.front.create_connection, sock=plug)
-            plugs, address = [], plug.getsockname()
-            for number in range(8):  # without a turn of the loop
-                one = Plug(address[1])
-                one.send(request(f"{number:016x}"))
-                plugs.append(one)
-            await close_listener(loop, server, plug, gate.front)
+            listening = Platform().create_listener((HOST, 0), 16)
+            server = await loop.create_server(gate.front.create_connection, sock=listening)
+            plugs, address = [], listening.getsockname()
+            for number in range(8):  # the event loop does not run meanwhile
+                plug = Plug(address[1])
+                plug.send(request(f"{number:016x}"))
+                plugs.append(plug)
+            await close_listener(loop, server, listening, gate.front)
             for _ in plugs:
                 _, writer = await worker.asked()
                 writer.write(answer())
-            for one in plugs:
-                assert b"200 OK" in await one.receive()
-                one.close()
+            for plug in plugs:
+                assert b"200 OK" in await plug.receive()
+                plug.close()
             with pytest.raises(ConnectionRefusedError):
                 socket.create_connection(address)
 
@@ -180,39 +185,45 @@
 
 
 def test_connection_with_unwritten_response_is_not_transferred_to_the_next_process():
-    """What is not with the system yet does not pass over with the descriptor."""
+    """Bytes that are not handed to the kernel yet are not transferred with the descriptor."""
 
     async def scenario(worker, gate, client):
         client.close()
-        plug, given = Plug(gate.port, room=4096), []
+        plug, transferred = Plug(gate.port, room=4096), []
 
         def pass_on(descriptor):
-            given.append(descriptor)
+            transferred.append(descriptor)
             return True
 
         plug.send(request())
         _, writer = await worker.asked()
-        (one,) = [one for one in gate.front.admission.connections if one.open_request is not None]
-        small(one)
+        connection = busy_connection(gate)
+        shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
         writer.write(answer(body=body))
-        while one.open_request is not None:
+        while connection.open_request is not None:
             await asyncio.sleep(0)
-        assert one.unwritten_bytes()
+        assert connection.unwritten_bytes()
         assert gate.front.transfer_idle_connections(pass_on)
-        assert not given
-        got = b""
-        while not got.endswith(body):
-            got += await plug.receive()
-        descriptor = one.transport.get_extra_info("socket").fileno()
+        assert not transferred
+        received = b""
+        while not received.endswith(body):
+            received += await plug.receive()
+        descriptor = connection.transport.get_extra_info("socket").fileno()
         assert gate.front.transfer_idle_connections(pass_on)
-        assert given == [descriptor]
+        assert transferred == [descriptor]
         plug.close()
 
-    one_worker(scenario)
+    run_with_worker(scenario)
 
 
-def small(one):
-    """The system keeps little of what is written there."""
-    with socket.socket(fileno=os.dup(one.transport.get_extra_info("socket").fileno())) as own:
-        own.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+def busy_connection(gate):
+    """Return the only client connection with an open request."""
+    (connection,) = [conn for conn in gate.front.admission.connections if conn.open_request is not None]
+    return connection
+
+
+def shrink_send_buffer(connection):
+    """Reduce the kernel's send buffer of the connection, so that large responses stay partly unwritten."""
+    with socket.socket(fileno=os.dup(connection.transport.get_extra_info("socket").fileno())) as plug:
+        plug.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -1,4 +1,5 @@
-"""Bodies that are too large to be kept whole, and the forms of HTTP/1.1, on both sides, over loopback."""
+"""Streaming of bodies too large to be buffered, and forms of HTTP/1.1 messages, on both sides of the gateway
+over loopback."""
 
 import asyncio
 
@@ -19,28 +20,29 @@
 BIG = 5 * 1024 * 1024
 
 
-def one_raw(scenario, **more):
-    async def whole():
+def run_with_raw_worker(scenario, **more):
+    async def run_scenario():
         async with RawWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
             await scenario(worker, gate, await gate.client())
 
-    run(whole())
+    run(run_scenario())
 
 
 def chunked(data, size=70_000):
-    parts = [data[at : at + size] for at in range(0, len(data), size)]
+    """Encode data in chunks of `size` bytes, with chunk extensions and a trailer."""
+    parts = [data[start : start + size] for start in range(0, len(data), size)]
     chunks = [b"%x;ext=1\r\n%s\r\n" % (len(part), part) for part in parts]
     return b"".join(chunks) + b"0\r\nX-Trailer: t\r\n\r\n"
 
 
-# -- answers
+# -- responses
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "end"])
-def test_a_large_answer_goes_on_unchanged_while_it_comes(form, monkeypatch):
+def test_large_response_is_forwarded_unchanged_while_it_is_received(form, monkeypatch):
     monkeypatch.setattr(
         "plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0
-    )  # its connection is used again at once
+    )  # the connection to the worker is reused without delay
 
     body = bytes(range(256)) * (BIG // 256)
     head = {
@@ -55,7 +57,7 @@
         await read_head(reader)
         sent = chunked(body) if form == "chunks" else body
         writer.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n" + head + b"\r\n" + sent[:100_000])
-        first = await client.reader.readuntil(b"\r\n\r\n")  # before the rest has been written at all
+        first = await client.reader.readuntil(b"\r\n\r\n")  # received before the worker has written the rest
         assert b" 200 " in first
         writer.write(sent[100_000:])
         if form == "end":
@@ -73,16 +75,16 @@
             and not gate.keeper._streams._requests
             and not gate.keeper._streams._budget.stream_count
         )
-        if form == "length":  # both connections may be used again
+        if form == "length":  # both connections are reusable
             client.send(request())
             assert "X-Request-Id" in await read_head(reader)
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
 @pytest.mark.parametrize("tenth", range(1, 10))
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_an_answer_that_breaks_off_cannot_pass_for_whole(tenth, form):
+def test_client_detects_a_response_that_breaks_off(tenth, form):
     async def scenario(worker, gate, client):
         client.send(request())
         reader, writer = await worker.accepted.get()
@@ -93,32 +95,32 @@
         writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n" + sent[: tenth * len(sent) // 10])
         await writer.drain()
         writer.close()
-        status, _, got, whole = await read_response(client.reader)
-        assert not whole or status != 200
-        assert len(got) < 300_000
+        status, _, received, is_complete = await read_response(client.reader)
+        assert not is_complete or status != 200
+        assert len(received) < 300_000
         assert (await gate.script.event(AttemptCompleted)).result in (
             AttemptResult.RESET,
             AttemptResult.ERROR,
         )
         assert not gate.keeper._streams._requests
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_client_of_http_1_0_gets_a_large_answer_of_unknown_length_to_the_end_of_its_connection():
+def test_http_1_0_client_gets_a_large_response_of_unknown_length_ended_by_the_close():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"HTTP/1.1", b"HTTP/1.0"))
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(bytes(200_000)))
-        told = await client.reader.read()
-        head, _, body = told.partition(b"\r\n\r\n")
+        response = await client.reader.read()
+        head, _, body = response.partition(b"\r\n\r\n")
         assert b"chunked" not in head and body == bytes(200_000)
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_small_answer_that_ends_with_its_connection_is_whole_and_a_reset_is_not():
+def test_small_response_without_length_is_complete_after_a_close_but_not_after_a_reset():
     async def scenario(worker, gate, client):
         client.send(request())
         reader, writer = await worker.accepted.get()
@@ -136,10 +138,10 @@
         writer.transport.abort()
         assert (await client.answer())[0] == 502
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_who_does_not_read_holds_its_worker_back_and_nothing_piles_up():
+def test_client_that_does_not_read_causes_backpressure_on_the_worker():
     async def scenario(worker, gate, client):
         client.writer.transport.pause_reading()
         client.send(request())
@@ -155,16 +157,16 @@
                     await writer.drain()
         except TimeoutError:
             pass
-        (one,) = gate.front.admission.connections
+        (connection,) = gate.front.admission.connections
         assert written < 32 * BIG
-        assert one.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
+        assert connection.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
         client.close()
         assert (await gate.script.event(AttemptCompleted)).result is not AttemptResult.OK
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_an_answer_of_which_nothing_moves_is_given_up_and_one_that_goes_on_is_not():
+def test_streamed_response_is_aborted_after_a_stall_but_not_after_its_deadline():
     async def scenario(worker, gate, client):
         client.send(request(deadline=100))
         reader, writer = await worker.accepted.get()
@@ -174,7 +176,7 @@
         now = gate.keeper.clock.now()
         gate.keeper._streams.sweep(
             now + 5000.0, gate.keeper.requests.on_upload_stalled
-        )  # long after its deadline
+        )  # long after the request's deadline, but before the stall timeout
         assert gate.keeper.requests.open
         gate.keeper._streams.sweep(now + 60_000.0, gate.keeper.requests.on_upload_stalled)
         assert (
@@ -182,10 +184,10 @@
             and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
         )
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_head_gets_the_head_alone():
+def test_head_request_gets_a_response_without_body():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"GET", b"HEAD"))
         reader, writer = await worker.accepted.get()
@@ -193,13 +195,14 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n")
         assert "Content-Length: 1234" in (await read_head(client.reader))
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
 # -- requests
 
 
 def upload(body, form, path="/debit", **more):
+    """The bytes of a POST request; `form`: "length" for Content-Length, "chunks" for chunked encoding."""
     data = request(path=path, body=b"x", **more).split(b"Content-Length")[0]
     if form == "length":
         return data + b"Content-Length: %d\r\n\r\n" % len(body) + body
@@ -207,33 +210,33 @@
 
 
 @pytest.mark.parametrize("form", ["length", "chunks"])
-def test_a_large_request_goes_on_unchanged_while_it_comes(form):
+def test_large_request_is_forwarded_unchanged_while_it_is_received(form):
     body = bytes(range(256)) * (BIG // 256)
 
     async def scenario(worker, gate, client):
         data = upload(body, form)
         client.send(data[:200_000])
         reader, writer = await worker.accepted.get()
-        await read_head(reader)  # before the rest has been sent at all
+        await read_head(reader)  # received before the client has sent the rest
         client.send(data[200_000:])
-        got = b""
+        received = b""
         if form == "length":
-            got = await reader.readexactly(len(body))
+            received = await reader.readexactly(len(body))
         else:
             while size := int((await reader.readline()).split(b";")[0], 16):
-                got += (await reader.readexactly(size + 2))[:-2]
+                received += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
-        assert got == body
+        assert received == body
         assert not (await gate.script.event(ResponseStarted)).is_body_retained
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
         assert (await client.answer())[::2] == (200, b"done")
-        client.send(request())  # the client's connection is of use again
+        client.send(request())  # the client's connection is reusable
         await read_head((await worker.accepted.get())[0])
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_the_time_of_a_large_request_counts_from_its_last_byte():
+def test_deadline_of_a_streamed_request_counts_from_its_last_byte():
     async def scenario(worker, gate, client):
         data = upload(bytes(300_000), "length", deadline=300)
         client.send(data[:-1])
@@ -243,12 +246,12 @@
         assert gate.keeper.requests.open
         client.send(data[-1:])
         await reader.readexactly(300_000)
-        assert (await client.answer())[0] in (502, 504)  # now it does
+        assert (await client.answer())[0] in (502, 504)  # the deadline has passed
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_worker_that_breaks_before_the_last_byte_never_had_it():
+def test_connection_lost_before_the_last_byte_was_sent_proves_that_nothing_ran():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
         reader, writer = await worker.accepted.get()
@@ -257,10 +260,10 @@
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert (await client.answer())[0] == 502
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_worker_that_refuses_before_the_last_byte_has_its_answer_heard():
+def test_rejection_by_the_worker_before_the_last_byte_is_recognised():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
         reader, writer = await worker.accepted.get()
@@ -269,10 +272,10 @@
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
         assert (await client.answer())[0] == 502 and not gate.keeper._streams._requests
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_client_that_stops_in_its_body_is_told_and_its_worker_let_go():
+def test_client_that_stops_sending_its_body_gets_408_and_the_attempt_is_cancelled():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "length")[:1_000_000])
         reader, writer = await worker.accepted.get()
@@ -282,10 +285,10 @@
         assert (await client.answer())[0] == 408
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_client_that_goes_in_its_body_leaves_nothing():
+def test_client_that_disconnects_while_sending_its_body_leaves_no_open_request():
     async def scenario(worker, gate, client):
         client.send(upload(bytes(BIG), "chunks")[:1_000_000])
         await read_head((await worker.accepted.get())[0])
@@ -297,10 +300,10 @@
             and not gate.keeper._streams._budget.stream_count
         )
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_expect_100_continue_is_answered_before_the_body():
+def test_expect_100_continue_is_answered_before_the_body_is_sent():
     async def scenario(worker, gate, client):
         data = upload(bytes(100_000), "length", extra="Expect: 100-continue\r\n")
         data = data.replace(b"Expect: 100-continue\r\n", b"", 1) if data.count(b"Expect") > 1 else data
@@ -316,11 +319,11 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         assert (await client.answer())[0] == 200
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_blanks_round_a_value_are_none_of_it_on_either_side():
-    """Seen: 133 of 1,251 requests were turned away for a blank behind a value."""
+def test_whitespace_around_a_header_value_is_ignored_for_requests_and_responses():
+    """Guards against a fault that rejected 133 of 1,251 requests because of a blank after a header value."""
 
     async def scenario(worker, gate, client):
         data = upload(b"body", "length")
@@ -332,19 +335,19 @@
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_target_in_absolute_form_goes_on_as_a_path():
+def test_request_target_in_absolute_form_is_forwarded_as_a_path():
     async def scenario(worker, gate, client):
         client.send(request().replace(b"GET /look", b"GET http://api.internal/look?x=1"))
         reader, _ = await worker.accepted.get()
         assert (await read_head(reader)).startswith("GET /look?x=1 HTTP/1.1")
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_a_large_request_behind_an_open_one_waits_for_its_turn():
+def test_large_pipelined_request_is_forwarded_after_the_response_to_the_open_one():
     async def scenario(worker, gate, client):
         client.send(request() + upload(bytes(BIG), "length"))
         reader, writer = await worker.accepted.get()
@@ -357,111 +360,115 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
         assert (await client.answer())[2] == b"second"
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-# -- the parts
+# -- units
 
 
-class Side:
+class RecordingEndpoint:
+    """A source or sink of a body that records the calls it gets."""
+
     def __init__(self):
-        self.said = []
+        self.calls = []
 
     def pause(self):
-        self.said.append("hold")
+        self.calls.append("pause")
 
     def resume(self):
-        self.said.append("go on")
+        self.calls.append("resume")
 
     def write_chunk(self, data):
-        self.said.append(data)
+        self.calls.append(data)
 
     def finish(self):
-        self.said.append("end")
+        self.calls.append("finish")
 
 
-def test_a_body_holds_its_giver_at_the_mark_and_goes_on_in_order():
-    giver, taker = Side(), Side()
-    body = StreamingBody(giver, -1, 10)
+def test_streaming_body_pauses_its_source_at_the_high_water_mark_and_forwards_in_order():
+    source, sink = RecordingEndpoint(), RecordingEndpoint()
+    body = StreamingBody(source, -1, 10)
     body.feed(b"12345")
-    assert not giver.said
+    assert not source.calls
     body.feed(b"67890")
-    assert giver.said == ["hold"] and not body.is_started
-    body.forward_to(taker)
+    assert source.calls == ["pause"] and not body.is_started
+    body.forward_to(sink)
     body.feed(b"more")
     body.finish()
-    assert giver.said == ["hold", "go on"] and taker.said == [b"12345", b"67890", b"more", "end"]
+    assert source.calls == ["pause", "resume"] and sink.calls == [b"12345", b"67890", b"more", "finish"]
 
 
-def test_marks_of_any_number_of_streams_stay_in_the_budget():
+def test_high_water_marks_of_any_number_of_streams_stay_within_the_budget():
     budget = MemoryBudget(16 * 2**20)
-    marks = []
+    high_water_marks = []
     for _ in range(100):
-        marks.append(budget.high_water_bytes())
+        high_water_marks.append(budget.high_water_bytes())
         budget.stream_count += 1
-    assert marks[0] == MAX_HIGH_WATER_BYTES
-    assert all(mark * count <= 16 * 2**20 for count, mark in enumerate(marks, 1))
+    assert high_water_marks[0] == MAX_HIGH_WATER_BYTES
+    assert all(mark * count <= 16 * 2**20 for count, mark in enumerate(high_water_marks, 1))
     budget.stream_count = 10**6
     assert budget.high_water_bytes() == MIN_HIGH_WATER_BYTES and MAX_BUFFERED_BODY_BYTES == 65536
 
 
-def test_sixty_large_answers_at_once_share_the_budget():
+def test_concurrent_large_responses_share_the_memory_budget():
     async def scenario(worker, gate, client):
         clients = [await Client().open(gate.port) for _ in range(20)]
-        for one in clients:
-            one.send(request())
+        for each_client in clients:
+            each_client.send(request())
         for _ in clients:
             reader, writer = await worker.accepted.get()
             await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(1_000_000))
-        answers = await asyncio.gather(*(read_response(one.reader) for one in clients))
-        assert all(whole and len(body) == 1_000_000 for _, _, body, whole in answers)
+        responses = await asyncio.gather(*(read_response(each.reader) for each in clients))
+        assert all(complete and len(body) == 1_000_000 for _, _, body, complete in responses)
         assert not gate.keeper._streams._budget.stream_count
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
 
 
-def test_among_three_thousand_silent_connections_requests_that_are_written_slowly_are_all_answered():
-    """They come a hundred at a time, all the while; each true request is written in pieces among them."""
+def test_slowly_written_requests_among_thousands_of_idle_connections_are_all_answered():
+    """About 3,000 idle connections are opened throughout the test, while 200 requests are written in ten
+    pieces each."""
 
     async def scenario(worker, gate, _client):
         async def serve():
             while True:
                 reader, writer = await worker.accepted.get()
-                tasks.append(asyncio.create_task(answer_all(reader, writer)))
+                tasks.append(asyncio.create_task(answer_requests(reader, writer)))
 
-        async def answer_all(reader, writer):
+        async def answer_requests(reader, writer):
             try:
                 while await read_head(reader):
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
 
-        async def ask(pieces):
-            true = await Client().open(gate.port)
+        async def send_slowly(pieces):
+            slow_client = await Client().open(gate.port)
             data = request(path="/look/true")
-            for at in range(0, len(data), len(data) // pieces + 1):
-                true.send(data[at : at + len(data) // pieces + 1])
-                crowd.append(await Client().open(gate.port))  # some of the crowd comes between
-            told = await true.answer()
-            true.close()
-            return told and told[0]
-
-        tasks, crowd, answers = [], [], []
+            size = len(data) // pieces + 1
+            for start in range(0, len(data), size):
+                slow_client.send(data[start : start + size])
+                idle_clients.append(await Client().open(gate.port))
+            response = await slow_client.answer()
+            slow_client.close()
+            return response and response[0]
+
+        tasks, idle_clients, statuses = [], [], []
         tasks.append(asyncio.create_task(serve()))
         for _ in range(20):
-            crowd += [await Client().open(gate.port) for _ in range(50)]
-            answers += await asyncio.gather(*(ask(10) for _ in range(10)))
-            while len(crowd) > 600:  # those have been closed long since
-                crowd.pop(0).close()
+            idle_clients += [await Client().open(gate.port) for _ in range(50)]
+            statuses += await asyncio.gather(*(send_slowly(10) for _ in range(10)))
+            while len(idle_clients) > 600:  # the gateway has closed these before
+                idle_clients.pop(0).close()
         for task in tasks:
             task.cancel()
-        for one in crowd:
-            one.close()
-        assert answers == [200] * 200
+        for idle_client in idle_clients:
+            idle_client.close()
+        assert statuses == [200] * 200
         assert (
             len(gate.front.admission)
             <= gate.front.admission.hard_max_connections + gate.keeper.spare_descriptors()
         )
 
-    one_raw(scenario)
+    run_with_raw_worker(scenario)
