--- a/tests/gateway/listeners/http/test_connection_admission.py
+++ b/tests/gateway/listeners/http/test_connection_admission.py
@@ -1,4 +1,4 @@
-"""Limits on client connections: eviction, time limits, and that a stall of this process extends the limits."""
+"""Limits on client connections: eviction and time limits, which a stall of this process extends."""
 
 from plumpick.gateway.listeners.http.connection_admission import (
     MIN_IDLE_MS,
