--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -201,7 +201,7 @@
         return "draining" if self.admission_state else "ready"
 
     def reconfigure(self, config: Config) -> None:
-        """Put new settings in force, from the next event turn on. `config` must equal the present
+        """Put new settings in force, from the next event turn on. `config` must equal the current
         configuration in everything except its settings.
 
         Open requests keep their class and plan, and no connection is closed. If SettingsRejectedError is
@@ -216,8 +216,8 @@
             listener.reconfigure(config.settings)
 
     def request_lifetimes_ms(self) -> list[float]:
-        """Return the deadline of each request class in force and the remaining time of each open request,
-        whose class may since have been removed or changed."""
+        """Return, in ms, the deadline of each request class in force and the remaining time of each open
+        request. A request keeps its class even if the settings have since removed or changed it."""
         class_deadlines_ms = [request_class.deadline_ms for request_class in self.settings.classes]
         return class_deadlines_ms + self.requests.remaining_ms()
 
@@ -251,7 +251,7 @@
         self._listeners.append(listener)
 
     def spare_descriptors(self) -> int:
-        """Return how many of the descriptors reserved for workers clients may use now: half of the unused."""
+        """Return how many descriptors reserved for workers may be used for clients now: half of the unused."""
         return self.connection_pool.unused_connections() // 2
 
     def has_stalled(self) -> bool:
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -63,10 +63,10 @@
     case-sensitive, its argument is."""
     if not line.isascii() or not line.decode().isprintable():
         raise CommandError("the command line is not printable ASCII text")
-    word, *arguments = line.split()[:3] or [b""]
-    name = word.upper()
+    command, *arguments = line.split()[:3] or [b""]
+    name = command.upper()
     if name not in ARGUMENT_COUNTS:
-        commands = ", ".join(command.decode() for command in ARGUMENT_COUNTS)
+        commands = ", ".join(known.decode() for known in ARGUMENT_COUNTS)
         raise CommandError(f"unknown command {name[:20].decode()!r}, expected one of {commands}")
     minimum, maximum = ARGUMENT_COUNTS[name]
     count = len(line.split()) - 1
--- a/plumpick/gateway/listeners/interface.py
+++ b/plumpick/gateway/listeners/interface.py
@@ -3,7 +3,7 @@
 
 A listener depends on the gateway only through RequestGateway. The gateway depends on a listener only through
 Listener, and on the sender of a request only through ResponseSink. Listeners do not depend on each other. The
-other protocols here decouple the gateway from optional parts of this process, whose modules are imported only
+other protocols here decouple the gateway from optional parts of this process: their modules are imported only
 if the operator's configuration enables them."""
 
 from __future__ import annotations
@@ -138,7 +138,7 @@
     admission_state: AdmissionState  # stage of draining, which determines further connections to close
 
     def spare_descriptors(self) -> int:
-        """Return how many of the descriptors reserved for workers clients may use now."""
+        """Return how many descriptors reserved for workers may be used for clients now."""
 
     def has_stalled(self) -> bool:
         """Whether bytes read now may have waited unread during a stall of this process. After a stall, timers
@@ -200,8 +200,8 @@
         """Handle a lease message from another gateway."""
 
     def request_restart_permit(self, wanted: bool) -> str:
-        """Request a restart permit, after whose grant this gateway drains, or withdraw the request. Returns
-        an error text, empty if the request is accepted."""
+        """Request a restart permit, or withdraw the request if not `wanted`. Once the permit is granted this
+        gateway drains. Returns an error text, empty if the request is accepted."""
 
     def tasks_status(self, argument: str) -> tuple[bool, str]:
         """Return whether a DUTIES command is rejected, and its reply of one line."""
--- a/plumpick/gateway/open_request.py
+++ b/plumpick/gateway/open_request.py
@@ -46,7 +46,7 @@
         self.is_head = incoming.method == b"HEAD"
         self.plan = incoming.plan
         self.units = incoming.units
-        self.wait_ms = 0.0  # time allowed for the response, from the last byte of the request
+        self.wait_ms = 0.0  # time allowed for the response, from the submission or a streamed body's end
         self.deadline_ms = math.inf  # time of the final response; infinite until a streamed body is complete
         self.deadline_timer: Timer | None = None
         self.attempt_count = 0
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -115,14 +115,14 @@
             self._cancel_attempts(request)
 
     def reject(self, action: RejectRequest) -> None:
-        """Answer 503 with a Retry-After: the policy has rejected the request."""
+        """Answer 503, with Retry-After if the policy gives a time: the policy has rejected the request."""
         request = self.open.get(action.id)
         if request is not None and self.close(request):
             self.count(request, REJECTED)
             request.sink.respond(503, retry_after_ms=action.retry_after_ms)
 
     def fail(self, action: FailRequest) -> None:
-        """Answer 502: the policy has decided on no further attempt for the request."""
+        """Answer 502: the policy has given up the request after failed attempts."""
         request = self.open.get(action.id)
         if request is not None and self.close(request):
             self.count(request, FAILED)
@@ -183,7 +183,8 @@
                 self._set_deadline(request, deadline_ms)
 
     def remaining_ms(self) -> list[float]:
-        """Return the remaining time of each open request; for a body still being streamed, its full time."""
+        """Return the remaining time of each open request in ms. While a body is still being received that is
+        all of the time allowed for the response."""
         now = self._clock.now()
         return [
             request.deadline_ms - now if request.deadline_ms < math.inf else request.wait_ms
--- a/plumpick/gateway/shutdown.py
+++ b/plumpick/gateway/shutdown.py
@@ -22,7 +22,7 @@
 # grace period.
 ANSWER_MARGIN_S = 0.5
 ANSWER_MARGIN_RATIO = 0.25
-CLOSING_WINDOW_S = 1.0  # maximum time, until all requests are answered, in which responses close connections
+CLOSING_WINDOW_S = 1.0  # maximum duration of the phase, before all is answered, that closes connections
 MIN_SERVING_S = 0.45  # minimum time after SIGTERM in which connections are kept open
 EXIT_MARGIN_S = 0.1  # time before SIGKILL at which the process exits unless bodies are still being streamed
 
