--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -251,7 +251,7 @@
         self._listeners.append(listener)
 
     def spare_descriptors(self) -> int:
-        """Return how many descriptors reserved for workers may be used for clients now: half of the unused."""
+        """Return how many descriptors reserved for workers may serve clients now: half of the unused ones."""
         return self.connection_pool.unused_connections() // 2
 
     def has_stalled(self) -> bool:
