--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -211,12 +211,12 @@
         else:
             self.close_if_idle()
 
-    def transfer(self, pass_on: Callable[[int], bool]) -> bool:
-        """Transfer the connection to another process, with its unread bytes. `pass_on` sends the descriptor
-        and returns whether it could; if not, returns False and the connection is unchanged."""
+    def transfer(self, send_descriptor: Callable[[int], bool]) -> bool:
+        """Transfer the connection to another process, with its unread bytes. `send_descriptor` sends the
+        descriptor and returns whether it could; if not, returns False and the connection is unchanged."""
         transport = self.transport
         if transport is not None and not transport.is_closing():
-            if not pass_on(transport.get_extra_info("socket").fileno()):
+            if not send_descriptor(transport.get_extra_info("socket").fileno()):
                 return False
             transport.pause_reading()
         self.abort()
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -97,14 +97,14 @@
     def __len__(self) -> int:
         return len(self.connections)
 
-    def admit(self, connection: AdmittedConnection, now: float, spare: int = 0) -> bool:
-        """Add a new connection; returns False if the hard limit is reached. `spare`: number of further
-        descriptors that no other part of the process needs now.
+    def admit(self, connection: AdmittedConnection, now: float, spare_descriptors: int = 0) -> bool:
+        """Add a new connection; returns False if the hard limit is reached. `spare_descriptors`:
+        number of further descriptors that no other part of the process needs now.
 
         After a stall of this process all waiting connections arrive together. The first ones are of clients
         that have given up, and the last ones of clients that still wait for a response. So connections above
         the soft limit are evicted only once all have been read."""
-        if len(self.connections) >= self.hard_max_connections + spare:
+        if len(self.connections) >= self.hard_max_connections + spare_descriptors:
             return False
         self.connections[connection] = None
         self._awaiting_request[connection] = now
@@ -166,17 +166,17 @@
 
     # -- limits
 
-    def capacity(self, spare: int) -> int:
-        """Return how many connections may stay open if `spare` further descriptors are unused."""
-        return min(self.hard_max_connections, self.max_connections + spare)
+    def capacity(self, spare_descriptors: int) -> int:
+        """Return how many connections may stay open if `spare_descriptors` further ones are unused."""
+        return min(self.hard_max_connections, self.max_connections + spare_descriptors)
 
-    def evict_excess(self, now: float, spare: int = 0) -> None:
+    def evict_excess(self, now: float, spare_descriptors: int = 0) -> None:
         """Close the least useful connections above the limit; those with an open request are exempt.
 
         Among many connections that never complete a request, the oldest with a started request may be a real
         client that sends slowly. So among started requests, those whose client stopped sending are closed
         first."""
-        excess = len(self.connections) - self.capacity(spare)
+        excess = len(self.connections) - self.capacity(spare_descriptors)
         if excess <= 0:
             return
         unstarted = [conn for conn in self._awaiting_request if not conn.request_started]
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -53,10 +53,10 @@
         """Admit a new connection, or close it."""
         self.accepted_connections += 1
         now = self.gateway.clock.now()
-        spare = self.gateway.spare_descriptors()
-        if not self._admit(connection, now, spare):
+        spare_descriptors = self.gateway.spare_descriptors()
+        if not self._admit(connection, now, spare_descriptors):
             connection.abort()
-        elif len(self.admission) > self.admission.capacity(spare) and not self._is_eviction_due:
+        elif len(self.admission) > self.admission.capacity(spare_descriptors) and not self._is_eviction_due:
             # Delayed, so that connections that arrived together are read first and those with a request stay.
             self._is_eviction_due = True
             self.gateway.timers.call_at(self.gateway.clock.now() + EVICTION_DELAY_MS, self._evict_excess)
@@ -64,14 +64,14 @@
             self.admission.on_request_received(connection)
             self.admission.on_response_sent(connection, now)
 
-    def _admit(self, connection: ConnectionState, now: float, spare: int) -> bool:
-        if self.admission.admit(connection, now, spare):
+    def _admit(self, connection: ConnectionState, now: float, spare_descriptors: int) -> bool:
+        if self.admission.admit(connection, now, spare_descriptors):
             return True
         has_evicted = self.admission.evict_disconnected(
             now,
             lambda other: self.has_peer_closed(other.transport),  # type: ignore[attr-defined]
         )
-        return has_evicted and self.admission.admit(connection, now, spare)
+        return has_evicted and self.admission.admit(connection, now, spare_descriptors)
 
     def _evict_excess(self) -> None:
         self._is_eviction_due = False
@@ -145,17 +145,17 @@
         """Validate requests by these settings from now on."""
         self.validator = RequestValidator(settings)
 
-    def transfer_idle_connections(self, pass_on: Callable[[int], bool]) -> bool:
-        """Transfer the connections without an open request to another process. `pass_on` sends the descriptor
-        of each and returns whether it could. At the first failure the remaining connections stay here, and
-        False is returned.
+    def transfer_idle_connections(self, send_descriptor: Callable[[int], bool]) -> bool:
+        """Transfer the connections without an open request to another process. `send_descriptor` sends the
+        descriptor of each and returns whether it could. At the first failure the remaining connections stay
+        here, and False is returned.
 
         A connection with unwritten response bytes stays here: these bytes are not transferred, and the client
         would never get the rest of its response, or get the next response in its place."""
         for connection in list(self.admission.connections):
             assert isinstance(connection, ClientConnection)
             is_transferable = connection.is_idle() and not connection.unwritten_bytes()
-            if is_transferable and not connection.transfer(pass_on):
+            if is_transferable and not connection.transfer(send_descriptor):
                 return False
         return True
 
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -191,7 +191,7 @@
         client.close()
         plug, transferred = Plug(gate.port, room=4096), []
 
-        def pass_on(descriptor):
+        def send_descriptor(descriptor):
             transferred.append(descriptor)
             return True
 
@@ -204,13 +204,13 @@
         while connection.open_request is not None:
             await asyncio.sleep(0)
         assert connection.unwritten_bytes()
-        assert gate.front.transfer_idle_connections(pass_on)
+        assert gate.front.transfer_idle_connections(send_descriptor)
         assert not transferred
         received = b""
         while not received.endswith(body):
             received += await plug.receive()
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        assert gate.front.transfer_idle_connections(pass_on)
+        assert gate.front.transfer_idle_connections(send_descriptor)
         assert transferred == [descriptor]
         plug.close()
 
