--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -6,7 +6,7 @@
 import weakref
 
 import pytest
-from support.delays import later
+from support.delays import advance_time
 from support.fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
 
 from plumpick.gateway.clock import Timers
@@ -280,7 +280,7 @@
     async def scenario(worker, gate, client):
         keeper, times = gate.keeper, []
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-        keeper.timers = type("Kept", (), {"at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+        keeper.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
             keeper._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
@@ -349,7 +349,7 @@
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
         writer.write(answer(body=b"twice"))
-        while connection.is_quiet():
+        while connection.has_no_unread_input():
             await asyncio.sleep(0)
         client.send(request())
         ended, again = await worker.asked(), await worker.asked()
@@ -759,8 +759,11 @@
 
     async def scenario(worker, gate, client):
         gate.keeper.timers = timers = Timers(asyncio.get_running_loop(), gate.keeper.clock)
-        waits, at = [], timers.at
-        timers.at = lambda at_ms, call: (waits.append(round(at_ms - gate.keeper.clock.now())), at(0.0, call))
+        waits, at = [], timers.call_at
+        timers.call_at = lambda at_ms, call: (
+            waits.append(round(at_ms - gate.keeper.clock.now())),
+            at(0.0, call),
+        )
         for _ in range(7):
             assert (await client.send(request(path="/none")).answer())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
@@ -807,10 +810,10 @@
         while said.strip() and not any(one.incoming for one in gate.front.admission.connections):
             await asyncio.sleep(0)
         await taken(gate, 1)
-        later(gate, 2000)
+        advance_time(gate, 2000)
         (one,) = gate.front.admission.connections
         assert not one.is_closing
-        later(gate, 3000 - SWEEP_INTERVAL_MS)
+        advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
             told = await client.answer()
         except ConnectionResetError:  # blank lines that were not read yet
@@ -930,12 +933,12 @@
             _, writer = await worker.asked()
             writer.write(answer())
             await one.answer()
-        later(gate, 1900)
+        advance_time(gate, 1900)
         assert len(gate.front.admission) == 2
-        later(gate, 2100)
+        advance_time(gate, 2100)
         assert await first.ends()
         assert len(gate.front.admission) == 1
-        later(gate, 61_000)
+        advance_time(gate, 61_000)
         assert await second.ends()
 
     one_worker(scenario)
@@ -952,12 +955,12 @@
             _, writer = await worker.asked()
             writer.write(answer())
             await one.answer()
-        later(gate, 300)
+        advance_time(gate, 300)
         assert await client.ends()
         client.close()  # it has heard our end; until then what it still sends is read and dropped
         while len(gate.front.admission) > 1:
             await asyncio.sleep(0)
-        later(gate, 300)
+        advance_time(gate, 300)
         other.send(request())
         assert (await worker.asked())[0] is not None
 
