--- a/tests/policy/test_peer_messages.py
+++ b/tests/policy/test_peer_messages.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import settings as budget
 from hypothesis import strategies as st
-from support.controllers import FLEET, gateway, owner_of, actions_of
+from support.controllers import FLEET, actions_of, gateway, owner_of
 from support.quota_rig import QuotaSimulation
 from support.traffic import settings
 
