--- a/tests/policy/test_reconfiguration.py
+++ b/tests/policy/test_reconfiguration.py
@@ -11,7 +11,7 @@
 
 import pytest
 from support.controllers import actions_of, completion, gateway, request_event
-from support.quota_rig import TICK_MS, Rig
+from support.quota_rig import TICK_MS, QuotaSimulation
 from support.snapshots import export_snapshot
 from support.traffic import RuleChecker, TrafficSimulation, settings
 
@@ -400,7 +400,7 @@
         self.max_debt = max(self.max_debt, -self.level)
 
 
-class ChangingRig(Rig):
+class ChangingRig(QuotaSimulation):
     """A quota rig that changes its customer's plan at all gateways, one after the other."""
 
     def put(self, number, plan):
@@ -413,7 +413,7 @@
 
     def change(self, change_ms, plan, gap_ms=0.0):
         for number in range(self.gateways):
-            self.at(change_ms + gap_ms * number, self.put, number, plan)
+            self.schedule(change_ms + gap_ms * number, self.put, number, plan)
 
 
 STEPS = [(8.0, 16.0), (16.0, 32.0), (2.0, 4.0), None, (8.0, 16.0), (8.0, 2.0), (20.0, 16.0), None, (4.0, 8.0)]
@@ -425,12 +425,12 @@
     """The plan's rate and burst go up and down, and the plan is removed and restored."""
     rng = random.Random(seed)
     steps = [STEPS[0], *rng.choices(STEPS, k=8)]
-    rig = ChangingRig(*steps[0], gateways=gateways, spread=spread, seed=seed)
+    rig = ChangingRig(*steps[0], gateways=gateways, set_size=spread, seed=seed)
     allowance = (
         spread * (LOCAL_BURST_RATIO * max(step[1] for step in steps if step) + 1) + 20.0 * TICK_MS / 1000
     )
     bucket, change_ms, changes = ReferenceBucket(*steps[0], allowance), 0.0, []
-    rig.crowd(range(gateways), 60.0, 0.0, 20_000.0)
+    rig.schedule_load(range(gateways), 60.0, 0.0, 20_000.0)
     for step in steps[1:]:
         change_ms += rng.uniform(100.0, 4000.0)
         rig.change(change_ms, step and replace(rig.plan, rate_per_s=step[0], burst=step[1]))
@@ -441,16 +441,16 @@
             when, step = changes.pop(0)
             bucket.change(when, *step) if step else bucket.drop(when)
         bucket.take(now)
-    assert len(rig.granted) > 30 and bucket.max_debt <= allowance
-    assert not any(module.faults for module in rig.modules)
+    assert len(rig.forwarded) > 30 and bucket.max_debt <= allowance
+    assert not any(module.faults for module in rig.controllers)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_hard_limit_is_not_exceeded_over_changes(seed):
     """The gateways, which share the hard limit, apply each change one after the other."""
     rng = random.Random(seed)
-    rig = ChangingRig(40.0, 40.0, gateways=4, spread=4, seed=seed, ceiling=0.5)
-    rig.crowd(range(4), 80.0, 0.0, 20_000.0)
+    rig = ChangingRig(40.0, 40.0, gateways=4, set_size=4, seed=seed, hard_limit_ratio=0.5)
+    rig.schedule_load(range(4), 80.0, 0.0, 20_000.0)
     steps = [(20.0, 20.0)] + [
         rng.choice([(20.0, 20.0), (6.0, 6.0), (30.0, 8.0), (4.0, 30.0), (0.0, 0.0), None]) for _ in range(9)
     ]
@@ -697,14 +697,14 @@
         super().__init__(config)
         self.class_of = {}
 
-    def actions_of(self, number):
+    def use_class_of(self, number):
         """Set the classes to that of the request that is checked next."""
         if number in self.class_of:
             request_class = self.class_of[number]
             self.kinds = {request_class.name: request_class}
 
-    def arrival(self, gateway, arrival):
-        super().arrival(gateway, arrival)
+    def on_request(self, gateway, arrival):
+        super().on_request(gateway, arrival)
         self.plans[arrival.plan_name] = Plan(arrival.plan_name)  # Hard limits are checked by other tests.
 
 
@@ -801,14 +801,14 @@
             assert 0 <= action.delay_ms < 60_000
         if isinstance(action, (StartAttempt, RejectRequest, FailRequest, CancelAttempt)):
             assert isinstance(action, CancelAttempt) or action.id in self.checker.open, "more than one answer"
-            self.checker.actions_of(action.id)
+            self.checker.use_class_of(action.id)
         if isinstance(action, StartAttempt):
             assert 0 < action.timeout_ms < 60_000
         super().execute(n, action)
 
     def deliver(self, gateway, event):
         if isinstance(event, tuple):
-            self.checker.actions_of(event[0])
+            self.checker.use_class_of(event[0])
         super().deliver(gateway, event)
         if self.chance.random() < 0.06:
             self.change(gateway)
