--- a/plumpick/gateway/compiled.py
+++ b/plumpick/gateway/compiled.py
@@ -1,8 +1,8 @@
-"""Compiled files in place of the plain ones, where `build` made them: same sources, same actions.
+"""Import of compiled extension modules in place of the plain Python modules, if the build produced them.
 
-plumpick/tools/compile.py makes them, under the digest of the sources and of this Python, so that files of
-other sources are never taken for these. Nothing is written at run time. Where
-none fit, the plain sources serve."""
+plumpick/tools/compile.py writes them to a folder named by a digest of the sources and the Python version, so
+that a build of other sources is never imported. Nothing is compiled at run time. Without a matching build the
+plain modules are imported."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 
 SOURCE_FOLDER = Path(plumpick.__path__[0]).parent
 COMPILED_FOLDER = Path(sys.prefix) / "compiled"
-# The types of events and actions stay plain: what an event of a wrong type does has to happen inside the
-# controller. So does clock.py, whose clock the simulation replaces.
+# Paths of the modules that are compiled. The types of events and actions are not compiled: an event of a wrong
+# type has to cause its error inside the controller. clock.py is not compiled, since the simulation replaces
+# its clock.
 POLICY_FILES = (
     "plumpick/policy/admission.py",
     "plumpick/policy/attempt_lifecycle.py",
@@ -73,15 +74,16 @@
     "plumpick/gateway/upstream/request_encoding.py",
 )
 COMPILED_FILES = POLICY_FILES + GATEWAY_FILES
-# The packages that hold some of them.
+# Packages that contain compiled modules.
 COMPILED_PACKAGES = sorted({str(Path(name).parent).replace("/", ".") for name in COMPILED_FILES})
-# Packages of plumpick that the daemon does not import.
+# Packages of plumpick that the daemon does not import, which are left out of the digest.
 TOOL_PACKAGES = {"capacity", "rehearsal", "simulation", "tools"}
-COMPILER = "mypy==2.4.1"  # holds mypyc; it is needed to compile, not to run
+COMPILER = "mypy==2.4.1"  # package that contains mypyc; needed only for the build
 
 
 def source_digest() -> str:
-    """The name of these sources for this Python. Raises OSError."""
+    """Digest of the daemon's sources, the Python version, the machine type and the compiler; names the folder
+    of a build. Raises OSError if a source cannot be read."""
     text = hashlib.sha256(f"{sys.version} {os.uname().machine} {COMPILER} {COMPILED_FILES}".encode())
     for path in sorted((SOURCE_FOLDER / "plumpick").rglob("*.py")):
         name = path.relative_to(SOURCE_FOLDER)
@@ -91,16 +93,16 @@
 
 
 def use_compiled_files(folder: Path = COMPILED_FOLDER) -> str:
-    """Import compiled files from now on, if they are of these sources; to be called before any of them is
-    imported. Returns a line for the log on which files decide."""
+    """Let later imports find the compiled modules in `folder`, if a build of the current sources exists there.
+    Must be called before any of these modules is imported. Returns a log line that says which are used."""
     try:
         made = folder / source_digest()
         if not made.is_dir():
             return "decisions: plain Python"
-    except OSError as problem:  # sources that cannot be read fail at their import, too
+    except OSError as problem:  # an unreadable source also fails when it is imported
         return f"decisions: plain Python ({problem.strerror})"
     for name in COMPILED_PACKAGES:
         package = importlib.import_module(name)
         package.__path__.insert(0, str(Path(made, *name.split("."))))
-    sys.path.append(str(made))  # mypyc's own part, beside the package
+    sys.path.append(str(made))  # for mypyc's shared module, which lies beside the package
     return f"decisions: compiled ({made.name})"
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit code of one gateway."""
+"""Entry point of the gateway daemon: logging, signal handlers and exit codes."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
     cluster_settings: Any = None,
     settings_service: Any = None,
 ) -> None:
-    """Run one gateway until SIGTERM, then finish what it has accepted. Raises OSError at the start.
+    """Run one gateway until SIGTERM or SIGINT, then shut it down gracefully. Raises OSError if a socket cannot
+    be opened at the start.
 
-    `cluster_settings`: the operator's settings of the work for the whole tier; `settings_service`: of where
-    versions of the settings come from."""
+    `cluster_settings`: the `fleet` table of the operator's file, or None; `settings_service`: its
+    `configuration` table, or None."""
     loop = asyncio.get_running_loop()
     stop = StopRequest(loop)
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -48,9 +49,12 @@
 
 
 def main(decisions: str = "") -> int:
-    """The exit code. `decisions`: a line for the log on which files decide, compiled or plain."""
+    """Run the gateway that the environment configures; returns the exit code.
+
+    `decisions`: log line that says whether compiled or plain modules are used; empty for none."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until it is handled: what it requests comes anyway
+    # SIGHUP is ignored until its handler is installed: the start reads the configuration anyway.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
         cluster_settings = load_cluster_settings(config, Platform().operator_config_path())
--- a/plumpick/gateway/discovery.py
+++ b/plumpick/gateway/discovery.py
@@ -1,7 +1,7 @@
-"""The client of discovery: a watch of the endpoint list for as long as the gateway runs.
+"""Discovery client: watches the endpoint list for as long as the gateway runs.
 
-What is asked and when is decided by plumpick/policy/endpoint_watch.py. A failed call is logged once, and
-again after the next success; the list at hand stays in use meanwhile.
+plumpick/policy/endpoint_watch.py decides what to request and when. Of consecutive failed calls only the first
+is logged; the last received list stays in use.
 """
 
 from __future__ import annotations
@@ -19,16 +19,20 @@
 from plumpick.policy.settings_parser import SettingsError
 
 PATH = "/discovery/hosts"
-MIN_EMPTY_INTERVAL_S = 0.05  # between answers that bring nothing, should they come at once
-FAULT_BACKOFF_S = 0.5  # after a fault of our own
+# Delay after a response without entries that arrived sooner than this, so that a service that always answers
+# immediately does not cause a busy loop.
+MIN_EMPTY_INTERVAL_S = 0.05
+FAULT_BACKOFF_S = 0.5  # delay after an unexpected exception in the watch
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
-READ_BYTES = 64 * 1024
+READ_BYTES = 64 * 1024  # maximum number of bytes of one read
 
 log = logging.getLogger(__name__)
 
 
 class AddressWatch:
-    """The watch at one address. `on_list` is given each list that comes, `now_ms` is the clock of `watch`."""
+    """Watches the endpoint list of the discovery service at one address.
+
+    `on_list` is called with each received list; `now_ms` is the clock of `watch`."""
 
     def __init__(
         self,
@@ -42,21 +46,21 @@
         self._now_ms = now_ms
         self._on_list = on_list
         self._connection = HttpConnection()
-        self._has_logged_failure = False  # and no call has succeeded since
+        self._has_logged_failure = False  # whether a failure was logged since the last successful call
         self._has_logged_bad_entry = False
 
     async def run(self) -> None:
-        """Watch until cancelled; a fault of our own must not end it for good."""
+        """Watch until cancelled; after an unexpected exception the watch starts again."""
         while True:
             try:
                 await self._call_in_turn()
-            except Exception:  # whatever it was: without the watch no change is notified any more
+            except Exception:  # without the watch, no change of the list would be noticed
                 log.exception("the watch of discovery failed")
             self._watch.reset()
             await asyncio.sleep(FAULT_BACKOFF_S)
 
     async def _call_in_turn(self) -> None:
-        """Call as the watch says, until a fault."""
+        """Make the calls that `watch` schedules, one after another, until an unexpected exception."""
         loop = asyncio.get_running_loop()
         try:
             while True:
@@ -75,7 +79,8 @@
             self._connection.abort()
 
     async def _call(self, request: EndpointWatchRequest) -> WorkerList | None:
-        """The list that comes; None where none came that can be used."""
+        """Make one call. Returns the received list; None, after logging the reason, if the call failed or the
+        list is invalid."""
         try:
             update = await self._fetch(_target_of(request), request.response_timeout_ms / 1000)
             self._watch.on_response(update.index, update.complete)
@@ -94,13 +99,13 @@
         self._has_logged_failure = True
 
     def _on_bad_entry(self, problem: SettingsError) -> None:
-        """One entry that cannot be read is no reason to do without the others."""
+        """Log the first invalid entry of a list; the other entries of the list are used."""
         if not self._has_logged_bad_entry:
             log.warning("discovery: left out: %s", problem)
         self._has_logged_bad_entry = True
 
     async def _fetch(self, target: str, timeout_s: float) -> WorkerList:
-        """The list that discovery answers with; raises CallFailedError."""
+        """Request `target` and parse the endpoint list in the response; raises CallFailedError."""
         with call_errors(self._connection):
             try:
                 async with asyncio.timeout(timeout_s):
@@ -130,15 +135,16 @@
 
 
 def _agent_watch(index: int | None) -> EndpointWatch:
-    """The watch of an agent beside this gateway: nothing in it is drawn."""
+    """The watch of a discovery agent on the gateway's own machine: its requests are not spread at random."""
     return EndpointWatch(0, index, random.Random(0))
 
 
 class DiscoveryClient:
-    """Watches the endpoint list and passes on every update.
+    """Watches the endpoint list and calls `on_update` with every received list.
 
-    `new_watch`: the watch of an address, given the index of the list at hand. `now_ms`: a clock that all
-    gateways share, which only a shared service needs.
+    `new_watch`: creates the watch of an address, given the index of the current list or None. `now_ms`: clock
+    that all gateways share, needed only for a discovery service that they share. `index`: index of the list
+    with which the gateway starts, or None.
     """
 
     def __init__(
@@ -153,14 +159,15 @@
         self._new_watch = new_watch
         self._now_ms = now_ms
         self._current = AddressWatch(address, new_watch(index), now_ms, self._on_list)
-        self._next: AddressWatch | None = None  # takes over with its first snapshot
+        self._next: AddressWatch | None = None  # replaces `_current` when its first snapshot arrives
         self._tasks: dict[AddressWatch, asyncio.Task[None]] = {}
         self._is_running = False
-        self.has_snapshot = asyncio.Event()  # the first one has come
+        self.has_snapshot = asyncio.Event()  # set when the first complete list has been received
 
     def change_address(self, address: Address) -> None:
-        """From now on ask at another address. The one before may have sent a change that was not read yet,
-        and the new one may be dead or silent: the old watch goes on until the new one has a snapshot."""
+        """Watch the list at another address. The watch at the old address continues until the new one has
+        received a snapshot, since the new service may be unreachable, and the old one may have sent a change
+        that is still to be read."""
         if address == (self._next or self._current).address:
             return
         if self._next is not None:
@@ -171,7 +178,7 @@
             self._start(self._next)
 
     async def run(self) -> None:
-        """Watch until cancelled, at every address that there is to ask."""
+        """Watch until cancelled: at the current address and, after a change of address, at the new one."""
         self._is_running = True
         self._start(self._current)
         if self._next is not None:
@@ -196,7 +203,7 @@
             self._tasks[watch].cancel()
 
     def _on_list(self, watch: AddressWatch, update: WorkerList) -> None:
-        if watch is self._next:  # its first list is a snapshot
+        if watch is self._next:  # its first list is complete, as it requested no index
             self._stop(self._current)
             self._current = watch
             self._next = None
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -1,7 +1,7 @@
-"""What a gateway with a management address has beside the rest: the operators' listener, and hot restart.
+"""Management plane of a gateway with a management address: the admin listener and hot restart.
 
-What it is made of is imported only where there is such an address. Errors of sockets at the start are raised
-(OSError); later ones are logged by the parts."""
+The modules for both are imported only if the configuration has a management address. Socket errors are raised
+as OSError during the start and logged afterwards."""
 
 from __future__ import annotations
 
@@ -18,16 +18,18 @@
 from plumpick.gateway.listeners.http.listener import HttpListener
 from plumpick.gateway.shutdown import close_listener
 
-OWN_DESCRIPTORS = 24  # of the program itself: the loop's, listeners, discovery, operators
+# Number of descriptors reserved for the event loop, the listeners, discovery and operators' connections.
+OWN_DESCRIPTORS = 24
 LISTEN_BACKLOG = 512
-POLL_INTERVAL_S = 0.02
-LISTEN_RETRY_S = 0.2
+POLL_INTERVAL_S = 0.02  # interval at which the shutdown checks whether the gateway is idle
+LISTEN_RETRY_S = 0.2  # time between attempts to open the listener again after a failed hot restart
 
 log = logging.getLogger(__name__)
 
 
 class ManagementPlane:
-    """The operators' listener, and the way to the next process and from the one before."""
+    """Owns the admin listener and both sides of a hot restart: this process takes over from its predecessor at
+    the start, and hands over to a successor later."""
 
     def __init__(
         self, config: Config, gateway: Gateway, listener: HttpListener, loop: asyncio.AbstractEventLoop
@@ -36,7 +38,7 @@
         from plumpick.gateway.hot_restart.sibling import HotRestartContext
         from plumpick.gateway.listeners.admin import AdminListener
 
-        self.inherited_leases: Any = None  # what the process before left of its part in the tier's work
+        self.inherited_leases: Any = None  # lease state from the hot-restart predecessor, or None
         self._config = config
         self._gateway = gateway
         self._loop = loop
@@ -54,8 +56,8 @@
     # -- start
 
     async def open(self) -> None:
-        """Listen for operators, and find out whether a process of this gateway runs already; the peers'
-        socket is its, if one does."""
+        """Start the admin listener and connect to the hot-restart predecessor, if a process of this gateway is
+        running; the peers' socket is then taken over from it. Raises OSError."""
         from plumpick.gateway.hot_restart.socket_path import socket_path
         from plumpick.gateway.hot_restart.successor import Successor
         from plumpick.gateway.listeners.admin import start_server
@@ -80,7 +82,8 @@
             await self._context.listen(self._loop)
 
     async def serve(self) -> None:
-        """Take clients over from the process before, if there is one; and wait for the next."""
+        """Take over the clients of the hot-restart predecessor, if there is one, and then wait for a successor
+        to connect."""
         if self._successor is not None:
             await self._take_over()
         if self._path is not None:
@@ -104,7 +107,8 @@
         self.inherited_leases = state.get(PARTICIPANT_KEY)
         source = self._context.settings_source
         if source is not None and state.get(SETTINGS_KEY) is not None:
-            await source.import_state(state[SETTINGS_KEY])  # the rest of the state is of these settings
+            # The settings come first because the policy state below belongs to them.
+            await source.import_state(state[SETTINGS_KEY])
         policy_state = policy_state_of(state)
         if policy_state:
             self._gateway.import_state(policy_state)
@@ -118,13 +122,14 @@
     # -- the other process
 
     def _on_handover_change(self, handed_over: bool) -> None:
-        """The next process has taken over, or has died and this one goes on."""
+        """Called when the successor has taken over; with `handed_over` False when it has exited before that,
+        whereupon this process accepts clients again."""
         if not handed_over:
             task = self._loop.create_task(self._listen_again())
             task.add_done_callback(lambda done: done.exception() and log.error("%s", done.exception()))
 
     async def _listen_again(self) -> None:
-        """Accept clients again; tried until there is a descriptor for it."""
+        """Open the listener for clients again; retries while no descriptor is available."""
         while not self._gateway.has_handed_over:
             try:
                 await self._context.listen(self._loop)
@@ -134,34 +139,34 @@
             await asyncio.sleep(LISTEN_RETRY_S)
 
     def _on_descriptor_count(self, count: int) -> None:
-        """What the process before still holds is not ours, and it has some of its own."""
+        """Limit this process's descriptors to those that the predecessor, which reports `count` open ones,
+        leaves free; at least a third of the configured number."""
         sockets = self._config.sockets
         self._gateway.set_descriptor_limit(max(sockets // 3, sockets - count - OWN_DESCRIPTORS))
 
     def _on_alone(self) -> None:
-        """The process before has gone: its share of the descriptors is free."""
+        """The predecessor has exited: this process may use all configured descriptors."""
         self._gateway.set_descriptor_limit(self._config.sockets)
 
     # -- end
 
     async def finish(self, until_s: float) -> None:
-        """Serve until then by the loop's clock, or until another process has everything; then accept no
-        more."""
+        """Serve until `until_s` of the event loop's clock, or until a successor has taken over and no work is
+        left; then stop accepting clients."""
         self._predecessor.is_stopping = True
         gateway = self._gateway
         while self._loop.time() < until_s and not (gateway.has_handed_over and gateway.is_idle()):
             await asyncio.sleep(POLL_INTERVAL_S)
         context = self._context
-        if (
-            not gateway.has_handed_over and context.server is not None
-        ):  # no other process empties the listener
+        # Without a successor, this process has to accept the rest of the listener's backlog.
+        if not gateway.has_handed_over and context.server is not None:
             await close_listener(self._loop, context.server, context.listen_socket, context.listener)
             if context.listen_socket is not None:
                 context.listen_socket.close()
         context.close()
 
     def close(self) -> None:
-        """Close everything at once."""
+        """Close the hot-restart connections, the admin connections and the admin listener immediately."""
         self._predecessor.close()
         if self._successor is not None:
             self._successor.close()
@@ -171,7 +176,8 @@
 
 
 def open_shared_listener(address: tuple[str, int]) -> socket.socket:
-    """A listening socket at an address where another process may listen, too; raises OSError."""
+    """A socket that listens at an address where another process may listen too (SO_REUSEPORT). Raises
+    OSError."""
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -1,4 +1,5 @@
-"""Datagrams between gateways: unreliable, at most MAX_MESSAGE_BYTES each. What cannot be sent is lost."""
+"""UDP datagrams between gateways, of at most MAX_MESSAGE_BYTES each. Delivery is not guaranteed: a datagram
+that cannot be sent is dropped without an error."""
 
 from __future__ import annotations
 
@@ -16,10 +17,11 @@
 
 
 class Peers:
-    """Sends to and receives from other gateways; the sender of a datagram is known by its address alone.
-    `on_message(sender, data)` gets each; `create_socket` makes an unbound datagram socket.
+    """Sends datagrams to other gateways and receives theirs; a sender is identified by its address alone.
 
-    It uses a plain socket: the loop's datagram transport takes several times as long for each message."""
+    `on_message(sender, data)` is called for each datagram, with the sender's gateway number; `create_socket`
+    returns an unbound datagram socket. A plain socket is used because the event loop's datagram transport
+    takes several times as long for each message."""
 
     def __init__(
         self, config: Config, on_message: Callable[[int, bytes], None], create_socket: Callable[[], Any]
@@ -36,9 +38,10 @@
         self._socket: Any = None
 
     def open(self, loop: asyncio.AbstractEventLoop, inherited: Any = None, shared: bool = False) -> None:
-        """Open the socket, where the configuration has peers; raises OSError. `inherited`: a bound socket of
-        another process; nothing is received there before `start_receiving`. `shared`: another process may
-        bind the same address."""
+        """Open the socket if the configuration has an address for peers; raises OSError.
+
+        `inherited`: a bound socket of the hot-restart predecessor, on which nothing is received before
+        `start_receiving` is called. `shared`: whether another process may bind the same address."""
         if self._config.peer_listen is None:
             if inherited is not None:
                 inherited.close()
@@ -59,33 +62,33 @@
             self.start_receiving()
 
     def start_receiving(self) -> None:
-        """Receive; also again, after `stop_receiving`."""
+        """Start receiving datagrams, also after `stop_receiving`."""
         if self._socket is not None and self._loop is not None:
             self._loop.add_reader(self._socket, self._read)
 
     def stop_receiving(self) -> None:
-        """Receive nothing more: another process does. Sending goes on."""
+        """Stop receiving datagrams, since another process receives on the same socket; sending still works."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
     @property
     def bound_socket(self) -> Any:
-        """The socket, for another process; None where there is none."""
+        """The socket, to be passed to another process; None if it is not open."""
         return self._socket
 
     def _read(self) -> None:
-        """Receive one datagram; the loop calls again at once if there are more."""
+        """Receive one datagram; the event loop calls again immediately if there are more."""
         assert self._socket is not None
         try:
             data, address = self._socket.recvfrom(MAX_MESSAGE_BYTES + 1)
-        except OSError:  # nothing there, or the echo of a message that a peer could not take
+        except OSError:  # no datagram, or an ICMP error for one sent to a peer that is down
             return
         number = self._numbers.get(address)
-        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # anything else is not from a peer
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:  # no peer sends a longer datagram
             self._on_message(number, data)
 
     def send(self, receiver: int, data: bytes) -> None:
-        """To one gateway by its number, or to all for -1."""
+        """Send a datagram to the gateway with the number `receiver`, or to all peers if it is -1."""
         if self._socket is None:
             return
         if len(data) > MAX_MESSAGE_BYTES:
@@ -96,13 +99,13 @@
         if receiver >= 0:
             address = peers[receiver] if receiver < len(peers) else None
         if address is not None:
-            try:  # noqa: SIM105  (for every message: a context manager costs as much as the call)
+            try:  # noqa: SIM105  (runs for every message: a context manager costs as much as the call)
                 self._socket.sendto(data, address)
             except OSError:
-                pass  # a peer that is down, or a full buffer: lost, as any datagram may be
+                pass  # the peer is down or the send buffer is full: the datagram is dropped
 
     def close(self) -> None:
-        """Close the socket."""
+        """Close the socket; does nothing if it is not open."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
--- a/plumpick/gateway/platform.py
+++ b/plumpick/gateway/platform.py
@@ -1,7 +1,7 @@
-"""What a gateway takes from the machine that it runs on, in one place, so that a simulation can replace it.
+"""Access to the operating system: sockets, clocks, random numbers and files. A simulation replaces this class.
 
-The event loop, which brings timers, connections and signals, is the running one. Errors of the system are
-raised as OSError where a method says so."""
+Timers, connections and signals come from the running event loop instead. Methods raise OSError for system
+errors where their docstrings say so."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 def _polls(transport: Any, events: int) -> bool:
-    """Whether poll(2) reports one of these events for the connection's socket now; it always reports an error
-    or a hang-up."""
+    """Whether poll(2) reports one of the `events` for the transport's socket at this moment. poll(2) reports
+    errors and hang-ups whether or not they were asked for."""
     watched = select.poll()
     watched.register(transport.get_extra_info("socket").fileno(), events)
     return bool(watched.poll(0))
 
 
 class Platform:
-    """The real machine."""
+    """Access to the operating system of the machine on which the process runs."""
 
     def clock(self) -> Clock:
-        """A clock that only advances."""
+        """A new monotonic clock of Unix time."""
         return Clock()
 
     def create_datagram_socket(self) -> Any:
-        """A plain socket for datagrams, not bound yet. The loop's `add_reader` knows it."""
+        """A new unbound UDP socket, which the event loop's `add_reader` accepts."""
         return socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
     def create_listener(self, address: tuple[str, int], backlog: int) -> socket.socket | None:
-        """A listening socket for clients, which can be emptied before it closes; None where the loop makes
-        its own. Raises OSError."""
+        """A socket that listens for clients, whose backlog can be accepted before it is closed; None if the
+        event loop is to create the socket itself. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -51,15 +51,15 @@
 
     @staticmethod
     def has_no_unread_input(transport: Any) -> bool:
-        """Whether nothing waits on the connection: bytes, or its end, that the loop may not have read yet."""
+        """Whether the connection has neither bytes nor an end of stream that the event loop has yet to read."""
         return not _polls(transport, select.POLLIN)
 
     @staticmethod
     def was_reset(transport: Any) -> bool:
-        """Whether what the loop reported as the end of a connection is a reset.
+        """Whether a connection that the event loop reported as ended was reset by the peer.
 
-        Where bytes and a reset have come by the time of one poll, libuv reads the bytes and reports the
-        hang-up as an end, without the read that would have shown the reset. So the system is asked."""
+        If bytes and a reset arrive before the same poll, libuv reads the bytes and reports the hang-up as a
+        normal end, without the read that would have returned the reset. This reads from the socket instead."""
         sock = socket.socket(
             socket.AF_INET, socket.SOCK_STREAM, 0, fileno=transport.get_extra_info("socket").fileno()
         )
@@ -70,38 +70,40 @@
         except OSError:
             return True
         finally:
-            sock.detach()  # it is the transport's
+            sock.detach()  # the transport owns the descriptor
         return False
 
     @staticmethod
     def has_peer_closed(transport: Any) -> bool:
-        """Whether the other side has closed the connection, whatever is still unread on it."""
+        """Whether the peer has closed the connection, even if received bytes are still unread."""
         return _polls(transport, select.POLLRDHUP)
 
     def freeze_startup_objects(self) -> None:
-        """Exempt what the start made from garbage collection: it stays until the exit."""
+        """Exempt the objects created during the start from garbage collection, since they live until exit."""
         gc.collect()
         gc.freeze()
 
     def boottime(self) -> float:
-        """Milliseconds of a clock that goes on while the process stalls or the machine is suspended."""
+        """Milliseconds since boot, by a clock that also advances while the machine is suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
     def unix_ms(self) -> float:
-        """The time of day, which may be set; in milliseconds since 1970."""
+        """Wall-clock time in milliseconds since 1970; it jumps when the machine's clock is set."""
         return time.time() * 1000
 
     def takes_part(self, part: Any) -> None:
-        """This process takes part in the work for the whole tier; a simulated platform observes it."""
+        """Called with this process's participant in leases and scheduled tasks; the real platform does nothing,
+        a simulated one observes the participant."""
 
     def life(self) -> int:
-        """The incarnation of this process: 32 random bits that tell it from all others."""
-        return int.from_bytes(os.urandom(4), "big")  # `secrets` would be imported for this alone
+        """The incarnation of this process: a random 32-bit number that distinguishes it from other processes
+        of the same gateway."""
+        return int.from_bytes(os.urandom(4), "big")  # avoids importing `secrets` only for this number
 
     def guard(self, address: tuple[str, int] | None) -> Any:
-        """A lock with `close` that one process of this machine holds at a time, until it exits, for the
-        address where its peers' datagrams come; None while another process holds it. It is a TCP port that
-        nobody listens at."""
+        """Lock a peer address so that one process of this machine at a time uses it. Returns an object whose
+        `close` releases the lock, as does the exit of the process; None if another process holds it. The lock
+        is a TCP socket that is bound to the address and does not listen."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         if address is not None:
             try:
@@ -112,9 +114,9 @@
         return sock
 
     def reload_config(self) -> Config:
-        """The configuration as its file has it now; raises ConfigError."""
+        """Read the configuration file again; raises ConfigError if it is invalid."""
         return load_config(os.environ)
 
     def operator_config_path(self) -> str:
-        """The path of the operator's own file; empty where there is none."""
+        """The path of the operator's file, from $PLUMPICK_OPERATOR; empty if it is not set."""
         return os.environ.get("PLUMPICK_OPERATOR", "")
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -1,6 +1,6 @@
-"""The process of one gateway from its start to its exit: `start`, then `shut_down` once SIGTERM has come.
+"""Lifecycle of one gateway process: `start`, and `shut_down` after SIGTERM.
 
-Errors of its sockets at the start are raised (OSError); everything later is logged where it happens."""
+`start` raises OSError if a socket cannot be opened; errors after the start are logged where they occur."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from plumpick.gateway.shutdown import StopRequest, close_listener, shutdown_times
 from plumpick.policy.endpoint_watch import EndpointWatch
 
-# How long the first complete list is waited for. Where a list is known it serves after that; without any each
-# request would be rejected. The process is ready within 10 s still.
+# Maximum wait at the start for the first complete endpoint list from discovery. The short time applies if the
+# configuration contains a list to start with. Without any list every request would be rejected, so the wait is
+# longer, but short enough for the process to be ready within 10 s.
 FIRST_LIST_TIMEOUT_S = 0.5
 ONLY_LIST_TIMEOUT_S = 8.0
-MAX_STREAM_S = 600.0  # no body is streamed for longer
-POLL_INTERVAL_S = 0.02
+MAX_STREAM_S = 600.0  # maximum time for which the shutdown waits for bodies that are still being streamed
+POLL_INTERVAL_S = 0.02  # interval at which the shutdown checks for unfinished work
 LISTEN_BACKLOG = 512
 
 log = logging.getLogger("plumpick")
 
 
 class GatewayProcess:
-    """A gateway with its listeners, discovery and tasks.
+    """A gateway together with its listeners, discovery client and background tasks.
 
-    `cluster_settings`: the operator's settings of the work for the whole tier, or None; `settings_service`:
-    of where versions of the settings come from, or None; `reload_requested` is set by SIGHUP."""
+    `cluster_settings`: the `fleet` table of the operator's file, or None; `settings_service`: its
+    `configuration` table, or None; `reload_requested` is set by SIGHUP."""
 
     def __init__(
         self,
@@ -84,7 +85,8 @@
     # -- start
 
     async def start(self) -> None:
-        """Open the sockets, wait for the first list and settings, and be ready; raises OSError."""
+        """Open the sockets, wait for the first endpoint list and settings version, and start serving. Raises
+        OSError if a socket cannot be opened."""
         if self._management is None:
             self._gateway.peers.open(self._loop)
         else:
@@ -121,7 +123,7 @@
             self._tasks.append(self._loop.create_task(self._settings_source.run()))
 
     async def _listen(self) -> None:
-        """Accept clients, where no management plane does that."""
+        """Open the listener for clients; used only without a management plane, which opens its own."""
         create = self._listener.create_connection
         self._listen_socket = self._platform.create_listener(self._config.listen, LISTEN_BACKLOG)
         if self._listen_socket is not None:
@@ -134,10 +136,11 @@
             )
 
     async def _wait_for_first_answers(self) -> None:
-        """Wait for discovery and the source of settings, for a limited time; SIGTERM ends the wait."""
+        """Wait for the first responses of discovery and the configuration service, until a timeout or
+        SIGTERM."""
         known = self._config.known.entries
         timeout_s = FIRST_LIST_TIMEOUT_S if known else ONLY_LIST_TIMEOUT_S
-        # A watch from a known list on is answered only once something has changed.
+        # Discovery answers a watch that starts from the index of a known list only after a change.
         is_answer_due = not (self._config.settings.must_request_watch and known)
         if is_answer_due and not await self._stop.wait_for(self._discovery.has_snapshot, timeout_s):
             log.warning("discovery is silent; starting with the known list")
@@ -150,7 +153,8 @@
     # -- end
 
     async def shut_down(self) -> None:
-        """Serve on for a while after SIGTERM, finish what has been accepted, and close everything."""
+        """Shut down gracefully after SIGTERM: keep accepting for the grace period, complete the accepted
+        requests, then close all connections and tasks."""
         loop = self._loop
         stopped_s = self._stop.requested_s
         gateway = self._gateway
@@ -186,7 +190,8 @@
 def create_participant(
     settings: Any, config: Config, loop: asyncio.AbstractEventLoop, platform: Platform, gateway: Gateway
 ) -> Any:
-    """The gateway's part in the work for the whole tier; imported only where the operator names some."""
+    """Create the gateway's participant in leases, scheduled tasks and budgets. Its modules are imported only if
+    the operator's file has a `fleet` table."""
     from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
     participant = LeaseRunner(
@@ -198,7 +203,7 @@
 
 
 def _apply_command(gateway: Gateway, name: str) -> str:
-    """DRAIN or UNDRAIN for the participant; the reason against it, or nothing."""
+    """Apply DRAIN or UNDRAIN for the participant. Returns the reason for a rejection; empty on success."""
     try:
         gateway.apply_command(name, "")
     except CommandRejectedError as problem:
@@ -207,7 +212,8 @@
 
 
 def create_settings_source(settings: Any, config: Config, gateway: Gateway) -> Any:
-    """The client of the services of settings; imported only where the operator names one."""
+    """Create the client of the configuration services. Its modules are imported only if the operator's file
+    has a `configuration` table."""
     from plumpick.gateway.dynamic_config.client import client_for
 
     return client_for(config, settings, gateway)
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -1,6 +1,6 @@
-"""What SIGHUP changes in service: discovery's address, and totals and bursts of budgets.
+"""Reload of the configuration after SIGHUP: discovery's address, and limits and bursts of budgets.
 
-A file that cannot be used changes nothing; the log names what is wrong."""
+An invalid file leaves the running configuration unchanged, and the error is logged."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 async def run_reloads(
     config: Config, discovery: DiscoveryClient, requested: asyncio.Event, platform: Platform, participant: Any
 ) -> None:
-    """Read the configuration and the operator's own file again whenever that is requested; until cancelled.
-    `participant`: a ClusterParticipant, or None."""
+    """Reload the configuration and the operator's file each time `requested` is set, until cancelled.
+
+    `participant`: the LeaseRunner that receives the new `fleet` settings, or None."""
     while True:
         await requested.wait()
-        requested.clear()  # before the file is read: should it change meanwhile, it is read once more
+        requested.clear()  # before reading, so that a SIGHUP during the read leads to another reload
         if not await _reload_config(config, discovery, platform) or participant is None:
             continue
         try:
@@ -36,7 +37,7 @@
 
 
 async def _reload_config(config: Config, discovery: DiscoveryClient, platform: Platform) -> bool:
-    """Go to discovery's address of the file as it is now; whether the file can be used."""
+    """Read the configuration file and apply its discovery address; returns whether the file is valid."""
     try:
         new = await asyncio.to_thread(platform.reload_config)
     except ConfigError as problem:
@@ -50,7 +51,8 @@
 
 
 def load_cluster_settings(config: Config, path: str) -> Any:
-    """What the operator's own file names for the whole tier, or None; raises ConfigError."""
+    """The `fleet` table of the operator's file at `path`; None without a file or table. Raises
+    ConfigError."""
     if not path:
         return None
     from plumpick.gateway.operator_config import load as load_operator
@@ -66,7 +68,7 @@
 
 
 def load_settings_service(config: Config, path: str) -> Any:
-    """Where the operator's own file says that versions of the settings come from, or None; raises
+    """The `configuration` table of the operator's file at `path`; None without a file or table. Raises
     ConfigError."""
     if not path:
         return None
