--- a/plumpick/gateway/compiled.py
+++ b/plumpick/gateway/compiled.py
@@ -16,9 +16,9 @@
 
 SOURCE_FOLDER = Path(plumpick.__path__[0]).parent
 COMPILED_FOLDER = Path(sys.prefix) / "compiled"
-# Paths of the modules that are compiled. The types of events and actions are not compiled: an event of a wrong
-# type has to cause its error inside the controller. clock.py is not compiled, since the simulation replaces
-# its clock.
+# Paths of the modules that are compiled. The types of events and actions are not compiled: an event of a
+# wrong type has to cause its error inside the controller. clock.py is not compiled, since the simulation
+# replaces its clock.
 POLICY_FILES = (
     "plumpick/policy/admission.py",
     "plumpick/policy/attempt_lifecycle.py",
@@ -93,8 +93,9 @@
 
 
 def use_compiled_files(folder: Path = COMPILED_FOLDER) -> str:
-    """Let later imports find the compiled modules in `folder`, if a build of the current sources exists there.
-    Must be called before any of these modules is imported. Returns a log line that says which are used."""
+    """Let later imports find the compiled modules in `folder`, if a build of the current sources exists
+    there. Must be called before any of these modules is imported. Returns a log line that says which are
+    used."""
     try:
         made = folder / source_digest()
         if not made.is_dir():
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -1,7 +1,7 @@
-"""The configuration of a gateway at its start: environment and JSON.
+"""Configuration of a gateway at its start, from a JSON file and the environment.
 
-What is malformed raises ConfigError, whose one line names it; a list of workers raises SettingsError, so that
-its reader may go on without it."""
+Reading the file raises ConfigError with a one-line message that names the invalid key. Parsing a list of
+workers raises SettingsError, so that the discovery client can log it and keep the previous list."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 Address = tuple[str, int]  # host, port
+# Values for keys that the file does not contain.
 DEFAULT_SOCKETS = 1024.0
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_DIAL_TIMEOUT_MS = 250.0
@@ -29,12 +30,12 @@
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used; the text names what is wrong."""
+    """The configuration is invalid; the message is one line that names the file or key."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerEntry:
-    """One worker in discovery's list: what the policy sees of it, and where it listens."""
+    """One worker in discovery's list: the endpoint that the policy uses, and the address it listens at."""
 
     server: Endpoint
     address: Address
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerList:
-    """One answer of discovery: the complete list, or the entries that changed since an index."""
+    """One response of discovery: the complete list, or only the entries that changed since an index."""
 
     index: int
     complete: bool
@@ -51,26 +52,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Everything that a gateway is configured with."""
+    """Configuration of one gateway: its addresses, its limits and the settings of the policy."""
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
+    sockets: int  # maximum number of open descriptors of the process
     settings: Settings
     dial_timeout_ms: float
-    idle_ms: float  # after which a worker closes an idle connection
-    known: WorkerList  # the workers to start with
-    peer_listen: Address | None  # where peers' datagrams come
-    peers: tuple[Address, ...]  # by gateway number
-    peers_all: Address | None  # reaches all peers with one datagram
-    memory_mb: float = DEFAULT_MEMORY_MB  # that the process may hold
-    management: Address | None = None  # where operators' commands come; None: nowhere
+    idle_ms: float  # time after which a worker closes an idle connection
+    known: WorkerList  # workers used until discovery sends its first list
+    peer_listen: Address | None  # address at which datagrams of peers are received
+    peers: tuple[Address, ...]  # peer addresses of all gateways, indexed by gateway number
+    peers_all: Address | None  # address that reaches all peers with one datagram
+    memory_mb: float = DEFAULT_MEMORY_MB  # maximum memory of the process, in MB
+    management: Address | None = None  # address for operators' commands; None without a management plane
 
 
 def parse_address(text: Any, path: str) -> Address:
-    """Host and port of 'host:port'; raises SettingsError, which names `path`."""
+    """Parse 'host:port'; raises SettingsError whose message begins with `path`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{path}: {text!r} is no address")
@@ -78,7 +79,7 @@
 
 
 def parse_worker_entry(row: JsonObject) -> WorkerEntry:
-    """One entry of a list in discovery's form; raises SettingsError."""
+    """Parse one entry of a worker list in discovery's JSON format; raises SettingsError."""
     status = row.text("status")
     if status not in ENDPOINT_STATES:
         raise SettingsError(f"{row.path}.status: {status!r} is no status")
@@ -96,9 +97,10 @@
 def parse_worker_list(
     value: Any, path: str, skipped: Callable[[SettingsError], None] | None = None
 ) -> WorkerList:
-    """A list in discovery's form; raises SettingsError where it cannot be read.
+    """Parse a worker list in discovery's JSON format; raises SettingsError if it is invalid.
 
-    With `skipped`, an entry that cannot be read is passed to it and left out, which ends its worker's use."""
+    With `skipped`, an invalid entry does not raise: its error is passed to `skipped` and the entry is
+    omitted. A worker omitted from a complete list is no longer used."""
     top = JsonObject(value, path)
     entries = []
     for number, row in enumerate(top.array("endpoints")):
@@ -112,8 +114,8 @@
 
 
 def parse_config(value: Any, environment: Mapping[str, str]) -> Config:
-    """The configuration in an object of JSON; the environment stands in for what the object lacks. Raises
-    SettingsError."""
+    """Build the configuration from a parsed JSON object; addresses and the name that it lacks are taken from
+    the environment. Raises SettingsError."""
     top = JsonObject(value, "config")
     settings = top.nested_object("settings")
     limits = settings.nested_object("limits")
@@ -127,7 +129,7 @@
     if peers and len(peers) != own.gateway_count:
         raise SettingsError(f"config.peers: {len(peers)} for {own.gateway_count} gatekeepers")
     peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
-    # The file before the environment, as with the other addresses.
+    # As for the other addresses, the file takes precedence over the environment.
     management = top.text("management", environment.get("BALANCER_MANAGEMENT", ""))
     return Config(
         name=top.text("name", environment.get("BALANCER_NAME")),
@@ -152,7 +154,8 @@
 
 
 def load_config(environment: Mapping[str, str]) -> Config:
-    """Read the file that BALANCER_CONFIG names; raises ConfigError."""
+    """Read the configuration file named by BALANCER_CONFIG; raises ConfigError if it is missing or
+    invalid."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise ConfigError("BALANCER_CONFIG is not set")
@@ -160,5 +163,5 @@
         return parse_config(json.loads(Path(path).read_text(encoding="utf-8")), environment)
     except OSError as problem:
         raise ConfigError(f"cannot read {path}: {problem.strerror}") from problem
-    except ValueError as problem:  # no UTF-8, no JSON, or a SettingsError
+    except ValueError as problem:  # invalid UTF-8, invalid JSON or a SettingsError
         raise ConfigError(f"{path}: {problem}") from problem
--- a/plumpick/gateway/daemon.py
+++ b/plumpick/gateway/daemon.py
@@ -29,8 +29,8 @@
     cluster_settings: Any = None,
     settings_service: Any = None,
 ) -> None:
-    """Run one gateway until SIGTERM or SIGINT, then shut it down gracefully. Raises OSError if a socket cannot
-    be opened at the start.
+    """Run one gateway until SIGTERM or SIGINT, then shut it down gracefully. Raises OSError if a socket
+    cannot be opened at the start.
 
     `cluster_settings`: the `fleet` table of the operator's file, or None; `settings_service`: its
     `configuration` table, or None."""
--- a/plumpick/gateway/dynamic_config/__init__.py
+++ b/plumpick/gateway/dynamic_config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings that become active without a restart, as versions from a service.
+"""Client for versions of the settings that a configuration service publishes, applied without a restart.
 
-Nothing here is imported unless the operator's own file has a [configuration].
+This package is imported only if the operator's file has a [configuration] table.
 """
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -1,11 +1,11 @@
-"""The client of the services of settings: asks for versions, reads what comes, and activates each at its
-time.
+"""Client of the configuration services: requests versions of the settings, stages them, and activates each at
+its activation time.
 
-What is asked and which version is taken is decided by plumpick/policy/dynamic_config/subscriber.py. A failed
-call, a bad answer and a rejected version leave the active settings as they are, and are logged.
+plumpick/policy/dynamic_config/subscriber.py decides what to request and which version to accept. A failed
+call, an invalid response or a rejected version is logged and leaves the active settings unchanged.
 
-Long answers are read and checked in a thread. Meanwhile another version may become active or be handed over
-by the previous process; the subscriber checks again.
+Responses are parsed and checked in a thread. Meanwhile another version may become active or be handed over by
+the hot-restart predecessor, so the subscriber checks the version again afterwards.
 """
 
 from __future__ import annotations
@@ -51,31 +51,36 @@
 PATH = "/configuration"
 MAX_RESPONSE_BYTES = 64 * 2**20
 READ_BYTES = 256 * 1024
-MAX_STATE_BYTES = 4 * 2**20  # of settings handed to the next process; it asks a service for longer ones
-FIRST_RESPONSE_TIMEOUT_S = 1.0  # then a start goes on with its own file's settings
-# While a thread reads, the event loop waits so long for each of its turns, not the interpreter's 5 ms.
+# Maximum size of the settings that are handed to a hot-restart successor, which requests longer ones from a
+# service.
+MAX_STATE_BYTES = 4 * 2**20
+# Time after which a starting gateway stops waiting for a service and uses the settings of its own file.
+FIRST_RESPONSE_TIMEOUT_S = 1.0
+# Thread switch interval while a thread parses a version. With the interpreter's default of 5 ms, the event
+# loop would wait that long for the interpreter lock each time.
 SWITCH_INTERVAL_S = 0.0005
-FAULT_BACKOFF_S = 0.5  # after a fault of our own
-LOG_INTERVAL_S = 30.0  # the same problem is logged once, and again after so long
+FAULT_BACKOFF_S = 0.5  # delay after an unexpected exception in a call
+LOG_INTERVAL_S = 30.0  # time after which the same problem is logged again
 
 log = logging.getLogger(__name__)
 
 
 class UnusableSettingsError(Exception):
-    """Published settings that this gateway cannot work by; one line."""
+    """Published settings are invalid for this gateway; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class PreparedVersion:
-    """A version that was read, with the configuration that it makes of this gateway's own, or why it does
-    not."""
+    """A parsed version together with this gateway's configuration under its settings, or the reason why they
+    are invalid for this gateway."""
 
     version: SettingsVersion
     config: Config | UnusableSettingsError
 
 
 def config_with(config: Config, settings: SettingsJson) -> Config:
-    """The configuration with published settings, this gateway's own keys kept; raises SettingsError."""
+    """`config` with published settings in place of its own; the gateway's number and zone are kept. Raises
+    SettingsError."""
     own = {"myNumber": config.settings.gateway_number, "locality": config.settings.zone}
     combined = {**settings, **own}
     parsed = parse_settings(combined, "settings")
@@ -93,7 +98,7 @@
 
 
 def usable_config(config: Config, version: SettingsVersion) -> Config:
-    """The configuration that a version makes; raises UnusableSettingsError."""
+    """`config` with the settings of a version; raises UnusableSettingsError if they are invalid."""
     try:
         return config_with(config, version.settings)
     except (SettingsError, ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
@@ -102,8 +107,10 @@
 
 
 class ConfigClient:
-    """One gateway's client. `reconfigure` takes a configuration over, or raises SettingsRejectedError: then
-    nothing has changed. `silent_ms`: services that are silent for longer are logged."""
+    """Client of the configuration services for one gateway.
+
+    `reconfigure` applies a configuration, or raises SettingsRejectedError and leaves the gateway unchanged.
+    `silent_ms`: time without a response from any service after which a warning is logged."""
 
     def __init__(
         self,
@@ -124,24 +131,25 @@
         self.subscriber = ConfigSubscriber(
             config.settings.gateway_number, config.settings.gateway_count, len(addresses), rng, clock.now()
         )
-        self._staged_configs: dict[int, Config] = {}  # by number; of the staged version alone
+        self._staged_configs: dict[int, Config] = {}  # configuration of the staged version, by its number
         self._activation: Timer | None = None
         self._connection = HttpConnection()
-        self._logged_problem = ""  # the last one
+        self._logged_problem = ""  # the last logged problem
         self._logged_problem_ms = 0.0
         self._is_silent = False
         self.first_response_timeout_s = FIRST_RESPONSE_TIMEOUT_S
-        self.has_response = asyncio.Event()  # a first answer has come, and what it brought is staged
+        # Set when the first response has been received and the version in it, if any, is staged or active.
+        self.has_response = asyncio.Event()
 
     # -- calls
 
     async def run(self) -> None:
-        """Call until cancelled; a fault of our own must not end it for good."""
+        """Call the services until cancelled; after an unexpected exception the calls continue."""
         try:
             while True:
                 try:
                     await self._call_once()
-                except Exception:  # whatever it was: without this no version is notified any more
+                except Exception:  # without further calls, no new version would be received
                     log.exception("asking for the configuration failed")
                     self.subscriber.on_call_failed()
                     self._connection.abort()
@@ -184,7 +192,7 @@
             log.warning("configuration: %s", problem)
 
     def _log_silence(self) -> None:
-        """Log when the services fall silent, and when one answers again."""
+        """Log a warning when no service has answered for `silent_ms`, and when one answers again."""
         silent_ms = self._clock.now() - self.subscriber.last_response_ms
         is_silent = silent_ms > self._silent_ms
         if is_silent == self._is_silent:
@@ -200,7 +208,8 @@
             log.warning("configuration: heard again")
 
     async def _fetch(self, request: ConfigWatchRequest) -> bytes:
-        """The body of the answer; empty where there is no newer version. Raises CallFailedError."""
+        """Call a service; returns the response body, which is empty if it has no newer version. Raises
+        CallFailedError."""
         with call_errors(self._connection):
             async with asyncio.timeout(protocol.RESPONSE_TIMEOUT_MS / 1000):
                 await self._connection.open(self._addresses[request.address_index])
@@ -229,7 +238,7 @@
         while not response.is_complete:
             async with asyncio.timeout(max(0.0, end_s - loop.time())):
                 data = await self._connection.read(READ_BYTES)
-            if not response.received_bytes:  # it has begun: a long one takes its time
+            if not response.received_bytes:  # the response has begun: allow time for a long body
                 end_s = loop.time() + max(timeout_s, protocol.BODY_TIMEOUT_MS / 1000)
             response.feed(data)
         return self._connection.finish(response, (200, 204))
@@ -237,9 +246,9 @@
     # -- versions
 
     async def _on_update(self, body: bytes) -> None:
-        """Read an answer and stage its version; raises DynamicConfigError where the answer is bad.
+        """Parse a response body and stage its version; raises DynamicConfigError if the response is invalid.
 
-        A version that is not staged is only logged: the service is well, whatever it has.
+        A valid version that is not staged is only logged, since the service itself works.
         """
         try:
             with _short_switch_interval():
@@ -279,7 +288,7 @@
             self._activation = self._timers.call_at(staged.activates_at_ms, self._activate_due)
 
     def _activate_due(self) -> None:
-        """The staged version's time has come."""
+        """Activate the staged version if its activation time has come."""
         version = self.subscriber.due_version(self._clock.now())
         if version is not None:
             config = self._staged_configs.pop(version.number)
@@ -291,7 +300,7 @@
             self._reconfigure(config)
         except SettingsRejectedError as rejection:
             problem = str(rejection)
-        except Exception as fault:  # of our own: the version is rejected, and requests go on
+        except Exception as fault:  # the version is rejected, and the gateway continues with the active one
             log.exception("version %d could not be taken over", version.number)
             problem = f"it could not be taken over: {fault!r}"
         if problem:
@@ -304,7 +313,8 @@
     # -- hot restart
 
     def export_state(self) -> dict[str, Any] | None:
-        """The active version, for the next process; None where it is too long, or that of the own file."""
+        """The active version for the hot-restart successor; None if it is longer than MAX_STATE_BYTES or if
+        the settings are those of the gateway's own file."""
         active = self.subscriber.active
         if not active.number or len(json.dumps(active.settings)) > MAX_STATE_BYTES:
             return None
@@ -316,7 +326,8 @@
         }
 
     async def import_state(self, value: Any) -> None:
-        """Activate what the previous process had active, unless one as new is active here."""
+        """Activate the version that was active in the hot-restart predecessor, if it is newer than the active
+        one; `value` is what its `export_state` returned."""
         try:
             prepared = await asyncio.to_thread(
                 lambda: prepare_version(parse_update(value), OWN_FILE, self._config)
@@ -336,12 +347,13 @@
     # -- for operators
 
     def status_line(self) -> str:
-        """The answer to the operators' call CONFIGURATION."""
+        """The reply to the operators' command CONFIGURATION: the active, staged and rejected versions."""
         return self.subscriber.status_line(self._clock.now())
 
 
 def prepare_version(update: VersionUpdate, base: SettingsVersion, config: Config) -> PreparedVersion:
-    """Read and check a version, in a thread beside the event loop; raises InvalidUpdateError."""
+    """Build a version from an update and check its settings for this gateway; meant to run in a thread.
+    Raises InvalidUpdateError if the update is malformed or does not fit `base`."""
     version = resolve_update(update, base)
     try:
         return PreparedVersion(version, usable_config(config, version))
@@ -350,7 +362,7 @@
 
 
 def client_for(config: Config, settings: Any, gateway: Any) -> ConfigClient:
-    """The client of the services in the operator's [configuration], for a gateway."""
+    """Create the client for a gateway; `settings` is the `configuration` table of the operator's file."""
     return ConfigClient(
         config,
         settings.addresses,
@@ -364,7 +376,7 @@
 
 @contextmanager
 def _short_switch_interval() -> Iterator[None]:
-    """A thread of our own works beside the event loop."""
+    """Shorten the interpreter's thread switch interval while a thread parses a version."""
     interval_s = sys.getswitchinterval()
     sys.setswitchinterval(min(interval_s, SWITCH_INTERVAL_S))
     try:
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -28,8 +28,8 @@
 
 
 class ManagementPlane:
-    """Owns the admin listener and both sides of a hot restart: this process takes over from its predecessor at
-    the start, and hands over to a successor later."""
+    """Owns the admin listener and both sides of a hot restart: this process takes over from its predecessor
+    at the start, and hands over to a successor later."""
 
     def __init__(
         self, config: Config, gateway: Gateway, listener: HttpListener, loop: asyncio.AbstractEventLoop
@@ -56,8 +56,8 @@
     # -- start
 
     async def open(self) -> None:
-        """Start the admin listener and connect to the hot-restart predecessor, if a process of this gateway is
-        running; the peers' socket is then taken over from it. Raises OSError."""
+        """Start the admin listener and connect to the hot-restart predecessor, if a process of this gateway
+        is running; the peers' socket is then taken over from it. Raises OSError."""
         from plumpick.gateway.hot_restart.socket_path import socket_path
         from plumpick.gateway.hot_restart.successor import Successor
         from plumpick.gateway.listeners.admin import start_server
@@ -82,8 +82,8 @@
             await self._context.listen(self._loop)
 
     async def serve(self) -> None:
-        """Take over the clients of the hot-restart predecessor, if there is one, and then wait for a successor
-        to connect."""
+        """Take over the clients of the hot-restart predecessor, if there is one, and then wait for a
+        successor to connect."""
         if self._successor is not None:
             await self._take_over()
         if self._path is not None:
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -1,8 +1,8 @@
-"""The operator's own file, TOML, as types. `$PLUMPICK_OPERATOR` names it; without one, nothing that it
-switches on is there or imported. deploy/operator.toml explains each key; this module maps each to a field.
+"""Parser of the operator's TOML file, whose path is in `$PLUMPICK_OPERATOR`. Without the file, the features
+that it enables are not imported. deploy/operator.toml documents each key.
 
-A file that cannot be used raises OperatorConfigError, a ConfigError, with one line that names the key: at the
-start the process exits, and after SIGHUP it goes on by the settings before."""
+An invalid file raises OperatorConfigError, a ConfigError, with a one-line message that names the key: at the
+start the process exits, after SIGHUP it keeps the previous settings."""
 
 from __future__ import annotations
 
@@ -22,45 +22,49 @@
 from plumpick.policy.settings_parser import SettingsError
 from plumpick.policy.usage_report import max_collection_ms
 
-# Of the file.
+# Maximum numbers of entries in the file, and maximum length of a name in characters.
 MAX_SCHEDULED_TASKS = 2000
 MAX_BUDGETS = 2000
 MAX_CONFIGURATION_SERVICES = 8
 MAX_NAME_LENGTH = 64
 
-# Of a scheduled task.
-CALL = "call"  # a kind: POST an empty object to the receiver
-USE = "use"  # a kind: collect the usage of all gateways and POST that
+# Kinds of scheduled tasks.
+CALL = "call"  # POST an empty JSON object to the receiver
+USE = "use"  # collect the usage of all gateways and POST the result to the receiver
+
+# Bounds of a scheduled task's period and time limit.
 MIN_CALL_PERIOD_S = 0.1
 MIN_USE_PERIOD_S = 1.0
-USE_GATEWAYS_PER_S = 10  # how many gateways a collection asks in a second
+USE_GATEWAYS_PER_S = 10  # number of gateways that a collection of usage queries per second
 MAX_PERIOD_S = 86_400.0 * 31
 MAX_TIME_LIMIT_S = 86_400.0
 MIN_CALL_TIME_LIMIT_S = 0.05
-MAX_CATCH_UP_PERIODS = 7
+MAX_CATCH_UP_PERIODS = 7  # maximum number of missed periods that are run later
 
-# Of a budget.
-REQUESTS = "requests"  # a value of `counts`
-UNITS = "units"  # the other
+# Values of a budget's key `counts`: what a request is charged.
+REQUESTS = "requests"  # one per request
+UNITS = "units"  # the units that the request states
+# Bounds of the time for which the allocator grants a part of a budget.
 MIN_GRANT_TERM_S = 0.2
 MAX_GRANT_TERM_S = 60.0
-REPORTS_PER_GRANT_TERM = 2  # that the allocator must be able to accept from each gateway
+# Number of reports of each gateway that the allocator must be able to accept within one grant term.
+REPORTS_PER_GRANT_TERM = 2
 
 _Settings = TypeVar("_Settings")
 
 
 class OperatorConfigError(ConfigError):
-    """The operator's file cannot be used. The text begins with the path of the key."""
+    """The operator's file is invalid; the message begins with the path of the file or key."""
 
     @classmethod
     def at(cls, path: str, problem: object) -> OperatorConfigError:
-        """What is wrong with the key, or the file, of that path."""
+        """An error for the file or key at `path`, with the description `problem`."""
         return cls(f"{path}: {problem}")
 
 
 @dataclass(frozen=True, slots=True)
 class Receiver:
-    """Where the effect of a scheduled task goes: a POST over HTTP."""
+    """HTTP server and path that receive the POST of a scheduled task."""
 
     address: Address
     path: str
@@ -68,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledTaskSettings:
-    """A scheduled task and its receiver."""
+    """A scheduled task and the receiver of its POST."""
 
     task: ScheduledTask
     receiver: Receiver
@@ -76,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSettings:
-    """A budget, and the requests that it is for."""
+    """A budget, and the rule that selects the requests charged to it."""
 
     budget: Budget
     rule: BudgetRule
@@ -84,32 +88,33 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What gateways do together: the table `fleet`."""
+    """The table `fleet`: leases, scheduled tasks and budgets that the gateways share."""
 
     terms: LeaseTerms
     scheduled_tasks: tuple[ScheduledTaskSettings, ...]
-    budgets: tuple[BudgetSettings, ...] = ()  # by name
-    grant_term_ms: float = 2000.0
+    budgets: tuple[BudgetSettings, ...] = ()  # sorted by name
+    grant_term_ms: float = 2000.0  # time for which the allocator grants a part of a budget
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationServiceSettings:
-    """The services that versions of the settings come from: the table `configuration`."""
+    """The table `configuration`: the services that publish versions of the settings."""
 
     addresses: tuple[Address, ...]
-    silent_ms: float  # without a word from any service for so long, a warning is logged
+    silent_ms: float  # time without a response from any service after which a warning is logged
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The whole file; None for a table that is not there."""
+    """The tables of the operator's file; None for a table that the file does not contain."""
 
     fleet: FleetSettings | None = None
     configuration: ConfigurationServiceSettings | None = None
 
 
 def load(path: str, gateways: int) -> OperatorConfig:
-    """Read the file, for a fleet of so many gateways. Raises OperatorConfigError."""
+    """Read the operator's file at `path`, for a fleet with the number of `gateways`. Raises
+    OperatorConfigError."""
     try:
         return operator_from(tomllib.loads(Path(path).read_text(encoding="utf-8")), gateways)
     except OSError as problem:
@@ -121,7 +126,8 @@
 
 
 def operator_from(value: Any, gateways: int) -> OperatorConfig:
-    """The settings in a document of TOML, for a fleet of so many gateways. Raises OperatorConfigError."""
+    """Build the settings from a parsed TOML document, for a fleet with the number of `gateways`. Raises
+    OperatorConfigError."""
     table = _Table(value, "operator", {"fleet", "configuration"})
     fleet = table.value.get("fleet")
     configuration = table.value.get("configuration")
@@ -132,13 +138,14 @@
 
 
 def budgets_identity(budgets: tuple[BudgetSettings, ...]) -> str:
-    """What all gateways must have alike of their budgets, as part of the digest in their messages: gateways
-    with other names or guaranteed ratios reject each other's. Limits and bursts may differ for a while."""
+    """The names and guaranteed ratios of the budgets, which must be the same at all gateways. They are part
+    of the digest in lease messages, so that gateways with different ones reject each other's messages. Limits
+    and bursts are left out because they may differ during a reload."""
     return repr([(one.budget.name, one.budget.guaranteed_ratio) for one in budgets])
 
 
 class _Table:
-    """One table of the file. Its methods raise OperatorConfigError with the path of the key."""
+    """One table of the operator's file. Its methods raise OperatorConfigError with the path of the key."""
 
     def __init__(self, value: Any, path: str, known: set[str]) -> None:
         if not isinstance(value, Mapping):
@@ -151,11 +158,11 @@
         self.path = path
 
     def error(self, key: str, problem: object) -> OperatorConfigError:
-        """What is wrong with that key."""
+        """An error for the key `key` of this table, with the description `problem`."""
         return OperatorConfigError.at(f"{self.path}.{key}", problem)
 
     def get(self, key: str, kind: type, default: Any = None) -> Any:
-        """The value of a key, of that type; an integer will do for a float."""
+        """The value of a key, which must have the type `kind`; an integer is accepted for a float."""
         value = self.value.get(key, default)
         if value is None:
             raise self.error(key, "is missing")
@@ -166,21 +173,21 @@
         return value
 
     def milliseconds(self, key: str, min_s: float, max_s: float, default_s: float | None = None) -> float:
-        """The value of a key that is in seconds, in milliseconds."""
+        """The value of a key in seconds, converted to milliseconds; must lie from `min_s` to `max_s`."""
         value = self.get(key, float, default_s)
         if not min_s <= value <= max_s:
             raise self.error(key, f"{value:g} is not from {min_s:g} to {max_s:g}")
         return float(value) * 1000
 
     def choice(self, key: str, choices: tuple[str, ...], default: str | None = None) -> str:
-        """The value of a key that is one of these words."""
+        """The value of a key, which must be one of `choices`."""
         value: str = self.get(key, str, default)
         if value not in choices:
             raise self.error(key, f"{value!r} is none of {', '.join(choices)}")
         return value
 
     def name(self) -> str:
-        """The value of the key `name`."""
+        """The value of the key `name`, with its length and characters checked."""
         name: str = self.get("name", str)
         allowed = all(char.isascii() and (char.isalnum() or char in "-_.") for char in name)
         if not name or len(name) > MAX_NAME_LENGTH or not allowed:
@@ -188,7 +195,7 @@
         return name
 
     def names(self, key: str) -> frozenset[str]:
-        """The value of a key that is a list of names; empty where it is not there."""
+        """The value of a key that is a list of names; empty if the key is missing."""
         rows = self.get(key, list, [])
         if not all(isinstance(row, str) and row for row in rows):
             raise self.error(key, f"{rows} are not all names")
@@ -197,7 +204,8 @@
     def rows(
         self, key: str, max_rows: int, row_from: Callable[[Any, str], _Settings]
     ) -> tuple[_Settings, ...]:
-        """The rows of an array of tables, each read by `row_from(row, path)`."""
+        """The entries of an array of tables, of which there may be `max_rows`, each parsed by
+        `row_from(row, path)`."""
         rows = self.get(key, list, [])
         if len(rows) > max_rows:
             raise self.error(key, f"{len(rows)} of them; {max_rows} is the most")
@@ -237,7 +245,8 @@
 def _identity(
     tasks: tuple[ScheduledTaskSettings, ...], budgets: tuple[BudgetSettings, ...], grant_term_ms: float
 ) -> str:
-    """What all gateways must have alike beside the terms of leases."""
+    """Text for the digest in lease messages, of the tasks and budgets that must be the same at all
+    gateways."""
     periods = sorted((one.task.name, one.task.kind, one.task.period_ms) for one in tasks)
     return repr((periods, *([budgets_identity(budgets), grant_term_ms] if budgets else [])))
 
@@ -252,7 +261,8 @@
     min_limit_s = MIN_CALL_TIME_LIMIT_S
     if kind == USE:
         min_period_s = max(MIN_USE_PERIOD_S, gateways / USE_GATEWAYS_PER_S)
-        # To collect from gateways that do not answer, too, and to send the result.
+        # Time to collect the usage, including time-outs of gateways that do not answer, and to send the
+        # result.
         min_limit_s = max_collection_ms(gateways) / 1000 + 1.0
     period_ms = table.milliseconds("period_s", min_period_s, MAX_PERIOD_S)
     default_limit_s = max(period_ms / 1000, 5.0, min_limit_s + 4.0)
@@ -311,7 +321,8 @@
 
 
 def _grant_term_ms(table: _Table, gateways: int, has_budgets: bool) -> float:
-    """How long grants last: long enough for one allocator to accept the reports of all gateways."""
+    """Time for which grants are valid, in ms. With budgets it must be long enough for one allocator to accept
+    the reports of all gateways."""
     default_s = min(MAX_GRANT_TERM_S, max(2.0, gateways / 8))
     grant_term_ms = table.milliseconds("share_s", MIN_GRANT_TERM_S, MAX_GRANT_TERM_S, default_s)
     if has_budgets and grant_term_ms < REPORTS_PER_GRANT_TERM * 1000 * gateways / MAX_REPORTS_PER_S:
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -67,7 +67,8 @@
             self._loop.add_reader(self._socket, self._read)
 
     def stop_receiving(self) -> None:
-        """Stop receiving datagrams, since another process receives on the same socket; sending still works."""
+        """Stop receiving datagrams, since another process receives on the same socket; sending still
+        works."""
         if self._socket is not None and self._loop is not None:
             self._loop.remove_reader(self._socket)
 
--- a/plumpick/gateway/platform.py
+++ b/plumpick/gateway/platform.py
@@ -1,4 +1,4 @@
-"""Access to the operating system: sockets, clocks, random numbers and files. A simulation replaces this class.
+"""Access to the operating system: sockets, clocks, random numbers and files; replaced by a simulation.
 
 Timers, connections and signals come from the running event loop instead. Methods raise OSError for system
 errors where their docstrings say so."""
@@ -51,7 +51,8 @@
 
     @staticmethod
     def has_no_unread_input(transport: Any) -> bool:
-        """Whether the connection has neither bytes nor an end of stream that the event loop has yet to read."""
+        """Whether the connection has neither bytes nor an end of stream that the event loop has yet to
+        read."""
         return not _polls(transport, select.POLLIN)
 
     @staticmethod
@@ -59,7 +60,8 @@
         """Whether a connection that the event loop reported as ended was reset by the peer.
 
         If bytes and a reset arrive before the same poll, libuv reads the bytes and reports the hang-up as a
-        normal end, without the read that would have returned the reset. This reads from the socket instead."""
+        normal end, without the read that would have returned the reset. This reads from the socket
+        instead."""
         sock = socket.socket(
             socket.AF_INET, socket.SOCK_STREAM, 0, fileno=transport.get_extra_info("socket").fileno()
         )
@@ -92,8 +94,8 @@
         return time.time() * 1000
 
     def takes_part(self, part: Any) -> None:
-        """Called with this process's participant in leases and scheduled tasks; the real platform does nothing,
-        a simulated one observes the participant."""
+        """Called with this process's participant in leases and scheduled tasks; the real platform does
+        nothing, a simulated one observes the participant."""
 
     def life(self) -> int:
         """The incarnation of this process: a random 32-bit number that distinguishes it from other processes
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -23,8 +23,8 @@
 from plumpick.policy.endpoint_watch import EndpointWatch
 
 # Maximum wait at the start for the first complete endpoint list from discovery. The short time applies if the
-# configuration contains a list to start with. Without any list every request would be rejected, so the wait is
-# longer, but short enough for the process to be ready within 10 s.
+# configuration contains a list to start with. Without any list every request would be rejected, so the wait
+# is longer, but short enough for the process to be ready within 10 s.
 FIRST_LIST_TIMEOUT_S = 0.5
 ONLY_LIST_TIMEOUT_S = 8.0
 MAX_STREAM_S = 600.0  # maximum time for which the shutdown waits for bodies that are still being streamed
@@ -190,8 +190,8 @@
 def create_participant(
     settings: Any, config: Config, loop: asyncio.AbstractEventLoop, platform: Platform, gateway: Gateway
 ) -> Any:
-    """Create the gateway's participant in leases, scheduled tasks and budgets. Its modules are imported only if
-    the operator's file has a `fleet` table."""
+    """Create the gateway's participant in leases, scheduled tasks and budgets. Its modules are imported only
+    if the operator's file has a `fleet` table."""
     from plumpick.gateway.cluster.lease_runner import LeaseRunner
 
     participant = LeaseRunner(
