--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -92,7 +92,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._due_ms = math.inf
         self._is_stepping = False
-        system.takes_part(self)
+        system.on_participant_created(self)
 
     def _new_scheduler(self) -> TaskScheduler:
         tasks = tuple(one.task for one in self._settings.scheduled_tasks)
--- a/plumpick/gateway/platform.py
+++ b/plumpick/gateway/platform.py
@@ -93,7 +93,7 @@
         """Wall-clock time in milliseconds since 1970; it jumps when the machine's clock is set."""
         return time.time() * 1000
 
-    def takes_part(self, part: Any) -> None:
+    def on_participant_created(self, part: Any) -> None:
         """Called with this process's participant in leases and scheduled tasks; the real platform does
         nothing, a simulated one observes the participant."""
 
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -81,7 +81,7 @@
             self._gatekeepers,
         ).fleet
 
-    def takes_part(self, process: Process, part: Any) -> None:
+    def on_participant_created(self, process: Process, part: Any) -> None:
         """A process has a part from now on."""
         self._parts = [(one, its) for one, its in self._parts if not one.dead]
         self._parts.append((process, part))
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -81,9 +81,9 @@
     def unix_ms(self) -> float:
         return (UNIX_S + self.process.time()) * 1000
 
-    def takes_part(self, part: Any) -> None:
+    def on_participant_created(self, part: Any) -> None:
         if self.watch is not None:
-            self.watch.takes_part(self.process, part)
+            self.watch.on_participant_created(self.process, part)
 
     def life(self) -> int:
         machine = self.process.machine
