--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -88,7 +88,9 @@
             config.name, settings.scheduled_tasks, loop, self._may_act, self.usage.collect, self._on_run_end
         )
         self._restart = PlannedRestart(command)
-        self._guard = ProcessGuard(loop, lambda: system.guard(config.peer_listen), self._on_guard_acquired)
+        self._guard = ProcessGuard(
+            loop, lambda: system.lock_peer_address(config.peer_listen), self._on_guard_acquired
+        )
         self._timer: asyncio.TimerHandle | None = None
         self._due_ms = math.inf
         self._is_stepping = False
@@ -107,7 +109,7 @@
             self._settings.terms,
             self._config.settings.gateway_number,
             self._config.settings.gateway_count,
-            self._system.life(),
+            self._system.incarnation(),
             self._chance,
             now_ms,
             self._system.unix_ms(),
--- a/plumpick/gateway/platform.py
+++ b/plumpick/gateway/platform.py
@@ -97,12 +97,12 @@
         """Called with this process's participant in leases and scheduled tasks; the real platform does
         nothing, a simulated one observes the participant."""
 
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """The incarnation of this process: a random 32-bit number that distinguishes it from other processes
         of the same gateway."""
         return int.from_bytes(os.urandom(4), "big")  # avoids importing `secrets` only for this number
 
-    def guard(self, address: tuple[str, int] | None) -> Any:
+    def lock_peer_address(self, address: tuple[str, int] | None) -> Any:
         """Lock a peer address so that one process of this machine at a time uses it. Returns an object whose
         `close` releases the lock, as does the exit of the process; None if another process holds it. The lock
         is a TCP socket that is bound to the address and does not listen."""
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -85,11 +85,11 @@
         if self.watch is not None:
             self.watch.on_participant_created(self.process, part)
 
-    def life(self) -> int:
+    def incarnation(self) -> int:
         machine = self.process.machine
         return random.Random(f"{machine.seed}/life/{len(machine.processes)}").getrandbits(32)
 
-    def guard(self, address: Any) -> Any:
+    def lock_peer_address(self, address: Any) -> Any:
         """A process of a gatekeeper is the only one of its number."""
         return Plug(self.process.machine.network, self.process)
 
--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -14,9 +14,9 @@
 
 
 class PlatformWithGuard(Platform):
-    """The real machine, with a guard that always is to be had."""
+    """The real platform, except that the lock of the peer address is always granted."""
 
-    def guard(self, address):
+    def lock_peer_address(self, address):
         class Guard:
             def close(self):
                 """Nothing is held."""
