--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -17,7 +17,11 @@
 from plumpick.capacity.slopes import LINEAR, Slope
 from plumpick.cli import parser
 from plumpick.gateway.gateway import UPSTREAM_DESCRIPTOR_RATIO
-from plumpick.gateway.operator_config import MAX_CONFIGURATION_SERVICES, MAX_GRANT_TERM_S, operator_from
+from plumpick.gateway.operator_config import (
+    MAX_CONFIGURATION_SERVICES,
+    MAX_GRANT_TERM_S,
+    parse_operator_config,
+)
 from plumpick.gateway.shutdown import shutdown_times
 from plumpick.policy import endpoint_watch, subsetting, usage_report
 from plumpick.policy.budgets.codec import encode_grants
@@ -106,7 +110,7 @@
         max_attempts=1,
         peer_inbox_per_s=sizes["words_taken_in_per_s"],
     )
-    default = operator_from({"fleet": {"voters": [0]}}, gatekeepers).fleet
+    default = parse_operator_config({"fleet": {"voters": [0]}}, gatekeepers).fleet
     if default is None:
         raise ModelError("the operator's file names no fleet")
     others = (
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -112,11 +112,11 @@
     configuration: ConfigurationServiceSettings | None = None
 
 
-def load(path: str, gateways: int) -> OperatorConfig:
+def load_operator_config(path: str, gateways: int) -> OperatorConfig:
     """Read the operator's file at `path`, for a fleet with the number of `gateways`. Raises
     OperatorConfigError."""
     try:
-        return operator_from(tomllib.loads(Path(path).read_text(encoding="utf-8")), gateways)
+        return parse_operator_config(tomllib.loads(Path(path).read_text(encoding="utf-8")), gateways)
     except OSError as problem:
         raise OperatorConfigError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
@@ -125,7 +125,7 @@
         raise OperatorConfigError.at(path, problem) from problem
 
 
-def operator_from(value: Any, gateways: int) -> OperatorConfig:
+def parse_operator_config(value: Any, gateways: int) -> OperatorConfig:
     """Build the settings from a parsed TOML document, for a fleet with the number of `gateways`. Raises
     OperatorConfigError."""
     table = _Table(value, "operator", {"fleet", "configuration"})
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -55,9 +55,9 @@
     ConfigError."""
     if not path:
         return None
-    from plumpick.gateway.operator_config import load as load_operator
+    from plumpick.gateway.operator_config import load_operator_config
 
-    settings = load_operator(path, config.settings.gateway_count).fleet
+    settings = load_operator_config(path, config.settings.gateway_count).fleet
     if settings is None:
         return None
     if config.settings.gateway_count > 1 and config.peer_listen is None:
@@ -72,6 +72,6 @@
     ConfigError."""
     if not path:
         return None
-    from plumpick.gateway.operator_config import load as load_operator
+    from plumpick.gateway.operator_config import load_operator_config
 
-    return load_operator(path, config.settings.gateway_count).configuration
+    return load_operator_config(path, config.settings.gateway_count).configuration
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from plumpick.gateway.operator_config import FleetSettings, operator_from
+from plumpick.gateway.operator_config import FleetSettings, parse_operator_config
 from plumpick.rehearsal.auditor import Breach
 from plumpick.rehearsal.receiver import Receiver
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -61,7 +61,7 @@
             "fenced": True,
             "receiver": f"http://{HOST}:{self.receiver.port}/effects",
         }
-        self.settings = operator_from(
+        self.settings = parse_operator_config(
             {
                 "fleet": {
                     "voters": list(range(min(3, self._gatekeepers))),
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -12,7 +12,7 @@
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE
 from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import FleetSettings, load
+from plumpick.gateway.operator_config import FleetSettings, load_operator_config
 from plumpick.policy.budgets.bounds import BudgetBound, max_vacancy_s
 from plumpick.policy.budgets.bounds import bounds_of as budget_table
 from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, compute_bounds, max_forwarding_delay_s
@@ -63,7 +63,7 @@
 
 def budgets_in(path: str, gateways: int) -> tuple[FleetSettings | None, list[BudgetBound]]:
     """What the operator's file names, and the bounds of its budgets. Raises ConfigError."""
-    fleet = load(path, gateways).fleet
+    fleet = load_operator_config(path, gateways).fleet
     if fleet is None:
         return None, []
     return fleet, [
--- a/tests/compatibility/edges.py
+++ b/tests/compatibility/edges.py
@@ -15,7 +15,7 @@
 from support.fakes import config, entry, listing
 
 from plumpick.gateway.config import ConfigError, parse_config, parse_worker_list
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 
 ROOT = Path(__file__).resolve().parents[2]
 WRONG = (None, "x", -1, 0, 1e400, [], {}, True, ["x"], "1:2")
@@ -90,7 +90,7 @@
     """The message for every way to spoil the operator's file."""
     rows = {}
     for what, value in spoilt(tomllib.loads(OPERATOR)):
-        rows[what] = said(lambda value: operator_from(value, 3), value, (ValueError, ConfigError))
+        rows[what] = said(lambda value: parse_operator_config(value, 3), value, (ValueError, ConfigError))
     return rows
 
 
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -7,7 +7,7 @@
 from support.fakes import Client, request
 
 from benchmarks.budgets.trial import BUDGETS, Trial, audit, play
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 from plumpick.policy.budgets.bounds import bounds_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Tier
@@ -58,7 +58,7 @@
                 lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "seconds cut off"
             )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
-            fleet = operator_from(
+            fleet = parse_operator_config(
                 {"fleet": {"voters": [0, 1, 2], "term_s": 2.0, "share_s": 1.0, "budget": [BUDGETS[0]]}}, 3
             ).fleet
             budget = fleet.budgets[0].budget
--- a/tests/gateway/cluster/test_cluster_settings.py
+++ b/tests/gateway/cluster/test_cluster_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import load, operator_from
+from plumpick.gateway.operator_config import load_operator_config, parse_operator_config
 
 ROOT = pathlib.Path(__file__).parents[3]
 
@@ -19,12 +19,12 @@
 
 
 def test_tasks_are_read_from_the_operators_settings():
-    got = operator_from(
+    got = parse_operator_config(
         fleet(DUTY, {**DUTY, "name": "two", "fenced": False, "repeatable": True}, turns=1), 3
     ).fleet
     assert [one.task.name for one in got.scheduled_tasks] == ["use", "two"]
     assert got.scheduled_tasks[0].receiver.address == ("127.0.0.1", 9) and got.terms.restart_permits == 1
-    assert operator_from({}, 3).fleet is None
+    assert parse_operator_config({}, 3).fleet is None
 
 
 @pytest.mark.parametrize(
@@ -50,17 +50,17 @@
 )
 def test_an_invalid_setting_is_named_by_its_key(value, key):
     with pytest.raises(ConfigError, match=key):
-        operator_from(value, 3)
+        parse_operator_config(value, 3)
 
 
 def test_an_unreadable_file_is_named_in_the_error(tmp_path):
     (tmp_path / "bad.toml").write_text("[fleet\n")
     for name in ("bad.toml", "none.toml"):
         with pytest.raises(ConfigError, match=name):
-            load(str(tmp_path / name), 3)
+            load_operator_config(str(tmp_path / name), 3)
 
 
 def test_the_shipped_operators_file_is_valid():
     text = (ROOT / "deploy/operator.toml").read_text()
-    got = operator_from(tomllib.loads(text), 3).fleet
+    got = parse_operator_config(tomllib.loads(text), 3).fleet
     assert got is not None and len(got.scheduled_tasks) >= 2
--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -6,7 +6,7 @@
 
 from plumpick.gateway.cluster import fenced_effects, lease_runner
 from plumpick.gateway.config import parse_config
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 from plumpick.gateway.platform import Platform
 from plumpick.policy.budgets.codec import encode_limits
 from plumpick.policy.budgets.messages import LimitsMessage
@@ -34,7 +34,7 @@
     """A tier of one, whose voter is itself; `scenario(part, told)` once it owns all slots."""
 
     async def whole():
-        settings = operator_from(
+        settings = parse_operator_config(
             {"fleet": {"voters": [0], "slots": 2, "term_s": 0.5, "duty": duties, **fleet}}, 1
         ).fleet
         orders = []
--- a/tests/gateway/dynamic_config/test_config_table.py
+++ b/tests/gateway/dynamic_config/test_config_table.py
@@ -3,7 +3,7 @@
 import pytest
 
 from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 
 
 @pytest.mark.parametrize(
@@ -21,9 +21,9 @@
 )
 def test_each_key_of_the_table_is_checked_by_name(table, key):
     with pytest.raises(ConfigError, match=key):
-        operator_from({"configuration": table}, 3)
+        parse_operator_config({"configuration": table}, 3)
 
 
 def test_the_table_needs_no_fleet():
-    got = operator_from({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
+    got = parse_operator_config({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
     assert got.fleet is None and got.configuration.silent_ms == 9000.0
--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -5,7 +5,7 @@
 import pytest
 
 from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 
 
 @pytest.mark.parametrize(
@@ -24,7 +24,7 @@
 def test_unusable_budget_is_named_by_its_key(text, key):
     document = f"[fleet]\nvoters = [0]\n[[fleet.budget]]\nname = 'x'\n{text}\n"
     with pytest.raises(ConfigError) as problem:
-        operator_from(tomllib.loads(document), 3)
+        parse_operator_config(tomllib.loads(document), 3)
     assert key in str(problem.value)
 
 
@@ -35,25 +35,25 @@
 def test_file_without_share_s_is_read_at_any_size_of_the_fleet(gateways):
     """From 481 gateways on the default must not pass the key's own bound."""
     for text in ("", BUDGET):
-        got = operator_from(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
+        got = parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
         assert got.grant_term_ms == min(60.0, max(2.0, gateways / 8)) * 1000
         assert got.grant_term_ms >= 2000 * gateways / 30
 
 
 def test_share_s_too_short_for_the_fleet_is_rejected_where_there_are_budgets():
     own = "[fleet]\nvoters = [0]\nshare_s = 36\n"
-    assert operator_from(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
+    assert parse_operator_config(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
     with pytest.raises(ConfigError, match="fleet.share_s: 36 is too short for 550 gatekeepers"):
-        operator_from(tomllib.loads(own + BUDGET), 550)
+        parse_operator_config(tomllib.loads(own + BUDGET), 550)
     with pytest.raises(ConfigError, match="fleet.share_s: 60 is too short for 901 gatekeepers"):
-        operator_from(tomllib.loads(own.replace("36", "60") + BUDGET), 901)  # whatever its length
+        parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)  # whatever its length
     with pytest.raises(ConfigError, match="fleet.share_s: 61 is not from 0.2 to 60"):
-        operator_from(tomllib.loads(own.replace("36", "61")), 550)
+        parse_operator_config(tomllib.loads(own.replace("36", "61")), 550)
 
 
 def test_digest_depends_on_names_and_floors_of_budgets_only():
     def digest(text):
-        return operator_from(tomllib.loads("[fleet]\nvoters = [0]\n" + text), 3).fleet.terms.digest
+        return parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), 3).fleet.terms.digest
 
     one = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
     assert len({digest(""), digest(one), digest(one + "floor = 0.2\n")}) == 3
