--- a/benchmarks/configuration/plants.py
+++ b/benchmarks/configuration/plants.py
@@ -68,11 +68,11 @@
 
 def _in_part() -> None:
     """Of a bad version what can be read is taken."""
-    usable_config = client.usable_config
+    config_for_version = client.config_for_version
 
     def lenient(config: Any, version: SettingsVersion) -> Any:
         try:
-            return usable_config(config, version)
+            return config_for_version(config, version)
         except client.UnusableSettingsError:
             pass
         good = {
@@ -85,7 +85,7 @@
         parts = replace(config.settings, tick_ms=float(good.get("tickMs", 1.0)) + 1.0)
         return replace(config, settings=parts)
 
-    client.usable_config = lenient
+    client.config_for_version = lenient
 
 
 def _at_receipt() -> None:
--- a/benchmarks/configuration/trial.py
+++ b/benchmarks/configuration/trial.py
@@ -23,7 +23,7 @@
 from benchmarks.configuration.witness import mark_of
 from benchmarks.trials import to_the_end
 from plumpick.gateway.config import parse_config
-from plumpick.gateway.dynamic_config.client import config_with
+from plumpick.gateway.dynamic_config.client import apply_settings
 from plumpick.policy.dynamic_config.delta import settings_digest
 from plumpick.policy.dynamic_config.rollout_report import report_rollout
 from plumpick.policy.dynamic_config.subscriber import ACTIVATION_DEADLINE_MS
@@ -310,7 +310,7 @@
         self.number += 1
         now = unix_ms()
         try:
-            mark = mark_of(config_with(self.base, settings))
+            mark = mark_of(apply_settings(self.base, settings))
         except SettingsError:
             mark = ""
         self.published[self.number] = Published(mark, now + later_ms, now)
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -78,7 +78,7 @@
     config: Config | UnusableSettingsError
 
 
-def config_with(config: Config, settings: SettingsJson) -> Config:
+def apply_settings(config: Config, settings: SettingsJson) -> Config:
     """`config` with published settings in place of its own; the gateway's number and zone are kept. Raises
     SettingsError."""
     own = {"myNumber": config.settings.gateway_number, "locality": config.settings.zone}
@@ -97,10 +97,10 @@
     )
 
 
-def usable_config(config: Config, version: SettingsVersion) -> Config:
+def config_for_version(config: Config, version: SettingsVersion) -> Config:
     """`config` with the settings of a version; raises UnusableSettingsError if they are invalid."""
     try:
-        return config_with(config, version.settings)
+        return apply_settings(config, version.settings)
     except (SettingsError, ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
         line = str(problem).partition("\n")[0] or repr(problem)
         raise UnusableSettingsError(line) from problem
@@ -356,12 +356,12 @@
     Raises InvalidUpdateError if the update is malformed or does not fit `base`."""
     version = resolve_update(update, base)
     try:
-        return PreparedVersion(version, usable_config(config, version))
+        return PreparedVersion(version, config_for_version(config, version))
     except UnusableSettingsError as problem:
         return PreparedVersion(version, problem)
 
 
-def client_for(config: Config, settings: Any, gateway: Any) -> ConfigClient:
+def create_client(config: Config, settings: Any, gateway: Any) -> ConfigClient:
     """Create the client for a gateway; `settings` is the `configuration` table of the operator's file."""
     return ConfigClient(
         config,
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -214,6 +214,6 @@
 def create_settings_source(settings: Any, config: Config, gateway: Gateway) -> Any:
     """Create the client of the configuration services. Its modules are imported only if the operator's file
     has a `configuration` table."""
-    from plumpick.gateway.dynamic_config.client import client_for
+    from plumpick.gateway.dynamic_config.client import create_client
 
-    return client_for(config, settings, gateway)
+    return create_client(config, settings, gateway)
--- a/tests/compatibility/dynamic_config.py
+++ b/tests/compatibility/dynamic_config.py
@@ -15,7 +15,7 @@
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import parse_config
 from plumpick.gateway.discovery import DiscoveryClient
-from plumpick.gateway.dynamic_config.client import ConfigClient, UnusableSettingsError, usable_config
+from plumpick.gateway.dynamic_config.client import ConfigClient, UnusableSettingsError, config_for_version
 from plumpick.gateway.errors import SettingsRejectedError
 from plumpick.policy import endpoint_watch
 from plumpick.policy.dynamic_config import delta, rollout_report, subscriber, updates, version_store
@@ -242,7 +242,7 @@
     more = {"peers": peers, "peer_listen": peers[0]} if peers else {}
     own = parse_config(config(name="n0", **more), {})
     try:
-        usable_config(own, updates.SettingsVersion(1, "", 0.0, settings))
+        config_for_version(own, updates.SettingsVersion(1, "", 0.0, settings))
     except UnusableSettingsError as problem:
         return [False, str(problem)]
     return [True, ""]
--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -12,7 +12,7 @@
 
 from plumpick.gateway.clock import Clock, Timers
 from plumpick.gateway.config import parse_config
-from plumpick.gateway.dynamic_config.client import ConfigClient, config_with
+from plumpick.gateway.dynamic_config.client import ConfigClient, apply_settings
 from plumpick.gateway.errors import SettingsRejectedError
 from plumpick.policy.dynamic_config.delta import settings_digest
 from plumpick.policy.dynamic_config.rollout_report import report_rollout
@@ -483,7 +483,7 @@
 
 def test_a_gateways_own_keys_are_not_changed_by_a_version():
     mine = parse_config(config(name="n2"), {})
-    changed = config_with(mine, {**published(3), "myNumber": 9, "locality": "z"})
+    changed = apply_settings(mine, {**published(3), "myNumber": 9, "locality": "z"})
     assert (changed.settings.gateway_number, changed.settings.zone) == (
         mine.settings.gateway_number,
         mine.settings.zone,
@@ -491,7 +491,7 @@
     assert (changed.name, changed.listen, changed.seed) == (mine.name, mine.listen, mine.seed)
     value = copy.deepcopy(published(3))
     value["limits"]["dialTimeoutMs"] = 99.0
-    assert config_with(mine, value).dial_timeout_ms == 99.0
+    assert apply_settings(mine, value).dial_timeout_ms == 99.0
 
 
 def test_a_service_rejects_malformed_requests_and_goes_on(caplog):
