--- a/benchmarks/configuration/witness.py
+++ b/benchmarks/configuration/witness.py
@@ -19,7 +19,8 @@
 
 def mark_of(config: Any) -> str:
     """What tells the settings of a configuration from others, less what is a gatekeeper's own."""
-    text = repr((replace(config.settings, gateway_number=0, zone=""), config.dial_timeout_ms, config.idle_ms))
+    shared = replace(config.settings, gateway_number=0, zone="")
+    text = repr((shared, config.connect_timeout_ms, config.worker_idle_timeout_ms))
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -19,8 +19,8 @@
 # Values for keys that the file does not contain.
 DEFAULT_SOCKETS = 1024.0
 DEFAULT_MEMORY_MB = 192.0
-DEFAULT_DIAL_TIMEOUT_MS = 250.0
-DEFAULT_IDLE_MS = 15_000.0
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_WORKER_IDLE_TIMEOUT_MS = 15_000.0
 MAX_PORT = 65535
 ENDPOINT_STATES = {
     "ready": EndpointState.READY,
@@ -60,8 +60,8 @@
     seed: int
     sockets: int  # maximum number of open descriptors of the process
     settings: Settings
-    dial_timeout_ms: float
-    idle_ms: float  # time after which a worker closes an idle connection
+    connect_timeout_ms: float
+    worker_idle_timeout_ms: float  # time after which a worker closes an idle connection
     known: WorkerList  # workers used until discovery sends its first list
     peer_listen: Address | None  # address at which datagrams of peers are received
     peers: tuple[Address, ...]  # peer addresses of all gateways, indexed by gateway number
@@ -140,8 +140,8 @@
         seed=seed_number,
         sockets=int(top.nested_object("limits", {}).number("sockets", DEFAULT_SOCKETS)),
         settings=own,
-        dial_timeout_ms=limits.number("dialTimeoutMs", DEFAULT_DIAL_TIMEOUT_MS),
-        idle_ms=limits.number("connIdleMs", DEFAULT_IDLE_MS),
+        connect_timeout_ms=limits.number("dialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS),
+        worker_idle_timeout_ms=limits.number("connIdleMs", DEFAULT_WORKER_IDLE_TIMEOUT_MS),
         known=parse_worker_list(
             top.nested_object("known", {"index": 0, "endpoints": []}).value, "config.known"
         ),
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -92,8 +92,8 @@
     return replace(
         config,
         settings=parsed,
-        dial_timeout_ms=limits.number("dialTimeoutMs", 250.0),
-        idle_ms=limits.number("connIdleMs", 15_000.0),
+        connect_timeout_ms=limits.number("dialTimeoutMs", 250.0),
+        worker_idle_timeout_ms=limits.number("connIdleMs", 15_000.0),
     )
 
 
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -94,8 +94,8 @@
             loop,
             self.clock,
             self.timers,
-            idle_timeout_ms=config.idle_ms,
-            connect_timeout_ms=config.dial_timeout_ms,
+            idle_timeout_ms=config.worker_idle_timeout_ms,
+            connect_timeout_ms=config.connect_timeout_ms,
             max_connections=int(config.sockets * UPSTREAM_DESCRIPTOR_RATIO),
             load_report_fields=config.settings.load_report_fields,
             has_no_unread_input=platform.has_no_unread_input,
@@ -210,7 +210,7 @@
         self.config = config
         self.settings = config.settings
         self.connection_pool.reconfigure(
-            config.idle_ms, config.dial_timeout_ms, config.settings.load_report_fields
+            config.worker_idle_timeout_ms, config.connect_timeout_ms, config.settings.load_report_fields
         )
         for listener in self._listeners:
             listener.reconfigure(config.settings)
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -142,7 +142,10 @@
     for name in RESTART_ONLY_FIELDS:
         if getattr(config, name) != getattr(current, name):
             raise SettingsRejectedError(f"{name}: cannot change without a restart")
-    for key, value in (("dialTimeoutMs", config.dial_timeout_ms), ("connIdleMs", config.idle_ms)):
+    for key, value in (
+        ("dialTimeoutMs", config.connect_timeout_ms),
+        ("connIdleMs", config.worker_idle_timeout_ms),
+    ):
         if not 0 < value < math.inf:
             raise SettingsRejectedError(
                 f"settings.limits.{key}: expected a finite number above 0, got {value!r}"
--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -491,7 +491,7 @@
     assert (changed.name, changed.listen, changed.seed) == (mine.name, mine.listen, mine.seed)
     value = copy.deepcopy(published(3))
     value["limits"]["dialTimeoutMs"] = 99.0
-    assert apply_settings(mine, value).dial_timeout_ms == 99.0
+    assert apply_settings(mine, value).connect_timeout_ms == 99.0
 
 
 def test_a_service_rejects_malformed_requests_and_goes_on(caplog):
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -40,7 +40,11 @@
     news = parse_config(value, {})
     return type(own)(
         **{name: getattr(own, name) for name in own.__dataclass_fields__}
-        | {"settings": news.settings, "idle_ms": news.idle_ms, "dial_timeout_ms": news.dial_timeout_ms}
+        | {
+            "settings": news.settings,
+            "worker_idle_timeout_ms": news.worker_idle_timeout_ms,
+            "connect_timeout_ms": news.connect_timeout_ms,
+        }
     )
 
 
