--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -74,7 +74,7 @@
     """Parse 'host:port'; raises SettingsError whose message begins with `path`."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-        raise SettingsError(f"{path}: {text!r} is no address")
+        raise SettingsError(f"{path}: expected host:port with a port from 1 to {MAX_PORT}, got {text!r}")
     return host, int(port)
 
 
@@ -82,7 +82,9 @@
     """Parse one entry of a worker list in discovery's JSON format; raises SettingsError."""
     status = row.text("status")
     if status not in ENDPOINT_STATES:
-        raise SettingsError(f"{row.path}.status: {status!r} is no status")
+        raise SettingsError(
+            f"{row.path}.status: expected one of {', '.join(ENDPOINT_STATES)}, got {status!r}"
+        )
     server = Endpoint(
         row.text("name"),
         row.text("zone", ""),
@@ -124,10 +126,12 @@
     try:
         seed_number = int(seed, 16)
     except ValueError as problem:
-        raise SettingsError(f"config.seed: {seed!r} is no hex number") from problem
+        raise SettingsError(f"config.seed: expected a hexadecimal number, got {seed!r}") from problem
     peers = tuple(parse_address(peer, "config.peers") for peer in top.strings("peers"))
     if peers and len(peers) != own.gateway_count:
-        raise SettingsError(f"config.peers: {len(peers)} for {own.gateway_count} gatekeepers")
+        raise SettingsError(
+            f"config.peers: expected {own.gateway_count} addresses, one for each gatekeeper, got {len(peers)}"
+        )
     peer_listen, peers_all = top.text("peer_listen", ""), top.text("peers_all", "")
     # As for the other addresses, the file takes precedence over the environment.
     management = top.text("management", environment.get("BALANCER_MANAGEMENT", ""))
--- a/plumpick/gateway/discovery.py
+++ b/plumpick/gateway/discovery.py
@@ -55,7 +55,7 @@
             try:
                 await self._call_in_turn()
             except Exception:  # without the watch, no change of the list would be noticed
-                log.exception("the watch of discovery failed")
+                log.exception("discovery: the watch failed; restarting it")
             self._watch.reset()
             await asyncio.sleep(FAULT_BACKOFF_S)
 
@@ -95,13 +95,13 @@
     def _on_failure(self, problem: Exception) -> None:
         self._connection.abort()
         if not self._has_logged_failure:
-            log.warning("discovery: %s", problem)
+            log.warning("discovery: call failed: %s", problem)
         self._has_logged_failure = True
 
     def _on_bad_entry(self, problem: SettingsError) -> None:
         """Log the first invalid entry of a list; the other entries of the list are used."""
         if not self._has_logged_bad_entry:
-            log.warning("discovery: left out: %s", problem)
+            log.warning("discovery: ignored an invalid entry of the list: %s", problem)
         self._has_logged_bad_entry = True
 
     async def _fetch(self, target: str, timeout_s: float) -> WorkerList:
@@ -114,7 +114,7 @@
             except SettingsError as problem:
                 raise CallFailedError(str(problem)) from problem
             except (ValueError, RecursionError) as problem:
-                raise CallFailedError("an answer that is no JSON") from problem
+                raise CallFailedError("the response body is not valid JSON") from problem
 
     async def _get(self, target: str) -> bytes:
         connection = self._connection
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -87,7 +87,8 @@
     limits = JsonObject(combined, "settings").nested_object("limits")
     if config.peers and len(config.peers) != parsed.gateway_count:
         raise SettingsError(
-            f"settings.balancers: {parsed.gateway_count}, and there are {len(config.peers)} peers"
+            f"settings.balancers: expected {len(config.peers)}, the number of peers, "
+            f"got {parsed.gateway_count}"
         )
     return replace(
         config,
@@ -150,7 +151,7 @@
                 try:
                     await self._call_once()
                 except Exception:  # without further calls, no new version would be received
-                    log.exception("asking for the configuration failed")
+                    log.exception("configuration: the call to a service failed; retrying")
                     self.subscriber.on_call_failed()
                     self._connection.abort()
                     await asyncio.sleep(FAULT_BACKOFF_S)
@@ -200,12 +201,12 @@
         self._is_silent = is_silent
         if is_silent:
             log.warning(
-                "configuration: no service heard for %.0f s; version %d stays",
+                "configuration: no service has answered for %.0f s; version %d stays active",
                 silent_ms / 1000,
                 self.subscriber.active.number,
             )
         else:
-            log.warning("configuration: heard again")
+            log.warning("configuration: a service answers again")
 
     async def _fetch(self, request: ConfigWatchRequest) -> bytes:
         """Call a service; returns the response body, which is empty if it has no newer version. Raises
@@ -301,14 +302,14 @@
         except SettingsRejectedError as rejection:
             problem = str(rejection)
         except Exception as fault:  # the version is rejected, and the gateway continues with the active one
-            log.exception("version %d could not be taken over", version.number)
-            problem = f"it could not be taken over: {fault!r}"
+            log.exception("configuration: activating version %d failed", version.number)
+            problem = f"activation failed: {fault!r}"
         if problem:
             self.subscriber.on_activation_failed(version, problem)
-            log.error("configuration: version %d is refused: %s", version.number, problem)
+            log.error("configuration: version %d rejected: %s", version.number, problem)
         else:
             self.subscriber.on_activated(version)
-            log.info("configuration: version %d %s is in force", version.number, version.digest[:12])
+            log.info("configuration: version %d %s is active", version.number, version.digest[:12])
 
     # -- hot restart
 
@@ -333,12 +334,12 @@
                 lambda: prepare_version(parse_update(value), OWN_FILE, self._config)
             )
         except InvalidUpdateError as problem:
-            log.warning("configuration: what the process before left cannot be used: %s", problem)
+            log.warning("configuration: ignored the invalid version of the predecessor: %s", problem)
             return
         version = prepared.version
         if isinstance(prepared.config, UnusableSettingsError):
             log.warning(
-                "configuration: version %d of the process before: %s", version.number, prepared.config
+                "configuration: rejected version %d of the predecessor: %s", version.number, prepared.config
             )
         elif self.subscriber.is_newer_than_active(version):
             self._activate(version, prepared.config)
@@ -389,5 +390,5 @@
     try:
         value = json.loads(body)
     except (ValueError, RecursionError) as problem:
-        raise InvalidUpdateError("an answer that is no JSON") from problem
+        raise InvalidUpdateError("the response body is not valid JSON") from problem
     return parse_update(value)
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -117,7 +117,7 @@
 
     @staticmethod
     def _log_no_policy_state() -> None:
-        log.warning("handover: the process before left no state of the policy: this one begins without")
+        log.warning("handover: the predecessor sent no policy state; starting without it")
 
     # -- the other process
 
@@ -135,7 +135,11 @@
                 await self._context.listen(self._loop)
                 return
             except OSError as problem:
-                log.warning("handover: no client is accepted: %s", problem.strerror)
+                log.warning(
+                    "handover: cannot listen for clients again, retrying in %.1f s: %s",
+                    LISTEN_RETRY_S,
+                    problem.strerror,
+                )
             await asyncio.sleep(LISTEN_RETRY_S)
 
     def _on_descriptor_count(self, count: int) -> None:
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -50,6 +50,14 @@
 # Number of reports of each gateway that the allocator must be able to accept within one grant term.
 REPORTS_PER_GRANT_TERM = 2
 
+_TYPE_NAMES: dict[type, str] = {
+    float: "a number",
+    int: "an integer",
+    str: "a string",
+    bool: "a boolean",
+    list: "an array",
+}
+
 _Settings = TypeVar("_Settings")
 
 
@@ -120,7 +128,7 @@
     except OSError as problem:
         raise OperatorConfigError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise OperatorConfigError.at(path, f"no TOML: {problem}") from problem
+        raise OperatorConfigError.at(path, f"invalid TOML: {problem}") from problem
     except OperatorConfigError as problem:
         raise OperatorConfigError.at(path, problem) from problem
 
@@ -149,10 +157,10 @@
 
     def __init__(self, value: Any, path: str, known: set[str]) -> None:
         if not isinstance(value, Mapping):
-            raise OperatorConfigError.at(path, "is no table")
+            raise OperatorConfigError.at(path, f"expected a table, got {value!r:.80}")
         for key in value:
             if key not in known:
-                text = f"no such key; there are {', '.join(sorted(known))}"
+                text = f"no such key; the keys are {', '.join(sorted(known))}"
                 raise OperatorConfigError.at(f"{path}.{key}", text)
         self.value = value
         self.path = path
@@ -169,21 +177,21 @@
         if kind is float and type(value) is int:
             value = float(value)
         if type(value) is not kind:
-            raise self.error(key, f"{value!r} is no {kind.__name__}")
+            raise self.error(key, f"expected {_TYPE_NAMES[kind]}, got {value!r}")
         return value
 
     def milliseconds(self, key: str, min_s: float, max_s: float, default_s: float | None = None) -> float:
         """The value of a key in seconds, converted to milliseconds; must lie from `min_s` to `max_s`."""
         value = self.get(key, float, default_s)
         if not min_s <= value <= max_s:
-            raise self.error(key, f"{value:g} is not from {min_s:g} to {max_s:g}")
+            raise self.error(key, f"expected a number of seconds from {min_s:g} to {max_s:g}, got {value:g}")
         return float(value) * 1000
 
     def choice(self, key: str, choices: tuple[str, ...], default: str | None = None) -> str:
         """The value of a key, which must be one of `choices`."""
         value: str = self.get(key, str, default)
         if value not in choices:
-            raise self.error(key, f"{value!r} is none of {', '.join(choices)}")
+            raise self.error(key, f"expected one of {', '.join(choices)}, got {value!r}")
         return value
 
     def name(self) -> str:
@@ -191,14 +199,14 @@
         name: str = self.get("name", str)
         allowed = all(char.isascii() and (char.isalnum() or char in "-_.") for char in name)
         if not name or len(name) > MAX_NAME_LENGTH or not allowed:
-            raise self.error("name", f"{name!r} is not 1 to 64 letters, digits, '-', '_' and '.'")
+            raise self.error("name", f"expected 1 to 64 letters, digits, '-', '_' or '.', got {name!r}")
         return name
 
     def names(self, key: str) -> frozenset[str]:
         """The value of a key that is a list of names; empty if the key is missing."""
         rows = self.get(key, list, [])
         if not all(isinstance(row, str) and row for row in rows):
-            raise self.error(key, f"{rows} are not all names")
+            raise self.error(key, f"expected an array of non-empty strings, got {rows}")
         return frozenset(rows)
 
     def rows(
@@ -208,7 +216,7 @@
         `row_from(row, path)`."""
         rows = self.get(key, list, [])
         if len(rows) > max_rows:
-            raise self.error(key, f"{len(rows)} of them; {max_rows} is the most")
+            raise self.error(key, f"expected at most {max_rows} entries, got {len(rows)}")
         return tuple(row_from(row, f"{self.path}.{key}[{index}]") for index, row in enumerate(rows))
 
 
@@ -226,7 +234,7 @@
     grant_term_ms = _grant_term_ms(table, gateways, bool(budgets))
     voters = table.get("voters", list)
     if not all(type(voter) is int and 0 <= voter < gateways for voter in voters):
-        raise table.error("voters", f"{voters} are not all numbers from 0 to {gateways - 1}")
+        raise table.error("voters", f"expected gatekeeper numbers from 0 to {gateways - 1}, got {voters}")
     try:
         terms = LeaseTerms(
             tuple(voters),
@@ -269,12 +277,12 @@
     limit_ms = table.milliseconds("limit_s", min_limit_s, MAX_TIME_LIMIT_S, default_limit_s)
     catch_up = table.get("catch_up", int, 2)
     if not 0 <= catch_up <= MAX_CATCH_UP_PERIODS:
-        raise table.error("catch_up", f"{catch_up} is not from 0 to {MAX_CATCH_UP_PERIODS}")
+        raise table.error("catch_up", f"expected 0 to {MAX_CATCH_UP_PERIODS} periods, got {catch_up}")
     if not table.get("fenced", bool, False) and not table.get("repeatable", bool, False):
         raise table.error(
             "fenced",
-            "a receiver without a fence takes what a late owner sends; "
-            "name the duty repeatable if that does no harm",
+            "a receiver that does not check fencing tokens accepts calls of a former lease holder; "
+            "set repeatable = true if repeated calls are harmless",
         )
     receiver = _receiver(table.get("receiver", str), f"{path}.receiver")
     return ScheduledTaskSettings(
@@ -284,13 +292,13 @@
 
 def _receiver(text: str, path: str) -> Receiver:
     if not text.startswith("http://"):
-        raise OperatorConfigError.at(path, f"{text!r} does not begin with http://")
+        raise OperatorConfigError.at(path, f"expected a URL that begins with http://, got {text!r}")
     authority, _, rest = text.removeprefix("http://").partition("/")
     host, _, port = authority.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise OperatorConfigError.at(path, f"{text!r} has no host:port")
+        raise OperatorConfigError.at(path, f"expected a URL with host:port, got {text!r}")
     if not (text.isascii() and text.isprintable()) or " " in text:
-        raise OperatorConfigError.at(path, f"{text!r} is no address")
+        raise OperatorConfigError.at(path, f"expected a URL of printable ASCII without spaces, got {text!r}")
     return Receiver((host, int(port)), "/" + rest)
 
 
@@ -309,7 +317,9 @@
     except BudgetError as problem:
         raise OperatorConfigError.at(path, problem) from problem
     if budget.burst < 1:
-        raise table.error("burst", f"{budget.burst:g} is under 1: no request would ever go on")
+        raise table.error(
+            "burst", f"expected at least 1, got {budget.burst:g}: no request would ever be admitted"
+        )
     rule = BudgetRule(
         name,
         charges_units=counts == UNITS,
@@ -328,9 +338,9 @@
     if has_budgets and grant_term_ms < REPORTS_PER_GRANT_TERM * 1000 * gateways / MAX_REPORTS_PER_S:
         raise table.error(
             "share_s",
-            f"{grant_term_ms / 1000:g} is too short for {gateways} gatekeepers: all "
-            f"ask one of them, which takes in {MAX_REPORTS_PER_S:g} askings a second; at least "
-            f"{REPORTS_PER_GRANT_TERM * gateways / MAX_REPORTS_PER_S:g}",
+            f"{grant_term_ms / 1000:g} s is too short for {gateways} gatekeepers: all report to one of "
+            f"them, which accepts {MAX_REPORTS_PER_S:g} reports per second; expected at least "
+            f"{REPORTS_PER_GRANT_TERM * gateways / MAX_REPORTS_PER_S:g} s",
         )
     return grant_term_ms
 
@@ -339,7 +349,7 @@
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            raise OperatorConfigError.at(f"{path}[{index}].name", f"{name!r} is named twice")
+            raise OperatorConfigError.at(f"{path}[{index}].name", f"{name!r} occurs more than once")
         seen.add(name)
 
 
@@ -347,7 +357,7 @@
     table = _Table(value, "configuration", {"addresses", "silent_s"})
     rows = table.get("addresses", list)
     if not 1 <= len(rows) <= MAX_CONFIGURATION_SERVICES:
-        text = f"{len(rows)} of them; 1 to {MAX_CONFIGURATION_SERVICES} can be named"
+        text = f"expected 1 to {MAX_CONFIGURATION_SERVICES} addresses, got {len(rows)}"
         raise table.error("addresses", text)
     try:
         addresses = tuple(
@@ -358,6 +368,6 @@
     for index, address in enumerate(addresses):
         if address in addresses[:index]:
             raise OperatorConfigError.at(
-                f"configuration.addresses[{index}]", f"{rows[index]!r} is named twice"
+                f"configuration.addresses[{index}]", f"{rows[index]!r} occurs more than once"
             )
     return ConfigurationServiceSettings(addresses, table.milliseconds("silent_s", 5.0, 86_400.0, 30.0))
--- a/plumpick/gateway/peers.py
+++ b/plumpick/gateway/peers.py
@@ -93,7 +93,12 @@
         if self._socket is None:
             return
         if len(data) > MAX_MESSAGE_BYTES:
-            log.error("a message of %d bytes to gatekeeper %d was not sent", len(data), receiver)
+            log.error(
+                "message to gatekeeper %d dropped: %d bytes exceed the maximum of %d",
+                receiver,
+                len(data),
+                MAX_MESSAGE_BYTES,
+            )
             return
         peers = self._config.peers
         address: Address | None = self._config.peers_all
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -143,12 +143,12 @@
         # Discovery answers a watch that starts from the index of a known list only after a change.
         is_answer_due = not (self._config.settings.must_request_watch and known)
         if is_answer_due and not await self._stop.wait_for(self._discovery.has_snapshot, timeout_s):
-            log.warning("discovery is silent; starting with the known list")
+            log.warning("discovery: no complete list received; starting with the list in the configuration")
         source = self._settings_source
         if source is not None and not await self._stop.wait_for(
             source.has_response, source.first_response_timeout_s
         ):
-            log.warning("no service of settings answers; starting with the file's")
+            log.warning("configuration: no service has answered; starting with the settings of the file")
 
     # -- end
 
--- a/plumpick/gateway/reload.py
+++ b/plumpick/gateway/reload.py
@@ -30,7 +30,7 @@
         try:
             settings = await asyncio.to_thread(load_cluster_settings, config, platform.operator_config_path())
         except ConfigError as problem:
-            log.error("the operator's settings stay as they were: %s", problem)
+            log.error("reload failed, the operator's previous settings stay active: %s", problem)
             continue
         if settings is not None:
             participant.reconfigure(settings)
@@ -41,11 +41,11 @@
     try:
         new = await asyncio.to_thread(platform.reload_config)
     except ConfigError as problem:
-        log.error("the configuration stays as it was: %s", problem)
+        log.error("reload failed, the previous configuration stays active: %s", problem)
         return False
-    log.info("the configuration was read anew: discovery at %s:%d", *new.discovery)
+    log.info("reloaded the configuration: discovery at %s:%d", *new.discovery)
     if replace(new, discovery=config.discovery, seed=config.seed, known=config.known) != config:
-        log.warning("what else has changed in the configuration takes effect at the next start")
+        log.warning("other changes in the configuration file take effect only after a restart")
     discovery.change_address(new.discovery)
     return True
 
@@ -61,9 +61,12 @@
     if settings is None:
         return None
     if config.settings.gateway_count > 1 and config.peer_listen is None:
-        raise ConfigError(f"{path}: fleet: this gatekeeper has no peer_listen to hear the others at")
+        raise ConfigError(
+            f"{path}: fleet: peer_listen is missing in the configuration; it is required to receive "
+            "datagrams of the other gatekeepers"
+        )
     if config.peer_listen == config.listen:
-        raise ConfigError(f"{path}: fleet: peer_listen needs a port other than that of listen")
+        raise ConfigError(f"{path}: fleet: peer_listen must differ from listen")
     return settings
 
 
--- a/tests/gateway/cluster/test_cluster_settings.py
+++ b/tests/gateway/cluster/test_cluster_settings.py
@@ -31,7 +31,7 @@
     ("value", "key"),
     [
         ({"flet": {}}, "operator.flet"),
-        (fleet(DUTY, DUTY), r"duty\[1\].name: 'use' is named twice"),
+        (fleet(DUTY, DUTY), r"duty\[1\].name: 'use' occurs more than once"),
         (fleet({**DUTY, "fenced": False}), r"duty\[0\].fenced"),
         (fleet({**DUTY, "kind": "cron"}), r"duty\[0\].kind"),
         (fleet({**DUTY, "period_s": 0}), r"duty\[0\].period_s"),
--- a/tests/gateway/dynamic_config/test_config_table.py
+++ b/tests/gateway/dynamic_config/test_config_table.py
@@ -11,8 +11,8 @@
     [
         ({}, "configuration.addresses"),
         ({"addresses": []}, "configuration.addresses"),
-        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
-        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
+        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: expected 1 to 8 addresses, got 9"),
+        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*occurs more than once"),
         ({"addresses": ["here"]}, r"addresses\[0\]"),
         ({"addresses": [7]}, r"addresses\[0\]"),
         ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -623,7 +623,7 @@
         assert told_by_old.count("handed over to the next process") == 1
         assert "handed over to the next process without the state of the policy: " in told_by_old
         new.kill()
-        assert "the process before left no state of the policy" in (await new.stderr.read()).decode()
+        assert "the predecessor sent no policy state" in (await new.stderr.read()).decode()
 
     upgrades(tmp_path, monkeypatch, scenario, fault)
 
--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -13,7 +13,7 @@
     [
         ("whole = 5", "budget[0].burst: is missing"),
         ("whole = -5\nburst = 5", "x: whole"),
-        ("whole = 5\nburst = 0.5", "budget[0].burst: 0.5 is under 1"),
+        ("whole = 5\nburst = 0.5", "budget[0].burst: expected at least 1, got 0.5"),
         ("whole = 5\nburst = 5\nfloor = 2", "x: floor"),
         ("whole = 5\nburst = 5\ncounts = 'bytes'", "budget[0].counts"),
         ("whole = 5\nburst = 5\nclasses = [1]", "budget[0].classes"),
@@ -43,11 +43,13 @@
 def test_share_s_too_short_for_the_fleet_is_rejected_where_there_are_budgets():
     own = "[fleet]\nvoters = [0]\nshare_s = 36\n"
     assert parse_operator_config(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
-    with pytest.raises(ConfigError, match="fleet.share_s: 36 is too short for 550 gatekeepers"):
+    with pytest.raises(ConfigError, match="fleet.share_s: 36 s is too short for 550 gatekeepers"):
         parse_operator_config(tomllib.loads(own + BUDGET), 550)
-    with pytest.raises(ConfigError, match="fleet.share_s: 60 is too short for 901 gatekeepers"):
+    with pytest.raises(ConfigError, match="fleet.share_s: 60 s is too short for 901 gatekeepers"):
         parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)  # whatever its length
-    with pytest.raises(ConfigError, match="fleet.share_s: 61 is not from 0.2 to 60"):
+    with pytest.raises(
+        ConfigError, match="fleet.share_s: expected a number of seconds from 0.2 to 60, got 61"
+    ):
         parse_operator_config(tomllib.loads(own.replace("36", "61")), 550)
 
 
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -80,7 +80,7 @@
         assert (await fake.called())[0].startswith("/discovery/hosts?since=")
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
-        while b"stays as it was" not in await process.stderr.readline():
+        while b"the previous configuration stays active" not in await process.stderr.readline():
             pass
         async with FakeDiscovery() as second, FakeDiscovery() as third, FakeWorker() as other:
             for new in (second, third):  # the second signal comes while the first move is under way
@@ -196,7 +196,9 @@
                     json.dumps(with_settings({**first, "discovery": f"{HOST}:{other.port}"}, **change))
                 )
                 process.send_signal(signal.SIGHUP)
-                while b"stays as it was" not in (line := await process.stderr.readline()):
+                while b"the previous configuration stays active" not in (
+                    line := await process.stderr.readline()
+                ):
                     pass
                 assert said.encode() in line
             client = await Client().open(port)
