--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -6,7 +6,7 @@
 
 import pytest
 from support.delays import advance_time
-from support.fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
+from support.fakes import HOST, FakeWorker, RunningGateway, Plug, Script, answer, entry, next_is, request, run
 
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.shutdown import close_listener
@@ -14,7 +14,7 @@
 
 def run_with_worker(scenario):
     async def run_scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -60,7 +60,7 @@
         writer.write(answer())
         connection = busy_connection(gate)
         assert b"200 OK" in await plug.receive()
-        has_no_unread_input = gate.front.has_no_unread_input
+        has_no_unread_input = gate.listener.has_no_unread_input
 
         def check_then_send(transport):
             result = has_no_unread_input(transport)
@@ -68,13 +68,13 @@
             assert result and not has_no_unread_input(transport)  # received before the loop runs again
             return result
 
-        gate.front.has_no_unread_input = check_then_send
+        gate.listener.has_no_unread_input = check_then_send
         connection.close_if_idle()
-        gate.front.has_no_unread_input = has_no_unread_input
+        gate.listener.has_no_unread_input = has_no_unread_input
         assert connection.is_closing and await plug.receive() == b""
         plug.close()
         await next_is(worker, gate)
-        assert not gate.keeper.requests.open
+        assert not gate.gateway.requests.open
 
     run_with_worker(scenario)
 
@@ -85,13 +85,13 @@
         for each_client in clients:
             await exchange(worker, each_client)
             assert (await each_client.answer())[0] == 200
-        gate.front.close_idle()
+        gate.listener.close_idle()
         for each_client in clients:
             each_client.send(request())
         for each_client in clients:
             assert await each_client.reader.read() == b""
             each_client.close()
-        while gate.front.admission:
+        while gate.listener.admission:
             await asyncio.sleep(0)
         await next_is(worker, gate)
 
@@ -163,15 +163,15 @@
 
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             listening = Platform().create_listener((HOST, 0), 16)
-            server = await loop.create_server(gate.front.create_connection, sock=listening)
+            server = await loop.create_server(gate.listener.create_connection, sock=listening)
             plugs, address = [], listening.getsockname()
             for number in range(8):  # the event loop does not run meanwhile
                 plug = Plug(address[1])
                 plug.send(request(f"{number:016x}"))
                 plugs.append(plug)
-            await close_listener(loop, server, listening, gate.front)
+            await close_listener(loop, server, listening, gate.listener)
             for _ in plugs:
                 _, writer = await worker.asked()
                 writer.write(answer())
@@ -204,13 +204,13 @@
         while connection.open_request is not None:
             await asyncio.sleep(0)
         assert connection.unwritten_bytes()
-        assert gate.front.transfer_idle_connections(send_descriptor)
+        assert gate.listener.transfer_idle_connections(send_descriptor)
         assert not transferred
         received = b""
         while not received.endswith(body):
             received += await plug.receive()
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        assert gate.front.transfer_idle_connections(send_descriptor)
+        assert gate.listener.transfer_idle_connections(send_descriptor)
         assert transferred == [descriptor]
         plug.close()
 
@@ -219,7 +219,7 @@
 
 def busy_connection(gate):
     """Return the only client connection with an open request."""
-    (connection,) = [conn for conn in gate.front.admission.connections if conn.open_request is not None]
+    (connection,) = [conn for conn in gate.listener.admission.connections if conn.open_request is not None]
     return connection
 
 
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -7,7 +7,19 @@
 
 import pytest
 from support.delays import advance_time
-from support.fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
+from support.fakes import (
+    HOST,
+    Client,
+    FakeWorker,
+    RunningGateway,
+    Script,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+)
 
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import parse_config, parse_worker_list
@@ -35,7 +47,10 @@
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
 
     async def whole():
-        async with FakeWorker() as worker, Gate(Script(**script), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(Script(**script), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(whole())
@@ -43,8 +58,8 @@
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged():
     async def scenario(worker, gate, client):
-        now = gate.keeper.clock.now()  # held, so that what is left is all that the client gave
-        gate.keeper.clock = gate.keeper.connection_pool._clock = type(
+        now = gate.gateway.clock.now()  # held, so that what is left is all that the client gave
+        gate.gateway.clock = gate.gateway.connection_pool._clock = type(
             "Held", (), {"now": staticmethod(lambda: now)}
         )
         client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
@@ -59,7 +74,7 @@
         assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
         outcome = await gate.script.event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
-        assert not gate.keeper.requests.open and not gate.keeper.requests.attempts
+        assert not gate.gateway.requests.open and not gate.gateway.requests.attempts
 
     one_worker(scenario)
 
@@ -123,7 +138,7 @@
     async def scenario():
         async with FakeWorker() as worker:
             port = worker.port
-        async with Gate(Script(), known=[entry("w1", port)]) as gate:
+        async with RunningGateway(Script(), known=[entry("w1", port)]) as gate:
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
@@ -144,13 +159,13 @@
 
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(deaf, HOST, 0, limit=1)
-        async with Gate(Script(), known=[entry("w1", server.sockets[0].getsockname()[1])]) as gate:
+        async with RunningGateway(Script(), known=[entry("w1", server.sockets[0].getsockname()[1])]) as gate:
             client = await gate.client()
             client.send(request(path="/debit", body=bytes(60_000)))
             await started.wait()
-            while not gate.keeper.requests.attempts:
+            while not gate.gateway.requests.attempts:
                 await gate.script.came.wait()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            (attempt,) = gate.gateway.requests.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
@@ -183,12 +198,12 @@
 def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with Gate(Script(), known=[entry("w1", 9)]) as gate:
+        async with RunningGateway(Script(), known=[entry("w1", 9)]) as gate:
 
             async def never(*_):
                 await loop.create_future()
 
-            gate.keeper.connection_pool._loop = type(
+            gate.gateway.connection_pool._loop = type(
                 "Loop",
                 (),
                 {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
@@ -196,7 +211,7 @@
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-            assert gate.keeper.connection_pool._connection_count == 0
+            assert gate.gateway.connection_pool._connection_count == 0
 
     run(scenario())
 
@@ -207,7 +222,7 @@
         _, writer = await worker.asked()
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
-        gate.keeper.post_event(TimerFired("now"))
+        gate.gateway.post_event(TimerFired("now"))
         status, headers, _ = await client.answer()
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
@@ -227,7 +242,7 @@
         _, first = await worker.asked()
         came = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
-        gate.keeper.post_event(TimerFired("hedge"))
+        gate.gateway.post_event(TimerFired("hedge"))
         _, second = await worker.asked()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
@@ -245,7 +260,7 @@
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
         gate.script.to_do = [StartAttempt(77, "w1", 100.0)]
-        gate.keeper.post_event(TimerFired("late"))
+        gate.gateway.post_event(TimerFired("late"))
         assert (
             await gate.script.event(AttemptCompleted)
         ).result is AttemptResult.NOT_STARTED and worker.connections == 0
@@ -259,7 +274,7 @@
         await worker.asked()
         came = await gate.script.event(RequestReceived)
         client.close()
-        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.keeper.requests.open
+        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.gateway.requests.open
 
     one_worker(scenario)
 
@@ -278,7 +293,7 @@
     """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
 
     async def scenario(worker, gate, client):
-        keeper, times = gate.keeper, []
+        keeper, times = gate.gateway, []
         keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
         keeper.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
@@ -344,7 +359,7 @@
 
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         (connection,) = workers._workers["w1"].idle
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
@@ -365,7 +380,7 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         (connection,) = workers._workers["w1"].idle
         since = connection.idle_since_ms
         assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS - 0.1) is None
@@ -382,8 +397,8 @@
         _, writer = await worker.asked()
         writer.write(answer(body=b"first"))
         assert (await client.answer())[2] == b"first"
-        (connection,) = gate.keeper.connection_pool._workers["w1"].idle
-        connection.idle_since_ms = gate.keeper.clock.now() - 10.0  # so long ago
+        (connection,) = gate.gateway.connection_pool._workers["w1"].idle
+        connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
         client.send(request())
         message, other = await worker.asked()
         assert other is not writer  # on another connection
@@ -406,8 +421,8 @@
             writer.write(answer())
         for one in clients:
             assert (await one.answer())[0] == 200
-        workers = gate.keeper.connection_pool
-        mine, now = workers._workers["w1"], gate.keeper.clock.now()
+        workers = gate.gateway.connection_pool
+        mine, now = workers._workers["w1"], gate.gateway.clock.now()
         for place, one in enumerate(mine.idle):
             one.idle_since_ms = now - 10.0 + place
         oldest = mine.idle[0]
@@ -441,13 +456,13 @@
         await exchange(worker, client)
         await gate.script.event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         fleet = await gate.script.event(EndpointsUpdated)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
-        assert (await worker.asked())[0] is None and list(gate.keeper.connection_pool._workers) == ["w2"]
+        assert (await worker.asked())[0] is None and list(gate.gateway.connection_pool._workers) == ["w2"]
         assert (await client.send(request()).answer())[0] == 502  # the script still names w1
 
     one_worker(scenario)
@@ -466,7 +481,7 @@
         writer = await exchange(worker, client)
         writer.close()
         assert (await worker.asked())[0] is None
-        while gate.keeper.connection_pool._connection_count:
+        while gate.gateway.connection_pool._connection_count:
             await asyncio.sleep(0)
         await exchange(worker, client)
         assert worker.connections == 2
@@ -502,7 +517,7 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         assert (await worker.asked())[0] is None
 
     one_worker(scenario)
@@ -511,7 +526,7 @@
 def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        gate.keeper.on_worker_list(parse_worker_list(listing(index=2), "list"))
+        gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
@@ -529,7 +544,7 @@
             await go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.connection_pool._loop = type(
+        gate.gateway.connection_pool._loop = type(
             "Loop",
             (),
             {
@@ -541,11 +556,11 @@
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        assert worker.requests.empty() and gate.keeper.connection_pool._connection_count == 0
+        assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
 
     one_worker(scenario)
 
@@ -567,7 +582,7 @@
 def test_connections_are_closed_well_before_the_worker_would():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         now = workers._clock.now()
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
@@ -635,7 +650,7 @@
         assert (await client.send(data).answer())[0] == status and await client.ends()
         writer.write(answer())
         assert (await other.answer())[0] == 200
-        assert len(gate.keeper.requests.open) == 0 and worker.requests.empty()
+        assert len(gate.gateway.requests.open) == 0 and worker.requests.empty()
 
     one_worker(scenario)
 
@@ -713,9 +728,9 @@
         assert (await client.answer())[2] == b"first"
         assert (await other.send(request("00000000000000aa")).answer())[0] == 409
         assert worker.requests.empty()
-        gate.keeper.requests._ids.expire()
-        gate.keeper.requests._ids.expire()
-        assert gate.keeper.requests._ids.is_empty()
+        gate.gateway.requests._ids.expire()
+        gate.gateway.requests._ids.expire()
+        assert gate.gateway.requests._ids.is_empty()
 
     one_worker(scenario)
 
@@ -758,10 +773,10 @@
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
 
     async def scenario(worker, gate, client):
-        gate.keeper.timers = timers = Timers(asyncio.get_running_loop(), gate.keeper.clock)
+        gate.gateway.timers = timers = Timers(asyncio.get_running_loop(), gate.gateway.clock)
         waits, at = [], timers.call_at
         timers.call_at = lambda at_ms, call: (
-            waits.append(round(at_ms - gate.keeper.clock.now())),
+            waits.append(round(at_ms - gate.gateway.clock.now())),
             at(0.0, call),
         )
         for _ in range(7):
@@ -779,7 +794,7 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request(path="/none") * 300)
-        (one,) = gate.front.admission.connections
+        (one,) = gate.listener.admission.connections
         while not one.is_unreadable:
             await asyncio.sleep(0)
         assert len(one.pipelined) <= MAX_PIPELINED_REQUESTS + 1
@@ -789,7 +804,7 @@
 
 async def taken(gate, count):
     """Wait until so many connections are known."""
-    while len(gate.front.admission) < count:
+    while len(gate.listener.admission) < count:
         await asyncio.sleep(0)
 
 
@@ -807,11 +822,11 @@
 
     async def scenario(worker, gate, client):
         client.send(said)
-        while said.strip() and not any(one.incoming for one in gate.front.admission.connections):
+        while said.strip() and not any(one.incoming for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
         await taken(gate, 1)
         advance_time(gate, 2000)
-        (one,) = gate.front.admission.connections
+        (one,) = gate.listener.admission.connections
         assert not one.is_closing
         advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
@@ -853,7 +868,7 @@
 
 def test_over_the_limit_the_refused_go_first_then_the_silent_then_the_idle_and_none_that_asked():
     async def scenario(worker, gate, client):
-        admission = gate.front.admission
+        admission = gate.listener.admission
         client.send(request())
         await worker.asked()
         idle = await gate.client()
@@ -866,10 +881,10 @@
         assert (await refused.answer())[0] == 400
         for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
             admission.max_connections = most
-            admission.evict_excess(gate.keeper.clock.now() + 1000.0)
+            admission.evict_excess(gate.gateway.clock.now() + 1000.0)
             if gone is not None:
                 assert await gone.ends() and len(admission) == most
-        assert len(admission) == 1 and len(gate.keeper.requests.open) == 1
+        assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
     one_worker(scenario)
 
@@ -882,7 +897,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        (one,) = gate.front.admission.connections
+        (one,) = gate.listener.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
         while Platform().has_no_unread_input(one.transport):
@@ -898,7 +913,7 @@
 
 def test_hundreds_that_connect_at_once_do_not_keep_others_out():
     async def scenario(worker, gate, client):
-        admission = gate.front.admission
+        admission = gate.listener.admission
         await taken(gate, 1)
         crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
@@ -912,10 +927,10 @@
             late = (await gate.client()).send(request())
         gone.cancel()
         # What comes at a stroke may take what no worker's connection needs; it goes once all are read.
-        assert len(admission) <= admission.hard_max_connections + gate.keeper.spare_descriptors()
+        assert len(admission) <= admission.hard_max_connections + gate.gateway.spare_descriptors()
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
-        assert len(gate.keeper.requests.open) == 1
+        assert len(gate.gateway.requests.open) == 1
         for one in crowd:
             one.close()
 
@@ -926,7 +941,7 @@
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.max_long_idle = 1
+        gate.listener.admission.max_long_idle = 1
         first, second = client, await gate.client()
         for one in (first, second):
             one.send(request())
@@ -934,10 +949,10 @@
             writer.write(answer())
             await one.answer()
         advance_time(gate, 1900)
-        assert len(gate.front.admission) == 2
+        assert len(gate.listener.admission) == 2
         advance_time(gate, 2100)
         assert await first.ends()
-        assert len(gate.front.admission) == 1
+        assert len(gate.listener.admission) == 1
         advance_time(gate, 61_000)
         assert await second.ends()
 
@@ -948,7 +963,7 @@
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.crowded_connections = 1
+        gate.listener.admission.crowded_connections = 1
         other = await gate.client()
         for one in (client, other):
             one.send(request())
@@ -958,7 +973,7 @@
         advance_time(gate, 300)
         assert await client.ends()
         client.close()  # it has heard our end; until then what it still sends is read and dropped
-        while len(gate.front.admission) > 1:
+        while len(gate.listener.admission) > 1:
             await asyncio.sleep(0)
         advance_time(gate, 300)
         other.send(request())
@@ -976,7 +991,7 @@
         gc.collect()
         gc.disable()
         try:
-            one = weakref.ref(*gate.front.admission.connections)
+            one = weakref.ref(*gate.listener.admission.connections)
             client.close()
             while one() is not None:
                 await asyncio.sleep(0)
@@ -988,12 +1003,12 @@
 
 def test_what_comes_before_a_planned_end_is_answered_by_then():
     async def scenario(worker, gate, client):
-        gate.keeper.shut_down_within(150.0)
-        began = gate.keeper.clock.now()
+        gate.gateway.shut_down_within(150.0)
+        began = gate.gateway.clock.now()
         client.send(request(deadline=10_000))
         came = await gate.script.event(RequestReceived)
         assert came.deadline_ms < began + 150.0
-        assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
+        assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
 
     one_worker(scenario, worker=None)
 
@@ -1001,9 +1016,9 @@
 def test_readiness_is_told_only_when_ready():
     async def scenario(worker, gate, client):
         up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-        gate.keeper.is_ready = False
+        gate.gateway.is_ready = False
         assert (await client.send(up).answer())[0] == 503
-        gate.keeper.is_ready = True
+        gate.gateway.is_ready = True
         assert (await client.send(up).answer())[0] == 200
 
     one_worker(scenario)
@@ -1077,7 +1092,7 @@
     """The one scenario with the real module: arrival, quota, choice of worker, answer."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client = await Client().open(gate.port)
             client.send(request())
             _, writer = await worker.asked()
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -3,7 +3,18 @@
 import asyncio
 
 import pytest
-from support.fakes import HOST, Client, FakeWorker, Gate, answer, config, entry, listing, request, run
+from support.fakes import (
+    HOST,
+    Client,
+    FakeWorker,
+    RunningGateway,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+)
 from support.management import say
 
 from plumpick.cli import main
@@ -28,13 +39,13 @@
         async with FakeWorker() as worker:
             known = listing(entry("w1", worker.port))
             given = parse_config(config(known=(), **more), {})
-            async with Gate(Controller(given.settings, 1), **more) as gate:
-                front = AdminListener(gate.keeper)
+            async with RunningGateway(Controller(given.settings, 1), **more) as gate:
+                front = AdminListener(gate.gateway)
                 loop = asyncio.get_running_loop()
                 server = await start_server(front, (HOST, 0), loop)
                 gate.operators = front
-                gate.keeper.sweeps.append(front.sweep)
-                gate.keeper.on_worker_list(parse_worker_list(known, "list"))
+                gate.gateway.sweeps.append(front.sweep)
+                gate.gateway.on_worker_list(parse_worker_list(known, "list"))
                 try:
                     await scenario(server.sockets[0].getsockname()[1], gate, worker)
                 finally:
@@ -102,7 +113,7 @@
         assert (await say(port, b"DISABLE w1\r\n")).startswith("+OK")
         assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
         assert (await say(port, b"ENABLE w1", end=True)).startswith("+OK")
-        assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.keeper.is_ready
+        assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.gateway.is_ready
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
             assert (await say(port, wrong)).startswith("-ERR"), wrong
 
@@ -111,10 +122,10 @@
 
 def test_before_it_is_up_and_once_it_ends_the_answer_is_no():
     async def scenario(port, gate, _worker):
-        gate.keeper.is_serving = False
+        gate.gateway.is_serving = False
         assert (await say(port, b"READY\n")).startswith("-ERR")
-        gate.keeper.start_serving()
-        gate.keeper.shut_down_within(2000.0)
+        gate.gateway.start_serving()
+        gate.gateway.shut_down_within(2000.0)
         assert (await say(port, b"READY\n")).startswith("-ERR")
 
     with_office(scenario)
@@ -138,7 +149,7 @@
         reader, writer = await asyncio.open_connection(HOST, port)
         while not gate.operators.connections:
             await asyncio.sleep(0)
-        gate.operators.sweep(gate.keeper.clock.now() + 60_000.0)
+        gate.operators.sweep(gate.gateway.clock.now() + 60_000.0)
         assert await Client().open(port) and not await reader.read()
         writer.close()
 
@@ -177,7 +188,7 @@
         assert told[0] == 200 and told[1]["connection"] == "close" and await kept.ends()
         assert await idle.ends()  # in half a second
         assert (await slow.answer())[0] in (408, 503) and await slow.ends()  # its own time is nearly over
-        while gate.keeper.has_unfinished_work():
+        while gate.gateway.has_unfinished_work():
             await asyncio.sleep(0.01)
         assert (await say(port, b"UNDRAIN\n")).startswith("+OK")
         again = await gate.client()
@@ -197,11 +208,11 @@
         slow = await gate.client()
         slow.send(request(deadline=10_000)[:-1])
         await say(port, b"DRAIN\n")
-        while gate.keeper.admission_state < 3:
+        while gate.gateway.admission_state < 3:
             await asyncio.sleep(0.01)
         slow.send(b"\n")
         await worker.asked()
-        assert next(iter(gate.keeper.requests.open.values())).deadline_timer is not None
+        assert next(iter(gate.gateway.requests.open.values())).deadline_timer is not None
         told = await slow.answer()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
 
@@ -211,9 +222,9 @@
 def test_an_end_during_a_drain_and_a_drain_during_an_end():
     async def scenario(port, gate, _worker):
         await say(port, b"DRAIN\n")
-        gate.keeper.shut_down_within(2000.0)
+        gate.gateway.shut_down_within(2000.0)
         await say(port, b"UNDRAIN\n")
-        assert not gate.keeper.is_ready  # it ends all the same
+        assert not gate.gateway.is_ready  # it ends all the same
 
     with_office(scenario)
 
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -11,7 +11,7 @@
 from support.fakes import (
     Client,
     FakeWorker,
-    Gate,
+    RunningGateway,
     answer,
     config,
     entry,
@@ -34,7 +34,7 @@
 
 def given(gate, change):
     """The configuration of a gatekeeper, of which `change` has changed the settings."""
-    own = gate.keeper.config
+    own = gate.gateway.config
     value = config(known=[], settings=settings())
     change(value["settings"])
     news = parse_config(value, {})
@@ -51,7 +51,7 @@
 def put(gate, change):
     """Take the changed settings into service; why they are rejected, or nothing."""
     try:
-        gate.keeper.reconfigure(given(gate, change))
+        gate.gateway.reconfigure(given(gate, change))
     except SettingsRejectedError as rejection:
         return str(rejection)
     return ""
@@ -81,7 +81,7 @@
     """One worker, one gatekeeper with its module, one client."""
 
     async def whole():
-        async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
     run(whole())
@@ -103,7 +103,7 @@
         asked, writer = await worker.asked()
         assert asked.url == b"/debit"
         writer.write(answer())
-        assert (await client.answer())[0] == 200 and not gate.keeper.requests.open
+        assert (await client.answer())[0] == 200 and not gate.gateway.requests.open
 
     one_worker(scenario)
 
@@ -134,7 +134,7 @@
     async def scenario(worker, gate, client):
         data = request("00000000000000c1", "/fresh")
         client.send(data[:30])
-        while not any(one.request_started for one in gate.front.admission.connections):
+        while not any(one.request_started for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
         assert put(gate, add(FRESH)) == ""
         client.send(data[30:])
@@ -187,7 +187,7 @@
 
 def test_a_body_that_goes_on_while_it_comes_goes_on_over_a_change():
     async def scenario():
-        async with RawWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with RawWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client, size = await gate.client(), 4 * MAX_BUFFERED_BODY_BYTES
             head = request("00000000000000f1", "/debit", body=b"-").replace(
                 b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size
@@ -209,7 +209,7 @@
             writer.write(b"d" * (size - size // 2))
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(size) == b"c" * (size // 2) + b"d" * (size - size // 2)
-            while gate.keeper.requests.open:
+            while gate.gateway.requests.open:
                 await asyncio.sleep(0)
 
     run(scenario())
@@ -238,12 +238,12 @@
         spoil(value)
 
     async def scenario(worker, gate, client):
-        keeper = gate.keeper
+        keeper = gate.gateway
         before = (
             keeper.config,
             keeper.settings,
             keeper.controller.settings,
-            gate.front.validator,
+            gate.listener.validator,
             keeper.connection_pool._load_report_fields,
             keeper.connection_pool._idle_timeout_ms,
             keeper.connection_pool._connect_timeout_ms,
@@ -254,7 +254,7 @@
             keeper.config,
             keeper.settings,
             keeper.controller.settings,
-            gate.front.validator,
+            gate.listener.validator,
             keeper.connection_pool._load_report_fields,
             keeper.connection_pool._idle_timeout_ms,
             keeper.connection_pool._connect_timeout_ms,
@@ -272,11 +272,11 @@
 
 def test_what_is_no_setting_of_the_module_cannot_change_either():
     async def scenario(_worker, gate, _client):
-        own = copy.copy(gate.keeper.config)
+        own = copy.copy(gate.gateway.config)
         object.__setattr__(own, "sockets", 7)
         with pytest.raises(SettingsRejectedError, match="^sockets"):
-            gate.keeper.reconfigure(own)
-        assert gate.keeper.config.sockets == 256
+            gate.gateway.reconfigure(own)
+        assert gate.gateway.config.sockets == 256
 
     one_worker(scenario)
 
@@ -286,11 +286,11 @@
         raise RuntimeError("planted")
 
     async def scenario(worker, gate, client):
-        before, forms = gate.keeper.config, gate.front.validator
+        before, forms = gate.gateway.config, gate.listener.validator
         with monkeypatch.context() as planted:
             planted.setattr("plumpick.policy.reconfiguration.apply", fails)
             assert "failed" in put(gate, add(FRESH))
-        assert gate.keeper.config is before and gate.front.validator is forms
+        assert gate.gateway.config is before and gate.listener.validator is forms
         assert "planted" in caplog.text
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
@@ -308,19 +308,19 @@
         value["tickMs"] = 8.0
 
     async def scenario(worker, gate, client):
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         assert workers.parse_load_report(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
         assert put(gate, change) == ""
         assert workers.parse_load_report(b'{"inflight":3}') == (3.0,)
         assert workers._connect_timeout_ms == 77.0 and workers._idle_timeout_ms == 3000.0
-        assert gate.keeper.settings.tick_ms == 8.0
+        assert gate.gateway.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
         writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
         assert (await client.answer())[0] == 200
-        while not gate.keeper.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
+        while not gate.gateway.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
             await asyncio.sleep(0)
-        assert gate.keeper.controller.state.endpoints.tracked["w1"].foreign_load >= 2
+        assert gate.gateway.controller.state.endpoints.tracked["w1"].foreign_load >= 2
 
     one_worker(scenario)
 
@@ -340,7 +340,7 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(known=[entry("w1", worker.port)], settings=ample(settings())) as gate,
+            RunningGateway(known=[entry("w1", worker.port)], settings=ample(settings())) as gate,
         ):
             over, told = asyncio.Event(), {}
 
@@ -374,12 +374,12 @@
                     await asyncio.sleep(0.001)
                     assert not any(one.done() for one in asking)
                 assert put(gate, changed(step)) == ""
-                assert not gate.keeper.controller.faults
+                assert not gate.gateway.controller.faults
             over.set()
             asked = sum(await asyncio.gather(*asking))
             working.cancel()
             names = [name for names in told.values() for name in names]
-            assert len(names) == asked == len(set(names)) and not gate.keeper.requests.open
+            assert len(names) == asked == len(set(names)) and not gate.gateway.requests.open
             assert len(told[200]) > 500 and len(told[404]) > 10
 
     run(scenario())
@@ -389,18 +389,18 @@
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
         _, writer = await worker.asked()
-        gate.keeper.shut_down_within(5000.0)
+        gate.gateway.shut_down_within(5000.0)
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
-        (open_request,) = gate.keeper.requests.open.values()
-        assert open_request.deadline_ms <= gate.keeper.clock.now() + 5000.0
+        (open_request,) = gate.gateway.requests.open.values()
+        assert open_request.deadline_ms <= gate.gateway.clock.now() + 5000.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        gate.keeper.start_closing_connections()
-        assert put(gate, lambda _: None) == "" and not gate.keeper.is_ready
+        gate.gateway.start_closing_connections()
+        assert put(gate, lambda _: None) == "" and not gate.gateway.is_ready
 
     one_worker(scenario)
 
@@ -411,17 +411,17 @@
             row.update(aimMs=200.0, deadlineMs=400.0)
 
     async def scenario(worker, gate, client):
-        assert max(gate.keeper.request_lifetimes_ms()) == 2e4
+        assert max(gate.gateway.request_lifetimes_ms()) == 2e4
         client.send(request("00000000000000a1", deadline=2500))
         _, writer = await worker.asked()
         assert put(gate, short) == ""
-        assert 1000 < max(gate.keeper.request_lifetimes_ms()) <= 2500  # it came under an older class
+        assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        assert max(gate.keeper.request_lifetimes_ms()) == 400.0
+        assert max(gate.gateway.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
         _, writer = await worker.asked()
-        assert max(gate.keeper.request_lifetimes_ms()) <= 400.0
+        assert max(gate.gateway.request_lifetimes_ms()) <= 400.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
 
@@ -460,14 +460,14 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(known=[entry("w1", worker.port)]) as one,
-            Gate(known=[entry("w1", worker.port)]) as two,
+            RunningGateway(known=[entry("w1", worker.port)]) as one,
+            RunningGateway(known=[entry("w1", worker.port)]) as two,
         ):
             assert put(one, drop("look")) == ""
             client = (await two.client()).send(request("00000000000000a1"))
             _, writer = await worker.asked()
             writer.write(answer())
             assert (await client.answer())[0] == 200
-            assert isinstance(one.keeper.controller, Controller)
+            assert isinstance(one.gateway.controller, Controller)
 
     run(scenario())
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -9,7 +9,7 @@
     HOST,
     Client,
     FakeWorker,
-    Gate,
+    RunningGateway,
     Plug,
     Script,
     answer,
@@ -42,28 +42,28 @@
     """Otherwise a hanging worker would keep the request open until SIGKILL, long before its deadline."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request(deadline=20_000))
             assert (await worker.asked())[0] is not None
             await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.requests.open.values()
-            gate.keeper.shut_down_within(100.0)
-            assert open_request.deadline_ms <= gate.keeper.clock.now() + 100.0
-            assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
+            (open_request,) = gate.gateway.requests.open.values()
+            gate.gateway.shut_down_within(100.0)
+            assert open_request.deadline_ms <= gate.gateway.clock.now() + 100.0
+            assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
 
     run(scenario())
 
 
 def test_request_deadline_before_the_shutdown_deadline_is_unchanged():
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request(deadline=60))
             await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.requests.open.values()
+            (open_request,) = gate.gateway.requests.open.values()
             deadline_ms = open_request.deadline_ms
-            gate.keeper.shut_down_within(5000.0)
+            gate.gateway.shut_down_within(5000.0)
             assert open_request.deadline_ms == deadline_ms and (await client.answer())[0] == 504
 
     run(scenario())
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -5,7 +5,7 @@
 
 import httptools
 import pytest
-from support.fakes import Client, Gate, Message, Script, entry, request, run
+from support.fakes import Client, RunningGateway, Message, Script, entry, request, run
 from support.raw_client import RawWorker, read_head, read_response
 
 from plumpick.gateway.upstream.streaming_body import (
@@ -22,7 +22,10 @@
 
 def run_with_raw_worker(scenario, **more):
     async def run_scenario():
-        async with RawWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
+        async with (
+            RawWorker() as worker,
+            RunningGateway(Script(), known=[entry("w1", worker.port)], **more) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -71,9 +74,9 @@
         assert message.body == body
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.OK
         assert (
-            not gate.keeper.requests.open
-            and not gate.keeper._streams._requests
-            and not gate.keeper._streams._budget.stream_count
+            not gate.gateway.requests.open
+            and not gate.gateway._streams._requests
+            and not gate.gateway._streams._budget.stream_count
         )
         if form == "length":  # both connections are reusable
             client.send(request())
@@ -102,7 +105,7 @@
             AttemptResult.RESET,
             AttemptResult.ERROR,
         )
-        assert not gate.keeper._streams._requests
+        assert not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
 
@@ -157,7 +160,7 @@
                     await writer.drain()
         except TimeoutError:
             pass
-        (connection,) = gate.front.admission.connections
+        (connection,) = gate.listener.admission.connections
         assert written < 32 * BIG
         assert connection.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
         client.close()
@@ -173,14 +176,14 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))
         await client.reader.readexactly(70_000)
-        now = gate.keeper.clock.now()
-        gate.keeper._streams.sweep(
-            now + 5000.0, gate.keeper.requests.on_upload_stalled
+        now = gate.gateway.clock.now()
+        gate.gateway._streams.sweep(
+            now + 5000.0, gate.gateway.requests.on_upload_stalled
         )  # long after the request's deadline, but before the stall timeout
-        assert gate.keeper.requests.open
-        gate.keeper._streams.sweep(now + 60_000.0, gate.keeper.requests.on_upload_stalled)
+        assert gate.gateway.requests.open
+        gate.gateway._streams.sweep(now + 60_000.0, gate.gateway.requests.on_upload_stalled)
         assert (
-            not gate.keeper.requests.open
+            not gate.gateway.requests.open
             and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
         )
 
@@ -243,7 +246,7 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         await asyncio.sleep(0.5)
-        assert gate.keeper.requests.open
+        assert gate.gateway.requests.open
         client.send(data[-1:])
         await reader.readexactly(300_000)
         assert (await client.answer())[0] in (502, 504)  # the deadline has passed
@@ -270,7 +273,7 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
-        assert (await client.answer())[0] == 502 and not gate.keeper._streams._requests
+        assert (await client.answer())[0] == 502 and not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
 
@@ -281,7 +284,9 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         await reader.readexactly(900_000)
-        gate.keeper._streams.sweep(gate.keeper.clock.now() + 5000.0, gate.keeper.requests.on_upload_stalled)
+        gate.gateway._streams.sweep(
+            gate.gateway.clock.now() + 5000.0, gate.gateway.requests.on_upload_stalled
+        )
         assert (await client.answer())[0] == 408
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
@@ -295,9 +300,9 @@
         client.writer.transport.abort()
         await gate.script.event(AttemptCompleted)
         assert (
-            not gate.keeper.requests.open
-            and not gate.keeper.requests.attempts
-            and not gate.keeper._streams._budget.stream_count
+            not gate.gateway.requests.open
+            and not gate.gateway.requests.attempts
+            and not gate.gateway._streams._budget.stream_count
         )
 
     run_with_raw_worker(scenario)
@@ -421,7 +426,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(1_000_000))
         responses = await asyncio.gather(*(read_response(each.reader) for each in clients))
         assert all(complete and len(body) == 1_000_000 for _, _, body, complete in responses)
-        assert not gate.keeper._streams._budget.stream_count
+        assert not gate.gateway._streams._budget.stream_count
 
     run_with_raw_worker(scenario)
 
@@ -467,8 +472,8 @@
             idle_client.close()
         assert statuses == [200] * 200
         assert (
-            len(gate.front.admission)
-            <= gate.front.admission.hard_max_connections + gate.keeper.spare_descriptors()
+            len(gate.listener.admission)
+            <= gate.listener.admission.hard_max_connections + gate.gateway.spare_descriptors()
         )
 
     run_with_raw_worker(scenario)
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.fakes import FakeWorker, Gate, answer, entry, request, run
+from support.fakes import FakeWorker, RunningGateway, answer, entry, request, run
 
 # Number of concurrent debit attempts that the concurrency limit allows at its minimum, for two workers at one
 # of three gateways.
@@ -19,7 +19,7 @@
         async with (
             FakeWorker() as worker,
             FakeWorker() as other,
-            Gate(known=[entry("w1", worker.port), entry("w2", other.port)]) as gate,
+            RunningGateway(known=[entry("w1", worker.port), entry("w2", other.port)]) as gate,
         ):
             received = asyncio.Queue()
 
@@ -36,7 +36,7 @@
                 _, writer = await received.get()
                 writer.write(answer())
                 assert (await first_client.answer())[0] == 200
-            window = gate.keeper.controller.state.limit
+            window = gate.gateway.controller.state.limit
             # Set the limit to its minimum, as after a time of little traffic.
             window.capacity, window.answered_objectives_ms = 0.1, 0.0
             window.update_limit(2)
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -7,7 +7,7 @@
 import pytest
 from support.fakes import (
     FakeWorker,
-    Gate,
+    RunningGateway,
     HeldDials,
     Plug,
     Script,
@@ -39,7 +39,7 @@
     async def run_scenario():
         async with (
             FakeWorker() as worker,
-            Gate(script or Script(), known=[entry("w1", worker.port)], **more) as gate,
+            RunningGateway(script or Script(), known=[entry("w1", worker.port)], **more) as gate,
         ):
             await scenario(worker, gate, await gate.client(), HeldDials(gate))
 
@@ -55,15 +55,15 @@
         client.send(request(path="/book", key="k1", body=b"x"))
         received = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=400.0)]
-        gate.keeper.post_event(TimerFired("retry"))
+        gate.gateway.post_event(TimerFired("retry"))
         await dials.opened.wait()
-        clock = gate.keeper.clock
-        gate.keeper.connection_pool._clock = type(
+        clock = gate.gateway.clock
+        gate.gateway.connection_pool._clock = type(
             "Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)}
         )
         dials.go.set()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
+        gate.gateway.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
     run_with_held_connections(scenario, Script(worker=None))
@@ -71,7 +71,7 @@
 
 def test_retry_is_not_sent_on_an_idle_connection_if_its_window_ended_during_a_stall():
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
@@ -83,7 +83,7 @@
             received = await gate.script.event(RequestReceived)
             # The window has already ended when the attempt is started.
             gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=-1.0)]
-            gate.keeper.post_event(TimerFired("retry"))
+            gate.gateway.post_event(TimerFired("retry"))
             await gate.script.event(AttemptCompleted)
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
             gate.script.worker = "w1"
@@ -101,11 +101,11 @@
         await dials.opened.wait()
         received = await gate.script.event(RequestReceived)
         gate.script.to_do = [RejectRequest(received.id, 250.0)]
-        gate.keeper.post_event(TimerFired("reject"))
+        gate.gateway.post_event(TimerFired("reject"))
         assert (await client.answer())[0] == 503
         dials.go.set()
         await next_is(worker, gate)
-        assert not gate.keeper.requests.attempts
+        assert not gate.gateway.requests.attempts
 
     run_with_held_connections(scenario, settings=NO_CANCELLATION)
 
@@ -126,14 +126,14 @@
     async def scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             known = [entry("w1", worker.port), entry("w2", other.port)]
-            async with Gate(Script(), known=known, settings=NO_CANCELLATION) as gate:
+            async with RunningGateway(Script(), known=known, settings=NO_CANCELLATION) as gate:
                 client = await gate.client()
                 client.send(request())
                 _, writer = await worker.asked()
                 dials = HeldDials(gate)
                 received = await gate.script.event(RequestReceived)
                 gate.script.to_do = [StartAttempt(received.id, "w2", 9000.0)]
-                gate.keeper.post_event(TimerFired("hedge"))
+                gate.gateway.post_event(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
                 assert (await client.answer())[2] == b"first"
@@ -147,7 +147,7 @@
 async def disconnect_unread(gate, client):
     """Have the client end its sending, and wait until the kernel has received that, still unread by the
     gateway. (After a full close, a response written to the client would later cause a reset.)"""
-    (connection,) = gate.front.admission.connections
+    (connection,) = gate.listener.admission.connections
     client.writer.write_eof()
     while not Platform().has_peer_closed(connection.transport):
         await asyncio.sleep(0)
@@ -161,7 +161,7 @@
     )  # the connection to the worker is reused without delay
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request("0000000000000001") + request("0000000000000002"))
             _, writer = await worker.asked()
@@ -169,7 +169,7 @@
             assert connection.is_reading_suspended and connection.open_request is not None
             writer.write(answer())
             await next_is(worker, gate)
-            assert not gate.keeper.requests.open
+            assert not gate.gateway.requests.open
 
     run(scenario())
 
@@ -190,7 +190,10 @@
 )
 def test_retry_is_not_sent_after_the_client_has_disconnected(pipelined):
     async def scenario():
-        async with FakeWorker() as worker, Gate(RetryingScript(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(RetryingScript(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request("0000000000000001") + pipelined)
             _, writer = await worker.asked()
@@ -207,20 +210,20 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(Script(worker=None), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(Script(worker=None), known=[entry("w1", worker.port)]) as gate,
         ):
             plug = Plug(gate.port)
             plug.send(request())
             received = await gate.script.event(RequestReceived)
-            (connection,) = gate.front.admission.connections
+            (connection,) = gate.listener.admission.connections
             plug.close()  # from here on the event loop does not run
             assert Platform().has_peer_closed(connection.transport)
-            assert received.id in gate.keeper.requests.open
-            gate.front.admission._last_sweep_ms = gate.keeper.clock.now() - 1000.0
+            assert received.id in gate.gateway.requests.open
+            gate.listener.admission._last_sweep_ms = gate.gateway.clock.now() - 1000.0
             gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0)]
-            gate.keeper.post_event(TimerFired("timer"))
-            gate.keeper._turn.run()
-            assert not gate.keeper.requests.attempts and not gate.keeper.requests.open
+            gate.gateway.post_event(TimerFired("timer"))
+            gate.gateway._turn.run()
+            assert not gate.gateway.requests.attempts and not gate.gateway.requests.open
             gate.script.worker = "w1"
             await next_is(worker, gate)
 
@@ -229,8 +232,10 @@
 
 def advance_pool_clock(gate, by_ms):
     """Advance the clock of the gateway's connection pool by `by_ms`."""
-    clock = gate.keeper.clock
-    gate.keeper.connection_pool._clock = type("Later", (), {"now": staticmethod(lambda: clock.now() + by_ms)})
+    clock = gate.gateway.clock
+    gate.gateway.connection_pool._clock = type(
+        "Later", (), {"now": staticmethod(lambda: clock.now() + by_ms)}
+    )
 
 
 @pytest.mark.parametrize("script", [Script(), RetryingScript("nowhere")], ids=["first attempt", "retry"])
@@ -255,7 +260,7 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(Script(timeout_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(Script(timeout_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
         ):
             client = await gate.client()
             client.send(request(deadline=5000))
@@ -274,7 +279,7 @@
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=9000))
         await dials.opened.wait()
-        gate.keeper.shut_down_within(2000.0)
+        gate.gateway.shut_down_within(2000.0)
         dials.go.set()
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
@@ -287,13 +292,13 @@
         client.send(request(deadline=5000))
         received = await gate.script.event(RequestReceived)
         gate.script.to_do = [StartAttempt(received.id, "w1", 4900.0)]
-        gate.keeper.post_event(TimerFired("send"))
+        gate.gateway.post_event(TimerFired("send"))
         await dials.opened.wait()
-        clock = gate.keeper.connection_pool._clock
+        clock = gate.gateway.connection_pool._clock
         advance_pool_clock(gate, 4901.0)
         dials.go.set()
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        gate.keeper.connection_pool._clock, gate.script.worker = clock, "w1"
+        gate.gateway.connection_pool._clock, gate.script.worker = clock, "w1"
         await next_is(worker, gate)
 
     run_with_held_connections(scenario, Script(worker=None))
@@ -306,7 +311,7 @@
         client.send(data[:-1])
         await dials.opened.wait()
         client.send(data[-1:])  # the body is complete before the connection is established
-        while next(iter(gate.keeper.requests.open.values())).deadline_timer is None:
+        while next(iter(gate.gateway.requests.open.values())).deadline_timer is None:
             await asyncio.sleep(0)
         advance_pool_clock(gate, 1900.0)
         dials.go.set()
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -5,7 +5,18 @@
 import socket
 
 import pytest
-from support.fakes import HOST, FakeWorker, Gate, HeldDials, Script, answer, entry, listing, request, run
+from support.fakes import (
+    HOST,
+    FakeWorker,
+    RunningGateway,
+    HeldDials,
+    Script,
+    answer,
+    entry,
+    listing,
+    request,
+    run,
+)
 
 from plumpick.gateway.config import parse_worker_list
 from plumpick.policy.actions import StartAttempt
@@ -42,8 +53,8 @@
     async def scenario():
         async with FakeWorker() as first, FakeWorker() as second:
             known = [entry("w1", first.port), entry("w2", second.port), entry("w3", closed_port())]
-            async with Gate(known=known) as gate:
-                gate.keeper.connection_pool.set_max_connections(4)
+            async with RunningGateway(known=known) as gate:
+                gate.gateway.connection_pool.set_max_connections(4)
                 serving = [asyncio.create_task(answer_slowly(one)) for one in (first, second)]
                 clients = [await gate.client() for _ in range(CLIENTS)]
                 answers = []
@@ -54,10 +65,10 @@
                 for task in serving:
                     task.cancel()
                 assert {status for status, *_ in answers} <= {200, 502, 503}
-                tracked = gate.keeper.controller.state.endpoints.tracked
+                tracked = gate.gateway.controller.state.endpoints.tracked
                 failed = {name: sum(endpoint.failed.values()) for name, endpoint in tracked.items()}
                 assert failed["w1"] == failed["w2"] == 0.0 < failed["w3"]
-                candidates = gate.keeper.controller.state.outliers.candidates
+                candidates = gate.gateway.controller.state.outliers.candidates
                 assert [candidate.endpoint.id for candidate in candidates] == ["w3"]
 
     run(scenario())
@@ -65,7 +76,10 @@
 
 def run_with_worker(scenario, script=None):
     async def run_scenario():
-        async with FakeWorker() as worker, Gate(script or Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(script or Script(), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -77,7 +91,7 @@
         if limit == "worker":
             monkeypatch.setattr(f"{POOL}.MAX_CONNECTIONS_PER_WORKER", 1)
         else:
-            gate.keeper.connection_pool.set_max_connections(1)
+            gate.gateway.connection_pool.set_max_connections(1)
         client.send(request())
         await worker.asked()
         other = await gate.client()
@@ -97,7 +111,7 @@
     async def scenario(worker, gate, client):
         dials = HeldDials(gate)
         dials.go.set()
-        gate.keeper.connection_pool._loop.create_connection = staticmethod(refuse)
+        gate.gateway.connection_pool._loop.create_connection = staticmethod(refuse)
         client.send(request())
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
@@ -106,7 +120,7 @@
 
 def test_connection_refused_by_the_worker_counts_as_its_failure():
     async def scenario():
-        async with Gate(Script(), known=[entry("w1", closed_port())]) as gate:
+        async with RunningGateway(Script(), known=[entry("w1", closed_port())]) as gate:
             client = await gate.client()
             client.send(request())
             assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
@@ -122,14 +136,14 @@
             client.send(request())
             await dials.opened.wait()
             update = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-            gate.keeper.on_worker_list(parse_worker_list(update, "list"))
+            gate.gateway.on_worker_list(parse_worker_list(update, "list"))
             dials.go.set()
         else:
             gate.script.worker = None
             client.send(request())
             received = await gate.script.event(RequestReceived)
             gate.script.to_do = [StartAttempt(received.id, "w9", 9000.0)]
-            gate.keeper.on_worker_list(gate.keeper.config.known)
+            gate.gateway.on_worker_list(gate.gateway.config.known)
         assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
+from support.fakes import FakeWorker, RunningGateway, Script, answer, entry, request, reset, run
 from support.raw_client import read_response
 
 from plumpick.gateway.platform import Platform
@@ -45,7 +45,7 @@
     data, end, expected = BROKEN_RESPONSES[name]
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
             _, writer = await worker.asked()
@@ -64,11 +64,11 @@
     """The body is written in one or two parts before the close."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            (attempt,) = gate.gateway.requests.attempts.values()
             attempt.connection.transport.pause_reading()
             for part in (HEAD + b"\r\nall", b" of it")[:part_count]:
                 writer.write(part)
@@ -87,11 +87,11 @@
     regular close, and a truncated response was taken for complete."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
             _, writer = await worker.asked()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            (attempt,) = gate.gateway.requests.attempts.values()
             transport = attempt.connection.transport
             transport.pause_reading()  # as if the event loop had not polled the connection yet
             writer.write(HEAD + b"\r\n" + part)
@@ -133,7 +133,7 @@
     async def scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             known = [entry("w1", worker.port), entry("w2", other.port)]
-            async with Gate(known=known) as gate:
+            async with RunningGateway(known=known) as gate:
                 received = asyncio.Queue()
 
                 async def collect_requests(fake_worker):
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -124,28 +124,28 @@
             await self.came.wait()
 
 
-class Gate:
-    """A gatekeeper on a port of the system's choice, in this process."""
+class RunningGateway:
+    """A gateway that runs in the test process and listens on a free port."""
 
     def __init__(self, script=None, **more):
         self.script = script
-        self.keeper = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
-        config_here = self.keeper.config
-        self.front = HttpListener(
-            self.keeper,
+        self.gateway = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
+        config_here = self.gateway.config
+        self.listener = HttpListener(
+            self.gateway,
             config_here.settings,
             config_here.sockets,
             Platform().has_peer_closed,
             Platform().has_no_unread_input,
         )
-        self.keeper.add_listener(self.front)
-        self.keeper.on_worker_list(config_here.known)
+        self.gateway.add_listener(self.listener)
+        self.gateway.on_worker_list(config_here.known)
         self.server = None
 
     async def __aenter__(self):
-        self.server = await asyncio.get_running_loop().create_server(self.front.create_connection, HOST, 0)
+        self.server = await asyncio.get_running_loop().create_server(self.listener.create_connection, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.keeper.start_serving()
+        self.gateway.start_serving()
         return self
 
     async def __aexit__(self, *_):
@@ -315,7 +315,7 @@
             await self.go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.connection_pool._loop = type(
+        gate.gateway.connection_pool._loop = type(
             "Loop",
             (),
             {
