--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -6,7 +6,18 @@
 
 import pytest
 from support.delays import advance_time
-from support.fakes import HOST, FakeWorker, RunningGateway, Plug, Script, answer, entry, next_is, request, run
+from support.fakes import (
+    HOST,
+    ControllerStub,
+    FakeWorker,
+    Plug,
+    RunningGateway,
+    answer,
+    entry,
+    next_is,
+    request,
+    run,
+)
 
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.shutdown import close_listener
@@ -14,7 +25,10 @@
 
 def run_with_worker(scenario):
     async def run_scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -163,7 +177,10 @@
 
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             listening = Platform().create_listener((HOST, 0), 16)
             server = await loop.create_server(gate.listener.create_connection, sock=listening)
             plugs, address = [], listening.getsockname()
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -10,9 +10,9 @@
 from support.fakes import (
     HOST,
     Client,
+    ControllerStub,
     FakeWorker,
     RunningGateway,
-    Script,
     answer,
     config,
     entry,
@@ -43,13 +43,13 @@
 )
 
 
-def one_worker(scenario, **script):
+def one_worker(scenario, **controller):
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
 
     async def whole():
         async with (
             FakeWorker() as worker,
-            RunningGateway(Script(**script), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(ControllerStub(**controller), known=[entry("w1", worker.port)]) as gate,
         ):
             await scenario(worker, gate, await gate.client())
 
@@ -70,9 +70,9 @@
         writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
         status, _, body = await client.answer()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
-        came = await gate.script.event(RequestReceived)
+        came = await gate.controller.next_event(RequestReceived)
         assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
-        outcome = await gate.script.event(AttemptCompleted)
+        outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
         assert not gate.gateway.requests.open and not gate.gateway.requests.attempts
 
@@ -128,8 +128,8 @@
         if result is AttemptResult.RESET:
             writer.close()
         status, _, body = await client.answer()
-        assert (status, body) == (502, b"")  # as the script has it
-        assert (await gate.script.event(AttemptCompleted)).result is result
+        assert (status, body) == (502, b"")  # the response of the controller stub to a failed attempt
+        assert (await gate.controller.next_event(AttemptCompleted)).result is result
 
     one_worker(scenario)
 
@@ -138,10 +138,10 @@
     async def scenario():
         async with FakeWorker() as worker:
             port = worker.port
-        async with RunningGateway(Script(), known=[entry("w1", port)]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", port)]) as gate:
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -159,18 +159,20 @@
 
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(deaf, HOST, 0, limit=1)
-        async with RunningGateway(Script(), known=[entry("w1", server.sockets[0].getsockname()[1])]) as gate:
+        async with RunningGateway(
+            ControllerStub(), known=[entry("w1", server.sockets[0].getsockname()[1])]
+        ) as gate:
             client = await gate.client()
             client.send(request(path="/debit", body=bytes(60_000)))
             await started.wait()
             while not gate.gateway.requests.attempts:
-                await gate.script.came.wait()
+                await gate.controller.received_events.wait()
             (attempt,) = gate.gateway.requests.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             loop.call_soon(started.writer.transport.abort)
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         server.close()
 
     run(scenario())
@@ -179,7 +181,7 @@
 def test_an_attempt_for_a_worker_that_is_not_known_is_not_started():
     async def scenario(worker, gate, client):
         assert (await client.send(request()).answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     one_worker(scenario, worker="w9")
 
@@ -189,7 +191,7 @@
         client.send(request())
         assert (await worker.asked())[0] is not None
         assert (await client.answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.TIMEOUT
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.TIMEOUT
         assert (await worker.asked())[0] is None  # the end of the connection
 
     one_worker(scenario, timeout_ms=30.0)
@@ -198,7 +200,7 @@
 def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with RunningGateway(Script(), known=[entry("w1", 9)]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", 9)]) as gate:
 
             async def never(*_):
                 await loop.create_future()
@@ -210,7 +212,7 @@
             )
             client = await gate.client()
             assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
             assert gate.gateway.connection_pool._connection_count == 0
 
     run(scenario())
@@ -220,12 +222,12 @@
     async def scenario(worker, gate, client):
         client.send(request("0000000000000001"))
         _, writer = await worker.asked()
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
+        came = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
         gate.gateway.post_event(TimerFired("now"))
         status, headers, _ = await client.answer()
         assert status == 503 and headers["retry-after"] == "0.250"
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
         writer.write(answer(body=b"late"))
         assert (await worker.asked())[0] is None
         client.send(request("0000000000000002"))
@@ -240,14 +242,14 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, first = await worker.asked()
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
+        came = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [StartAttempt(came.id, "w1", 9000.0)]
         gate.gateway.post_event(TimerFired("hedge"))
         _, second = await worker.asked()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
         first.write(answer(body=b"first"))
-        outcomes = [await gate.script.event(AttemptCompleted) for _ in range(2)]
+        outcomes = [await gate.controller.next_event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
         _, writer = await worker.asked()
@@ -259,10 +261,10 @@
 
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
-        gate.script.to_do = [StartAttempt(77, "w1", 100.0)]
+        gate.controller.next_actions = [StartAttempt(77, "w1", 100.0)]
         gate.gateway.post_event(TimerFired("late"))
         assert (
-            await gate.script.event(AttemptCompleted)
+            await gate.controller.next_event(AttemptCompleted)
         ).result is AttemptResult.NOT_STARTED and worker.connections == 0
 
     one_worker(scenario)
@@ -272,9 +274,11 @@
     async def scenario(worker, gate, client):
         client.send(request())
         await worker.asked()
-        came = await gate.script.event(RequestReceived)
+        came = await gate.controller.next_event(RequestReceived)
         client.close()
-        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.gateway.requests.open
+        assert (
+            await gate.controller.next_event(ClientDisconnected)
+        ).id == came.id and not gate.gateway.requests.open
 
     one_worker(scenario)
 
@@ -283,8 +287,8 @@
     async def scenario(worker, gate, client):
         status, _, _ = await client.send(request(deadline=60)).answer()
         assert status == 504
-        came = await gate.script.event(RequestReceived)
-        assert (await gate.script.event(ClientDisconnected)).id == came.id
+        came = await gate.controller.next_event(RequestReceived)
+        assert (await gate.controller.next_event(ClientDisconnected)).id == came.id
 
     one_worker(scenario, worker=None)
 
@@ -293,11 +297,11 @@
     """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
 
     async def scenario(worker, gate, client):
-        keeper, times = gate.gateway, []
-        keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-        keeper.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+        gateway, times = gate.gateway, []
+        gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
+        gateway.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
-            keeper._set_timer(SetTimer(after_ms, "agenda"))
+            gateway._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
     one_worker(scenario)
@@ -305,7 +309,7 @@
 
 def test_the_guard_answers_though_the_module_fails():
     async def scenario(worker, gate, client):
-        gate.script.handle = lambda now, events: 1 / 0
+        gate.controller.handle = lambda now, events: 1 / 0
         assert (await client.send(request(deadline=60)).answer())[0] == 504
 
     one_worker(scenario)
@@ -342,7 +346,7 @@
         client.send(request())
         _, writer = await worker.asked()
         writer.write(spoilt)
-        outcome = asyncio.ensure_future(gate.script.event(AttemptCompleted))
+        outcome = asyncio.ensure_future(gate.controller.next_event(AttemptCompleted))
         while not outcome.done():  # an answer of 1xx without end goes on coming
             if spoilt.startswith(b"HTTP/1.1 10") and not writer.is_closing():
                 writer.write(spoilt)
@@ -442,7 +446,7 @@
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
         assert (await client.answer())[::2] == (200, b"done")
-        outcome = await gate.script.event(AttemptCompleted)
+        outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
         assert (await worker.asked())[0] is None
 
@@ -454,16 +458,16 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        await gate.script.event(EndpointsUpdated)
+        await gate.controller.next_event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
         gate.gateway.on_worker_list(parse_worker_list(news, "list"))
-        fleet = await gate.script.event(EndpointsUpdated)
+        fleet = await gate.controller.next_event(EndpointsUpdated)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
         assert (await worker.asked())[0] is None and list(gate.gateway.connection_pool._workers) == ["w2"]
-        assert (await client.send(request()).answer())[0] == 502  # the script still names w1
+        assert (await client.send(request()).answer())[0] == 502  # the controller stub still chooses w1
 
     one_worker(scenario)
 
@@ -529,7 +533,7 @@
         gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.asked())[0] is None
         assert (await client.send(request()).answer())[0] == 502
-        fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
+        fleets = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
         assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
 
     one_worker(scenario)
@@ -559,7 +563,7 @@
         gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         go.set()
         assert (await client.answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
 
     one_worker(scenario)
@@ -573,7 +577,7 @@
         await worker.asked()
         other = await gate.client()
         assert (await other.send(request()).answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.connections == 1
 
     one_worker(scenario)
@@ -611,7 +615,7 @@
         _, writer = await worker.asked()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
-        assert (await gate.script.event(AttemptCompleted)).load_report == ()
+        assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
 
     one_worker(scenario)
 
@@ -764,7 +768,7 @@
         _, writer = await worker.asked()
         writer.write(answer())
         assert (await client.answer())[0] == 200
-        assert len([event for event in gate.script.events if isinstance(event, RequestReceived)]) == 1
+        assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
 
     one_worker(scenario)
 
@@ -1006,7 +1010,7 @@
         gate.gateway.shut_down_within(150.0)
         began = gate.gateway.clock.now()
         client.send(request(deadline=10_000))
-        came = await gate.script.event(RequestReceived)
+        came = await gate.controller.next_event(RequestReceived)
         assert came.deadline_ms < began + 150.0
         assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
 
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -238,26 +238,26 @@
         spoil(value)
 
     async def scenario(worker, gate, client):
-        keeper = gate.gateway
+        gateway = gate.gateway
         before = (
-            keeper.config,
-            keeper.settings,
-            keeper.controller.settings,
+            gateway.config,
+            gateway.settings,
+            gateway.controller.settings,
             gate.listener.validator,
-            keeper.connection_pool._load_report_fields,
-            keeper.connection_pool._idle_timeout_ms,
-            keeper.connection_pool._connect_timeout_ms,
+            gateway.connection_pool._load_report_fields,
+            gateway.connection_pool._idle_timeout_ms,
+            gateway.connection_pool._connect_timeout_ms,
         )
         wrong = put(gate, change)
         assert wrong.startswith(key) and "\n" not in wrong
         after = (
-            keeper.config,
-            keeper.settings,
-            keeper.controller.settings,
+            gateway.config,
+            gateway.settings,
+            gateway.controller.settings,
             gate.listener.validator,
-            keeper.connection_pool._load_report_fields,
-            keeper.connection_pool._idle_timeout_ms,
-            keeper.connection_pool._connect_timeout_ms,
+            gateway.connection_pool._load_report_fields,
+            gateway.connection_pool._idle_timeout_ms,
+            gateway.connection_pool._connect_timeout_ms,
         )
         assert all(one is other for one, other in zip(before, after, strict=True))
         client.send(request("00000000000000a1", "/fresh"))
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -8,10 +8,10 @@
 from support.fakes import (
     HOST,
     Client,
+    ControllerStub,
     FakeWorker,
-    RunningGateway,
     Plug,
-    Script,
+    RunningGateway,
     answer,
     entry,
     listing,
@@ -42,11 +42,14 @@
     """Otherwise a hanging worker would keep the request open until SIGKILL, long before its deadline."""
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(deadline=20_000))
             assert (await worker.asked())[0] is not None
-            await gate.script.event(RequestReceived)
+            await gate.controller.next_event(RequestReceived)
             (open_request,) = gate.gateway.requests.open.values()
             gate.gateway.shut_down_within(100.0)
             assert open_request.deadline_ms <= gate.gateway.clock.now() + 100.0
@@ -57,10 +60,13 @@
 
 def test_request_deadline_before_the_shutdown_deadline_is_unchanged():
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(deadline=60))
-            await gate.script.event(RequestReceived)
+            await gate.controller.next_event(RequestReceived)
             (open_request,) = gate.gateway.requests.open.values()
             deadline_ms = open_request.deadline_ms
             gate.gateway.shut_down_within(5000.0)
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -5,7 +5,7 @@
 
 import httptools
 import pytest
-from support.fakes import Client, RunningGateway, Message, Script, entry, request, run
+from support.fakes import Client, ControllerStub, Message, RunningGateway, entry, request, run
 from support.raw_client import RawWorker, read_head, read_response
 
 from plumpick.gateway.upstream.streaming_body import (
@@ -24,7 +24,7 @@
     async def run_scenario():
         async with (
             RawWorker() as worker,
-            RunningGateway(Script(), known=[entry("w1", worker.port)], **more) as gate,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)], **more) as gate,
         ):
             await scenario(worker, gate, await gate.client())
 
@@ -72,7 +72,7 @@
             assert data
             message.parser.feed_data(data)
         assert message.body == body
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.OK
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.OK
         assert (
             not gate.gateway.requests.open
             and not gate.gateway._streams._requests
@@ -101,7 +101,7 @@
         status, _, received, is_complete = await read_response(client.reader)
         assert not is_complete or status != 200
         assert len(received) < 300_000
-        assert (await gate.script.event(AttemptCompleted)).result in (
+        assert (await gate.controller.next_event(AttemptCompleted)).result in (
             AttemptResult.RESET,
             AttemptResult.ERROR,
         )
@@ -164,7 +164,7 @@
         assert written < 32 * BIG
         assert connection.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
         client.close()
-        assert (await gate.script.event(AttemptCompleted)).result is not AttemptResult.OK
+        assert (await gate.controller.next_event(AttemptCompleted)).result is not AttemptResult.OK
 
     run_with_raw_worker(scenario)
 
@@ -184,7 +184,7 @@
         gate.gateway._streams.sweep(now + 60_000.0, gate.gateway.requests.on_upload_stalled)
         assert (
             not gate.gateway.requests.open
-            and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            and (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
         )
 
     run_with_raw_worker(scenario)
@@ -230,7 +230,7 @@
                 received += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
         assert received == body
-        assert not (await gate.script.event(ResponseStarted)).is_body_retained
+        assert not (await gate.controller.next_event(ResponseStarted)).is_body_retained
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
         assert (await client.answer())[::2] == (200, b"done")
         client.send(request())  # the client's connection is reusable
@@ -260,7 +260,7 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.transport.abort()
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         assert (await client.answer())[0] == 502
 
     run_with_raw_worker(scenario)
@@ -272,7 +272,7 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
         assert (await client.answer())[0] == 502 and not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
@@ -288,7 +288,7 @@
             gate.gateway.clock.now() + 5000.0, gate.gateway.requests.on_upload_stalled
         )
         assert (await client.answer())[0] == 408
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
     run_with_raw_worker(scenario)
 
@@ -298,7 +298,7 @@
         client.send(upload(bytes(BIG), "chunks")[:1_000_000])
         await read_head((await worker.accepted.get())[0])
         client.writer.transport.abort()
-        await gate.script.event(AttemptCompleted)
+        await gate.controller.next_event(AttemptCompleted)
         assert (
             not gate.gateway.requests.open
             and not gate.gateway.requests.attempts
@@ -338,7 +338,7 @@
         reader, writer = await worker.accepted.get()
         assert "X-Request-Id" in await read_head(reader) and await reader.readexactly(4) == b"body"
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
 
     run_with_raw_worker(scenario)
 
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -6,11 +6,11 @@
 
 import pytest
 from support.fakes import (
+    ControllerStub,
     FakeWorker,
-    RunningGateway,
     HeldDials,
     Plug,
-    Script,
+    RunningGateway,
     answer,
     entry,
     next_is,
@@ -32,14 +32,14 @@
 NO_CANCELLATION = settings(cancel=False)  # settings under which attempts may not be cancelled
 
 
-def run_with_held_connections(scenario, script=None, **more):
+def run_with_held_connections(scenario, controller=None, **more):
     """Run a scenario with one worker, w1, one gateway and one client. Connections to the worker are
     established only once the scenario sets `dials.go`."""
 
     async def run_scenario():
         async with (
             FakeWorker() as worker,
-            RunningGateway(script or Script(), known=[entry("w1", worker.port)], **more) as gate,
+            RunningGateway(controller or ControllerStub(), known=[entry("w1", worker.port)], **more) as gate,
         ):
             await scenario(worker, gate, await gate.client(), HeldDials(gate))
 
@@ -53,8 +53,8 @@
 
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x"))
-        received = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=400.0)]
+        received = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=400.0)]
         gate.gateway.post_event(TimerFired("retry"))
         await dials.opened.wait()
         clock = gate.gateway.clock
@@ -62,31 +62,34 @@
             "Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)}
         )
         dials.go.set()
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        gate.gateway.connection_pool._clock, gate.script.worker = clock, "w1"
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        gate.gateway.connection_pool._clock, gate.controller.worker = clock, "w1"
         await next_is(worker, gate)
 
-    run_with_held_connections(scenario, Script(worker=None))
+    run_with_held_connections(scenario, ControllerStub(worker=None))
 
 
 def test_retry_is_not_sent_on_an_idle_connection_if_its_window_ended_during_a_stall():
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
             writer.write(answer())
             assert (await client.answer())[0] == 200  # the connection to the worker is idle now
-            gate.script.worker = None
+            gate.controller.worker = None
             client.send(request(path="/book", key="k1", body=b"x"))
-            await gate.script.event(RequestReceived)
-            received = await gate.script.event(RequestReceived)
+            await gate.controller.next_event(RequestReceived)
+            received = await gate.controller.next_event(RequestReceived)
             # The window has already ended when the attempt is started.
-            gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=-1.0)]
+            gate.controller.next_actions = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=-1.0)]
             gate.gateway.post_event(TimerFired("retry"))
-            await gate.script.event(AttemptCompleted)
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-            gate.script.worker = "w1"
+            await gate.controller.next_event(AttemptCompleted)
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+            gate.controller.worker = "w1"
             await next_is(worker, gate)
 
     run(scenario())
@@ -99,8 +102,8 @@
     async def scenario(worker, gate, client, dials):
         client.send(request())
         await dials.opened.wait()
-        received = await gate.script.event(RequestReceived)
-        gate.script.to_do = [RejectRequest(received.id, 250.0)]
+        received = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [RejectRequest(received.id, 250.0)]
         gate.gateway.post_event(TimerFired("reject"))
         assert (await client.answer())[0] == 503
         dials.go.set()
@@ -115,7 +118,7 @@
         client.send(request())
         await dials.opened.wait()
         client.close()
-        await gate.script.event(ClientDisconnected)
+        await gate.controller.next_event(ClientDisconnected)
         dials.go.set()
         await next_is(worker, gate)
 
@@ -126,19 +129,19 @@
     async def scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             known = [entry("w1", worker.port), entry("w2", other.port)]
-            async with RunningGateway(Script(), known=known, settings=NO_CANCELLATION) as gate:
+            async with RunningGateway(ControllerStub(), known=known, settings=NO_CANCELLATION) as gate:
                 client = await gate.client()
                 client.send(request())
                 _, writer = await worker.asked()
                 dials = HeldDials(gate)
-                received = await gate.script.event(RequestReceived)
-                gate.script.to_do = [StartAttempt(received.id, "w2", 9000.0)]
+                received = await gate.controller.next_event(RequestReceived)
+                gate.controller.next_actions = [StartAttempt(received.id, "w2", 9000.0)]
                 gate.gateway.post_event(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
                 assert (await client.answer())[2] == b"first"
                 dials.go.set()
-                gate.script.worker = "w2"
+                gate.controller.worker = "w2"
                 await next_is(other, gate)
 
     run(scenario())
@@ -161,7 +164,10 @@
     )  # the connection to the worker is reused without delay
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request("0000000000000001") + request("0000000000000002"))
             _, writer = await worker.asked()
@@ -174,7 +180,7 @@
     run(scenario())
 
 
-class RetryingScript(Script):
+class RetryingScript(ControllerStub):
     """A policy that starts another attempt on w1 after a failed one."""
 
     def handle(self, now, events):
@@ -210,21 +216,21 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            RunningGateway(Script(worker=None), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(ControllerStub(worker=None), known=[entry("w1", worker.port)]) as gate,
         ):
             plug = Plug(gate.port)
             plug.send(request())
-            received = await gate.script.event(RequestReceived)
+            received = await gate.controller.next_event(RequestReceived)
             (connection,) = gate.listener.admission.connections
             plug.close()  # from here on the event loop does not run
             assert Platform().has_peer_closed(connection.transport)
             assert received.id in gate.gateway.requests.open
             gate.listener.admission._last_sweep_ms = gate.gateway.clock.now() - 1000.0
-            gate.script.to_do = [StartAttempt(received.id, "w1", 9000.0)]
+            gate.controller.next_actions = [StartAttempt(received.id, "w1", 9000.0)]
             gate.gateway.post_event(TimerFired("timer"))
             gate.gateway._turn.run()
             assert not gate.gateway.requests.attempts and not gate.gateway.requests.open
-            gate.script.worker = "w1"
+            gate.controller.worker = "w1"
             await next_is(worker, gate)
 
     run(scenario())
@@ -238,8 +244,10 @@
     )
 
 
-@pytest.mark.parametrize("script", [Script(), RetryingScript("nowhere")], ids=["first attempt", "retry"])
-def test_attempt_states_the_time_left_when_its_request_is_written(script):
+@pytest.mark.parametrize(
+    "controller", [ControllerStub(), RetryingScript("nowhere")], ids=["first attempt", "retry"]
+)
+def test_attempt_states_the_time_left_when_its_request_is_written(controller):
     """Guards against a fault seen in a rehearsal (zone+brink, brink seed 61): 5 of 21 retries stated more
     time than was left."""
 
@@ -251,7 +259,7 @@
         message, _ = await worker.asked()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
-    run_with_held_connections(scenario, script)
+    run_with_held_connections(scenario, controller)
 
 
 def test_attempt_on_an_idle_connection_states_the_time_left_when_its_request_is_written():
@@ -260,7 +268,7 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            RunningGateway(Script(timeout_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(ControllerStub(timeout_ms=4900.0), known=[entry("w1", worker.port)]) as gate,
         ):
             client = await gate.client()
             client.send(request(deadline=5000))
@@ -290,18 +298,18 @@
 def test_attempt_is_not_sent_if_its_connection_is_established_after_the_deadline():
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=5000))
-        received = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(received.id, "w1", 4900.0)]
+        received = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [StartAttempt(received.id, "w1", 4900.0)]
         gate.gateway.post_event(TimerFired("send"))
         await dials.opened.wait()
         clock = gate.gateway.connection_pool._clock
         advance_pool_clock(gate, 4901.0)
         dials.go.set()
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        gate.gateway.connection_pool._clock, gate.script.worker = clock, "w1"
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        gate.gateway.connection_pool._clock, gate.controller.worker = clock, "w1"
         await next_is(worker, gate)
 
-    run_with_held_connections(scenario, Script(worker=None))
+    run_with_held_connections(scenario, ControllerStub(worker=None))
 
 
 def test_streamed_request_states_the_time_left_since_its_last_byte():
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -7,10 +7,10 @@
 import pytest
 from support.fakes import (
     HOST,
+    ControllerStub,
     FakeWorker,
-    RunningGateway,
     HeldDials,
-    Script,
+    RunningGateway,
     answer,
     entry,
     listing,
@@ -74,11 +74,11 @@
     run(scenario())
 
 
-def run_with_worker(scenario, script=None):
+def run_with_worker(scenario, controller=None):
     async def run_scenario():
         async with (
             FakeWorker() as worker,
-            RunningGateway(script or Script(), known=[entry("w1", worker.port)]) as gate,
+            RunningGateway(controller or ControllerStub(), known=[entry("w1", worker.port)]) as gate,
         ):
             await scenario(worker, gate, await gate.client())
 
@@ -96,7 +96,7 @@
         await worker.asked()
         other = await gate.client()
         other.send(request())
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
 
@@ -113,17 +113,17 @@
         dials.go.set()
         gate.gateway.connection_pool._loop.create_connection = staticmethod(refuse)
         client.send(request())
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
 
 
 def test_connection_refused_by_the_worker_counts_as_its_failure():
     async def scenario():
-        async with RunningGateway(Script(), known=[entry("w1", closed_port())]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", closed_port())]) as gate:
             client = await gate.client()
             client.send(request())
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -139,11 +139,11 @@
             gate.gateway.on_worker_list(parse_worker_list(update, "list"))
             dials.go.set()
         else:
-            gate.script.worker = None
+            gate.controller.worker = None
             client.send(request())
-            received = await gate.script.event(RequestReceived)
-            gate.script.to_do = [StartAttempt(received.id, "w9", 9000.0)]
+            received = await gate.controller.next_event(RequestReceived)
+            gate.controller.next_actions = [StartAttempt(received.id, "w9", 9000.0)]
             gate.gateway.on_worker_list(gate.gateway.config.known)
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
--- a/tests/gateway/upstream/test_streamed_attempts.py
+++ b/tests/gateway/upstream/test_streamed_attempts.py
@@ -4,7 +4,7 @@
 import asyncio
 
 import pytest
-from support.fakes import FakeWorker, RunningGateway, Script, entry, request, reset, run
+from support.fakes import ControllerStub, FakeWorker, RunningGateway, entry, request, reset, run
 
 from plumpick.policy.events import AttemptCompleted, AttemptResult
 
@@ -29,7 +29,10 @@
     had not been executed, after an attempt that may have executed it."""
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             for piece in pieces:
                 client.send(piece)
@@ -38,7 +41,7 @@
             message, writer = await worker.asked()
             assert len(message.body) == len(LARGE)  # the worker has received the whole body
             reset(writer)
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
             assert (await client.answer())[0] == 502
 
     run(scenario())
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.fakes import FakeWorker, RunningGateway, Script, answer, entry, request, reset, run
+from support.fakes import ControllerStub, FakeWorker, RunningGateway, answer, entry, request, reset, run
 from support.raw_client import read_response
 
 from plumpick.gateway.platform import Platform
@@ -45,7 +45,10 @@
     data, end, expected = BROKEN_RESPONSES[name]
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
             _, writer = await worker.asked()
@@ -53,7 +56,7 @@
             await flush(writer)
             if end is not None:
                 reset(writer) if end == "reset" else writer.close()
-            assert (await gate.script.event(AttemptCompleted)).result is expected
+            assert (await gate.controller.next_event(AttemptCompleted)).result is expected
             assert (await client.answer())[0] == 502
 
     run(scenario())
@@ -64,7 +67,10 @@
     """The body is written in one or two parts before the close."""
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request())
             _, writer = await worker.asked()
@@ -87,7 +93,10 @@
     regular close, and a truncated response was taken for complete."""
 
     async def scenario():
-        async with FakeWorker() as worker, RunningGateway(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
             _, writer = await worker.asked()
@@ -101,7 +110,7 @@
                 await asyncio.sleep(0)
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
             status, _, _, is_complete = await read_response(client.reader)
             assert (status, is_complete) == ((502, True) if len(part) < 65536 else (200, False))
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -91,21 +91,21 @@
     return value
 
 
-class Script:
+class ControllerStub:
     """In the module's place: sends each request to one worker, fails it after a bad outcome, keeps events."""
 
     def __init__(self, worker="w1", timeout_ms=20_000.0):
         self.worker, self.timeout_ms = worker, timeout_ms
-        self.events, self.to_do, self.faults = [], [], []
-        self.came = asyncio.Event()
+        self.events, self.next_actions, self.faults = [], [], []
+        self.received_events = asyncio.Event()
 
     def unresponsive_owners(self):
         return frozenset()
 
     def handle(self, _now, events):
         self.events += events
-        self.came.set()
-        actions, self.to_do = self.to_do, []
+        self.received_events.set()
+        actions, self.next_actions = self.next_actions, []
         for event in events:
             if isinstance(event, RequestReceived) and self.worker:
                 actions.append(StartAttempt(event.id, self.worker, self.timeout_ms))
@@ -113,23 +113,23 @@
                 actions.append(FailRequest(event.id))
         return actions
 
-    async def event(self, kind):
+    async def next_event(self, kind):
         """The first event of a kind that is not taken yet, once it is there."""
         while True:
             for event in self.events:
                 if isinstance(event, kind):
                     self.events.remove(event)
                     return event
-            self.came.clear()
-            await self.came.wait()
+            self.received_events.clear()
+            await self.received_events.wait()
 
 
 class RunningGateway:
     """A gateway that runs in the test process and listens on a free port."""
 
-    def __init__(self, script=None, **more):
-        self.script = script
-        self.gateway = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
+    def __init__(self, controller=None, **more):
+        self.controller = controller
+        self.gateway = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), controller)
         config_here = self.gateway.config
         self.listener = HttpListener(
             self.gateway,
