--- a/tests/compatibility/config_wire.py
+++ b/tests/compatibility/config_wire.py
@@ -88,7 +88,7 @@
             task = asyncio.create_task(client.run())
             version = 1
             for hostile in (*HOSTILE, *HOSTILE_VERSIONS):
-                target, writer = await fake.called()
+                target, writer = await fake.next_call()
                 targets.append(target)
                 if callable(hostile):
                     writer.write(http(hostile(version + 1)))
@@ -97,7 +97,7 @@
                     await asyncio.sleep(0.02)
                     writer.close()
                 version += 2
-                target, writer = await fake.called()
+                target, writer = await fake.next_call()
                 targets.append(target)
                 writer.write(http(document(version, published(version))))
                 while not words.client_has(client, version):
@@ -297,10 +297,10 @@
         with logged() as lines:
             task = asyncio.create_task(discovery.run())
             for place, hostile in enumerate(DISCOVERY_ANSWERS):
-                target, writer = await fake.called()
+                target, writer = await fake.next_call()
                 targets.append(target)
                 writer.write(told(listing(entry("w1", 5001), index=1000 + 10 * place)))
-                target, writer = await fake.called()
+                target, writer = await fake.next_call()
                 targets.append(target)
                 writer.write(hostile)
                 if place == RESET:
@@ -308,7 +308,7 @@
                 else:
                     await asyncio.sleep(0.02)
                     writer.close()
-            targets.append((await fake.called())[0])  # by then the last answer has been read
+            targets.append((await fake.next_call())[0])  # by then the last answer has been read
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
     return {"targets": targets, "told": lists, "lines": lines}
--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -18,7 +18,7 @@
     """The status of a request; a worker answers it, if it gets it."""
     client.send(homed(path))
     answered = asyncio.ensure_future(client.answer())
-    came = asyncio.ensure_future(worker.asked())
+    came = asyncio.ensure_future(worker.next_request())
     await asyncio.wait((answered, came), return_when=asyncio.FIRST_COMPLETED)
     if answered.done():
         came.cancel()
@@ -42,7 +42,7 @@
             await machine.has(process, 2)
             assert await asks(client, worker, "/c7") == 200  # on the same connection
             client.send(homed("/c7"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             await machine.put(3, published(3, classes=3))  # its class goes while it is out
             await machine.has(process, 3)
             writer.write(answer(body=b"late"))
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -301,7 +301,7 @@
         )
         process = await start(path, module)
         self.processes.append(process)
-        _, writer = await unless_ended(process, self.fake.called())
+        _, writer = await unless_ended(process, self.fake.next_call())
         writer.write(told(listing(entry("w1", self.worker.port))))
         while True:
             try:
@@ -347,7 +347,7 @@
 async def serve_all(worker):
     """Answer whatever the worker is asked."""
     while True:
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         if message is not None:
             writer.write(answer(body=message.headers["x-request-id"].encode()))
 
@@ -544,11 +544,11 @@
     async def scenario(one):
         older = await Client().open(one.port)
         older.send(homed("00000000000000a1"))
-        _, first = await one.worker.asked()
+        _, first = await one.worker.next_request()
         await one.start()
         newer = await Client().open(one.port)
         newer.send(homed("00000000000000a2"))
-        message, second = await one.worker.asked()
+        message, second = await one.worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000a2"
         for process in one.processes:
             process.send_signal(signal.SIGTERM)
@@ -577,11 +577,11 @@
     async def scenario(one):
         older = await Client().open(one.port)
         older.send(homed("00000000000000b1", "/book", "same"))
-        _, first = await one.worker.asked()
+        _, first = await one.worker.next_request()
         await one.start()
         retry = await Client().open(one.port)
         retry.send(homed("00000000000000b2", "/book", "same"))
-        message, second = await one.worker.asked()
+        message, second = await one.worker.next_request()
         assert message.headers["idempotency-key"] == "same"
         one.processes[0].send_signal(signal.SIGTERM)
         second.write(answer(body=b"retry"))
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -37,7 +37,7 @@
 async def exchange(worker, client, extra=""):
     """Have the client send a request and the worker answer it."""
     client.send(request(extra=extra))
-    _, writer = await worker.asked()
+    _, writer = await worker.next_request()
     writer.write(answer())
 
 
@@ -49,7 +49,7 @@
         client.close()
         plug = Plug(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         connection.transport.pause_reading()  # as if the event loop had not polled the connection yet
         plug.send(b"GET /lo")
@@ -70,7 +70,7 @@
         client.close()
         plug = Plug(gate.port)
         plug.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         connection = busy_connection(gate)
         assert b"200 OK" in await plug.receive()
@@ -119,7 +119,7 @@
         client.close()
         plug = Plug(gate.port, room=4096)
         plug.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
@@ -190,7 +190,7 @@
                 plugs.append(plug)
             await close_listener(loop, server, listening, gate.listener)
             for _ in plugs:
-                _, writer = await worker.asked()
+                _, writer = await worker.next_request()
                 writer.write(answer())
             for plug in plugs:
                 assert b"200 OK" in await plug.receive()
@@ -213,7 +213,7 @@
             return True
 
         plug.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -63,7 +63,7 @@
             "Held", (), {"now": staticmethod(lambda: now)}
         )
         client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
         assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
         assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "10000"
@@ -86,7 +86,7 @@
     async def scenario(worker, gate, client):
         for number in range(5):
             client.send(request(f"{number:016x}"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[0] == 200
         assert worker.connections == 1
@@ -97,7 +97,7 @@
 def test_a_clients_connection_close_is_kept():
     async def scenario(worker, gate, client):
         client.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[1]["connection"] == "close" and await client.ends()
 
@@ -122,7 +122,7 @@
 def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         if reply is not None:
             writer.write(reply)
         if result is AttemptResult.RESET:
@@ -189,10 +189,10 @@
 def test_a_silent_worker_times_out_and_its_connection_ends():
     async def scenario(worker, gate, client):
         client.send(request())
-        assert (await worker.asked())[0] is not None
+        assert (await worker.next_request())[0] is not None
         assert (await client.answer())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.TIMEOUT
-        assert (await worker.asked())[0] is None  # the end of the connection
+        assert (await worker.next_request())[0] is None  # the end of the connection
 
     one_worker(scenario, timeout_ms=30.0)
 
@@ -221,7 +221,7 @@
 def test_a_cancelled_attempt_closes_its_connection_and_a_late_answer_is_dropped():
     async def scenario(worker, gate, client):
         client.send(request("0000000000000001"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         came = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
         gate.gateway.post_event(TimerFired("now"))
@@ -229,9 +229,9 @@
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
         writer.write(answer(body=b"late"))
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
         client.send(request("0000000000000002"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
 
@@ -241,18 +241,18 @@
 def test_of_two_copies_the_first_answer_counts():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, first = await worker.asked()
+        _, first = await worker.next_request()
         came = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [StartAttempt(came.id, "w1", 9000.0)]
         gate.gateway.post_event(TimerFired("hedge"))
-        _, second = await worker.asked()
+        _, second = await worker.next_request()
         second.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
         first.write(answer(body=b"first"))
         outcomes = [await gate.controller.next_event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"third"))
         assert (await client.answer())[2] == b"third"
 
@@ -273,7 +273,7 @@
 def test_a_client_that_leaves_is_told_to_the_module():
     async def scenario(worker, gate, client):
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         came = await gate.controller.next_event(RequestReceived)
         client.close()
         assert (
@@ -344,7 +344,7 @@
 def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_ends(spoilt):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(spoilt)
         outcome = asyncio.ensure_future(gate.controller.next_event(AttemptCompleted))
         while not outcome.done():  # an answer of 1xx without end goes on coming
@@ -353,7 +353,7 @@
             await asyncio.sleep(0)
         assert outcome.result().result is AttemptResult.ERROR
         assert (await client.answer())[0] == 502
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -371,7 +371,7 @@
         while connection.has_no_unread_input():
             await asyncio.sleep(0)
         client.send(request())
-        ended, again = await worker.asked(), await worker.asked()
+        ended, again = await worker.next_request(), await worker.next_request()
         _, other = ended if ended[0] is not None else again
         other.write(answer(body=b"own"))
         assert (await client.answer())[2] == b"own" and worker.connections == 2
@@ -398,13 +398,13 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
         assert (await client.answer())[2] == b"first"
         (connection,) = gate.gateway.connection_pool._workers["w1"].idle
         connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
         client.send(request())
-        message, other = await worker.asked()
+        message, other = await worker.next_request()
         assert other is not writer  # on another connection
         writer.write(answer(body=b"twice"))
         while not connection.is_closed:
@@ -420,7 +420,7 @@
         clients = [client] + [await gate.client() for _ in range(MAX_RESTING_CONNECTIONS - 1)]
         for one in clients:
             one.send(request())
-        writers = [(await worker.asked())[1] for _ in clients]
+        writers = [(await worker.next_request())[1] for _ in clients]
         for writer in writers:
             writer.write(answer())
         for one in clients:
@@ -442,13 +442,13 @@
 def test_what_comes_behind_a_good_answer_changes_nothing_of_it():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
         assert (await client.answer())[::2] == (200, b"done")
         outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -466,7 +466,9 @@
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
-        assert (await worker.asked())[0] is None and list(gate.gateway.connection_pool._workers) == ["w2"]
+        assert (await worker.next_request())[0] is None and list(gate.gateway.connection_pool._workers) == [
+            "w2"
+        ]
         assert (await client.send(request()).answer())[0] == 502  # the controller stub still chooses w1
 
     one_worker(scenario)
@@ -474,7 +476,7 @@
 
 async def exchange(worker, client):
     client.send(request())
-    _, writer = await worker.asked()
+    _, writer = await worker.next_request()
     writer.write(answer())
     assert (await client.answer())[0] == 200
     return writer
@@ -484,7 +486,7 @@
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         writer.close()
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
         while gate.gateway.connection_pool._connection_count:
             await asyncio.sleep(0)
         await exchange(worker, client)
@@ -496,10 +498,10 @@
 def test_what_comes_unasked_ends_the_connection():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer() + answer(body=b"twice"))
         assert (await client.answer())[2] == b"done"
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
         await exchange(worker, client)
         assert worker.connections == 2
 
@@ -509,7 +511,7 @@
 def test_an_interim_answer_is_not_the_answer():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
         assert (await client.answer())[::2] == (200, b"real")
 
@@ -522,7 +524,7 @@
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
         gate.gateway.on_worker_list(parse_worker_list(news, "list"))
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -531,7 +533,7 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
         assert (await client.send(request()).answer())[0] == 502
         fleets = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
         assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
@@ -574,7 +576,7 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         other = await gate.client()
         assert (await other.send(request()).answer())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
@@ -590,7 +592,7 @@
         now = workers._clock.now()
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -612,7 +614,7 @@
 def test_a_load_report_that_cannot_be_read_is_none(text):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
         assert (await client.answer())[0] == 200
         assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
@@ -650,7 +652,7 @@
     async def scenario(worker, gate, client):
         other = await gate.client()
         other.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert (await client.send(data).answer())[0] == status and await client.ends()
         writer.write(answer())
         assert (await other.answer())[0] == 200
@@ -666,7 +668,7 @@
         client.send(request(path="/look/1") + request(path="/look/2"))
         client.send(request(path="/look/3"))
         for number in (b"1", b"2", b"3"):
-            asked, writer = await worker.asked()
+            asked, writer = await worker.next_request()
             assert asked.url == b"/look/" + number and worker.requests.empty()
             writer.write(answer(body=number))
             assert (await client.answer())[::2] == (200, number)
@@ -677,7 +679,7 @@
 def test_what_is_bad_behind_an_open_request_gets_its_error_after_the_answer():
     async def scenario(worker, gate, client):
         client.send(request() + b"noise\r\n\r\n" + request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
         assert (await client.answer())[::2] == (200, b"first")
         assert (await client.answer())[0] == 400 and await client.ends()
@@ -696,9 +698,9 @@
             await asyncio.sleep(0)
             client.send(data[cut:])
             for _ in range(2):
-                asked, writer = await worker.asked()
+                asked, writer = await worker.next_request()
                 while asked is None:
-                    asked, writer = await worker.asked()
+                    asked, writer = await worker.next_request()
                 writer.write(answer(body=asked.url))
                 assert (await client.answer())[0] == 200
             client.close()
@@ -712,7 +714,7 @@
             client.send(bytes([byte]))
             await client.writer.drain()
             await asyncio.sleep(0)
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.body == b"piece"
         writer.write(answer())
         assert (await client.answer())[0] == 200
@@ -726,7 +728,7 @@
     async def scenario(worker, gate, client):
         other = await gate.client()
         client.send(request("00000000000000aa"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).answer())[0] == 409
         writer.write(answer(body=b"first"))
         assert (await client.answer())[2] == b"first"
@@ -765,7 +767,7 @@
     async def scenario(worker, gate, client):
         assert (await client.send(data).answer())[0] == status
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
@@ -794,7 +796,7 @@
     async def scenario(worker, gate, client):
         client.send(request(path="/none") * 2 + request())
         assert [(await client.answer())[0] for _ in range(2)] == [404, 404]
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request(path="/none") * 300)
@@ -846,7 +848,7 @@
     async def scenario(worker, gate, client):
         head = request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.body == b"x" and "idempotency-key" not in asked.headers
         writer.write(answer())
         assert (await client.answer())[0] == 200
@@ -874,10 +876,10 @@
     async def scenario(worker, gate, client):
         admission = gate.listener.admission
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         idle = await gate.client()
         other = idle.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         await other.answer()
         silent = [await gate.client() for _ in range(2)]
@@ -898,7 +900,7 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         (one,) = gate.listener.admission.connections
@@ -908,7 +910,7 @@
             await asyncio.sleep(0)
         one.close_if_idle()
         one.transport.resume_reading()
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
 
@@ -922,7 +924,7 @@
         crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
         while True:  # at the very limit a new one is dropped, and comes again
-            asked = asyncio.ensure_future(worker.asked())
+            asked = asyncio.ensure_future(worker.next_request())
             gone = asyncio.ensure_future(late.ends())
             await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
             if asked.done():
@@ -949,7 +951,7 @@
         first, second = client, await gate.client()
         for one in (first, second):
             one.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             await one.answer()
         advance_time(gate, 1900)
@@ -971,7 +973,7 @@
         other = await gate.client()
         for one in (client, other):
             one.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             await one.answer()
         advance_time(gate, 300)
@@ -981,7 +983,7 @@
             await asyncio.sleep(0)
         advance_time(gate, 300)
         other.send(request())
-        assert (await worker.asked())[0] is not None
+        assert (await worker.next_request())[0] is not None
 
     one_worker(scenario)
 
@@ -989,7 +991,7 @@
 def test_a_connection_that_has_ended_leaves_no_cycle_behind():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         await client.answer()
         gc.collect()
@@ -1099,7 +1101,7 @@
         async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client = await Client().open(gate.port)
             client.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[::2] == (200, b"done")
 
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -160,14 +160,14 @@
     async def scenario(port, gate, worker):
         client = await gate.client()
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
         writer.write(answer())
         assert (await client.answer())[0] == 200  # what is out may finish
         assert (await client.send(request(deadline=100)).answer())[0] in (503, 504)
         assert (await say(port, b"ENABLE w1\n")).startswith("+OK")
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
 
@@ -180,7 +180,7 @@
         await idle.send(UP).answer()
         slow.send(request()[:-1])
         kept.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert (await say(port, b"DRAIN\n")).startswith("+OK")
         assert (await (await gate.client()).send(UP).answer())[0] == 503
         writer.write(answer())
@@ -194,7 +194,7 @@
         again = await gate.client()
         assert (await again.send(UP).answer())[0] == 200
         again.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert "connection" not in (await again.answer())[1]
 
@@ -211,7 +211,7 @@
         while gate.gateway.admission_state < 3:
             await asyncio.sleep(0.01)
         slow.send(b"\n")
-        await worker.asked()
+        await worker.next_request()
         assert next(iter(gate.gateway.requests.open.values())).deadline_timer is not None
         told = await slow.answer()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -51,18 +51,18 @@
         kept, idle = await Client().open(port), await Client().open(port)
         await idle.send(UP).answer()
         kept.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         process.send_signal(signal.SIGTERM)
         while (await (await Client().open(port)).send(UP).answer())[0] != 503:
             pass  # it has not had the signal yet
         late = await Client().open(port)
         late.send(request())
-        _, late_writer = await worker.asked()
+        _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"late"))
         status, headers, body = await late.answer()
         assert (status, body) == (200, b"late") and "connection" not in headers
         late.send(request())  # on a connection that it has
-        _, late_writer = await worker.asked()
+        _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"again"))
         assert (await late.answer())[2] == b"again"
         assert await late.ends() and await idle.ends()  # by now nothing comes any more
@@ -77,7 +77,7 @@
 def test_sighup_moves_the_watch_and_keeps_what_it_has_if_the_file_is_malformed(tmp_path):
     async def scenario(process, port, worker, fake, path):
         first = path.read_text()
-        assert (await fake.called())[0].startswith("/discovery/hosts?since=")
+        assert (await fake.next_call())[0].startswith("/discovery/hosts?since=")
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         while b"the previous configuration stays active" not in await process.stderr.readline():
@@ -86,13 +86,13 @@
             for new in (second, third):  # the second signal comes while the first move is under way
                 path.write_text(first.replace(f"{HOST}:{fake.port}", f"{HOST}:{new.port}"))
                 process.send_signal(signal.SIGHUP)
-                target, writer = await new.called()
+                target, writer = await new.next_call()
                 assert target == "/discovery/hosts"
             writer.write(told(listing(entry("w2", other.port), index=7)))
-            assert (await third.called())[0].startswith("/discovery/hosts?since=7")
+            assert (await third.next_call())[0].startswith("/discovery/hosts?since=7")
             client = await Client().open(port)
             client.send(request())
-            _, writer = await other.asked()
+            _, writer = await other.next_request()
             process.send_signal(signal.SIGTERM)
             writer.write(answer())
             assert (await client.answer())[0] == 200
@@ -108,7 +108,7 @@
     async def scenario(process, port, worker, _fake, _path):
         client = await Client().open(port)
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
@@ -121,12 +121,12 @@
     async def scenario(process, port, worker, fake, path):
         client = await Client().open(port)
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         process.kill()
         await process.wait()
         again = await start(path)
         try:
-            while (await fake.called())[0] != "/discovery/hosts":
+            while (await fake.next_call())[0] != "/discovery/hosts":
                 pass  # the first one's watch
             # The call of the second is the last one taken; it gives up silence and calls once more.
             await tell_list(fake, entry("w1", worker.port))
@@ -189,7 +189,7 @@
 def test_at_sighup_settings_beyond_the_limits_change_nothing(tmp_path):
     async def scenario(process, port, worker, fake, path):
         first = json.loads(path.read_text())
-        assert (await fake.called())[0].startswith("/discovery/hosts?since=")
+        assert (await fake.next_call())[0].startswith("/discovery/hosts?since=")
         async with FakeDiscovery() as other:
             for change, said in BEYOND_LIMITS:
                 path.write_text(
@@ -203,7 +203,7 @@
                 assert said.encode() in line
             client = await Client().open(port)
             client.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[0] == 200 and other.calls.empty()
         process.send_signal(signal.SIGTERM)
@@ -223,7 +223,7 @@
                 await until_up(port)
                 client = await Client().open(port)
                 client.send(request())
-                _, writer = await worker.asked()
+                _, writer = await worker.next_request()
                 writer.write(answer())
                 assert (await client.answer())[0] == 200
             finally:
@@ -251,13 +251,15 @@
                 for one in crowd[:100]:
                     assert await one.answer()
                 async with FakeDiscovery(discovery) as fake:
-                    _, writer = await fake.called()
+                    _, writer = await fake.next_call()
                     writer.write(told(listing(entry("w2", other.port), index=9)))
-                    assert (await fake.called())[0].startswith("/discovery/hosts?since=9")
+                    assert (await fake.next_call())[0].startswith("/discovery/hosts?since=9")
                     message = None
                     while message is None:  # at the very limit a new client is dropped, and comes again
                         client = (await Client().open(port)).send(request())
-                        asked, gone = (asyncio.ensure_future(one) for one in (other.asked(), client.ends()))
+                        asked, gone = (
+                            asyncio.ensure_future(one) for one in (other.next_request(), client.ends())
+                        )
                         await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
                         message, writer = asked.result() if asked.done() else (None, None)
                         if message is None:
@@ -291,7 +293,7 @@
 
         async def serve():
             while True:
-                message, writer = await worker.asked()
+                message, writer = await worker.next_request()
                 if message is not None:
                     seen.append(message.headers["x-request-id"])
                     asyncio.get_running_loop().call_later(0.02, writer.write, answer())
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -90,7 +90,7 @@
 def test_a_request_in_flight_is_answered_under_its_class_though_that_is_dropped():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/look" and put(gate, drop("look")) == ""
         other = (await gate.client()).send(request("00000000000000a2"))
         assert (await other.answer())[0] == 404
@@ -100,7 +100,7 @@
         client.send(request("00000000000000a3"))  # on the same connection, which stays
         assert (await client.answer())[0] == 404
         client.send(request("00000000000000a4", "/debit", body=b"x"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/debit"
         writer.write(answer())
         assert (await client.answer())[0] == 200 and not gate.gateway.requests.open
@@ -113,12 +113,12 @@
 
     async def scenario(worker, gate, client):
         client.send(request("00000000000000b1"))
-        _, first = await worker.asked()
+        _, first = await worker.next_request()
         assert put(gate, figures("look", repeat="fragile")) == ""
         first.write(answer(500))
-        message, again = await worker.asked()
+        message, again = await worker.next_request()
         while message is None:
-            message, again = await worker.asked()
+            message, again = await worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000b1"
         again.write(answer(body=b"second"))
         assert (await client.answer())[2] == b"second"
@@ -138,7 +138,7 @@
             await asyncio.sleep(0)
         assert put(gate, add(FRESH)) == ""
         client.send(data[30:])
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"
         writer.write(answer())
         assert (await client.answer())[0] == 200
@@ -149,11 +149,11 @@
 def test_requests_in_one_write_on_both_sides_of_a_change_have_an_answer_each_in_order():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000d1") + request("00000000000000d2", "/fresh"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert put(gate, add(FRESH)) == ""
         writer.write(answer(body=b"one"))
         assert (await client.answer())[2] == b"one"
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"  # it was not read before the first had its answer
         writer.write(answer(body=b"two"))
         assert (await client.answer())[2] == b"two"
@@ -176,7 +176,7 @@
             == ""
         )
         client.send(gold.replace(b"e1", b"e2"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request("00000000000000e3"))
@@ -263,7 +263,7 @@
         client.send(request("00000000000000a1", "/fresh"))
         assert (await client.answer())[0] == 404
         client.send(request("00000000000000a2"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
 
@@ -293,7 +293,7 @@
         assert gate.gateway.config is before and gate.listener.validator is forms
         assert "planted" in caplog.text
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert put(gate, add(FRESH)) == ""
@@ -315,7 +315,7 @@
         assert workers._connect_timeout_ms == 77.0 and workers._idle_timeout_ms == 3000.0
         assert gate.gateway.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
         assert (await client.answer())[0] == 200
         while not gate.gateway.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
@@ -346,7 +346,7 @@
 
             async def work():
                 while True:
-                    asked, writer = await worker.asked()
+                    asked, writer = await worker.next_request()
                     if asked is not None:
                         writer.write(answer(body=asked.headers["x-request-id"].encode()))
 
@@ -388,7 +388,7 @@
 def test_a_change_after_we_were_told_to_end_is_harmless():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         gate.gateway.shut_down_within(5000.0)
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
         (open_request,) = gate.gateway.requests.open.values()
@@ -396,7 +396,7 @@
         writer.write(answer())
         assert (await client.answer())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         assert (await client.answer())[0] == 200
         gate.gateway.start_closing_connections()
@@ -413,14 +413,14 @@
     async def scenario(worker, gate, client):
         assert max(gate.gateway.request_lifetimes_ms()) == 2e4
         client.send(request("00000000000000a1", deadline=2500))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert put(gate, short) == ""
         assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
         writer.write(answer())
         assert (await client.answer())[0] == 200
         assert max(gate.gateway.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert max(gate.gateway.request_lifetimes_ms()) <= 400.0
         writer.write(answer())
         assert (await client.answer())[0] == 200
@@ -465,7 +465,7 @@
         ):
             assert put(one, drop("look")) == ""
             client = (await two.client()).send(request("00000000000000a1"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[0] == 200
             assert isinstance(one.gateway.controller, Controller)
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -48,7 +48,7 @@
         ):
             client = await gate.client()
             client.send(request(deadline=20_000))
-            assert (await worker.asked())[0] is not None
+            assert (await worker.next_request())[0] is not None
             await gate.controller.next_event(RequestReceived)
             (open_request,) = gate.gateway.requests.open.values()
             gate.gateway.shut_down_within(100.0)
@@ -83,7 +83,7 @@
     monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(_port, fake, _worker, task):
-        await fake.called()  # discovery never answers
+        await fake.next_call()  # discovery never answers
         os.kill(os.getpid(), signal.SIGTERM)
         await task
         assert task.exception() is None
@@ -93,7 +93,7 @@
 
 def test_repeated_sigterm_with_a_sighup_in_between_shuts_down_once(monkeypatch):
     async def scenario(port, fake, _worker, task):
-        await fake.called()
+        await fake.next_call()
         while True:
             try:
                 client = await Client().open(port)
@@ -135,7 +135,7 @@
     async def scenario(port, fake, worker, _task):
         await until_up(port)
         os.kill(os.getpid(), signal.SIGTERM)
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         assert message is not None
         writer.write(answer())
         assert b"200 OK" in await plugs[0].receive()
@@ -152,7 +152,7 @@
     monkeypatch.setattr(process, "ONLY_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(port, fake, worker, _task):
-        _, writer = await fake.called()
+        _, writer = await fake.next_call()
         client = await Client().open(port)
         for _ in range(3):
             assert (await client.send(UP).answer())[0] == 503
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -25,7 +25,7 @@
 
             async def collect_requests(fake_worker):
                 while True:
-                    message, writer = await fake_worker.asked()
+                    message, writer = await fake_worker.next_request()
                     if message is not None:
                         await received.put((message, writer))
 
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -77,7 +77,7 @@
         ):
             client = await gate.client()
             client.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[0] == 200  # the connection to the worker is idle now
             gate.controller.worker = None
@@ -132,7 +132,7 @@
             async with RunningGateway(ControllerStub(), known=known, settings=NO_CANCELLATION) as gate:
                 client = await gate.client()
                 client.send(request())
-                _, writer = await worker.asked()
+                _, writer = await worker.next_request()
                 dials = HeldDials(gate)
                 received = await gate.controller.next_event(RequestReceived)
                 gate.controller.next_actions = [StartAttempt(received.id, "w2", 9000.0)]
@@ -170,7 +170,7 @@
         ):
             client = await gate.client()
             client.send(request("0000000000000001") + request("0000000000000002"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             connection = await disconnect_unread(gate, client)
             assert connection.is_reading_suspended and connection.open_request is not None
             writer.write(answer())
@@ -202,7 +202,7 @@
         ):
             client = await gate.client()
             client.send(request("0000000000000001") + pipelined)
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             await disconnect_unread(gate, client)
             writer.transport.abort()  # resets the attempt, after which the policy retries
             await next_is(worker, gate)
@@ -256,7 +256,7 @@
         await dials.opened.wait()
         advance_pool_clock(gate, 1900.0)
         dials.go.set()
-        message, _ = await worker.asked()
+        message, _ = await worker.next_request()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
     run_with_held_connections(scenario, controller)
@@ -272,12 +272,12 @@
         ):
             client = await gate.client()
             client.send(request(deadline=5000))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
             assert (await client.answer())[0] == 200
             advance_pool_clock(gate, 1900.0)
             client.send(request(deadline=5000))
-            message, _ = await worker.asked()
+            message, _ = await worker.next_request()
             assert worker.connections == 1 and 0 < int(message.headers["x-deadline-ms"]) <= 3000
 
     run(scenario())
@@ -289,7 +289,7 @@
         await dials.opened.wait()
         gate.gateway.shut_down_within(2000.0)
         dials.go.set()
-        message, _ = await worker.asked()
+        message, _ = await worker.next_request()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
 
     run_with_held_connections(scenario)
@@ -323,7 +323,7 @@
             await asyncio.sleep(0)
         advance_pool_clock(gate, 1900.0)
         dials.go.set()
-        message, _ = await worker.asked()
+        message, _ = await worker.next_request()
         assert message.body == body and 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
     run_with_held_connections(scenario)
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -37,7 +37,7 @@
 async def answer_slowly(worker):
     """Answer each request after ANSWER_DELAY_S, so that connections stay in use."""
     while True:
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         if message is not None:
             asyncio.get_running_loop().call_later(ANSWER_DELAY_S, writer.write, answer())
 
@@ -93,7 +93,7 @@
         else:
             gate.gateway.connection_pool.set_max_connections(1)
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         other = await gate.client()
         other.send(request())
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
--- a/tests/gateway/upstream/test_streamed_attempts.py
+++ b/tests/gateway/upstream/test_streamed_attempts.py
@@ -38,7 +38,7 @@
                 client.send(piece)
                 await client.writer.drain()
                 await asyncio.sleep(0)
-            message, writer = await worker.asked()
+            message, writer = await worker.next_request()
             assert len(message.body) == len(LARGE)  # the worker has received the whole body
             reset(writer)
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -51,7 +51,7 @@
         ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(data)
             await flush(writer)
             if end is not None:
@@ -73,7 +73,7 @@
         ):
             client = await gate.client()
             client.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             (attempt,) = gate.gateway.requests.attempts.values()
             attempt.connection.transport.pause_reading()
             for part in (HEAD + b"\r\nall", b" of it")[:part_count]:
@@ -99,7 +99,7 @@
         ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             (attempt,) = gate.gateway.requests.attempts.values()
             transport = attempt.connection.transport
             transport.pause_reading()  # as if the event loop had not polled the connection yet
@@ -147,7 +147,7 @@
 
                 async def collect_requests(fake_worker):
                     while True:
-                        message, writer = await fake_worker.asked()
+                        message, writer = await fake_worker.next_request()
                         if message is not None:
                             await received.put((message.headers["x-request-id"], writer))
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -231,7 +231,7 @@
 
 
 class FakeWorker:
-    """A worker: `asked()` gives the next request with the way to answer it."""
+    """A worker: `next_request()` gives the next request with the way to answer it."""
 
     def __init__(self):
         self.requests, self.connections, self.port = asyncio.Queue(), 0, 0
@@ -257,7 +257,7 @@
             pass
         await self.requests.put((None, reader, writer))  # the connection has ended
 
-    async def asked(self):
+    async def next_request(self):
         message, _, writer = await self.requests.get()
         return message, writer
 
@@ -288,7 +288,7 @@
         except ConnectionError:
             pass
 
-    async def called(self):
+    async def next_call(self):
         return await self.calls.get()
 
 
@@ -333,9 +333,9 @@
     for number in range(5):
         name = f"{0xFF00 + number:016x}"
         client.send(request(name))
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         while message is None:  # the end of a connection that nothing was written to
-            message, writer = await worker.asked()
+            message, writer = await worker.next_request()
         assert message.headers["x-request-id"] == name, "something else went out before"
         writer.write(answer())
         assert (await client.answer())[0] == 200
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -58,5 +58,5 @@
 
 async def tell_list(fake, *entries):
     """Answer the first call with the whole list, and leave the watch open."""
-    _, writer = await fake.called()
+    _, writer = await fake.next_call()
     writer.write(told(listing(*entries)))
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -80,7 +80,7 @@
                 await until_up(port)
                 client = await Client().open(port)
                 client.send(request())
-                _, writer = await worker.asked()
+                _, writer = await worker.next_request()
                 writer.write(answer())
                 assert (await client.answer())[0] == 200
                 client.close()
