--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -153,7 +153,7 @@
             async def look(number):
                 client = await Client().open(tier.gates[number].port)
                 client.send(request(path="/seat-check", deadline=1500).replace(b"basic", plan()))
-                answered.append(await client.answer())
+                answered.append(await client.read_response())
 
             def plan():
                 return tier.supervisor.scenario.plans[0].name.encode()
--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -17,7 +17,7 @@
 async def asks(client, worker, path):
     """The status of a request; a worker answers it, if it gets it."""
     client.send(homed(path))
-    answered = asyncio.ensure_future(client.answer())
+    answered = asyncio.ensure_future(client.read_response())
     came = asyncio.ensure_future(worker.next_request())
     await asyncio.wait((answered, came), return_when=asyncio.FIRST_COMPLETED)
     if answered.done():
@@ -46,7 +46,7 @@
             await machine.put(3, published(3, classes=3))  # its class goes while it is out
             await machine.has(process, 3)
             writer.write(answer(body=b"late"))
-            status, _, body = await client.answer()
+            status, _, body = await client.read_response()
             assert (status, body) == (200, b"late")
             assert await asks(client, worker, "/c7") == 404 and await asks(client, worker, "/c2") == 200
             assert process.returncode is None
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -359,7 +359,7 @@
             client = await Client().open(port)
             while True:
                 counts["sent"] += 1
-                told = await client.send(request()).answer()
+                told = await client.send(request()).read_response()
                 # Its firm has a quota, by which some are refused.
                 counts["whole" if told and told[0] in (200, 503) else "lost"] += 1
                 if told is None or told[1].get("connection") == "close":
@@ -379,7 +379,7 @@
         serving = asyncio.create_task(serve_all(one.worker))
         clients = [asyncio.create_task(keep_asking(one.port, 1000, counts)) for _ in range(8)]
         idle = await Client().open(one.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         for _ in range(2):
             old = one.processes[-1]
             before = counts["whole"]
@@ -391,7 +391,7 @@
                 await asyncio.sleep(0.01)
         counts["stop"] = 1
         await asyncio.gather(*clients)
-        assert (await idle.send(UP).answer())[0] == 200  # it went over twice and never noticed
+        assert (await idle.send(UP).read_response())[0] == 200  # it went over twice and never noticed
         serving.cancel()
         assert counts["lost"] == counts["refused"] == 0 and counts["whole"] == counts["sent"]
 
@@ -403,14 +403,14 @@
         assert (await say(one.management[0], b"DISABLE w1\n")).startswith("+OK")
         assert (await say(one.management[0], b"DRAIN\n")).startswith("+OK")
         await one.start()
-        assert (await (await Client().open(one.port)).send(UP).answer())[0] == 503
+        assert (await (await Client().open(one.port)).send(UP).read_response())[0] == 503
         assert (await say(one.management[0], b"UNDRAIN\n")).startswith("+OK")  # to the old one
-        while (await (await Client().open(one.port)).send(UP).answer())[0] == 503:
+        while (await (await Client().open(one.port)).send(UP).read_response())[0] == 503:
             await asyncio.sleep(0.01)
         assert (await say(one.management[1], b"ENABLE w9\n")).startswith("-ERR")
         assert (await say(one.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -422,7 +422,7 @@
         new.kill()
         await new.wait()
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         assert (await say(one.management[0], b"READY\n")).startswith("+OK")
         serving.cancel()
 
@@ -435,7 +435,7 @@
         one.processes[0].kill()
         await one.processes[0].wait()
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -456,7 +456,7 @@
 
     async def scenario(one):
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -471,7 +471,7 @@
         monkeypatch.setenv("TMPDIR", str(tmp_path / "none"))
         await one.start()
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         serving.cancel()
         one.processes[-1].kill()
         said = (await one.processes[-1].stderr.read()).decode()
@@ -501,10 +501,10 @@
         assert await old.wait() == 0 and said > 3
         assert (await reading).count(b" w1: done") >= said
         client = await Client().open(one.port)
-        assert (await client.send(request(deadline=300)).answer())[0] in (503, 504)
+        assert (await client.send(request(deadline=300)).read_response())[0] in (503, 504)
         assert (await say(one.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await (await Client().open(one.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(one.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -527,7 +527,7 @@
         assert await first.wait() == 0
         client = await Client().open(one.port)
         serving = asyncio.create_task(serve_all(one.worker))
-        assert (await client.send(request()).answer())[0] == 200
+        assert (await client.send(request()).read_response())[0] == 200
         serving.cancel()
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -556,7 +556,7 @@
             pass
         second.write(answer(body=b"newer"))
         first.write(answer(body=b"older"))
-        assert (await older.answer())[2] == b"older" and (await newer.answer())[2] == b"newer"
+        assert (await older.read_response())[2] == b"older" and (await newer.read_response())[2] == b"newer"
         assert [await process.wait() for process in one.processes] == [0, 0]
 
     upgrades(tmp_path, monkeypatch, scenario)
@@ -585,9 +585,9 @@
         assert message.headers["idempotency-key"] == "same"
         one.processes[0].send_signal(signal.SIGTERM)
         second.write(answer(body=b"retry"))
-        assert (await retry.answer())[2] == b"retry"
+        assert (await retry.read_response())[2] == b"retry"
         first.write(answer(body=b"first"))
-        assert (await older.answer())[2] == b"first" and await one.processes[0].wait() == 0
+        assert (await older.read_response())[2] == b"first" and await one.processes[0].wait() == 0
 
     upgrades(tmp_path, monkeypatch, scenario)
 
@@ -603,7 +603,7 @@
         log = asyncio.create_task(old.stderr.read())
         serving = asyncio.create_task(serve_all(one.worker))
         idle = await Client().open(one.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         new = await one.start()
         counts = dict(sent=0, whole=0, lost=0, refused=0, stop=0)
         clients = [asyncio.create_task(keep_asking(one.port, 1000, counts)) for _ in range(16)]
@@ -617,7 +617,7 @@
         counts["stop"] = 1
         await asyncio.gather(*clients)
         assert counts["lost"] == counts["refused"] == 0 and counts["whole"] == counts["sent"]
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         serving.cancel()
         told_by_old = (await log).decode()
         assert told_by_old.count("handed over to the next process") == 1
@@ -637,7 +637,7 @@
 
 async def ask_readiness(client, port):
     """One request, which must be answered; a client that is told to close comes again."""
-    answer = await client.send(UP).answer()
+    answer = await client.send(UP).read_response()
     assert answer is not None and answer[0] == 200
     if answer[1].get("connection") == "close":
         client.close()
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -98,7 +98,7 @@
         clients = [client] + [await gate.client() for _ in range(20)]
         for each_client in clients:
             await exchange(worker, each_client)
-            assert (await each_client.answer())[0] == 200
+            assert (await each_client.read_response())[0] == 200
         gate.listener.close_idle()
         for each_client in clients:
             each_client.send(request())
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -68,7 +68,7 @@
         assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
         assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "10000"
         writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
-        status, _, body = await client.answer()
+        status, _, body = await client.read_response()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
         came = await gate.controller.next_event(RequestReceived)
         assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
@@ -88,7 +88,7 @@
             client.send(request(f"{number:016x}"))
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
         assert worker.connections == 1
 
     one_worker(scenario)
@@ -99,7 +99,7 @@
         client.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[1]["connection"] == "close" and await client.ends()
+        assert (await client.read_response())[1]["connection"] == "close" and await client.wait_for_end()
 
     one_worker(scenario)
 
@@ -127,7 +127,7 @@
             writer.write(reply)
         if result is AttemptResult.RESET:
             writer.close()
-        status, _, body = await client.answer()
+        status, _, body = await client.read_response()
         assert (status, body) == (502, b"")  # the response of the controller stub to a failed attempt
         assert (await gate.controller.next_event(AttemptCompleted)).result is result
 
@@ -140,7 +140,7 @@
             port = worker.port
         async with RunningGateway(ControllerStub(), known=[entry("w1", port)]) as gate:
             client = await gate.client()
-            assert (await client.send(request()).answer())[0] == 502
+            assert (await client.send(request()).read_response())[0] == 502
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
@@ -180,7 +180,7 @@
 
 def test_an_attempt_for_a_worker_that_is_not_known_is_not_started():
     async def scenario(worker, gate, client):
-        assert (await client.send(request()).answer())[0] == 502
+        assert (await client.send(request()).read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     one_worker(scenario, worker="w9")
@@ -190,7 +190,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         assert (await worker.next_request())[0] is not None
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.TIMEOUT
         assert (await worker.next_request())[0] is None  # the end of the connection
 
@@ -211,7 +211,7 @@
                 {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
             )
             client = await gate.client()
-            assert (await client.send(request()).answer())[0] == 502
+            assert (await client.send(request()).read_response())[0] == 502
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
             assert gate.gateway.connection_pool._connection_count == 0
 
@@ -225,7 +225,7 @@
         came = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
         gate.gateway.post_event(TimerFired("now"))
-        status, headers, _ = await client.answer()
+        status, headers, _ = await client.read_response()
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
         writer.write(answer(body=b"late"))
@@ -233,7 +233,7 @@
         client.send(request("0000000000000002"))
         _, writer = await worker.next_request()
         writer.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
 
     one_worker(scenario)
 
@@ -247,14 +247,14 @@
         gate.gateway.post_event(TimerFired("hedge"))
         _, second = await worker.next_request()
         second.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
         first.write(answer(body=b"first"))
         outcomes = [await gate.controller.next_event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer(body=b"third"))
-        assert (await client.answer())[2] == b"third"
+        assert (await client.read_response())[2] == b"third"
 
     one_worker(scenario)
 
@@ -285,7 +285,7 @@
 
 def test_the_last_guard_answers_before_the_deadline():
     async def scenario(worker, gate, client):
-        status, _, _ = await client.send(request(deadline=60)).answer()
+        status, _, _ = await client.send(request(deadline=60)).read_response()
         assert status == 504
         came = await gate.controller.next_event(RequestReceived)
         assert (await gate.controller.next_event(ClientDisconnected)).id == came.id
@@ -310,7 +310,7 @@
 def test_the_guard_answers_though_the_module_fails():
     async def scenario(worker, gate, client):
         gate.controller.handle = lambda now, events: 1 / 0
-        assert (await client.send(request(deadline=60)).answer())[0] == 504
+        assert (await client.send(request(deadline=60)).read_response())[0] == 504
 
     one_worker(scenario)
 
@@ -352,7 +352,7 @@
                 writer.write(spoilt)
             await asyncio.sleep(0)
         assert outcome.result().result is AttemptResult.ERROR
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
         assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
@@ -374,7 +374,7 @@
         ended, again = await worker.next_request(), await worker.next_request()
         _, other = ended if ended[0] is not None else again
         other.write(answer(body=b"own"))
-        assert (await client.answer())[2] == b"own" and worker.connections == 2
+        assert (await client.read_response())[2] == b"own" and worker.connections == 2
 
     one_worker(scenario)
 
@@ -400,7 +400,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[2] == b"first"
+        assert (await client.read_response())[2] == b"first"
         (connection,) = gate.gateway.connection_pool._workers["w1"].idle
         connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
         client.send(request())
@@ -410,7 +410,7 @@
         while not connection.is_closed:
             await asyncio.sleep(0)
         other.write(answer(body=b"own"))
-        assert (await client.answer())[2] == b"own"
+        assert (await client.read_response())[2] == b"own"
 
     one_worker(scenario)
 
@@ -424,7 +424,7 @@
         for writer in writers:
             writer.write(answer())
         for one in clients:
-            assert (await one.answer())[0] == 200
+            assert (await one.read_response())[0] == 200
         workers = gate.gateway.connection_pool
         mine, now = workers._workers["w1"], gate.gateway.clock.now()
         for place, one in enumerate(mine.idle):
@@ -445,7 +445,7 @@
         _, writer = await worker.next_request()
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
-        assert (await client.answer())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
         assert (await worker.next_request())[0] is None
@@ -469,7 +469,9 @@
         assert (await worker.next_request())[0] is None and list(gate.gateway.connection_pool._workers) == [
             "w2"
         ]
-        assert (await client.send(request()).answer())[0] == 502  # the controller stub still chooses w1
+        assert (await client.send(request()).read_response())[
+            0
+        ] == 502  # the controller stub still chooses w1
 
     one_worker(scenario)
 
@@ -478,7 +480,7 @@
     client.send(request())
     _, writer = await worker.next_request()
     writer.write(answer())
-    assert (await client.answer())[0] == 200
+    assert (await client.read_response())[0] == 200
     return writer
 
 
@@ -500,7 +502,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer() + answer(body=b"twice"))
-        assert (await client.answer())[2] == b"done"
+        assert (await client.read_response())[2] == b"done"
         assert (await worker.next_request())[0] is None
         await exchange(worker, client)
         assert worker.connections == 2
@@ -513,7 +515,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
-        assert (await client.answer())[::2] == (200, b"real")
+        assert (await client.read_response())[::2] == (200, b"real")
 
     one_worker(scenario)
 
@@ -534,7 +536,7 @@
         await exchange(worker, client)
         gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.next_request())[0] is None
-        assert (await client.send(request()).answer())[0] == 502
+        assert (await client.send(request()).read_response())[0] == 502
         fleets = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
         assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
 
@@ -564,7 +566,7 @@
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
         gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         go.set()
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
 
@@ -578,7 +580,7 @@
         client.send(request())
         await worker.next_request()
         other = await gate.client()
-        assert (await other.send(request()).answer())[0] == 502
+        assert (await other.send(request()).read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.connections == 1
 
@@ -616,7 +618,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
 
     one_worker(scenario)
@@ -653,9 +655,9 @@
         other = await gate.client()
         other.send(request())
         _, writer = await worker.next_request()
-        assert (await client.send(data).answer())[0] == status and await client.ends()
+        assert (await client.send(data).read_response())[0] == status and await client.wait_for_end()
         writer.write(answer())
-        assert (await other.answer())[0] == 200
+        assert (await other.read_response())[0] == 200
         assert len(gate.gateway.requests.open) == 0 and worker.requests.empty()
 
     one_worker(scenario)
@@ -671,7 +673,7 @@
             asked, writer = await worker.next_request()
             assert asked.url == b"/look/" + number and worker.requests.empty()
             writer.write(answer(body=number))
-            assert (await client.answer())[::2] == (200, number)
+            assert (await client.read_response())[::2] == (200, number)
 
     one_worker(scenario)
 
@@ -681,8 +683,8 @@
         client.send(request() + b"noise\r\n\r\n" + request())
         _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[::2] == (200, b"first")
-        assert (await client.answer())[0] == 400 and await client.ends()
+        assert (await client.read_response())[::2] == (200, b"first")
+        assert (await client.read_response())[0] == 400 and await client.wait_for_end()
         assert worker.requests.empty()
 
     one_worker(scenario)
@@ -702,7 +704,7 @@
                 while asked is None:
                     asked, writer = await worker.next_request()
                 writer.write(answer(body=asked.url))
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
             client.close()
 
     one_worker(scenario)
@@ -717,7 +719,7 @@
         asked, writer = await worker.next_request()
         assert asked.body == b"piece"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -729,10 +731,10 @@
         other = await gate.client()
         client.send(request("00000000000000aa"))
         _, writer = await worker.next_request()
-        assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).answer())[0] == 409
+        assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).read_response())[0] == 409
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[2] == b"first"
-        assert (await other.send(request("00000000000000aa")).answer())[0] == 409
+        assert (await client.read_response())[2] == b"first"
+        assert (await other.send(request("00000000000000aa")).read_response())[0] == 409
         assert worker.requests.empty()
         gate.gateway.requests._ids.expire()
         gate.gateway.requests._ids.expire()
@@ -765,11 +767,11 @@
     data, status = RUDE[name]
 
     async def scenario(worker, gate, client):
-        assert (await client.send(data).answer())[0] == status
+        assert (await client.send(data).read_response())[0] == status
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
 
     one_worker(scenario)
@@ -786,7 +788,7 @@
             at(0.0, call),
         )
         for _ in range(7):
-            assert (await client.send(request(path="/none")).answer())[0] == 404
+            assert (await client.send(request(path="/none")).read_response())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
 
     one_worker(scenario)
@@ -795,10 +797,10 @@
 def test_bad_requests_behind_each_other_get_their_errors_in_order_and_no_more_than_a_few_wait():
     async def scenario(worker, gate, client):
         client.send(request(path="/none") * 2 + request())
-        assert [(await client.answer())[0] for _ in range(2)] == [404, 404]
+        assert [(await client.read_response())[0] for _ in range(2)] == [404, 404]
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request(path="/none") * 300)
         (one,) = gate.listener.admission.connections
         while not one.is_unreadable:
@@ -836,10 +838,10 @@
         assert not one.is_closing
         advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
-            told = await client.answer()
+            told = await client.read_response()
         except ConnectionResetError:  # blank lines that were not read yet
             told = None
-        assert (told and told[0]) == status and await client.ends()
+        assert (told and told[0]) == status and await client.wait_for_end()
 
     one_worker(scenario)
 
@@ -851,12 +853,12 @@
         asked, writer = await worker.next_request()
         assert asked.body == b"x" and "idempotency-key" not in asked.headers
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
-        assert (await client.answer())[0] == 431
+        assert (await client.read_response())[0] == 431
         client = await gate.client()
         client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
-        assert (await client.answer())[0] == 413
+        assert (await client.read_response())[0] == 413
 
     one_worker(scenario)
 
@@ -867,7 +869,7 @@
         for _ in range(64):
             client.send(bytes(256 * 1024))
             await client.writer.drain()
-        assert (await client.answer())[0] == 404 and await client.ends()
+        assert (await client.read_response())[0] == 404 and await client.wait_for_end()
 
     one_worker(scenario)
 
@@ -881,15 +883,15 @@
         other = idle.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        await other.answer()
+        await other.read_response()
         silent = [await gate.client() for _ in range(2)]
         refused = (await gate.client()).send(b"noise\r\n\r\n")
-        assert (await refused.answer())[0] == 400
+        assert (await refused.read_response())[0] == 400
         for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
             admission.max_connections = most
             admission.evict_excess(gate.gateway.clock.now() + 1000.0)
             if gone is not None:
-                assert await gone.ends() and len(admission) == most
+                assert await gone.wait_for_end() and len(admission) == most
         assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
     one_worker(scenario)
@@ -902,7 +904,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         (one,) = gate.listener.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
@@ -912,7 +914,7 @@
         one.transport.resume_reading()
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -925,7 +927,7 @@
         late = (await gate.client()).send(request())
         while True:  # at the very limit a new one is dropped, and comes again
             asked = asyncio.ensure_future(worker.next_request())
-            gone = asyncio.ensure_future(late.ends())
+            gone = asyncio.ensure_future(late.wait_for_end())
             await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
             if asked.done():
                 break
@@ -953,14 +955,14 @@
             one.send(request())
             _, writer = await worker.next_request()
             writer.write(answer())
-            await one.answer()
+            await one.read_response()
         advance_time(gate, 1900)
         assert len(gate.listener.admission) == 2
         advance_time(gate, 2100)
-        assert await first.ends()
+        assert await first.wait_for_end()
         assert len(gate.listener.admission) == 1
         advance_time(gate, 61_000)
-        assert await second.ends()
+        assert await second.wait_for_end()
 
     one_worker(scenario)
 
@@ -975,9 +977,9 @@
             one.send(request())
             _, writer = await worker.next_request()
             writer.write(answer())
-            await one.answer()
+            await one.read_response()
         advance_time(gate, 300)
-        assert await client.ends()
+        assert await client.wait_for_end()
         client.close()  # it has heard our end; until then what it still sends is read and dropped
         while len(gate.listener.admission) > 1:
             await asyncio.sleep(0)
@@ -993,7 +995,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        await client.answer()
+        await client.read_response()
         gc.collect()
         gc.disable()
         try:
@@ -1014,7 +1016,7 @@
         client.send(request(deadline=10_000))
         came = await gate.controller.next_event(RequestReceived)
         assert came.deadline_ms < began + 150.0
-        assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
+        assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
     one_worker(scenario, worker=None)
 
@@ -1023,9 +1025,9 @@
     async def scenario(worker, gate, client):
         up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
         gate.gateway.is_ready = False
-        assert (await client.send(up).answer())[0] == 503
+        assert (await client.send(up).read_response())[0] == 503
         gate.gateway.is_ready = True
-        assert (await client.send(up).answer())[0] == 200
+        assert (await client.send(up).read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -1103,6 +1105,6 @@
             client.send(request())
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[::2] == (200, b"done")
+            assert (await client.read_response())[::2] == (200, b"done")
 
     run(scenario())
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -163,13 +163,13 @@
         _, writer = await worker.next_request()
         assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
         writer.write(answer())
-        assert (await client.answer())[0] == 200  # what is out may finish
-        assert (await client.send(request(deadline=100)).answer())[0] in (503, 504)
+        assert (await client.read_response())[0] == 200  # what is out may finish
+        assert (await client.send(request(deadline=100)).read_response())[0] in (503, 504)
         assert (await say(port, b"ENABLE w1\n")).startswith("+OK")
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     with_office(scenario)
 
@@ -177,26 +177,29 @@
 def test_drained_it_says_no_serves_what_comes_and_closes_behind_each_answer():
     async def scenario(port, gate, worker):
         idle, kept, slow = await gate.client(), await gate.client(), await gate.client()
-        await idle.send(UP).answer()
+        await idle.send(UP).read_response()
         slow.send(request()[:-1])
         kept.send(request())
         _, writer = await worker.next_request()
         assert (await say(port, b"DRAIN\n")).startswith("+OK")
-        assert (await (await gate.client()).send(UP).answer())[0] == 503
+        assert (await (await gate.client()).send(UP).read_response())[0] == 503
         writer.write(answer())
-        told = await kept.answer()
-        assert told[0] == 200 and told[1]["connection"] == "close" and await kept.ends()
-        assert await idle.ends()  # in half a second
-        assert (await slow.answer())[0] in (408, 503) and await slow.ends()  # its own time is nearly over
+        told = await kept.read_response()
+        assert told[0] == 200 and told[1]["connection"] == "close" and await kept.wait_for_end()
+        assert await idle.wait_for_end()  # in half a second
+        assert (await slow.read_response())[0] in (
+            408,
+            503,
+        ) and await slow.wait_for_end()  # its own time is nearly over
         while gate.gateway.has_unfinished_work():
             await asyncio.sleep(0.01)
         assert (await say(port, b"UNDRAIN\n")).startswith("+OK")
         again = await gate.client()
-        assert (await again.send(UP).answer())[0] == 200
+        assert (await again.send(UP).read_response())[0] == 200
         again.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert "connection" not in (await again.answer())[1]
+        assert "connection" not in (await again.read_response())[1]
 
     with_office(scenario)
 
@@ -213,7 +216,7 @@
         slow.send(b"\n")
         await worker.next_request()
         assert next(iter(gate.gateway.requests.open.values())).deadline_timer is not None
-        told = await slow.answer()  # within 2 s, not 10
+        told = await slow.read_response()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
 
     with_office(scenario)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -49,26 +49,26 @@
 def test_sigterm_finishes_what_was_taken_serves_what_comes_and_exits_0(tmp_path):
     async def scenario(process, port, worker, _fake, _path):
         kept, idle = await Client().open(port), await Client().open(port)
-        await idle.send(UP).answer()
+        await idle.send(UP).read_response()
         kept.send(request())
         _, writer = await worker.next_request()
         process.send_signal(signal.SIGTERM)
-        while (await (await Client().open(port)).send(UP).answer())[0] != 503:
+        while (await (await Client().open(port)).send(UP).read_response())[0] != 503:
             pass  # it has not had the signal yet
         late = await Client().open(port)
         late.send(request())
         _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"late"))
-        status, headers, body = await late.answer()
+        status, headers, body = await late.read_response()
         assert (status, body) == (200, b"late") and "connection" not in headers
         late.send(request())  # on a connection that it has
         _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"again"))
-        assert (await late.answer())[2] == b"again"
-        assert await late.ends() and await idle.ends()  # by now nothing comes any more
+        assert (await late.read_response())[2] == b"again"
+        assert await late.wait_for_end() and await idle.wait_for_end()  # by now nothing comes any more
         assert process.returncode is None
         writer.write(answer(body=b"taken"))
-        assert (await kept.answer())[2] == b"taken" and await kept.ends()
+        assert (await kept.read_response())[2] == b"taken" and await kept.wait_for_end()
         assert await process.wait() == 0
 
     with_program(tmp_path, scenario)
@@ -95,7 +95,7 @@
             _, writer = await other.next_request()
             process.send_signal(signal.SIGTERM)
             writer.write(answer())
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
             assert await process.wait() == 0
         assert worker.requests.empty()
 
@@ -110,7 +110,7 @@
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
         assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
 
@@ -205,7 +205,7 @@
             client.send(request())
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200 and other.calls.empty()
+            assert (await client.read_response())[0] == 200 and other.calls.empty()
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
@@ -225,7 +225,7 @@
                 client.send(request())
                 _, writer = await worker.next_request()
                 writer.write(answer())
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
             finally:
                 process.kill()
                 await process.wait()
@@ -249,7 +249,7 @@
                 for _ in range(400):  # each has asked once, and rests
                     crowd.append((await Client().open(port)).send(UP))
                 for one in crowd[:100]:
-                    assert await one.answer()
+                    assert await one.read_response()
                 async with FakeDiscovery(discovery) as fake:
                     _, writer = await fake.next_call()
                     writer.write(told(listing(entry("w2", other.port), index=9)))
@@ -258,7 +258,8 @@
                     while message is None:  # at the very limit a new client is dropped, and comes again
                         client = (await Client().open(port)).send(request())
                         asked, gone = (
-                            asyncio.ensure_future(one) for one in (other.next_request(), client.ends())
+                            asyncio.ensure_future(one)
+                            for one in (other.next_request(), client.wait_for_end())
                         )
                         await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
                         message, writer = asked.result() if asked.done() else (None, None)
@@ -300,7 +301,7 @@
 
         serving = asyncio.create_task(serve())
         kept = [await Client().open(port) for _ in range(KEPT_CONNECTIONS)]
-        await asyncio.gather(*(client.send(homed()).answer() for client in kept))
+        await asyncio.gather(*(client.send(homed()).read_response() for client in kept))
         await asyncio.sleep(0.1)
         process.send_signal(signal.SIGSTOP)
         going = [await Client().open(port) for _ in range(CLIENTS_THAT_GO)]
@@ -316,7 +317,7 @@
         assert len(seen) == before, f"{len(seen) - before} sent on for clients that have gone"
         last = await Client().open(port)
         mine = homed().replace(b"b4d65521", b"b4d65522")  # a customer whose quota is not used up
-        assert (await last.send(mine).answer())[0] == 200
+        assert (await last.send(mine).read_response())[0] == 200
         serving.cancel()
 
     with_program(tmp_path, scenario, {"limits": {"sockets": 2048}})
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -93,17 +93,17 @@
         asked, writer = await worker.next_request()
         assert asked.url == b"/look" and put(gate, drop("look")) == ""
         other = (await gate.client()).send(request("00000000000000a2"))
-        assert (await other.answer())[0] == 404
+        assert (await other.read_response())[0] == 404
         writer.write(answer(body=b"kept"))
-        status, headers, body = await client.answer()
+        status, headers, body = await client.read_response()
         assert (status, body) == (200, b"kept") and "connection" not in headers
         client.send(request("00000000000000a3"))  # on the same connection, which stays
-        assert (await client.answer())[0] == 404
+        assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a4", "/debit", body=b"x"))
         asked, writer = await worker.next_request()
         assert asked.url == b"/debit"
         writer.write(answer())
-        assert (await client.answer())[0] == 200 and not gate.gateway.requests.open
+        assert (await client.read_response())[0] == 200 and not gate.gateway.requests.open
 
     one_worker(scenario)
 
@@ -121,9 +121,9 @@
             message, again = await worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000b1"
         again.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
         client.send(request("00000000000000b2"))
-        assert (await client.answer())[0] == 405  # from now on it is no GET
+        assert (await client.read_response())[0] == 405  # from now on it is no GET
 
     one_worker(scenario)
 
@@ -141,7 +141,7 @@
         asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -152,11 +152,11 @@
         _, writer = await worker.next_request()
         assert put(gate, add(FRESH)) == ""
         writer.write(answer(body=b"one"))
-        assert (await client.answer())[2] == b"one"
+        assert (await client.read_response())[2] == b"one"
         asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"  # it was not read before the first had its answer
         writer.write(answer(body=b"two"))
-        assert (await client.answer())[2] == b"two"
+        assert (await client.read_response())[2] == b"two"
 
     one_worker(scenario)
 
@@ -165,7 +165,7 @@
     async def scenario(worker, gate, client):
         gold = request("00000000000000e1").replace(b"X-Tier: basic", b"X-Tier: gold")
         client.send(gold)
-        assert (await client.answer())[0] == 400
+        assert (await client.read_response())[0] == 400
         assert (
             put(
                 gate,
@@ -178,9 +178,9 @@
         client.send(gold.replace(b"e1", b"e2"))
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request("00000000000000e3"))
-        assert (await client.answer())[0] == 400
+        assert (await client.read_response())[0] == 400
 
     one_worker(scenario)
 
@@ -261,11 +261,11 @@
         )
         assert all(one is other for one, other in zip(before, after, strict=True))
         client.send(request("00000000000000a1", "/fresh"))
-        assert (await client.answer())[0] == 404
+        assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a2"))
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -295,7 +295,7 @@
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert put(gate, add(FRESH)) == ""
 
     one_worker(scenario)
@@ -317,7 +317,7 @@
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
         writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         while not gate.gateway.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
             await asyncio.sleep(0)
         assert gate.gateway.controller.state.endpoints.tracked["w1"].foreign_load >= 2
@@ -356,7 +356,7 @@
                     name, count = f"{number:08x}{count:08x}", count + 1
                     path = "/look" if count % 10 else "/fresh"  # a 404 slows its connection down
                     client.send(request(name, path))
-                    got = await client.answer()
+                    got = await client.read_response()
                     assert got is not None, "a connection was closed"
                     status, headers, body = got
                     assert status in (200, 404) and "connection" not in headers, status
@@ -394,11 +394,11 @@
         (open_request,) = gate.gateway.requests.open.values()
         assert open_request.deadline_ms <= gate.gateway.clock.now() + 5000.0
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
         _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         gate.gateway.start_closing_connections()
         assert put(gate, lambda _: None) == "" and not gate.gateway.is_ready
 
@@ -417,13 +417,13 @@
         assert put(gate, short) == ""
         assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert max(gate.gateway.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
         _, writer = await worker.next_request()
         assert max(gate.gateway.request_lifetimes_ms()) <= 400.0
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -467,7 +467,7 @@
             client = (await two.client()).send(request("00000000000000a1"))
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
             assert isinstance(one.gateway.controller, Controller)
 
     run(scenario())
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -53,7 +53,7 @@
             (open_request,) = gate.gateway.requests.open.values()
             gate.gateway.shut_down_within(100.0)
             assert open_request.deadline_ms <= gate.gateway.clock.now() + 100.0
-            assert (await client.answer())[0] == 504 and not gate.gateway.requests.open
+            assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
     run(scenario())
 
@@ -70,7 +70,7 @@
             (open_request,) = gate.gateway.requests.open.values()
             deadline_ms = open_request.deadline_ms
             gate.gateway.shut_down_within(5000.0)
-            assert open_request.deadline_ms == deadline_ms and (await client.answer())[0] == 504
+            assert open_request.deadline_ms == deadline_ms and (await client.read_response())[0] == 504
 
     run(scenario())
 
@@ -103,7 +103,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             os.kill(os.getpid(), number)
         await task
-        assert await client.ends()
+        assert await client.wait_for_end()
 
     run_served_gateway(scenario, monkeypatch)
 
@@ -155,9 +155,9 @@
         _, writer = await fake.next_call()
         client = await Client().open(port)
         for _ in range(3):
-            assert (await client.send(UP).answer())[0] == 503
+            assert (await client.send(UP).read_response())[0] == 503
         writer.write(told(listing(entry("w1", worker.port))))
         await until_up(port)
-        assert (await client.send(UP).answer())[0] == 200
+        assert (await client.send(UP).read_response())[0] == 200
 
     run_served_gateway(scenario, monkeypatch, known=listing())
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -130,7 +130,7 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         writer.write_eof()
-        assert (await client.answer())[::2] == (200, b"all of it")
+        assert (await client.read_response())[::2] == (200, b"all of it")
         client.send(request())
         reader, writer = await worker.accepted.get()
         await read_head(reader)
@@ -139,7 +139,7 @@
         await asyncio.sleep(0)
         writer.transport.get_extra_info("socket").setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER: a reset
         writer.transport.abort()
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
 
     run_with_raw_worker(scenario)
 
@@ -232,7 +232,7 @@
         assert received == body
         assert not (await gate.controller.next_event(ResponseStarted)).is_body_retained
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-        assert (await client.answer())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         client.send(request())  # the client's connection is reusable
         await read_head((await worker.accepted.get())[0])
 
@@ -249,7 +249,7 @@
         assert gate.gateway.requests.open
         client.send(data[-1:])
         await reader.readexactly(300_000)
-        assert (await client.answer())[0] in (502, 504)  # the deadline has passed
+        assert (await client.read_response())[0] in (502, 504)  # the deadline has passed
 
     run_with_raw_worker(scenario)
 
@@ -261,7 +261,7 @@
         await read_head(reader)
         writer.transport.abort()
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
 
     run_with_raw_worker(scenario)
 
@@ -273,7 +273,7 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
-        assert (await client.answer())[0] == 502 and not gate.gateway._streams._requests
+        assert (await client.read_response())[0] == 502 and not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
 
@@ -287,7 +287,7 @@
         gate.gateway._streams.sweep(
             gate.gateway.clock.now() + 5000.0, gate.gateway.requests.on_upload_stalled
         )
-        assert (await client.answer())[0] == 408
+        assert (await client.read_response())[0] == 408
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
     run_with_raw_worker(scenario)
@@ -322,7 +322,7 @@
         await read_head(reader)
         await reader.readexactly(100_000)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     run_with_raw_worker(scenario)
 
@@ -358,12 +358,12 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nfirst")
-        assert (await client.answer())[2] == b"first"
+        assert (await client.read_response())[2] == b"first"
         reader, writer = await worker.accepted.get()
         assert "POST /debit" in await read_head(reader)
         await reader.readexactly(BIG)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
 
     run_with_raw_worker(scenario)
 
@@ -455,7 +455,7 @@
             for start in range(0, len(data), size):
                 slow_client.send(data[start : start + size])
                 idle_clients.append(await Client().open(gate.port))
-            response = await slow_client.answer()
+            response = await slow_client.read_response()
             slow_client.close()
             return response and response[0]
 
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -35,7 +35,7 @@
                 first_client.send(request().replace(b"spread=2", b"spread=1"))
                 _, writer = await received.get()
                 writer.write(answer())
-                assert (await first_client.answer())[0] == 200
+                assert (await first_client.read_response())[0] == 200
             window = gate.gateway.controller.state.limit
             # Set the limit to its minimum, as after a time of little traffic.
             window.capacity, window.answered_objectives_ms = 0.1, 0.0
@@ -44,7 +44,7 @@
             clients = [await gate.client() for _ in range(MIN_CONCURRENT_ATTEMPTS + 2)]
             for client in clients:
                 client.send(debit())
-            answers = [asyncio.create_task(client.answer()) for client in clients]
+            answers = [asyncio.create_task(client.read_response()) for client in clients]
             ids = set()
             while len(ids) < len(clients):  # the workers never answer these requests
                 next_request = asyncio.create_task(received.get())
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -79,7 +79,7 @@
             client.send(request())
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200  # the connection to the worker is idle now
+            assert (await client.read_response())[0] == 200  # the connection to the worker is idle now
             gate.controller.worker = None
             client.send(request(path="/book", key="k1", body=b"x"))
             await gate.controller.next_event(RequestReceived)
@@ -105,7 +105,7 @@
         received = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [RejectRequest(received.id, 250.0)]
         gate.gateway.post_event(TimerFired("reject"))
-        assert (await client.answer())[0] == 503
+        assert (await client.read_response())[0] == 503
         dials.go.set()
         await next_is(worker, gate)
         assert not gate.gateway.requests.attempts
@@ -139,7 +139,7 @@
                 gate.gateway.post_event(TimerFired("hedge"))
                 await dials.opened.wait()
                 writer.write(answer(body=b"first"))
-                assert (await client.answer())[2] == b"first"
+                assert (await client.read_response())[2] == b"first"
                 dials.go.set()
                 gate.controller.worker = "w2"
                 await next_is(other, gate)
@@ -274,7 +274,7 @@
             client.send(request(deadline=5000))
             _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
             advance_pool_clock(gate, 1900.0)
             client.send(request(deadline=5000))
             message, _ = await worker.next_request()
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -60,7 +60,7 @@
                 answers = []
                 for _ in range(ROUNDS):
                     answers += await asyncio.gather(
-                        *(client.send(locally_owned_request()).answer() for client in clients)
+                        *(client.send(locally_owned_request()).read_response() for client in clients)
                     )
                 for task in serving:
                     task.cancel()
--- a/tests/gateway/upstream/test_streamed_attempts.py
+++ b/tests/gateway/upstream/test_streamed_attempts.py
@@ -42,6 +42,6 @@
             assert len(message.body) == len(LARGE)  # the worker has received the whole body
             reset(writer)
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
-            assert (await client.answer())[0] == 502
+            assert (await client.read_response())[0] == 502
 
     run(scenario())
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -57,7 +57,7 @@
             if end is not None:
                 reset(writer) if end == "reset" else writer.close()
             assert (await gate.controller.next_event(AttemptCompleted)).result is expected
-            assert (await client.answer())[0] == 502
+            assert (await client.read_response())[0] == 502
 
     run(scenario())
 
@@ -81,7 +81,7 @@
             writer.close()
             await asyncio.sleep(0)
             attempt.connection.transport.resume_reading()
-            status, _, body = await client.answer()
+            status, _, body = await client.read_response()
             assert (status, body) == (200, b"all" + b" of it" * (part_count - 1))
 
     run(scenario())
@@ -163,12 +163,12 @@
                 if attempt_count == 2:
                     _, writer = await received.get()
                     writer.write(answer(body=b"again"))
-                status, _, body = await client.answer()
+                status, _, body = await client.read_response()
                 assert (status, body) == ((200, b"again") if attempt_count == 2 else (502, b""))
                 client.send(locally_owned_request("/look"))  # the workers get no other request in between
                 name, writer = await received.get()
                 writer.write(answer(body=b"next"))
-                assert (await client.answer())[2] == b"next"
+                assert (await client.read_response())[2] == b"next"
                 for task in tasks:
                     task.cancel()
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -215,12 +215,12 @@
         self.writer.write(data)
         return self
 
-    async def answer(self):
+    async def read_response(self):
         """(status, headers, body) of the next answer; None when the connection ends first."""
         message = await read_message(self.reader, httptools.HttpResponseParser)
         return message and (message.parser.get_status_code(), message.headers, message.body)
 
-    async def ends(self):
+    async def wait_for_end(self):
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -338,7 +338,7 @@
             message, writer = await worker.next_request()
         assert message.headers["x-request-id"] == name, "something else went out before"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
 
 class Plug:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -48,7 +48,7 @@
             await asyncio.sleep(0)
             continue
         try:
-            told = await client.send(UP).answer()
+            told = await client.send(UP).read_response()
         except ConnectionError:
             continue
         client.close()
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -82,7 +82,7 @@
                 client.send(request())
                 _, writer = await worker.next_request()
                 writer.write(answer())
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
                 client.close()
                 process.terminate()
                 _, said = await process.communicate()
