--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -81,15 +81,15 @@
     def unix_ms(self) -> float:
         return (UNIX_S + self.process.time()) * 1000
 
-    def takes_part(self, part: Any) -> None:
+    def on_participant_created(self, part: Any) -> None:
         if self.watch is not None:
-            self.watch.takes_part(self.process, part)
+            self.watch.on_participant_created(self.process, part)
 
-    def life(self) -> int:
+    def incarnation(self) -> int:
         machine = self.process.machine
         return random.Random(f"{machine.seed}/life/{len(machine.processes)}").getrandbits(32)
 
-    def guard(self, address: Any) -> Any:
+    def lock_peer_address(self, address: Any) -> Any:
         """A process of a gatekeeper is the only one of its number."""
         return Plug(self.process.machine.network, self.process)
 
--- a/tests/gateway/dynamic_config/test_config_table.py
+++ b/tests/gateway/dynamic_config/test_config_table.py
@@ -3,7 +3,7 @@
 import pytest
 
 from plumpick.gateway.config import ConfigError
-from plumpick.gateway.operator_config import operator_from
+from plumpick.gateway.operator_config import parse_operator_config
 
 
 @pytest.mark.parametrize(
@@ -11,8 +11,8 @@
     [
         ({}, "configuration.addresses"),
         ({"addresses": []}, "configuration.addresses"),
-        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: 9 of them"),
-        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*named twice"),
+        ({"addresses": ["127.0.0.1:1"] * 9}, "configuration.addresses: expected 1 to 8 addresses, got 9"),
+        ({"addresses": ["127.0.0.1:1", "127.0.0.1:1"]}, r"addresses\[1\].*occurs more than once"),
         ({"addresses": ["here"]}, r"addresses\[0\]"),
         ({"addresses": [7]}, r"addresses\[0\]"),
         ({"addresses": ["127.0.0.1:1"], "silent_s": 0}, "configuration.silent_s"),
@@ -21,9 +21,9 @@
 )
 def test_each_key_of_the_table_is_checked_by_name(table, key):
     with pytest.raises(ConfigError, match=key):
-        operator_from({"configuration": table}, 3)
+        parse_operator_config({"configuration": table}, 3)
 
 
 def test_the_table_needs_no_fleet():
-    got = operator_from({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
+    got = parse_operator_config({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
     assert got.fleet is None and got.configuration.silent_ms == 9000.0
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -6,7 +6,18 @@
 
 import pytest
 from support.delays import advance_time
-from support.fakes import HOST, FakeWorker, Gate, Plug, Script, answer, entry, next_is, request, run
+from support.fakes import (
+    HOST,
+    ControllerStub,
+    FakeWorker,
+    Plug,
+    RunningGateway,
+    answer,
+    entry,
+    next_is,
+    request,
+    run,
+)
 
 from plumpick.gateway.platform import Platform
 from plumpick.gateway.shutdown import close_listener
@@ -14,7 +25,10 @@
 
 def run_with_worker(scenario):
     async def run_scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -23,7 +37,7 @@
 async def exchange(worker, client, extra=""):
     """Have the client send a request and the worker answer it."""
     client.send(request(extra=extra))
-    _, writer = await worker.asked()
+    _, writer = await worker.next_request()
     writer.write(answer())
 
 
@@ -35,7 +49,7 @@
         client.close()
         plug = Plug(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         connection.transport.pause_reading()  # as if the event loop had not polled the connection yet
         plug.send(b"GET /lo")
@@ -56,11 +70,11 @@
         client.close()
         plug = Plug(gate.port)
         plug.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
         connection = busy_connection(gate)
         assert b"200 OK" in await plug.receive()
-        has_no_unread_input = gate.front.has_no_unread_input
+        has_no_unread_input = gate.listener.has_no_unread_input
 
         def check_then_send(transport):
             result = has_no_unread_input(transport)
@@ -68,13 +82,13 @@
             assert result and not has_no_unread_input(transport)  # received before the loop runs again
             return result
 
-        gate.front.has_no_unread_input = check_then_send
+        gate.listener.has_no_unread_input = check_then_send
         connection.close_if_idle()
-        gate.front.has_no_unread_input = has_no_unread_input
+        gate.listener.has_no_unread_input = has_no_unread_input
         assert connection.is_closing and await plug.receive() == b""
         plug.close()
         await next_is(worker, gate)
-        assert not gate.keeper.requests.open
+        assert not gate.gateway.requests.open
 
     run_with_worker(scenario)
 
@@ -84,14 +98,14 @@
         clients = [client] + [await gate.client() for _ in range(20)]
         for each_client in clients:
             await exchange(worker, each_client)
-            assert (await each_client.answer())[0] == 200
-        gate.front.close_idle()
+            assert (await each_client.read_response())[0] == 200
+        gate.listener.close_idle()
         for each_client in clients:
             each_client.send(request())
         for each_client in clients:
             assert await each_client.reader.read() == b""
             each_client.close()
-        while gate.front.admission:
+        while gate.listener.admission:
             await asyncio.sleep(0)
         await next_is(worker, gate)
 
@@ -105,7 +119,7 @@
         client.close()
         plug = Plug(gate.port, room=4096)
         plug.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
@@ -163,17 +177,20 @@
 
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             listening = Platform().create_listener((HOST, 0), 16)
-            server = await loop.create_server(gate.front.create_connection, sock=listening)
+            server = await loop.create_server(gate.listener.create_connection, sock=listening)
             plugs, address = [], listening.getsockname()
             for number in range(8):  # the event loop does not run meanwhile
                 plug = Plug(address[1])
                 plug.send(request(f"{number:016x}"))
                 plugs.append(plug)
-            await close_listener(loop, server, listening, gate.front)
+            await close_listener(loop, server, listening, gate.listener)
             for _ in plugs:
-                _, writer = await worker.asked()
+                _, writer = await worker.next_request()
                 writer.write(answer())
             for plug in plugs:
                 assert b"200 OK" in await plug.receive()
@@ -196,7 +213,7 @@
             return True
 
         plug.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
@@ -204,13 +221,13 @@
         while connection.open_request is not None:
             await asyncio.sleep(0)
         assert connection.unwritten_bytes()
-        assert gate.front.transfer_idle_connections(send_descriptor)
+        assert gate.listener.transfer_idle_connections(send_descriptor)
         assert not transferred
         received = b""
         while not received.endswith(body):
             received += await plug.receive()
         descriptor = connection.transport.get_extra_info("socket").fileno()
-        assert gate.front.transfer_idle_connections(send_descriptor)
+        assert gate.listener.transfer_idle_connections(send_descriptor)
         assert transferred == [descriptor]
         plug.close()
 
@@ -219,7 +236,7 @@
 
 def busy_connection(gate):
     """Return the only client connection with an open request."""
-    (connection,) = [conn for conn in gate.front.admission.connections if conn.open_request is not None]
+    (connection,) = [conn for conn in gate.listener.admission.connections if conn.open_request is not None]
     return connection
 
 
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -7,7 +7,19 @@
 
 import pytest
 from support.delays import advance_time
-from support.fakes import HOST, Client, FakeWorker, Gate, Script, answer, config, entry, listing, request, run
+from support.fakes import (
+    HOST,
+    Client,
+    ControllerStub,
+    FakeWorker,
+    RunningGateway,
+    answer,
+    config,
+    entry,
+    listing,
+    request,
+    run,
+)
 
 from plumpick.gateway.clock import Timers
 from plumpick.gateway.config import parse_config, parse_worker_list
@@ -31,11 +43,14 @@
 )
 
 
-def one_worker(scenario, **script):
+def one_worker(scenario, **controller):
     """Run a scenario with one worker, w1, one gatekeeper and one client."""
 
     async def whole():
-        async with FakeWorker() as worker, Gate(Script(**script), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(**controller), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(whole())
@@ -43,23 +58,23 @@
 
 def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged():
     async def scenario(worker, gate, client):
-        now = gate.keeper.clock.now()  # held, so that what is left is all that the client gave
-        gate.keeper.clock = gate.keeper.connection_pool._clock = type(
+        now = gate.gateway.clock.now()  # held, so that what is left is all that the client gave
+        gate.gateway.clock = gate.gateway.connection_pool._clock = type(
             "Held", (), {"now": staticmethod(lambda: now)}
         )
         client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
         assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
         assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "10000"
         writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
-        status, _, body = await client.answer()
+        status, _, body = await client.read_response()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
-        came = await gate.script.event(RequestReceived)
+        came = await gate.controller.next_event(RequestReceived)
         assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
-        outcome = await gate.script.event(AttemptCompleted)
+        outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
-        assert not gate.keeper.requests.open and not gate.keeper.requests.attempts
+        assert not gate.gateway.requests.open and not gate.gateway.requests.attempts
 
     one_worker(scenario)
 
@@ -71,9 +86,9 @@
     async def scenario(worker, gate, client):
         for number in range(5):
             client.send(request(f"{number:016x}"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200
+            assert (await client.read_response())[0] == 200
         assert worker.connections == 1
 
     one_worker(scenario)
@@ -82,9 +97,9 @@
 def test_a_clients_connection_close_is_kept():
     async def scenario(worker, gate, client):
         client.send(request(extra="Connection: close\r\n"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[1]["connection"] == "close" and await client.ends()
+        assert (await client.read_response())[1]["connection"] == "close" and await client.wait_for_end()
 
     one_worker(scenario)
 
@@ -107,14 +122,14 @@
 def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         if reply is not None:
             writer.write(reply)
         if result is AttemptResult.RESET:
             writer.close()
-        status, _, body = await client.answer()
-        assert (status, body) == (502, b"")  # as the script has it
-        assert (await gate.script.event(AttemptCompleted)).result is result
+        status, _, body = await client.read_response()
+        assert (status, body) == (502, b"")  # the response of the controller stub to a failed attempt
+        assert (await gate.controller.next_event(AttemptCompleted)).result is result
 
     one_worker(scenario)
 
@@ -123,10 +138,10 @@
     async def scenario():
         async with FakeWorker() as worker:
             port = worker.port
-        async with Gate(Script(), known=[entry("w1", port)]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", port)]) as gate:
             client = await gate.client()
-            assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await client.send(request()).read_response())[0] == 502
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -144,18 +159,20 @@
 
         loop = asyncio.get_running_loop()
         server = await asyncio.start_server(deaf, HOST, 0, limit=1)
-        async with Gate(Script(), known=[entry("w1", server.sockets[0].getsockname()[1])]) as gate:
+        async with RunningGateway(
+            ControllerStub(), known=[entry("w1", server.sockets[0].getsockname()[1])]
+        ) as gate:
             client = await gate.client()
             client.send(request(path="/debit", body=bytes(60_000)))
             await started.wait()
-            while not gate.keeper.requests.attempts:
-                await gate.script.came.wait()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            while not gate.gateway.requests.attempts:
+                await gate.controller.received_events.wait()
+            (attempt,) = gate.gateway.requests.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
             attempt.connection.pause_writing()  # as the transport tells it while bytes are left
             loop.call_soon(started.writer.transport.abort)
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         server.close()
 
     run(scenario())
@@ -163,8 +180,8 @@
 
 def test_an_attempt_for_a_worker_that_is_not_known_is_not_started():
     async def scenario(worker, gate, client):
-        assert (await client.send(request()).answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await client.send(request()).read_response())[0] == 502
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     one_worker(scenario, worker="w9")
 
@@ -172,10 +189,10 @@
 def test_a_silent_worker_times_out_and_its_connection_ends():
     async def scenario(worker, gate, client):
         client.send(request())
-        assert (await worker.asked())[0] is not None
-        assert (await client.answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.TIMEOUT
-        assert (await worker.asked())[0] is None  # the end of the connection
+        assert (await worker.next_request())[0] is not None
+        assert (await client.read_response())[0] == 502
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.TIMEOUT
+        assert (await worker.next_request())[0] is None  # the end of the connection
 
     one_worker(scenario, timeout_ms=30.0)
 
@@ -183,20 +200,20 @@
 def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
     async def scenario():
         loop = asyncio.get_running_loop()
-        async with Gate(Script(), known=[entry("w1", 9)]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", 9)]) as gate:
 
             async def never(*_):
                 await loop.create_future()
 
-            gate.keeper.connection_pool._loop = type(
+            gate.gateway.connection_pool._loop = type(
                 "Loop",
                 (),
                 {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
             )
             client = await gate.client()
-            assert (await client.send(request()).answer())[0] == 502
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-            assert gate.keeper.connection_pool._connection_count == 0
+            assert (await client.send(request()).read_response())[0] == 502
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert gate.gateway.connection_pool._connection_count == 0
 
     run(scenario())
 
@@ -204,19 +221,19 @@
 def test_a_cancelled_attempt_closes_its_connection_and_a_late_answer_is_dropped():
     async def scenario(worker, gate, client):
         client.send(request("0000000000000001"))
-        _, writer = await worker.asked()
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
-        gate.keeper.post_event(TimerFired("now"))
-        status, headers, _ = await client.answer()
+        _, writer = await worker.next_request()
+        came = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
+        gate.gateway.post_event(TimerFired("now"))
+        status, headers, _ = await client.read_response()
         assert status == 503 and headers["retry-after"] == "0.250"
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
         writer.write(answer(body=b"late"))
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
         client.send(request("0000000000000002"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
 
     one_worker(scenario)
 
@@ -224,30 +241,30 @@
 def test_of_two_copies_the_first_answer_counts():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, first = await worker.asked()
-        came = await gate.script.event(RequestReceived)
-        gate.script.to_do = [StartAttempt(came.id, "w1", 9000.0)]
-        gate.keeper.post_event(TimerFired("hedge"))
-        _, second = await worker.asked()
+        _, first = await worker.next_request()
+        came = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [StartAttempt(came.id, "w1", 9000.0)]
+        gate.gateway.post_event(TimerFired("hedge"))
+        _, second = await worker.next_request()
         second.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
         first.write(answer(body=b"first"))
-        outcomes = [await gate.script.event(AttemptCompleted) for _ in range(2)]
+        outcomes = [await gate.controller.next_event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"third"))
-        assert (await client.answer())[2] == b"third"
+        assert (await client.read_response())[2] == b"third"
 
     one_worker(scenario)
 
 
 def test_a_send_for_a_request_that_has_ended_is_moot():
     async def scenario(worker, gate, client):
-        gate.script.to_do = [StartAttempt(77, "w1", 100.0)]
-        gate.keeper.post_event(TimerFired("late"))
+        gate.controller.next_actions = [StartAttempt(77, "w1", 100.0)]
+        gate.gateway.post_event(TimerFired("late"))
         assert (
-            await gate.script.event(AttemptCompleted)
+            await gate.controller.next_event(AttemptCompleted)
         ).result is AttemptResult.NOT_STARTED and worker.connections == 0
 
     one_worker(scenario)
@@ -256,20 +273,22 @@
 def test_a_client_that_leaves_is_told_to_the_module():
     async def scenario(worker, gate, client):
         client.send(request())
-        await worker.asked()
-        came = await gate.script.event(RequestReceived)
+        await worker.next_request()
+        came = await gate.controller.next_event(RequestReceived)
         client.close()
-        assert (await gate.script.event(ClientDisconnected)).id == came.id and not gate.keeper.requests.open
+        assert (
+            await gate.controller.next_event(ClientDisconnected)
+        ).id == came.id and not gate.gateway.requests.open
 
     one_worker(scenario)
 
 
 def test_the_last_guard_answers_before_the_deadline():
     async def scenario(worker, gate, client):
-        status, _, _ = await client.send(request(deadline=60)).answer()
+        status, _, _ = await client.send(request(deadline=60)).read_response()
         assert status == 504
-        came = await gate.script.event(RequestReceived)
-        assert (await gate.script.event(ClientDisconnected)).id == came.id
+        came = await gate.controller.next_event(RequestReceived)
+        assert (await gate.controller.next_event(ClientDisconnected)).id == came.id
 
     one_worker(scenario, worker=None)
 
@@ -278,11 +297,11 @@
     """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
 
     async def scenario(worker, gate, client):
-        keeper, times = gate.keeper, []
-        keeper.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-        keeper.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+        gateway, times = gate.gateway, []
+        gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
+        gateway.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
         for after_ms in (0.0, 0.5, 4.0, 4.5):
-            keeper._set_timer(SetTimer(after_ms, "agenda"))
+            gateway._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
     one_worker(scenario)
@@ -290,8 +309,8 @@
 
 def test_the_guard_answers_though_the_module_fails():
     async def scenario(worker, gate, client):
-        gate.script.handle = lambda now, events: 1 / 0
-        assert (await client.send(request(deadline=60)).answer())[0] == 504
+        gate.controller.handle = lambda now, events: 1 / 0
+        assert (await client.send(request(deadline=60)).read_response())[0] == 504
 
     one_worker(scenario)
 
@@ -325,16 +344,16 @@
 def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_ends(spoilt):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(spoilt)
-        outcome = asyncio.ensure_future(gate.script.event(AttemptCompleted))
+        outcome = asyncio.ensure_future(gate.controller.next_event(AttemptCompleted))
         while not outcome.done():  # an answer of 1xx without end goes on coming
             if spoilt.startswith(b"HTTP/1.1 10") and not writer.is_closing():
                 writer.write(spoilt)
             await asyncio.sleep(0)
         assert outcome.result().result is AttemptResult.ERROR
-        assert (await client.answer())[0] == 502
-        assert (await worker.asked())[0] is None
+        assert (await client.read_response())[0] == 502
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -344,7 +363,7 @@
 
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         (connection,) = workers._workers["w1"].idle
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
@@ -352,10 +371,10 @@
         while connection.has_no_unread_input():
             await asyncio.sleep(0)
         client.send(request())
-        ended, again = await worker.asked(), await worker.asked()
+        ended, again = await worker.next_request(), await worker.next_request()
         _, other = ended if ended[0] is not None else again
         other.write(answer(body=b"own"))
-        assert (await client.answer())[2] == b"own" and worker.connections == 2
+        assert (await client.read_response())[2] == b"own" and worker.connections == 2
 
     one_worker(scenario)
 
@@ -365,7 +384,7 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         (connection,) = workers._workers["w1"].idle
         since = connection.idle_since_ms
         assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS - 0.1) is None
@@ -379,19 +398,19 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[2] == b"first"
-        (connection,) = gate.keeper.connection_pool._workers["w1"].idle
-        connection.idle_since_ms = gate.keeper.clock.now() - 10.0  # so long ago
+        assert (await client.read_response())[2] == b"first"
+        (connection,) = gate.gateway.connection_pool._workers["w1"].idle
+        connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
         client.send(request())
-        message, other = await worker.asked()
+        message, other = await worker.next_request()
         assert other is not writer  # on another connection
         writer.write(answer(body=b"twice"))
         while not connection.is_closed:
             await asyncio.sleep(0)
         other.write(answer(body=b"own"))
-        assert (await client.answer())[2] == b"own"
+        assert (await client.read_response())[2] == b"own"
 
     one_worker(scenario)
 
@@ -401,13 +420,13 @@
         clients = [client] + [await gate.client() for _ in range(MAX_RESTING_CONNECTIONS - 1)]
         for one in clients:
             one.send(request())
-        writers = [(await worker.asked())[1] for _ in clients]
+        writers = [(await worker.next_request())[1] for _ in clients]
         for writer in writers:
             writer.write(answer())
         for one in clients:
-            assert (await one.answer())[0] == 200
-        workers = gate.keeper.connection_pool
-        mine, now = workers._workers["w1"], gate.keeper.clock.now()
+            assert (await one.read_response())[0] == 200
+        workers = gate.gateway.connection_pool
+        mine, now = workers._workers["w1"], gate.gateway.clock.now()
         for place, one in enumerate(mine.idle):
             one.idle_since_ms = now - 10.0 + place
         oldest = mine.idle[0]
@@ -423,13 +442,13 @@
 def test_what_comes_behind_a_good_answer_changes_nothing_of_it():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
         writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
-        assert (await client.answer())[::2] == (200, b"done")
-        outcome = await gate.script.event(AttemptCompleted)
+        assert (await client.read_response())[::2] == (200, b"done")
+        outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -439,25 +458,29 @@
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        await gate.script.event(EndpointsUpdated)
+        await gate.controller.next_event(EndpointsUpdated)
         news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
-        fleet = await gate.script.event(EndpointsUpdated)
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
+        fleet = await gate.controller.next_event(EndpointsUpdated)
         assert [(one.id, one.state) for one in fleet.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
-        assert (await worker.asked())[0] is None and list(gate.keeper.connection_pool._workers) == ["w2"]
-        assert (await client.send(request()).answer())[0] == 502  # the script still names w1
+        assert (await worker.next_request())[0] is None and list(gate.gateway.connection_pool._workers) == [
+            "w2"
+        ]
+        assert (await client.send(request()).read_response())[
+            0
+        ] == 502  # the controller stub still chooses w1
 
     one_worker(scenario)
 
 
 async def exchange(worker, client):
     client.send(request())
-    _, writer = await worker.asked()
+    _, writer = await worker.next_request()
     writer.write(answer())
-    assert (await client.answer())[0] == 200
+    assert (await client.read_response())[0] == 200
     return writer
 
 
@@ -465,8 +488,8 @@
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         writer.close()
-        assert (await worker.asked())[0] is None
-        while gate.keeper.connection_pool._connection_count:
+        assert (await worker.next_request())[0] is None
+        while gate.gateway.connection_pool._connection_count:
             await asyncio.sleep(0)
         await exchange(worker, client)
         assert worker.connections == 2
@@ -477,10 +500,10 @@
 def test_what_comes_unasked_ends_the_connection():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer() + answer(body=b"twice"))
-        assert (await client.answer())[2] == b"done"
-        assert (await worker.asked())[0] is None
+        assert (await client.read_response())[2] == b"done"
+        assert (await worker.next_request())[0] is None
         await exchange(worker, client)
         assert worker.connections == 2
 
@@ -490,9 +513,9 @@
 def test_an_interim_answer_is_not_the_answer():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
-        assert (await client.answer())[::2] == (200, b"real")
+        assert (await client.read_response())[::2] == (200, b"real")
 
     one_worker(scenario)
 
@@ -502,8 +525,8 @@
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
-        assert (await worker.asked())[0] is None
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -511,10 +534,10 @@
 def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        gate.keeper.on_worker_list(parse_worker_list(listing(index=2), "list"))
-        assert (await worker.asked())[0] is None
-        assert (await client.send(request()).answer())[0] == 502
-        fleets = [await gate.script.event(EndpointsUpdated) for _ in range(2)]
+        gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
+        assert (await worker.next_request())[0] is None
+        assert (await client.send(request()).read_response())[0] == 502
+        fleets = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
         assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
 
     one_worker(scenario)
@@ -529,7 +552,7 @@
             await go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.connection_pool._loop = type(
+        gate.gateway.connection_pool._loop = type(
             "Loop",
             (),
             {
@@ -541,11 +564,11 @@
         client.send(request())
         await opened.wait()
         news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.keeper.on_worker_list(parse_worker_list(news, "list"))
+        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
         go.set()
-        assert (await client.answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
-        assert worker.requests.empty() and gate.keeper.connection_pool._connection_count == 0
+        assert (await client.read_response())[0] == 502
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
 
     one_worker(scenario)
 
@@ -555,10 +578,10 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         other = await gate.client()
-        assert (await other.send(request()).answer())[0] == 502
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await other.send(request()).read_response())[0] == 502
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.connections == 1
 
     one_worker(scenario)
@@ -567,11 +590,11 @@
 def test_connections_are_closed_well_before_the_worker_would():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         now = workers._clock.now()
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
         workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
-        assert (await worker.asked())[0] is None
+        assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
@@ -593,10 +616,10 @@
 def test_a_load_report_that_cannot_be_read_is_none(text):
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(extra=f"X-Load: {text}\r\n"))
-        assert (await client.answer())[0] == 200
-        assert (await gate.script.event(AttemptCompleted)).load_report == ()
+        assert (await client.read_response())[0] == 200
+        assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
 
     one_worker(scenario)
 
@@ -631,11 +654,11 @@
     async def scenario(worker, gate, client):
         other = await gate.client()
         other.send(request())
-        _, writer = await worker.asked()
-        assert (await client.send(data).answer())[0] == status and await client.ends()
+        _, writer = await worker.next_request()
+        assert (await client.send(data).read_response())[0] == status and await client.wait_for_end()
         writer.write(answer())
-        assert (await other.answer())[0] == 200
-        assert len(gate.keeper.requests.open) == 0 and worker.requests.empty()
+        assert (await other.read_response())[0] == 200
+        assert len(gate.gateway.requests.open) == 0 and worker.requests.empty()
 
     one_worker(scenario)
 
@@ -647,10 +670,10 @@
         client.send(request(path="/look/1") + request(path="/look/2"))
         client.send(request(path="/look/3"))
         for number in (b"1", b"2", b"3"):
-            asked, writer = await worker.asked()
+            asked, writer = await worker.next_request()
             assert asked.url == b"/look/" + number and worker.requests.empty()
             writer.write(answer(body=number))
-            assert (await client.answer())[::2] == (200, number)
+            assert (await client.read_response())[::2] == (200, number)
 
     one_worker(scenario)
 
@@ -658,10 +681,10 @@
 def test_what_is_bad_behind_an_open_request_gets_its_error_after_the_answer():
     async def scenario(worker, gate, client):
         client.send(request() + b"noise\r\n\r\n" + request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[::2] == (200, b"first")
-        assert (await client.answer())[0] == 400 and await client.ends()
+        assert (await client.read_response())[::2] == (200, b"first")
+        assert (await client.read_response())[0] == 400 and await client.wait_for_end()
         assert worker.requests.empty()
 
     one_worker(scenario)
@@ -677,11 +700,11 @@
             await asyncio.sleep(0)
             client.send(data[cut:])
             for _ in range(2):
-                asked, writer = await worker.asked()
+                asked, writer = await worker.next_request()
                 while asked is None:
-                    asked, writer = await worker.asked()
+                    asked, writer = await worker.next_request()
                 writer.write(answer(body=asked.url))
-                assert (await client.answer())[0] == 200
+                assert (await client.read_response())[0] == 200
             client.close()
 
     one_worker(scenario)
@@ -693,10 +716,10 @@
             client.send(bytes([byte]))
             await client.writer.drain()
             await asyncio.sleep(0)
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.body == b"piece"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -707,15 +730,15 @@
     async def scenario(worker, gate, client):
         other = await gate.client()
         client.send(request("00000000000000aa"))
-        _, writer = await worker.asked()
-        assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).answer())[0] == 409
+        _, writer = await worker.next_request()
+        assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).read_response())[0] == 409
         writer.write(answer(body=b"first"))
-        assert (await client.answer())[2] == b"first"
-        assert (await other.send(request("00000000000000aa")).answer())[0] == 409
+        assert (await client.read_response())[2] == b"first"
+        assert (await other.send(request("00000000000000aa")).read_response())[0] == 409
         assert worker.requests.empty()
-        gate.keeper.requests._ids.expire()
-        gate.keeper.requests._ids.expire()
-        assert gate.keeper.requests._ids.is_empty()
+        gate.gateway.requests._ids.expire()
+        gate.gateway.requests._ids.expire()
+        assert gate.gateway.requests._ids.is_empty()
 
     one_worker(scenario)
 
@@ -744,12 +767,12 @@
     data, status = RUDE[name]
 
     async def scenario(worker, gate, client):
-        assert (await client.send(data).answer())[0] == status
+        assert (await client.send(data).read_response())[0] == status
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
-        assert len([event for event in gate.script.events if isinstance(event, RequestReceived)]) == 1
+        assert (await client.read_response())[0] == 200
+        assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
 
     one_worker(scenario)
 
@@ -758,14 +781,14 @@
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
 
     async def scenario(worker, gate, client):
-        gate.keeper.timers = timers = Timers(asyncio.get_running_loop(), gate.keeper.clock)
+        gate.gateway.timers = timers = Timers(asyncio.get_running_loop(), gate.gateway.clock)
         waits, at = [], timers.call_at
         timers.call_at = lambda at_ms, call: (
-            waits.append(round(at_ms - gate.keeper.clock.now())),
+            waits.append(round(at_ms - gate.gateway.clock.now())),
             at(0.0, call),
         )
         for _ in range(7):
-            assert (await client.send(request(path="/none")).answer())[0] == 404
+            assert (await client.send(request(path="/none")).read_response())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
 
     one_worker(scenario)
@@ -774,12 +797,12 @@
 def test_bad_requests_behind_each_other_get_their_errors_in_order_and_no_more_than_a_few_wait():
     async def scenario(worker, gate, client):
         client.send(request(path="/none") * 2 + request())
-        assert [(await client.answer())[0] for _ in range(2)] == [404, 404]
-        _, writer = await worker.asked()
+        assert [(await client.read_response())[0] for _ in range(2)] == [404, 404]
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request(path="/none") * 300)
-        (one,) = gate.front.admission.connections
+        (one,) = gate.listener.admission.connections
         while not one.is_unreadable:
             await asyncio.sleep(0)
         assert len(one.pipelined) <= MAX_PIPELINED_REQUESTS + 1
@@ -789,7 +812,7 @@
 
 async def taken(gate, count):
     """Wait until so many connections are known."""
-    while len(gate.front.admission) < count:
+    while len(gate.listener.admission) < count:
         await asyncio.sleep(0)
 
 
@@ -807,18 +830,18 @@
 
     async def scenario(worker, gate, client):
         client.send(said)
-        while said.strip() and not any(one.incoming for one in gate.front.admission.connections):
+        while said.strip() and not any(one.incoming for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
         await taken(gate, 1)
         advance_time(gate, 2000)
-        (one,) = gate.front.admission.connections
+        (one,) = gate.listener.admission.connections
         assert not one.is_closing
         advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
-            told = await client.answer()
+            told = await client.read_response()
         except ConnectionResetError:  # blank lines that were not read yet
             told = None
-        assert (told and told[0]) == status and await client.ends()
+        assert (told and told[0]) == status and await client.wait_for_end()
 
     one_worker(scenario)
 
@@ -827,15 +850,15 @@
     async def scenario(worker, gate, client):
         head = request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.body == b"x" and "idempotency-key" not in asked.headers
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
-        assert (await client.answer())[0] == 431
+        assert (await client.read_response())[0] == 431
         client = await gate.client()
         client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
-        assert (await client.answer())[0] == 413
+        assert (await client.read_response())[0] == 413
 
     one_worker(scenario)
 
@@ -846,30 +869,30 @@
         for _ in range(64):
             client.send(bytes(256 * 1024))
             await client.writer.drain()
-        assert (await client.answer())[0] == 404 and await client.ends()
+        assert (await client.read_response())[0] == 404 and await client.wait_for_end()
 
     one_worker(scenario)
 
 
 def test_over_the_limit_the_refused_go_first_then_the_silent_then_the_idle_and_none_that_asked():
     async def scenario(worker, gate, client):
-        admission = gate.front.admission
+        admission = gate.listener.admission
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         idle = await gate.client()
         other = idle.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        await other.answer()
+        await other.read_response()
         silent = [await gate.client() for _ in range(2)]
         refused = (await gate.client()).send(b"noise\r\n\r\n")
-        assert (await refused.answer())[0] == 400
+        assert (await refused.read_response())[0] == 400
         for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
             admission.max_connections = most
-            admission.evict_excess(gate.keeper.clock.now() + 1000.0)
+            admission.evict_excess(gate.gateway.clock.now() + 1000.0)
             if gone is not None:
-                assert await gone.ends() and len(admission) == most
-        assert len(admission) == 1 and len(gate.keeper.requests.open) == 1
+                assert await gone.wait_for_end() and len(admission) == most
+        assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
     one_worker(scenario)
 
@@ -879,32 +902,32 @@
 
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
-        (one,) = gate.front.admission.connections
+        assert (await client.read_response())[0] == 200
+        (one,) = gate.listener.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
         client.send(request())
         while Platform().has_no_unread_input(one.transport):
             await asyncio.sleep(0)
         one.close_if_idle()
         one.transport.resume_reading()
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
 
 def test_hundreds_that_connect_at_once_do_not_keep_others_out():
     async def scenario(worker, gate, client):
-        admission = gate.front.admission
+        admission = gate.listener.admission
         await taken(gate, 1)
         crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
         while True:  # at the very limit a new one is dropped, and comes again
-            asked = asyncio.ensure_future(worker.asked())
-            gone = asyncio.ensure_future(late.ends())
+            asked = asyncio.ensure_future(worker.next_request())
+            gone = asyncio.ensure_future(late.wait_for_end())
             await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
             if asked.done():
                 break
@@ -912,10 +935,10 @@
             late = (await gate.client()).send(request())
         gone.cancel()
         # What comes at a stroke may take what no worker's connection needs; it goes once all are read.
-        assert len(admission) <= admission.hard_max_connections + gate.keeper.spare_descriptors()
+        assert len(admission) <= admission.hard_max_connections + gate.gateway.spare_descriptors()
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
-        assert len(gate.keeper.requests.open) == 1
+        assert len(gate.gateway.requests.open) == 1
         for one in crowd:
             one.close()
 
@@ -926,20 +949,20 @@
     """Seen with clients that ask once and stay: they held all connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.max_long_idle = 1
+        gate.listener.admission.max_long_idle = 1
         first, second = client, await gate.client()
         for one in (first, second):
             one.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
-            await one.answer()
+            await one.read_response()
         advance_time(gate, 1900)
-        assert len(gate.front.admission) == 2
+        assert len(gate.listener.admission) == 2
         advance_time(gate, 2100)
-        assert await first.ends()
-        assert len(gate.front.admission) == 1
+        assert await first.wait_for_end()
+        assert len(gate.listener.admission) == 1
         advance_time(gate, 61_000)
-        assert await second.ends()
+        assert await second.wait_for_end()
 
     one_worker(scenario)
 
@@ -948,21 +971,21 @@
     """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
 
     async def scenario(worker, gate, client):
-        gate.front.admission.crowded_connections = 1
+        gate.listener.admission.crowded_connections = 1
         other = await gate.client()
         for one in (client, other):
             one.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
-            await one.answer()
+            await one.read_response()
         advance_time(gate, 300)
-        assert await client.ends()
+        assert await client.wait_for_end()
         client.close()  # it has heard our end; until then what it still sends is read and dropped
-        while len(gate.front.admission) > 1:
+        while len(gate.listener.admission) > 1:
             await asyncio.sleep(0)
         advance_time(gate, 300)
         other.send(request())
-        assert (await worker.asked())[0] is not None
+        assert (await worker.next_request())[0] is not None
 
     one_worker(scenario)
 
@@ -970,13 +993,13 @@
 def test_a_connection_that_has_ended_leaves_no_cycle_behind():
     async def scenario(worker, gate, client):
         client.send(request())
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        await client.answer()
+        await client.read_response()
         gc.collect()
         gc.disable()
         try:
-            one = weakref.ref(*gate.front.admission.connections)
+            one = weakref.ref(*gate.listener.admission.connections)
             client.close()
             while one() is not None:
                 await asyncio.sleep(0)
@@ -988,12 +1011,12 @@
 
 def test_what_comes_before_a_planned_end_is_answered_by_then():
     async def scenario(worker, gate, client):
-        gate.keeper.shut_down_within(150.0)
-        began = gate.keeper.clock.now()
+        gate.gateway.shut_down_within(150.0)
+        began = gate.gateway.clock.now()
         client.send(request(deadline=10_000))
-        came = await gate.script.event(RequestReceived)
+        came = await gate.controller.next_event(RequestReceived)
         assert came.deadline_ms < began + 150.0
-        assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
+        assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
     one_worker(scenario, worker=None)
 
@@ -1001,10 +1024,10 @@
 def test_readiness_is_told_only_when_ready():
     async def scenario(worker, gate, client):
         up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-        gate.keeper.is_ready = False
-        assert (await client.send(up).answer())[0] == 503
-        gate.keeper.is_ready = True
-        assert (await client.send(up).answer())[0] == 200
+        gate.gateway.is_ready = False
+        assert (await client.send(up).read_response())[0] == 503
+        gate.gateway.is_ready = True
+        assert (await client.send(up).read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -1077,11 +1100,11 @@
     """The one scenario with the real module: arrival, quota, choice of worker, answer."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client = await Client().open(gate.port)
             client.send(request())
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[::2] == (200, b"done")
+            assert (await client.read_response())[::2] == (200, b"done")
 
     run(scenario())
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -11,7 +11,7 @@
 from support.fakes import (
     Client,
     FakeWorker,
-    Gate,
+    RunningGateway,
     answer,
     config,
     entry,
@@ -34,20 +34,24 @@
 
 def given(gate, change):
     """The configuration of a gatekeeper, of which `change` has changed the settings."""
-    own = gate.keeper.config
+    own = gate.gateway.config
     value = config(known=[], settings=settings())
     change(value["settings"])
     news = parse_config(value, {})
     return type(own)(
         **{name: getattr(own, name) for name in own.__dataclass_fields__}
-        | {"settings": news.settings, "idle_ms": news.idle_ms, "dial_timeout_ms": news.dial_timeout_ms}
+        | {
+            "settings": news.settings,
+            "worker_idle_timeout_ms": news.worker_idle_timeout_ms,
+            "connect_timeout_ms": news.connect_timeout_ms,
+        }
     )
 
 
 def put(gate, change):
     """Take the changed settings into service; why they are rejected, or nothing."""
     try:
-        gate.keeper.reconfigure(given(gate, change))
+        gate.gateway.reconfigure(given(gate, change))
     except SettingsRejectedError as rejection:
         return str(rejection)
     return ""
@@ -77,7 +81,7 @@
     """One worker, one gatekeeper with its module, one client."""
 
     async def whole():
-        async with FakeWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
     run(whole())
@@ -86,20 +90,20 @@
 def test_a_request_in_flight_is_answered_under_its_class_though_that_is_dropped():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/look" and put(gate, drop("look")) == ""
         other = (await gate.client()).send(request("00000000000000a2"))
-        assert (await other.answer())[0] == 404
+        assert (await other.read_response())[0] == 404
         writer.write(answer(body=b"kept"))
-        status, headers, body = await client.answer()
+        status, headers, body = await client.read_response()
         assert (status, body) == (200, b"kept") and "connection" not in headers
         client.send(request("00000000000000a3"))  # on the same connection, which stays
-        assert (await client.answer())[0] == 404
+        assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a4", "/debit", body=b"x"))
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/debit"
         writer.write(answer())
-        assert (await client.answer())[0] == 200 and not gate.keeper.requests.open
+        assert (await client.read_response())[0] == 200 and not gate.gateway.requests.open
 
     one_worker(scenario)
 
@@ -109,17 +113,17 @@
 
     async def scenario(worker, gate, client):
         client.send(request("00000000000000b1"))
-        _, first = await worker.asked()
+        _, first = await worker.next_request()
         assert put(gate, figures("look", repeat="fragile")) == ""
         first.write(answer(500))
-        message, again = await worker.asked()
+        message, again = await worker.next_request()
         while message is None:
-            message, again = await worker.asked()
+            message, again = await worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000b1"
         again.write(answer(body=b"second"))
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
         client.send(request("00000000000000b2"))
-        assert (await client.answer())[0] == 405  # from now on it is no GET
+        assert (await client.read_response())[0] == 405  # from now on it is no GET
 
     one_worker(scenario)
 
@@ -130,14 +134,14 @@
     async def scenario(worker, gate, client):
         data = request("00000000000000c1", "/fresh")
         client.send(data[:30])
-        while not any(one.request_started for one in gate.front.admission.connections):
+        while not any(one.request_started for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
         assert put(gate, add(FRESH)) == ""
         client.send(data[30:])
-        asked, writer = await worker.asked()
+        asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -145,14 +149,14 @@
 def test_requests_in_one_write_on_both_sides_of_a_change_have_an_answer_each_in_order():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000d1") + request("00000000000000d2", "/fresh"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert put(gate, add(FRESH)) == ""
         writer.write(answer(body=b"one"))
-        assert (await client.answer())[2] == b"one"
-        asked, writer = await worker.asked()
+        assert (await client.read_response())[2] == b"one"
+        asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"  # it was not read before the first had its answer
         writer.write(answer(body=b"two"))
-        assert (await client.answer())[2] == b"two"
+        assert (await client.read_response())[2] == b"two"
 
     one_worker(scenario)
 
@@ -161,7 +165,7 @@
     async def scenario(worker, gate, client):
         gold = request("00000000000000e1").replace(b"X-Tier: basic", b"X-Tier: gold")
         client.send(gold)
-        assert (await client.answer())[0] == 400
+        assert (await client.read_response())[0] == 400
         assert (
             put(
                 gate,
@@ -172,18 +176,18 @@
             == ""
         )
         client.send(gold.replace(b"e1", b"e2"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request("00000000000000e3"))
-        assert (await client.answer())[0] == 400
+        assert (await client.read_response())[0] == 400
 
     one_worker(scenario)
 
 
 def test_a_body_that_goes_on_while_it_comes_goes_on_over_a_change():
     async def scenario():
-        async with RawWorker() as worker, Gate(known=[entry("w1", worker.port)]) as gate:
+        async with RawWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client, size = await gate.client(), 4 * MAX_BUFFERED_BODY_BYTES
             head = request("00000000000000f1", "/debit", body=b"-").replace(
                 b"Content-Length: 1\r\n", b"Content-Length: %d\r\n" % size
@@ -205,7 +209,7 @@
             writer.write(b"d" * (size - size // 2))
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(size) == b"c" * (size // 2) + b"d" * (size - size // 2)
-            while gate.keeper.requests.open:
+            while gate.gateway.requests.open:
                 await asyncio.sleep(0)
 
     run(scenario())
@@ -234,45 +238,45 @@
         spoil(value)
 
     async def scenario(worker, gate, client):
-        keeper = gate.keeper
+        gateway = gate.gateway
         before = (
-            keeper.config,
-            keeper.settings,
-            keeper.controller.settings,
-            gate.front.validator,
-            keeper.connection_pool._load_report_fields,
-            keeper.connection_pool._idle_timeout_ms,
-            keeper.connection_pool._connect_timeout_ms,
+            gateway.config,
+            gateway.settings,
+            gateway.controller.settings,
+            gate.listener.validator,
+            gateway.connection_pool._load_report_fields,
+            gateway.connection_pool._idle_timeout_ms,
+            gateway.connection_pool._connect_timeout_ms,
         )
         wrong = put(gate, change)
         assert wrong.startswith(key) and "\n" not in wrong
         after = (
-            keeper.config,
-            keeper.settings,
-            keeper.controller.settings,
-            gate.front.validator,
-            keeper.connection_pool._load_report_fields,
-            keeper.connection_pool._idle_timeout_ms,
-            keeper.connection_pool._connect_timeout_ms,
+            gateway.config,
+            gateway.settings,
+            gateway.controller.settings,
+            gate.listener.validator,
+            gateway.connection_pool._load_report_fields,
+            gateway.connection_pool._idle_timeout_ms,
+            gateway.connection_pool._connect_timeout_ms,
         )
         assert all(one is other for one, other in zip(before, after, strict=True))
         client.send(request("00000000000000a1", "/fresh"))
-        assert (await client.answer())[0] == 404
+        assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a2"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
 
 def test_what_is_no_setting_of_the_module_cannot_change_either():
     async def scenario(_worker, gate, _client):
-        own = copy.copy(gate.keeper.config)
+        own = copy.copy(gate.gateway.config)
         object.__setattr__(own, "sockets", 7)
         with pytest.raises(SettingsRejectedError, match="^sockets"):
-            gate.keeper.reconfigure(own)
-        assert gate.keeper.config.sockets == 256
+            gate.gateway.reconfigure(own)
+        assert gate.gateway.config.sockets == 256
 
     one_worker(scenario)
 
@@ -282,16 +286,16 @@
         raise RuntimeError("planted")
 
     async def scenario(worker, gate, client):
-        before, forms = gate.keeper.config, gate.front.validator
+        before, forms = gate.gateway.config, gate.listener.validator
         with monkeypatch.context() as planted:
             planted.setattr("plumpick.policy.reconfiguration.apply", fails)
             assert "failed" in put(gate, add(FRESH))
-        assert gate.keeper.config is before and gate.front.validator is forms
+        assert gate.gateway.config is before and gate.listener.validator is forms
         assert "planted" in caplog.text
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         assert put(gate, add(FRESH)) == ""
 
     one_worker(scenario)
@@ -304,19 +308,19 @@
         value["tickMs"] = 8.0
 
     async def scenario(worker, gate, client):
-        workers = gate.keeper.connection_pool
+        workers = gate.gateway.connection_pool
         assert workers.parse_load_report(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
         assert put(gate, change) == ""
         assert workers.parse_load_report(b'{"inflight":3}') == (3.0,)
         assert workers._connect_timeout_ms == 77.0 and workers._idle_timeout_ms == 3000.0
-        assert gate.keeper.settings.tick_ms == 8.0
+        assert gate.gateway.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
-        assert (await client.answer())[0] == 200
-        while not gate.keeper.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
+        assert (await client.read_response())[0] == 200
+        while not gate.gateway.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
             await asyncio.sleep(0)
-        assert gate.keeper.controller.state.endpoints.tracked["w1"].foreign_load >= 2
+        assert gate.gateway.controller.state.endpoints.tracked["w1"].foreign_load >= 2
 
     one_worker(scenario)
 
@@ -336,13 +340,13 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(known=[entry("w1", worker.port)], settings=ample(settings())) as gate,
+            RunningGateway(known=[entry("w1", worker.port)], settings=ample(settings())) as gate,
         ):
             over, told = asyncio.Event(), {}
 
             async def work():
                 while True:
-                    asked, writer = await worker.asked()
+                    asked, writer = await worker.next_request()
                     if asked is not None:
                         writer.write(answer(body=asked.headers["x-request-id"].encode()))
 
@@ -352,7 +356,7 @@
                     name, count = f"{number:08x}{count:08x}", count + 1
                     path = "/look" if count % 10 else "/fresh"  # a 404 slows its connection down
                     client.send(request(name, path))
-                    got = await client.answer()
+                    got = await client.read_response()
                     assert got is not None, "a connection was closed"
                     status, headers, body = got
                     assert status in (200, 404) and "connection" not in headers, status
@@ -370,12 +374,12 @@
                     await asyncio.sleep(0.001)
                     assert not any(one.done() for one in asking)
                 assert put(gate, changed(step)) == ""
-                assert not gate.keeper.controller.faults
+                assert not gate.gateway.controller.faults
             over.set()
             asked = sum(await asyncio.gather(*asking))
             working.cancel()
             names = [name for names in told.values() for name in names]
-            assert len(names) == asked == len(set(names)) and not gate.keeper.requests.open
+            assert len(names) == asked == len(set(names)) and not gate.gateway.requests.open
             assert len(told[200]) > 500 and len(told[404]) > 10
 
     run(scenario())
@@ -384,19 +388,19 @@
 def test_a_change_after_we_were_told_to_end_is_harmless():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
-        _, writer = await worker.asked()
-        gate.keeper.shut_down_within(5000.0)
+        _, writer = await worker.next_request()
+        gate.gateway.shut_down_within(5000.0)
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
-        (open_request,) = gate.keeper.requests.open.values()
-        assert open_request.deadline_ms <= gate.keeper.clock.now() + 5000.0
+        (open_request,) = gate.gateway.requests.open.values()
+        assert open_request.deadline_ms <= gate.gateway.clock.now() + 5000.0
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         writer.write(answer())
-        assert (await client.answer())[0] == 200
-        gate.keeper.start_closing_connections()
-        assert put(gate, lambda _: None) == "" and not gate.keeper.is_ready
+        assert (await client.read_response())[0] == 200
+        gate.gateway.start_closing_connections()
+        assert put(gate, lambda _: None) == "" and not gate.gateway.is_ready
 
     one_worker(scenario)
 
@@ -407,19 +411,19 @@
             row.update(aimMs=200.0, deadlineMs=400.0)
 
     async def scenario(worker, gate, client):
-        assert max(gate.keeper.request_lifetimes_ms()) == 2e4
+        assert max(gate.gateway.request_lifetimes_ms()) == 2e4
         client.send(request("00000000000000a1", deadline=2500))
-        _, writer = await worker.asked()
+        _, writer = await worker.next_request()
         assert put(gate, short) == ""
-        assert 1000 < max(gate.keeper.request_lifetimes_ms()) <= 2500  # it came under an older class
+        assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
         writer.write(answer())
-        assert (await client.answer())[0] == 200
-        assert max(gate.keeper.request_lifetimes_ms()) == 400.0
+        assert (await client.read_response())[0] == 200
+        assert max(gate.gateway.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
-        _, writer = await worker.asked()
-        assert max(gate.keeper.request_lifetimes_ms()) <= 400.0
+        _, writer = await worker.next_request()
+        assert max(gate.gateway.request_lifetimes_ms()) <= 400.0
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -456,14 +460,14 @@
     async def scenario():
         async with (
             FakeWorker() as worker,
-            Gate(known=[entry("w1", worker.port)]) as one,
-            Gate(known=[entry("w1", worker.port)]) as two,
+            RunningGateway(known=[entry("w1", worker.port)]) as one,
+            RunningGateway(known=[entry("w1", worker.port)]) as two,
         ):
             assert put(one, drop("look")) == ""
             client = (await two.client()).send(request("00000000000000a1"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(answer())
-            assert (await client.answer())[0] == 200
-            assert isinstance(one.keeper.controller, Controller)
+            assert (await client.read_response())[0] == 200
+            assert isinstance(one.gateway.controller, Controller)
 
     run(scenario())
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -8,10 +8,10 @@
 from support.fakes import (
     HOST,
     Client,
+    ControllerStub,
     FakeWorker,
-    Gate,
     Plug,
-    Script,
+    RunningGateway,
     answer,
     entry,
     listing,
@@ -42,29 +42,35 @@
     """Otherwise a hanging worker would keep the request open until SIGKILL, long before its deadline."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(deadline=20_000))
-            assert (await worker.asked())[0] is not None
-            await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.requests.open.values()
-            gate.keeper.shut_down_within(100.0)
-            assert open_request.deadline_ms <= gate.keeper.clock.now() + 100.0
-            assert (await client.answer())[0] == 504 and not gate.keeper.requests.open
+            assert (await worker.next_request())[0] is not None
+            await gate.controller.next_event(RequestReceived)
+            (open_request,) = gate.gateway.requests.open.values()
+            gate.gateway.shut_down_within(100.0)
+            assert open_request.deadline_ms <= gate.gateway.clock.now() + 100.0
+            assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
     run(scenario())
 
 
 def test_request_deadline_before_the_shutdown_deadline_is_unchanged():
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(deadline=60))
-            await gate.script.event(RequestReceived)
-            (open_request,) = gate.keeper.requests.open.values()
+            await gate.controller.next_event(RequestReceived)
+            (open_request,) = gate.gateway.requests.open.values()
             deadline_ms = open_request.deadline_ms
-            gate.keeper.shut_down_within(5000.0)
-            assert open_request.deadline_ms == deadline_ms and (await client.answer())[0] == 504
+            gate.gateway.shut_down_within(5000.0)
+            assert open_request.deadline_ms == deadline_ms and (await client.read_response())[0] == 504
 
     run(scenario())
 
@@ -77,7 +83,7 @@
     monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(_port, fake, _worker, task):
-        await fake.called()  # discovery never answers
+        await fake.next_call()  # discovery never answers
         os.kill(os.getpid(), signal.SIGTERM)
         await task
         assert task.exception() is None
@@ -87,7 +93,7 @@
 
 def test_repeated_sigterm_with_a_sighup_in_between_shuts_down_once(monkeypatch):
     async def scenario(port, fake, _worker, task):
-        await fake.called()
+        await fake.next_call()
         while True:
             try:
                 client = await Client().open(port)
@@ -97,7 +103,7 @@
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             os.kill(os.getpid(), number)
         await task
-        assert await client.ends()
+        assert await client.wait_for_end()
 
     run_served_gateway(scenario, monkeypatch)
 
@@ -129,7 +135,7 @@
     async def scenario(port, fake, worker, _task):
         await until_up(port)
         os.kill(os.getpid(), signal.SIGTERM)
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         assert message is not None
         writer.write(answer())
         assert b"200 OK" in await plugs[0].receive()
@@ -146,12 +152,12 @@
     monkeypatch.setattr(process, "ONLY_LIST_TIMEOUT_S", 1000.0)
 
     async def scenario(port, fake, worker, _task):
-        _, writer = await fake.called()
+        _, writer = await fake.next_call()
         client = await Client().open(port)
         for _ in range(3):
-            assert (await client.send(UP).answer())[0] == 503
+            assert (await client.send(UP).read_response())[0] == 503
         writer.write(told(listing(entry("w1", worker.port))))
         await until_up(port)
-        assert (await client.send(UP).answer())[0] == 200
+        assert (await client.send(UP).read_response())[0] == 200
 
     run_served_gateway(scenario, monkeypatch, known=listing())
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -5,7 +5,7 @@
 
 import httptools
 import pytest
-from support.fakes import Client, Gate, Message, Script, entry, request, run
+from support.fakes import Client, ControllerStub, Message, RunningGateway, entry, request, run
 from support.raw_client import RawWorker, read_head, read_response
 
 from plumpick.gateway.upstream.streaming_body import (
@@ -22,7 +22,10 @@
 
 def run_with_raw_worker(scenario, **more):
     async def run_scenario():
-        async with RawWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)], **more) as gate:
+        async with (
+            RawWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)], **more) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -69,11 +72,11 @@
             assert data
             message.parser.feed_data(data)
         assert message.body == body
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.OK
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.OK
         assert (
-            not gate.keeper.requests.open
-            and not gate.keeper._streams._requests
-            and not gate.keeper._streams._budget.stream_count
+            not gate.gateway.requests.open
+            and not gate.gateway._streams._requests
+            and not gate.gateway._streams._budget.stream_count
         )
         if form == "length":  # both connections are reusable
             client.send(request())
@@ -98,11 +101,11 @@
         status, _, received, is_complete = await read_response(client.reader)
         assert not is_complete or status != 200
         assert len(received) < 300_000
-        assert (await gate.script.event(AttemptCompleted)).result in (
+        assert (await gate.controller.next_event(AttemptCompleted)).result in (
             AttemptResult.RESET,
             AttemptResult.ERROR,
         )
-        assert not gate.keeper._streams._requests
+        assert not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
 
@@ -127,7 +130,7 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         writer.write_eof()
-        assert (await client.answer())[::2] == (200, b"all of it")
+        assert (await client.read_response())[::2] == (200, b"all of it")
         client.send(request())
         reader, writer = await worker.accepted.get()
         await read_head(reader)
@@ -136,7 +139,7 @@
         await asyncio.sleep(0)
         writer.transport.get_extra_info("socket").setsockopt(1, 13, b"\1\0\0\0\0\0\0\0")  # SO_LINGER: a reset
         writer.transport.abort()
-        assert (await client.answer())[0] == 502
+        assert (await client.read_response())[0] == 502
 
     run_with_raw_worker(scenario)
 
@@ -157,11 +160,11 @@
                     await writer.drain()
         except TimeoutError:
             pass
-        (connection,) = gate.front.admission.connections
+        (connection,) = gate.listener.admission.connections
         assert written < 32 * BIG
         assert connection.transport.get_write_buffer_size() <= MAX_HIGH_WATER_BYTES + 2**19
         client.close()
-        assert (await gate.script.event(AttemptCompleted)).result is not AttemptResult.OK
+        assert (await gate.controller.next_event(AttemptCompleted)).result is not AttemptResult.OK
 
     run_with_raw_worker(scenario)
 
@@ -173,15 +176,15 @@
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + bytes(70_000))
         await client.reader.readexactly(70_000)
-        now = gate.keeper.clock.now()
-        gate.keeper._streams.sweep(
-            now + 5000.0, gate.keeper.requests.on_upload_stalled
+        now = gate.gateway.clock.now()
+        gate.gateway._streams.sweep(
+            now + 5000.0, gate.gateway.requests.on_upload_stalled
         )  # long after the request's deadline, but before the stall timeout
-        assert gate.keeper.requests.open
-        gate.keeper._streams.sweep(now + 60_000.0, gate.keeper.requests.on_upload_stalled)
+        assert gate.gateway.requests.open
+        gate.gateway._streams.sweep(now + 60_000.0, gate.gateway.requests.on_upload_stalled)
         assert (
-            not gate.keeper.requests.open
-            and (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            not gate.gateway.requests.open
+            and (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
         )
 
     run_with_raw_worker(scenario)
@@ -227,9 +230,9 @@
                 received += (await reader.readexactly(size + 2))[:-2]
             await reader.readline()
         assert received == body
-        assert not (await gate.script.event(ResponseStarted)).is_body_retained
+        assert not (await gate.controller.next_event(ResponseStarted)).is_body_retained
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone")
-        assert (await client.answer())[::2] == (200, b"done")
+        assert (await client.read_response())[::2] == (200, b"done")
         client.send(request())  # the client's connection is reusable
         await read_head((await worker.accepted.get())[0])
 
@@ -243,10 +246,10 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         await asyncio.sleep(0.5)
-        assert gate.keeper.requests.open
+        assert gate.gateway.requests.open
         client.send(data[-1:])
         await reader.readexactly(300_000)
-        assert (await client.answer())[0] in (502, 504)  # the deadline has passed
+        assert (await client.read_response())[0] in (502, 504)  # the deadline has passed
 
     run_with_raw_worker(scenario)
 
@@ -257,8 +260,8 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.transport.abort()
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
-        assert (await client.answer())[0] == 502
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+        assert (await client.read_response())[0] == 502
 
     run_with_raw_worker(scenario)
 
@@ -269,8 +272,8 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
-        assert (await client.answer())[0] == 502 and not gate.keeper._streams._requests
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
+        assert (await client.read_response())[0] == 502 and not gate.gateway._streams._requests
 
     run_with_raw_worker(scenario)
 
@@ -281,9 +284,11 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         await reader.readexactly(900_000)
-        gate.keeper._streams.sweep(gate.keeper.clock.now() + 5000.0, gate.keeper.requests.on_upload_stalled)
-        assert (await client.answer())[0] == 408
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CANCELLED
+        gate.gateway._streams.sweep(
+            gate.gateway.clock.now() + 5000.0, gate.gateway.requests.on_upload_stalled
+        )
+        assert (await client.read_response())[0] == 408
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
 
     run_with_raw_worker(scenario)
 
@@ -293,11 +298,11 @@
         client.send(upload(bytes(BIG), "chunks")[:1_000_000])
         await read_head((await worker.accepted.get())[0])
         client.writer.transport.abort()
-        await gate.script.event(AttemptCompleted)
+        await gate.controller.next_event(AttemptCompleted)
         assert (
-            not gate.keeper.requests.open
-            and not gate.keeper.requests.attempts
-            and not gate.keeper._streams._budget.stream_count
+            not gate.gateway.requests.open
+            and not gate.gateway.requests.attempts
+            and not gate.gateway._streams._budget.stream_count
         )
 
     run_with_raw_worker(scenario)
@@ -317,7 +322,7 @@
         await read_head(reader)
         await reader.readexactly(100_000)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
     run_with_raw_worker(scenario)
 
@@ -333,7 +338,7 @@
         reader, writer = await worker.accepted.get()
         assert "X-Request-Id" in await read_head(reader) and await reader.readexactly(4) == b"body"
         writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1 \r\nContent-Length: 0 \r\n\r\n")
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.REJECTED_BY_WORKER
 
     run_with_raw_worker(scenario)
 
@@ -353,12 +358,12 @@
         reader, writer = await worker.accepted.get()
         await read_head(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nfirst")
-        assert (await client.answer())[2] == b"first"
+        assert (await client.read_response())[2] == b"first"
         reader, writer = await worker.accepted.get()
         assert "POST /debit" in await read_head(reader)
         await reader.readexactly(BIG)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-        assert (await client.answer())[2] == b"second"
+        assert (await client.read_response())[2] == b"second"
 
     run_with_raw_worker(scenario)
 
@@ -421,7 +426,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + bytes(1_000_000))
         responses = await asyncio.gather(*(read_response(each.reader) for each in clients))
         assert all(complete and len(body) == 1_000_000 for _, _, body, complete in responses)
-        assert not gate.keeper._streams._budget.stream_count
+        assert not gate.gateway._streams._budget.stream_count
 
     run_with_raw_worker(scenario)
 
@@ -450,7 +455,7 @@
             for start in range(0, len(data), size):
                 slow_client.send(data[start : start + size])
                 idle_clients.append(await Client().open(gate.port))
-            response = await slow_client.answer()
+            response = await slow_client.read_response()
             slow_client.close()
             return response and response[0]
 
@@ -467,8 +472,8 @@
             idle_client.close()
         assert statuses == [200] * 200
         assert (
-            len(gate.front.admission)
-            <= gate.front.admission.hard_max_connections + gate.keeper.spare_descriptors()
+            len(gate.listener.admission)
+            <= gate.listener.admission.hard_max_connections + gate.gateway.spare_descriptors()
         )
 
     run_with_raw_worker(scenario)
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.fakes import FakeWorker, Gate, answer, entry, request, run
+from support.fakes import FakeWorker, RunningGateway, answer, entry, request, run
 
 # Number of concurrent debit attempts that the concurrency limit allows at its minimum, for two workers at one
 # of three gateways.
@@ -19,13 +19,13 @@
         async with (
             FakeWorker() as worker,
             FakeWorker() as other,
-            Gate(known=[entry("w1", worker.port), entry("w2", other.port)]) as gate,
+            RunningGateway(known=[entry("w1", worker.port), entry("w2", other.port)]) as gate,
         ):
             received = asyncio.Queue()
 
             async def collect_requests(fake_worker):
                 while True:
-                    message, writer = await fake_worker.asked()
+                    message, writer = await fake_worker.next_request()
                     if message is not None:
                         await received.put((message, writer))
 
@@ -35,8 +35,8 @@
                 first_client.send(request().replace(b"spread=2", b"spread=1"))
                 _, writer = await received.get()
                 writer.write(answer())
-                assert (await first_client.answer())[0] == 200
-            window = gate.keeper.controller.state.limit
+                assert (await first_client.read_response())[0] == 200
+            window = gate.gateway.controller.state.limit
             # Set the limit to its minimum, as after a time of little traffic.
             window.capacity, window.answered_objectives_ms = 0.1, 0.0
             window.update_limit(2)
@@ -44,7 +44,7 @@
             clients = [await gate.client() for _ in range(MIN_CONCURRENT_ATTEMPTS + 2)]
             for client in clients:
                 client.send(debit())
-            answers = [asyncio.create_task(client.answer()) for client in clients]
+            answers = [asyncio.create_task(client.read_response()) for client in clients]
             ids = set()
             while len(ids) < len(clients):  # the workers never answer these requests
                 next_request = asyncio.create_task(received.get())
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -5,7 +5,18 @@
 import socket
 
 import pytest
-from support.fakes import HOST, FakeWorker, Gate, HeldDials, Script, answer, entry, listing, request, run
+from support.fakes import (
+    HOST,
+    ControllerStub,
+    FakeWorker,
+    HeldDials,
+    RunningGateway,
+    answer,
+    entry,
+    listing,
+    request,
+    run,
+)
 
 from plumpick.gateway.config import parse_worker_list
 from plumpick.policy.actions import StartAttempt
@@ -26,7 +37,7 @@
 async def answer_slowly(worker):
     """Answer each request after ANSWER_DELAY_S, so that connections stay in use."""
     while True:
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         if message is not None:
             asyncio.get_running_loop().call_later(ANSWER_DELAY_S, writer.write, answer())
 
@@ -42,30 +53,33 @@
     async def scenario():
         async with FakeWorker() as first, FakeWorker() as second:
             known = [entry("w1", first.port), entry("w2", second.port), entry("w3", closed_port())]
-            async with Gate(known=known) as gate:
-                gate.keeper.connection_pool.set_max_connections(4)
+            async with RunningGateway(known=known) as gate:
+                gate.gateway.connection_pool.set_max_connections(4)
                 serving = [asyncio.create_task(answer_slowly(one)) for one in (first, second)]
                 clients = [await gate.client() for _ in range(CLIENTS)]
                 answers = []
                 for _ in range(ROUNDS):
                     answers += await asyncio.gather(
-                        *(client.send(locally_owned_request()).answer() for client in clients)
+                        *(client.send(locally_owned_request()).read_response() for client in clients)
                     )
                 for task in serving:
                     task.cancel()
                 assert {status for status, *_ in answers} <= {200, 502, 503}
-                tracked = gate.keeper.controller.state.endpoints.tracked
+                tracked = gate.gateway.controller.state.endpoints.tracked
                 failed = {name: sum(endpoint.failed.values()) for name, endpoint in tracked.items()}
                 assert failed["w1"] == failed["w2"] == 0.0 < failed["w3"]
-                candidates = gate.keeper.controller.state.outliers.candidates
+                candidates = gate.gateway.controller.state.outliers.candidates
                 assert [candidate.endpoint.id for candidate in candidates] == ["w3"]
 
     run(scenario())
 
 
-def run_with_worker(scenario, script=None):
+def run_with_worker(scenario, controller=None):
     async def run_scenario():
-        async with FakeWorker() as worker, Gate(script or Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(controller or ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             await scenario(worker, gate, await gate.client())
 
     run(run_scenario())
@@ -77,12 +91,12 @@
         if limit == "worker":
             monkeypatch.setattr(f"{POOL}.MAX_CONNECTIONS_PER_WORKER", 1)
         else:
-            gate.keeper.connection_pool.set_max_connections(1)
+            gate.gateway.connection_pool.set_max_connections(1)
         client.send(request())
-        await worker.asked()
+        await worker.next_request()
         other = await gate.client()
         other.send(request())
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
 
@@ -97,19 +111,19 @@
     async def scenario(worker, gate, client):
         dials = HeldDials(gate)
         dials.go.set()
-        gate.keeper.connection_pool._loop.create_connection = staticmethod(refuse)
+        gate.gateway.connection_pool._loop.create_connection = staticmethod(refuse)
         client.send(request())
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
 
 
 def test_connection_refused_by_the_worker_counts_as_its_failure():
     async def scenario():
-        async with Gate(Script(), known=[entry("w1", closed_port())]) as gate:
+        async with RunningGateway(ControllerStub(), known=[entry("w1", closed_port())]) as gate:
             client = await gate.client()
             client.send(request())
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
 
     run(scenario())
 
@@ -122,14 +136,14 @@
             client.send(request())
             await dials.opened.wait()
             update = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-            gate.keeper.on_worker_list(parse_worker_list(update, "list"))
+            gate.gateway.on_worker_list(parse_worker_list(update, "list"))
             dials.go.set()
         else:
-            gate.script.worker = None
+            gate.controller.worker = None
             client.send(request())
-            received = await gate.script.event(RequestReceived)
-            gate.script.to_do = [StartAttempt(received.id, "w9", 9000.0)]
-            gate.keeper.on_worker_list(gate.keeper.config.known)
-        assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
+            received = await gate.controller.next_event(RequestReceived)
+            gate.controller.next_actions = [StartAttempt(received.id, "w9", 9000.0)]
+            gate.gateway.on_worker_list(gate.gateway.config.known)
+        assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
     run_with_worker(scenario)
--- a/tests/gateway/upstream/test_streamed_attempts.py
+++ b/tests/gateway/upstream/test_streamed_attempts.py
@@ -4,7 +4,7 @@
 import asyncio
 
 import pytest
-from support.fakes import FakeWorker, Gate, Script, entry, request, reset, run
+from support.fakes import ControllerStub, FakeWorker, RunningGateway, entry, request, reset, run
 
 from plumpick.policy.events import AttemptCompleted, AttemptResult
 
@@ -29,16 +29,19 @@
     had not been executed, after an attempt that may have executed it."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             for piece in pieces:
                 client.send(piece)
                 await client.writer.drain()
                 await asyncio.sleep(0)
-            message, writer = await worker.asked()
+            message, writer = await worker.next_request()
             assert len(message.body) == len(LARGE)  # the worker has received the whole body
             reset(writer)
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
-            assert (await client.answer())[0] == 502
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
+            assert (await client.read_response())[0] == 502
 
     run(scenario())
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from support.fakes import FakeWorker, Gate, Script, answer, entry, request, reset, run
+from support.fakes import ControllerStub, FakeWorker, RunningGateway, answer, entry, request, reset, run
 from support.raw_client import read_response
 
 from plumpick.gateway.platform import Platform
@@ -45,16 +45,19 @@
     data, end, expected = BROKEN_RESPONSES[name]
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
-            _, writer = await worker.asked()
+            _, writer = await worker.next_request()
             writer.write(data)
             await flush(writer)
             if end is not None:
                 reset(writer) if end == "reset" else writer.close()
-            assert (await gate.script.event(AttemptCompleted)).result is expected
-            assert (await client.answer())[0] == 502
+            assert (await gate.controller.next_event(AttemptCompleted)).result is expected
+            assert (await client.read_response())[0] == 502
 
     run(scenario())
 
@@ -64,18 +67,21 @@
     """The body is written in one or two parts before the close."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request())
-            _, writer = await worker.asked()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            _, writer = await worker.next_request()
+            (attempt,) = gate.gateway.requests.attempts.values()
             attempt.connection.transport.pause_reading()
             for part in (HEAD + b"\r\nall", b" of it")[:part_count]:
                 writer.write(part)
             writer.close()
             await asyncio.sleep(0)
             attempt.connection.transport.resume_reading()
-            status, _, body = await client.answer()
+            status, _, body = await client.read_response()
             assert (status, body) == (200, b"all" + b" of it" * (part_count - 1))
 
     run(scenario())
@@ -87,11 +93,14 @@
     regular close, and a truncated response was taken for complete."""
 
     async def scenario():
-        async with FakeWorker() as worker, Gate(Script(), known=[entry("w1", worker.port)]) as gate:
+        async with (
+            FakeWorker() as worker,
+            RunningGateway(ControllerStub(), known=[entry("w1", worker.port)]) as gate,
+        ):
             client = await gate.client()
             client.send(request(path="/debit", body=b"x"))
-            _, writer = await worker.asked()
-            (attempt,) = gate.keeper.requests.attempts.values()
+            _, writer = await worker.next_request()
+            (attempt,) = gate.gateway.requests.attempts.values()
             transport = attempt.connection.transport
             transport.pause_reading()  # as if the event loop had not polled the connection yet
             writer.write(HEAD + b"\r\n" + part)
@@ -101,7 +110,7 @@
                 await asyncio.sleep(0)
             if attempt.connection is not None and not transport.is_closing():
                 transport.resume_reading()
-            assert (await gate.script.event(AttemptCompleted)).result is AttemptResult.RESET
+            assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.RESET
             status, _, _, is_complete = await read_response(client.reader)
             assert (status, is_complete) == ((502, True) if len(part) < 65536 else (200, False))
 
@@ -133,12 +142,12 @@
     async def scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             known = [entry("w1", worker.port), entry("w2", other.port)]
-            async with Gate(known=known) as gate:
+            async with RunningGateway(known=known) as gate:
                 received = asyncio.Queue()
 
                 async def collect_requests(fake_worker):
                     while True:
-                        message, writer = await fake_worker.asked()
+                        message, writer = await fake_worker.next_request()
                         if message is not None:
                             await received.put((message.headers["x-request-id"], writer))
 
@@ -154,12 +163,12 @@
                 if attempt_count == 2:
                     _, writer = await received.get()
                     writer.write(answer(body=b"again"))
-                status, _, body = await client.answer()
+                status, _, body = await client.read_response()
                 assert (status, body) == ((200, b"again") if attempt_count == 2 else (502, b""))
                 client.send(locally_owned_request("/look"))  # the workers get no other request in between
                 name, writer = await received.get()
                 writer.write(answer(body=b"next"))
-                assert (await client.answer())[2] == b"next"
+                assert (await client.read_response())[2] == b"next"
                 for task in tasks:
                     task.cancel()
 
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -91,21 +91,21 @@
     return value
 
 
-class Script:
+class ControllerStub:
     """In the module's place: sends each request to one worker, fails it after a bad outcome, keeps events."""
 
     def __init__(self, worker="w1", timeout_ms=20_000.0):
         self.worker, self.timeout_ms = worker, timeout_ms
-        self.events, self.to_do, self.faults = [], [], []
-        self.came = asyncio.Event()
+        self.events, self.next_actions, self.faults = [], [], []
+        self.received_events = asyncio.Event()
 
     def unresponsive_owners(self):
         return frozenset()
 
     def handle(self, _now, events):
         self.events += events
-        self.came.set()
-        actions, self.to_do = self.to_do, []
+        self.received_events.set()
+        actions, self.next_actions = self.next_actions, []
         for event in events:
             if isinstance(event, RequestReceived) and self.worker:
                 actions.append(StartAttempt(event.id, self.worker, self.timeout_ms))
@@ -113,39 +113,39 @@
                 actions.append(FailRequest(event.id))
         return actions
 
-    async def event(self, kind):
+    async def next_event(self, kind):
         """The first event of a kind that is not taken yet, once it is there."""
         while True:
             for event in self.events:
                 if isinstance(event, kind):
                     self.events.remove(event)
                     return event
-            self.came.clear()
-            await self.came.wait()
+            self.received_events.clear()
+            await self.received_events.wait()
 
 
-class Gate:
-    """A gatekeeper on a port of the system's choice, in this process."""
+class RunningGateway:
+    """A gateway that runs in the test process and listens on a free port."""
 
-    def __init__(self, script=None, **more):
-        self.script = script
-        self.keeper = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), script)
-        config_here = self.keeper.config
-        self.front = HttpListener(
-            self.keeper,
+    def __init__(self, controller=None, **more):
+        self.controller = controller
+        self.gateway = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), controller)
+        config_here = self.gateway.config
+        self.listener = HttpListener(
+            self.gateway,
             config_here.settings,
             config_here.sockets,
             Platform().has_peer_closed,
             Platform().has_no_unread_input,
         )
-        self.keeper.add_listener(self.front)
-        self.keeper.on_worker_list(config_here.known)
+        self.gateway.add_listener(self.listener)
+        self.gateway.on_worker_list(config_here.known)
         self.server = None
 
     async def __aenter__(self):
-        self.server = await asyncio.get_running_loop().create_server(self.front.create_connection, HOST, 0)
+        self.server = await asyncio.get_running_loop().create_server(self.listener.create_connection, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        self.keeper.start_serving()
+        self.gateway.start_serving()
         return self
 
     async def __aexit__(self, *_):
@@ -215,12 +215,12 @@
         self.writer.write(data)
         return self
 
-    async def answer(self):
+    async def read_response(self):
         """(status, headers, body) of the next answer; None when the connection ends first."""
         message = await read_message(self.reader, httptools.HttpResponseParser)
         return message and (message.parser.get_status_code(), message.headers, message.body)
 
-    async def ends(self):
+    async def wait_for_end(self):
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -231,7 +231,7 @@
 
 
 class FakeWorker:
-    """A worker: `asked()` gives the next request with the way to answer it."""
+    """A worker: `next_request()` gives the next request with the way to answer it."""
 
     def __init__(self):
         self.requests, self.connections, self.port = asyncio.Queue(), 0, 0
@@ -257,7 +257,7 @@
             pass
         await self.requests.put((None, reader, writer))  # the connection has ended
 
-    async def asked(self):
+    async def next_request(self):
         message, _, writer = await self.requests.get()
         return message, writer
 
@@ -288,7 +288,7 @@
         except ConnectionError:
             pass
 
-    async def called(self):
+    async def next_call(self):
         return await self.calls.get()
 
 
@@ -315,7 +315,7 @@
             await self.go.wait()
             return await loop.create_connection(factory, host, port)
 
-        gate.keeper.connection_pool._loop = type(
+        gate.gateway.connection_pool._loop = type(
             "Loop",
             (),
             {
@@ -333,12 +333,12 @@
     for number in range(5):
         name = f"{0xFF00 + number:016x}"
         client.send(request(name))
-        message, writer = await worker.asked()
+        message, writer = await worker.next_request()
         while message is None:  # the end of a connection that nothing was written to
-            message, writer = await worker.asked()
+            message, writer = await worker.next_request()
         assert message.headers["x-request-id"] == name, "something else went out before"
         writer.write(answer())
-        assert (await client.answer())[0] == 200
+        assert (await client.read_response())[0] == 200
 
 
 class Plug:
