--- a/plumpick/simulation/__init__.py
+++ b/plumpick/simulation/__init__.py
@@ -1,5 +1,5 @@
-"""Seeded fault simulation: the daemon's own code on a virtual clock and network, faults scripted from a seed.
+"""Deterministic fault simulation: runs the gateway's code on a virtual clock and network with seeded faults.
 
-Everything runs in one thread. Nothing here reads the system's clock, its sockets or its source of chance, and
-nothing depends on hash order: the same case gives the same history, step for step.
+Everything runs in one thread. The simulation never uses the system clock, real sockets or system randomness,
+and does not depend on hash order, so the same case always produces the same sequence of steps.
 """
--- a/plumpick/simulation/commands.py
+++ b/plumpick/simulation/commands.py
@@ -1,5 +1,7 @@
-"""`plumpick simulate`: many seeds, one seed, a saved case; exit code 0 if all held, 1 if a rule broke, 2 for
-a wrong call."""
+"""The `plumpick simulate` command: plays a range of seeds, one seed or a saved case.
+
+Exit code 0 means that all rules held, 1 that a rule was broken, 2 that the arguments were invalid.
+"""
 
 from __future__ import annotations
 
@@ -22,8 +24,8 @@
 from plumpick.simulation.shrink import Shrinker
 from plumpick.simulation.world import Result, World, play
 
-ALL_MARKS_FROM = 300  # seeds from which every mark has to have been reached
-LINE_S = 5.0  # between lines of progress
+ALL_MARKS_FROM = 300  # number of seeds from which a run fails if a coverage point was never reached
+LINE_S = 5.0  # time between progress messages, in seconds
 
 
 def _say(text: str) -> None:
@@ -31,21 +33,21 @@
 
 
 def seeds_of(text: str) -> range:
-    """`A-B`, both included, or one number. Raises ValueError."""
+    """Parses a seed range `A-B`, both ends included, or a single seed. Raises ValueError if it is invalid."""
     first, _, last = text.partition("-")
     seeds = range(int(first), int(last or first) + 1)
     if not seeds:
-        raise ValueError(f"{text!r}: the second is before the first")
+        raise ValueError(f"invalid seed range {text!r}: the last seed is lower than the first")
     return seeds
 
 
 def one_seed(seed: int, seconds: float, duties: int = 0, budgets: int = 0) -> Result:
-    """A seed's case, played, with so many duties and budgets of the fleet."""
+    """Plays the case generated from a seed, with the given numbers of scheduled tasks and fleet budgets."""
     return play(replace(case_of(seed, seconds), duties=duties, budgets=budgets))
 
 
 def failure_line(result: Result) -> str:
-    """A failing seed in a line."""
+    """Returns one line that describes a failed run: seed, broken rule, step, virtual time and digest."""
     return (
         f"seed {result.seed}: {result.rule} at step {result.step} ({result.t_ms / 1000:.3f} s): "
         f"{result.text} [{result.digest}]"
@@ -53,12 +55,12 @@
 
 
 def story(case: Case, result: Result) -> str:
-    """A case and what came of it, for a person."""
+    """Returns a readable report of a case and the result of its run."""
     lines = [
         f"seed {case.seed}: {case.gatekeepers} gatekeepers, {case.servers} servers, {case.seconds:g} s, "
         f"load {case.load:g}"
     ]
-    lines += [f"  {fault}" for fault in case.faults] or ["  nothing goes wrong"]
+    lines += [f"  {fault}" for fault in case.faults] or ["  no faults"]
     lines.append(
         failure_line(result)
         if result.failed
@@ -66,18 +68,18 @@
         f"{result.service:.3f} [{result.digest}]"
     )
     if case.duties:
-        lines.append(f"  {result.owners} times a lease was taken, {result.effects} effects came")
+        lines.append(f"  {result.owners} leases acquired, {result.effects} effects received")
     if case.budgets:
         lines.append(
-            f"  {result.spent:.0f} units of budgets spent, {result.turned_back} requests turned back"
+            f"  {result.spent:.0f} budget units spent, {result.turned_back} requests rejected by budgets"
         )
     if result.excused:
-        lines.append(f"  {result.excused} times a rule was missed by the clock alone while time was bent")
+        lines.append(f"  {result.excused} breaches excused because a fault disturbed timing")
     return "\n".join([*lines, *(f"  {line}" for line in result.story)])
 
 
 def simulate(given: argparse.Namespace) -> int:
-    """The tool."""
+    """Runs `plumpick simulate` with the parsed arguments and returns its exit code."""
     try:
         if given.replay:
             return _one(case_from(Path(given.replay).read_text(encoding="utf-8")), given)
@@ -96,7 +98,7 @@
 def _one(case: Case, given: argparse.Namespace) -> int:
     if given.twice:
         parted = difference(case)
-        print(parted or "both runs are alike, step for step")
+        print(parted or "both runs are identical, step for step")
         return EXIT_BROKEN if parted else EXIT_HELD
     lines: list[str] = []
 
@@ -130,7 +132,7 @@
     stop_at = began + given.minutes * 60 if given.minutes else float("inf")
     next_line, left = began + LINE_S, iter(seeds)
     context = multiprocessing.get_context("spawn")
-    # Each process plays so many seeds and is replaced: what one run leaves behind stays bounded.
+    # Worker processes are replaced after 200 seeds to bound memory left over from earlier runs.
     with ProcessPoolExecutor(given.jobs, mp_context=context, max_tasks_per_child=200) as pool:
         running: set[Future[Result]] = set()
         while True:
@@ -155,24 +157,24 @@
             if time.monotonic() >= next_line:
                 next_line = time.monotonic() + LINE_S
                 rate = done / (time.monotonic() - began)
-                _say(f"{done} of {len(seeds)} seeds, {rate:.1f} a second, {len(failed)} failed")
+                _say(f"{done} of {len(seeds)} seeds, {rate:.1f} seeds/s, {len(failed)} failed")
     took = time.monotonic() - began
     print(
-        f"{done} seeds, {requests} requests, {steps} steps in {took:.0f} s ({done / took:.2f} seeds a "
-        f"second with {given.jobs} jobs); {len(failed)} failed"
+        f"{done} seeds, {requests} requests, {steps} steps in {took:.0f} s ({done / took:.2f} seeds/s "
+        f"with {given.jobs} jobs); {len(failed)} failed"
     )
     if given.duties:
-        print(f"duties: {owners} times a lease was taken, {effects} effects came")
+        print(f"scheduled tasks: {owners} leases acquired, {effects} effects received")
     if given.budgets:
-        print(f"budgets: {spent:.0f} units spent, {turned_back} requests turned back")
-    print("marks, and in how many seeds each was reached:")
+        print(f"budgets: {spent:.0f} units spent, {turned_back} requests rejected")
+    print("coverage points, with the number of seeds that reached each:")
     for name in MARKS:
         print(f"  {marks[name]:6d}  {name}")
     if given.out:
         _write(Path(given.out), digests, marks, failed, given)
     missed = [name for name in MARKS if not marks[name]]
     if missed and done >= ALL_MARKS_FROM:
-        print(f"never reached: {'; '.join(missed)}")
+        print(f"coverage points not reached by any seed: {'; '.join(missed)}")
         return EXIT_BROKEN
     return EXIT_BROKEN if failed else EXIT_HELD
 
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -1,5 +1,8 @@
-"""Duties and budgets of the fleet in a simulated run: a receiver on the virtual network, the promises of
-ownership judged after each step and those of budgets at each unit spent, by true time."""
+"""Checks of scheduled tasks and fleet budgets in a simulated run.
+
+A receiver on the virtual network collects the effects of scheduled tasks. Lease ownership is checked after
+each step, and the limit of each budget whenever units are spent, both by the machine's time, without skew.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 TERM_S, PERIOD_S, SHARE_S = 3.0, 1.0, 1.5
 
 
-# Less than what the clients of most seeds ask for; the last is less than one request for each gatekeeper.
+# Budgets below the clients' demand in most seeds; the last allows less than one request per gateway.
 BUDGETS: list[dict[str, Any]] = [
     {"name": "all", "whole": 20.0, "burst": 10.0, "floor": 0.3},
     {"name": "checks", "whole": 5.0, "burst": 4.0, "floor": 0.0, "classes": ["seat-check"]},
@@ -25,22 +28,24 @@
 
 
 class Whole:
-    """What all processes together spent of one budget, against what any window allows: a bucket of the whole,
-    full at first."""
+    """Token bucket that checks the total spending of all processes against one fleet budget.
+
+    The bucket starts full, holds `burst` units and refills at `rate_per_s` units per second.
+    """
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate, self._burst, self._level, self._ms = rate_per_s, burst, burst, 0.0
         self.total = 0.0
 
     def spent(self, now_ms: float, units: float) -> float:
-        """By how much it is passed now, or nothing."""
+        """Records spent units; returns the units by which the budget is exceeded at `now_ms`, or 0."""
         self._level = min(self._burst, self._level + (now_ms - self._ms) / 1000 * self._rate) - units
         self._ms, self.total = now_ms, self.total + units
         return max(0.0, -self._level - 1e-6)
 
 
 class Watch:
-    """Of one run. Table: the parts of processes that live."""
+    """Checks the leases and budgets of all live processes of one simulated run."""
 
     def __init__(self, around: Surroundings, number: int, gatekeepers: int, budgets: int = 0) -> None:
         self._budgets = BUDGETS[:budgets]
@@ -49,11 +54,11 @@
         self.receiver = Receiver(around.chance("receiver"), clock=around.now)
         self._number, self._gatekeepers, self._now = number, gatekeepers, around.now
         self._parts: list[tuple[Process, Any]] = []
-        self.owners: set[int] = set()  # tokens under which something was held
+        self.owners: set[int] = set()  # fencing tokens under which a lease was held
         self.settings: FleetSettings | None = None
 
     async def start(self) -> None:
-        """The receiver has to be there before the settings can name it."""
+        """Starts the receiver, then builds the fleet settings, which contain the receiver's port."""
         await self.receiver.start()
         row = {
             "kind": "call",
@@ -82,7 +87,7 @@
         ).fleet
 
     def takes_part(self, process: Process, part: Any) -> None:
-        """A process has a part from now on."""
+        """Adds the lease runner of a started process to the checks and drops those of dead processes."""
         self._parts = [(one, its) for one, its in self._parts if not one.dead]
         self._parts.append((process, part))
         spend = part.budgets.spend
@@ -99,7 +104,7 @@
         part.budgets.spend = spent
 
     def broken(self) -> Breach | None:
-        """Whether two hold a lease now, or more of a budget is spent than there is."""
+        """Returns a breach if two processes hold a lease now or a budget has been exceeded, else None."""
         if self._over:
             return Breach(WHOLE, self._now(), "budgets", self._over, False)
         holders: dict[int, int] = {}
@@ -124,7 +129,7 @@
         return None
 
     def over(self) -> Breach | None:
-        """At the end: what the receiver took."""
+        """Checks the effects that the receiver admitted, after the run: a breach of fencing, or None."""
         judged = judge([], self.receiver.records)
         for text in judged.out_of_order + judged.doubles:
             return Breach(FENCED, self._now(), "effects", text, False)
--- a/plumpick/simulation/faults.py
+++ b/plumpick/simulation/faults.py
@@ -1,8 +1,8 @@
-"""Cases: what one seed plays. Each draws its own few kinds of faults, and how strong, so that rare ones meet.
+"""Simulation cases: the parameters and injected faults that are generated from one seed.
 
-Source of the method: swarm testing (Groce and others, 2012): a run with every kind of fault reaches fewer
-states than many runs with a random part of them each. A case is data: it can be written down, cut down and
-played again.
+Each case enables a random subset of fault kinds with random intensity, as in swarm testing (Groce et al.,
+2012): many runs with a random subset of faults each reach more states than runs with every kind enabled. A
+case is plain data that can be saved as JSON, reduced and replayed.
 """
 
 from __future__ import annotations
@@ -24,18 +24,19 @@
     "half-speed",
     "freeze",
 )
-# What bends time: a rule that goes by the clock alone is not judged while these last, and `AFTER_S` after.
+# Kinds of faults that disturb timing. Rules that depend only on the clock are not checked during these faults
+# and for `AFTER_S` seconds after them.
 BENDS = ("still", "loss", "cut-to-server", "cut-from-server", "slow-link", "few-descriptors")
 AFTER_S = 3.0
 
 
 class CaseError(ValueError):
-    """A case that cannot be played; the text names what is wrong."""
+    """The text of a saved case is not a valid case; the message states why."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One thing that goes wrong at `at_s`, for `for_s`; `with_` holds what its kind needs."""
+    """An injected fault that starts at `at_s` and lasts `for_s` seconds, with the parameters `with_`."""
 
     kind: str
     at_s: float
@@ -50,25 +51,28 @@
 
 @dataclass(frozen=True)
 class Case:
-    """All that a run depends on, beside the program."""
+    """All inputs of a simulated run: the seed, the size of the fleet, the load and the injected faults."""
 
     seed: int
     seconds: float = SECONDS
     gatekeepers: int = GATES
     servers: int = SERVERS
-    load: float = 0.15  # inside the quotas, of what the servers can do
-    skew_ms: tuple[float, ...] = ()  # of each gatekeeper's clock
-    impatient: float = 0.0
-    duties: int = 0  # of the fleet, besides the record of its use; 0: none at all
-    budgets: int = 0  # of the fleet, 0 to 3
+    load: float = 0.15  # share of the workers' capacity used by requests within their quotas
+    skew_ms: tuple[float, ...] = ()  # clock skew of each gateway
+    impatient: float = 0.0  # share of requests with an impatient client
+    duties: int = 0  # number of scheduled tasks; if not 0, the usage record task is added
+    budgets: int = 0  # number of fleet budgets, 0 to 3
     faults: tuple[Fault, ...] = ()
 
     def as_json(self) -> str:
-        """The case as text."""
+        """Returns the case as JSON text that `case_from` reads."""
         return json.dumps(asdict(self), indent=1)
 
     def bends(self, t_ms: float, kinds: tuple[str, ...] = BENDS, gate: str = "") -> bool:
-        """Whether time was bent at that time of the run, or just before; with `gate`, at that one."""
+        """Returns whether a fault of these kinds is active at `t_ms`, or ended less than `AFTER_S` before.
+
+        With `gate`, only faults of the gateway with that name count.
+        """
         return any(
             fault.kind in kinds
             and fault.at_s * 1000 <= t_ms <= (fault.at_s + fault.for_s + AFTER_S) * 1000
@@ -78,7 +82,7 @@
 
 
 def case_from(text: str) -> Case:
-    """The case in a text of JSON. Raises CaseError."""
+    """Parses a case from JSON text. Raises CaseError if it is not valid JSON or not a case."""
     try:
         value = json.loads(text)
         faults = tuple(
@@ -87,16 +91,16 @@
         )
         unknown = [fault.kind for fault in faults if fault.kind not in KINDS]
         if unknown:
-            raise CaseError(f"there is no fault {unknown[0]!r}; there are: {', '.join(KINDS)}")
+            raise CaseError(f"unknown fault kind {unknown[0]!r}; expected one of: {', '.join(KINDS)}")
         value["skew_ms"] = tuple(value.get("skew_ms", ()))
         return Case(**value, faults=faults)
     except (ValueError, TypeError, KeyError, AttributeError) as problem:
         if isinstance(problem, CaseError):
             raise
-        raise CaseError(f"no case: {type(problem).__name__}: {problem}") from problem
+        raise CaseError(f"invalid case: {type(problem).__name__}: {problem}") from problem
 
 
-Draw = tuple[float, dict[str, Any]]  # how long, and with what
+Draw = tuple[float, dict[str, Any]]  # duration in seconds and parameters of a fault
 
 
 def _gate(rng: random.Random, case: Case) -> dict[str, Any]:
@@ -115,7 +119,8 @@
     return round(value, 3)
 
 
-# How long each kind of fault lasts and what it needs; drawn in this order, from one source of chance.
+# Functions that draw the duration and the parameters of each kind of fault. All kinds draw from one random
+# number generator in the order of this table.
 KINDS: dict[str, Any] = {
     "kill": lambda r, c: (0.0, _gate(r, c) | {"back_s": _round(r.uniform(0.3, 2.5))}),
     "restart": lambda r, c: (0.0, _gate(r, c)),
@@ -177,7 +182,7 @@
 
 
 def case_of(seed: int, seconds: float = SECONDS) -> Case:
-    """The case of a seed: it switches on its own part of the kinds, each one to three times."""
+    """Generates the case of a seed: a random subset of the fault kinds, each one to `MOST_TIMES` times."""
     rng = random.Random(f"case {seed}")
     case = Case(
         seed,
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -1,13 +1,13 @@
-"""The virtual machine: one queue of steps for all processes, and an event loop of its own for each process.
+"""The virtual machine: one step queue shared by all simulated processes, and an event loop per process.
 
-A process is whatever shares an event loop: a gatekeeper, or all stand-ins together. Each has its own loop, so
-that it can be killed (nothing of it runs any more), stand still for a while and go on, have a clock that is a
-few milliseconds off, and run out of descriptors. Time moves only when nothing is ready.
+A process is everything that shares an event loop: one gateway, or all stubs together. With its own loop, each
+process can be killed, stalled and resumed, given a skewed clock, or run out of file descriptors. Virtual time
+advances only when no step is ready.
 
-The loops serve what the daemon and the stand-ins use of asyncio: callbacks, timers, tasks, futures, servers
-and connections with transports, datagrams on a plain socket (`add_reader`), signals, work in a thread (which
-runs at once). Source of the method: FoundationDB's simulation; asyncio's own tasks and streams run on it
-unchanged.
+The loops implement the parts of asyncio that the gateway and the stubs use: callbacks, timers, tasks,
+futures, servers and connections with transports, datagrams on a plain socket (`add_reader`), signals, and
+executor jobs (which run at the same virtual instant). The design follows FoundationDB's simulation; asyncio's
+tasks and streams run on these loops unchanged.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 if TYPE_CHECKING:
     from plumpick.simulation.network import Network
 
-SAME_INSTANT = 200_000  # steps at one instant after which time is held to have run away
-UNIX_S = 1_700_000_000.0  # the time of day at which every simulated run begins
+SAME_INSTANT = 200_000  # maximum number of steps at one virtual instant
+UNIX_S = 1_700_000_000.0  # Unix time at which every simulated run starts, in seconds
 
 
 class RunAway(Exception):
-    """So many steps at one instant: something arms itself again without end."""
+    """Too many steps ran at one virtual instant: a callback or timer reschedules itself endlessly."""
 
 
 class OutOfSteps(Exception):
-    """The run took more steps than it may."""
+    """The run took more steps than `Machine.max_steps`."""
 
 
 class Machine:
-    """The queue of steps, the time, the processes, and the digest of all that happened.
+    """Holds the step queue, the virtual time, the processes, and a digest of all steps and notes of the run.
 
-    `trace`, where given, is told every step as (number, seconds, process, what).
+    `trace`, if set, is called for every step with the step number, the time in seconds, the process name and
+    the name of the step.
     """
 
     def __init__(self, seed: int, max_steps: int = 20_000_000) -> None:
@@ -49,10 +50,10 @@
         self.steps = 0
         self.trace: Callable[[int, float, str, str], None] | None = None
         self.after_step: Callable[[], None] | None = None
-        self.network: Network = None  # type: ignore[assignment]  # set by the network itself
+        self.network: Network = None  # type: ignore[assignment]  # set by Network.__init__
         self.processes: list[Process] = []
         self.stopped = False
-        self.problems: list[str] = []  # what a process must not do: an exception that nobody took
+        self.problems: list[str] = []  # unhandled exceptions of processes
         self._ready: deque[events.Handle] = deque()
         self._timers: list[tuple[float, int, events.TimerHandle]] = []
         self._serial = 0
@@ -60,17 +61,17 @@
         self._digest = hashlib.blake2b(digest_size=16)
 
     def chance(self, name: str) -> random.Random:
-        """A source of chance of its own for each part."""
+        """Returns a random number generator for the named part, seeded with the run's seed and the name."""
         return random.Random(f"{self.seed}/{name}")
 
     def note(self, what: str) -> None:
-        """Put something that happened into the history's identity."""
+        """Adds an event to the digest of the run and reports it to `trace`."""
         self._digest.update(f"{self.now:.9f} {what}\n".encode())
         if self.trace is not None:
             self.trace(self.steps, self.now, "", what)
 
     def digest(self) -> str:
-        """The identity of all that has happened up to now."""
+        """Returns the hex digest of all steps and notes of the run until now."""
         return self._digest.hexdigest()
 
     def push(self, when: float, handle: events.TimerHandle) -> None:
@@ -81,11 +82,14 @@
         self._ready.append(handle)
 
     def at(self, when: float, call: Callable[..., Any], *arguments: Any) -> events.TimerHandle:
-        """Call at that time, in nobody's process: the network's and the script's own doings."""
+        """Schedules a call of the simulation itself, in the first process, at a time of the machine."""
         return self.processes[0].call_at(when, call, *arguments)
 
     def run(self, until: float) -> None:
-        """Play until that time, or until `stopped` is set. Raises RunAway and OutOfSteps."""
+        """Runs steps until the given virtual time in seconds, or until `stopped` is set.
+
+        Raises RunAway if too many steps run at one instant, OutOfSteps if `max_steps` is exceeded.
+        """
         ready, timers = self._ready, self._timers
         before = events._get_running_loop()
         try:
@@ -118,9 +122,9 @@
         self.steps += 1
         self._same += 1
         if self._same > SAME_INSTANT:
-            raise RunAway(f"{SAME_INSTANT} steps at {self.now:.6f} s; the last: {what_is(handle)}")
+            raise RunAway(f"{SAME_INSTANT} steps at {self.now:.6f} s, last step: {what_is(handle)}")
         if self.steps > self.max_steps:
-            raise OutOfSteps(f"more than {self.max_steps} steps")
+            raise OutOfSteps(f"the run exceeded the limit of {self.max_steps} steps")
         name = what_is(handle)
         self._digest.update(f"{self.now:.9f} {process.name} {name}\n".encode())
         if self.trace is not None:
@@ -135,7 +139,10 @@
 
 
 def what_is(handle: events.Handle) -> str:
-    """What a step calls, by name alone: no address and no number that differs from run to run."""
+    """Returns the qualified name of the function or coroutine that a step runs.
+
+    The name contains no object address and no number, which would differ between runs.
+    """
     call = handle._callback
     owner = getattr(call, "__self__", None)
     if isinstance(owner, asyncio.Task):
@@ -146,24 +153,24 @@
 
 
 class Process(asyncio.AbstractEventLoop):
-    """One process: an event loop on the machine's queue."""
+    """A simulated process: an event loop whose callbacks run from the machine's step queue."""
 
     def __init__(self, machine: Machine, name: str, skew_ms: float = 0.0, descriptors: int = 1 << 20) -> None:
         self.machine, self.name, self.skew_s, self.descriptors = machine, name, skew_ms / 1000, descriptors
         self.dead = False
         self.still_until = 0.0
         self.waiting: list[events.Handle] = []
-        self.in_use = 0  # descriptors
+        self.in_use = 0  # number of open file descriptors
         self.signals: dict[int, Callable[[], Any]] = {}
         self.exit_code: int | None = None
         self.on_exit: Callable[[int], None] | None = None
         self._tasks: dict[asyncio.Task[Any], None] = {}
         machine.processes.append(self)
 
-    # -- what is asked of a loop
+    # -- asyncio event loop
 
     def time(self) -> float:
-        """Seconds on this process's clock."""
+        """Returns the time of this process's clock in seconds: the machine's time plus the clock skew."""
         return self.machine.now + self.skew_s
 
     def is_running(self) -> bool:
@@ -203,12 +210,13 @@
     ) -> events.TimerHandle:
         handle = events.TimerHandle(when, callback, args, self, context)
         if not self.dead:
-            # To the microsecond and never before it is due: sums of floats must not decide the order.
+            # Times are rounded to microseconds so that floating-point sums do not decide the order of timers,
+            # and are never in the past.
             self.machine.push(max(self.machine.now, round(when - self.skew_s, 6)), handle)
         return handle
 
     def _timer_handle_cancelled(self, handle: events.TimerHandle) -> None:
-        """The machine drops it when its time comes."""
+        """Does nothing: the machine discards cancelled timers when they come due."""
 
     def create_future(self) -> asyncio.Future[Any]:
         return asyncio.Future(loop=self)
@@ -230,7 +238,7 @@
         self._tasks.pop(task, None)
 
     def run_in_executor(self, executor: Any, func: Callable[..., Any], *args: Any) -> asyncio.Future[Any]:
-        """The work runs at once, in a step of its own."""
+        """Runs the function in a separate step at the same virtual instant, without a thread."""
         future = self.create_future()
 
         def work() -> None:
@@ -251,7 +259,7 @@
         return self.signals.pop(sig, None) is not None
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """An exception that nobody took: a fault of the program."""
+        """Records an unhandled exception of this process as a problem, which fails the run."""
         if self.dead:
             return
         problem = context.get("exception")
@@ -263,7 +271,7 @@
         self.call_exception_handler(context)
 
     async def shutdown_asyncgens(self) -> None:
-        """There are none."""
+        """Does nothing: the loop does not track asynchronous generators."""
 
     # -- the network
 
@@ -301,10 +309,10 @@
     def remove_reader(self, fd: Any) -> bool:
         return fd.unwatch()
 
-    # -- its life
+    # -- descriptors, signals, stalls and exit
 
     def take(self, count: int = 1) -> bool:
-        """Take descriptors; False if there are none left."""
+        """Allocates file descriptors; returns False, allocating none, if the limit would be exceeded."""
         if self.in_use + count > self.descriptors:
             return False
         self.in_use += count
@@ -314,7 +322,7 @@
         self.in_use -= count
 
     def signal(self, number: int) -> None:
-        """A signal comes; one that is not handled ends the process."""
+        """Delivers a signal: calls its handler, or ends the process if it has none."""
         if self.dead:
             return
         self.machine.note(f"{self.name} signal {number}")
@@ -325,7 +333,7 @@
             self.kill(-number)
 
     def stand_still(self, seconds: float) -> None:
-        """Nothing of it runs for so long; what is due then runs late."""
+        """Stalls the process for the given seconds; steps that come due meanwhile run when it resumes."""
         self.machine.note(f"{self.name} stands still for {seconds:g} s")
         self.still_until = max(self.still_until, round(self.machine.now + seconds, 6))
         self.machine.at(self.still_until, self._go_on)
@@ -338,7 +346,7 @@
             self.machine.soon(handle)
 
     def kill(self, code: int = -9) -> None:
-        """The process is gone: nothing of it runs any more, the network closes what it held."""
+        """Ends the process at once: none of its steps run any more, and the network closes its sockets."""
         if self.dead:
             return
         self.dead, self.exit_code = True, code
@@ -352,11 +360,11 @@
 
 
 def close_tasks(process: Process) -> None:
-    """Close the coroutines that a dead process left, so that the collector has nothing to run."""
+    """Closes the coroutines of a dead process, so that the garbage collector does not run their cleanup."""
     for task in list(process._tasks):
         coro = task.get_coro()
         try:
             coro.close()  # type: ignore[union-attr]
         except (RuntimeError, ValueError):
-            continue  # it waits for something in its `finally`, which will not come any more
+            continue  # the coroutine awaits in a `finally` block and cannot be closed
     process._tasks.clear()
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -1,7 +1,7 @@
-"""Rare states, by name: a run counts in how many seeds each was reached, to prove that it was.
+"""Coverage points: named rare states, with counts of how often a simulated run reached each.
 
-A fault that never meets the state it was made for proves nothing; so a mark that no seed reached fails a run
-of many. Read from the records as they come, and from the network.
+An injected fault proves nothing if the state that it targets is never reached, so a run over many seeds fails
+if no seed reached a coverage point. The points are detected from the run's records and by the network.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     Wasted,
 )
 
-JUST_BEFORE_MS = 250.0
+JUST_BEFORE_MS = 250.0  # maximum time between the loss of a peer message and the gateway's end
 
 FROM_NETWORK = (
     "a knock was not heard",
@@ -72,14 +72,14 @@
 @dataclass
 class _Try:
     asked: Asked
-    out: dict[int, str] = field(default_factory=dict)  # attempts at servers
-    sent: int = 0
-    turned: bool = False
-    over: bool = False
+    out: dict[int, str] = field(default_factory=dict)  # attempts in progress: attempt number -> worker
+    sent: int = 0  # number of attempts that reached a worker
+    turned: bool = False  # whether a worker rejected an attempt
+    over: bool = False  # whether the request was answered or its client left
 
 
 class Marks:
-    """A listener of records."""
+    """Counts the coverage points that a run reaches, from its records and from calls of `mark`."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -87,14 +87,14 @@
         self._kinds: dict[str, str] = {}
         self._tries: dict[str, _Try] = {}
         self._by_op: dict[int, str] = {}
-        self._of: dict[int, tuple[str, str]] = {}  # attempt: request, server
-        self._open: Counter[str] = Counter()  # requests by gatekeeper
+        self._of: dict[int, tuple[str, str]] = {}  # attempt -> request, worker
+        self._open: Counter[str] = Counter()  # number of unanswered requests by gateway
         self._down: set[str] = set()
         self._term: set[str] = set()
         self._lost: deque[Passed] = deque()
         self._draining: dict[tuple[str, str], float] = {}
         self._cold: set[str] = set()
-        self._later_try: dict[str, str] = {}  # a request: its op's next try, at another gatekeeper
+        self._later_try: dict[str, str] = {}  # request -> its retry through another gateway
         self._by_type = {
             Began: self._began,
             Asked: self._asked,
@@ -113,11 +113,11 @@
         }
 
     def mark(self, name: str) -> None:
-        """The state was reached."""
+        """Counts a coverage point as reached once more."""
         self.counts[name] += 1
 
     def feed(self, record: Record) -> None:
-        """The next record."""
+        """Processes the next record of the run."""
         take: Any = self._by_type.get(type(record))
         if take is not None:
             take(record)
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -1,13 +1,14 @@
-"""The virtual network: connections, datagrams, and what goes wrong on the way.
+"""The virtual network: connections and datagrams, with injected delay, loss, resets and partitions.
 
-A connection is two `End`s, each a transport of its process's loop. What one writes arrives at the other in
-order, after the link's delay, in one piece or cut at any byte, late where a segment was lost and sent again,
-or not at all. Buffers are limited both ways: who does not read holds up who writes. A listener has a backlog;
-a process that stands still accepts when it goes on. The kernel's part goes on while a process stands still
-and cleans up when one dies: its connections are reset.
+A connection is a pair of `End` objects, each a transport of its process's loop. Bytes written at one end
+arrive at the other in order after the link's delay. They may arrive in one segment or split at any byte, late
+if a segment was lost and retransmitted, or never. Buffers are limited in both directions, so a reader that
+stops reading blocks the writer. A listener has a backlog; a stalled process accepts connections when it
+resumes. As in a real system, the kernel's part continues while a process is stalled, and resets the
+connections of a process that dies.
 
-Each connection carries the label of what was connected to ("n1", "lic-004", "roster n0"), so that faults can
-be laid on one way alone. All chance is drawn from the machine's seed.
+Each connection carries the label of its destination ("n1", "lic-004", "roster n0"), so that a fault can apply
+to one direction only. All random numbers derive from the machine's seed.
 """
 
 from __future__ import annotations
@@ -22,33 +23,38 @@
 
 from plumpick.simulation.loop import Machine, Process
 
-WINDOW = 64 * 1024  # bytes on the way or unread, each direction
-HIGH, LOW = 64 * 1024, 16 * 1024  # of the transport's own buffer, as asyncio has it
-SYN_S = 1.0  # after which a knock that was not heard is sent again; then twice as long, as the kernel does
-RETRY_ACCEPT_S = 1.0  # after descriptors ran out, as asyncio has it
+WINDOW = 64 * 1024  # maximum number of bytes in flight or unread in each direction
+HIGH, LOW = 64 * 1024, 16 * 1024  # write buffer limits in bytes, as in asyncio
+SYN_S = 1.0  # time after which an unanswered SYN is first resent; doubles each time, as in the kernel
+RETRY_ACCEPT_S = 1.0  # time until accepting is retried after descriptors ran out, as in asyncio
 FIRST_PORT = 20_000
-DATAGRAM_BUFFER = 200  # that wait unread
+DATAGRAM_BUFFER = 200  # maximum number of unread datagrams of a socket
 
 
 @dataclass
 class Weather:
-    """What goes wrong on the way just now. Shares are chances for each segment or datagram."""
-
-    delay_ms: tuple[float, float] = (0.05, 0.4)
-    cut_share: float = 0.0  # of segments that come in two or three pieces
-    loss: float = 0.0  # of segments that are sent again, after `resend_ms`
-    resend_ms: tuple[float, float] = (200.0, 450.0)
-    reset: float = 0.0  # of segments at a byte of which the connection is reset
-    datagram_loss: float = 0.0
-    datagram_twice: float = 0.0
-    datagram_late_ms: float = 0.0  # up to so much more, so that they overtake one another
-    late_up: float = 0.0  # of connections to servers that come up late: half of them within the time that is
-    late_up_ms: tuple[float, float, float] = (20.0, 250.0, 1500.0)  # waited for, half after it
+    """Current conditions of network links: delays, and probabilities of faults per segment or datagram."""
+
+    delay_ms: tuple[float, float] = (0.05, 0.4)  # range of the link delay
+    cut_share: float = 0.0  # probability that a write is split into two or three segments
+    loss: float = 0.0  # probability that a segment is lost and retransmitted after `resend_ms`
+    resend_ms: tuple[float, float] = (200.0, 450.0)  # range of the retransmission delay
+    reset: float = 0.0  # probability that the connection is reset in the middle of a segment
+    datagram_loss: float = 0.0  # probability that a datagram is lost
+    datagram_twice: float = 0.0  # probability that a datagram is duplicated
+    datagram_late_ms: float = 0.0  # maximum extra delay of a datagram, which reorders datagrams
+    late_up: float = 0.0  # probability that a connection to a worker is established late
+    # Limits of the late connection's delay: half are drawn between the first two, which the gateway still
+    # waits for, and half between the last two, after its connect timeout.
+    late_up_ms: tuple[float, float, float] = (20.0, 250.0, 1500.0)
 
 
 @dataclass(frozen=True)
 class Cut:
-    """From `sender` to `receiver` nothing passes; each a process's name, a label, or "" for all."""
+    """A one-way partition that blocks segments from `sender` to `receiver`.
+
+    Each side is a process name, a connection label, or "" for any.
+    """
 
     sender: str
     receiver: str
@@ -58,7 +64,7 @@
 
 
 class Named:
-    """What `get_extra_info("socket")` gives: an address."""
+    """Stands for the socket in `get_extra_info("socket")` and `Server.sockets`; knows only its address."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
@@ -68,28 +74,29 @@
 
 
 class End(asyncio.Transport):
-    """One end of a connection, as its process sees it."""
+    """One end of a virtual connection: the transport of the process at that end."""
 
     def __init__(self, network: Network, process: Process, name: str, label: str, number: int) -> None:
         super().__init__()
         self.network, self.machine, self.process = network, network.machine, process
-        self.name, self.label, self.number = name, label, number  # who we are to a cut, and what this is
+        # `name` identifies this end for `Cut`; `label` is the label of the connection's destination.
+        self.name, self.label, self.number = name, label, number
         self.peer: End = None  # type: ignore[assignment]
         self.protocol: Any = None
         self.out = bytearray()
         self.in_flight = 0
-        self.inbox: deque[bytes | None] = deque()  # arrived and unread; None: the end
-        self.due: deque[float] = deque()  # when what is on its way to us arrives
+        self.inbox: deque[bytes | None] = deque()  # received unread segments; None is the end of the stream
+        self.due: deque[float] = deque()  # arrival times of the segments in flight to this end
         self.last = 0.0
         self.high, self.low = HIGH, LOW
         self.paused = self.reading_paused = False
-        self.closing = self.closed = False  # asked for; the descriptor is given back
+        self.closing = self.closed = False  # closing requested; descriptor released
         self.eof_asked = self.eof_sent = self.eof_seen = False
         self.reset = False
-        self.held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # behind a cut
-        self.sent = 0  # bytes written, for marks
+        self.held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # segments blocked by a partition
+        self.sent = 0  # number of bytes written
 
-    # -- what a protocol asks of a transport
+    # -- asyncio transport
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "socket":
@@ -149,7 +156,7 @@
         return not self.reading_paused and not self.closing
 
     def close(self) -> None:
-        """Close once all is handed to the system; nothing more is read."""
+        """Closes the connection after all buffered bytes are sent; received bytes are no longer read."""
         if self.closing or self.process.dead:
             return
         self.closing = True
@@ -157,7 +164,7 @@
             self.process.call_soon(self._lost, None)
 
     def abort(self) -> None:
-        """Close at once; what the system has not taken is dropped."""
+        """Closes the connection at once and discards the write buffer."""
         if self.closed or self.process.dead:
             return
         self.closing = True
@@ -165,15 +172,15 @@
         self.process.call_soon(self._lost, None)
 
     def is_quiet(self) -> bool:
-        """Whether nothing has arrived that was not read."""
+        """Returns whether this end has no received but unread data and no unread end of stream."""
         return not self.inbox and not (self.due and self.due[0] <= self.machine.now)
 
     def has_ended(self) -> bool:
-        """Whether the other side's end, or its reset, has arrived, read or not."""
+        """Returns whether the peer's end of stream or reset has arrived, whether or not it was read."""
         arrived = bool(self.due) and self.due[-1] <= self.machine.now
         return self.reset or None in self.inbox or arrived and (self.peer.eof_sent or self.peer.closed)
 
-    # -- the way out
+    # -- sending
 
     def _pump(self) -> None:
         while self.out and self.in_flight < WINDOW:
@@ -194,7 +201,7 @@
                 self.process.call_soon(self._lost, None)
 
     def _lost(self, problem: Exception | None) -> None:
-        """The descriptor is given back and the protocol told, once."""
+        """Releases the descriptor and calls the protocol's `connection_lost`, at most once."""
         if self.closed:
             return
         self.closed = self.closing = True
@@ -209,14 +216,14 @@
         if self.protocol is not None:
             self.protocol.connection_lost(problem)
 
-    # -- the way in
+    # -- receiving
 
     def arrive(self, data: bytes | None) -> None:
-        """Bytes have come, or the end. Runs in our process."""
+        """Receives a segment, or None at the end of the stream. Runs in the process of this end."""
         if self.due:
             self.due.popleft()
         if self.closed:
-            if data is not None:  # nobody reads here any more
+            if data is not None:  # data for a closed end is answered with a reset
                 self.network.break_off(self)
             return
         self.inbox.append(data)
@@ -230,7 +237,7 @@
         self.reset, self.closing = True, True
         self.out.clear()
         self.inbox.clear()
-        if self.protocol is None:  # not accepted yet: the listener finds it reset
+        if self.protocol is None:  # not accepted yet: the listener reports the reset after accepting
             return
         self._lost(ConnectionResetError(errno.ECONNRESET, "connection reset"))
 
@@ -249,7 +256,7 @@
 
 
 class Listener:
-    """What `create_server` gives."""
+    """A listening socket with its backlog: the server object that `create_server` returns."""
 
     def __init__(
         self,
@@ -276,10 +283,13 @@
         return self.network.listeners.get(self.address) is self
 
     async def wait_closed(self) -> None:
-        """Nothing is waited for."""
+        """Returns at once: the connections of a listener do not keep it open."""
 
     def accept(self) -> None:
-        """Take in what waits; runs in the listener's process."""
+        """Accepts the connections in the backlog. Runs in the listener's process.
+
+        If descriptors run out, accepting is retried after `RETRY_ACCEPT_S`.
+        """
         while self.queue and self.is_serving():
             if not self.process.take():
                 self.network.mark("descriptors ran out at a listener")
@@ -295,7 +305,7 @@
 
 
 class Plug:
-    """A datagram socket: the daemon's plain one, or under a transport."""
+    """A virtual non-blocking datagram socket, used directly by the gateway or by a datagram transport."""
 
     def __init__(self, network: Network, process: Process) -> None:
         self.network, self.process = network, process
@@ -305,7 +315,7 @@
         self.open = False
 
     def setblocking(self, flag: bool) -> None:
-        """It never blocks."""
+        """Does nothing: the virtual socket never blocks."""
 
     def bind(self, address: tuple[str, int]) -> None:
         port = address[1] or self.network.new_port()
@@ -326,7 +336,7 @@
 
     def recvfrom(self, most: int) -> tuple[bytes, tuple[str, int]]:
         if not self.queue:
-            raise BlockingIOError(errno.EAGAIN, "nothing there")
+            raise BlockingIOError(errno.EAGAIN, "no datagram available")
         data, sender = self.queue.popleft()
         return data[:most], sender
 
@@ -358,7 +368,7 @@
 
 
 class DatagramEnd(asyncio.DatagramTransport):
-    """A datagram transport on a plug."""
+    """An asyncio datagram transport on a virtual datagram socket."""
 
     def __init__(self, plug: Plug, protocol: Any) -> None:
         super().__init__()
@@ -386,18 +396,22 @@
 
 
 class Network:
-    """All listeners, connections and datagram sockets. `mark` counts rare states by name."""
+    """All listeners, connections and datagram sockets of a machine, and the faults on links between them.
+
+    `mark` is called with the name of each coverage point that is reached.
+    """
 
     def __init__(self, machine: Machine, mark: Callable[[str], None] = lambda _name: None) -> None:
         self.machine, self.mark = machine, mark
         machine.network = self
         self.rng = machine.chance("network")
-        self.weather = Weather()  # between gatekeepers, servers and roster
-        self.front_weather = Weather()  # to clients: what breaks there is no fault of a gatekeeper's
+        self.weather = Weather()  # conditions between gateways, workers and discovery
+        # Conditions of clients' connections, kept apart because their failures are not a gateway's fault.
+        self.front_weather = Weather()
         self.label_of: Callable[[int], str] = lambda _port: ""
         self.cuts: list[Cut] = []
-        self.refusing: set[str] = set()  # labels where new connections are refused,
-        self.mute: set[str] = set()  # or never come up
+        self.refusing: set[str] = set()  # labels whose new connections are refused
+        self.mute: set[str] = set()  # labels whose new connections are never established
         self.listeners: dict[tuple[str, int], Listener] = {}
         self.plugs: dict[tuple[str, int], Plug] = {}
         self.ends: dict[int, End] = {}
@@ -408,15 +422,15 @@
         return self._port
 
     def over(self, label: str) -> Weather:
-        """The weather on connections to what has that label; gatekeepers are named n0, n1, …"""
+        """Returns the conditions of connections to a label; gateways (n0, n1, …) have clients' conditions."""
         return self.front_weather if label[:1] == "n" else self.weather
 
     def soon(self, label: str = "n") -> float:
-        """When what is sent now arrives."""
+        """Returns the arrival time of a segment sent now, with a randomly drawn link delay."""
         return self.machine.now + self.rng.uniform(*self.over(label).delay_ms) / 1000
 
     def at(self, process: Process, when: float, call: Callable[..., Any], *arguments: Any) -> None:
-        """A step of that process, at that time of the machine."""
+        """Schedules a step of a process at a time of the machine, unless the process is dead."""
         if not process.dead:
             self.machine.push(round(when, 6), asyncio.TimerHandle(when, call, arguments, process))
 
@@ -425,7 +439,10 @@
     def listen(
         self, process: Process, factory: Callable[[], Any], host: Any, port: int, backlog: int
     ) -> Listener:
-        """Raises OSError where the port is taken or no descriptor is left."""
+        """Opens a listener; port 0 selects a new port.
+
+        Raises OSError if the address is in use or no descriptor is left.
+        """
         address = (str(host), port or self.new_port())
         if address in self.listeners:
             raise OSError(errno.EADDRINUSE, f"address already in use: {address}")
@@ -437,7 +454,10 @@
     async def connect(
         self, process: Process, factory: Callable[[], Any], host: str, port: int
     ) -> tuple[End, Any]:
-        """Raises OSError: refused, or no descriptor left. It may also never come up."""
+        """Connects to an address; never returns if the connection is never established.
+
+        Raises OSError if the connection is refused or no descriptor is left.
+        """
         if not process.take():
             self.mark("descriptors ran out at a connect")
             raise OSError(errno.EMFILE, "too many open files")
@@ -464,7 +484,7 @@
     def _syn(
         self, process: Process, address: tuple[str, int], up: asyncio.Future[End], wait_s: float = SYN_S
     ) -> None:
-        """Our knock arrives at the other side's machine; one that is not heard is sent again."""
+        """Handles the arrival of a SYN at the destination; one that gets no answer is resent."""
         if up.done() or process.dead:
             return
         label = self.label_of(address[1])
@@ -478,8 +498,8 @@
         ):
             self.mark("a connection came up late")
             least, middle, most = weather.late_up_ms
-            soon = self.rng.random() < 0.5
-            late_s = self.rng.uniform(*((least, middle) if soon else (middle, most))) / 1000
+            is_in_time = self.rng.random() < 0.5
+            late_s = self.rng.uniform(*((least, middle) if is_in_time else (middle, most))) / 1000
             self.machine.at(self.machine.now + late_s, self._syn, process, address, up, 2 * wait_s)
             return
         if label in self.mute or any(cut.stops(us, them) or cut.stops(them, us) for cut in self.cuts):
@@ -511,14 +531,14 @@
             up.set_exception(ConnectionRefusedError(errno.ECONNREFUSED, "connection refused"))
 
     def _came_up(self, up: asyncio.Future[End], ours: End) -> None:
-        if up.done():  # given up meanwhile
+        if up.done():  # the connect call was cancelled meanwhile
             ours.closed = True
             self.break_off(ours)
         else:
             up.set_result(ours)
 
     def pieces(self, end: End, data: bytes) -> list[bytes]:
-        """The segments that a write goes out in."""
+        """Splits written bytes into the segments in which they are sent."""
         share = self.over(end.label).cut_share
         if not share or len(data) < 2 or self.rng.random() >= share:
             return [data]
@@ -526,8 +546,10 @@
         return [data[a:b] for a, b in zip([0, *places], [*places, len(data)], strict=True)]
 
     def carry(self, end: End, data: bytes | None) -> bool:
-        """One segment (None: the end of what `end` sends) on its way to the other side; False if the
-        connection is reset in it."""
+        """Sends one segment from `end` to its peer, or the end of the stream if `data` is None.
+
+        Returns False if the connection is reset within the segment.
+        """
         weather, rng = self.over(end.label), self.rng
         if data is not None and weather.reset and rng.random() < weather.reset:
             self.mark("a connection was reset in the middle of a message")
@@ -543,7 +565,7 @@
     def _send(self, end: End, call: Callable[..., None], *arguments: Any) -> None:
         peer = end.peer
         if any(cut.stops((end.process.name, end.name), (peer.process.name, peer.name)) for cut in self.cuts):
-            end.held.append((call, arguments))  # sent again and again, until it passes
+            end.held.append((call, arguments))  # resent when the partition heals
             return
         when, weather = self.soon(end.label), self.over(end.label)
         if weather.loss and self.rng.random() < weather.loss:
@@ -555,11 +577,11 @@
             self.at(peer.process, when, call, *arguments)
 
     def break_off(self, end: End) -> None:
-        """The other side is told that the connection is reset."""
+        """Sends a reset of the connection to the peer of `end`."""
         self._send(end, end.peer.arrive_reset)
 
     def heal(self, cut: Cut) -> None:
-        """The cut is over: what was held goes on its way."""
+        """Removes a partition and sends the segments that were blocked; others may block them again."""
         if cut in self.cuts:
             self.cuts.remove(cut)
         for end in list(self.ends.values()):
@@ -568,7 +590,7 @@
                 self._send(end, call, *arguments)
 
     def process_died(self, process: Process) -> None:
-        """The system closes what a process held."""
+        """Closes all sockets of a dead process; its open connections are reset."""
         for listener in list(self.listeners.values()):
             if listener.process is process:
                 listener.close()
@@ -594,7 +616,7 @@
         return end, protocol
 
     def send(self, plug: Plug, data: bytes, address: tuple[str, int]) -> None:
-        """One datagram, which may be lost, late, or come twice."""
+        """Sends one datagram, which may be lost, delayed or duplicated."""
         weather, rng = self.weather, self.rng
         self.machine.note(f"datagram {plug.address[1]} {address[1]} {len(data)} {zlib.crc32(data):08x}")
         if weather.datagram_loss and rng.random() < weather.datagram_loss:
--- a/plumpick/simulation/shrink.py
+++ b/plumpick/simulation/shrink.py
@@ -1,7 +1,7 @@
-"""Cut a failing case down: fewest faults, least strange weather, least load and time that still fail alike.
+"""Reduces a failing case to fewer and shorter faults, less load and less time that still break the same rule.
 
-Source of the method: delta debugging (Zeller and Hildebrandt, 2002), on the list of faults; then each other
-part of the case is set to what is plain, where the same rule still breaks.
+The list of faults is reduced by delta debugging (Zeller and Hildebrandt, 2002). Then each other parameter of
+the case is set to a simpler value if the same rule still breaks.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from plumpick.simulation.faults import Case, Fault
 from plumpick.simulation.world import Result
 
-MOST_PLAYS = 150
+MOST_PLAYS = 150  # maximum number of runs for reducing one case
 
 
 class Shrinker:
-    """`play` plays a case; `told` hears of each smaller one."""
+    """Reduces failing cases. `play` runs a case; `told` is called with each smaller case and its result."""
 
     def __init__(
         self,
@@ -28,8 +28,8 @@
         self._play, self._told, self.left = play, told, most
 
     def shrink(self, case: Case, result: Result) -> tuple[Case, Result]:
-        """The smallest case found that breaks the same rule, and what came of it."""
-        # What comes after the failure has no part in it: the history up to there is the same.
+        """Returns the smallest case found that breaks the same rule as `result`, with its result."""
+        # Faults after the failure are cut off first: they do not change the run before it.
         case, result = self._try(replace(case, seconds=math.ceil(result.t_ms / 1000) + 1.0), case, result)
         case, result = self._faults(case, result)
         for news in self._plainer(case):
@@ -47,7 +47,7 @@
         return news, came
 
     def _faults(self, case: Case, result: Result) -> tuple[Case, Result]:
-        """Delta debugging: leave out ever smaller parts."""
+        """Reduces the list of faults by delta debugging: tries to remove ever smaller parts of it."""
         parts = 2
         while case.faults and self.left > 0:
             size = math.ceil(len(case.faults) / parts)
@@ -65,7 +65,7 @@
 
     @staticmethod
     def _plainer(case: Case) -> Iterator[Callable[[Case], Case]]:
-        """Each part by itself, as plain as it can be; the time ends soon after the failure."""
+        """Yields functions that each simplify one parameter of a case, such as the load or a duration."""
         yield lambda one: replace(one, skew_ms=())
         yield lambda one: replace(one, impatient=0.0)
         yield lambda one: replace(one, load=min(one.load, 0.06))
--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -228,7 +228,7 @@
     assert cli.main(["simulate", "--replay", str(tmp_path / f"case-{seed}.json")]) == 0
     capsys.readouterr()
     assert cli.main(["simulate", "--seed", "2", "--seconds", "3", "--twice"]) == 0
-    assert "alike" in capsys.readouterr().out
+    assert "identical" in capsys.readouterr().out
 
 
 def test_a_failing_seed_ends_with_1_and_is_shrunk(tmp_path, capsys):
@@ -248,10 +248,10 @@
 
 
 def test_what_is_no_case_is_named():
-    with pytest.raises(CaseError, match="there is no fault 'rain'"):
+    with pytest.raises(CaseError, match="unknown fault kind 'rain'"):
         case_from('{"seed":1,"faults":[{"kind":"rain","at_s":1,"for_s":1,"with_":{}}]}')
     for text in ("", "[]", '{"seed":1}', '{"faults":[],"colour":1}'):
-        with pytest.raises(CaseError, match="no case"):
+        with pytest.raises(CaseError, match="invalid case"):
             case_from(text)
     case = case_of(17)
     assert case_from(case.as_json()) == case
