--- a/benchmarks/simulation/__init__.py
+++ b/benchmarks/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Figures of the seeded simulation."""
+"""Benchmarks of the seeded simulation: seeds needed to find planted bugs, comparison with real processes."""
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -1,9 +1,9 @@
-"""How many seeds it takes to find each of the planted bugs.
+"""Measures how many seeds the simulation needs to find each planted bug.
 
     python -m benchmarks.simulation.plants [--most 60] [--jobs 8] [--only NAME]
 
-Each plant swaps one function of the daemon or of the module for a wrong one; seeds 1, 2, 3, … are played
-until the rule breaks that it breaks.
+Each planted bug replaces functions or constants of the gateway or of the policy with faulty ones. Seeds 1, 2,
+3, … are played until one breaks a rule that the bug is known to break.
 """
 
 from __future__ import annotations
@@ -35,16 +35,16 @@
 from plumpick.simulation.faults import case_of
 from plumpick.simulation.world import play
 
-Swap = list[tuple[Any, str, Any]]  # owner, name, what stands there instead
+Swap = list[tuple[Any, str, Any]]  # module or class, attribute name, replacement
 
 
 def anywhere() -> Swap:
-    """Further attempts go to any server, whatever the class."""
+    """Bug: retries go to any worker, whatever the request class allows."""
     return [(retry, "allowed_endpoints", lambda now_ms, request, settings, table: None)]
 
 
 def other_hall() -> Swap:
-    """A keyed request is sent again to another hall."""
+    """Bug: a keyed request is retried in another zone."""
     right = retry.allowed_endpoints
 
     def allowed(now_ms: float, request: Any, settings: Any, table: Any) -> Any:
@@ -56,7 +56,7 @@
 
 
 def refuses_all() -> Swap:
-    """What may have run is refused, as if a retry were harmless."""
+    """Bug: a request that may have run is rejected with a retry time, as if a retry were harmless."""
 
     def refuse(self: RequestLifecycle, request: Any) -> None:
         self.turn.actions.append(RejectRequest(request.received.id, 250.0))
@@ -66,7 +66,7 @@
 
 
 def reset_never_ran() -> Swap:
-    """A connection that breaks after the last byte counts as one that never came up."""
+    """Bug: a connection that is reset after the request was sent counts as a failed connect."""
     right = WorkerConnection._fail
 
     def fault(self: WorkerConnection, result: AttemptResult) -> None:
@@ -76,7 +76,7 @@
 
 
 def ignores_drains() -> Swap:
-    """A server that drains is taken for one that is ready."""
+    """Bug: a draining worker is treated as ready."""
     right = Gateway.on_worker_list
 
     def on_worker_list(self: Gateway, news: WorkerList) -> None:
@@ -92,7 +92,7 @@
 
 
 def prefers_cold() -> Swap:
-    """What is new is thought idle, and gets all there is."""
+    """Bug: workers that are warming up are always preferred, as if they were idle."""
     right = LoadBalancer.choose
 
     def choose(self: LoadBalancer, now: float, request: Any, group: Any) -> Any:
@@ -103,17 +103,21 @@
 
 
 def no_guard() -> Swap:
-    """Deadlines are read half a second too late, by the guard and by the module."""
+    """Bug: deadlines are applied half a second late, by the gateway and by the policy."""
     return [
         (request_table, "FINAL_RESPONSE_MARGIN_MS", -500.0),
         (request_table, "DEADLINE_MARGIN_MS", -500.0),
         (stall_detector, "MAX_BACKLOG_MS", -500.0),
-        (stall_detector, "BACKLOG_READ_MS", -500.0),  # one constant with the margin in earlier programs
+        (
+            stall_detector,
+            "BACKLOG_READ_MS",
+            -500.0,
+        ),  # was one constant with MAX_BACKLOG_MS in earlier versions
     ]
 
 
 def late_answer_for_next() -> Swap:
-    """The connection of an attempt that was given up is used again."""
+    """Bug: a cancelled attempt's connection is reused, and its late response answers the next request."""
     right = Attempt.end
 
     def end(self: Attempt, result: AttemptResult, *more: Any, **others: Any) -> None:
@@ -130,12 +134,12 @@
 
 
 def forgets_bookings() -> Swap:
-    """A home forgets the units that it granted."""
+    """Bug: a quota owner does not book the units that it granted."""
     return [(QuotaOwner, "_settle", lambda self, now_ms, ledger, key, message, limit_units: None)]
 
 
 def ignores_slices() -> Swap:
-    """A gatekeeper on credit does not look at its slice of the ceiling."""
+    """Bug: a gateway without an answer from the quota owner ignores its slice of the hard limit."""
 
     def on_grant_timeout(self: QuotaRequester, now_ms: float, request: Any) -> bool:
         request.units_charged = request.received.units
@@ -145,7 +149,7 @@
 
 
 def answers_twice() -> Swap:
-    """Every hundredth answer goes out twice."""
+    """Bug: a second response is written after every hundredth response."""
     right, count = ClientConnection.respond, [0]
 
     def respond(self: ClientConnection, *more: Any, **others: Any) -> None:
@@ -158,7 +162,7 @@
 
 
 def ends_at_once() -> Swap:
-    """After SIGTERM nothing is waited for."""
+    """Bug: the gateway exits on SIGTERM without waiting for unfinished requests."""
     return [
         (Gateway, "has_unfinished_work", lambda self: False),
         (Gateway, "start_closing_connections", lambda self: None),
@@ -166,7 +170,10 @@
 
 
 def stands_still_and_closes() -> Swap:
-    """The sweep of connections goes by the clock alone, also after a stall: as it was."""
+    """Bug: after a stall, the sweep closes connections as idle although they have unread requests.
+
+    Earlier versions had this bug.
+    """
     right = ConnectionAdmission.sweep
 
     def sweep(self: ConnectionAdmission, now: float, is_shutting_down: bool) -> None:
@@ -174,14 +181,14 @@
         right(self, now, is_shutting_down)
 
     def close_if_idle(self: ClientConnection) -> None:
-        if self.is_idle():  # and never looks whether something is unread
+        if self.is_idle():  # without checking for unread input
             self.close_gracefully()
 
     return [(ConnectionAdmission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
 
 
 def writes_after_the_end() -> Swap:
-    """A connection that comes up late carries its attempt, though it has ended."""
+    """Bug: a connection that is established late still sends its attempt, although the attempt has ended."""
 
     def dialled(
         self: ConnectionPool, worker: Any, attempt: Attempt, connection: WorkerConnection, dial: Any
@@ -198,7 +205,7 @@
 
     def start(self: ConnectionPool, attempt: Attempt) -> None:
         right(self, attempt)
-        if attempt.connect_task is not None:  # a dial is never called off
+        if attempt.connect_task is not None:  # the connect task is kept so that it is never cancelled
             dial, attempt.connect_task = attempt.connect_task, None
             self.__dict__.setdefault("kept", []).append(dial)
 
@@ -207,7 +214,7 @@
 
 
 def rearms_at_once() -> Swap:
-    """A timer that is due arms itself again for the same instant."""
+    """Bug: a due timer schedules itself again for the same instant."""
     right = Timers.call_at
 
     def call_at(self: Timers, when_ms: float, call: Callable[[], None]) -> Any:
@@ -221,7 +228,7 @@
 
 
 def looks_no_more() -> Swap:
-    """Between the choice and the first byte nobody looks whether the group still remembers the first."""
+    """Bug: a retry is sent without checking that the group of workers still remembers the first attempt."""
 
     def may_leave(self: ConnectionPool, worker: Any, attempt: Attempt) -> bool:
         return attempt.on_completed is not None and self.is_in_service(worker)
@@ -230,7 +237,7 @@
 
 
 def reset_is_an_end() -> Swap:
-    """An answer with no length ends with its connection, however that ends."""
+    """Bug: a response without a length counts as complete even if its connection is reset."""
     right = WorkerConnection.connection_lost
 
     def connection_lost(self: WorkerConnection, problem: Exception | None) -> None:
@@ -241,19 +248,19 @@
 
 
 def trusts_its_watch() -> Swap:
-    """A watch that has fallen silent is waited for as long as the protocol allows."""
+    """Bug: a discovery watch that has fallen silent is trusted for 60 s."""
     return [(endpoint_watch, "AGENT_WATCH_TIMEOUT_MS", 60_000.0)]
 
 
 def sends_for_nobody() -> Swap:
-    """A request whose client has gone goes on as if it were there."""
+    """Bug: a request continues after its client has disconnected."""
     return [
         (request_table.RequestTable, "on_disconnect", lambda self, request: None),
         (ClientConnection, "has_disconnected", lambda self: False),
     ]
 
 
-# Each with the rules that it may break first.
+# Planted bugs by name: the function that returns the replacements, and the rules that may break first.
 PLANTS: dict[str, tuple[Callable[[], Swap], tuple[str, ...]]] = {
     "anywhere": (anywhere, ("effects-once",)),
     "other-hall": (other_hall, ("effects-once",)),
@@ -279,7 +286,7 @@
 
 @contextmanager
 def planted(name: str) -> Iterator[None]:
-    """The daemon with that bug, until the end of the block."""
+    """Activates a planted bug until the end of the `with` block."""
     swaps = PLANTS[name][0]()
     before = [(owner, key, getattr(owner, key)) for owner, key, _ in swaps]
     for owner, key, value in swaps:
@@ -292,7 +299,7 @@
 
 
 def seeds_to_find(name: str, most: int) -> tuple[str, int, str]:
-    """The first seed of 1, 2, … that breaks its rule; 0 where none of so many does."""
+    """Returns the bug's name, the first seed of 1 to `most` that finds it (0 if none) and the broken rule."""
     with planted(name):
         for seed in range(1, most + 1):
             result = play(case_of(seed))
@@ -302,14 +309,14 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Prints a table with the seed that found each planted bug."""
     flags = argparse.ArgumentParser(description=__doc__)
     flags.add_argument("--most", type=int, default=60)
     flags.add_argument("--jobs", type=int, default=8)
     flags.add_argument("--only", default="")
     given = flags.parse_args()
     names = [name for name in PLANTS if given.only in name]
-    print("| planted bug | found by seed | what was seen |\n| --- | --- | --- |")
+    print("| planted bug | found by seed | broken rule |\n| --- | --- | --- |")
     with ProcessPoolExecutor(given.jobs) as pool:
         for name, seed, text in pool.map(seeds_to_find, names, [given.most] * len(names)):
             print(f"| {name} | {seed or 'none'} | {text} |", flush=True)
--- a/benchmarks/simulation/real_against_virtual.py
+++ b/benchmarks/simulation/real_against_virtual.py
@@ -1,8 +1,8 @@
-"""The same scenario by `rehearse` (real processes, real sockets) and by the simulation.
+"""Compares scenarios run by `rehearse` (real processes and sockets) with the same scenarios simulated.
 
     python -m benchmarks.simulation.real_against_virtual [--scenarios calm swallowing] [--seeds 2]
 
-Prints service of both and their difference, for each scenario the mean over seeds.
+Prints the mean service level of both over all seeds and their difference, for each scenario.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 async def real(name: str, seed: int) -> tuple[float, str]:
-    """Service of a rehearsal, and why it does not count, if it does not."""
+    """Runs a rehearsal; returns its service level and, if the machine was too slow for it, a remark."""
     fleet = Fleet(Surroundings(asyncio.get_running_loop(), seed), load(name), name)
     try:
         await fleet.start()
@@ -32,7 +32,7 @@
 
 
 def simulated(name: str, seed: int) -> tuple[float, str]:
-    """Service of the same in virtual time, and the rule that broke, if one did."""
+    """Simulates the scenario; returns its service level and the name of the broken rule, or ""."""
     scenario = load(name)
     case = replace(
         Case(seed),
@@ -51,7 +51,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Prints a table with the service levels of each scenario."""
     flags = argparse.ArgumentParser(description=__doc__)
     flags.add_argument("--scenarios", nargs="*", default=["calm", "swallowing", "restarts"])
     flags.add_argument("--seeds", type=int, default=2)
--- a/plumpick/simulation/exploration/__init__.py
+++ b/plumpick/simulation/exploration/__init__.py
@@ -1,2 +1,5 @@
-"""A decision module through every order of events, to a stated depth: search.py is general, leases.py plays
-ownership with it."""
+"""Exhaustive exploration of all orders of events up to a given depth.
+
+`search` is the general breadth-first search; `leases` and `shares` are the state models of lease ownership
+and of budget grants.
+"""
--- a/plumpick/simulation/exploration/commands.py
+++ b/plumpick/simulation/exploration/commands.py
@@ -1,4 +1,4 @@
-"""`plumpick explore`: ownership through every order of events, to a stated depth."""
+"""The `plumpick explore` command: checks lease ownership in every order of events up to a given depth."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 
 def explore(given: argparse.Namespace) -> int:
-    """0: no promise is broken to that depth; 1: one is; 2: usage."""
+    """Runs `plumpick explore` and returns its exit code.
+
+    0 means that no invariant was violated up to the depth, 1 that one was, 2 that the arguments are invalid.
+    """
     if given.plants:
         print("\n".join(PLANTS))
         return 0
     if given.plant and given.plant not in PLANTS or given.begin not in BEGINS:
         print(
-            f"plumpick explore: there is no {given.plant!r} or no {given.begin!r}; bugs: "
-            f"{', '.join(PLANTS)}; beginnings: {', '.join(BEGINS)}",
+            f"plumpick explore: unknown --plant {given.plant!r} or --begin {given.begin!r}; expected for "
+            f"--plant: {', '.join(PLANTS)}; for --begin: {', '.join(BEGINS)}",
             file=sys.stderr,
         )
         return 2
@@ -52,7 +55,7 @@
     else:
         print(
             f"{row['states']} states, all histories of {row['depth']} moves from {row['begin']!r}, "
-            f"{row['seconds']} s: {row['broken'] or 'every promise is kept'}"
+            f"{row['seconds']} s: {row['broken'] or 'no invariant violated'}"
         )
         for move in row["history"]:
             print(f"    {move}")
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -1,10 +1,11 @@
-"""Ownership, explored: two contenders, two or three acceptors, one lease, a receiver with a fence.
+"""State model of lease ownership: two contenders, two or three acceptors, one lease, a receiver with a fence.
 
-Every message that was sent stays on its way until it is delivered, however late (a loss is a message that
-never is); it may be delivered and stay, so that it comes again. Time passes by half a term, at the worst
-rates: contenders' clocks slow, acceptors' fast. A contender looks at its clock before an effect; the effect
-comes to the receiver at any time after. Anybody may be restarted, and has forgotten everything; counters
-begin at nothing, so nothing rests on time of day."""
+A sent message stays in flight until it is delivered, at any later time; a message that is never delivered is
+lost, and one that stays in flight after its delivery is duplicated. Time advances by about half a term per
+move, at the worst clock rates: contenders' clocks run slow, acceptors' clocks fast. A contender checks its
+clock before an effect, and the effect may reach the receiver at any later time. Contenders and acceptors may
+restart and lose all their state. Counters start at 0, so that nothing depends on the time of day.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +22,7 @@
 from plumpick.policy.leases.terms import LeaseTerms, token_counter
 from plumpick.simulation.exploration.search import fork_of, name_of
 
-TERM_MS, DRIFT, PART = 1000.0, 0.01, 0.52  # PART of a term passes at once, unless another is named
+TERM_MS, DRIFT, PART = 1000.0, 0.01, 0.52  # PART is the fraction of a term by which "wait" advances time
 LEASE, DUTY = 0, "duty"
 
 
@@ -96,8 +97,12 @@
 
 
 class Leases:
-    """A state. `restarts`, `doubles`, `effects` and `gives` are how many a history may have. Holders and
-    acceptors are shared with the state that it was forked from until they change."""
+    """A state of the lease model, explored by `search.explore`.
+
+    `restarts`, `doubles`, `effects` and `gives` limit the number of restarts, duplicated messages, effects
+    and releases in a history. A fork shares its holders and acceptors with the original state until they
+    change.
+    """
 
     def __init__(
         self,
@@ -122,9 +127,9 @@
         self.incarnations = 2
         self.fence = fence()
         self.on_the_way: list[tuple[Any, ...]] = []
-        self.taken = 0  # the largest token whose effect the receiver took
+        self.taken = 0  # highest fencing token of an effect that the receiver admitted
         self.gained: frozenset[int] = frozenset()
-        self.over: frozenset[int] = frozenset()  # tokens whose lease had ended
+        self.over: frozenset[int] = frozenset()  # fencing tokens whose lease has expired
         self.wrong = ""
 
     def fork(self) -> Leases:
@@ -201,7 +206,7 @@
 
     def _contender(self, kind: str, number: int) -> None:
         now = self._clock(True)
-        if kind == "effect":  # its look at the clock: from here on it may stand still
+        if kind == "effect":  # the clock was checked before this move; the contender may stall from here
             self.left["effect"] -= 1
             self._send("effect", number, self.holders[number].held[LEASE].token)
             return
@@ -268,7 +273,7 @@
                     self._send("answer", number, place, serial, owner[1], int(vote.vote), vote.counter)
             self._acceptor(place, acceptor)
 
-    # -- promises
+    # -- invariants
 
     def _judge(self) -> None:
         holders = 0
@@ -319,27 +324,27 @@
     "deliver answer 0 1 3 1 0 2",
 )
 BEGINS: dict[str, tuple[str, ...]] = {
-    "nothing": (),  # nobody has asked
-    "held": HELD,  # the first contender holds the lease, by the first two acceptors
-    "given": (*HELD, "give 0"),  # and has just given it back: its words are on their way
-    "renewed-late": RENEWED_LATE,  # it has asked to renew, and the answers are on their way for long
-    "taken-again": TAKEN_AGAIN,  # it gave it back and has it anew; the words that gave it are on their way
+    "nothing": (),  # no contender has requested the lease
+    "held": HELD,  # contender 0 holds the lease, granted by acceptors 0 and 1
+    "given": (*HELD, "give 0"),  # contender 0 has released the lease; its release messages are in flight
+    "renewed-late": RENEWED_LATE,  # contender 0 has requested a renewal; the responses are delayed
+    "taken-again": TAKEN_AGAIN,  # contender 0 has reacquired the lease; its release is still in flight
 }
 
 
 def begin(name: str, acceptors: int, **more: Any) -> Leases:
-    """A state to explore from."""
+    """Returns the state after the named initial history; `more` is passed to Leases."""
     state = Leases(acceptors, **more)
     for move in BEGINS[name]:
         state.play(move)
     return state
 
 
-# -- planted bugs, each a way in which a lease can be got wrong
+# -- planted bugs of the lease protocol, which the exploration must find
 
 
 class ForgetsSilence(Acceptor):
-    """An acceptor that votes at once after its start."""
+    """An acceptor that votes immediately after its start instead of waiting until old grants have expired."""
 
     def __init__(self, terms: LeaseTerms, now_ms: float) -> None:
         super().__init__(terms, now_ms)
@@ -347,7 +352,7 @@
 
 
 class CountsFromAnswer(LeaseHolder):
-    """The lease's end counts from the answer, not from the request."""
+    """A holder that counts the lease's term from the response instead of from its request."""
 
     def _decide(self, now_ms: float, request: LeaseRequest, lease: int) -> None:
         if len(request.grants.get(lease, ())) >= self._terms.quorum:
@@ -356,14 +361,14 @@
 
 
 class TokenTwice(LeaseHolder):
-    """It takes the lease anew under the token that it had."""
+    """A holder that acquires a lease again under the fencing token of its earlier acquisition."""
 
     def next_counter(self, least: int = 0) -> int:
         return max(1, self.counter)
 
 
 class RenewsAfterTheEnd(LeaseHolder):
-    """What has ended is not let go of while an answer may still come."""
+    """A holder that keeps an expired lease while a request is pending, and so can renew it."""
 
     def expire(self, now_ms: float) -> None:
         if not self.pending:
@@ -371,7 +376,7 @@
 
 
 class BelievesLateAnswers(LeaseHolder):
-    """An answer to any request counts for the open one."""
+    """A holder that counts a response to an earlier request for its pending request."""
 
     def on_response(self, now_ms: float, acceptor: int, message: Message) -> LeaseRequest | None:
         for request in self.pending.values():
@@ -380,7 +385,7 @@
 
 
 class FenceByCounter(Fence):
-    """A fence that takes an equal token of another owner."""
+    """A fence that admits a token with the highest counter even if it belongs to another owner."""
 
     def admit(self, duty: str, token: int) -> bool:
         if token_counter(token) == token_counter(self.highest(duty)):
@@ -389,14 +394,14 @@
 
 
 class GivesWhatIsAsked(LeaseHolder):
-    """A release is sent behind a new request for the same lease."""
+    """A holder that sends a release although it has requested the same lease again."""
 
     def releasable(self) -> list[int]:
         return list(self.to_release)
 
 
 class BelievesLateGives(Acceptor):
-    """A release counts also where the lease was requested since."""
+    """An acceptor that accepts a release although the owner has requested the lease again since."""
 
     def on_release(self, lease: int, owner: tuple[int, int], serial: int) -> bool:
         grant = self.grants.get(lease)
--- a/plumpick/simulation/exploration/search.py
+++ b/plumpick/simulation/exploration/search.py
@@ -1,8 +1,8 @@
-"""Breadth first through all that can happen, so that the first history that breaks a promise is a shortest
-one.
+"""Breadth-first search over all orders of events for a history that violates an invariant.
 
-A state is pickled: its bytes are its copy, and their hash is how it is known again. The state's own
-`key()` may leave out what makes no difference."""
+The first violating history that the search finds is a shortest one. States are recognized by the hash of
+their `key()`, which may omit everything that does not affect the future of a state.
+"""
 
 from __future__ import annotations
 
@@ -13,42 +13,45 @@
 
 
 class State(Protocol):
-    """What is explored."""
+    """A state of an explored model, with the moves that lead to its successors."""
 
     def moves(self) -> Iterator[str]:
-        """All that can happen next, by name, always in the same order."""
+        """Yields the names of all events that can happen next, in a deterministic order."""
 
     def fork(self) -> Self:
-        """A copy: what happens to the one leaves the other as it is."""
+        """Returns an independent copy of the state."""
 
     def play(self, move: str) -> None:
-        """Let that happen."""
+        """Applies the event with that name to this state."""
 
     def broken(self) -> str:
-        """Which promise this state breaks, or nothing."""
+        """Returns a description of the invariant that this state violates, or an empty string."""
 
     def key(self) -> Hashable:
-        """Two states with the same key go on alike."""
+        """Returns a key of the state; states with equal keys have the same possible futures."""
 
 
 @dataclass
 class Found:
-    """What a search came to."""
+    """Result of a search."""
 
-    states: int = 0
-    depth: int = 0  # all histories of so many moves were played
+    states: int = 0  # number of distinct states
+    depth: int = 0  # number of moves up to which all histories were explored
     seconds: float = 0.0
-    broken: str = ""
-    history: list[str] = field(default_factory=list)
+    broken: str = ""  # description of the violated invariant; empty if none
+    history: list[str] = field(default_factory=list)  # moves that lead to the violation
 
 
 def explore(
     start: State, depth: int, most_states: int = 5_000_000, tell: Callable[[int, int], None] | None = None
 ) -> Found:
-    """Play every history of up to `depth` moves; ends at the first that breaks a promise, or at
-    `most_states`."""
+    """Explores every history of up to `depth` moves from `start`.
+
+    Ends early at the first history that violates an invariant, or after `most_states` distinct states. `tell`
+    is called after each depth with the depth and the number of states.
+    """
     begun, found = time.monotonic(), Found()
-    seen: dict[int, tuple[int, str]] = {}  # how each state was first come to
+    seen: dict[int, tuple[int, str]] = {}  # state -> predecessor and move of the first path
     first = hash(start.key())
     seen[first] = (0, "")
     frontier = [(first, start)]
@@ -79,11 +82,13 @@
 
 
 def replay(start: State, history: list[str]) -> str:
-    """Play one history; the promise that it breaks first, or nothing. Raises ValueError where it cannot be
-    played."""
+    """Applies one history to `start`; returns the first violated invariant, or an empty string.
+
+    Raises ValueError if a move is not possible in the state that it applies to.
+    """
     for move in history:
         if move not in set(start.moves()):
-            raise ValueError(f"{move!r} cannot happen here")
+            raise ValueError(f"move {move!r} is not possible in this state")
         start.play(move)
         if start.broken():
             return start.broken()
@@ -100,7 +105,7 @@
 
 
 def fork_of(one: Any, **news: Any) -> Any:
-    """A copy of an object, with other values of some attributes: for a state's `fork`."""
+    """Returns a shallow copy of an object with the given attributes replaced, for a state's `fork`."""
     copy = object.__new__(type(one))
     copy.__dict__.update(one.__dict__)
     copy.__dict__.update(news)
@@ -108,5 +113,5 @@
 
 
 def name_of(word: tuple[Any, ...]) -> str:
-    """A word on its way, as moves name it."""
+    """Returns the name of a message in flight, as it appears in moves: its fields separated by spaces."""
     return " ".join(map(str, word))
--- a/plumpick/simulation/exploration/shares.py
+++ b/plumpick/simulation/exploration/shares.py
@@ -1,9 +1,10 @@
-"""Shares of a stock, explored: a whole of two units with no floor, two holders, a divider and the next one.
+"""State model of budget grants: a concurrency limit of two units, two holders, allocators in succession.
 
-Askings and shares stay on their way until they are delivered, however late, and may come again. A divider
-may be followed by another at any moment; what it had sent still comes. Time passes by half a term,
-holders' clocks slow and the divider's fast. A unit lasts at most a tenth of a term. Broken when more units
-are out than there are."""
+Requests for grants and the grants stay in flight until they are delivered, at any later time, and may be
+duplicated. A new allocator may take over at any moment; messages of the old one are still delivered. Time
+advances by about half a term per move; holders' clocks run slow and the allocator's fast. A unit is used for
+a tenth of a term. The invariant is violated when more units are in use than the limit allows.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +25,11 @@
 
 
 class Shares:
-    """A state. `dividers`, `restarts` and `doubles` are how many more a history may have."""
+    """A state of the grant model, explored by `search.explore`.
+
+    `dividers`, `restarts` and `doubles` limit the number of allocator changes, holder restarts and duplicated
+    messages in a history.
+    """
 
     def __init__(
         self,
@@ -42,7 +47,7 @@
         self.lives = [1, 2]
         self.divider = divider(BUDGET, 2, -10 * TERM_MS, 1, TERM_MS, DRIFT)
         self.on_the_way: list[tuple[Any, ...]] = []
-        self.units: list[tuple[float, int, int]] = []  # that are out: until when, holder, life
+        self.units: list[tuple[float, int, int]] = []  # units in use: end, holder, incarnation
         self.wrong = ""
 
     def fork(self) -> Shares:
@@ -188,11 +193,11 @@
         )
 
 
-# -- planted bugs
+# -- planted bugs of budget grants, which the exploration must find
 
 
 class GivesBeforeTheEnd(BudgetAllocator):
-    """A next divider lends at once."""
+    """An allocator that grants at once instead of waiting until its predecessor's grants have expired."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -200,7 +205,7 @@
 
 
 class ForgetsWhatIsOut(BudgetAllocator):
-    """Only the last share of each holder counts."""
+    """An allocator that counts only the latest grant of each holder as outstanding."""
 
     def _record_grant(
         self, now_ms: float, receiver: GrantReceiver, amount: float, burst: float = 0.0
@@ -211,14 +216,14 @@
 
 
 class BelievesALateShare(LocalConcurrencyLimiter):
-    """A share's end counts from when it came."""
+    """A holder that counts a grant's term from its receipt instead of from the request."""
 
     def accept_grant(self, now_ms: float, grant: Grant, sent_ms: float | None) -> bool:
         return super().accept_grant(now_ms, grant, now_ms)
 
 
 class TakesAnOldShare(LocalConcurrencyLimiter):
-    """A share of an earlier asking takes the place of a later one's."""
+    """A holder that replaces a newer grant with a grant for an earlier request."""
 
     def accept_grant(self, now_ms: float, grant: Grant, sent_ms: float | None) -> bool:
         self.last_grant_id = min(self.last_grant_id, grant.request_id - 1)
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -1,4 +1,4 @@
-"""One case, played: the daemon's own code, the kit's stand-ins and auditor, on the virtual machine."""
+"""Runs one case: the gateway's code with the rehearsal kit's stubs and auditor on the virtual machine."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from plumpick.simulation.marks import Marks
 from plumpick.simulation.network import Cut, Network, Plug, Weather
 
-START_S = (0.2, 0.7)  # what a process takes to come to its first line
-STAY_S = 12.0  # servers that drain behind watches that have fallen silent go on for so long
-END_S = 40.0  # beyond the case's seconds, after which a run that has not ended never will
+START_S = (0.2, 0.7)  # range of the time that a gateway process takes to start
+STAY_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
+END_S = 40.0  # time beyond the case's seconds after which an unfinished run counts as hung
 HANG = "did-not-end"
 
 
 class SimulatedClock(Clock):
-    """A gatekeeper's clock: Unix time in ms, off by the process's skew."""
+    """A gateway's clock: Unix time in milliseconds, with the skew of its process."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -48,7 +48,7 @@
 
 
 class SimulatedSystem(Platform):
-    """What a simulated gatekeeper takes from its machine."""
+    """The platform of a simulated gateway: clock, sockets and configuration of the virtual machine."""
 
     def __init__(self, process: Process, reread: Callable[[], Config], watch: Watch | None = None) -> None:
         self.process, self._reread, self.watch = process, reread, watch
@@ -60,7 +60,7 @@
         return Plug(self.process.machine.network, self.process)
 
     def create_listener(self, address: tuple[str, int], backlog: int) -> None:
-        """The virtual machine's listeners have no backlog: who connects is there at once."""
+        """Opens no socket in advance: the virtual network opens the listener when the server is created."""
 
     @staticmethod
     def has_no_unread_input(transport: Any) -> bool:
@@ -68,7 +68,7 @@
 
     @staticmethod
     def was_reset(transport: Any) -> bool:
-        """An end and a reset are told apart here."""
+        """Returns False: a virtual transport never reports a reset as an end of stream."""
         return False
 
     @staticmethod
@@ -90,18 +90,18 @@
         return random.Random(f"{machine.seed}/life/{len(machine.processes)}").getrandbits(32)
 
     def guard(self, address: Any) -> Any:
-        """A process of a gatekeeper is the only one of its number."""
+        """Returns an unbound socket: the simulation never runs two processes of one gateway number."""
         return Plug(self.process.machine.network, self.process)
 
     def freeze_startup_objects(self) -> None:
-        """The collector has nothing to do with the run."""
+        """Does nothing: garbage collection does not affect the simulated run."""
 
     def reload_config(self) -> Config:
         return self._reread()
 
 
 class _Handle:
-    """What the supervisor knows of a process."""
+    """The supervisor's handle of a simulated process, with the interface of `asyncio.subprocess.Process`."""
 
     def __init__(self, process: Process, number: int, owner: Process) -> None:
         self.process, self.pid, self._ended = process, number, owner.create_future()
@@ -129,18 +129,18 @@
 
 
 class SimulatedSupervisor(Supervisor):
-    """Starts gatekeepers as processes of the virtual machine."""
+    """A supervisor that starts gateways as processes of the virtual machine."""
 
     machine: Machine
     case: Case
-    watch: Watch | None = None  # where duties are on
+    watch: Watch | None = None  # None without scheduled tasks and budgets
 
     @staticmethod
     def make_folder() -> Path:
         return Path("simulated")
 
     def drop_folder(self) -> None:
-        """There is none."""
+        """Does nothing: the simulation writes no files."""
 
     def ports(self) -> tuple[int, int]:
         network = self.machine.network
@@ -154,7 +154,7 @@
         return "; ".join(self.machine.problems[-3:])
 
     def read(self, gate: Gatekeeper) -> Config:
-        """The configuration as it stands."""
+        """Parses the gateway's configuration as it was last written."""
         return parse_config(json.loads(self.files[gate.name]), {})  # type: ignore[attr-defined]
 
     async def launch(self, gate: Gatekeeper) -> Any:
@@ -162,7 +162,9 @@
         skew = self.case.skew_ms[gate.number] if gate.number < len(self.case.skew_ms) else 0.0
         config = self.read(gate)
         process = Process(self.machine, gate.name, skew, config.sockets)
-        process.signals[signal.SIGHUP] = lambda: None  # as in main: ignored until it is handled
+        process.signals[signal.SIGHUP] = (
+            lambda: None
+        )  # ignored until the gateway installs its handler, as in main
         system = SimulatedSystem(process, lambda: self.read(gate), self.watch)
         fleet = self.watch.settings if self.watch is not None else None
 
@@ -182,7 +184,7 @@
 
 @dataclass
 class Result:
-    """What came of a case."""
+    """The result of a simulated run."""
 
     seed: int
     digest: str
@@ -191,17 +193,17 @@
     requests: int
     service: float
     marks: dict[str, int]
-    rule: str = ""  # the rule that was broken; nothing: none was
+    rule: str = ""  # name of the broken rule; empty if all rules held
     step: int = 0
     t_ms: float = 0.0
     text: str = ""
     story: list[str] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
-    owners: int = 0  # tokens under which leases were held, and effects that came, where duties are on
-    effects: int = 0
-    spent: float = 0.0  # units of budgets, and requests turned back by them
-    turned_back: int = 0
-    excused: int = 0  # breaches by the clock alone while time was bent
+    owners: int = 0  # number of fencing tokens under which leases were held
+    effects: int = 0  # number of effects of scheduled tasks that the receiver got
+    spent: float = 0.0  # units of all budgets
+    turned_back: int = 0  # number of requests rejected by budgets
+    excused: int = 0  # number of breaches not counted because a fault disturbed timing or hid an event
 
     @property
     def failed(self) -> bool:
@@ -209,7 +211,7 @@
 
 
 def scenario_of(case: Case) -> Scenario:  # noqa: C901  (to be split by concern)
-    """The rehearsal that a case plays, with those of its faults that rehearsals know."""
+    """Builds the rehearsal scenario of a case, with the faults that the rehearsal kit can inject itself."""
     events: list[Any] = []
     for fault in case.faults:
         one, at = fault.with_, fault.at_s
@@ -244,7 +246,7 @@
             )
         elif fault.kind == "hot-firm":
             events.append(script.HotFirm(at_s=at, for_s=fault.for_s, plan=one["plan"], times=one["times"]))
-        elif fault.kind == "silent-watches":  # and drains begin right behind, of servers that stay
+        elif fault.kind == "silent-watches":  # workers drain just after, and keep serving meanwhile
             events.append(script.SilentWatches(at_s=at))
             events.append(
                 script.ReleaseServers(
@@ -263,7 +265,7 @@
             )
         elif fault.kind == "split":
             events.append(script.SplitPeers(at_s=at, for_s=fault.for_s, side=[one["gate"]]))
-    # Some deployments' servers remember keys for a short while only.
+    # Workers of some deployments remember idempotency keys for a short time only.
     windows = [
         fault.with_["window_s"]
         for fault in case.faults
@@ -287,7 +289,7 @@
 
 
 class World:
-    """A case on its machine. `record` is told every record, `trace` every step."""
+    """A case on its virtual machine. `record` is called for every record, `trace` for every step."""
 
     def __init__(
         self,
@@ -326,7 +328,7 @@
         machine.after_step = self._after_step
 
     def feed(self, record: Record) -> None:
-        """A record: it is part of the history's identity."""
+        """Counts a record and adds it to the digest of the run."""
         self.requests += type(record).__name__ == "Asked"
         self.machine.note(line_of(record) if type(record).__name__ != "Began" else "Began")
         if self.record is not None:
@@ -345,7 +347,7 @@
         return self._labels.get(port, "")
 
     def _after_step(self) -> None:
-        """All rules are checked after each step."""
+        """Checks all rules after a step; a breach that is not excused stops the machine."""
         if self.watch is not None and self.broken is None:
             self.broken = self.watch.broken()
             self.machine.stopped = self.machine.stopped or self.broken is not None
@@ -355,8 +357,8 @@
             self._judged += 1
             asked = (breach.story or [None])[0]
             t_ms, gate = breach.t - self.play_t, getattr(asked, "gate", "")
-            # What waits at a listener that has no descriptor was never the program's, nor was it told what
-            # a cut keeps from it.
+            # The gateway cannot know of a request that waits at a listener without a free descriptor, nor of
+            # a drain that a partition hides from it.
             unseen = bool(gate) and (
                 breach.rule == LOST
                 and any(self.case.bends(t, ("few-descriptors",), gate) for t in (t_ms, asked.t - self.play_t))
@@ -369,9 +371,9 @@
                 self.broken = breach
                 self.machine.stopped = True
 
-    # -- the faults that rehearsals do not know
+    # -- faults that the rehearsal kit cannot inject
 
-    play_t = 0.0  # when the script began, ms
+    play_t = 0.0  # time at which the scenario started, in milliseconds
 
     def _gate(self, fault: Fault) -> Process | None:
         gate: Any = self.fleet.supervisor.gates[fault.with_["gate"]]
@@ -438,7 +440,10 @@
         self.fleet.around.later(fault.for_s * 1000, end)
 
     def _fair(self) -> None:
-        """The weather is fair again: one spell ends what others began, so that none outlasts the run."""
+        """Restores faultless network conditions.
+
+        The end of one fault also ends others that still last, so that none outlasts the run.
+        """
         self.network.weather, self.network.front_weather = Weather(), Weather()
 
     # -- the run
@@ -465,7 +470,7 @@
             self.machine.stopped = True
 
     def play(self) -> Result:
-        """Play it to its end, or to the first step that breaks a rule."""
+        """Runs the case to its end or to the first step that breaks a rule, with the program's logs off."""
         logger = logging.getLogger("plumpick")
         level, logger.disabled = logger.level, True
         names = [name for name in logging.root.manager.loggerDict if name.startswith("plumpick")]
@@ -477,7 +482,7 @@
             try:
                 self.machine.run(self.case.seconds + END_S)
                 if not self.machine.stopped:
-                    self.failure = self.failure or f"not over after {self.machine.now:.0f} s"
+                    self.failure = self.failure or f"run not finished after {self.machine.now:.0f} s"
             except (RunAway, OutOfSteps) as problem:
                 self.failure = str(problem)
             return self._result()
@@ -519,5 +524,5 @@
 
 
 def play(case: Case, **more: Any) -> Result:
-    """Play a case."""
+    """Runs a case and returns its result; `more` is passed to World."""
     return World(case, **more).play()
--- a/tests/simulation/test_leases_explored.py
+++ b/tests/simulation/test_leases_explored.py
@@ -215,5 +215,5 @@
 
 
 def test_an_impossible_history_is_an_error():
-    with pytest.raises(ValueError, match="cannot happen"):
+    with pytest.raises(ValueError, match="is not possible in this state"):
         replay(Leases(2), ["deliver answer 0 0 1 1 0 1"])
