--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -25,15 +25,15 @@
 if TYPE_CHECKING:
     from plumpick.simulation.network import Network
 
-SAME_INSTANT = 200_000  # maximum number of steps at one virtual instant
-UNIX_S = 1_700_000_000.0  # Unix time at which every simulated run starts, in seconds
+MAX_STEPS_PER_INSTANT = 200_000  # maximum number of steps at one virtual instant
+START_UNIX_S = 1_700_000_000.0  # Unix time at which every simulated run starts, in seconds
 
 
-class RunAway(Exception):
+class RunawayLoop(Exception):
     """Too many steps ran at one virtual instant: a callback or timer reschedules itself endlessly."""
 
 
-class OutOfSteps(Exception):
+class StepLimitExceeded(Exception):
     """The run took more steps than `Machine.max_steps`."""
 
 
@@ -57,10 +57,10 @@
         self._ready: deque[events.Handle] = deque()
         self._timers: list[tuple[float, int, events.TimerHandle]] = []
         self._serial = 0
-        self._same = 0
+        self._steps_at_instant = 0
         self._digest = hashlib.blake2b(digest_size=16)
 
-    def chance(self, name: str) -> random.Random:
+    def random_for(self, name: str) -> random.Random:
         """Returns a random number generator for the named part, seeded with the run's seed and the name."""
         return random.Random(f"{self.seed}/{name}")
 
@@ -74,21 +74,21 @@
         """Returns the hex digest of all steps and notes of the run until now."""
         return self._digest.hexdigest()
 
-    def push(self, when: float, handle: events.TimerHandle) -> None:
+    def push_timer(self, when: float, handle: events.TimerHandle) -> None:
         self._serial += 1
         heapq.heappush(self._timers, (when, self._serial, handle))
 
-    def soon(self, handle: events.Handle) -> None:
+    def push_ready(self, handle: events.Handle) -> None:
         self._ready.append(handle)
 
-    def at(self, when: float, call: Callable[..., Any], *arguments: Any) -> events.TimerHandle:
+    def schedule(self, when: float, call: Callable[..., Any], *arguments: Any) -> events.TimerHandle:
         """Schedules a call of the simulation itself, in the first process, at a time of the machine."""
         return self.processes[0].call_at(when, call, *arguments)
 
     def run(self, until: float) -> None:
         """Runs steps until the given virtual time in seconds, or until `stopped` is set.
 
-        Raises RunAway if too many steps run at one instant, OutOfSteps if `max_steps` is exceeded.
+        Raises RunawayLoop if too many steps run at one instant, StepLimitExceeded above `max_steps` steps.
         """
         ready, timers = self._ready, self._timers
         before = events._get_running_loop()
@@ -100,7 +100,7 @@
                     if not timers or timers[0][0] > until:
                         break
                     if timers[0][0] > self.now:
-                        self.now, self._same = timers[0][0], 0
+                        self.now, self._steps_at_instant = timers[0][0], 0
                 while timers and timers[0][0] <= self.now:
                     _, _, timer = heapq.heappop(timers)
                     if not timer._cancelled:
@@ -116,16 +116,18 @@
         process: Process = handle._loop  # type: ignore[attr-defined]
         if handle._cancelled or process.dead:
             return
-        if self.now < process.still_until:
-            process.waiting.append(handle)
+        if self.now < process.stalled_until:
+            process.deferred.append(handle)
             return
         self.steps += 1
-        self._same += 1
-        if self._same > SAME_INSTANT:
-            raise RunAway(f"{SAME_INSTANT} steps at {self.now:.6f} s, last step: {what_is(handle)}")
+        self._steps_at_instant += 1
+        if self._steps_at_instant > MAX_STEPS_PER_INSTANT:
+            raise RunawayLoop(
+                f"{MAX_STEPS_PER_INSTANT} steps at {self.now:.6f} s, last step: {step_name(handle)}"
+            )
         if self.steps > self.max_steps:
-            raise OutOfSteps(f"the run exceeded the limit of {self.max_steps} steps")
-        name = what_is(handle)
+            raise StepLimitExceeded(f"the run exceeded the limit of {self.max_steps} steps")
+        name = step_name(handle)
         self._digest.update(f"{self.now:.9f} {process.name} {name}\n".encode())
         if self.trace is not None:
             self.trace(self.steps, self.now, process.name, name)
@@ -138,7 +140,7 @@
             self.after_step()
 
 
-def what_is(handle: events.Handle) -> str:
+def step_name(handle: events.Handle) -> str:
     """Returns the qualified name of the function or coroutine that a step runs.
 
     The name contains no object address and no number, which would differ between runs.
@@ -155,12 +157,19 @@
 class Process(asyncio.AbstractEventLoop):
     """A simulated process: an event loop whose callbacks run from the machine's step queue."""
 
-    def __init__(self, machine: Machine, name: str, skew_ms: float = 0.0, descriptors: int = 1 << 20) -> None:
-        self.machine, self.name, self.skew_s, self.descriptors = machine, name, skew_ms / 1000, descriptors
+    def __init__(
+        self, machine: Machine, name: str, skew_ms: float = 0.0, max_descriptors: int = 1 << 20
+    ) -> None:
+        self.machine, self.name, self.skew_s, self.max_descriptors = (
+            machine,
+            name,
+            skew_ms / 1000,
+            max_descriptors,
+        )
         self.dead = False
-        self.still_until = 0.0
-        self.waiting: list[events.Handle] = []
-        self.in_use = 0  # number of open file descriptors
+        self.stalled_until = 0.0
+        self.deferred: list[events.Handle] = []
+        self.open_descriptors = 0
         self.signals: dict[int, Callable[[], Any]] = {}
         self.exit_code: int | None = None
         self.on_exit: Callable[[int], None] | None = None
@@ -187,7 +196,7 @@
     ) -> events.Handle:
         handle = events.Handle(callback, args, self, context)
         if not self.dead:
-            self.machine.soon(handle)
+            self.machine.push_ready(handle)
         return handle
 
     call_soon_threadsafe = call_soon
@@ -212,7 +221,7 @@
         if not self.dead:
             # Times are rounded to microseconds so that floating-point sums do not decide the order of timers,
             # and are never in the past.
-            self.machine.push(max(self.machine.now, round(when - self.skew_s, 6)), handle)
+            self.machine.push_timer(max(self.machine.now, round(when - self.skew_s, 6)), handle)
         return handle
 
     def _timer_handle_cancelled(self, handle: events.TimerHandle) -> None:
@@ -304,22 +313,22 @@
         return self.machine.network.datagram_endpoint(self, protocol_factory, local_addr)
 
     def add_reader(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:
-        fd.watch(self, callback, args)
+        fd.add_reader(self, callback, args)
 
     def remove_reader(self, fd: Any) -> bool:
-        return fd.unwatch()
+        return fd.remove_reader()
 
     # -- descriptors, signals, stalls and exit
 
-    def take(self, count: int = 1) -> bool:
+    def acquire_descriptors(self, count: int = 1) -> bool:
         """Allocates file descriptors; returns False, allocating none, if the limit would be exceeded."""
-        if self.in_use + count > self.descriptors:
+        if self.open_descriptors + count > self.max_descriptors:
             return False
-        self.in_use += count
+        self.open_descriptors += count
         return True
 
-    def give(self, count: int = 1) -> None:
-        self.in_use -= count
+    def release_descriptors(self, count: int = 1) -> None:
+        self.open_descriptors -= count
 
     def signal(self, number: int) -> None:
         """Delivers a signal: calls its handler, or ends the process if it has none."""
@@ -332,18 +341,18 @@
         else:
             self.kill(-number)
 
-    def stand_still(self, seconds: float) -> None:
+    def stall(self, seconds: float) -> None:
         """Stalls the process for the given seconds; steps that come due meanwhile run when it resumes."""
         self.machine.note(f"{self.name} stands still for {seconds:g} s")
-        self.still_until = max(self.still_until, round(self.machine.now + seconds, 6))
-        self.machine.at(self.still_until, self._go_on)
+        self.stalled_until = max(self.stalled_until, round(self.machine.now + seconds, 6))
+        self.machine.schedule(self.stalled_until, self._resume)
 
-    def _go_on(self) -> None:
-        if self.machine.now < self.still_until or self.dead:
+    def _resume(self) -> None:
+        if self.machine.now < self.stalled_until or self.dead:
             return
-        waiting, self.waiting = self.waiting, []
-        for handle in waiting:
-            self.machine.soon(handle)
+        deferred, self.deferred = self.deferred, []
+        for handle in deferred:
+            self.machine.push_ready(handle)
 
     def kill(self, code: int = -9) -> None:
         """Ends the process at once: none of its steps run any more, and the network closes its sockets."""
@@ -351,7 +360,7 @@
             return
         self.dead, self.exit_code = True, code
         self.machine.note(f"{self.name} ends with {code}")
-        self.waiting.clear()
+        self.deferred.clear()
         for task in self._tasks:
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         self.machine.network.process_died(self)
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -205,7 +205,7 @@
         if self.closed:
             return
         self.closed = self.closing = True
-        self.process.give()
+        self.process.release_descriptors()
         if not self.reset:
             if self.inbox and self.inbox[0] is not None:
                 self.network.break_off(self)
@@ -251,7 +251,7 @@
                 return
             self.peer.in_flight -= len(data)
             if self.peer.out and not self.peer.process.dead:
-                self.network.at(self.peer.process, self.network.soon(self.label), self.peer._pump)
+                self.network.schedule(self.peer.process, self.network.soon(self.label), self.peer._pump)
             self.protocol.data_received(data)
 
 
@@ -274,7 +274,7 @@
     def close(self) -> None:
         if self.network.listeners.get(self.address) is self:
             del self.network.listeners[self.address]
-            self.process.give()
+            self.process.release_descriptors()
             for end in self.queue:
                 self.network.break_off(end)
             self.queue.clear()
@@ -291,7 +291,7 @@
         If descriptors run out, accepting is retried after `RETRY_ACCEPT_S`.
         """
         while self.queue and self.is_serving():
-            if not self.process.take():
+            if not self.process.acquire_descriptors():
                 self.network.mark("descriptors ran out at a listener")
                 self.process.call_later(RETRY_ACCEPT_S, self.accept)
                 return
@@ -322,7 +322,7 @@
         self.address = (address[0], port)
         if self.address in self.network.plugs:
             raise OSError(errno.EADDRINUSE, "address already in use")
-        if not self.process.take():
+        if not self.process.acquire_descriptors():
             raise OSError(errno.EMFILE, "too many open files")
         self.network.plugs[self.address], self.open = self, True
 
@@ -344,12 +344,12 @@
         if self.open:
             self.open = False
             self.network.plugs.pop(self.address, None)
-            self.process.give()
+            self.process.release_descriptors()
 
-    def watch(self, process: Process, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def add_reader(self, process: Process, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         self.callback = callback, args
 
-    def unwatch(self) -> bool:
+    def remove_reader(self) -> bool:
         had, self.callback = self.callback is not None, None
         return had
 
@@ -373,7 +373,7 @@
     def __init__(self, plug: Plug, protocol: Any) -> None:
         super().__init__()
         self.plug, self.protocol, self._closing = plug, protocol, False
-        plug.watch(plug.process, self._read, ())
+        plug.add_reader(plug.process, self._read, ())
 
     def _read(self) -> None:
         data, sender = self.plug.recvfrom(65536)
@@ -404,7 +404,7 @@
     def __init__(self, machine: Machine, mark: Callable[[str], None] = lambda _name: None) -> None:
         self.machine, self.mark = machine, mark
         machine.network = self
-        self.rng = machine.chance("network")
+        self.rng = machine.random_for("network")
         self.weather = Weather()  # conditions between gateways, workers and discovery
         # Conditions of clients' connections, kept apart because their failures are not a gateway's fault.
         self.front_weather = Weather()
@@ -429,10 +429,10 @@
         """Returns the arrival time of a segment sent now, with a randomly drawn link delay."""
         return self.machine.now + self.rng.uniform(*self.over(label).delay_ms) / 1000
 
-    def at(self, process: Process, when: float, call: Callable[..., Any], *arguments: Any) -> None:
+    def schedule(self, process: Process, when: float, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a step of a process at a time of the machine, unless the process is dead."""
         if not process.dead:
-            self.machine.push(round(when, 6), asyncio.TimerHandle(when, call, arguments, process))
+            self.machine.push_timer(round(when, 6), asyncio.TimerHandle(when, call, arguments, process))
 
     # -- connections
 
@@ -446,7 +446,7 @@
         address = (str(host), port or self.new_port())
         if address in self.listeners:
             raise OSError(errno.EADDRINUSE, f"address already in use: {address}")
-        if not process.take():
+        if not process.acquire_descriptors():
             raise OSError(errno.EMFILE, "too many open files")
         listener = self.listeners[address] = Listener(self, process, factory, address, backlog)
         return listener
@@ -458,16 +458,16 @@
 
         Raises OSError if the connection is refused or no descriptor is left.
         """
-        if not process.take():
+        if not process.acquire_descriptors():
             self.mark("descriptors ran out at a connect")
             raise OSError(errno.EMFILE, "too many open files")
         up: asyncio.Future[End] = process.create_future()
-        self.at(process, self.soon(), self._syn, process, (str(host), port), up)
+        self.schedule(process, self.soon(), self._syn, process, (str(host), port), up)
         ours: End | None = None
         try:
             ours = await up
         except BaseException:
-            process.give()
+            process.release_descriptors()
             if up.done() and not up.cancelled() and up.exception() is None:
                 up.result().closed = True
                 self.break_off(up.result())
@@ -500,19 +500,19 @@
             least, middle, most = weather.late_up_ms
             is_in_time = self.rng.random() < 0.5
             late_s = self.rng.uniform(*((least, middle) if is_in_time else (middle, most))) / 1000
-            self.machine.at(self.machine.now + late_s, self._syn, process, address, up, 2 * wait_s)
+            self.machine.schedule(self.machine.now + late_s, self._syn, process, address, up, 2 * wait_s)
             return
         if label in self.mute or any(cut.stops(us, them) or cut.stops(them, us) for cut in self.cuts):
             self.mark("a knock was not heard")
-            self.machine.at(self.machine.now + wait_s, self._syn, process, address, up, 2 * wait_s)
+            self.machine.schedule(self.machine.now + wait_s, self._syn, process, address, up, 2 * wait_s)
             return
         if listener is None or listener.process.dead or label in self.refusing:
             self.mark("a connection was refused")
-            self.at(process, self.soon(), self._refused, up)
+            self.schedule(process, self.soon(), self._refused, up)
             return
         if len(listener.queue) >= listener.backlog:
             self.mark("a backlog was full")
-            self.machine.at(self.machine.now + wait_s, self._syn, process, address, up, 2 * wait_s)
+            self.machine.schedule(self.machine.now + wait_s, self._syn, process, address, up, 2 * wait_s)
             return
         if wait_s > SYN_S:
             self.mark("a connection came up late")
@@ -522,8 +522,8 @@
         ours.peer, theirs.peer = theirs, ours
         self.ends[ours.number], self.ends[theirs.number] = ours, theirs
         listener.queue.append(theirs)
-        self.at(listener.process, self.machine.now, listener.accept)
-        self.at(process, self.soon(), self._came_up, up, ours)
+        self.schedule(listener.process, self.machine.now, listener.accept)
+        self.schedule(process, self.soon(), self._came_up, up, ours)
 
     @staticmethod
     def _refused(up: asyncio.Future[End]) -> None:
@@ -557,7 +557,7 @@
             if part:
                 self._send(end, end.peer.arrive, part)
             self.break_off(end)
-            self.at(end.process, self.soon(), end.arrive_reset)
+            self.schedule(end.process, self.soon(), end.arrive_reset)
             return False
         self._send(end, end.peer.arrive, data)
         return True
@@ -574,7 +574,7 @@
         peer.last = when = round(max(when, peer.last), 6)
         if not peer.process.dead:
             peer.due.append(when)
-            self.at(peer.process, when, call, *arguments)
+            self.schedule(peer.process, when, call, *arguments)
 
     def break_off(self, end: End) -> None:
         """Sends a reset of the connection to the peer of `end`."""
@@ -630,4 +630,4 @@
             late = rng.uniform(0, weather.datagram_late_ms) / 1000 if weather.datagram_late_ms else 0.0
             other = self.plugs.get(address)
             if other is not None:
-                self.at(other.process, self.soon() + late, other.arrive, data, plug.address)
+                self.schedule(other.process, self.soon() + late, other.arrive, data, plug.address)
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -27,7 +27,14 @@
 from plumpick.rehearsal.surroundings import Surroundings
 from plumpick.simulation.duties import Watch
 from plumpick.simulation.faults import Case, Fault
-from plumpick.simulation.loop import UNIX_S, Machine, OutOfSteps, Process, RunAway, close_tasks
+from plumpick.simulation.loop import (
+    START_UNIX_S,
+    Machine,
+    StepLimitExceeded,
+    Process,
+    RunawayLoop,
+    close_tasks,
+)
 from plumpick.simulation.marks import Marks
 from plumpick.simulation.network import Cut, Network, Plug, Weather
 
@@ -44,7 +51,7 @@
         self._process = process
 
     def now(self) -> float:
-        return (UNIX_S + self._process.time()) * 1000
+        return (START_UNIX_S + self._process.time()) * 1000
 
 
 class SimulatedSystem(Platform):
@@ -79,7 +86,7 @@
         return self.process.time() * 1000
 
     def unix_ms(self) -> float:
-        return (UNIX_S + self.process.time()) * 1000
+        return (START_UNIX_S + self.process.time()) * 1000
 
     def takes_part(self, part: Any) -> None:
         if self.watch is not None:
@@ -304,7 +311,7 @@
         self.marks = Marks()
         self.network = Network(machine, self.marks.mark)
         self.process = Process(machine, "world")
-        around = Surroundings(self.process, case.seed, lambda: machine.now, UNIX_S)
+        around = Surroundings(self.process, case.seed, lambda: machine.now, START_UNIX_S)
         around.settle = lambda: None  # type: ignore[method-assign]
         around.reset = self._reset  # type: ignore[method-assign]
         supervise = type("Supervise", (SimulatedSupervisor,), {"machine": machine, "case": case})
@@ -390,7 +397,7 @@
             case "still":
                 process = self._gate(fault)
                 if process is not None:
-                    process.stand_still(fault.for_s)
+                    process.stall(fault.for_s)
                     if fault.for_s > 2.0:
                         self.marks.mark("a process stood still for longer than its clients wait")
             case "pieces":
@@ -428,9 +435,9 @@
             case "few-descriptors":
                 process = self._gate(fault)
                 if process is not None:
-                    all_of_them = self.fleet.scenario.fleet.sockets
-                    process.descriptors = process.in_use + one["left"]
-                    end = lambda: setattr(process, "descriptors", all_of_them)  # noqa: E731
+                    full_limit = self.fleet.scenario.fleet.sockets
+                    process.max_descriptors = process.open_descriptors + one["left"]
+                    end = lambda: setattr(process, "max_descriptors", full_limit)  # noqa: E731
             case "roster-silent":
                 self.marks.silent_roster = True
                 end = lambda: setattr(self.marks, "silent_roster", False)  # noqa: E731
@@ -483,7 +490,7 @@
                 self.machine.run(self.case.seconds + END_S)
                 if not self.machine.stopped:
                     self.failure = self.failure or f"run not finished after {self.machine.now:.0f} s"
-            except (RunAway, OutOfSteps) as problem:
+            except (RunawayLoop, StepLimitExceeded) as problem:
                 self.failure = str(problem)
             return self._result()
         finally:
--- a/tests/compatibility/fleets.py
+++ b/tests/compatibility/fleets.py
@@ -16,11 +16,11 @@
 @contextmanager
 def without_names():
     """Steps are told by their time and process alone."""
-    before, loop.what_is = loop.what_is, lambda _handle: ""
+    before, loop.step_name = loop.step_name, lambda _handle: ""
     try:
         yield
     finally:
-        loop.what_is = before
+        loop.step_name = before
 
 
 def digest_of(seed):
--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from plumpick.simulation.loop import Machine, Process, RunAway
+from plumpick.simulation.loop import Machine, Process, RunawayLoop
 from plumpick.simulation.network import Cut, Network
 
 HOST = "127.0.0.1"
@@ -107,7 +107,7 @@
         net.one.call_soon(again)
 
     net.one.call_soon(again)
-    with pytest.raises(RunAway, match="again"):
+    with pytest.raises(RunawayLoop, match="again"):
         net.machine.run(1.0)
     later = Net()
 
@@ -115,7 +115,7 @@
         later.one.call_later(0.0, at_once)
 
     later.one.call_soon(at_once)
-    with pytest.raises(RunAway):
+    with pytest.raises(RunawayLoop):
         later.machine.run(1.0)
 
 
@@ -192,7 +192,7 @@
 
     got, client, server = net.run(work)
     assert got < 100 and client == ["ConnectionResetError"] == server
-    assert not net.one.in_use and net.two.in_use == 1  # what listens
+    assert not net.one.open_descriptors and net.two.open_descriptors == 1  # the listener
 
 
 def test_a_cut_in_one_direction_holds_what_goes_there_until_it_heals():
@@ -231,12 +231,12 @@
                 net.network.mute.add("two")
             else:
                 net.network.mute.clear()
-                net.two.stand_still(5)
+                net.two.stall(5)
                 await loop.create_connection(Keeper, HOST, port)
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(1.0):
                     await loop.create_connection(Keeper, HOST, port)
-        return net.one.in_use
+        return net.one.open_descriptors
 
     assert net.run(work) == 2
     assert {"a connection was refused", "a knock was not heard", "a backlog was full"} <= set(net.marks)
@@ -247,16 +247,16 @@
 
     async def work():
         _, _, listener = await pair(net)
-        net.one.descriptors = net.one.in_use
+        net.one.max_descriptors = net.one.open_descriptors
         with pytest.raises(OSError, match="too many"):
             await asyncio.get_running_loop().create_connection(Keeper, HOST, listener.address[1])
-        net.one.descriptors = 100
-        net.two.descriptors = net.two.in_use
+        net.one.max_descriptors = 100
+        net.two.max_descriptors = net.two.open_descriptors
         _, client = await asyncio.get_running_loop().create_connection(Keeper, HOST, listener.address[1])
         client.transport.write(b"early")
         await asyncio.sleep(0.5)
         assert len(listener.queue) == 1  # it is up for the client, and waits
-        net.two.descriptors = 100
+        net.two.max_descriptors = 100
         await asyncio.sleep(1.5)
         return len(listener.queue)
 
@@ -292,7 +292,7 @@
     async def work():
         client, server, _ = await pair(net)
         net.two.call_later(0.5, lambda: ran.append(net.two.time()))
-        net.two.stand_still(3.0)
+        net.two.stall(3.0)
         client.transport.write(b"meanwhile")
         await asyncio.sleep(2)
         assert not server.got and not ran and not server.transport.is_quiet()
