--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -30,13 +30,13 @@
 from plumpick.simulation.loop import (
     START_UNIX_S,
     Machine,
-    StepLimitExceeded,
     Process,
     RunawayLoop,
+    StepLimitExceeded,
     close_tasks,
 )
 from plumpick.simulation.marks import Marks
-from plumpick.simulation.network import Cut, Network, Plug, Weather
+from plumpick.simulation.network import Cut, LinkConditions, Network, VirtualDatagramSocket
 
 START_S = (0.2, 0.7)  # range of the time that a gateway process takes to start
 STAY_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
@@ -64,14 +64,14 @@
         return SimulatedClock(self.process)
 
     def create_datagram_socket(self) -> Any:
-        return Plug(self.process.machine.network, self.process)
+        return VirtualDatagramSocket(self.process.machine.network, self.process)
 
     def create_listener(self, address: tuple[str, int], backlog: int) -> None:
         """Opens no socket in advance: the virtual network opens the listener when the server is created."""
 
     @staticmethod
     def has_no_unread_input(transport: Any) -> bool:
-        return bool(transport.is_quiet())
+        return bool(transport.has_no_unread_input())
 
     @staticmethod
     def was_reset(transport: Any) -> bool:
@@ -80,7 +80,7 @@
 
     @staticmethod
     def has_peer_closed(transport: Any) -> bool:
-        return bool(transport.has_ended())
+        return bool(transport.has_peer_closed())
 
     def boottime(self) -> float:
         return self.process.time() * 1000
@@ -98,7 +98,7 @@
 
     def guard(self, address: Any) -> Any:
         """Returns an unbound socket: the simulation never runs two processes of one gateway number."""
-        return Plug(self.process.machine.network, self.process)
+        return VirtualDatagramSocket(self.process.machine.network, self.process)
 
     def freeze_startup_objects(self) -> None:
         """Does nothing: garbage collection does not affect the simulated run."""
@@ -342,7 +342,7 @@
             self.record(record)
 
     def _reset(self, transport: Any) -> None:
-        self.network.break_off(transport)
+        self.network.send_reset(transport)
         transport.abort()
 
     def _label_of(self, port: int) -> str:
@@ -392,7 +392,7 @@
         end: Callable[[], None] = lambda: None  # noqa: E731
         gate = f"n{one.get('gate', 0)}"
         server = f"lic-{one.get('server', 0) + 1:03d}"
-        weather = network.weather
+        conditions = network.conditions
         match fault.kind:
             case "still":
                 process = self._gate(fault)
@@ -401,23 +401,26 @@
                     if fault.for_s > 2.0:
                         self.marks.mark("a process stood still for longer than its clients wait")
             case "pieces":
-                network.weather = replace(weather, cut_share=one["share"])
-                network.front_weather = Weather(cut_share=one["share"])
+                network.conditions = replace(conditions, split_probability=one["share"])
+                network.client_conditions = LinkConditions(split_probability=one["share"])
                 end = self._fair
             case "loss":
-                network.weather, end = replace(weather, loss=one["share"]), self._fair
+                network.conditions, end = replace(conditions, loss_probability=one["share"]), self._fair
             case "resets":
-                network.weather, end = replace(weather, reset=one["share"]), self._fair
+                network.conditions, end = replace(conditions, reset_probability=one["share"]), self._fair
             case "late-connections":
-                network.weather, end = replace(weather, late_up=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, late_connect_probability=one["share"]),
+                    self._fair,
+                )
             case "slow-link":
-                network.weather, end = replace(weather, delay_ms=(one["ms"] / 4, one["ms"])), self._fair
+                network.conditions, end = replace(conditions, delay_ms=(one["ms"] / 4, one["ms"])), self._fair
             case "datagrams":
-                network.weather = replace(
-                    weather,
-                    datagram_loss=one["loss"],
-                    datagram_twice=one["twice"],
-                    datagram_late_ms=one["late_ms"],
+                network.conditions = replace(
+                    conditions,
+                    datagram_loss_probability=one["loss"],
+                    datagram_duplicate_probability=one["twice"],
+                    max_datagram_delay_ms=one["late_ms"],
                 )
                 end = self._fair
             case "cut-to-server" | "cut-from-server" | "cut-roster":
@@ -451,7 +454,7 @@
 
         The end of one fault also ends others that still last, so that none outlasts the run.
         """
-        self.network.weather, self.network.front_weather = Weather(), Weather()
+        self.network.conditions, self.network.client_conditions = LinkConditions(), LinkConditions()
 
     # -- the run
 
--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -60,8 +60,8 @@
     class Leaky(World):
         def __init__(self, case, **more):
             super().__init__(case, **more)
-            right = self.network.soon
-            self.network.soon = lambda label="n": (
+            right = self.network.arrival_time
+            self.network.arrival_time = lambda label="n": (
                 right(label) + (chance.random() / 1000 if self.machine.now > 1.5 else 0)
             )
 
--- a/tests/simulation/test_machine.py
+++ b/tests/simulation/test_machine.py
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_bytes_come_whole_and_in_order_whatever_the_weather(seed):
     net = Net(seed)
-    net.network.weather = replace(net.network.weather, cut_share=1.0, loss=0.3)
+    net.network.conditions = replace(net.network.conditions, split_probability=1.0, loss_probability=0.3)
     sent = bytes(range(256)) * 2000
 
     async def work():
@@ -185,7 +185,7 @@
 
     async def work():
         client, server, _ = await pair(net)
-        net.network.weather = replace(net.network.weather, reset=1.0)
+        net.network.conditions = replace(net.network.conditions, reset_probability=1.0)
         client.transport.write(b"0123456789" * 10)
         await asyncio.sleep(1)
         return len(server.got), client.lost, server.lost
@@ -295,7 +295,7 @@
         net.two.stall(3.0)
         client.transport.write(b"meanwhile")
         await asyncio.sleep(2)
-        assert not server.got and not ran and not server.transport.is_quiet()
+        assert not server.got and not ran and not server.transport.has_no_unread_input()
         await asyncio.sleep(2)
         return server.got
 
@@ -325,8 +325,11 @@
     async def work():
         ear, _ = await net.two.create_datagram_endpoint(Ear, (HOST, 0))
         mouth, _ = await net.one.create_datagram_endpoint(asyncio.DatagramProtocol, (HOST, 0))
-        net.network.weather = replace(
-            net.network.weather, datagram_loss=0.3, datagram_twice=0.3, datagram_late_ms=50.0
+        net.network.conditions = replace(
+            net.network.conditions,
+            datagram_loss_probability=0.3,
+            datagram_duplicate_probability=0.3,
+            max_datagram_delay_ms=50.0,
         )
         for number in range(200):
             mouth.sendto(b"%d" % number, ear.get_extra_info("sockname"))
