--- a/plumpick/simulation/commands.py
+++ b/plumpick/simulation/commands.py
@@ -18,17 +18,17 @@
 
 from plumpick.cli import EXIT_BROKEN, EXIT_HELD, EXIT_USAGE
 from plumpick.rehearsal.records import Record, line_of
-from plumpick.simulation.compare import difference
-from plumpick.simulation.faults import Case, CaseError, case_from, case_of
-from plumpick.simulation.marks import MARKS
+from plumpick.simulation.compare import find_difference
+from plumpick.simulation.faults import Case, CaseError, case_of, parse_case
+from plumpick.simulation.marks import COVERAGE_POINTS
 from plumpick.simulation.shrink import Shrinker
 from plumpick.simulation.world import Result, World, play
 
-ALL_MARKS_FROM = 300  # number of seeds from which a run fails if a coverage point was never reached
-LINE_S = 5.0  # time between progress messages, in seconds
+MIN_SEEDS_FOR_FULL_COVERAGE = 300  # number of seeds from which an unreached coverage point fails the run
+PROGRESS_INTERVAL_S = 5.0  # time between progress messages, in seconds
 
 
-def _say(text: str) -> None:
+def _log_to_stderr(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
@@ -41,12 +41,12 @@
     return seeds
 
 
-def one_seed(seed: int, seconds: float, duties: int = 0, budgets: int = 0) -> Result:
+def play_seed(seed: int, seconds: float, duties: int = 0, budgets: int = 0) -> Result:
     """Plays the case generated from a seed, with the given numbers of scheduled tasks and fleet budgets."""
     return play(replace(case_of(seed, seconds), duties=duties, budgets=budgets))
 
 
-def failure_line(result: Result) -> str:
+def describe_failure(result: Result) -> str:
     """Returns one line that describes a failed run: seed, broken rule, step, virtual time and digest."""
     return (
         f"seed {result.seed}: {result.rule} at step {result.step} ({result.t_ms / 1000:.3f} s): "
@@ -54,7 +54,7 @@
     )
 
 
-def story(case: Case, result: Result) -> str:
+def describe_run(case: Case, result: Result) -> str:
     """Returns a readable report of a case and the result of its run."""
     lines = [
         f"seed {case.seed}: {case.gatekeepers} gatekeepers, {case.servers} servers, {case.seconds:g} s, "
@@ -62,7 +62,7 @@
     ]
     lines += [f"  {fault}" for fault in case.faults] or ["  no faults"]
     lines.append(
-        failure_line(result)
+        describe_failure(result)
         if result.failed
         else f"all rules held: {result.requests} requests, {result.steps} steps, service "
         f"{result.service:.3f} [{result.digest}]"
@@ -82,24 +82,24 @@
     """Runs `plumpick simulate` with the parsed arguments and returns its exit code."""
     try:
         if given.replay:
-            return _one(case_from(Path(given.replay).read_text(encoding="utf-8")), given)
+            return _run_one(parse_case(Path(given.replay).read_text(encoding="utf-8")), given)
         if given.seed is not None:
-            return _one(
+            return _run_one(
                 replace(case_of(given.seed, given.seconds), duties=given.duties, budgets=given.budgets), given
             )
         seeds = seeds_of(given.seeds)
     except (OSError, UnicodeDecodeError, ValueError) as problem:
         reason = problem if isinstance(problem, CaseError | ValueError) else f"{problem.strerror}"
-        _say(f"plumpick: {given.replay or given.seeds}: {reason}")
+        _log_to_stderr(f"plumpick: {given.replay or given.seeds}: {reason}")
         return EXIT_USAGE
-    return _many(seeds, given)
+    return _run_many(seeds, given)
 
 
-def _one(case: Case, given: argparse.Namespace) -> int:
+def _run_one(case: Case, given: argparse.Namespace) -> int:
     if given.twice:
-        parted = difference(case)
-        print(parted or "both runs are identical, step for step")
-        return EXIT_BROKEN if parted else EXIT_HELD
+        difference = find_difference(case)
+        print(difference or "both runs are identical, step for step")
+        return EXIT_BROKEN if difference else EXIT_HELD
     lines: list[str] = []
 
     def record(one: Record) -> None:
@@ -110,11 +110,13 @@
         Path(given.history).write_text("".join(line + "\n" for line in lines), encoding="utf-8")
     if result.failed and given.shrink:
 
-        def told(news: Case, came: Result) -> None:
-            _say(f"  {len(news.faults)} faults, load {news.load:g}: {failure_line(came)}")
+        def on_smaller(smaller: Case, outcome: Result) -> None:
+            _log_to_stderr(
+                f"  {len(smaller.faults)} faults, load {smaller.load:g}: {describe_failure(outcome)}"
+            )
 
-        case, result = Shrinker(play, told).shrink(case, result)
-    print(story(case, result))
+        case, result = Shrinker(play, on_smaller).shrink(case, result)
+    print(describe_run(case, result))
     if given.out:
         folder = Path(given.out)
         folder.mkdir(parents=True, exist_ok=True)
@@ -122,7 +124,7 @@
     return EXIT_BROKEN if result.failed else EXIT_HELD
 
 
-def _many(seeds: range, given: argparse.Namespace) -> int:  # noqa: C901  (to be split by concern)
+def _run_many(seeds: range, given: argparse.Namespace) -> int:  # noqa: C901  (to be split by concern)
     began = time.monotonic()
     marks: Counter[str] = Counter()
     done = requests = steps = owners = effects = turned_back = 0
@@ -130,7 +132,7 @@
     digests: dict[int, str] = {}
     failed: list[Result] = []
     stop_at = began + given.minutes * 60 if given.minutes else float("inf")
-    next_line, left = began + LINE_S, iter(seeds)
+    next_progress, left = began + PROGRESS_INTERVAL_S, iter(seeds)
     context = multiprocessing.get_context("spawn")
     # Worker processes are replaced after 200 seeds to bound memory left over from earlier runs.
     with ProcessPoolExecutor(given.jobs, mp_context=context, max_tasks_per_child=200) as pool:
@@ -140,10 +142,10 @@
                 seed = next(left, None)
                 if seed is None:
                     break
-                running.add(pool.submit(one_seed, seed, given.seconds, given.duties, given.budgets))
+                running.add(pool.submit(play_seed, seed, given.seconds, given.duties, given.budgets))
             if not running:
                 break
-            ended, running = wait(running, timeout=LINE_S, return_when=FIRST_COMPLETED)
+            ended, running = wait(running, timeout=PROGRESS_INTERVAL_S, return_when=FIRST_COMPLETED)
             for future in ended:
                 result = future.result()
                 done, requests, steps = done + 1, requests + result.requests, steps + result.steps
@@ -153,33 +155,33 @@
                 marks.update(result.marks.keys())
                 if result.failed:
                     failed.append(result)
-                    print(failure_line(result), flush=True)
-            if time.monotonic() >= next_line:
-                next_line = time.monotonic() + LINE_S
+                    print(describe_failure(result), flush=True)
+            if time.monotonic() >= next_progress:
+                next_progress = time.monotonic() + PROGRESS_INTERVAL_S
                 rate = done / (time.monotonic() - began)
-                _say(f"{done} of {len(seeds)} seeds, {rate:.1f} seeds/s, {len(failed)} failed")
-    took = time.monotonic() - began
+                _log_to_stderr(f"{done} of {len(seeds)} seeds, {rate:.1f} seeds/s, {len(failed)} failed")
+    elapsed_s = time.monotonic() - began
     print(
-        f"{done} seeds, {requests} requests, {steps} steps in {took:.0f} s ({done / took:.2f} seeds/s "
-        f"with {given.jobs} jobs); {len(failed)} failed"
+        f"{done} seeds, {requests} requests, {steps} steps in {elapsed_s:.0f} s "
+        f"({done / elapsed_s:.2f} seeds/s with {given.jobs} jobs); {len(failed)} failed"
     )
     if given.duties:
         print(f"scheduled tasks: {owners} leases acquired, {effects} effects received")
     if given.budgets:
         print(f"budgets: {spent:.0f} units spent, {turned_back} requests rejected")
     print("coverage points, with the number of seeds that reached each:")
-    for name in MARKS:
+    for name in COVERAGE_POINTS:
         print(f"  {marks[name]:6d}  {name}")
     if given.out:
-        _write(Path(given.out), digests, marks, failed, given)
-    missed = [name for name in MARKS if not marks[name]]
-    if missed and done >= ALL_MARKS_FROM:
+        _write_summary(Path(given.out), digests, marks, failed, given)
+    missed = [name for name in COVERAGE_POINTS if not marks[name]]
+    if missed and done >= MIN_SEEDS_FOR_FULL_COVERAGE:
         print(f"coverage points not reached by any seed: {'; '.join(missed)}")
         return EXIT_BROKEN
     return EXIT_BROKEN if failed else EXIT_HELD
 
 
-def _write(
+def _write_summary(
     folder: Path,
     digests: dict[int, str],
     marks: Counter[str],
@@ -189,7 +191,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     summary: dict[str, Any] = {
         "digests": {str(seed): digests[seed] for seed in sorted(digests)},
-        "marks": {name: marks[name] for name in MARKS},
+        "marks": {name: marks[name] for name in COVERAGE_POINTS},
         "failed": [asdict(result) for result in failed],
     }
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n", encoding="utf-8")
--- a/plumpick/simulation/compare.py
+++ b/plumpick/simulation/compare.py
@@ -10,8 +10,8 @@
 from plumpick.simulation.faults import Case
 from plumpick.simulation.world import Result, World
 
-AROUND = 8  # number of steps shown before the first difference
-MAKE = Callable[..., World]
+CONTEXT_STEPS = 8  # number of steps shown before the first difference
+WorldFactory = Callable[..., World]
 
 
 @dataclass
@@ -28,17 +28,17 @@
         return "\n".join([*lines, f"  1 {self.first}", f"  2 {self.second}"])
 
 
-def steps_of(case: Case, make: MAKE = World) -> tuple[Result, list[str]]:
+def trace_run(case: Case, make: WorldFactory = World) -> tuple[Result, list[str]]:
     """Plays a case; returns its result and one line for each step."""
     lines: list[str] = []
     world = make(case, trace=lambda step, t, who, what: lines.append(f"{step} {t:.9f} {who} {what}"))
     return world.play(), lines
 
 
-def difference(case: Case, make: MAKE = World) -> Difference | None:
+def find_difference(case: Case, make: WorldFactory = World) -> Difference | None:
     """Returns the first step at which two runs of the case differ, or None if the runs are identical."""
-    (_, one), (_, two) = steps_of(case, make), steps_of(case, make)
-    before: deque[str] = deque(maxlen=AROUND)
+    (_, one), (_, two) = trace_run(case, make), trace_run(case, make)
+    before: deque[str] = deque(maxlen=CONTEXT_STEPS)
     for number, (first, second) in enumerate(itertools.zip_longest(one, two, fillvalue="(run ended)")):
         if first != second:
             return Difference(number, list(before), first, second)
--- a/plumpick/simulation/duties.py
+++ b/plumpick/simulation/duties.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.tier import judge
 from plumpick.simulation.loop import Process
 
-OWNERS, FENCED, WHOLE = "one-owner", "fencing", "whole"
+ONE_OWNER, FENCING, WHOLE_BUDGET = "one-owner", "fencing", "whole"
 TERM_S, PERIOD_S, SHARE_S = 3.0, 1.0, 1.5
 
 
@@ -27,7 +27,7 @@
 ]
 
 
-class Whole:
+class BudgetBucket:
     """Token bucket that checks the total spending of all processes against one fleet budget.
 
     The bucket starts full, holds `burst` units and refills at `rate_per_s` units per second.
@@ -37,23 +37,23 @@
         self._rate, self._burst, self._level, self._ms = rate_per_s, burst, burst, 0.0
         self.total = 0.0
 
-    def spent(self, now_ms: float, units: float) -> float:
+    def spend(self, now_ms: float, units: float) -> float:
         """Records spent units; returns the units by which the budget is exceeded at `now_ms`, or 0."""
         self._level = min(self._burst, self._level + (now_ms - self._ms) / 1000 * self._rate) - units
         self._ms, self.total = now_ms, self.total + units
         return max(0.0, -self._level - 1e-6)
 
 
-class Watch:
+class FleetChecker:
     """Checks the leases and budgets of all live processes of one simulated run."""
 
-    def __init__(self, around: Surroundings, number: int, gatekeepers: int, budgets: int = 0) -> None:
+    def __init__(self, around: Surroundings, task_count: int, gatekeepers: int, budgets: int = 0) -> None:
         self._budgets = BUDGETS[:budgets]
-        self.wholes = {one["name"]: Whole(one["whole"], one["burst"]) for one in self._budgets}
-        self.turned_back, self._over = 0, ""
+        self.buckets = {row["name"]: BudgetBucket(row["whole"], row["burst"]) for row in self._budgets}
+        self.rejected, self._excess = 0, ""
         self.receiver = Receiver(around.chance("receiver"), clock=around.now)
-        self._number, self._gatekeepers, self._now = number, gatekeepers, around.now
-        self._parts: list[tuple[Process, Any]] = []
+        self._task_count, self._gatekeepers, self._now = task_count, gatekeepers, around.now
+        self._runners: list[tuple[Process, Any]] = []  # live processes and their lease runners
         self.owners: set[int] = set()  # fencing tokens under which a lease was held
         self.settings: FleetSettings | None = None
 
@@ -73,10 +73,10 @@
                     "slots": 4,
                     "term_s": TERM_S,
                     "drift": 0.01,
-                    "duty": [{**row, "name": f"duty-{number}"} for number in range(self._number)]
+                    "duty": [{**row, "name": f"duty-{number}"} for number in range(self._task_count)]
                     + (
                         [{**row, "name": "use", "kind": "use", "period_s": 2 * PERIOD_S, "limit_s": 6.0}]
-                        if self._number
+                        if self._task_count
                         else []
                     ),
                     "budget": self._budgets,
@@ -86,29 +86,29 @@
             self._gatekeepers,
         ).fleet
 
-    def takes_part(self, process: Process, part: Any) -> None:
+    def add_lease_runner(self, process: Process, part: Any) -> None:
         """Adds the lease runner of a started process to the checks and drops those of dead processes."""
-        self._parts = [(one, its) for one, its in self._parts if not one.dead]
-        self._parts.append((process, part))
+        self._runners = [(other, its) for other, its in self._runners if not other.dead]
+        self._runners.append((process, part))
         spend = part.budgets.spend
 
-        def spent(wanted: list[tuple[str, float]]) -> bool:
-            met = bool(spend(wanted))
-            self.turned_back += not met
-            for name, units in wanted if met else ():
-                over = self.wholes[name].spent(self._now(), units)
-                if over:
-                    self._over = self._over or f"budget {name}: {over:.4f} units over burst + rate x W"
-            return met
+        def checked_spend(wanted: list[tuple[str, float]]) -> bool:
+            accepted = bool(spend(wanted))
+            self.rejected += not accepted
+            for name, units in wanted if accepted else ():
+                excess = self.buckets[name].spend(self._now(), units)
+                if excess:
+                    self._excess = self._excess or f"budget {name}: {excess:.4f} units over burst + rate x W"
+            return accepted
 
-        part.budgets.spend = spent
+        part.budgets.spend = checked_spend
 
-    def broken(self) -> Breach | None:
+    def find_breach(self) -> Breach | None:
         """Returns a breach if two processes hold a lease now or a budget has been exceeded, else None."""
-        if self._over:
-            return Breach(WHOLE, self._now(), "budgets", self._over, False)
+        if self._excess:
+            return Breach(WHOLE_BUDGET, self._now(), "budgets", self._excess, False)
         holders: dict[int, int] = {}
-        for process, part in self._parts:
+        for process, part in self._runners:
             participant = part.participant
             if process.dead or participant is None or participant.closed or not participant.holder.held:
                 continue
@@ -119,18 +119,18 @@
                 self.owners.add(held.token)
                 if lease in holders:
                     return Breach(
-                        OWNERS,
+                        ONE_OWNER,
                         self._now(),
                         f"lease {lease}",
-                        f"lease {lease} under {holders[lease]:x} and {held.token:x}",
+                        f"lease {lease} is held under the tokens {holders[lease]:x} and {held.token:x}",
                         False,
                     )
                 holders[lease] = held.token
         return None
 
-    def over(self) -> Breach | None:
+    def find_effect_breach(self) -> Breach | None:
         """Checks the effects that the receiver admitted, after the run: a breach of fencing, or None."""
         judged = judge([], self.receiver.records)
         for text in judged.out_of_order + judged.doubles:
-            return Breach(FENCED, self._now(), "effects", text, False)
+            return Breach(FENCING, self._now(), "effects", text, False)
         return None
--- a/plumpick/simulation/faults.py
+++ b/plumpick/simulation/faults.py
@@ -25,9 +25,9 @@
     "freeze",
 )
 # Kinds of faults that disturb timing. Rules that depend only on the clock are not checked during these faults
-# and for `AFTER_S` seconds after them.
-BENDS = ("still", "loss", "cut-to-server", "cut-from-server", "slow-link", "few-descriptors")
-AFTER_S = 3.0
+# and for `TIMING_RECOVERY_S` seconds after them.
+TIMING_FAULTS = ("still", "loss", "cut-to-server", "cut-from-server", "slow-link", "few-descriptors")
+TIMING_RECOVERY_S = 3.0  # time after a fault during which timing may still be disturbed
 
 
 class CaseError(ValueError):
@@ -65,23 +65,23 @@
     faults: tuple[Fault, ...] = ()
 
     def as_json(self) -> str:
-        """Returns the case as JSON text that `case_from` reads."""
+        """Returns the case as JSON text that `parse_case` reads."""
         return json.dumps(asdict(self), indent=1)
 
-    def bends(self, t_ms: float, kinds: tuple[str, ...] = BENDS, gate: str = "") -> bool:
-        """Returns whether a fault of these kinds is active at `t_ms`, or ended less than `AFTER_S` before.
+    def disturbs_timing(self, t_ms: float, kinds: tuple[str, ...] = TIMING_FAULTS, gate: str = "") -> bool:
+        """Returns whether a fault of these kinds is active at `t_ms` or ended within `TIMING_RECOVERY_S` s.
 
         With `gate`, only faults of the gateway with that name count.
         """
         return any(
             fault.kind in kinds
-            and fault.at_s * 1000 <= t_ms <= (fault.at_s + fault.for_s + AFTER_S) * 1000
+            and fault.at_s * 1000 <= t_ms <= (fault.at_s + fault.for_s + TIMING_RECOVERY_S) * 1000
             and (not gate or gate == f"n{fault.with_.get('gate')}")
             for fault in self.faults
         )
 
 
-def case_from(text: str) -> Case:
+def parse_case(text: str) -> Case:
     """Parses a case from JSON text. Raises CaseError if it is not valid JSON or not a case."""
     try:
         value = json.loads(text)
@@ -178,11 +178,12 @@
         {"count": r.choice((0, 1, 3)), "share": _round(r.choice((0.1, 0.5)))},
     ),
 }
-ON_SHARE, MOST_TIMES = 0.3, 3
+KIND_PROBABILITY = 0.3  # probability that a case contains faults of a given kind
+MAX_FAULTS_PER_KIND = 3
 
 
 def case_of(seed: int, seconds: float = SECONDS) -> Case:
-    """Generates the case of a seed: a random subset of the fault kinds, each one to `MOST_TIMES` times."""
+    """Generates the case of a seed: a random subset of fault kinds, with random parameters."""
     rng = random.Random(f"case {seed}")
     case = Case(
         seed,
@@ -198,9 +199,9 @@
     )
     faults = []
     for kind, draw in KINDS.items():
-        if rng.random() >= ON_SHARE:
+        if rng.random() >= KIND_PROBABILITY:
             continue
-        for _ in range(rng.randint(1, MOST_TIMES)):
+        for _ in range(rng.randint(1, MAX_FAULTS_PER_KIND)):
             for_s, with_ = draw(rng, case)
             faults.append(Fault(kind, _round(rng.uniform(2.0, seconds - 3.0)), for_s, with_))
     return replace(case, faults=tuple(sorted(faults, key=lambda fault: fault.at_s)))
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -28,9 +28,9 @@
     Wasted,
 )
 
-JUST_BEFORE_MS = 250.0  # maximum time between the loss of a peer message and the gateway's end
+MAX_LOSS_BEFORE_END_MS = 250.0  # maximum time between the loss of a peer message and the gateway's end
 
-FROM_NETWORK = (
+NETWORK_COVERAGE_POINTS = (
     "a knock was not heard",
     "a connection was refused",
     "a connection was reset in the middle of a message",
@@ -40,7 +40,7 @@
     "descriptors ran out at a connect",
     "descriptors ran out at a listener",
 )
-FROM_RECORDS = (
+RECORD_COVERAGE_POINTS = (
     "a retry came through a second gatekeeper while an earlier try was still at a server",
     "a server finished an earlier try after its retry had come to another gatekeeper",
     "an exchanged message was lost just before one of its two gatekeepers ended",
@@ -66,35 +66,35 @@
     "a safe request had two attempts out at once",
     "a process stood still for longer than its clients wait",
 )
-MARKS = FROM_NETWORK + FROM_RECORDS
+COVERAGE_POINTS = NETWORK_COVERAGE_POINTS + RECORD_COVERAGE_POINTS
 
 
 @dataclass
-class _Try:
+class _RequestState:
     asked: Asked
-    out: dict[int, str] = field(default_factory=dict)  # attempts in progress: attempt number -> worker
-    sent: int = 0  # number of attempts that reached a worker
-    turned: bool = False  # whether a worker rejected an attempt
-    over: bool = False  # whether the request was answered or its client left
+    attempts: dict[int, str] = field(default_factory=dict)  # attempts in progress: attempt number -> worker
+    attempts_sent: int = 0  # number of attempts that reached a worker
+    was_rejected: bool = False  # whether a worker rejected an attempt
+    is_finished: bool = False  # whether the request was answered or its client left
 
 
-class Marks:
-    """Counts the coverage points that a run reaches, from its records and from calls of `mark`."""
+class CoverageCounter:
+    """Counts the coverage points that a run reaches, from its records and from calls of `count_reached`."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
-        self.silent_roster = self.split = False
+        self.is_discovery_silent = self.is_partitioned = False
         self._kinds: dict[str, str] = {}
-        self._tries: dict[str, _Try] = {}
-        self._by_op: dict[int, str] = {}
-        self._of: dict[int, tuple[str, str]] = {}  # attempt -> request, worker
-        self._open: Counter[str] = Counter()  # number of unanswered requests by gateway
+        self._requests: dict[str, _RequestState] = {}
+        self._latest_by_operation: dict[int, str] = {}
+        self._attempts: dict[int, tuple[str, str]] = {}  # attempt -> request, worker
+        self._open_requests: Counter[str] = Counter()  # number of unanswered requests by gateway
         self._down: set[str] = set()
-        self._term: set[str] = set()
-        self._lost: deque[Passed] = deque()
+        self._terminating: set[str] = set()
+        self._lost_messages: deque[Passed] = deque()
         self._draining: dict[tuple[str, str], float] = {}
-        self._cold: set[str] = set()
-        self._later_try: dict[str, str] = {}  # request -> its retry through another gateway
+        self._warming: set[str] = set()
+        self._retries: dict[str, str] = {}  # request -> its retry through another gateway
         self._by_type = {
             Began: self._began,
             Asked: self._asked,
@@ -112,106 +112,106 @@
             Died: self._died,
         }
 
-    def mark(self, name: str) -> None:
+    def count_reached(self, name: str) -> None:
         """Counts a coverage point as reached once more."""
         self.counts[name] += 1
 
     def feed(self, record: Record) -> None:
         """Processes the next record of the run."""
-        take: Any = self._by_type.get(type(record))
-        if take is not None:
-            take(record)
+        handler: Any = self._by_type.get(type(record))
+        if handler is not None:
+            handler(record)
 
     def _began(self, record: Began) -> None:
         self._kinds = {kind["name"]: kind["repeats"] for kind in record.terms["classes"]}
 
     def _asked(self, record: Asked) -> None:
-        if record.id in self._tries:
+        if record.id in self._requests:
             return
-        before = self._tries.get(self._by_op.get(record.op, ""))
+        before = self._requests.get(self._latest_by_operation.get(record.op, ""))
         if before is not None and before.asked.gate != record.gate:
-            if before.out:
-                self.mark(FROM_RECORDS[0])
-            self._later_try[before.asked.id] = record.id
-        self._tries[record.id] = _Try(record)
-        self._by_op[record.op] = record.id
-        self._open[record.gate] += 1
+            if before.attempts:
+                self.count_reached(RECORD_COVERAGE_POINTS[0])
+            self._retries[before.asked.id] = record.id
+        self._requests[record.id] = _RequestState(record)
+        self._latest_by_operation[record.op] = record.id
+        self._open_requests[record.gate] += 1
 
-    def _end(self, request_id: str) -> _Try | None:
-        one = self._tries.get(request_id)
-        if one is None or one.over:
+    def _finish_request(self, request_id: str) -> _RequestState | None:
+        one = self._requests.get(request_id)
+        if one is None or one.is_finished:
             return None
-        one.over = True
-        self._open[one.asked.gate] -= 1
+        one.is_finished = True
+        self._open_requests[one.asked.gate] -= 1
         return one
 
     def _answered(self, record: Answered) -> None:
-        one = self._end(record.id)
+        one = self._finish_request(record.id)
         if one is None:
             return
         unsafe = self._kinds[one.asked.kind] == "unsafe"
-        if unsafe and one.sent and record.status >= 500 and record.status != 503:
-            self.mark("a debit that may have run was failed")
+        if unsafe and one.attempts_sent and record.status >= 500 and record.status != 503:
+            self.count_reached("a debit that may have run was failed")
         if record.status in (429, 503) and record.retry_ms:
-            self.mark("a request was refused with a time to come back")
+            self.count_reached("a request was refused with a time to come back")
 
     def _left(self, record: Left) -> None:
-        one = self._end(record.id)
-        if one is not None and one.out:
-            self.mark("a client left while its request was at a server")
+        one = self._finish_request(record.id)
+        if one is not None and one.attempts:
+            self.count_reached("a client left while its request was at a server")
 
     def _took(self, record: Took) -> None:
-        one = self._tries.get(record.id)
+        one = self._requests.get(record.id)
         if one is None:
             return
-        if one.out and self._kinds[record.kind] == "safe":
-            self.mark("a safe request had two attempts out at once")
-        if one.sent and self._kinds[record.kind] == "keyed":
-            self.mark("a keyed request was sent a second time")
-        if one.turned:
-            self.mark("a request was sent again after a server had turned it away")
+        if one.attempts and self._kinds[record.kind] == "safe":
+            self.count_reached("a safe request had two attempts out at once")
+        if one.attempts_sent and self._kinds[record.kind] == "keyed":
+            self.count_reached("a keyed request was sent a second time")
+        if one.was_rejected:
+            self.count_reached("a request was sent again after a server had turned it away")
         if (one.asked.gate, record.server) in self._draining:
-            self.mark("an attempt came to a server after word of its drain, within the grace")
-        if record.server in self._cold:
-            self.mark("a cold server was sent an attempt")
-        one.out[record.n] = record.server
-        one.sent += 1
-        self._of[record.n] = record.id, record.server
+            self.count_reached("an attempt came to a server after word of its drain, within the grace")
+        if record.server in self._warming:
+            self.count_reached("a cold server was sent an attempt")
+        one.attempts[record.n] = record.server
+        one.attempts_sent += 1
+        self._attempts[record.n] = record.id, record.server
 
-    def _gone(self, n: int) -> _Try | None:
-        request_id, _ = self._of.pop(n, ("", ""))
-        one = self._tries.get(request_id)
+    def _remove_attempt(self, n: int) -> _RequestState | None:
+        request_id, _ = self._attempts.pop(n, ("", ""))
+        one = self._requests.get(request_id)
         if one is not None:
-            one.out.pop(n, None)
+            one.attempts.pop(n, None)
         return one
 
     def _turned(self, record: Turned) -> None:
-        one = self._gone(record.n)
+        one = self._remove_attempt(record.n)
         if one is not None:
-            one.turned = True
+            one.was_rejected = True
 
     def _replied(self, record: Replied) -> None:
-        one = self._gone(record.n)
+        one = self._remove_attempt(record.n)
         if record.spoilt:
-            self.mark("a spoilt answer was written")
+            self.count_reached("a spoilt answer was written")
         if one is None:
             return
-        if one.over:
-            self.mark("a server answered when the client had left")
+        if one.is_finished:
+            self.count_reached("a server answered when the client had left")
 
-    def _finished(self, n: int) -> None:
-        one = self._tries.get(self._of.get(n, ("", ""))[0])
-        if one is not None and one.asked.id in self._later_try:
-            self.mark(FROM_RECORDS[1])
+    def _on_attempt_finished(self, n: int) -> None:
+        one = self._requests.get(self._attempts.get(n, ("", ""))[0])
+        if one is not None and one.asked.id in self._retries:
+            self.count_reached(RECORD_COVERAGE_POINTS[1])
 
     def _ran(self, record: Ran) -> None:
-        self._finished(record.n)
+        self._on_attempt_finished(record.n)
         if record.repeat:
-            self.mark("a hall dropped a repeat of a key")
+            self.count_reached("a hall dropped a repeat of a key")
 
     def _wasted(self, record: Wasted) -> None:
-        self._finished(record.n)
-        self._gone(record.n)
+        self._on_attempt_finished(record.n)
+        self._remove_attempt(record.n)
 
     def _told(self, record: Told) -> None:
         if record.status != "draining":
@@ -219,50 +219,52 @@
             return
         self._draining[record.gate, record.server] = record.t
         if any(
-            record.server in one.out.values()
-            for one in self._tries.values()
-            if one.out and one.asked.gate == record.gate
+            record.server in one.attempts.values()
+            for one in self._requests.values()
+            if one.attempts and one.asked.gate == record.gate
         ):
-            self.mark("word of a drain came while an attempt was at that server")
+            self.count_reached("word of a drain came while an attempt was at that server")
 
     def _gate(self, record: Gate) -> None:  # noqa: C901  (to be split by concern)
         gate = record.gate
         if record.what in ("kill", "term"):
-            while self._lost and self._lost[0].t < record.t - JUST_BEFORE_MS:
-                self._lost.popleft()
-            if any(gate in (one.sender, one.receiver) for one in self._lost):
-                self.mark("an exchanged message was lost just before one of its two gatekeepers ended")
+            while self._lost_messages and self._lost_messages[0].t < record.t - MAX_LOSS_BEFORE_END_MS:
+                self._lost_messages.popleft()
+            if any(gate in (one.sender, one.receiver) for one in self._lost_messages):
+                self.count_reached(
+                    "an exchanged message was lost just before one of its two gatekeepers ended"
+                )
         if record.what == "kill":
-            if self._open[gate] > 0:
-                self.mark("a gatekeeper was killed while it owed answers")
-            if gate in self._term:
-                self.mark("a gatekeeper was killed after SIGTERM, before it had finished")
+            if self._open_requests[gate] > 0:
+                self.count_reached("a gatekeeper was killed while it owed answers")
+            if gate in self._terminating:
+                self.count_reached("a gatekeeper was killed after SIGTERM, before it had finished")
         elif record.what == "term":
-            self._term.add(gate)
-        elif record.what == "hup" and self.silent_roster:
-            self.mark("SIGHUP came while the roster was silent")
+            self._terminating.add(gate)
+        elif record.what == "hup" and self.is_discovery_silent:
+            self.count_reached("SIGHUP came while the roster was silent")
         elif record.what == "exited":
             self._down.add(gate)
-            self._term.discard(gate)
+            self._terminating.discard(gate)
             if len(self._down) > 1:
-                self.mark("two gatekeepers were down at a time")
-            if self.split:
-                self.mark("gatekeepers could not hear one another while one of them was down")
+                self.count_reached("two gatekeepers were down at a time")
+            if self.is_partitioned:
+                self.count_reached("gatekeepers could not hear one another while one of them was down")
         elif record.what == "ready":
-            if gate in self._down and self.silent_roster:
-                self.mark("a gatekeeper came back while the roster was silent")
+            if gate in self._down and self.is_discovery_silent:
+                self.count_reached("a gatekeeper came back while the roster was silent")
             self._down.discard(gate)
 
     def _passed(self, record: Passed) -> None:
         if record.fate != "delivered":
-            self._lost.append(record)
+            self._lost_messages.append(record)
 
     def _born(self, record: Born) -> None:
-        (self._cold.add if record.cold_from < 1 else self._cold.discard)(record.server)
+        (self._warming.add if record.cold_from < 1 else self._warming.discard)(record.server)
 
     def _died(self, record: Died) -> None:
-        hit = [n for n, (_, server) in self._of.items() if server == record.server]
-        if hit:
-            self.mark("a server died with an attempt in it")
-        for n in hit:
-            self._gone(n)
+        affected = [n for n, (_, server) in self._attempts.items() if server == record.server]
+        if affected:
+            self.count_reached("a server died with an attempt in it")
+        for n in affected:
+            self._remove_attempt(n)
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -300,7 +300,7 @@
         """
         while self.queue and self.is_serving():
             if not self.process.acquire_descriptors():
-                self.network.mark("descriptors ran out at a listener")
+                self.network.count_reached("descriptors ran out at a listener")
                 self.process.call_later(RETRY_ACCEPT_S, self.accept)
                 return
             end = self.queue.popleft()
@@ -408,11 +408,11 @@
 class Network:
     """All listeners, connections and datagram sockets of a machine, and the faults on links between them.
 
-    `mark` is called with the name of each coverage point that is reached.
+    `count_reached` is called with the name of each coverage point that is reached.
     """
 
-    def __init__(self, machine: Machine, mark: Callable[[str], None] = lambda _name: None) -> None:
-        self.machine, self.mark = machine, mark
+    def __init__(self, machine: Machine, count_reached: Callable[[str], None] = lambda _name: None) -> None:
+        self.machine, self.count_reached = machine, count_reached
         machine.network = self
         self.rng = machine.random_for("network")
         self.conditions = LinkConditions()  # conditions between gateways, workers and discovery
@@ -469,7 +469,7 @@
         Raises OSError if the connection is refused or no descriptor is left.
         """
         if not process.acquire_descriptors():
-            self.mark("descriptors ran out at a connect")
+            self.count_reached("descriptors ran out at a connect")
             raise OSError(errno.EMFILE, "too many open files")
         connected: asyncio.Future[ConnectionEnd] = process.create_future()
         self.schedule(process, self.arrival_time(), self._on_syn, process, (str(host), port), connected)
@@ -510,7 +510,7 @@
             and wait_s == SYN_RETRY_S
             and (self.rng.random() < conditions.late_connect_probability)
         ):
-            self.mark("a connection came up late")
+            self.count_reached("a connection came up late")
             least, middle, most = conditions.late_connect_ms
             is_in_time = self.rng.random() < 0.5
             late_s = self.rng.uniform(*((least, middle) if is_in_time else (middle, most))) / 1000
@@ -519,23 +519,23 @@
             )
             return
         if label in self.mute or any(cut.blocks(us, them) or cut.blocks(them, us) for cut in self.cuts):
-            self.mark("a knock was not heard")
+            self.count_reached("a knock was not heard")
             self.machine.schedule(
                 self.machine.now + wait_s, self._on_syn, process, address, connected, 2 * wait_s
             )
             return
         if listener is None or listener.process.dead or label in self.refusing:
-            self.mark("a connection was refused")
+            self.count_reached("a connection was refused")
             self.schedule(process, self.arrival_time(), self._on_refused, connected)
             return
         if len(listener.queue) >= listener.backlog:
-            self.mark("a backlog was full")
+            self.count_reached("a backlog was full")
             self.machine.schedule(
                 self.machine.now + wait_s, self._on_syn, process, address, connected, 2 * wait_s
             )
             return
         if wait_s > SYN_RETRY_S:
-            self.mark("a connection came up late")
+            self.count_reached("a connection came up late")
         self._number += 1
         local_end = ConnectionEnd(self, process, process.name, label, 2 * self._number)
         remote_end = ConnectionEnd(self, listener.process, label, label, 2 * self._number + 1)
@@ -572,7 +572,7 @@
         """
         conditions, rng = self.conditions_for(end.label), self.rng
         if data is not None and conditions.reset_probability and rng.random() < conditions.reset_probability:
-            self.mark("a connection was reset in the middle of a message")
+            self.count_reached("a connection was reset in the middle of a message")
             part = data[: rng.randrange(len(data))]
             if part:
                 self._put_in_flight(end, end.peer.arrive, part)
@@ -589,7 +589,7 @@
             return
         when, conditions = self.arrival_time(end.label), self.conditions_for(end.label)
         if conditions.loss_probability and self.rng.random() < conditions.loss_probability:
-            self.mark("a segment was lost and sent again")
+            self.count_reached("a segment was lost and sent again")
             when += self.rng.uniform(*conditions.retransmit_ms) / 1000
         peer.last_arrival = when = round(max(when, peer.last_arrival), 6)
         if not peer.process.dead:
@@ -640,14 +640,14 @@
         conditions, rng = self.conditions, self.rng
         self.machine.note(f"datagram {socket.address[1]} {address[1]} {len(data)} {zlib.crc32(data):08x}")
         if conditions.datagram_loss_probability and rng.random() < conditions.datagram_loss_probability:
-            self.mark("a datagram was lost on the way")
+            self.count_reached("a datagram was lost on the way")
             return
         times = 1
         if (
             conditions.datagram_duplicate_probability
             and rng.random() < conditions.datagram_duplicate_probability
         ):
-            self.mark("a datagram came twice")
+            self.count_reached("a datagram came twice")
             times = 2
         for _ in range(times):
             late = (
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -25,7 +25,7 @@
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import Surroundings
-from plumpick.simulation.duties import Watch
+from plumpick.simulation.duties import FleetChecker
 from plumpick.simulation.faults import Case, Fault
 from plumpick.simulation.loop import (
     START_UNIX_S,
@@ -35,13 +35,13 @@
     StepLimitExceeded,
     close_tasks,
 )
-from plumpick.simulation.marks import Marks
+from plumpick.simulation.marks import CoverageCounter
 from plumpick.simulation.network import Cut, LinkConditions, Network, VirtualDatagramSocket
 
 START_S = (0.2, 0.7)  # range of the time that a gateway process takes to start
-STAY_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
-END_S = 40.0  # time beyond the case's seconds after which an unfinished run counts as hung
-HANG = "did-not-end"
+LINGER_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
+END_MARGIN_S = 40.0  # time beyond the case's seconds after which an unfinished run counts as hung
+DID_NOT_END = "did-not-end"
 
 
 class SimulatedClock(Clock):
@@ -54,11 +54,13 @@
         return (START_UNIX_S + self._process.time()) * 1000
 
 
-class SimulatedSystem(Platform):
+class SimulatedPlatform(Platform):
     """The platform of a simulated gateway: clock, sockets and configuration of the virtual machine."""
 
-    def __init__(self, process: Process, reread: Callable[[], Config], watch: Watch | None = None) -> None:
-        self.process, self._reread, self.watch = process, reread, watch
+    def __init__(
+        self, process: Process, read_config: Callable[[], Config], checker: FleetChecker | None = None
+    ) -> None:
+        self.process, self._read_config, self.checker = process, read_config, checker
 
     def clock(self) -> Clock:
         return SimulatedClock(self.process)
@@ -89,8 +91,8 @@
         return (START_UNIX_S + self.process.time()) * 1000
 
     def takes_part(self, part: Any) -> None:
-        if self.watch is not None:
-            self.watch.takes_part(self.process, part)
+        if self.checker is not None:
+            self.checker.add_lease_runner(self.process, part)
 
     def life(self) -> int:
         machine = self.process.machine
@@ -104,10 +106,10 @@
         """Does nothing: garbage collection does not affect the simulated run."""
 
     def reload_config(self) -> Config:
-        return self._reread()
+        return self._read_config()
 
 
-class _Handle:
+class _ProcessHandle:
     """The supervisor's handle of a simulated process, with the interface of `asyncio.subprocess.Process`."""
 
     def __init__(self, process: Process, number: int, owner: Process) -> None:
@@ -140,7 +142,7 @@
 
     machine: Machine
     case: Case
-    watch: Watch | None = None  # None without scheduled tasks and budgets
+    checker: FleetChecker | None = None  # None without scheduled tasks and budgets
 
     @staticmethod
     def make_folder() -> Path:
@@ -172,8 +174,8 @@
         process.signals[signal.SIGHUP] = (
             lambda: None
         )  # ignored until the gateway installs its handler, as in main
-        system = SimulatedSystem(process, lambda: self.read(gate), self.watch)
-        fleet = self.watch.settings if self.watch is not None else None
+        system = SimulatedPlatform(process, lambda: self.read(gate), self.checker)
+        fleet = self.checker.settings if self.checker is not None else None
 
         async def run() -> None:
             await asyncio.sleep(self._rng.uniform(*START_S))
@@ -186,7 +188,7 @@
                 process.kill(0)
 
         process.call_soon(lambda: process.create_task(run()))
-        return _Handle(process, len(self.machine.processes), self.around.loop)  # type: ignore[arg-type]
+        return _ProcessHandle(process, len(self.machine.processes), self.around.loop)  # type: ignore[arg-type]
 
 
 @dataclass
@@ -257,7 +259,7 @@
             events.append(script.SilentWatches(at_s=at))
             events.append(
                 script.ReleaseServers(
-                    at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=STAY_S
+                    at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=LINGER_S
                 )
             )
         elif fault.kind == "unmeasured-resets":
@@ -308,27 +310,27 @@
         self.case = case
         self.machine = machine = Machine(case.seed)
         machine.trace = trace
-        self.marks = Marks()
-        self.network = Network(machine, self.marks.mark)
+        self.coverage = CoverageCounter()
+        self.network = Network(machine, self.coverage.count_reached)
         self.process = Process(machine, "world")
         around = Surroundings(self.process, case.seed, lambda: machine.now, START_UNIX_S)
         around.settle = lambda: None  # type: ignore[method-assign]
         around.reset = self._reset  # type: ignore[method-assign]
         supervise = type("Supervise", (SimulatedSupervisor,), {"machine": machine, "case": case})
         self.fleet = Fleet(around, scenario_of(case), f"seed-{case.seed}", supervise=supervise)
-        self.fleet.recorder.listeners.append(self.marks)
-        self.watch = (
-            Watch(around, case.duties, case.gatekeepers, case.budgets)
+        self.fleet.recorder.listeners.append(self.coverage)
+        self.checker = (
+            FleetChecker(around, case.duties, case.gatekeepers, case.budgets)
             if case.duties or case.budgets
             else None
         )
-        self.fleet.supervisor.watch = self.watch  # type: ignore[attr-defined]
+        self.fleet.supervisor.checker = self.checker  # type: ignore[attr-defined]
         self.requests = 0
         self.record = record
         self.fleet.recorder.listeners.append(self)
         self.network.label_of = self._label_of
         self._labels: dict[int, str] = {}
-        self._judged = 0
+        self._checked_breaches = 0
         self.broken: Breach | None = None
         self.excused = 0
         self.failure = ""
@@ -355,24 +357,31 @@
 
     def _after_step(self) -> None:
         """Checks all rules after a step; a breach that is not excused stops the machine."""
-        if self.watch is not None and self.broken is None:
-            self.broken = self.watch.broken()
+        if self.checker is not None and self.broken is None:
+            self.broken = self.checker.find_breach()
             self.machine.stopped = self.machine.stopped or self.broken is not None
         breaches = self.fleet.auditor.breaches
-        while self._judged < len(breaches):
-            breach = breaches[self._judged]
-            self._judged += 1
+        while self._checked_breaches < len(breaches):
+            breach = breaches[self._checked_breaches]
+            self._checked_breaches += 1
             asked = (breach.story or [None])[0]
-            t_ms, gate = breach.t - self.play_t, getattr(asked, "gate", "")
+            t_ms, gate = breach.t - self.play_start_ms, getattr(asked, "gate", "")
             # The gateway cannot know of a request that waits at a listener without a free descriptor, nor of
             # a drain that a partition hides from it.
-            unseen = bool(gate) and (
+            is_hidden = bool(gate) and (
                 breach.rule == LOST
-                and any(self.case.bends(t, ("few-descriptors",), gate) for t in (t_ms, asked.t - self.play_t))
+                and any(
+                    self.case.disturbs_timing(t, ("few-descriptors",), gate)
+                    for t in (t_ms, asked.t - self.play_start_ms)
+                )
                 or breach.rule == DRAINS
-                and self.case.bends(t_ms, ("cut-roster",), gate)
+                and self.case.disturbs_timing(t_ms, ("cut-roster",), gate)
             )
-            if (breach.timing or breach.rule in (COLD, CEILINGS)) and self.case.bends(t_ms) or unseen:
+            if (
+                (breach.timing or breach.rule in (COLD, CEILINGS))
+                and self.case.disturbs_timing(t_ms)
+                or is_hidden
+            ):
                 self.excused += 1
             elif self.broken is None:
                 self.broken = breach
@@ -380,7 +389,7 @@
 
     # -- faults that the rehearsal kit cannot inject
 
-    play_t = 0.0  # time at which the scenario started, in milliseconds
+    play_start_ms = 0.0  # time at which the scenario started, in milliseconds
 
     def _gate(self, fault: Fault) -> Process | None:
         gate: Any = self.fleet.supervisor.gates[fault.with_["gate"]]
@@ -399,22 +408,31 @@
                 if process is not None:
                     process.stall(fault.for_s)
                     if fault.for_s > 2.0:
-                        self.marks.mark("a process stood still for longer than its clients wait")
+                        self.coverage.count_reached("a process stood still for longer than its clients wait")
             case "pieces":
                 network.conditions = replace(conditions, split_probability=one["share"])
                 network.client_conditions = LinkConditions(split_probability=one["share"])
-                end = self._fair
+                end = self._reset_conditions
             case "loss":
-                network.conditions, end = replace(conditions, loss_probability=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, loss_probability=one["share"]),
+                    self._reset_conditions,
+                )
             case "resets":
-                network.conditions, end = replace(conditions, reset_probability=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, reset_probability=one["share"]),
+                    self._reset_conditions,
+                )
             case "late-connections":
                 network.conditions, end = (
                     replace(conditions, late_connect_probability=one["share"]),
-                    self._fair,
+                    self._reset_conditions,
                 )
             case "slow-link":
-                network.conditions, end = replace(conditions, delay_ms=(one["ms"] / 4, one["ms"])), self._fair
+                network.conditions, end = (
+                    replace(conditions, delay_ms=(one["ms"] / 4, one["ms"])),
+                    self._reset_conditions,
+                )
             case "datagrams":
                 network.conditions = replace(
                     conditions,
@@ -422,7 +440,7 @@
                     datagram_duplicate_probability=one["twice"],
                     max_datagram_delay_ms=one["late_ms"],
                 )
-                end = self._fair
+                end = self._reset_conditions
             case "cut-to-server" | "cut-from-server" | "cut-roster":
                 cut = Cut(gate, server) if fault.kind == "cut-to-server" else Cut(server, gate)
                 if fault.kind == "cut-roster":
@@ -442,14 +460,14 @@
                     process.max_descriptors = process.open_descriptors + one["left"]
                     end = lambda: setattr(process, "max_descriptors", full_limit)  # noqa: E731
             case "roster-silent":
-                self.marks.silent_roster = True
-                end = lambda: setattr(self.marks, "silent_roster", False)  # noqa: E731
+                self.coverage.is_discovery_silent = True
+                end = lambda: setattr(self.coverage, "is_discovery_silent", False)  # noqa: E731
             case "split":
-                self.marks.split = True
-                end = lambda: setattr(self.marks, "split", False)  # noqa: E731
+                self.coverage.is_partitioned = True
+                end = lambda: setattr(self.coverage, "is_partitioned", False)  # noqa: E731
         self.fleet.around.later(fault.for_s * 1000, end)
 
-    def _fair(self) -> None:
+    def _reset_conditions(self) -> None:
         """Restores faultless network conditions.
 
         The end of one fault also ends others that still last, so that none outlasts the run.
@@ -461,19 +479,19 @@
     async def _main(self) -> None:
         fleet = self.fleet
         try:
-            if self.watch is not None:
-                await self.watch.start()
+            if self.checker is not None:
+                await self.checker.start()
             await fleet.start()
-            self.play_t = fleet.around.now()
+            self.play_start_ms = fleet.around.now()
             for fault in self.case.faults:
                 fleet.around.later(fault.at_s * 1000, self._begin, fault)
             await fleet.play()
-            if self.watch is not None and self.broken is None:
-                self.broken = self.watch.over()
+            if self.checker is not None and self.broken is None:
+                self.broken = self.checker.find_effect_breach()
             for name, store in fleet.auditor.nearest().items():
                 plan = next(firm.plan.name for firm in fleet.front.firms if firm.name == name)
                 if store < 0.67 * fleet.quotas[plan]["ceiling_burst"]:
-                    self.marks.mark("a firm used a third of its ceiling's burst")
+                    self.coverage.count_reached("a firm used a third of its ceiling's burst")
         except StartFailed as problem:
             self.failure = f"start: {problem}"
         finally:
@@ -490,7 +508,7 @@
         try:
             self.process.call_soon(lambda: self.process.create_task(self._main()))
             try:
-                self.machine.run(self.case.seconds + END_S)
+                self.machine.run(self.case.seconds + END_MARGIN_S)
                 if not self.machine.stopped:
                     self.failure = self.failure or f"run not finished after {self.machine.now:.0f} s"
             except (RunawayLoop, StepLimitExceeded) as problem:
@@ -514,19 +532,19 @@
             round(machine.now, 3),
             self.requests,
             round(fleet.service.as_dict()["service"], 4),
-            dict(sorted(self.marks.counts.items())),
+            dict(sorted(self.coverage.counts.items())),
             problems=list(machine.problems),
             excused=self.excused,
         )
-        if self.watch is not None:
-            result.spent = sum(one.total for one in self.watch.wholes.values())
-            result.turned_back = self.watch.turned_back
-            result.owners, result.effects = len(self.watch.owners), len(self.watch.receiver.records)
+        if self.checker is not None:
+            result.spent = sum(bucket.total for bucket in self.checker.buckets.values())
+            result.turned_back = self.checker.rejected
+            result.owners, result.effects = len(self.checker.owners), len(self.checker.receiver.records)
         if self.broken is not None:
             result.rule, result.t_ms, result.text = self.broken.rule, self.broken.t, self.broken.text
             result.step, result.story = machine.steps, [line_of(record) for record in self.broken.story]
         elif self.failure:
-            result.rule, result.text, result.t_ms = HANG, self.failure, machine.now * 1000
+            result.rule, result.text, result.t_ms = DID_NOT_END, self.failure, machine.now * 1000
             result.step = machine.steps
         elif machine.problems:
             result.rule, result.text, result.step = "unhandled", machine.problems[0], machine.steps
--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -13,9 +13,9 @@
 from benchmarks.simulation.plants import PLANTS, planted
 from plumpick import cli
 from plumpick.simulation import commands
-from plumpick.simulation.compare import difference
-from plumpick.simulation.faults import BENDS, KINDS, Case, CaseError, Fault, case_from, case_of
-from plumpick.simulation.marks import FROM_RECORDS, MARKS
+from plumpick.simulation.compare import find_difference
+from plumpick.simulation.faults import KINDS, TIMING_FAULTS, Case, CaseError, Fault, case_of, parse_case
+from plumpick.simulation.marks import COVERAGE_POINTS, RECORD_COVERAGE_POINTS
 from plumpick.simulation.shrink import Shrinker
 from plumpick.simulation.world import World, play
 
@@ -54,7 +54,7 @@
 
 
 def test_two_histories_that_part_are_found_at_the_step():
-    assert difference(Case(1, seconds=2.0)) is None
+    assert find_difference(Case(1, seconds=2.0)) is None
     chance = random.Random(7)  # not the machine's: every run draws on
 
     class Leaky(World):
@@ -65,7 +65,7 @@
                 right(label) + (chance.random() / 1000 if self.machine.now > 1.5 else 0)
             )
 
-    parted = difference(Case(1, seconds=2.0), Leaky)
+    parted = find_difference(Case(1, seconds=2.0), Leaky)
     assert parted is not None and parted.step > 100 and parted.first != parted.second
     assert len(parted.before) == 8 and str(parted.step) in str(parted)
 
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("name", PLANTS)
 def test_a_planted_bug_is_found_and_the_program_as_it_is_holds(name):
-    saved = case_from(json.dumps(FOUND_BY[name]))
+    saved = parse_case(json.dumps(FOUND_BY[name]))
     assert not play(saved).failed
     with planted(name):
         for case in [
@@ -142,7 +142,7 @@
         ),
         Fault("kill", 5.0, 0.0, {"gate": 0, "back_s": 1.0}),
     )
-    reached(Case(2, seconds=14.0, impatient=0.8, load=0.3, faults=faults), *FROM_RECORDS[:2])
+    reached(Case(2, seconds=14.0, impatient=0.8, load=0.3, faults=faults), *RECORD_COVERAGE_POINTS[:2])
 
 
 def test_a_message_lost_just_before_a_restart_with_a_drain_and_a_silent_roster():
@@ -164,7 +164,7 @@
     )
     reached(
         Case(4, seconds=13.0, load=0.5, faults=faults),
-        FROM_RECORDS[2],
+        RECORD_COVERAGE_POINTS[2],
         "word of a drain came while an attempt was at that server",
         "a gatekeeper came back while the roster was silent",
     )
@@ -172,10 +172,10 @@
 
 def test_a_request_that_came_during_a_stall_is_not_lost_by_the_sweep_after_it():
     """Found by seed 5: connections were closed as idle, with a whole request unread on them."""
-    case = case_from((Path(__file__).parent / "corpus" / "stall.json").read_text())
+    case = parse_case((Path(__file__).parent / "corpus" / "stall.json").read_text())
     cases = [replace(case, seed=seed) for seed in range(case.seed, case.seed + 12)]
     assert not [one.seed for one in cases[:3] if play(one).failed]
-    dense = case_from(json.dumps(FOUND_BY["stands-still-and-closes"]))  # four stalls, much load
+    dense = parse_case(json.dumps(FOUND_BY["stands-still-and-closes"]))  # four stalls, much load
     cases += [replace(dense, seed=seed) for seed in range(1, 9)]
     with planted("stands-still-and-closes"):
         assert any(play(one).rule == "no-request-lost" for one in reversed(cases))
@@ -183,7 +183,7 @@
 
 def test_every_saved_case_holds():
     for path in sorted((Path(__file__).parent / "corpus").glob("*.json")):
-        result = play(case_from(path.read_text()))
+        result = play(parse_case(path.read_text()))
         assert not result.failed, f"{path.name}: {result.text}"
 
 
@@ -195,7 +195,7 @@
         cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "2", "--out", str(tmp_path)]) == 0
     )
     printed = capsys.readouterr().out
-    assert "4 seeds" in printed and "0 failed" in printed and MARKS[0] in printed
+    assert "4 seeds" in printed and "0 failed" in printed and COVERAGE_POINTS[0] in printed
     first = json.loads((tmp_path / "summary.json").read_text())["digests"]
     assert (
         cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "1", "--out", str(tmp_path)]) == 0
@@ -206,7 +206,9 @@
 def test_one_seed_writes_a_history_that_the_auditor_reads(tmp_path, capsys):
     """Of a seed that bends no time: what `simulate` excuses for that, a file of records cannot."""
     history = tmp_path / "history.jsonl"
-    seed = next(n for n in range(1, 100) if not any(fault.kind in BENDS for fault in case_of(n, 6.0).faults))
+    seed = next(
+        n for n in range(1, 100) if not any(fault.kind in TIMING_FAULTS for fault in case_of(n, 6.0).faults)
+    )
     assert (
         cli.main(
             [
@@ -249,12 +251,12 @@
 
 def test_what_is_no_case_is_named():
     with pytest.raises(CaseError, match="unknown fault kind 'rain'"):
-        case_from('{"seed":1,"faults":[{"kind":"rain","at_s":1,"for_s":1,"with_":{}}]}')
+        parse_case('{"seed":1,"faults":[{"kind":"rain","at_s":1,"for_s":1,"with_":{}}]}')
     for text in ("", "[]", '{"seed":1}', '{"faults":[],"colour":1}'):
         with pytest.raises(CaseError, match="invalid case"):
-            case_from(text)
+            parse_case(text)
     case = case_of(17)
-    assert case_from(case.as_json()) == case
+    assert parse_case(case.as_json()) == case
 
 
 def test_seeds_are_read():
