--- a/plumpick/simulation/exploration/commands.py
+++ b/plumpick/simulation/exploration/commands.py
@@ -6,7 +6,7 @@
 import json
 import sys
 
-from plumpick.simulation.exploration.leases import BEGINS, PLANTS, begin
+from plumpick.simulation.exploration.leases import INITIAL_HISTORIES, PLANTS, begin
 from plumpick.simulation.exploration.search import explore as search
 
 
@@ -18,10 +18,10 @@
     if given.plants:
         print("\n".join(PLANTS))
         return 0
-    if given.plant and given.plant not in PLANTS or given.begin not in BEGINS:
+    if given.plant and given.plant not in PLANTS or given.begin not in INITIAL_HISTORIES:
         print(
             f"plumpick explore: unknown --plant {given.plant!r} or --begin {given.begin!r}; expected for "
-            f"--plant: {', '.join(PLANTS)}; for --begin: {', '.join(BEGINS)}",
+            f"--plant: {', '.join(PLANTS)}; for --begin: {', '.join(INITIAL_HISTORIES)}",
             file=sys.stderr,
         )
         return 2
@@ -47,8 +47,8 @@
         "states": found.states,
         "depth": found.depth,
         "seconds": round(found.seconds, 1),
-        "broken": found.broken,
-        "history": [*BEGINS[given.begin], *found.history] if found.broken else [],
+        "broken": found.violation,
+        "history": [*INITIAL_HISTORIES[given.begin], *found.history] if found.violation else [],
     }
     if given.json:
         print(json.dumps(row))
@@ -59,4 +59,4 @@
         )
         for move in row["history"]:
             print(f"    {move}")
-    return 1 if found.broken else 0
+    return 1 if found.violation else 0
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -20,15 +20,16 @@
 from plumpick.policy.leases.codec import NO_HOLDER, LeaseVote, Message, MessageKind, Vote
 from plumpick.policy.leases.lease_holder import LeaseHolder, LeaseRequest
 from plumpick.policy.leases.terms import LeaseTerms, token_counter
-from plumpick.simulation.exploration.search import fork_of, name_of
+from plumpick.simulation.exploration.search import copy_with, message_name
 
-TERM_MS, DRIFT, PART = 1000.0, 0.01, 0.52  # PART is the fraction of a term by which "wait" advances time
+TERM_MS, DRIFT = 1000.0, 0.01
+WAIT_TERM_FRACTION = 0.52  # fraction of a term by which the move "wait" advances time
 LEASE, DUTY = 0, "duty"
 
 
 def _fork_holder(holder: LeaseHolder) -> LeaseHolder:
     requests = {id(request): _fork_request(request) for request in holder.pending.values()}
-    return fork_of(
+    return copy_with(
         holder,
         changes=[],
         to_send=[],
@@ -54,7 +55,7 @@
 
 
 def _fork_acceptor(acceptor: Acceptor) -> Acceptor:
-    return fork_of(
+    return copy_with(
         acceptor,
         grants={
             lease: Grant(one.token, one.serial, one.expires_ms) for lease, one in acceptor.grants.items()
@@ -111,36 +112,36 @@
         doubles: int = 1,
         effects: int = 2,
         gives: int = 1,
-        part: float = PART,
+        wait_fraction: float = WAIT_TERM_FRACTION,
         holder: type[LeaseHolder] = LeaseHolder,
         acceptor: type[Acceptor] = Acceptor,
         fence: type[Fence] = Fence,
     ) -> None:
-        self.make, self.part = (holder, acceptor), part
+        self.types, self.wait_fraction = (holder, acceptor), wait_fraction
         self.terms = LeaseTerms(tuple(range(acceptors)), 1, 0, TERM_MS, DRIFT)
         self.now = 0.0
-        self.left = {"restart": restarts, "double": doubles, "effect": effects, "give": gives}
+        self.remaining = {"restart": restarts, "double": doubles, "effect": effects, "give": gives}
         self.acceptors = [acceptor(self.terms, -10 * TERM_MS) for _ in range(acceptors)]
         self.holders = [holder(self.terms, number, number + 1, 0) for number in range(2)]
         self.acceptor_keys = [_acceptor_key(one) for one in self.acceptors]
         self.holder_keys = [_holder_key(one) for one in self.holders]
         self.incarnations = 2
         self.fence = fence()
-        self.on_the_way: list[tuple[Any, ...]] = []
-        self.taken = 0  # highest fencing token of an effect that the receiver admitted
-        self.gained: frozenset[int] = frozenset()
-        self.over: frozenset[int] = frozenset()  # fencing tokens whose lease has expired
-        self.wrong = ""
+        self.in_flight: list[tuple[Any, ...]] = []
+        self.highest_admitted = 0  # highest fencing token of an effect that the receiver admitted
+        self.issued_tokens: frozenset[int] = frozenset()
+        self.expired_tokens: frozenset[int] = frozenset()  # fencing tokens whose lease has expired
+        self._violation = ""
 
     def fork(self) -> Leases:
-        return fork_of(
+        return copy_with(
             self,
-            left=dict(self.left),
+            remaining=dict(self.remaining),
             acceptors=list(self.acceptors),
             holders=list(self.holders),
             acceptor_keys=list(self.acceptor_keys),
             holder_keys=list(self.holder_keys),
-            on_the_way=list(self.on_the_way),
+            in_flight=list(self.in_flight),
         )
 
     def _clock(self, contender: bool) -> float:
@@ -155,82 +156,82 @@
             elif self._clock(True) >= holder.next_due_ms():
                 yield f"tick {number}"
             if holder.held:
-                if self.left["give"]:
+                if self.remaining["give"]:
                     yield f"give {number}"
-                if self.left["effect"] and self._clock(True) < holder.usable_until_ms(LEASE):
+                if self.remaining["effect"] and self._clock(True) < holder.usable_until_ms(LEASE):
                     yield f"effect {number}"
-            if self.left["restart"]:
+            if self.remaining["restart"]:
                 yield f"restart contender {number}"
-        if self.left["restart"]:
+        if self.remaining["restart"]:
             for number in range(len(self.acceptors)):
                 yield f"restart voter {number}"
-        for place, message in enumerate(self.on_the_way):
-            if place and message == self.on_the_way[place - 1]:
+        for position, message in enumerate(self.in_flight):
+            if position and message == self.in_flight[position - 1]:
                 continue
-            yield f"deliver {name_of(message)}"
-            if self.left["double"]:
-                yield f"double {name_of(message)}"
+            yield f"deliver {message_name(message)}"
+            if self.remaining["double"]:
+                yield f"double {message_name(message)}"
         if self.now < 4 * TERM_MS:
             yield "wait"
 
-    def play(self, move: str) -> None:
+    def apply(self, move: str) -> None:
         kind, _, rest = move.partition(" ")
         if kind == "wait":
-            self.now += self.part * TERM_MS
+            self.now += self.wait_fraction * TERM_MS
         elif kind == "restart":
-            self.left["restart"] -= 1
+            self.remaining["restart"] -= 1
             who, which = rest.split()
             if who == "voter":
-                self._acceptor(int(which), self.make[1](self.terms, self._clock(False)))
+                self._replace_acceptor(int(which), self.types[1](self.terms, self._clock(False)))
             else:
                 self.incarnations += 1
-                self.holders[int(which)] = self.make[0](self.terms, int(which), self.incarnations, 0)
-                self._flush(int(which))
+                self.holders[int(which)] = self.types[0](self.terms, int(which), self.incarnations, 0)
+                self._send_pending(int(which))
         elif kind in ("deliver", "double"):
-            message = next(message for message in self.on_the_way if name_of(message) == rest)
+            message = next(message for message in self.in_flight if message_name(message) == rest)
             if kind == "double":
-                self.left["double"] -= 1
+                self.remaining["double"] -= 1
             else:
-                self.on_the_way.remove(message)
+                self.in_flight.remove(message)
             self._deliver(message)
         else:
-            self._contender(kind, int(rest))
-        self._judge()
+            self._move_contender(kind, int(rest))
+        self._check_invariants()
 
-    def _acceptor(self, number: int, acceptor: Acceptor) -> None:
+    def _replace_acceptor(self, number: int, acceptor: Acceptor) -> None:
         self.acceptors[number], self.acceptor_keys[number] = acceptor, _acceptor_key(acceptor)
 
-    def _holder(self, number: int) -> LeaseHolder:
+    def _fork_holder_of(self, number: int) -> LeaseHolder:
         holder = self.holders[number] = _fork_holder(self.holders[number])
         return holder
 
-    def _contender(self, kind: str, number: int) -> None:
+    def _move_contender(self, kind: str, number: int) -> None:
         now = self._clock(True)
         if kind == "effect":  # the clock was checked before this move; the contender may stall from here
-            self.left["effect"] -= 1
+            self.remaining["effect"] -= 1
             self._send("effect", number, self.holders[number].held[LEASE].token)
             return
-        holder = self._holder(number)
+        holder = self._fork_holder_of(number)
         holder.expire(now)
         if kind == "take":
             holder.acquire(now, [LEASE])
         elif kind == "give":
-            self.left["give"] -= 1
+            self.remaining["give"] -= 1
             holder.release(LEASE)
         holder.on_timer(now)
-        self._flush(number)
+        self._send_pending(number)
 
     def _send(self, *message: Any) -> None:
-        insort(self.on_the_way, message, key=name_of)
+        insort(self.in_flight, message, key=message_name)
 
-    def _flush(self, number: int) -> None:
+    def _send_pending(self, number: int) -> None:
         holder = self.holders[number]
         while holder.changes or holder.to_release or holder.to_send:
             for change in holder.changes:
                 if isinstance(change, LeaseAcquired):
-                    if change.token in self.gained:
-                        self.wrong = "a token is used twice"
-                    self.gained |= {change.token}
+                    if change.token in self.issued_tokens:
+                        self._violation = "a fencing token was issued twice"
+                    self.issued_tokens |= {change.token}
             holder.changes = []
             gives, holder.to_release = holder.releasable(), {}
             if gives:
@@ -248,58 +249,58 @@
         kind, number = message[0], message[1]
         if kind == "effect":
             token = message[2]
-            self.fence = fork_of(self.fence, _highest=dict(self.fence._highest))
+            self.fence = copy_with(self.fence, _highest=dict(self.fence._highest))
             if self.fence.admit(DUTY, token):
-                if token < self.taken:
-                    self.wrong = "an effect is taken after one with a larger token"
-                self.taken = max(self.taken, token)
+                if token < self.highest_admitted:
+                    self._violation = "an effect was admitted after one with a higher token"
+                self.highest_admitted = max(self.highest_admitted, token)
         elif kind == "answer":
             _, _, acceptor, serial, incarnation, vote, highest = message
-            holder, now = self._holder(number), self._clock(True)
+            holder, now = self._fork_holder_of(number), self._clock(True)
             holder.expire(now)
             row = LeaseVote(LEASE, Vote(vote), False, highest, NO_HOLDER)
             holder.on_response(
                 now, acceptor, Message(MessageKind.RESPONSE, 0, 0, serial, 0, incarnation, votes=(row,))
             )
-            self._flush(number)
+            self._send_pending(number)
         else:
-            place, serial, owner = message[2], message[3], (number, message[4])
-            acceptor = _fork_acceptor(self.acceptors[place])
+            position, serial, owner = message[2], message[3], (number, message[4])
+            acceptor = _fork_acceptor(self.acceptors[position])
             if kind == "give":
                 acceptor.on_release(LEASE, owner, serial)
             else:
                 vote = acceptor.on_request(self._clock(False), LEASE, owner, message[5], serial)
                 if vote is not None:
-                    self._send("answer", number, place, serial, owner[1], int(vote.vote), vote.counter)
-            self._acceptor(place, acceptor)
+                    self._send("answer", number, position, serial, owner[1], int(vote.vote), vote.counter)
+            self._replace_acceptor(position, acceptor)
 
     # -- invariants
 
-    def _judge(self) -> None:
+    def _check_invariants(self) -> None:
         holders = 0
         for holder in self.holders:
             for held in holder.held.values():
                 if self.now < (held.requested_ms + TERM_MS) / (1 - DRIFT):
                     holders += 1
-                    if held.token in self.over:
-                        self.wrong = self.wrong or "a lease that had ended goes on under the same token"
-                elif held.token not in self.over:
-                    self.over |= {held.token}
+                    if held.token in self.expired_tokens:
+                        self._violation = self._violation or "an expired lease was renewed under its token"
+                elif held.token not in self.expired_tokens:
+                    self.expired_tokens |= {held.token}
         if holders > 1:
-            self.wrong = self.wrong or "two hold the lease"
+            self._violation = self._violation or "two contenders hold the lease"
 
-    def broken(self) -> str:
-        return self.wrong
+    def violation(self) -> str:
+        return self._violation
 
     def key(self) -> Hashable:
         return (
             self.now,
-            *self.left.values(),
-            tuple(self.on_the_way),
-            self.taken,
-            self.gained,
-            self.over,
-            self.wrong,
+            *self.remaining.values(),
+            tuple(self.in_flight),
+            self.highest_admitted,
+            self.issued_tokens,
+            self.expired_tokens,
+            self._violation,
             self.fence.highest(DUTY),
             tuple(self.holder_keys),
             tuple(self.acceptor_keys),
@@ -323,7 +324,7 @@
     "deliver answer 0 0 3 1 0 2",
     "deliver answer 0 1 3 1 0 2",
 )
-BEGINS: dict[str, tuple[str, ...]] = {
+INITIAL_HISTORIES: dict[str, tuple[str, ...]] = {
     "nothing": (),  # no contender has requested the lease
     "held": HELD,  # contender 0 holds the lease, granted by acceptors 0 and 1
     "given": (*HELD, "give 0"),  # contender 0 has released the lease; its release messages are in flight
@@ -335,8 +336,8 @@
 def begin(name: str, acceptors: int, **more: Any) -> Leases:
     """Returns the state after the named initial history; `more` is passed to Leases."""
     state = Leases(acceptors, **more)
-    for move in BEGINS[name]:
-        state.play(move)
+    for move in INITIAL_HISTORIES[name]:
+        state.apply(move)
     return state
 
 
--- a/plumpick/simulation/exploration/search.py
+++ b/plumpick/simulation/exploration/search.py
@@ -21,10 +21,10 @@
     def fork(self) -> Self:
         """Returns an independent copy of the state."""
 
-    def play(self, move: str) -> None:
+    def apply(self, move: str) -> None:
         """Applies the event with that name to this state."""
 
-    def broken(self) -> str:
+    def violation(self) -> str:
         """Returns a description of the invariant that this state violates, or an empty string."""
 
     def key(self) -> Hashable:
@@ -32,52 +32,52 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """Result of a search."""
 
     states: int = 0  # number of distinct states
     depth: int = 0  # number of moves up to which all histories were explored
     seconds: float = 0.0
-    broken: str = ""  # description of the violated invariant; empty if none
+    violation: str = ""  # description of the violated invariant; empty if none
     history: list[str] = field(default_factory=list)  # moves that lead to the violation
 
 
 def explore(
-    start: State, depth: int, most_states: int = 5_000_000, tell: Callable[[int, int], None] | None = None
-) -> Found:
+    start: State, depth: int, max_states: int = 5_000_000, on_depth: Callable[[int, int], None] | None = None
+) -> SearchResult:
     """Explores every history of up to `depth` moves from `start`.
 
-    Ends early at the first history that violates an invariant, or after `most_states` distinct states. `tell`
-    is called after each depth with the depth and the number of states.
+    Ends early at the first history that violates an invariant, or after `max_states` distinct states.
+    `on_depth` is called after each depth with the depth and the number of states.
     """
-    begun, found = time.monotonic(), Found()
+    started_s, found = time.monotonic(), SearchResult()
     seen: dict[int, tuple[int, str]] = {}  # state -> predecessor and move of the first path
     first = hash(start.key())
     seen[first] = (0, "")
     frontier = [(first, start)]
-    while frontier and found.depth < depth and not found.broken and len(seen) < most_states:
-        following = []
-        for known, state in frontier:
+    while frontier and found.depth < depth and not found.violation and len(seen) < max_states:
+        next_frontier = []
+        for predecessor, state in frontier:
             for move in list(state.moves()):
-                after = state.fork()
-                after.play(move)
-                digest = hash(after.key())
+                successor = state.fork()
+                successor.apply(move)
+                digest = hash(successor.key())
                 if digest in seen:
                     continue
-                seen[digest] = (known, move)
-                found.broken = after.broken()
-                if found.broken:
+                seen[digest] = (predecessor, move)
+                found.violation = successor.violation()
+                if found.violation:
                     found.history = _history(seen, digest)
                     break
-                following.append((digest, after))
-            if found.broken or len(seen) >= most_states:
+                next_frontier.append((digest, successor))
+            if found.violation or len(seen) >= max_states:
                 break
         else:
             found.depth += 1
-            if tell is not None:
-                tell(found.depth, len(seen))
-        frontier = following
-    found.states, found.seconds = len(seen), time.monotonic() - begun
+            if on_depth is not None:
+                on_depth(found.depth, len(seen))
+        frontier = next_frontier
+    found.states, found.seconds = len(seen), time.monotonic() - started_s
     return found
 
 
@@ -89,9 +89,9 @@
     for move in history:
         if move not in set(start.moves()):
             raise ValueError(f"move {move!r} is not possible in this state")
-        start.play(move)
-        if start.broken():
-            return start.broken()
+        start.apply(move)
+        if start.violation():
+            return start.violation()
     return ""
 
 
@@ -104,14 +104,14 @@
         moves.append(move)
 
 
-def fork_of(one: Any, **news: Any) -> Any:
+def copy_with(one: Any, **changes: Any) -> Any:
     """Returns a shallow copy of an object with the given attributes replaced, for a state's `fork`."""
     copy = object.__new__(type(one))
     copy.__dict__.update(one.__dict__)
-    copy.__dict__.update(news)
+    copy.__dict__.update(changes)
     return copy
 
 
-def name_of(word: tuple[Any, ...]) -> str:
+def message_name(message: tuple[Any, ...]) -> str:
     """Returns the name of a message in flight, as it appears in moves: its fields separated by spaces."""
-    return " ".join(map(str, word))
+    return " ".join(map(str, message))
--- a/plumpick/simulation/exploration/shares.py
+++ b/plumpick/simulation/exploration/shares.py
@@ -18,10 +18,12 @@
 from plumpick.policy.budgets.concurrency_limiter import LocalConcurrencyLimiter, UnitSource
 from plumpick.policy.budgets.grant import Grant, PendingRequests
 from plumpick.policy.budgets.messages import DemandReport
-from plumpick.simulation.exploration.search import fork_of, name_of
+from plumpick.simulation.exploration.search import copy_with, message_name
 
-TERM_MS, DRIFT, PART, WHOLE = 1000.0, 0.01, 0.52, 2
-BUDGET = Budget("units", BudgetKind.CONCURRENCY, WHOLE, guaranteed_ratio=0.0)
+TERM_MS, DRIFT = 1000.0, 0.01
+WAIT_TERM_FRACTION = 0.52  # fraction of a term by which the move "wait" advances time
+LIMIT_UNITS = 2  # concurrency limit shared by the two holders
+BUDGET = Budget("units", BudgetKind.CONCURRENCY, LIMIT_UNITS, guaranteed_ratio=0.0)
 
 
 class Shares:
@@ -39,133 +41,135 @@
         holder: type[LocalConcurrencyLimiter] = LocalConcurrencyLimiter,
         divider: type[BudgetAllocator] = BudgetAllocator,
     ) -> None:
-        self.make = (holder, divider)
-        self.left = {"divider": dividers, "restart": restarts, "double": doubles}
+        self.types = (holder, divider)
+        self.remaining = {"divider": dividers, "restart": restarts, "double": doubles}
         self.now = 0.0
         self.holders = [holder(BUDGET, number, 2, 0.0, TERM_MS) for number in range(2)]
-        self.askings = [PendingRequests() for _ in range(2)]
-        self.lives = [1, 2]
+        self.pending_requests = [PendingRequests() for _ in range(2)]
+        self.incarnations = [1, 2]
         self.divider = divider(BUDGET, 2, -10 * TERM_MS, 1, TERM_MS, DRIFT)
-        self.on_the_way: list[tuple[Any, ...]] = []
-        self.units: list[tuple[float, int, int]] = []  # units in use: end, holder, incarnation
-        self.wrong = ""
+        self.in_flight: list[tuple[Any, ...]] = []
+        self.units_in_use: list[tuple[float, int, int]] = []  # end, holder, incarnation
+        self._violation = ""
 
     def fork(self) -> Shares:
-        divider = fork_of(
+        divider = copy_with(
             self.divider,
             _receivers={
                 key: replace(one, outstanding=[replace(grant) for grant in one.outstanding])
                 for key, one in self.divider._receivers.items()
             },
         )
-        return fork_of(
+        return copy_with(
             self,
-            left=dict(self.left),
-            holders=[fork_of(one) for one in self.holders],
-            askings=[fork_of(one, _sent_ms=dict(one._sent_ms)) for one in self.askings],
-            lives=list(self.lives),
+            remaining=dict(self.remaining),
+            holders=[copy_with(one) for one in self.holders],
+            pending_requests=[copy_with(one, _sent_ms=dict(one._sent_ms)) for one in self.pending_requests],
+            incarnations=list(self.incarnations),
             divider=divider,
-            on_the_way=list(self.on_the_way),
-            units=list(self.units),
+            in_flight=list(self.in_flight),
+            units_in_use=list(self.units_in_use),
         )
 
-    def _slow(self) -> float:
+    def _holder_clock(self) -> float:
         return self.now * (1 - DRIFT)
 
-    def _fast(self) -> float:
+    def _allocator_clock(self) -> float:
         return self.now * (1 + DRIFT)
 
     def moves(self) -> Iterator[str]:
         for number, holder in enumerate(self.holders):
-            if sum(word[0] == "ask" and word[1] == number for word in self.on_the_way) < 2:
+            if sum(message[0] == "ask" and message[1] == number for message in self.in_flight) < 2:
                 yield f"ask {number}"
-            if holder.available(self._slow(), 0.1 * TERM_MS):
+            if holder.available(self._holder_clock(), 0.1 * TERM_MS):
                 yield f"take {number}"
-            if self.left["restart"]:
+            if self.remaining["restart"]:
                 yield f"restart {number}"
-        if self.left["divider"]:
+        if self.remaining["divider"]:
             yield "divider"
-        for place, word in enumerate(self.on_the_way):
-            if place and word == self.on_the_way[place - 1]:
+        for position, message in enumerate(self.in_flight):
+            if position and message == self.in_flight[position - 1]:
                 continue
-            yield f"deliver {name_of(word)}"
-            if self.left["double"]:
-                yield f"double {name_of(word)}"
+            yield f"deliver {message_name(message)}"
+            if self.remaining["double"]:
+                yield f"double {message_name(message)}"
         if self.now < 4 * TERM_MS:
             yield "wait"
 
-    def play(self, move: str) -> None:
+    def apply(self, move: str) -> None:
         kind, _, rest = move.partition(" ")
         if kind == "wait":
-            self.now += PART * TERM_MS
-            for until, number, life in [unit for unit in self.units if unit[0] <= self.now]:
-                self.units.remove((until, number, life))
-                if self.lives[number] == life:
+            self.now += WAIT_TERM_FRACTION * TERM_MS
+            for until, number, incarnation in [unit for unit in self.units_in_use if unit[0] <= self.now]:
+                self.units_in_use.remove((until, number, incarnation))
+                if self.incarnations[number] == incarnation:
                     self.holders[number].release(UnitSource.GRANTED)
         elif kind == "divider":
-            self.left["divider"] -= 1
-            self.divider = self.make[1](
-                BUDGET, 2, self._fast(), self.divider.fencing_token + 1, TERM_MS, DRIFT
+            self.remaining["divider"] -= 1
+            self.divider = self.types[1](
+                BUDGET, 2, self._allocator_clock(), self.divider.fencing_token + 1, TERM_MS, DRIFT
             )
         elif kind == "restart":
-            self.left["restart"] -= 1
+            self.remaining["restart"] -= 1
             number = int(rest)
-            self.lives[number] += 2
-            self.holders[number] = self.make[0](BUDGET, number, 2, self._slow(), TERM_MS)
-            self.askings[number] = PendingRequests()
+            self.incarnations[number] += 2
+            self.holders[number] = self.types[0](BUDGET, number, 2, self._holder_clock(), TERM_MS)
+            self.pending_requests[number] = PendingRequests()
         elif kind == "ask":
             number, holder = int(rest), self.holders[int(rest)]
-            serial = self.askings[number].open(self._slow())
+            serial = self.pending_requests[number].open(self._holder_clock())
             self._send(
                 "ask",
                 number,
-                self.lives[number],
+                self.incarnations[number],
                 serial,
-                int(holder.granted_amount(self._slow())),
+                int(holder.granted_amount(self._holder_clock())),
                 holder.last_grant_id,
             )
         elif kind == "take":
             number = int(rest)
-            if self.holders[number].try_acquire(self._slow(), 0.1 * TERM_MS):
-                self.units.append((self.now + 0.1 * TERM_MS, number, self.lives[number]))
+            if self.holders[number].try_acquire(self._holder_clock(), 0.1 * TERM_MS):
+                self.units_in_use.append((self.now + 0.1 * TERM_MS, number, self.incarnations[number]))
         else:
-            word = next(word for word in self.on_the_way if name_of(word) == rest)
+            message = next(message for message in self.in_flight if message_name(message) == rest)
             if kind == "double":
-                self.left["double"] -= 1
+                self.remaining["double"] -= 1
             else:
-                self.on_the_way.remove(word)
-            self._deliver(word)
-        if len(self.units) > WHOLE:
-            self.wrong = "more is out than there is"
-
-    def _send(self, *word: Any) -> None:
-        insort(self.on_the_way, word, key=name_of)
-
-    def _deliver(self, word: tuple[Any, ...]) -> None:
-        if word[0] == "ask":
-            _, number, life, serial, holding, has_serial = word
-            report = DemandReport(0, serial, float(WHOLE), float(holding), has_serial, 0.0, 0)
-            share = self.divider.request_grant(self._fast(), number, life, report)
-            if share is not None and share.amount:
-                self._send("share", number, life, serial, share.fencing_token, int(share.amount))
+                self.in_flight.remove(message)
+            self._deliver(message)
+        if len(self.units_in_use) > LIMIT_UNITS:
+            self._violation = "more units are in use than the limit allows"
+
+    def _send(self, *message: Any) -> None:
+        insort(self.in_flight, message, key=message_name)
+
+    def _deliver(self, message: tuple[Any, ...]) -> None:
+        if message[0] == "ask":
+            _, number, incarnation, serial, granted, latest_grant_id = message
+            report = DemandReport(0, serial, float(LIMIT_UNITS), float(granted), latest_grant_id, 0.0, 0)
+            grant = self.divider.request_grant(self._allocator_clock(), number, incarnation, report)
+            if grant is not None and grant.amount:
+                self._send("share", number, incarnation, serial, grant.fencing_token, int(grant.amount))
         else:
-            _, number, life, serial, token, amount = word
-            if self.lives[number] == life:
+            _, number, incarnation, serial, token, amount = message
+            if self.incarnations[number] == incarnation:
                 self.holders[number].accept_grant(
-                    self._slow(), Grant(serial, token, float(amount)), self.askings[number].sent_ms(serial)
+                    self._holder_clock(),
+                    Grant(serial, token, float(amount)),
+                    self.pending_requests[number].sent_ms(serial),
                 )
 
-    def broken(self) -> str:
-        return self.wrong
+    def violation(self) -> str:
+        return self._violation
 
     def key(self) -> Hashable:
         return (
             self.now,
-            *self.left.values(),
-            tuple(self.on_the_way),
-            tuple(self.units),
-            tuple(self.lives),
-            self.wrong,
+            *self.remaining.values(),
+            tuple(self.in_flight),
+            tuple(self.units_in_use),
+            tuple(self.incarnations),
+            self._violation,
             tuple(
                 (
                     one.last_grant_id,
@@ -176,7 +180,7 @@
                 )
                 for one in self.holders
             ),
-            tuple(tuple(one._sent_ms.items()) for one in self.askings),
+            tuple(tuple(one._sent_ms.items()) for one in self.pending_requests),
             self.divider.fencing_token,
             self.divider.grants_from_ms,
             tuple(
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -188,7 +188,11 @@
                 process.kill(0)
 
         process.call_soon(lambda: process.create_task(run()))
-        return _ProcessHandle(process, len(self.machine.processes), self.around.loop)  # type: ignore[arg-type]
+        return _ProcessHandle(
+            process,
+            len(self.machine.processes),
+            self.around.loop,  # type: ignore[arg-type]
+        )
 
 
 @dataclass
--- a/tests/simulation/test_leases_explored.py
+++ b/tests/simulation/test_leases_explored.py
@@ -1,10 +1,10 @@
-"""Ownership through every order of events; and the shortest history of each planted bug, kept."""
+"""Exploration of lease ownership: no order of events violates an invariant, and each planted bug is found."""
 
 import pytest
 
 from plumpick.simulation.exploration.leases import (
-    BEGINS,
     HELD,
+    INITIAL_HISTORIES,
     PLANTS,
     RENEWED_LATE,
     TAKEN_AGAIN,
@@ -13,14 +13,15 @@
 )
 from plumpick.simulation.exploration.search import explore, replay
 
-TWO = "two hold the lease"
-# Found by `plumpick explore --plant NAME` and shortest from where they begin, but for the one marked so: it
-# is longer than a search came to, and was led there by hand from what the rig and the trials showed.
+TWO_HOLDERS = "two contenders hold the lease"
+# For each planted bug: acceptors, limits of moves, violated invariant, history. The histories were found by
+# `plumpick explore --plant NAME` and are the shortest from their initial history. The one marked "by hand" is
+# longer than the depth that a search reaches; it follows from observations in the test rig and the trials.
 HISTORIES = {
     "forgets-silence": (
         3,
         {"restarts": 1},
-        TWO,
+        TWO_HOLDERS,
         [
             *HELD,
             "take 1",
@@ -34,7 +35,7 @@
     "counts-from-answer": (
         2,
         {},
-        TWO,
+        TWO_HOLDERS,
         [
             "take 0",
             "take 1",
@@ -53,7 +54,7 @@
     "token-twice": (
         2,
         {"gives": 1},
-        "a token is used twice",
+        "a fencing token was issued twice",
         [
             "take 0",
             "deliver ask 0 0 1 1 1",
@@ -71,7 +72,7 @@
     "renews-after-the-end": (
         2,
         {},
-        "a lease that had ended goes on under the same token",
+        "an expired lease was renewed under its token",
         [
             "take 0",
             "deliver ask 0 0 1 1 1",
@@ -90,7 +91,7 @@
     "fence-takes-equal": (
         2,
         {"effects": 2},
-        "an effect is taken after one with a larger token",
+        "an effect was admitted after one with a higher token",
         [
             *HELD,
             "effect 0",
@@ -109,7 +110,7 @@
     "believes-late-answers": (
         2,
         {},
-        TWO,
+        TWO_HOLDERS,
         [
             *RENEWED_LATE,
             "tick 0",
@@ -127,7 +128,7 @@
     "believes-late-gives": (
         2,
         {"gives": 1},
-        TWO,
+        TWO_HOLDERS,
         [
             *TAKEN_AGAIN,
             "take 1",
@@ -144,7 +145,7 @@
     "gives-what-is-asked": (
         3,
         {"gives": 1},
-        TWO,
+        TWO_HOLDERS,
         [  # by hand
             "take 1",
             "deliver ask 1 0 1 2 1",
@@ -183,34 +184,34 @@
 
 @pytest.mark.parametrize("name", sorted(HISTORIES))
 def test_a_mutants_history_breaks_a_guarantee_that_the_program_keeps(name):
-    voters, most, promise, history = HISTORIES[name]
-    limits = {"restarts": 0, "doubles": 0, "effects": 0, "gives": 0, **most}
-    assert replay(Leases(voters, **limits, **PLANTS[name]), history) == promise
-    state = Leases(voters, **limits)
-    for move in history:  # what the program itself does not do cannot happen
+    acceptors, allowed, invariant, history = HISTORIES[name]
+    limits = {"restarts": 0, "doubles": 0, "effects": 0, "gives": 0, **allowed}
+    assert replay(Leases(acceptors, **limits, **PLANTS[name]), history) == invariant
+    state = Leases(acceptors, **limits)
+    for move in history:  # moves that only the planted bug makes possible are skipped
         if move in set(state.moves()):
-            state.play(move)
-        assert not state.broken(), (move, state.broken())
+            state.apply(move)
+        assert not state.violation(), (move, state.violation())
 
 
-@pytest.mark.parametrize("name", sorted(BEGINS))
+@pytest.mark.parametrize("name", sorted(INITIAL_HISTORIES))
 def test_no_order_of_events_breaks_a_guarantee(name):
     found = explore(begin(name, 3), 5)
-    assert not found.broken and found.depth == 5 and found.states > 2000
+    assert not found.violation and found.depth == 5 and found.states > 2000
 
 
 def test_the_search_finds_a_shortest_history():
     found = explore(
         begin("held", 3, restarts=1, doubles=0, effects=0, gives=0, **PLANTS["forgets-silence"]), 9
     )
-    assert found.broken == TWO and len(found.history) == 6
+    assert found.violation == TWO_HOLDERS and len(found.history) == 6
 
 
 def test_the_search_finds_a_late_release_that_is_believed():
     found = explore(
         begin("taken-again", 2, restarts=0, doubles=0, effects=0, gives=1, **PLANTS["believes-late-gives"]), 9
     )
-    assert found.broken == TWO
+    assert found.violation == TWO_HOLDERS
     assert [*TAKEN_AGAIN, *found.history] == HISTORIES["believes-late-gives"][3]
 
 
--- a/tests/simulation/test_shares_explored.py
+++ b/tests/simulation/test_shares_explored.py
@@ -1,12 +1,13 @@
-"""Grants through every order of events, and a shortest or hand-made history of each mutant."""
+"""Exploration of budget grants: no order of events exceeds the limit, and each planted bug is found."""
 
 import pytest
 
 from plumpick.simulation.exploration.search import explore, replay
 from plumpick.simulation.exploration.shares import PLANTS, Shares
 
-OVER = "more is out than there is"
-# The first was found by the search (nine moves all played, 361,480 states); the others are by hand.
+OVER_LIMIT = "more units are in use than the limit allows"
+# The first history was found by the search (all histories of nine moves, 361,480 states); the others were
+# written by hand.
 HISTORIES = {
     "gives-before-the-end": [
         "ask 0",
@@ -72,12 +73,12 @@
 @pytest.mark.parametrize("name", sorted(PLANTS))
 def test_mutant_passes_the_limit_by_its_history_and_the_program_does_not(name):
     limits = {"dividers": 1, "restarts": 0, "doubles": 0}
-    assert replay(Shares(**limits, **PLANTS[name]), HISTORIES[name]) == OVER
+    assert replay(Shares(**limits, **PLANTS[name]), HISTORIES[name]) == OVER_LIMIT
     state = Shares(**limits)
     for move in HISTORIES[name]:
         if move in set(state.moves()):
-            state.play(move)
-        assert not state.broken()
+            state.apply(move)
+        assert not state.violation()
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
@@ -85,10 +86,10 @@
     state = Shares(dividers=1, restarts=0, doubles=0)
     for move in HISTORIES[name]:
         if move in set(state.moves()):
-            state.play(move)
+            state.apply(move)
         assert state.fork().key() == state.key()
 
 
 def test_no_order_of_events_grants_more_than_the_limit():
     found = explore(Shares(), 6)
-    assert not found.broken and found.depth == 6 and found.states > 10_000
+    assert not found.violation and found.depth == 6 and found.states > 10_000
