--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -1,4 +1,4 @@
-"""Whole cases: the same seed gives the same history, planted bugs are found, hard cases hold."""
+"""Simulated cases: runs are deterministic, planted bugs are found, and all rules hold in difficult cases."""
 
 import json
 import os
@@ -20,16 +20,16 @@
 from plumpick.simulation.world import World, play
 
 ROOT = Path(__file__).resolve().parents[2]
-SHORT = 12.0  # virtual seconds of cases that need no more
+SHORT = 12.0  # virtual seconds of a short case
 
 
-def test_a_calm_case_holds_all_rules():
+def test_case_without_faults_holds_all_rules():
     result = play(Case(3, seconds=SHORT))
     assert not result.failed and not result.problems and result.requests > 300 and result.service > 0.9
 
 
 def digests(hash_seed, seeds):
-    """The digests of seeds, from a process of its own."""
+    """Run seeds in a separate process with the given hash seed; return their digests."""
     code = (
         "import sys; from plumpick.simulation.faults import case_of; from plumpick.simulation.world "
         "import play\nfor seed in map(int, sys.argv[1:]): print(play(case_of(seed, 12.0)).digest)"
@@ -45,48 +45,48 @@
     return done.stdout.split()
 
 
-def test_the_same_seed_gives_the_same_digest_in_any_process():
-    """Hash order, object ids and the collector must decide nothing."""
+def test_same_seed_gives_same_digest_in_any_process():
+    """Hash order, object ids and garbage collection must not affect a run."""
     seeds = range(1, 7)
     here = [play(case_of(seed, SHORT)).digest for seed in seeds]
     assert len(set(here)) == len(here)
     assert digests("1", seeds) == here == digests("4711", seeds)
 
 
-def test_two_histories_that_part_are_found_at_the_step():
+def test_first_differing_step_of_two_runs_is_found():
     assert find_difference(Case(1, seconds=2.0)) is None
-    chance = random.Random(7)  # not the machine's: every run draws on
+    rng = random.Random(7)  # not reset between the runs, so that the second run gets other numbers
 
-    class Leaky(World):
+    class Nondeterministic(World):
         def __init__(self, case, **more):
             super().__init__(case, **more)
-            right = self.network.arrival_time
+            original = self.network.arrival_time
             self.network.arrival_time = lambda label="n": (
-                right(label) + (chance.random() / 1000 if self.machine.now > 1.5 else 0)
+                original(label) + (rng.random() / 1000 if self.machine.now > 1.5 else 0)
             )
 
-    parted = find_difference(Case(1, seconds=2.0), Leaky)
-    assert parted is not None and parted.step > 100 and parted.first != parted.second
-    assert len(parted.before) == 8 and str(parted.step) in str(parted)
+    found = find_difference(Case(1, seconds=2.0), Nondeterministic)
+    assert found is not None and found.step > 100 and found.first != found.second
+    assert len(found.before) == 8 and str(found.step) in str(found)
 
 
 # -- planted bugs
 
-FOUND_BY = json.loads((Path(__file__).parent / "found_by.json").read_text())
+FOUND_BY = json.loads((Path(__file__).parent / "found_by.json").read_text())  # by planted bug: a failing case
 
 
-WITHIN = 25  # seeds, where the saved case does not find it any more since the program's ways have changed
+MAX_SEEDS = 25  # number of generated seeds tried if a changed program no longer fails in the saved case
 
 
 @pytest.mark.parametrize("name", PLANTS)
-def test_a_planted_bug_is_found_and_the_program_as_it_is_holds(name):
+def test_planted_bug_breaks_its_rule_and_correct_program_holds(name):
     saved = parse_case(json.dumps(FOUND_BY[name]))
     assert not play(saved).failed
     with planted(name):
         for case in [
             saved,
             *(replace(saved, seed=seed) for seed in range(100, 112)),
-            *map(case_of, range(1, WITHIN + 1)),
+            *map(case_of, range(1, MAX_SEEDS + 1)),
         ]:
             result = play(case)
             if result.failed:
@@ -95,12 +95,12 @@
     assert result.story or result.rule == "did-not-end"
 
 
-def test_a_failing_case_comes_down_to_what_it_needs():
-    """A planted bug among 30 faults."""
-    rng, other = random.Random(5), ("still", "few-descriptors", "restart", "restart-cut-short", "kill")
+def test_failing_case_is_reduced_to_the_faults_it_needs():
+    """Reduce a case with 30 faults, of which the planted bug needs only the restart."""
+    rng, excluded = random.Random(5), ("still", "few-descriptors", "restart", "restart-cut-short", "kill")
     faults = [Fault("restart", 3.0, 0.0, {"gate": 0})]
     while len(faults) < 30:
-        kind = rng.choice([kind for kind in KINDS if kind not in other])
+        kind = rng.choice([kind for kind in KINDS if kind not in excluded])
         for_s, with_ = KINDS[kind](rng, Case(5))
         faults.append(Fault(kind, round(rng.uniform(2, 9), 3), for_s, with_))
     faults.sort(key=lambda one: one.at_s)
@@ -111,16 +111,16 @@
             if result.failed:
                 break
         assert result.rule == "no-request-lost"
-        small, again = Shrinker(play).shrink(case, result)
-    assert again.rule == "no-request-lost" and len(small.faults) <= 3
-    assert "restart" in [fault.kind for fault in small.faults]
+        reduced, outcome = Shrinker(play).shrink(case, result)
+    assert outcome.rule == "no-request-lost" and len(reduced.faults) <= 3
+    assert "restart" in [fault.kind for fault in reduced.faults]
 
 
-# -- hard cases
+# -- difficult cases
 
 
-def reached(case, *names):
-    """The rules hold with each of a few seeds, and together they reach these states."""
+def assert_rules_hold_and_reach(case, *names):
+    """Check that all rules hold with 15 seeds or fewer, which together reach the named coverage points."""
     missed = set(names)
     for seed in range(case.seed, case.seed + 15):
         result = play(replace(case, seed=seed))
@@ -128,11 +128,11 @@
         missed -= set(result.marks)
         if not missed:
             return
-    raise AssertionError(f"never reached: {missed}")
+    raise AssertionError(f"coverage points not reached by 15 seeds: {missed}")
 
 
-def test_a_retry_through_a_second_gatekeeper_while_the_first_answer_is_in_flight():
-    """Both may have run: a debit has one effect, and no answer is given for the other."""
+def test_rules_hold_when_client_retries_through_second_gateway_during_first_attempt():
+    """Both attempts may be executed: a debit must have one effect and its client one answer."""
     faults = (
         Fault(
             "server-fault",
@@ -142,11 +142,13 @@
         ),
         Fault("kill", 5.0, 0.0, {"gate": 0, "back_s": 1.0}),
     )
-    reached(Case(2, seconds=14.0, impatient=0.8, load=0.3, faults=faults), *RECORD_COVERAGE_POINTS[:2])
+    assert_rules_hold_and_reach(
+        Case(2, seconds=14.0, impatient=0.8, load=0.3, faults=faults), *RECORD_COVERAGE_POINTS[:2]
+    )
 
 
-def test_a_message_lost_just_before_a_restart_with_a_drain_and_a_silent_roster():
-    """Units granted are not granted again beyond the ceiling's slack; drains are kept all the same."""
+def test_rules_hold_when_messages_are_lost_before_restarts_with_drains_and_silent_discovery():
+    """Restarted gateways must not grant units again beyond the hard limit's slack, and must keep drains."""
     faults = (
         Fault("hot-firm", 2.0, 9.0, {"plan": "amplio", "times": 5.0}),
         Fault("datagrams", 2.0, 9.0, {"loss": 0.4, "twice": 0.2, "late_ms": 100.0}),
@@ -162,7 +164,7 @@
         Fault("kill", 5.5, 0.0, {"gate": 1, "back_s": 0.6}),
         Fault("kill", 7.0, 0.0, {"gate": 2, "back_s": 0.6}),
     )
-    reached(
+    assert_rules_hold_and_reach(
         Case(4, seconds=13.0, load=0.5, faults=faults),
         RECORD_COVERAGE_POINTS[2],
         "word of a drain came while an attempt was at that server",
@@ -170,18 +172,21 @@
     )
 
 
-def test_a_request_that_came_during_a_stall_is_not_lost_by_the_sweep_after_it():
-    """Found by seed 5: connections were closed as idle, with a whole request unread on them."""
+def test_request_received_during_a_stall_is_not_lost_by_the_sweep_after_it():
+    """After a stall, the sweep closed connections as idle although a complete request was unread on them.
+
+    Seed 5 found this bug first.
+    """
     case = parse_case((Path(__file__).parent / "corpus" / "stall.json").read_text())
     cases = [replace(case, seed=seed) for seed in range(case.seed, case.seed + 12)]
     assert not [one.seed for one in cases[:3] if play(one).failed]
-    dense = parse_case(json.dumps(FOUND_BY["stands-still-and-closes"]))  # four stalls, much load
+    dense = parse_case(json.dumps(FOUND_BY["stands-still-and-closes"]))  # four stalls under high load
     cases += [replace(dense, seed=seed) for seed in range(1, 9)]
     with planted("stands-still-and-closes"):
         assert any(play(one).rule == "no-request-lost" for one in reversed(cases))
 
 
-def test_every_saved_case_holds():
+def test_saved_cases_hold_all_rules():
     for path in sorted((Path(__file__).parent / "corpus").glob("*.json")):
         result = play(parse_case(path.read_text()))
         assert not result.failed, f"{path.name}: {result.text}"
@@ -190,7 +195,7 @@
 # -- the command
 
 
-def test_the_command_plays_seeds_counts_marks_and_saves_what_fails(tmp_path, capsys):
+def test_command_prints_coverage_and_saves_the_same_digests_for_any_number_of_jobs(tmp_path, capsys):
     assert (
         cli.main(["simulate", "--seeds", "1-4", "--seconds", "8", "--jobs", "2", "--out", str(tmp_path)]) == 0
     )
@@ -203,8 +208,8 @@
     assert json.loads((tmp_path / "summary.json").read_text())["digests"] == first
 
 
-def test_one_seed_writes_a_history_that_the_auditor_reads(tmp_path, capsys):
-    """Of a seed that bends no time: what `simulate` excuses for that, a file of records cannot."""
+def test_history_of_one_seed_passes_the_audit_command(tmp_path, capsys):
+    """The seed has no fault that disturbs timing, since `audit` does not excuse breaches during those."""
     history = tmp_path / "history.jsonl"
     seed = next(
         n for n in range(1, 100) if not any(fault.kind in TIMING_FAULTS for fault in case_of(n, 6.0).faults)
@@ -233,8 +238,8 @@
     assert "identical" in capsys.readouterr().out
 
 
-def test_a_failing_seed_ends_with_1_and_is_shrunk(tmp_path, capsys):
-    """Whichever seed it is: which of them meet the bug changes with the program's ways."""
+def test_failing_seed_exits_with_1_and_names_its_rule(tmp_path, capsys):
+    """Several seeds are tried, because the first seed that finds the bug changes with the program."""
     with planted("anywhere"):
         assert 1 in (
             cli.main(["simulate", "--seed", str(seed), "--seconds", "14", "--shrink"])
@@ -244,12 +249,12 @@
 
 
 @pytest.mark.parametrize("flags", [["--seeds", "9-1"], ["--seeds", "x"], ["--replay", "/nowhere.json"]])
-def test_a_wrong_call_ends_with_2_and_one_line(flags, capsys):
+def test_invalid_arguments_exit_with_2_and_one_line(flags, capsys):
     assert cli.main(["simulate", *flags]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
-def test_what_is_no_case_is_named():
+def test_invalid_case_is_rejected_with_a_reason():
     with pytest.raises(CaseError, match="unknown fault kind 'rain'"):
         parse_case('{"seed":1,"faults":[{"kind":"rain","at_s":1,"for_s":1,"with_":{}}]}')
     for text in ("", "[]", '{"seed":1}', '{"faults":[],"colour":1}'):
@@ -259,5 +264,5 @@
     assert parse_case(case.as_json()) == case
 
 
-def test_seeds_are_read():
+def test_seed_ranges_are_parsed():
     assert list(commands.seeds_of("3-5")) == [3, 4, 5] and list(commands.seeds_of("7")) == [7]
--- a/tests/simulation/test_leases_explored.py
+++ b/tests/simulation/test_leases_explored.py
@@ -178,12 +178,12 @@
 }
 
 
-def test_each_mutant_has_a_history():
+def test_each_planted_bug_has_a_history():
     assert set(HISTORIES) == set(PLANTS)
 
 
 @pytest.mark.parametrize("name", sorted(HISTORIES))
-def test_a_mutants_history_breaks_a_guarantee_that_the_program_keeps(name):
+def test_history_violates_its_invariant_only_with_the_planted_bug(name):
     acceptors, allowed, invariant, history = HISTORIES[name]
     limits = {"restarts": 0, "doubles": 0, "effects": 0, "gives": 0, **allowed}
     assert replay(Leases(acceptors, **limits, **PLANTS[name]), history) == invariant
@@ -195,19 +195,19 @@
 
 
 @pytest.mark.parametrize("name", sorted(INITIAL_HISTORIES))
-def test_no_order_of_events_breaks_a_guarantee(name):
+def test_no_order_of_events_violates_an_invariant(name):
     found = explore(begin(name, 3), 5)
     assert not found.violation and found.depth == 5 and found.states > 2000
 
 
-def test_the_search_finds_a_shortest_history():
+def test_search_finds_a_shortest_history():
     found = explore(
         begin("held", 3, restarts=1, doubles=0, effects=0, gives=0, **PLANTS["forgets-silence"]), 9
     )
     assert found.violation == TWO_HOLDERS and len(found.history) == 6
 
 
-def test_the_search_finds_a_late_release_that_is_believed():
+def test_search_finds_the_acceptance_of_a_late_release():
     found = explore(
         begin("taken-again", 2, restarts=0, doubles=0, effects=0, gives=1, **PLANTS["believes-late-gives"]), 9
     )
@@ -215,6 +215,6 @@
     assert [*TAKEN_AGAIN, *found.history] == HISTORIES["believes-late-gives"][3]
 
 
-def test_an_impossible_history_is_an_error():
+def test_replay_rejects_an_impossible_move():
     with pytest.raises(ValueError, match="is not possible in this state"):
         replay(Leases(2), ["deliver answer 0 0 1 1 0 1"])
--- a/tests/simulation/test_shares_explored.py
+++ b/tests/simulation/test_shares_explored.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_mutant_passes_the_limit_by_its_history_and_the_program_does_not(name):
+def test_history_exceeds_the_limit_only_with_its_planted_bug(name):
     limits = {"dividers": 1, "restarts": 0, "doubles": 0}
     assert replay(Shares(**limits, **PLANTS[name]), HISTORIES[name]) == OVER_LIMIT
     state = Shares(**limits)
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(PLANTS))
-def test_fork_keeps_the_whole_state(name):
+def test_fork_has_the_same_key_as_its_state(name):
     state = Shares(dividers=1, restarts=0, doubles=0)
     for move in HISTORIES[name]:
         if move in set(state.moves()):
--- a/tests/simulation/test_simulated_duties.py
+++ b/tests/simulation/test_simulated_duties.py
@@ -1,4 +1,4 @@
-"""Duties of the fleet in the simulation: promises judged after each step, and a planted bug found."""
+"""Scheduled tasks and fleet budgets in the simulation: rules are checked, and planted bugs are found."""
 
 from dataclasses import replace
 
@@ -12,8 +12,8 @@
 from plumpick.simulation.world import World, play
 
 
-def cut_off_and_forgotten(gate):
-    """The gatekeeper is cut off; both others are killed, and back at once."""
+def partition_with_restarts(gate):
+    """A case in which one gateway is partitioned off, and both others are killed and restarted at once."""
     others = [number for number in range(3) if number != gate]
     kills = (Fault("kill", 4.55, 0.0, {"gate": number, "back_s": 0.05}) for number in others)
     split = Fault("split", 4.5, 4.0, {"gate": gate})
@@ -21,38 +21,38 @@
 
 
 @pytest.mark.parametrize("gate", range(3))
-def test_promises_hold_where_all_but_one_are_restarted_and_have_forgotten(gate):
-    result = play(cut_off_and_forgotten(gate))
+def test_rules_hold_when_all_gateways_but_one_restart_without_state(gate):
+    result = play(partition_with_restarts(gate))
     assert not result.failed and result.owners >= 4 and result.effects > 10
 
 
-def test_a_voter_that_forgets_its_silence_is_found(monkeypatch):
+def test_acceptor_that_votes_right_after_its_start_is_found(monkeypatch):
     monkeypatch.setattr(participant, "Acceptor", ForgetsSilence)
-    assert any(play(cut_off_and_forgotten(gate)).rule == "one-owner" for gate in range(3))
+    assert any(play(partition_with_restarts(gate)).rule == "one-owner" for gate in range(3))
 
 
-def test_a_seed_with_duties_plays_alike_twice():
+def test_seed_with_scheduled_tasks_is_deterministic():
     case = replace(case_of(3, 8.0), duties=3)
     first, second = World(case).play(), World(case).play()
     assert not first.failed and first.digest == second.digest and first.effects == second.effects > 0
 
 
-def test_a_request_that_waited_at_a_listener_without_descriptors_is_not_held_against_the_program():
+def test_request_waiting_at_a_listener_without_descriptors_is_excused():
     assert not play(replace(case_of(93, 10.0), duties=3)).failed
 
 
-def test_a_seed_with_budgets_plays_alike_twice_and_spends():
+def test_seed_with_budgets_is_deterministic_and_spends():
     case = replace(case_of(4, 10.0), duties=1, budgets=3)
     first, second = World(case).play(), World(case).play()
     assert not first.failed and first.digest == second.digest and first.spent == second.spent > 30
     assert first.turned_back == second.turned_back > 0
 
 
-def test_a_floor_that_is_counted_twice_is_found(monkeypatch):
+def test_guaranteed_share_that_is_counted_twice_is_found(monkeypatch):
     monkeypatch.setattr(ledger, "LocalRateLimiter", FloorTwice)
     result = play(replace(case_of(4, 10.0), budgets=3))
     assert result.rule == "whole" and "over burst + rate x W" in result.text
 
 
-def test_clients_that_come_before_the_books_are_open_take_nothing():
+def test_requests_before_the_ledger_is_ready_break_no_rule():
     assert not play(replace(case_of(7, 10.0), duties=1, budgets=3)).failed
--- a/tests/simulation/test_wide_tier.py
+++ b/tests/simulation/test_wide_tier.py
@@ -1,4 +1,4 @@
-"""Forty gatekeepers and sixty servers on the virtual machine: a wide tier in trouble, all rules checked."""
+"""A fleet of 40 gateways and 60 workers with injected faults on the virtual machine, all rules checked."""
 
 import pytest
 
@@ -14,8 +14,8 @@
 ZONE = (Fault("silent-server", 3.0, 4.0, {"count": 20}),)
 
 
-def tier(faults):
-    """What came of it, and the pairs of gatekeeper and server that had a request."""
+def run_fleet(faults):
+    """Run the fleet; return the result and the pairs of gateway and worker that exchanged a request."""
     pairs, gates = set(), {}
 
     def note(record):
@@ -33,9 +33,9 @@
     [((), 0.9), (HERD, 0.75), (JOIN, 0.85), (ZONE, 0.85)],
     ids=["calm", "herd", "join", "zone"],
 )
-def test_all_rules_hold_and_most_is_served(faults, least):
-    result, pairs = tier(faults)
+def test_rules_hold_and_most_requests_are_served_in_a_wide_fleet(faults, least):
+    result, pairs = run_fleet(faults)
     assert not result.failed and not result.problems, (result.rule, result.text, result.problems)
     assert result.requests > 300 and result.service >= least
-    if not faults:  # each server is met through a few gatekeepers alone
+    if not faults:  # only a few gateways send requests to each worker
         assert 60 <= len(pairs) <= 9 * 60
