--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -34,7 +34,7 @@
 from plumpick.policy.quota.records import CustomerAccount, QuotaLedger
 from plumpick.policy.quota.requester import QuotaRequester
 from plumpick.policy.request_state import Request
-from plumpick.simulation.commands import seeds_of
+from plumpick.simulation.commands import parse_seeds
 
 Changes = list[tuple[Any, str, Any]]  # owner, name, what stands there instead
 
@@ -155,7 +155,7 @@
     flags.add_argument("--jobs", type=int, default=8)
     flags.add_argument("--ways", nargs="*", default=list(WAYS), choices=list(WAYS))
     given = flags.parse_args()
-    seeds = list(seeds_of(given.seeds))
+    seeds = list(parse_seeds(given.seeds))
     with ProcessPoolExecutor(given.jobs) as pool:
         results = list(pool.map(one, [(name, seed) for name in given.ways for seed in seeds]))
     kinds = sorted(results[0][3])
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -20,7 +20,7 @@
 from plumpick.policy.quota.bounds import max_combined_excess, max_excess_over_hard_limit
 from plumpick.policy.settings_parser import parse_settings
 from plumpick.rehearsal.records import Asked, Record, Took
-from plumpick.simulation.commands import seeds_of
+from plumpick.simulation.commands import parse_seeds
 from plumpick.simulation.faults import KINDS, Case, Fault
 from plumpick.simulation.world import Result, World
 
@@ -138,7 +138,7 @@
     worst: dict[tuple[str, str], tuple[float, float, float, int]] = {}
     over = count = 0
     with ProcessPoolExecutor(given.jobs) as pool:
-        for seed, result, rows in pool.map(one, seeds_of(given.seeds)):
+        for seed, result, rows in pool.map(one, parse_seeds(given.seeds)):
             count += 1
             if result.failed:
                 over += 1
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -32,7 +32,7 @@
 from plumpick.policy.quota.requester import QuotaRequester
 from plumpick.policy.request_lifecycle import RequestLifecycle
 from plumpick.policy.settings import Idempotency
-from plumpick.simulation.faults import case_of
+from plumpick.simulation.faults import generate_case
 from plumpick.simulation.world import play
 
 Swap = list[tuple[Any, str, Any]]  # module or class, attribute name, replacement
@@ -302,7 +302,7 @@
     """Returns the bug's name, the first seed of 1 to `most` that finds it (0 if none) and the broken rule."""
     with planted(name):
         for seed in range(1, most + 1):
-            result = play(case_of(seed))
+            result = play(generate_case(seed))
             if result.rule in PLANTS[name][1]:
                 return name, seed, f"{result.rule}: {result.text}"
     return name, 0, ""
--- a/plumpick/simulation/commands.py
+++ b/plumpick/simulation/commands.py
@@ -19,7 +19,7 @@
 from plumpick.cli import EXIT_BROKEN, EXIT_HELD, EXIT_USAGE
 from plumpick.rehearsal.records import Record, line_of
 from plumpick.simulation.compare import find_difference
-from plumpick.simulation.faults import Case, CaseError, case_of, parse_case
+from plumpick.simulation.faults import Case, CaseError, generate_case, parse_case
 from plumpick.simulation.marks import COVERAGE_POINTS
 from plumpick.simulation.shrink import Shrinker
 from plumpick.simulation.world import Result, World, play
@@ -32,7 +32,7 @@
     print(text, file=sys.stderr, flush=True)
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """Parses a seed range `A-B`, both ends included, or a single seed. Raises ValueError if it is invalid."""
     first, _, last = text.partition("-")
     seeds = range(int(first), int(last or first) + 1)
@@ -43,7 +43,7 @@
 
 def play_seed(seed: int, seconds: float, duties: int = 0, budgets: int = 0) -> Result:
     """Plays the case generated from a seed, with the given numbers of scheduled tasks and fleet budgets."""
-    return play(replace(case_of(seed, seconds), duties=duties, budgets=budgets))
+    return play(replace(generate_case(seed, seconds), duties=duties, budgets=budgets))
 
 
 def describe_failure(result: Result) -> str:
@@ -85,9 +85,10 @@
             return _run_one(parse_case(Path(given.replay).read_text(encoding="utf-8")), given)
         if given.seed is not None:
             return _run_one(
-                replace(case_of(given.seed, given.seconds), duties=given.duties, budgets=given.budgets), given
+                replace(generate_case(given.seed, given.seconds), duties=given.duties, budgets=given.budgets),
+                given,
             )
-        seeds = seeds_of(given.seeds)
+        seeds = parse_seeds(given.seeds)
     except (OSError, UnicodeDecodeError, ValueError) as problem:
         reason = problem if isinstance(problem, CaseError | ValueError) else f"{problem.strerror}"
         _log_to_stderr(f"plumpick: {given.replay or given.seeds}: {reason}")
@@ -196,5 +197,5 @@
     }
     (folder / "summary.json").write_text(json.dumps(summary, indent=1) + "\n", encoding="utf-8")
     for result in failed:
-        case = replace(case_of(result.seed, given.seconds), duties=given.duties, budgets=given.budgets)
+        case = replace(generate_case(result.seed, given.seconds), duties=given.duties, budgets=given.budgets)
         (folder / f"case-{result.seed}.json").write_text(case.as_json() + "\n", encoding="utf-8")
--- a/plumpick/simulation/faults.py
+++ b/plumpick/simulation/faults.py
@@ -182,7 +182,7 @@
 MAX_FAULTS_PER_KIND = 3
 
 
-def case_of(seed: int, seconds: float = SECONDS) -> Case:
+def generate_case(seed: int, seconds: float = SECONDS) -> Case:
     """Generates the case of a seed: a random subset of fault kinds, with random parameters."""
     rng = random.Random(f"case {seed}")
     case = Case(
--- a/tests/compatibility/fleets.py
+++ b/tests/compatibility/fleets.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from plumpick.simulation import loop
-from plumpick.simulation.faults import case_of
+from plumpick.simulation.faults import generate_case
 from plumpick.simulation.world import play
 
 SECONDS = 6.0
@@ -25,7 +25,7 @@
 
 def digest_of(seed):
     """The identity of one seed's run; some seeds have scheduled tasks and fleet-wide budgets."""
-    case = replace(case_of(seed, SECONDS), duties=(0, 2, 4)[seed % 3], budgets=(0, 3)[seed % 2])
+    case = replace(generate_case(seed, SECONDS), duties=(0, 2, 4)[seed % 3], budgets=(0, 3)[seed % 2])
     with without_names():
         result = play(case)
     return f"{result.digest} {result.steps} {result.requests} {result.owners} {result.spent:.6f}"
--- a/tests/simulation/test_cases.py
+++ b/tests/simulation/test_cases.py
@@ -14,7 +14,7 @@
 from plumpick import cli
 from plumpick.simulation import commands
 from plumpick.simulation.compare import find_difference
-from plumpick.simulation.faults import KINDS, TIMING_FAULTS, Case, CaseError, Fault, case_of, parse_case
+from plumpick.simulation.faults import KINDS, TIMING_FAULTS, Case, CaseError, Fault, generate_case, parse_case
 from plumpick.simulation.marks import COVERAGE_POINTS, RECORD_COVERAGE_POINTS
 from plumpick.simulation.shrink import Shrinker
 from plumpick.simulation.world import World, play
@@ -31,8 +31,8 @@
 def digests(hash_seed, seeds):
     """Run seeds in a separate process with the given hash seed; return their digests."""
     code = (
-        "import sys; from plumpick.simulation.faults import case_of; from plumpick.simulation.world "
-        "import play\nfor seed in map(int, sys.argv[1:]): print(play(case_of(seed, 12.0)).digest)"
+        "import sys; from plumpick.simulation.faults import generate_case; from plumpick.simulation.world "
+        "import play\nfor seed in map(int, sys.argv[1:]): print(play(generate_case(seed, 12.0)).digest)"
     )
     done = subprocess.run(
         [sys.executable, "-c", code, *map(str, seeds)],
@@ -48,7 +48,7 @@
 def test_same_seed_gives_same_digest_in_any_process():
     """Hash order, object ids and garbage collection must not affect a run."""
     seeds = range(1, 7)
-    here = [play(case_of(seed, SHORT)).digest for seed in seeds]
+    here = [play(generate_case(seed, SHORT)).digest for seed in seeds]
     assert len(set(here)) == len(here)
     assert digests("1", seeds) == here == digests("4711", seeds)
 
@@ -86,7 +86,7 @@
         for case in [
             saved,
             *(replace(saved, seed=seed) for seed in range(100, 112)),
-            *map(case_of, range(1, MAX_SEEDS + 1)),
+            *map(generate_case, range(1, MAX_SEEDS + 1)),
         ]:
             result = play(case)
             if result.failed:
@@ -212,7 +212,9 @@
     """The seed has no fault that disturbs timing, since `audit` does not excuse breaches during those."""
     history = tmp_path / "history.jsonl"
     seed = next(
-        n for n in range(1, 100) if not any(fault.kind in TIMING_FAULTS for fault in case_of(n, 6.0).faults)
+        n
+        for n in range(1, 100)
+        if not any(fault.kind in TIMING_FAULTS for fault in generate_case(n, 6.0).faults)
     )
     assert (
         cli.main(
@@ -260,9 +262,9 @@
     for text in ("", "[]", '{"seed":1}', '{"faults":[],"colour":1}'):
         with pytest.raises(CaseError, match="invalid case"):
             parse_case(text)
-    case = case_of(17)
+    case = generate_case(17)
     assert parse_case(case.as_json()) == case
 
 
 def test_seed_ranges_are_parsed():
-    assert list(commands.seeds_of("3-5")) == [3, 4, 5] and list(commands.seeds_of("7")) == [7]
+    assert list(commands.parse_seeds("3-5")) == [3, 4, 5] and list(commands.parse_seeds("7")) == [7]
--- a/tests/simulation/test_simulated_duties.py
+++ b/tests/simulation/test_simulated_duties.py
@@ -8,7 +8,7 @@
 from plumpick.policy.budgets import ledger
 from plumpick.policy.leases import participant
 from plumpick.simulation.exploration.leases import ForgetsSilence
-from plumpick.simulation.faults import Case, Fault, case_of
+from plumpick.simulation.faults import Case, Fault, generate_case
 from plumpick.simulation.world import World, play
 
 
@@ -32,17 +32,17 @@
 
 
 def test_seed_with_scheduled_tasks_is_deterministic():
-    case = replace(case_of(3, 8.0), duties=3)
+    case = replace(generate_case(3, 8.0), duties=3)
     first, second = World(case).play(), World(case).play()
     assert not first.failed and first.digest == second.digest and first.effects == second.effects > 0
 
 
 def test_request_waiting_at_a_listener_without_descriptors_is_excused():
-    assert not play(replace(case_of(93, 10.0), duties=3)).failed
+    assert not play(replace(generate_case(93, 10.0), duties=3)).failed
 
 
 def test_seed_with_budgets_is_deterministic_and_spends():
-    case = replace(case_of(4, 10.0), duties=1, budgets=3)
+    case = replace(generate_case(4, 10.0), duties=1, budgets=3)
     first, second = World(case).play(), World(case).play()
     assert not first.failed and first.digest == second.digest and first.spent == second.spent > 30
     assert first.turned_back == second.turned_back > 0
@@ -50,9 +50,9 @@
 
 def test_guaranteed_share_that_is_counted_twice_is_found(monkeypatch):
     monkeypatch.setattr(ledger, "LocalRateLimiter", FloorTwice)
-    result = play(replace(case_of(4, 10.0), budgets=3))
+    result = play(replace(generate_case(4, 10.0), budgets=3))
     assert result.rule == "whole" and "over burst + rate x W" in result.text
 
 
 def test_requests_before_the_ledger_is_ready_break_no_rule():
-    assert not play(replace(case_of(7, 10.0), duties=1, budgets=3)).failed
+    assert not play(replace(generate_case(7, 10.0), duties=1, budgets=3)).failed
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -50,8 +50,8 @@
         "import sys; from pathlib import Path; from plumpick.gateway import compiled\n"
         "if len(sys.argv) > 1: compiled.use_compiled_files(Path(sys.argv[1]))\n"
         "from plumpick.policy import controller\n"
-        "from plumpick.simulation.faults import case_of\nfrom plumpick.simulation.world import play\n"
-        "print(controller.__file__.endswith('.so'), *(play(case_of(n, 8.0)).digest for n in (1, 2, 3)))"
+        "from plumpick.simulation.faults import generate_case\nfrom plumpick.simulation.world import play\n"
+        "print(controller.__file__.endswith('.so'), *(play(generate_case(n, 8.0)).digest for n in (1, 2, 3)))"
     )
     plain, fast = python("-c", code), python("-c", code, folder)
     assert plain.stdout.split()[0] == "False" and fast.stdout.split()[0] == "True", fast.stderr
