--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -35,27 +35,27 @@
 from plumpick.simulation.faults import generate_case
 from plumpick.simulation.world import play
 
-Swap = list[tuple[Any, str, Any]]  # module or class, attribute name, replacement
+Replacements = list[tuple[Any, str, Any]]  # module or class, attribute name, replacement
 
 
-def anywhere() -> Swap:
+def anywhere() -> Replacements:
     """Bug: retries go to any worker, whatever the request class allows."""
     return [(retry, "allowed_endpoints", lambda now_ms, request, settings, table: None)]
 
 
-def other_hall() -> Swap:
+def other_hall() -> Replacements:
     """Bug: a keyed request is retried in another zone."""
-    right = retry.allowed_endpoints
+    original = retry.allowed_endpoints
 
     def allowed(now_ms: float, request: Any, settings: Any, table: Any) -> Any:
         if request.request_class.idempotency is Idempotency.KEYED:
             return None
-        return right(now_ms, request, settings, table)
+        return original(now_ms, request, settings, table)
 
     return [(retry, "allowed_endpoints", allowed)]
 
 
-def refuses_all() -> Swap:
+def refuses_all() -> Replacements:
     """Bug: a request that may have run is rejected with a retry time, as if a retry were harmless."""
 
     def refuse(self: RequestLifecycle, request: Any) -> None:
@@ -65,44 +65,44 @@
     return [(RequestLifecycle, "reject_or_fail", refuse)]
 
 
-def reset_never_ran() -> Swap:
+def reset_never_ran() -> Replacements:
     """Bug: a connection that is reset after the request was sent counts as a failed connect."""
-    right = WorkerConnection._fail
+    original = WorkerConnection._fail
 
     def fault(self: WorkerConnection, result: AttemptResult) -> None:
-        right(self, AttemptResult.CONNECT_FAILED if result is AttemptResult.RESET else result)
+        original(self, AttemptResult.CONNECT_FAILED if result is AttemptResult.RESET else result)
 
     return [(WorkerConnection, "_fail", fault)]
 
 
-def ignores_drains() -> Swap:
+def ignores_drains() -> Replacements:
     """Bug: a draining worker is treated as ready."""
-    right = Gateway.on_worker_list
+    original = Gateway.on_worker_list
 
-    def on_worker_list(self: Gateway, news: WorkerList) -> None:
+    def on_worker_list(self: Gateway, update: WorkerList) -> None:
         entries = tuple(
             replace(one, server=replace(one.server, state=EndpointState.READY))
             if one.server.state is EndpointState.DRAINING
             else one
-            for one in news.entries
+            for one in update.entries
         )
-        right(self, replace(news, entries=entries))
+        original(self, replace(update, entries=entries))
 
     return [(Gateway, "on_worker_list", on_worker_list)]
 
 
-def prefers_cold() -> Swap:
+def prefers_cold() -> Replacements:
     """Bug: workers that are warming up are always preferred, as if they were idle."""
-    right = LoadBalancer.choose
+    original = LoadBalancer.choose
 
     def choose(self: LoadBalancer, now: float, request: Any, group: Any) -> Any:
         cold = [one for one in self.table.warming if group is None or one in group]
-        return cold[0] if cold else right(self, now, request, group)
+        return cold[0] if cold else original(self, now, request, group)
 
     return [(LoadBalancer, "choose", choose)]
 
 
-def no_guard() -> Swap:
+def no_guard() -> Replacements:
     """Bug: deadlines are applied half a second late, by the gateway and by the policy."""
     return [
         (request_table, "FINAL_RESPONSE_MARGIN_MS", -500.0),
@@ -116,9 +116,9 @@
     ]
 
 
-def late_answer_for_next() -> Swap:
+def late_answer_for_next() -> Replacements:
     """Bug: a cancelled attempt's connection is reused, and its late response answers the next request."""
-    right = Attempt.end
+    original = Attempt.end
 
     def end(self: Attempt, result: AttemptResult, *more: Any, **others: Any) -> None:
         connection: Any = self.connection
@@ -128,17 +128,17 @@
             connection.pool.release(connection)
             connection = None
         self.connection = connection
-        right(self, result, *more, **others)
+        original(self, result, *more, **others)
 
     return [(Attempt, "end", end)]
 
 
-def forgets_bookings() -> Swap:
+def forgets_bookings() -> Replacements:
     """Bug: a quota owner does not book the units that it granted."""
     return [(QuotaOwner, "_settle", lambda self, now_ms, ledger, key, message, limit_units: None)]
 
 
-def ignores_slices() -> Swap:
+def ignores_slices() -> Replacements:
     """Bug: a gateway without an answer from the quota owner ignores its slice of the hard limit."""
 
     def on_grant_timeout(self: QuotaRequester, now_ms: float, request: Any) -> bool:
@@ -148,12 +148,12 @@
     return [(QuotaRequester, "on_grant_timeout", on_grant_timeout)]
 
 
-def answers_twice() -> Swap:
+def answers_twice() -> Replacements:
     """Bug: a second response is written after every hundredth response."""
-    right, count = ClientConnection.respond, [0]
+    original, count = ClientConnection.respond, [0]
 
     def respond(self: ClientConnection, *more: Any, **others: Any) -> None:
-        right(self, *more, **others)
+        original(self, *more, **others)
         count[0] += 1
         if count[0] % 100 == 0 and self.transport is not None:
             self.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -161,7 +161,7 @@
     return [(ClientConnection, "respond", respond)]
 
 
-def ends_at_once() -> Swap:
+def ends_at_once() -> Replacements:
     """Bug: the gateway exits on SIGTERM without waiting for unfinished requests."""
     return [
         (Gateway, "has_unfinished_work", lambda self: False),
@@ -169,16 +169,16 @@
     ]
 
 
-def stands_still_and_closes() -> Swap:
+def stands_still_and_closes() -> Replacements:
     """Bug: after a stall, the sweep closes connections as idle although they have unread requests.
 
     Earlier versions had this bug.
     """
-    right = ConnectionAdmission.sweep
+    original = ConnectionAdmission.sweep
 
     def sweep(self: ConnectionAdmission, now: float, is_shutting_down: bool) -> None:
         self._last_sweep_ms = -1.0
-        right(self, now, is_shutting_down)
+        original(self, now, is_shutting_down)
 
     def close_if_idle(self: ClientConnection) -> None:
         if self.is_idle():  # without checking for unread input
@@ -187,15 +187,15 @@
     return [(ConnectionAdmission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
 
 
-def writes_after_the_end() -> Swap:
+def writes_after_the_end() -> Replacements:
     """Bug: a connection that is established late still sends its attempt, although the attempt has ended."""
 
-    def dialled(
-        self: ConnectionPool, worker: Any, attempt: Attempt, connection: WorkerConnection, dial: Any
+    def on_connected(
+        self: ConnectionPool, worker: Any, attempt: Attempt, connection: WorkerConnection, connect_task: Any
     ) -> None:
         worker.connecting.remove(attempt)
         attempt.connect_task = None
-        if dial.cancelled() or dial.exception() is not None:
+        if connect_task.cancelled() or connect_task.exception() is not None:
             connection.abort()
             attempt.end(AttemptResult.CONNECT_FAILED)
         else:
@@ -204,55 +204,55 @@
             connection.send(attempt)
 
     def start(self: ConnectionPool, attempt: Attempt) -> None:
-        right(self, attempt)
+        original(self, attempt)
         if attempt.connect_task is not None:  # the connect task is kept so that it is never cancelled
-            dial, attempt.connect_task = attempt.connect_task, None
-            self.__dict__.setdefault("kept", []).append(dial)
+            connect_task, attempt.connect_task = attempt.connect_task, None
+            self.__dict__.setdefault("kept", []).append(connect_task)
 
-    right = ConnectionPool.start
-    return [(ConnectionPool, "_on_connected", dialled), (ConnectionPool, "start", start)]
+    original = ConnectionPool.start
+    return [(ConnectionPool, "_on_connected", on_connected), (ConnectionPool, "start", start)]
 
 
-def rearms_at_once() -> Swap:
+def rearms_at_once() -> Replacements:
     """Bug: a due timer schedules itself again for the same instant."""
-    right = Timers.call_at
+    original = Timers.call_at
 
     def call_at(self: Timers, when_ms: float, call: Callable[[], None]) -> Any:
-        def again() -> None:
+        def rearm() -> None:
             call()
-            self._loop.call_soon(again)
+            self._loop.call_soon(rearm)
 
-        return right(self, when_ms, again)
+        return original(self, when_ms, rearm)
 
     return [(Timers, "call_at", call_at)]
 
 
-def looks_no_more() -> Swap:
+def looks_no_more() -> Replacements:
     """Bug: a retry is sent without checking that the group of workers still remembers the first attempt."""
 
-    def may_leave(self: ConnectionPool, worker: Any, attempt: Attempt) -> bool:
+    def may_send(self: ConnectionPool, worker: Any, attempt: Attempt) -> bool:
         return attempt.on_completed is not None and self.is_in_service(worker)
 
-    return [(ConnectionPool, "_may_send", may_leave)]
+    return [(ConnectionPool, "_may_send", may_send)]
 
 
-def reset_is_an_end() -> Swap:
+def reset_is_an_end() -> Replacements:
     """Bug: a response without a length counts as complete even if its connection is reset."""
-    right = WorkerConnection.connection_lost
+    original = WorkerConnection.connection_lost
 
     def connection_lost(self: WorkerConnection, problem: Exception | None) -> None:
         self.eof_received()
-        right(self, problem)
+        original(self, problem)
 
     return [(WorkerConnection, "connection_lost", connection_lost)]
 
 
-def trusts_its_watch() -> Swap:
+def trusts_its_watch() -> Replacements:
     """Bug: a discovery watch that has fallen silent is trusted for 60 s."""
     return [(endpoint_watch, "AGENT_WATCH_TIMEOUT_MS", 60_000.0)]
 
 
-def sends_for_nobody() -> Swap:
+def sends_for_nobody() -> Replacements:
     """Bug: a request continues after its client has disconnected."""
     return [
         (request_table.RequestTable, "on_disconnect", lambda self, request: None),
@@ -261,7 +261,7 @@
 
 
 # Planted bugs by name: the function that returns the replacements, and the rules that may break first.
-PLANTS: dict[str, tuple[Callable[[], Swap], tuple[str, ...]]] = {
+PLANTS: dict[str, tuple[Callable[[], Replacements], tuple[str, ...]]] = {
     "anywhere": (anywhere, ("effects-once",)),
     "other-hall": (other_hall, ("effects-once",)),
     "refuses-all": (refuses_all, ("effects-once",)),
@@ -287,9 +287,9 @@
 @contextmanager
 def planted(name: str) -> Iterator[None]:
     """Activates a planted bug until the end of the `with` block."""
-    swaps = PLANTS[name][0]()
-    before = [(owner, key, getattr(owner, key)) for owner, key, _ in swaps]
-    for owner, key, value in swaps:
+    replacements = PLANTS[name][0]()
+    before = [(owner, key, getattr(owner, key)) for owner, key, _ in replacements]
+    for owner, key, value in replacements:
         setattr(owner, key, value)
     try:
         yield
--- a/benchmarks/simulation/real_against_virtual.py
+++ b/benchmarks/simulation/real_against_virtual.py
@@ -41,12 +41,12 @@
         gatekeepers=scenario.fleet.gatekeepers,
         servers=scenario.fleet.servers,
     )
-    before: Any = virtual.scenario_of
-    virtual.scenario_of = lambda _case: scenario
+    original: Any = virtual.build_scenario
+    virtual.build_scenario = lambda _case: scenario
     try:
         result = virtual.play(case)
     finally:
-        virtual.scenario_of = before
+        virtual.build_scenario = original
     return result.service, result.rule
 
 
@@ -58,9 +58,9 @@
     given = flags.parse_args()
     print("| scenario | rehearse | simulate | difference | remarks |\n| --- | --- | --- | --- | --- |")
     for name in given.scenarios:
-        both = [(asyncio.run(real(name, seed)), simulated(name, seed)) for seed in range(1, given.seeds + 1)]
-        first, second = mean(one[0][0] for one in both), mean(one[1][0] for one in both)
-        remarks = "; ".join(text for one in both for _, text in one if text)
+        pairs = [(asyncio.run(real(name, seed)), simulated(name, seed)) for seed in range(1, given.seeds + 1)]
+        first, second = mean(one[0][0] for one in pairs), mean(one[1][0] for one in pairs)
+        remarks = "; ".join(text for one in pairs for _, text in one if text)
         print(f"| {name} | {first:.3f} | {second:.3f} | {second - first:+.3f} | {remarks} |", flush=True)
 
 
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -223,7 +223,7 @@
         return bool(self.rule)
 
 
-def scenario_of(case: Case) -> Scenario:  # noqa: C901  (to be split by concern)
+def build_scenario(case: Case) -> Scenario:  # noqa: C901  (to be split by concern)
     """Builds the rehearsal scenario of a case, with the faults that the rehearsal kit can inject itself."""
     events: list[Any] = []
     for fault in case.faults:
@@ -321,7 +321,7 @@
         around.settle = lambda: None  # type: ignore[method-assign]
         around.reset = self._reset  # type: ignore[method-assign]
         supervise = type("Supervise", (SimulatedSupervisor,), {"machine": machine, "case": case})
-        self.fleet = Fleet(around, scenario_of(case), f"seed-{case.seed}", supervise=supervise)
+        self.fleet = Fleet(around, build_scenario(case), f"seed-{case.seed}", supervise=supervise)
         self.fleet.recorder.listeners.append(self.coverage)
         self.checker = (
             FleetChecker(around, case.duties, case.gatekeepers, case.budgets)
