--- a/benchmarks/simulation/real_against_virtual.py
+++ b/benchmarks/simulation/real_against_virtual.py
@@ -1,8 +1,8 @@
-"""The same scenario by `rehearse` (real processes, real sockets) and by the simulation.
+"""Compares scenarios run by `rehearse` (real processes and sockets) with the same scenarios simulated.
 
     python -m benchmarks.simulation.real_against_virtual [--scenarios calm swallowing] [--seeds 2]
 
-Prints service of both and their difference, for each scenario the mean over seeds.
+Prints the mean service level of both over all seeds and their difference, for each scenario.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 async def real(name: str, seed: int) -> tuple[float, str]:
-    """Service of a rehearsal, and why it does not count, if it does not."""
+    """Runs a rehearsal; returns its service level and, if the machine was too slow for it, a remark."""
     fleet = Fleet(Surroundings(asyncio.get_running_loop(), seed), load(name), name)
     try:
         await fleet.start()
@@ -32,7 +32,7 @@
 
 
 def simulated(name: str, seed: int) -> tuple[float, str]:
-    """Service of the same in virtual time, and the rule that broke, if one did."""
+    """Simulates the scenario; returns its service level and the name of the broken rule, or ""."""
     scenario = load(name)
     case = replace(
         Case(seed),
@@ -41,26 +41,26 @@
         gatekeepers=scenario.fleet.gatekeepers,
         servers=scenario.fleet.servers,
     )
-    before: Any = virtual.scenario_of
-    virtual.scenario_of = lambda _case: scenario
+    original: Any = virtual.build_scenario
+    virtual.build_scenario = lambda _case: scenario
     try:
         result = virtual.play(case)
     finally:
-        virtual.scenario_of = before
+        virtual.build_scenario = original
     return result.service, result.rule
 
 
 def main() -> None:
-    """Print the table."""
+    """Prints a table with the service levels of each scenario."""
     flags = argparse.ArgumentParser(description=__doc__)
     flags.add_argument("--scenarios", nargs="*", default=["calm", "swallowing", "restarts"])
     flags.add_argument("--seeds", type=int, default=2)
     given = flags.parse_args()
     print("| scenario | rehearse | simulate | difference | remarks |\n| --- | --- | --- | --- | --- |")
     for name in given.scenarios:
-        both = [(asyncio.run(real(name, seed)), simulated(name, seed)) for seed in range(1, given.seeds + 1)]
-        first, second = mean(one[0][0] for one in both), mean(one[1][0] for one in both)
-        remarks = "; ".join(text for one in both for _, text in one if text)
+        pairs = [(asyncio.run(real(name, seed)), simulated(name, seed)) for seed in range(1, given.seeds + 1)]
+        first, second = mean(one[0][0] for one in pairs), mean(one[1][0] for one in pairs)
+        remarks = "; ".join(text for one in pairs for _, text in one if text)
         print(f"| {name} | {first:.3f} | {second:.3f} | {second - first:+.3f} | {remarks} |", flush=True)
 
 
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -1,4 +1,4 @@
-"""One case, played: the daemon's own code, the kit's stand-ins and auditor, on the virtual machine."""
+"""Runs one case: the gateway's code with the rehearsal kit's stubs and auditor on the virtual machine."""
 
 from __future__ import annotations
 
@@ -25,83 +25,92 @@
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import Surroundings
-from plumpick.simulation.duties import Watch
+from plumpick.simulation.duties import FleetChecker
 from plumpick.simulation.faults import Case, Fault
-from plumpick.simulation.loop import UNIX_S, Machine, OutOfSteps, Process, RunAway, close_tasks
-from plumpick.simulation.marks import Marks
-from plumpick.simulation.network import Cut, Network, Plug, Weather
-
-START_S = (0.2, 0.7)  # what a process takes to come to its first line
-STAY_S = 12.0  # servers that drain behind watches that have fallen silent go on for so long
-END_S = 40.0  # beyond the case's seconds, after which a run that has not ended never will
-HANG = "did-not-end"
+from plumpick.simulation.loop import (
+    START_UNIX_S,
+    Machine,
+    Process,
+    RunawayLoop,
+    StepLimitExceeded,
+    close_tasks,
+)
+from plumpick.simulation.marks import CoverageCounter
+from plumpick.simulation.network import Cut, LinkConditions, Network, VirtualDatagramSocket
+
+START_S = (0.2, 0.7)  # range of the time that a gateway process takes to start
+LINGER_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
+END_MARGIN_S = 40.0  # time beyond the case's seconds after which an unfinished run counts as hung
+DID_NOT_END = "did-not-end"
 
 
 class SimulatedClock(Clock):
-    """A gatekeeper's clock: Unix time in ms, off by the process's skew."""
+    """A gateway's clock: Unix time in milliseconds, with the skew of its process."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
 
     def now(self) -> float:
-        return (UNIX_S + self._process.time()) * 1000
+        return (START_UNIX_S + self._process.time()) * 1000
 
 
-class SimulatedSystem(Platform):
-    """What a simulated gatekeeper takes from its machine."""
+class SimulatedPlatform(Platform):
+    """The platform of a simulated gateway: clock, sockets and configuration of the virtual machine."""
 
-    def __init__(self, process: Process, reread: Callable[[], Config], watch: Watch | None = None) -> None:
-        self.process, self._reread, self.watch = process, reread, watch
+    def __init__(
+        self, process: Process, read_config: Callable[[], Config], checker: FleetChecker | None = None
+    ) -> None:
+        self.process, self._read_config, self.checker = process, read_config, checker
 
     def clock(self) -> Clock:
         return SimulatedClock(self.process)
 
     def create_datagram_socket(self) -> Any:
-        return Plug(self.process.machine.network, self.process)
+        return VirtualDatagramSocket(self.process.machine.network, self.process)
 
     def create_listener(self, address: tuple[str, int], backlog: int) -> None:
-        """The virtual machine's listeners have no backlog: who connects is there at once."""
+        """Opens no socket in advance: the virtual network opens the listener when the server is created."""
 
     @staticmethod
     def has_no_unread_input(transport: Any) -> bool:
-        return bool(transport.is_quiet())
+        return bool(transport.has_no_unread_input())
 
     @staticmethod
     def was_reset(transport: Any) -> bool:
-        """An end and a reset are told apart here."""
+        """Returns False: a virtual transport never reports a reset as an end of stream."""
         return False
 
     @staticmethod
     def has_peer_closed(transport: Any) -> bool:
-        return bool(transport.has_ended())
+        return bool(transport.has_peer_closed())
 
     def boottime(self) -> float:
         return self.process.time() * 1000
 
     def unix_ms(self) -> float:
-        return (UNIX_S + self.process.time()) * 1000
+        return (START_UNIX_S + self.process.time()) * 1000
 
     def on_participant_created(self, part: Any) -> None:
-        if self.watch is not None:
-            self.watch.on_participant_created(self.process, part)
+        if self.checker is not None:
+            self.checker.add_lease_runner(self.process, part)
 
     def incarnation(self) -> int:
         machine = self.process.machine
         return random.Random(f"{machine.seed}/life/{len(machine.processes)}").getrandbits(32)
 
     def lock_peer_address(self, address: Any) -> Any:
-        """A process of a gatekeeper is the only one of its number."""
-        return Plug(self.process.machine.network, self.process)
+        """Returns an unbound socket: the simulation never runs two processes of one gateway number."""
+        return VirtualDatagramSocket(self.process.machine.network, self.process)
 
     def freeze_startup_objects(self) -> None:
-        """The collector has nothing to do with the run."""
+        """Does nothing: garbage collection does not affect the simulated run."""
 
     def reload_config(self) -> Config:
-        return self._reread()
+        return self._read_config()
 
 
-class _Handle:
-    """What the supervisor knows of a process."""
+class _ProcessHandle:
+    """The supervisor's handle of a simulated process, with the interface of `asyncio.subprocess.Process`."""
 
     def __init__(self, process: Process, number: int, owner: Process) -> None:
         self.process, self.pid, self._ended = process, number, owner.create_future()
@@ -129,18 +138,18 @@
 
 
 class SimulatedSupervisor(Supervisor):
-    """Starts gatekeepers as processes of the virtual machine."""
+    """A supervisor that starts gateways as processes of the virtual machine."""
 
     machine: Machine
     case: Case
-    watch: Watch | None = None  # where duties are on
+    checker: FleetChecker | None = None  # None without scheduled tasks and budgets
 
     @staticmethod
     def make_folder() -> Path:
         return Path("simulated")
 
     def drop_folder(self) -> None:
-        """There is none."""
+        """Does nothing: the simulation writes no files."""
 
     def ports(self) -> tuple[int, int]:
         network = self.machine.network
@@ -154,7 +163,7 @@
         return "; ".join(self.machine.problems[-3:])
 
     def read(self, gate: Gatekeeper) -> Config:
-        """The configuration as it stands."""
+        """Parses the gateway's configuration as it was last written."""
         return parse_config(json.loads(self.files[gate.name]), {})  # type: ignore[attr-defined]
 
     async def launch(self, gate: Gatekeeper) -> Any:
@@ -162,9 +171,11 @@
         skew = self.case.skew_ms[gate.number] if gate.number < len(self.case.skew_ms) else 0.0
         config = self.read(gate)
         process = Process(self.machine, gate.name, skew, config.sockets)
-        process.signals[signal.SIGHUP] = lambda: None  # as in main: ignored until it is handled
-        system = SimulatedSystem(process, lambda: self.read(gate), self.watch)
-        fleet = self.watch.settings if self.watch is not None else None
+        process.signals[signal.SIGHUP] = (
+            lambda: None
+        )  # ignored until the gateway installs its handler, as in main
+        system = SimulatedPlatform(process, lambda: self.read(gate), self.checker)
+        fleet = self.checker.settings if self.checker is not None else None
 
         async def run() -> None:
             await asyncio.sleep(self._rng.uniform(*START_S))
@@ -177,12 +188,16 @@
                 process.kill(0)
 
         process.call_soon(lambda: process.create_task(run()))
-        return _Handle(process, len(self.machine.processes), self.around.loop)  # type: ignore[arg-type]
+        return _ProcessHandle(
+            process,
+            len(self.machine.processes),
+            self.around.loop,  # type: ignore[arg-type]
+        )
 
 
 @dataclass
 class Result:
-    """What came of a case."""
+    """The result of a simulated run."""
 
     seed: int
     digest: str
@@ -191,25 +206,25 @@
     requests: int
     service: float
     marks: dict[str, int]
-    rule: str = ""  # the rule that was broken; nothing: none was
+    rule: str = ""  # name of the broken rule; empty if all rules held
     step: int = 0
     t_ms: float = 0.0
     text: str = ""
     story: list[str] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
-    owners: int = 0  # tokens under which leases were held, and effects that came, where duties are on
-    effects: int = 0
-    spent: float = 0.0  # units of budgets, and requests turned back by them
-    turned_back: int = 0
-    excused: int = 0  # breaches by the clock alone while time was bent
+    owners: int = 0  # number of fencing tokens under which leases were held
+    effects: int = 0  # number of effects of scheduled tasks that the receiver got
+    spent: float = 0.0  # units of all budgets
+    turned_back: int = 0  # number of requests rejected by budgets
+    excused: int = 0  # number of breaches not counted because a fault disturbed timing or hid an event
 
     @property
     def failed(self) -> bool:
         return bool(self.rule)
 
 
-def scenario_of(case: Case) -> Scenario:  # noqa: C901  (to be split by concern)
-    """The rehearsal that a case plays, with those of its faults that rehearsals know."""
+def build_scenario(case: Case) -> Scenario:  # noqa: C901  (to be split by concern)
+    """Builds the rehearsal scenario of a case, with the faults that the rehearsal kit can inject itself."""
     events: list[Any] = []
     for fault in case.faults:
         one, at = fault.with_, fault.at_s
@@ -244,11 +259,11 @@
             )
         elif fault.kind == "hot-firm":
             events.append(script.HotFirm(at_s=at, for_s=fault.for_s, plan=one["plan"], times=one["times"]))
-        elif fault.kind == "silent-watches":  # and drains begin right behind, of servers that stay
+        elif fault.kind == "silent-watches":  # workers drain just after, and keep serving meanwhile
             events.append(script.SilentWatches(at_s=at))
             events.append(
                 script.ReleaseServers(
-                    at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=STAY_S
+                    at_s=at + one["behind_s"], share=one["share"], within_s=0.5, linger_s=LINGER_S
                 )
             )
         elif fault.kind == "unmeasured-resets":
@@ -263,7 +278,7 @@
             )
         elif fault.kind == "split":
             events.append(script.SplitPeers(at_s=at, for_s=fault.for_s, side=[one["gate"]]))
-    # Some deployments' servers remember keys for a short while only.
+    # Workers of some deployments remember idempotency keys for a short time only.
     windows = [
         fault.with_["window_s"]
         for fault in case.faults
@@ -287,7 +302,7 @@
 
 
 class World:
-    """A case on its machine. `record` is told every record, `trace` every step."""
+    """A case on its virtual machine. `record` is called for every record, `trace` for every step."""
 
     def __init__(
         self,
@@ -299,41 +314,41 @@
         self.case = case
         self.machine = machine = Machine(case.seed)
         machine.trace = trace
-        self.marks = Marks()
-        self.network = Network(machine, self.marks.mark)
+        self.coverage = CoverageCounter()
+        self.network = Network(machine, self.coverage.count_reached)
         self.process = Process(machine, "world")
-        around = Surroundings(self.process, case.seed, lambda: machine.now, UNIX_S)
+        around = Surroundings(self.process, case.seed, lambda: machine.now, START_UNIX_S)
         around.settle = lambda: None  # type: ignore[method-assign]
         around.reset = self._reset  # type: ignore[method-assign]
         supervise = type("Supervise", (SimulatedSupervisor,), {"machine": machine, "case": case})
-        self.fleet = Fleet(around, scenario_of(case), f"seed-{case.seed}", supervise=supervise)
-        self.fleet.recorder.listeners.append(self.marks)
-        self.watch = (
-            Watch(around, case.duties, case.gatekeepers, case.budgets)
+        self.fleet = Fleet(around, build_scenario(case), f"seed-{case.seed}", supervise=supervise)
+        self.fleet.recorder.listeners.append(self.coverage)
+        self.checker = (
+            FleetChecker(around, case.duties, case.gatekeepers, case.budgets)
             if case.duties or case.budgets
             else None
         )
-        self.fleet.supervisor.watch = self.watch  # type: ignore[attr-defined]
+        self.fleet.supervisor.checker = self.checker  # type: ignore[attr-defined]
         self.requests = 0
         self.record = record
         self.fleet.recorder.listeners.append(self)
         self.network.label_of = self._label_of
         self._labels: dict[int, str] = {}
-        self._judged = 0
+        self._checked_breaches = 0
         self.broken: Breach | None = None
         self.excused = 0
         self.failure = ""
         machine.after_step = self._after_step
 
     def feed(self, record: Record) -> None:
-        """A record: it is part of the history's identity."""
+        """Counts a record and adds it to the digest of the run."""
         self.requests += type(record).__name__ == "Asked"
         self.machine.note(line_of(record) if type(record).__name__ != "Began" else "Began")
         if self.record is not None:
             self.record(record)
 
     def _reset(self, transport: Any) -> None:
-        self.network.break_off(transport)
+        self.network.send_reset(transport)
         transport.abort()
 
     def _label_of(self, port: int) -> str:
@@ -345,33 +360,40 @@
         return self._labels.get(port, "")
 
     def _after_step(self) -> None:
-        """All rules are checked after each step."""
-        if self.watch is not None and self.broken is None:
-            self.broken = self.watch.broken()
+        """Checks all rules after a step; a breach that is not excused stops the machine."""
+        if self.checker is not None and self.broken is None:
+            self.broken = self.checker.find_breach()
             self.machine.stopped = self.machine.stopped or self.broken is not None
         breaches = self.fleet.auditor.breaches
-        while self._judged < len(breaches):
-            breach = breaches[self._judged]
-            self._judged += 1
+        while self._checked_breaches < len(breaches):
+            breach = breaches[self._checked_breaches]
+            self._checked_breaches += 1
             asked = (breach.story or [None])[0]
-            t_ms, gate = breach.t - self.play_t, getattr(asked, "gate", "")
-            # What waits at a listener that has no descriptor was never the program's, nor was it told what
-            # a cut keeps from it.
-            unseen = bool(gate) and (
+            t_ms, gate = breach.t - self.play_start_ms, getattr(asked, "gate", "")
+            # The gateway cannot know of a request that waits at a listener without a free descriptor, nor of
+            # a drain that a partition hides from it.
+            is_hidden = bool(gate) and (
                 breach.rule == LOST
-                and any(self.case.bends(t, ("few-descriptors",), gate) for t in (t_ms, asked.t - self.play_t))
+                and any(
+                    self.case.disturbs_timing(t, ("few-descriptors",), gate)
+                    for t in (t_ms, asked.t - self.play_start_ms)
+                )
                 or breach.rule == DRAINS
-                and self.case.bends(t_ms, ("cut-roster",), gate)
+                and self.case.disturbs_timing(t_ms, ("cut-roster",), gate)
             )
-            if (breach.timing or breach.rule in (COLD, CEILINGS)) and self.case.bends(t_ms) or unseen:
+            if (
+                (breach.timing or breach.rule in (COLD, CEILINGS))
+                and self.case.disturbs_timing(t_ms)
+                or is_hidden
+            ):
                 self.excused += 1
             elif self.broken is None:
                 self.broken = breach
                 self.machine.stopped = True
 
-    # -- the faults that rehearsals do not know
+    # -- faults that the rehearsal kit cannot inject
 
-    play_t = 0.0  # when the script began, ms
+    play_start_ms = 0.0  # time at which the scenario started, in milliseconds
 
     def _gate(self, fault: Fault) -> Process | None:
         gate: Any = self.fleet.supervisor.gates[fault.with_["gate"]]
@@ -383,34 +405,46 @@
         end: Callable[[], None] = lambda: None  # noqa: E731
         gate = f"n{one.get('gate', 0)}"
         server = f"lic-{one.get('server', 0) + 1:03d}"
-        weather = network.weather
+        conditions = network.conditions
         match fault.kind:
             case "still":
                 process = self._gate(fault)
                 if process is not None:
-                    process.stand_still(fault.for_s)
+                    process.stall(fault.for_s)
                     if fault.for_s > 2.0:
-                        self.marks.mark("a process stood still for longer than its clients wait")
+                        self.coverage.count_reached("a process stood still for longer than its clients wait")
             case "pieces":
-                network.weather = replace(weather, cut_share=one["share"])
-                network.front_weather = Weather(cut_share=one["share"])
-                end = self._fair
+                network.conditions = replace(conditions, split_probability=one["share"])
+                network.client_conditions = LinkConditions(split_probability=one["share"])
+                end = self._reset_conditions
             case "loss":
-                network.weather, end = replace(weather, loss=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, loss_probability=one["share"]),
+                    self._reset_conditions,
+                )
             case "resets":
-                network.weather, end = replace(weather, reset=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, reset_probability=one["share"]),
+                    self._reset_conditions,
+                )
             case "late-connections":
-                network.weather, end = replace(weather, late_up=one["share"]), self._fair
+                network.conditions, end = (
+                    replace(conditions, late_connect_probability=one["share"]),
+                    self._reset_conditions,
+                )
             case "slow-link":
-                network.weather, end = replace(weather, delay_ms=(one["ms"] / 4, one["ms"])), self._fair
+                network.conditions, end = (
+                    replace(conditions, delay_ms=(one["ms"] / 4, one["ms"])),
+                    self._reset_conditions,
+                )
             case "datagrams":
-                network.weather = replace(
-                    weather,
-                    datagram_loss=one["loss"],
-                    datagram_twice=one["twice"],
-                    datagram_late_ms=one["late_ms"],
+                network.conditions = replace(
+                    conditions,
+                    datagram_loss_probability=one["loss"],
+                    datagram_duplicate_probability=one["twice"],
+                    max_datagram_delay_ms=one["late_ms"],
                 )
-                end = self._fair
+                end = self._reset_conditions
             case "cut-to-server" | "cut-from-server" | "cut-roster":
                 cut = Cut(gate, server) if fault.kind == "cut-to-server" else Cut(server, gate)
                 if fault.kind == "cut-roster":
@@ -426,46 +460,49 @@
             case "few-descriptors":
                 process = self._gate(fault)
                 if process is not None:
-                    all_of_them = self.fleet.scenario.fleet.sockets
-                    process.descriptors = process.in_use + one["left"]
-                    end = lambda: setattr(process, "descriptors", all_of_them)  # noqa: E731
+                    full_limit = self.fleet.scenario.fleet.sockets
+                    process.max_descriptors = process.open_descriptors + one["left"]
+                    end = lambda: setattr(process, "max_descriptors", full_limit)  # noqa: E731
             case "roster-silent":
-                self.marks.silent_roster = True
-                end = lambda: setattr(self.marks, "silent_roster", False)  # noqa: E731
+                self.coverage.is_discovery_silent = True
+                end = lambda: setattr(self.coverage, "is_discovery_silent", False)  # noqa: E731
             case "split":
-                self.marks.split = True
-                end = lambda: setattr(self.marks, "split", False)  # noqa: E731
+                self.coverage.is_partitioned = True
+                end = lambda: setattr(self.coverage, "is_partitioned", False)  # noqa: E731
         self.fleet.around.later(fault.for_s * 1000, end)
 
-    def _fair(self) -> None:
-        """The weather is fair again: one spell ends what others began, so that none outlasts the run."""
-        self.network.weather, self.network.front_weather = Weather(), Weather()
+    def _reset_conditions(self) -> None:
+        """Restores faultless network conditions.
+
+        The end of one fault also ends others that still last, so that none outlasts the run.
+        """
+        self.network.conditions, self.network.client_conditions = LinkConditions(), LinkConditions()
 
     # -- the run
 
     async def _main(self) -> None:
         fleet = self.fleet
         try:
-            if self.watch is not None:
-                await self.watch.start()
+            if self.checker is not None:
+                await self.checker.start()
             await fleet.start()
-            self.play_t = fleet.around.now()
+            self.play_start_ms = fleet.around.now()
             for fault in self.case.faults:
                 fleet.around.later(fault.at_s * 1000, self._begin, fault)
             await fleet.play()
-            if self.watch is not None and self.broken is None:
-                self.broken = self.watch.over()
+            if self.checker is not None and self.broken is None:
+                self.broken = self.checker.find_effect_breach()
             for name, store in fleet.auditor.nearest().items():
                 plan = next(firm.plan.name for firm in fleet.front.firms if firm.name == name)
                 if store < 0.67 * fleet.quotas[plan]["ceiling_burst"]:
-                    self.marks.mark("a firm used a third of its ceiling's burst")
+                    self.coverage.count_reached("a firm used a third of its ceiling's burst")
         except StartFailed as problem:
             self.failure = f"start: {problem}"
         finally:
             self.machine.stopped = True
 
     def play(self) -> Result:
-        """Play it to its end, or to the first step that breaks a rule."""
+        """Runs the case to its end or to the first step that breaks a rule, with the program's logs off."""
         logger = logging.getLogger("plumpick")
         level, logger.disabled = logger.level, True
         names = [name for name in logging.root.manager.loggerDict if name.startswith("plumpick")]
@@ -475,10 +512,10 @@
         try:
             self.process.call_soon(lambda: self.process.create_task(self._main()))
             try:
-                self.machine.run(self.case.seconds + END_S)
+                self.machine.run(self.case.seconds + END_MARGIN_S)
                 if not self.machine.stopped:
-                    self.failure = self.failure or f"not over after {self.machine.now:.0f} s"
-            except (RunAway, OutOfSteps) as problem:
+                    self.failure = self.failure or f"run not finished after {self.machine.now:.0f} s"
+            except (RunawayLoop, StepLimitExceeded) as problem:
                 self.failure = str(problem)
             return self._result()
         finally:
@@ -499,19 +536,19 @@
             round(machine.now, 3),
             self.requests,
             round(fleet.service.as_dict()["service"], 4),
-            dict(sorted(self.marks.counts.items())),
+            dict(sorted(self.coverage.counts.items())),
             problems=list(machine.problems),
             excused=self.excused,
         )
-        if self.watch is not None:
-            result.spent = sum(one.total for one in self.watch.wholes.values())
-            result.turned_back = self.watch.turned_back
-            result.owners, result.effects = len(self.watch.owners), len(self.watch.receiver.records)
+        if self.checker is not None:
+            result.spent = sum(bucket.total for bucket in self.checker.buckets.values())
+            result.turned_back = self.checker.rejected
+            result.owners, result.effects = len(self.checker.owners), len(self.checker.receiver.records)
         if self.broken is not None:
             result.rule, result.t_ms, result.text = self.broken.rule, self.broken.t, self.broken.text
             result.step, result.story = machine.steps, [line_of(record) for record in self.broken.story]
         elif self.failure:
-            result.rule, result.text, result.t_ms = HANG, self.failure, machine.now * 1000
+            result.rule, result.text, result.t_ms = DID_NOT_END, self.failure, machine.now * 1000
             result.step = machine.steps
         elif machine.problems:
             result.rule, result.text, result.step = "unhandled", machine.problems[0], machine.steps
@@ -519,5 +556,5 @@
 
 
 def play(case: Case, **more: Any) -> Result:
-    """Play a case."""
+    """Runs a case and returns its result; `more` is passed to World."""
     return World(case, **more).play()
