--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -521,7 +521,7 @@
 
 
 @pytest.mark.parametrize("change", [{"status": "draining"}, {"status": "gone"}, {"since_ms": 1000}])
-def test_word_of_a_drain_or_a_restart_drops_idle_connections(change):
+def test_listed_drain_or_restart_closes_idle_connections(change):
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
@@ -777,7 +777,7 @@
     one_worker(scenario)
 
 
-def test_the_same_again_is_not_read_at_full_speed():
+def test_each_rejected_request_doubles_the_delay_before_the_next_read():
     """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
 
     async def scenario(worker, gate, client):
@@ -825,7 +825,7 @@
         (request(body=b"half")[:-2], 408),
     ],
 )
-def test_who_does_not_ask_in_time_is_told_or_closed(said, status):
+def test_client_without_complete_request_is_answered_or_closed_in_time(said, status):
     """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
 
     async def scenario(worker, gate, client):
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -1,4 +1,4 @@
-"""Operators' calls over loopback, and clients that are sent away."""
+"""Operators' commands over loopback, and draining of clients."""
 
 import asyncio
 
@@ -65,7 +65,7 @@
         (b"ENABLE S-5be2a07c", ("ENABLE", "S-5be2a07c")),
     ],
 )
-def test_calls_are_read_whatever_their_case_and_ids_as_they_stand(line, call):
+def test_command_name_is_case_insensitive_and_worker_id_is_kept(line, call):
     assert parse_command(line) == call
 
 
@@ -83,7 +83,7 @@
         b"DRAIN a b c",
     ],
 )
-def test_what_is_no_call_is_named(line):
+def test_invalid_command_line_is_rejected(line):
     with pytest.raises(ValueError):
         parse_command(line)
 
@@ -120,7 +120,7 @@
     with_office(scenario)
 
 
-def test_before_it_is_up_and_once_it_ends_the_answer_is_no():
+def test_ready_is_an_error_before_start_and_during_shutdown():
     async def scenario(port, gate, _worker):
         gate.gateway.is_serving = False
         assert (await say(port, b"READY\n")).startswith("-ERR")
@@ -222,7 +222,7 @@
     with_office(scenario)
 
 
-def test_an_end_during_a_drain_and_a_drain_during_an_end():
+def test_shutdown_during_a_drain_wins_over_undrain():
     async def scenario(port, gate, _worker):
         await say(port, b"DRAIN\n")
         gate.gateway.shut_down_within(2000.0)
@@ -232,7 +232,7 @@
     with_office(scenario)
 
 
-def test_staff_call_from_the_command_line(capsys):
+def test_operators_send_commands_from_the_command_line(capsys):
     async def scenario(port, _gate, _worker):
         def calls():
             return [
--- a/tests/gateway/test_platform.py
+++ b/tests/gateway/test_platform.py
@@ -13,7 +13,7 @@
 # ---- peers --------------------------------------------------------------------------------------
 
 
-def test_peers_hear_each_other_and_no_stranger():
+def test_peers_receive_datagrams_of_peers_only():
     async def scenario():
         loop = asyncio.get_running_loop()
         plugs = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
@@ -84,7 +84,7 @@
     run(scenario())
 
 
-def test_the_clock_tells_unix_time_and_only_advances(monkeypatch):
+def test_clock_returns_unix_time_and_never_goes_back(monkeypatch):
     clock = Clock()
     first = clock.now()
     monkeypatch.setattr("time.time", lambda: 5.0)  # somebody sets the machine's clock back
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("change, said", BEYOND_LIMITS)
-def test_settings_that_no_message_can_tell_of_end_it_with_one_line(tmp_path, change, said):
+def test_settings_beyond_the_limits_stop_the_start_with_one_line(tmp_path, change, said):
     test_a_configuration_that_cannot_be_used_ends_it_with_one_line(
         tmp_path, json.dumps(with_settings(config(), **change)), said
     )
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -281,7 +281,7 @@
     one_worker(scenario)
 
 
-def test_where_the_module_fails_on_them_nobody_else_goes_by_them(monkeypatch, caplog):
+def test_failed_reconfiguration_of_the_policy_changes_nothing_elsewhere(monkeypatch, caplog):
     def fails(*_, **_callbacks):
         raise RuntimeError("planted")
 
@@ -454,7 +454,7 @@
     assert asked == [[1.234]]
 
 
-def test_nobody_elses_settings_are_touched():
+def test_reconfiguration_does_not_affect_another_gateway():
     """Two gatekeepers in one process, of which one changes."""
 
     async def scenario():
--- a/tests/support/config_processes.py
+++ b/tests/support/config_processes.py
@@ -1,6 +1,7 @@
-"""A service of versions and gateways as processes.
+"""A configuration service together with gateway processes.
 
-They run as `python -m benchmarks.configuration.witness`, which writes down what each was given."""
+The gateways run as `python -m benchmarks.configuration.witness`, which records the versions that each
+receives and activates."""
 
 import asyncio
 import json
@@ -16,7 +17,8 @@
 
 
 class Machine:
-    """A service in this process, and a gatekeeper with a process at a time, or two in an upgrade."""
+    """A configuration service in the test process, and a gateway with one process at a time, or two during a
+    hot restart."""
 
     def __init__(self, folder):
         self.folder, self.service, self.processes = folder, VersionService(), []
@@ -41,7 +43,8 @@
         assert self.service._publish(json.dumps(told).encode())[0] == 200
 
     async def start(self, worker=9):
-        """A process, up, with a worker at that port; where operators call it."""
+        """Start a gateway process with a worker at the port `worker`, and wait until it is ready. Returns the
+        process and its management port."""
         calls = free_port()
         (self.folder / "config.json").write_text(
             json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}"))
@@ -65,7 +68,7 @@
         return process, calls
 
     def put_in_force(self, pid):
-        """Versions, in the order in which that process had them."""
+        """The versions that the process activated, in order."""
         path = self.folder / "witness"
         rows = [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
         return [row[3] for row in rows if row[0] == "force" and row[2] == pid]
--- a/tests/support/dynamic_config.py
+++ b/tests/support/dynamic_config.py
@@ -1,4 +1,4 @@
-"""Settings to publish, and a gateway's subscriber without sockets."""
+"""Settings to publish, and a gateway's subscriber driven without sockets."""
 
 import copy
 import random
@@ -13,7 +13,7 @@
 
 
 def published(mark=0, classes=3):
-    """Settings as they are published; `mark` makes them differ."""
+    """Settings in the published form; `mark` is a number that makes them differ."""
     value = copy.deepcopy(shared_settings(settings()))
     row = value["classes"][0]
     value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
@@ -27,12 +27,12 @@
 
 
 def status_of(name, number, version, digest, last_call_ms=0.0, rejected=0, reason="", staged=0):
-    """What a gateway reported with its last call."""
+    """The status that a gateway reported with its last call."""
     return SubscriberStatus(name, number, version, digest, staged, rejected, reason, last_call_ms)
 
 
 class Subscription:
-    """A subscriber with what the daemon does round it, at once."""
+    """A subscriber, with the parsing, staging and activation that the client does, without delays."""
 
     def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
         self.subscriber = ConfigSubscriber(number, 5, addresses, random.Random(1), now_ms)
@@ -41,7 +41,7 @@
         self.activated = []  # (when, number, digest of its settings)
 
     def receive(self, now_ms, value):
-        """An answer of a service."""
+        """Process the JSON value of a service's response, then activate the staged version if it is due."""
         problem = ""
         try:
             self._stage(now_ms, value)
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,4 +1,4 @@
-"""Small stand-ins on loopback sockets: clients, workers, discovery and a module that does as it is told."""
+"""Fake clients, workers and discovery on loopback sockets, and a stub of the policy controller."""
 
 import asyncio
 import itertools
@@ -18,11 +18,11 @@
 from plumpick.policy.events import AttemptCompleted, RequestReceived
 
 HOST = "127.0.0.1"
-PATIENCE_S = 30.0  # for a whole scenario: only a hang takes so long
+PATIENCE_S = 30.0  # time limit of one scenario, which only a scenario that hangs exceeds
 
 
 def run(scenario):
-    """Run one scenario on the loop that the gatekeeper runs on."""
+    """Run a scenario on a new event loop of the kind that the gateway uses."""
     uvloop.run(asyncio.wait_for(scenario, PATIENCE_S))
 
 
@@ -77,7 +77,7 @@
 
 
 def config(discovery_port=9, listen_port=1, known=(), **more):
-    """A configuration in the platform's form."""
+    """The JSON configuration of a gateway; `more` replaces or adds top-level keys."""
     value = {
         "name": "n0",
         "listen": f"{HOST}:{listen_port}",
@@ -92,7 +92,8 @@
 
 
 class ControllerStub:
-    """In the module's place: sends each request to one worker, fails it after a bad outcome, keeps events."""
+    """Replaces the policy controller: sends each request to one worker, fails the request when its attempt
+    fails, and records all events. Actions in `next_actions` are returned with the next event."""
 
     def __init__(self, worker="w1", timeout_ms=20_000.0):
         self.worker, self.timeout_ms = worker, timeout_ms
@@ -114,7 +115,7 @@
         return actions
 
     async def next_event(self, kind):
-        """The first event of a kind that is not taken yet, once it is there."""
+        """Wait for an event of a kind and remove it from the recorded events."""
         while True:
             for event in self.events:
                 if isinstance(event, kind):
@@ -159,7 +160,7 @@
 
 
 def request(request_id=None, path="/look", key=None, body=b"", deadline=10_000, extra=""):
-    """The bytes of a client's request; its id is new, unless one is given."""
+    """The bytes of a client's request, with a new request id unless one is given."""
     request_id = f"{next(_ids):016x}" if request_id is None else request_id
     method = "POST" if body or key else "GET"
     length = f"Content-Length: {len(body)}\r\n" if method == "POST" else ""
@@ -174,7 +175,7 @@
 
 
 class Message:
-    """One parsed message, of either side."""
+    """A parsed HTTP request or response."""
 
     def __init__(self, parser_kind):
         self.parser = parser_kind(self)
@@ -194,7 +195,8 @@
 
 
 async def read_message(reader, parser_kind):
-    """The next message; None at the end. One byte at a time, so that nothing of the next is taken."""
+    """Read the next message; None at the end of the connection. Reads single bytes, so that no byte of the
+    following message is consumed."""
     message = Message(parser_kind)
     while not message.whole:
         data = await reader.read(1)
@@ -205,7 +207,7 @@
 
 
 class Client:
-    """One connection of a client."""
+    """A client with one connection to the gateway."""
 
     async def open(self, port):
         self.reader, self.writer = await asyncio.open_connection(HOST, port)
@@ -216,7 +218,7 @@
         return self
 
     async def read_response(self):
-        """(status, headers, body) of the next answer; None when the connection ends first."""
+        """(status, headers, body) of the next response; None if the connection ends first."""
         message = await read_message(self.reader, httptools.HttpResponseParser)
         return message and (message.parser.get_status_code(), message.headers, message.body)
 
@@ -231,7 +233,7 @@
 
 
 class FakeWorker:
-    """A worker: `next_request()` gives the next request with the way to answer it."""
+    """A fake worker; `next_request()` returns the next request and the writer for its response."""
 
     def __init__(self):
         self.requests, self.connections, self.port = asyncio.Queue(), 0, 0
@@ -267,8 +269,8 @@
 
 
 class FakeDiscovery:
-    """Discovery: gives calls to the test, which answers each by hand. It may have been elsewhere before, and
-    come up at a `port` now."""
+    """A fake discovery service that passes each call to the test, which writes the response itself. `port`:
+    the port to listen at, 0 for a free one."""
 
     def __init__(self, port=0):
         self.calls, self.port = asyncio.Queue(), port
@@ -297,14 +299,14 @@
 
 
 def reset(writer):
-    """Close with a reset, behind what the system has of it."""
+    """Reset the connection after the bytes that the system has already received for sending."""
     with socket.socket(fileno=os.dup(writer.transport.get_extra_info("socket").fileno())) as plug:
         plug.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.close()
 
 
 class HeldDials:
-    """Connections to workers come up only once `go` is set; `opened` tells that one is being made."""
+    """Delays connections to workers until `go` is set; `opened` is set when a connection is attempted."""
 
     def __init__(self, gate):
         loop = asyncio.get_running_loop()
@@ -327,8 +329,9 @@
 
 
 async def next_is(worker, gate):
-    """A new client's requests are the next that come to the worker: nothing else went out before them.
-    Several, since what went out on another connection may be read there a little later."""
+    """Assert that the worker receives the requests of a new client next, so that nothing was sent before
+    them. Five requests are sent because the worker may read an earlier one on another connection a little
+    later."""
     client = await gate.client()
     for number in range(5):
         name = f"{0xFF00 + number:016x}"
@@ -342,8 +345,8 @@
 
 
 class Plug:
-    """A client on a plain socket: it tells a clean end from a reset, and may act without a turn of the
-    loop. `room`: bytes that the system may keep for it, where it is to read slowly."""
+    """A client on a plain socket, which distinguishes a normal end from a reset and sends without the event
+    loop. `room`: size of its receive buffer in bytes, for a client that reads slowly."""
 
     def __init__(self, port, room=0):
         self.plug = socket.socket()
@@ -355,7 +358,7 @@
         self.plug.sendall(data)
 
     async def receive(self, size=65536):
-        """What comes next; nothing at a clean end. Raises ConnectionResetError."""
+        """The next bytes received; empty at a normal end. Raises ConnectionResetError."""
         self.plug.setblocking(False)
         return await asyncio.get_running_loop().sock_recv(self.plug, size)
 
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -1,4 +1,4 @@
-"""One call of an operator, byte by byte."""
+"""Helper that sends a command to the admin listener."""
 
 import asyncio
 
@@ -6,7 +6,8 @@
 
 
 async def say(port, data, end=False):
-    """The answer to what is sent on one connection, all of it; nothing where it just ends."""
+    """Send `data` on a new connection and return the complete reply; empty if the connection is reset. `end`:
+    whether to close the sending side afterwards."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(data)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Gateways as processes of their own: started, and waited for."""
+"""Helpers that start gateways as separate processes and wait until they are ready."""
 
 import asyncio
 import os
@@ -40,7 +40,7 @@
 
 
 async def until_up(port):
-    """The first /up that is answered 200."""
+    """Wait until GET /up is answered with 200."""
     while True:
         try:
             client = await Client().open(port)
@@ -57,6 +57,6 @@
 
 
 async def tell_list(fake, *entries):
-    """Answer the first call with the whole list, and leave the watch open."""
+    """Answer the first call of discovery with the complete list, and leave the following watch open."""
     _, writer = await fake.next_call()
     writer.write(told(listing(*entries)))
