--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -1,7 +1,8 @@
-"""This process's part in the fleet's budgets, on the daemon's clock: admission, messages, limits in service.
+"""Budgets of the fleet in this process: admission of requests, budget messages, changes of limits at run
+time.
 
-`plumpick.policy.budgets` decides. Before the process takes part, and without budgets, nothing can be spent;
-what the process before left and cannot be used is logged and dropped."""
+The decisions are made in `plumpick.policy.budgets`. Requests that are charged to a budget are rejected until
+`start` was called. A malformed state of the hot-restart predecessor is logged and dropped."""
 
 from __future__ import annotations
 
@@ -25,7 +26,7 @@
 
 
 class BudgetSpending:
-    """Owns the ledger of the budgets that the settings name."""
+    """Owns the ledger of the configured budgets."""
 
     def __init__(
         self,
@@ -35,7 +36,8 @@
         wake: Callable[[float], None],
         send_payload: Callable[[float, int, bytes], None],
     ) -> None:
-        """`wake(due_ms)` has `on_timer` called sooner; `send_payload(now_ms, receiver, payload)` sends."""
+        """`wake(due_ms)` schedules `on_timer` earlier; `send_payload(now_ms, receiver, payload)` sends a
+        budget message to the gateway with the number `receiver`."""
         self._config = config
         self._settings = settings
         self._clock = clock
@@ -44,10 +46,11 @@
         self._matcher = BudgetMatcher([one.rule for one in settings.budgets])
         self._participant: LeaseParticipant | None = None
         self.ledger: BudgetLedger | None = None
-        self.timer_ms = math.inf  # when `on_timer` will be called
+        self.timer_ms = math.inf  # time of the next call of `on_timer`
 
     def start(self, now_ms: float, participant: LeaseParticipant, chance: Random) -> None:
-        """Take part; no guaranteed limit is spent before `resume_guaranteed`."""
+        """Create the ledger, if budgets are configured. Guaranteed limits are spent after
+        `resume_guaranteed`."""
         self._participant = participant
         if not self._settings.budgets:
             return
@@ -62,7 +65,8 @@
         )
 
     def restore(self, now_ms: float, state: dict[str, Any]) -> None:
-        """Continue from what the process before left, if that can be used."""
+        """Import the budgets' state of the hot-restart predecessor; a malformed state is logged and
+        dropped."""
         if self.ledger is None:
             return
         try:
@@ -71,8 +75,8 @@
             log.warning("budgets: what the process before left cannot be used: %s", problem)
 
     def reconfigure(self, settings: FleetSettings) -> bool:
-        """Take other limits and bursts of budgets in service; whether there were any. What else has changed
-        takes effect at the next start, which is logged."""
+        """Apply changed limits and bursts of budgets; returns whether any was changed. Other changes of the
+        fleet's settings take effect at the next start; then nothing is applied, and a warning is logged."""
         old = self._settings
         old_budgets = tuple(one.budget for one in old.budgets)
         new_budgets = tuple(one.budget for one in settings.budgets)
@@ -94,16 +98,16 @@
     # -- requests
 
     def admit(self, request: RequestReceived) -> bool:
-        """Whether a request may go on by the budgets that are for it; it has been charged to them, then."""
+        """Charge a request to all budgets that match it; returns whether all of them had enough units."""
         charges = self._matcher.charges_for(
             request.class_name, request.plan_name, request.customer, request.units
         )
         return not charges or self.spend(charges)
 
     def spend(self, charges: list[tuple[str, float]]) -> bool:
-        """The same for these charges: budgets, and units of each."""
+        """Spend the units of each (budget, units) pair; returns whether all budgets had enough units."""
         ledger = self.ledger
-        if ledger is None:  # clients may come before this process takes part
+        if ledger is None:  # clients may connect before `start`
             return False
         met = ledger.try_spend(self._clock(), charges)
         due_ms = ledger.next_timer_ms()
@@ -114,31 +118,32 @@
     # -- leases and messages
 
     def pinned_slots(self, now_ms: float) -> frozenset[int]:
-        """The slots whose leases must not be released yet: grants under them have not ended."""
+        """The slots whose leases must not be released yet, because grants under them have not expired."""
         return frozenset() if self.ledger is None else self.ledger.slots_with_grants(now_ms)
 
     def on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
-        """This process allocates the slot's budgets from now on."""
+        """Start allocating the slot's budgets, under this fencing token."""
         if self.ledger is not None:
             self.ledger.on_lease_acquired(now_ms, slot, token)
 
     def on_slot_lost(self, slot: int) -> None:
-        """It allocates them no longer."""
+        """Stop allocating the slot's budgets: its lease was lost."""
         if self.ledger is not None:
             self.ledger.on_lease_lost(slot)
 
     def yield_slots(self, slots: set[int]) -> None:
-        """Grant nothing more under these slots: their leases are to be released."""
+        """Stop granting under these slots, so that their leases can be released once the grants expire."""
         if self.ledger is not None:
             self.ledger.stop_granting(slots)
 
     def resume_guaranteed(self, now_ms: float) -> None:
-        """Guaranteed limits may be spent from now on: no other process of this gateway spends them."""
+        """Allow guaranteed limits to be spent. The caller ensures that no other process of this gateway
+        does."""
         if self.ledger is not None:
             self.ledger.resume_guaranteed(now_ms)
 
     def on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
-        """A message about budgets has come."""
+        """Handle a budget message that was received from a gateway."""
         self._deliver(now_ms, payload.sender, payload.incarnation, payload.data)
 
     def _deliver(self, now_ms: float, sender: int, incarnation: int, data: bytes) -> None:
@@ -150,21 +155,21 @@
         )
 
     def _holder_of(self, slot: int) -> int | None:
-        """Which gateway holds a slot, as far as this process is an acceptor and knows."""
+        """The number of the gateway that holds a slot's lease; None if unknown or if this is no acceptor."""
         if self._participant is None or self._participant.acceptor is None:
             return None
         grant = self._participant.acceptor.active_grant(self._clock(), slot)
         return None if grant is None else grant.owner[0]
 
     def _lease_end_ms(self, slot: int) -> float:
-        """When this process's lease on a slot ends, by its clock."""
+        """The expiry of this process's lease on a slot, by its own clock; -inf if the lease is not held."""
         held = None if self._participant is None else self._participant.holder.held.get(slot)
         return -math.inf if held is None else held.requested_ms + self._settings.terms.term_ms
 
     # -- timers
 
     def on_timer(self, now_ms: float) -> None:
-        """Send reports and grants that are due."""
+        """Send the reports and grants that are due, and log the ledger's warnings."""
         ledger = self.ledger
         participant = self._participant
         if ledger is None or participant is None or participant.closed:
@@ -183,11 +188,11 @@
         ledger.warnings.clear()
 
     def next_due_ms(self) -> float:
-        """When `on_timer` has something to do."""
+        """The time of the ledger's next timer; infinity without budgets."""
         return math.inf if self.ledger is None else self.ledger.next_timer_ms()
 
 
 def _fixed_settings(settings: FleetSettings) -> tuple[Any, ...]:
-    """What cannot change in service."""
+    """The settings of the fleet that take effect only at the next start."""
     rules = [one.rule for one in settings.budgets]
     return settings.terms, settings.scheduled_tasks, settings.grant_term_ms, rules
--- a/plumpick/gateway/cluster/fence.py
+++ b/plumpick/gateway/cluster/fence.py
@@ -1,12 +1,12 @@
-"""What the receiver of an effect needs: it takes none under a token smaller than the largest it has seen.
+"""The check of fencing tokens at the receiver of effects: effects with an outdated token are rejected.
 
     fence = Fence(Path("fence.json"))
-    if not fence.admit("use", token): answer 409, and `fence.highest("use")` in it
+    if not fence.admit("use", token): answer 409 with `fence.highest("use")` as Fencing-Token
 
-Task and period are the key of an effect: whether it was taken before is for the receiver's own records.
-Guards against: a process that was suspended between its last look at the clock and the effect (its token is
-smaller by now); a torn or corrupt file (a FenceError, never the beginning of a new count: the receiver must
-admit nothing until an operator has restored the file)."""
+An effect is identified by its task and period; the receiver keeps its own record of the effects that it
+executed. The fence guards against a process that was suspended between its last check of the clock and the
+effect: a later owner has a larger token by then. A torn or corrupt file raises FenceError rather than
+resetting the tokens: the receiver must admit nothing until an operator has restored the file."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 
 class FenceError(Exception):
-    """The fence's file cannot be used; the text gives the reason. Nothing may be admitted without it."""
+    """The fence's file is unreadable or corrupt; the text gives the reason. No effect may be admitted."""
 
 
 class Fence:
-    """The largest token seen of each task, in a file; without one, for this incarnation of the receiver.
+    """The largest fencing token admitted for each task, stored in a file, or in memory only without a path.
 
-    Owns one entry for each task that was ever admitted; over `MAX_TASKS` it admits no new one."""
+    Has one entry for each task ever admitted; beyond `MAX_TASKS` entries, new tasks are rejected."""
 
     def __init__(self, path: Path | None = None) -> None:
-        """Raises FenceError where the file is there and cannot be read."""
+        """Loads the file, if it exists. Raises FenceError if it is unreadable or corrupt."""
         self._path = path
         self._highest: dict[str, int] = {}
         if path is not None:
@@ -47,7 +47,7 @@
         self._highest = {task: int(token, 16) for task, token in json.loads(rows).items()}
 
     def _write(self, path: Path) -> None:
-        """Write, sync, rename, sync the folder: when this returns, the tokens survive the machine."""
+        """Replace the file atomically and sync it and its folder, so that the tokens survive a power loss."""
         rows = json.dumps({task: f"{token:x}" for task, token in self._highest.items()})
         temporary = path.with_name(path.name + ".new")
         with open(temporary, "w", encoding="utf-8") as file:
@@ -62,8 +62,8 @@
             os.close(folder)
 
     def admit(self, task: str, token: int) -> bool:
-        """Whether an effect of this task may be taken. An equal token is the same owner's, for a token names
-        its owner. Raises OSError where the token cannot be stored, and then it is not admitted."""
+        """Whether an effect of this task may be executed. An equal token is admitted: tokens are unique to an
+        owner. Raises OSError if the token cannot be stored; the effect must not be executed then."""
         highest = self._highest.get(task)
         if highest is None:
             if len(self._highest) >= MAX_TASKS:
@@ -87,5 +87,5 @@
             self._highest[task] = highest
 
     def highest(self, task: str) -> int:
-        """The largest token of this task that was admitted, or 0."""
+        """The largest token admitted for this task; 0 if there is none."""
         return self._highest.get(task, 0)
--- a/plumpick/gateway/cluster/fenced_effects.py
+++ b/plumpick/gateway/cluster/fenced_effects.py
@@ -1,4 +1,4 @@
-"""An effect of a scheduled task: a POST to its receiver, under a fencing token.
+"""Effects of scheduled tasks: a POST request to the task's receiver, with a fencing token.
 
     POST PATH HTTP/1.1
     Duty: use
@@ -6,9 +6,9 @@
     Idempotency-Key: use/29847
     Fencing-Token: 1a2b…            hexadecimal
 
-A receiver answers 2xx once it has taken the effect, or had taken it before; 409 with its own Fencing-Token
-where it knows a larger one. Anything else, or nothing, is an error: the same key is sent again, now or by the
-next owner."""
+A receiver answers 2xx if it has executed the effect, now or before, and 409 with the largest Fencing-Token
+that it knows if the request's token is smaller. Any other answer, and no answer, is an error: the same
+idempotency key is sent again, by this owner or the next one."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 
 
 class EffectError(Exception):
-    """The effect is not known to be taken; the text gives the reason. The run has failed, and is retried."""
+    """The receiver did not confirm the effect; the text gives the reason. The run has failed and is
+    retried."""
 
 
 class StaleTokenError(EffectError):
-    """The receiver knows a larger token, `token`: the lease has to be acquired again, above it."""
+    """The receiver knows a larger token, `token`: the lease must be acquired again with a token above it."""
 
     def __init__(self, token: int) -> None:
         super().__init__(f"the receiver knows the larger token {token:x}")
@@ -41,15 +42,15 @@
 
 
 class ReceiverError(EffectError):
-    """The receiver cannot be reached, does not answer, or answers with an error."""
+    """The receiver is unreachable, does not answer in time, or answers with an error status."""
 
 
 class EffectTooLargeError(EffectError):
-    """The effect's body is too large to be sent."""
+    """The effect's body is larger than MAX_BODY_BYTES."""
 
 
 class LeaseEndedError(EffectError):
-    """The lease had ended before the first byte was written."""
+    """The lease had expired before the first byte of the effect was written."""
 
     def __init__(self) -> None:
         super().__init__("its lease had ended before the effect was written")
@@ -57,7 +58,7 @@
 
 @dataclass(slots=True)
 class _Response:
-    """What httptools reports of a response."""
+    """The callbacks of the httptools response parser, and what they collect."""
 
     token: str = ""
     is_complete: bool = False
@@ -71,7 +72,7 @@
 
 
 def encode_request(receiver: Receiver, task: str, period: int, token: int, body: Any) -> bytes:
-    """The request. Raises EffectTooLargeError."""
+    """The bytes of the effect's HTTP request. Raises EffectTooLargeError."""
     data = json.dumps(body, separators=(",", ":")).encode()
     if len(data) > MAX_BODY_BYTES:
         raise EffectTooLargeError(f"its body has {len(data)} bytes; {MAX_BODY_BYTES} is the most")
@@ -87,9 +88,9 @@
 async def send(
     receiver: Receiver, task: str, period: int, token: int, body: Any, may_write: Callable[[], bool]
 ) -> None:
-    """Have the effect taken; returns once the receiver has confirmed it. Raises EffectError.
+    """Send the effect; returns once the receiver has confirmed it. Raises EffectError.
 
-    `may_write` looks at the clock: it is called last, when all that is left is to write."""
+    `may_write` checks the lease against the clock; it is called directly before the request is written."""
     request = encode_request(receiver, task, period, token, body)
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -109,7 +110,7 @@
 
 
 async def _read_response(reader: asyncio.StreamReader) -> tuple[int, str]:
-    """The status, 0 for a response that ended early, and the receiver's token."""
+    """The status (0 for a truncated response) and the Fencing-Token header of the receiver's response."""
     response = _Response()
     parser = httptools.HttpResponseParser(response)
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
@@ -122,7 +123,7 @@
 
 
 def _check(status: int, receiver_token: str) -> None:
-    """Raise the error that a response stands for, if any."""
+    """Raise StaleTokenError for status 409, ReceiverError for any other status than 2xx."""
     if status == 409:
         try:
             larger_token = int(receiver_token, 16)
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -1,9 +1,10 @@
-"""Leases and scheduled tasks on the daemon's loop, sockets and clock. It decides nothing.
+"""Runs leases and scheduled tasks on the daemon's event loop, sockets and clock. It makes no decisions.
 
-Each step hands the time and what came to `LeaseParticipant` (who owns what) and to `TaskScheduler` (what runs
-when), and carries out what they say. The clock keeps running while the process or the machine is
-suspended; it is looked at again as the last thing before an effect is written. That may not be enough (the
-process may be suspended just then): what makes a late effect harmless is its receiver's fence."""
+Each step passes the time and the received events to `LeaseParticipant` (ownership of leases) and to
+`TaskScheduler` (start and stop of runs), and executes the actions that they return. The clock includes the
+time for which the process or the machine is suspended. It is checked again directly before an effect is
+written; as the process may be suspended between the check and the write, the fence of the receiver must
+reject late effects."""
 
 from __future__ import annotations
 
@@ -48,7 +49,7 @@
 from plumpick.policy.leases.rate_limit import PeerRateLimit
 from plumpick.policy.scheduled_tasks import ReleaseSlot, ReportMissedRun, StartRun, StopRun, TaskScheduler
 
-STALL_MS = 1000.0  # a step that comes so late is logged
+STALL_MS = 1000.0  # delay of a step from which on it is logged as a stall
 MIN_TIMER_MS = 1.0
 MAX_TIMER_MS = 60_000.0
 MAX_LOGGED_TASKS = 8
@@ -58,9 +59,10 @@
 
 
 class LeaseRunner:
-    """One process's part in what is done for the whole tier; owns its timer and its parts.
+    """Leases, scheduled tasks and budgets of one gateway process.
 
-    `participant` is None before `start`; from `capture` or `close` on it is closed, and nothing happens."""
+    `participant` is None before `start`. After `capture` or `close` it is closed, and all events are
+    ignored."""
 
     def __init__(
         self,
@@ -71,8 +73,8 @@
         send_datagram: Callable[[int, bytes], None],
         command: Callable[[str], str],
     ) -> None:
-        """`send_datagram` sends to a gateway; `command` carries out an operator's DRAIN or UNDRAIN, and
-        gives the error's text or nothing."""
+        """`send_datagram(gateway, data)` sends a datagram; `command(name)` executes an operator's DRAIN or
+        UNDRAIN, and returns the error text or an empty string."""
         self._config = config
         self._settings = settings
         self._loop = loop
@@ -101,7 +103,7 @@
     # -- start and end
 
     def start(self, state: dict[str, Any] | None = None) -> None:
-        """Take part, from the state of the process before if there is one."""
+        """Join the fleet, with the state of the hot-restart predecessor if one is given."""
         now_ms = self._system.boottime()
         participant = self.participant = LeaseParticipant(
             self._settings.terms,
@@ -122,7 +124,7 @@
         self._step()
 
     def _restore(self, now_ms: float, participant: LeaseParticipant, state: dict[str, Any]) -> None:
-        """Continue from the state of the process before, as far as it can be used."""
+        """Import the state of the hot-restart predecessor; what is malformed in it is logged and dropped."""
         try:
             participant.restore(now_ms, state["leases"], accepts=self._guard.is_held)
             self.usage.restore(state["use"])
@@ -156,14 +158,14 @@
         self.budgets.resume_guaranteed(now_ms)
 
     def begin_shutdown(self) -> None:
-        """The process will end: release each lease when nothing of it runs. A restart permit is kept: it is
-        this gateway that will be out."""
+        """Release each lease once no run depends on it, because the process will end. The restart permit is
+        kept, as this gateway is the one that restarts."""
         self._scheduler.yield_all()
         self.budgets.yield_slots(set(range(self._settings.terms.slots)))
         self._step([ShutdownStarted()])
 
     def capture(self) -> dict[str, Any]:
-        """What the next process continues from; this one takes no part any more."""
+        """The state for the hot-restart successor; closes this runner."""
         assert self.participant is not None
         state = {
             "leases": self.participant.capture(),
@@ -176,7 +178,7 @@
         return state
 
     def close(self) -> None:
-        """Take no part any more, from now on."""
+        """Cancel the timer and all runs, release the process guard, and ignore all later events."""
         if self.participant is not None:
             self.participant.closed = True
         if self._timer is not None:
@@ -186,24 +188,26 @@
         self._guard.release()
 
     def resume_after_failed_handover(self) -> None:
-        """The next process has died: start again. What was passed on ends by its time."""
+        """Start without state after the hot-restart successor has died. The leases that were passed on to it
+        expire by themselves."""
         self.usage.forward = None
         self._scheduler = self._new_scheduler()
         self.start()
 
     def reconfigure(self, settings: FleetSettings) -> None:
-        """The operator's file was read again."""
+        """Apply the settings of an operator's file that was reloaded."""
         if self.budgets.reconfigure(settings):
             self._step()
 
     # -- events
 
     def on_datagram(self, sender: int, data: bytes) -> None:
-        """A datagram about leases has come from a gateway."""
+        """Handle a datagram of the lease protocol from the gateway with the number `sender`."""
         self._step([MessageReceived(sender, data)])
 
     def request_restart_permit(self, wanted: bool) -> str:
-        """Drain this gateway once it has a restart permit, or no longer; the error's text, or nothing."""
+        """Request a restart permit, under which this gateway is drained, or give it up (`wanted` false).
+        Returns the error text, or an empty string."""
         if not self._settings.terms.restart_permits:
             return "there are no turns: fleet.turns in the operator's file is 0"
         self._step([RestartPermitWanted(wanted)])
@@ -224,11 +228,11 @@
     # -- a step
 
     def _step(self, events: list[Event] | None = None) -> None:
-        """Hand the time and the events to the decisions, and carry out what they say."""
+        """Pass the time and the events to the participant and the scheduler, and execute their actions."""
         participant = self.participant
         if participant is None or participant.closed:
             return
-        if self._is_stepping:  # an operator's command or a run's end, from within a step
+        if self._is_stepping:  # an action of this step led to an operator's command or the end of a run
             self._loop.call_soon(self._step, events)
             return
         self._is_stepping = True
@@ -244,7 +248,7 @@
         self._set_timer(now_ms, participant)
 
     def _decide(self, now_ms: float, participant: LeaseParticipant, events: list[Event]) -> None:
-        """Until the scheduler releases no more slots."""
+        """Run the participant and the scheduler in turns, until the scheduler releases no more slots."""
         while True:
             for action in participant.handle(now_ms, events):
                 self._carry_out(now_ms, action)
@@ -254,7 +258,7 @@
                 return
 
     def _schedule(self, now_ms: float) -> list[Event]:
-        """Start and stop runs; the releases that are due."""
+        """Start and stop the runs that are due; returns the release events for the participant."""
         releases: list[Event] = []
         for action in self._scheduler.handle(now_ms, self._system.unix_ms()):
             match action:
@@ -280,7 +284,7 @@
             self._timer = self._loop.call_later(delay_ms / 1000, self._step)
 
     def _wake(self, due_ms: float) -> None:
-        """Step sooner: a budget's timer is due before the one that is set."""
+        """Schedule a step at once, because a timer of a budget is due before the timer that is set."""
         if self.participant is None or self.participant.closed:
             return
         self._due_ms = self.budgets.timer_ms = due_ms
@@ -341,7 +345,7 @@
         self._scheduler.on_slot_lost(now_ms, lease, reason)
 
     def send_message(self, now_ms: float, message: SendMessage, is_lease_message: bool = False) -> None:
-        """Send a message to a gateway, unless that one has had too many."""
+        """Send a message to a gateway; it is dropped if that gateway's rate limit is exceeded."""
         if self._rate_limit.allow(now_ms, message.receiver, is_lease_message):
             self._send_datagram(message.receiver, message.data)
 
@@ -350,7 +354,7 @@
             self.send_message(now_ms, self.participant.payload_message(now_ms, receiver, payload))
 
     def _may_act(self, slot: int, token: int) -> bool:
-        """Whether work under this token may go on, by the clock as it is now."""
+        """Whether this process still holds the slot's lease under this token, by the current clock."""
         participant = self.participant
         if participant is None or participant.closed:
             return False
--- a/plumpick/gateway/cluster/planned_restart.py
+++ b/plumpick/gateway/cluster/planned_restart.py
@@ -1,4 +1,4 @@
-"""While this gateway holds a permit for planned restarts, it is drained: it takes no clients."""
+"""Draining under a restart permit: a gateway that holds one accepts no clients and can be restarted."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 
 class PlannedRestart:
-    """Drains this gateway when it has a permit, and takes clients again when the permit is lost."""
+    """Drains this gateway when it acquires a restart permit, and undrains it when the permit is lost."""
 
     def __init__(self, command: Callable[[str], str]) -> None:
-        """`command` carries out an operator's DRAIN or UNDRAIN, and gives the error's text or nothing."""
+        """`command(name)` executes an operator's DRAIN or UNDRAIN, and returns the error text or an empty
+        string."""
         self._command = command
         self.drained = False
 
     def on_permit_acquired(self, token: int) -> None:
-        """Drain this gateway."""
+        """Drain this gateway, which now holds a restart permit with this fencing token."""
         log.info("duties: it is our turn to be out, token %x", token)
         self.drained = True
         self._carry_out("DRAIN")
 
     def on_permit_lost(self, reason: LossReason) -> None:
-        """Take clients again."""
+        """Undrain this gateway, if it was drained under the permit; a loss other than a release is logged."""
         if not self.drained:
             return
         self.drained = False
--- a/plumpick/gateway/cluster/process_guard.py
+++ b/plumpick/gateway/cluster/process_guard.py
@@ -1,8 +1,9 @@
-"""One process of a gateway at a time votes on leases and spends the budgets' guaranteed limits.
+"""Mutual exclusion of the processes of one gateway: one at a time is an acceptor and spends guaranteed
+limits.
 
-Two processes with one gateway's number, as when one is started before the other has ended, would both grant
-leases and both spend each guaranteed limit. The guard is the platform's: it ends with its process, however
-that ends."""
+Two processes with the same gateway number, for example when one is started before the other has ended, would
+both grant leases and both spend each guaranteed limit. The platform provides the guard and releases it when
+its process ends, also after a crash."""
 
 from __future__ import annotations
 
@@ -14,7 +15,7 @@
 
 
 class ProcessGuard:
-    """Holds the guard, or retries until it can; owns one timer."""
+    """Acquires the platform's guard, with retries every RETRY_S while another process holds it."""
 
     def __init__(
         self,
@@ -22,8 +23,8 @@
         acquire: Callable[[], Any],
         on_acquired: Callable[[], None],
     ) -> None:
-        """`acquire` gives an object with `close`, or None while another process has it; `on_acquired` is
-        called for a retry that succeeds."""
+        """`acquire()` returns the guard, an object with `close`, or None while another process holds it.
+        `on_acquired()` is called when a retry succeeds, not when the first attempt does."""
         self._loop = loop
         self._acquire = acquire
         self._on_acquired = on_acquired
@@ -32,11 +33,11 @@
 
     @property
     def is_held(self) -> bool:
-        """Whether this process is the one."""
+        """Whether this process holds the guard."""
         return self._guard is not None
 
     def acquire(self) -> bool:
-        """Try now; where another process has the guard, again after RETRY_S, and so on."""
+        """Try to acquire the guard; returns whether it is held. While it is not, a retry is scheduled."""
         self._timer = None
         self._guard = self._acquire()
         if self._guard is None:
@@ -48,7 +49,7 @@
             self._on_acquired()
 
     def release(self) -> None:
-        """Let another process have it, and retry no more."""
+        """Release the guard, and cancel any retry."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/plumpick/gateway/cluster/status.py
+++ b/plumpick/gateway/cluster/status.py
@@ -1,6 +1,6 @@
-"""Replies to operators: DUTIES and BUDGETS, one line of JSON each, in pages.
+"""Replies to the operators' commands DUTIES and BUDGETS: one line of JSON each, in pages.
 
-The keys, and the order of a row's columns, are the operators' interface."""
+The keys and the order of a row's columns are a public interface."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def page_of(argument: str) -> int:
-    """The page that an operator's command names; the first one unless it is a number."""
+    """The page number in an operator's command, counted from 0; 0 if the argument is not a number."""
     return int(argument) if argument.isdigit() else 0
 
 
@@ -34,7 +34,7 @@
 
 
 def budgets_reply(gateway_name: str, ledger: BudgetLedger, now_ms: float, page: int) -> str:
-    """The reply to BUDGETS."""
+    """The reply to BUDGETS: one page of the ledger's budgets, as JSON."""
     rows = ledger.status(now_ms)
     reply = {
         "gatekeeper": gateway_name,
@@ -62,7 +62,7 @@
 def tasks_reply(
     gateway_name: str, participant: LeaseParticipant, scheduler: TaskScheduler, now_ms: float, page: int
 ) -> str:
-    """The reply to DUTIES; the leases are on the first page."""
+    """The reply to DUTIES: one page of scheduled tasks, as JSON. The first page also lists all leases."""
     terms = participant.terms
     names = sorted(scheduler.tasks)
     leases = range(terms.leases if not page else 0)
@@ -79,7 +79,8 @@
 
 
 def _task_row(state: TaskState) -> list[Any]:
-    """Name, slot, period that runs, last run."""
+    """The columns of a task: name, slot, running period or None, last run (period, duration in ms,
+    outcome)."""
     last = state.last_run
     last_row = None
     if last is not None:
@@ -88,7 +89,8 @@
 
 
 def _lease_row(participant: LeaseParticipant, lease: int, now_ms: float) -> list[Any]:
-    """Lease, holder, token, held for, usable or granted for, why it is not held; times in ms."""
+    """The columns of a lease: number, holder, token, time held, time for which it is usable or granted,
+    reason why this gateway does not hold it. Times in ms."""
     held = participant.holder.held.get(lease)
     if held is not None:
         usable_ms = participant.holder.usable_until_ms(lease) - now_ms
--- a/plumpick/gateway/cluster/task_runs.py
+++ b/plumpick/gateway/cluster/task_runs.py
@@ -1,7 +1,7 @@
-"""Runs of scheduled tasks: each is an asyncio task that sends an effect to the task's receiver.
+"""Runs of scheduled tasks: each run is an asyncio task that sends an effect to the task's receiver.
 
-A run that raises ends neither the others nor the leases; the end of each run is reported, with an EffectError
-where it has failed, unless the run was stopped."""
+An exception in a run affects neither other runs nor the leases. The end of each run that was not stopped is
+reported, with an EffectError if the run failed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TaskRuns:
-    """Owns one asyncio task for each scheduled task that runs; the scheduler bounds them."""
+    """Owns one asyncio task for each running scheduled task; the scheduler bounds their number."""
 
     def __init__(
         self,
@@ -30,7 +30,8 @@
         collect_usage: Callable[[StartRun], Awaitable[dict[str, Any]]],
         on_end: Callable[[StartRun, EffectError | None], None],
     ) -> None:
-        """`may_act(slot, token)`: whether an effect may be written now; `on_end`: a run is over."""
+        """`may_act(slot, token)` returns whether an effect may be written now. `on_end(start, error)` is
+        called when a run ends; `error` is None if it succeeded."""
         self._gateway_name = gateway_name
         self._receivers = {one.task.name: one.receiver for one in settings}
         self._loop = loop
@@ -40,18 +41,18 @@
         self._runs: dict[str, asyncio.Task[None]] = {}  # by the scheduled task's name
 
     def start(self, action: StartRun) -> None:
-        """Begin a run."""
+        """Start a run of a scheduled task."""
         self._runs[action.task.name] = self._loop.create_task(self._run(action))
 
     def stop(self, action: StopRun) -> None:
-        """End a run at once; its end is not reported."""
+        """Cancel the run of a scheduled task, without a call of `on_end`."""
         log.warning("duties: %s, period %d: stopped, %s", action.task.name, action.period, action.reason)
         run = self._runs.pop(action.task.name, None)
         if run is not None:
             run.cancel()
 
     def cancel_all(self) -> None:
-        """End all runs; their ends are not reported."""
+        """Cancel all runs, without calls of `on_end`."""
         for run in self._runs.values():
             run.cancel()
         self._runs.clear()
@@ -60,7 +61,7 @@
         name = start.task.name
         error = await self._execute(start)
         if self._runs.get(name) is not asyncio.current_task():
-            return  # it was stopped, or another run has begun since
+            return  # this run was stopped, or a newer run has replaced it
         del self._runs[name]
         if error is not None:
             log.warning("duties: %s, period %d: %s", name, start.period, error)
@@ -82,7 +83,7 @@
             )
         except EffectError as problem:
             return problem
-        except Exception as problem:  # whatever a run raises, the others and the leases go on
+        except Exception as problem:  # other runs and the leases must not be affected
             log.exception("duties: %s, period %d raised", name, start.period)
             return EffectError(f"{type(problem).__name__}: {problem}")
         return None
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -1,7 +1,7 @@
-"""The fleet's usage on the daemon's loop: counts requests, answers polls, collects a period for its owner.
+"""Usage of the fleet: counts requests, answers polls of other gateways, collects a period's usage of all.
 
-Raises UsageSnapshotError for counts of the process before that cannot be used. What a gateway does not report
-in time is a gap of the result."""
+A malformed snapshot of the hot-restart predecessor's counts raises UsageSnapshotError. A period for which a
+gateway does not report in time is listed as a gap in the result."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from plumpick.policy.usage_report import FleetUsage, UsageCollection, UsageCounter, UsageMessage
 
 STEP_S = 0.02
-OTHER_PLAN = 255  # a plan that the settings do not name
+OTHER_PLAN = 255  # index under which plans that are not configured are counted
 OUTCOMES = (usage_report.SERVED, usage_report.REJECTED, usage_report.FAILED)
 
 
 class UsageCollector:
-    """Owns one counter for each task that reports usage, and one collection for each that runs."""
+    """Owns one counter for each task of the kind `use`, and one collection for each running one."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         system: Platform,
         send_payload: Callable[[float, int, bytes], None],
     ) -> None:
-        """`send_payload(now_ms, receiver, payload)` sends a message to a gateway."""
+        """`send_payload(now_ms, receiver, payload)` sends a message to the gateway with number `receiver`."""
         self._config = config
         self._system = system
         self._send_payload = send_payload
@@ -44,13 +44,13 @@
             if one.task.kind == USE
         }
         self._names_by_tag = {_tag(name): name for name in self._counters}
-        self._collections: dict[str, tuple[int, UsageCollection]] = {}  # by task: the period, and what came
-        self.forward: Callable[[list[Any]], None] | None = None  # counts go to the next process
+        self._collections: dict[str, tuple[int, UsageCollection]] = {}  # (period, collection) by task name
+        self.forward: Callable[[list[Any]], None] | None = None  # sends counts to the hot-restart successor
 
     # -- counting
 
     def count(self, plan: str, outcome: int, units: float) -> None:
-        """A request has its final outcome, one of OUTCOMES."""
+        """Count a request with its final outcome, one of OUTCOMES, or forward it to the successor."""
         if self.forward is not None:
             self.forward([plan, outcome, units])
             return
@@ -59,18 +59,19 @@
             counter.count(self._system.unix_ms(), number, outcome, units)
 
     def count_forwarded(self, value: Any) -> None:
-        """Count what the process before has forwarded; raises ValueError or TypeError."""
+        """Count a request that the hot-restart predecessor forwarded, [plan, outcome, units]. Raises
+        ValueError or TypeError if it is malformed."""
         plan, outcome, units = value
         if outcome not in OUTCOMES:
             raise ValueError(f"{outcome!r} is no outcome")
         self.count(str(plan), outcome, float(units))
 
     def capture(self) -> dict[str, Any]:
-        """The counts for the next process, by task."""
+        """The counts for the hot-restart successor, by task name."""
         return {name: counter.capture() for name, counter in self._counters.items()}
 
     def restore(self, state: dict[str, Any]) -> None:
-        """Continue from the counts of the process before; raises UsageSnapshotError."""
+        """Import the counts of the hot-restart predecessor; raises UsageSnapshotError if malformed."""
         for name, rows in state.items():
             if name in self._counters:
                 self._counters[name].restore(rows)
@@ -78,7 +79,7 @@
     # -- polls
 
     def on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
-        """A poll, or a report that was polled for, has come; what is neither is dropped."""
+        """Answer a poll, or add a report to its collection; any other payload is dropped."""
         message = usage_report.decode(payload.data)
         name = self._names_by_tag.get(message.tag) if message is not None else None
         if message is None or name is None:
@@ -101,7 +102,8 @@
     # -- collection
 
     async def collect(self, start: StartRun) -> dict[str, Any]:
-        """What all gateways did in the period, and what is not known: an effect's body."""
+        """Poll all gateways for their usage in the run's period; returns the effect's body: usage by plan,
+        and the gaps for which no report was received."""
         name = start.task.name
         collection = UsageCollection(self._config.settings.gateway_count, self._system.boottime())
         self._collections[name] = start.period, collection
@@ -146,5 +148,5 @@
 
 
 def _tag(name: str) -> int:
-    """What stands for a task in messages."""
+    """The identifier of a task in usage messages: a CRC-32 of its name."""
     return zlib.crc32(name.encode())
