--- a/plumpick/gateway/hot_restart/__init__.py
+++ b/plumpick/gateway/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: from one process of a gateway to the next, without a gap for its clients."""
+"""Hot restart: replaces the process of a gateway by a new one without interrupting its clients."""
--- a/plumpick/gateway/hot_restart/channel.py
+++ b/plumpick/gateway/hot_restart/channel.py
@@ -1,6 +1,6 @@
-"""A connection between two processes of one gateway: messages, and descriptors that go with them.
+"""A connection between the two processes of a hot restart, which carries messages and file descriptors.
 
-An error of the connection, or a message that cannot be read, closes it; `on_closed` tells the owner."""
+A connection error or a malformed message closes the channel; the owner is notified through `on_closed`."""
 
 from __future__ import annotations
 
@@ -16,16 +16,18 @@
 from plumpick.gateway.hot_restart.message import MessageDecoder, MessageFormatError, encode
 
 READ_BYTES = 256 * 1024
-MAX_UNSENT_BYTES = 32 * 1024 * 1024  # beyond it the other side reads nothing, and is given up
+MAX_UNSENT_BYTES = 32 * 1024 * 1024  # size of the send buffer above which the channel is closed
 MAX_DESCRIPTORS_PER_READ = 8
 
 log = logging.getLogger(__name__)
 
 
 class Channel:
-    """`on_message(kind, value, descriptors)` gets each message; `on_closed()` is called once, when the other
-    side has gone or has sent what cannot be read. A descriptor that comes belongs to the receiver of the
-    message."""
+    """One end of the connection between the two processes of a hot restart.
+
+    `on_message(kind, value, descriptors)` is called for each received message, and must close or keep the
+    descriptors. `on_closed()` is called once, after the channel was closed: by its owner, because the other
+    process disconnected, or because of a malformed message."""
 
     def __init__(
         self,
@@ -46,11 +48,12 @@
         loop.add_reader(connection, self._read)
 
     def send(self, kind: str, value: Any = None) -> None:
-        """Send a message. Raises ValueError where it cannot be encoded."""
+        """Send a message. Raises ValueError if the value cannot be encoded."""
         self.send_encoded(encode(kind, value))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a message that has been encoded."""
+        """Send an encoded message, or buffer it. Closes the channel if the buffer exceeds
+        MAX_UNSENT_BYTES."""
         if self.is_closed:
             return
         self._unsent += data
@@ -60,8 +63,8 @@
             self._write()
 
     def send_descriptors(self, kind: str, descriptors: list[int]) -> bool:
-        """Send a message with descriptors, if it can go at once; whether it has gone. The descriptors stay
-        open here, and no further one is needed for it."""
+        """Send a message with descriptors if it can be sent without buffering; returns whether it was sent.
+        The descriptors stay open in this process, and no new descriptor is opened."""
         if self.is_closed or self._unsent:
             return False
         data = encode(kind, {"descriptors": len(descriptors)})
@@ -85,13 +88,13 @@
             self._loop.remove_writer(self._socket)
 
     def _send(self, data: list[Any], rights: list[Any]) -> int:
-        """How many bytes the system has taken; none where it takes none now or the connection has failed."""
+        """The number of bytes sent: 0 if the socket's buffer is full, or if the connection failed."""
         try:
             return self._socket.sendmsg(data, rights)
         except BlockingIOError:
             return 0
         except OSError as problem:
-            if problem.errno != errno.ETOOMANYREFS:  # too many descriptors are under way
+            if problem.errno != errno.ETOOMANYREFS:  # limit of descriptors in flight, which is temporary
                 self.close()
             return 0
 
@@ -123,19 +126,19 @@
             self.close()
 
     def _deliver(self, kind: str, value: Any) -> None:
-        """Give a message to the receiver, with its descriptors: they come in the order of their messages,
-        with the first byte of each."""
+        """Pass a message and its descriptors to `on_message`. Descriptors are received in the order of their
+        messages, with the first byte of each message."""
         count = value.get("descriptors", 0) if isinstance(value, dict) else 0
         count = max(0, count) if isinstance(count, int) else 0
         descriptors = self._unassigned[:count]
         self._unassigned = self._unassigned[count:]
-        if self.is_closed:  # by the message before
+        if self.is_closed:  # the handler of the previous message has closed the channel
             _close_all(descriptors)
         else:
             self._on_message(kind, value, descriptors)
 
     def close(self) -> None:
-        """End the connection; `on_closed` follows, unless it has been called before."""
+        """Close the connection and schedule `on_closed`. Later calls do nothing."""
         if self.is_closed:
             return
         self.is_closed = True
--- a/plumpick/gateway/hot_restart/exported_state.py
+++ b/plumpick/gateway/hot_restart/exported_state.py
@@ -1,7 +1,7 @@
-"""The STATE message of a hot restart: all that the next process goes on from.
+"""The STATE message of a hot restart: the state with which the successor continues.
 
-Its parts are those of the policy, of the cluster participant and of the settings in force. A policy whose
-state cannot be exported or is too long does not keep the other parts from being passed on."""
+It contains the state of the policy, of the cluster participant and of the settings in force. If the policy's
+state cannot be exported, or makes the message too long, the other parts are sent without it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedState:
-    """The bytes of the message; `problem` is why the policy's state is not in it, None where it is."""
+    """The encoded STATE message. `problem` is the reason why it lacks the policy's state, or None."""
 
     message: bytes
     problem: ValueError | None
 
 
 def encode_state(context: HotRestartContext, participant_state: Any) -> EncodedState:
-    """Export the state of this process, which the next one owns from now on."""
+    """Export and encode the state of this process, for the successor."""
     others: dict[str, Any] = {PARTICIPANT_KEY: participant_state}
     if context.settings_source is not None:
         others[SETTINGS_KEY] = context.settings_source.export_state()
@@ -37,7 +37,7 @@
 
 
 def policy_state_of(state: Mapping[str, Any]) -> dict[str, Any]:
-    """The policy's part of a state that has come; empty where the other process could not pass it on."""
+    """The policy's part of a received state; empty if the predecessor could not export it."""
     return {key: value for key, value in state.items() if key not in (PARTICIPANT_KEY, SETTINGS_KEY)}
 
 
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -1,10 +1,10 @@
-"""Messages between two processes of one gateway. No I/O: bytes in, messages out.
+"""Encoding and decoding of the messages between the two processes of a hot restart, without I/O.
 
     magic (4 bytes) | version (2) | length of the text (4) | CRC-32 of the text (4) | text
 
-with the highest byte of numbers first; the text is JSON, [kind, value]. A socket in $TMPDIR may be of anybody
-and of any version. So each message is checked before any of it is used; MessageFormatError ends the
-connection."""
+Numbers are big-endian; the text is JSON, [kind, value]. The socket in $TMPDIR may belong to another program
+or to another version of this one. Each message is therefore checked before it is used; the connection is
+closed on a MessageFormatError."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 
 class MessageKind:
-    """The kinds, as they are on the wire. The value of each is given; it is None where none is named."""
-
-    HELLO = "hello"  # the new process's gateway name
-    OFFER = "offer"  # {"descriptors": count}, with the listening socket and the datagram socket
-    TAKE_OVER = "take"
-    STATE = "state"  # the state, or None
-    SERVING = "serving"  # the new process accepts clients, and can take connections over
-    CLIENT_CONNECTION = "client"  # {"descriptors": 1}, with the connection of a client
-    DESCRIPTOR_COUNT = "held"  # how many descriptors the old process still holds
-    PEER_MESSAGE = "heard"  # [sender, hex]
-    OWN_MESSAGE = "said"  # hex: the policy's message to its own number
+    """The kinds of messages, as sent on the wire. The comments give the value of a message of each kind."""
+
+    HELLO = "hello"  # name of the successor's gateway
+    OFFER = "offer"  # {"descriptors": count}; descriptors of the listening and the datagram socket
+    TAKE_OVER = "take"  # None; request of the successor for the state
+    STATE = "state"  # exported state, or None
+    SERVING = "serving"  # None; the successor accepts clients and can receive their connections
+    CLIENT_CONNECTION = "client"  # {"descriptors": 1}; descriptor of a client's connection
+    DESCRIPTOR_COUNT = "held"  # number of descriptors that the predecessor still holds
+    PEER_MESSAGE = "heard"  # [sender's number, datagram in hex], received by the other process
+    OWN_MESSAGE = "said"  # datagram in hex that the policy sent to its own gateway's number
     OPERATOR_COMMAND = "ordered"  # [name, argument]
-    USAGE_ROW = "counted"  # a row of counted usage, for the cluster participant
+    USAGE_ROW = "counted"  # [plan, outcome, units] of a request, for the successor's usage counts
 
 
 class MessageFormatError(ValueError):
-    """Bytes that are no message of this version; the text says why."""
+    """The received bytes are no message of this version; the text gives the reason."""
 
 
 class MessageTooLongError(ValueError):
-    """A value whose text has more than MAX_TEXT_BYTES."""
+    """The JSON text of a message is longer than MAX_TEXT_BYTES."""
 
 
 def encode(kind: str, value: Any = None) -> bytes:
-    """The bytes of a message; raises MessageTooLongError, and ValueError where the value is no JSON."""
+    """The bytes of a message. Raises MessageTooLongError, and ValueError if the value has no JSON form."""
     text = json.dumps([kind, value], allow_nan=False, separators=(",", ":")).encode()
     if len(text) > MAX_TEXT_BYTES:
         raise MessageTooLongError(f"a message of {len(text)} bytes")
@@ -52,13 +52,14 @@
 
 
 class MessageDecoder:
-    """Bytes become messages, wherever they are split."""
+    """Decodes messages from a byte stream that may be split at any position."""
 
     def __init__(self) -> None:
-        self._bytes = bytearray()  # of a message that is not complete
+        self._bytes = bytearray()  # received part of an incomplete message
 
     def feed(self, data: bytes) -> list[tuple[str, Any]]:
-        """The messages, as (kind, value), that are complete now; raises MessageFormatError."""
+        """Add received bytes; returns the (kind, value) of each completed message. Raises
+        MessageFormatError."""
         self._bytes += data
         messages = []
         while len(self._bytes) >= _HEADER.size:
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -1,12 +1,14 @@
-"""The running process of a hot restart: it waits for the next one and hands over to it.
+"""The predecessor's side of a hot restart: the running process waits for a successor and hands over to it.
 
-It listens at a Unix socket in $TMPDIR. A new process connects and says HELLO; this one offers its listening
-socket and its datagram socket. When the new one is ready to serve it says TAKE_OVER: in one step this process
-stops accepting clients and receiving from peers, and answers with its state. Once the new one says SERVING it
-gets the idle connections of clients. Then both live: this one finishes its requests, and each tells the other
-what it needs (sibling.py). Should the new one die first, this one goes on as before. No step needs a
-descriptor that is not open yet: clients may hold all others. Where the socket cannot be had, the log says so
-and a restart is an ordinary one."""
+The predecessor listens on a Unix socket in $TMPDIR. A successor connects and sends HELLO; the predecessor
+answers with an OFFER of its listening socket and its datagram socket. When the successor is ready to serve,
+it sends TAKE_OVER: in one step the predecessor stops accepting clients and receiving from peers, and answers
+with its STATE. After the successor has sent SERVING, it receives the idle connections of clients. While the
+predecessor finishes its requests, the two processes forward messages to each other (sibling.py). If the
+successor dies first, the predecessor resumes its work.
+
+No step opens a new descriptor, because clients may hold all others. If the socket cannot be created, this is
+logged, and a restart is an ordinary one."""
 
 from __future__ import annotations
 
@@ -25,19 +27,22 @@
 from plumpick.gateway.hot_restart.sibling import HotRestartContext, SiblingChannel, handle_sibling_message
 from plumpick.gateway.hot_restart.socket_path import is_same_user, short_address
 
-# How often it is checked whether a dead process's socket is in the place of ours.
-REOPEN_INTERVAL_S = 0.2
+REOPEN_INTERVAL_S = 0.2  # interval of checks whether the socket's path is that of a dead successor
 MAX_REOPEN_ATTEMPTS = 20
 LISTEN_BACKLOG = 4
-SERVING_TIMEOUT_S = 2.0  # for a next process of an older version, which does not say that it serves
-TRANSFER_RETRY_S = 0.01
+SERVING_TIMEOUT_S = (
+    2.0  # time after which a successor that sends no SERVING (an older version) counts as serving
+)
+TRANSFER_RETRY_S = 0.01  # interval of attempts to transfer the remaining idle connections
 
 log = logging.getLogger(__name__)
 
 
 class Predecessor:
-    """`on_change(True)` is called when this process has handed over, `on_change(False)` when it goes on
-    because the next one has died."""
+    """Waits for a successor on the gateway's Unix socket, and hands over to it.
+
+    `on_change(True)` is called when this process has handed over, `on_change(False)` when it resumes its work
+    because the successor has died."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, context: HotRestartContext, on_change: Callable[[bool], None]
@@ -47,7 +52,7 @@
         self._on_change = on_change
         self._socket: socket.socket | None = None
         self._path: Path | None = None
-        self._inode = 0  # of the socket's file, as long as it is ours
+        self._inode = 0  # inode of the socket file that this process created
         self._channel: Channel | None = None
         self._reserve = _open_reserve()
         self.is_stopping = False
@@ -55,7 +60,7 @@
     # -- the socket
 
     def open(self, path: Path) -> None:
-        """Wait for the next process at that path."""
+        """Listen for a successor at this path; a failure is logged."""
         listening: socket.socket | None = None
         try:
             listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -63,7 +68,7 @@
             with short_address(fresh) as address:
                 listening.bind(address)
             listening.listen(LISTEN_BACKLOG)
-            os.rename(fresh, path)  # replaces the socket of the process before in one step
+            os.rename(fresh, path)  # replaces the predecessor's socket atomically
             self._inode = os.stat(path).st_ino
         except OSError as problem:
             log.warning("handover: no socket at %s: %s", path, problem.strerror)
@@ -82,12 +87,12 @@
         except OSError:
             return
         if self._channel is not None or not is_same_user(connection):
-            connection.close()  # one at a time
+            connection.close()  # only one successor at a time, and only of the same user
             return
         self._channel = Channel(self._loop, connection, self._on_message, self._on_closed)
 
     def _accept_with_reserve(self, listening: socket.socket) -> socket.socket:
-        """The next connection, also where clients hold all other descriptors; raises OSError."""
+        """Accept a connection, with the reserved descriptor if clients hold all others. Raises OSError."""
         if self._reserve is not None:
             os.close(self._reserve)
             self._reserve = None
@@ -97,9 +102,11 @@
             self._reserve = _open_reserve()
 
     def _reopen(self, attempts_left: int) -> None:
-        """Wait at our path again. The process that died put its own socket in place of ours: the next one
-        would find nobody there and start beside this one. It may take a moment to be gone; a process that is
-        alive there keeps the path."""
+        """Listen at the path again after the successor has died.
+
+        The dead successor had replaced this process's socket by its own. Without a new socket, the next
+        successor would find no predecessor and start beside this process. The dead process may take some time
+        to release its socket, so the attempt is repeated; a live process keeps the path."""
         if self.is_stopping or self._channel is not None or self._path is None or self._socket is None:
             return
         with contextlib.suppress(FileNotFoundError):
@@ -115,7 +122,7 @@
 
     @staticmethod
     def _is_abandoned(path: Path) -> bool:
-        """Whether no process listens at the path; one that is busy does."""
+        """Whether no process listens at the path. A process with a full backlog counts as listening."""
         try:
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe, short_address(path) as address:
                 probe.setblocking(False)
@@ -127,12 +134,12 @@
         return False
 
     def close(self) -> None:
-        """Wait no longer; the path goes if it is still ours."""
+        """Stop listening, and remove the socket file if this process created it."""
         self.is_stopping = True
         if self._socket is not None and self._path is not None:
             self._loop.remove_reader(self._socket)
             self._socket.close()
-            with contextlib.suppress(OSError):  # it has gone, or is another's
+            with contextlib.suppress(OSError):  # the file was removed, or belongs to another user
                 if os.stat(self._path).st_ino == self._inode:
                     os.unlink(self._path)
         if self._channel is not None:
@@ -144,7 +151,7 @@
     # -- the next process
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
-        for descriptor in descriptors:  # none are due
+        for descriptor in descriptors:  # a successor has no reason to send descriptors
             os.close(descriptor)
         channel = self._channel
         if channel is None:
@@ -159,7 +166,7 @@
             log.warning("handover: %r is unknown", kind)
 
     def _offer(self, channel: Channel, name: Any) -> None:
-        """Offer the sockets to a process of the same gateway."""
+        """Send the sockets to a successor with the same gateway name; close the channel of any other one."""
         context = self._context
         if name != context.name or context.listen_socket is None:
             log.warning("handover: %r has asked %r", name, context.name)
@@ -171,8 +178,8 @@
             channel.close()
 
     def _hand_over(self, channel: Channel) -> None:
-        """Stop accepting clients and receiving from peers, then pass on the state: whatever becomes of the
-        state, this process keeps no socket that the next one serves."""
+        """Stop accepting clients and receiving from peers, then send the state. Even if the state cannot be
+        exported, this process keeps serving no socket that the successor serves."""
         context = self._context
         gateway = context.gateway
         if gateway.has_handed_over:
@@ -192,7 +199,8 @@
         self._on_change(True)
 
     def _capture_participant(self, channel: Channel) -> Any:
-        """The state of the cluster participant, which takes no part here from now on; None without one."""
+        """The state of the cluster participant, which is closed in this process; None without a
+        participant."""
         participant = self._context.participant
         if participant is None:
             return None
@@ -201,8 +209,8 @@
         return state
 
     def _transfer_idle_connections(self, channel: Channel) -> None:
-        """Pass on the connections of clients that are idle. Only a process that is known to serve gets them:
-        with one that dies before, they would be lost."""
+        """Transfer the idle connections of clients, again after TRANSFER_RETRY_S until none is left. It
+        begins only when the successor serves: if it died before, the connections would be lost."""
         if channel is not self._channel or channel.is_closed or not self._context.gateway.has_handed_over:
             return
 
@@ -213,13 +221,14 @@
             self._loop.call_later(TRANSFER_RETRY_S, self._transfer_idle_connections, channel)
 
     def send_descriptor_count(self) -> None:
-        """Tell the next process how many descriptors this one still holds: the rest is the next one's."""
+        """Send the number of descriptors that this process holds; the successor may use the remaining
+        ones."""
         gateway = self._context.gateway
         if self._channel is not None and gateway.has_handed_over:
             self._channel.send(MessageKind.DESCRIPTOR_COUNT, gateway.descriptor_count())
 
     def _on_closed(self) -> None:
-        """The next process has gone, before it took over or after."""
+        """Resume work if the successor disconnected after it took over; otherwise wait for another one."""
         self._channel = None
         gateway = self._context.gateway
         if not gateway.has_handed_over or self.is_stopping:
@@ -234,7 +243,7 @@
 
 
 def _open_reserve() -> int | None:
-    """A descriptor that can be closed when another one is needed; None where there is none."""
+    """Open a descriptor that is closed when another one is needed; None if no descriptor is available."""
     try:
         return os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -1,4 +1,4 @@
-"""What either process of a hot restart knows of its own process, and tells the other while both live."""
+"""The exchange between the two processes of a hot restart while both run, and the objects that it needs."""
 
 from __future__ import annotations
 
@@ -15,52 +15,55 @@
 
 
 class HotRestartContext:
-    """What a hot restart needs of the process around it."""
+    """The objects of this process that a hot restart uses: gateway, listener, participant, settings,
+    sockets."""
 
     def __init__(self, name: str, number: int, gateway: Any, listener: Any) -> None:
         self.name = name
         self.number = number
         self.gateway = gateway
         self.listener = listener  # an HttpListener
-        self.participant: Any = None  # a ClusterParticipant, where there is one
-        self.settings_source: Any = None  # where there is one
-        self.listen_socket: socket.socket | None = None  # this process's own; the server has a duplicate
-        self.server: Any = None
+        self.participant: Any = None  # ClusterParticipant, or None
+        self.settings_source: Any = None  # client of the configuration service, or None
+        self.listen_socket: socket.socket | None = (
+            None  # listening socket, of which the server has a duplicate
+        )
+        self.server: Any = None  # asyncio server that accepts clients, or None
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Accept clients at the listening socket."""
+        """Start accepting clients at the listening socket."""
         assert self.listen_socket is not None
         self.server = await loop.create_server(self.listener.create_connection, sock=self.listen_socket.dup())
 
     def close(self) -> None:
-        """Accept no more clients; the listening socket stays open."""
+        """Stop accepting clients; the listening socket stays open."""
         if self.server is not None:
             self.server.close()
             self.server = None
 
 
 class SiblingChannel:
-    """The other process as the gateway knows it (interface.SiblingProcess)."""
+    """Forwards messages to the other process of a hot restart (implements interface.SiblingProcess)."""
 
     def __init__(self, channel: Channel) -> None:
         self._channel = channel
 
     def on_peer_message(self, sender: int, data: bytes) -> None:
-        """A message of a peer has come here."""
+        """Forward a datagram that this process received from a peer."""
         self._channel.send(MessageKind.PEER_MESSAGE, [sender, data.hex()])
 
     def on_own_message(self, data: bytes) -> None:
-        """The policy sends a message to this gateway's own number."""
+        """Forward a message that the policy sent to this gateway's own number."""
         self._channel.send(MessageKind.OWN_MESSAGE, data.hex())
 
     def on_operator_command(self, name: str, argument: str) -> None:
-        """An operator's command is in force here."""
+        """Forward an operator's command that is in force in this process."""
         self._channel.send(MessageKind.OPERATOR_COMMAND, [name, argument])
 
 
 def handle_sibling_message(context: HotRestartContext, kind: str, value: Any) -> bool:
-    """Act on what either process tells the other while both live; False where the kind is none of these. A
-    malformed value is logged and dropped."""
+    """Handle a message that the other process forwarded; returns False if the kind is not a forwarded one.
+    A malformed value is logged and dropped."""
     try:
         if kind == MessageKind.PEER_MESSAGE:
             sender, data = value
@@ -80,10 +83,11 @@
 
 
 def _execute_command(context: HotRestartContext, value: Any) -> None:
-    """An operator's command, already in force in the other process; raises ValueError and TypeError."""
+    """Apply an operator's command that is in force in the other process. Raises ValueError or TypeError if
+    the message is malformed."""
     name, argument = value
     try:
         context.gateway.apply_command(str(name), str(argument))
     except CommandRejectedError as problem:
-        # This process may have another endpoint list; the command stands in the other one.
+        # The endpoint lists of the two processes may differ; the command stays in force in the other process.
         log.warning("handover: %s %s: %s", name, argument, problem)
--- a/plumpick/gateway/hot_restart/socket_path.py
+++ b/plumpick/gateway/hot_restart/socket_path.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which a running process waits for the next one."""
+"""The path of the Unix socket on which a running process waits for its hot-restart successor."""
 
 from __future__ import annotations
 
@@ -10,18 +10,19 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-MAX_PATH_BYTES = 100  # that the address of a Unix socket may have
-MAX_NAME_LENGTH = 40
+MAX_PATH_BYTES = 100  # maximum length of a Unix socket's address
+MAX_NAME_LENGTH = 40  # maximum number of characters of the gateway's name in the path
 
 
 def socket_path(folder: str, name: str) -> Path:
-    """Where the socket of a gateway is, by the gateway's name."""
+    """The path of the socket of the gateway with this name, in this folder."""
     return Path(folder, f"plumpick-{re.sub('[^A-Za-z0-9_-]', '_', name)[:MAX_NAME_LENGTH]}.sock")
 
 
 @contextlib.contextmanager
 def short_address(path: Path) -> Iterator[str]:
-    """An address of the same file that is short enough, valid inside the `with`; raises OSError."""
+    """Yield an address of the path that fits into MAX_PATH_BYTES. A path that is too long is addressed
+    through /proc, and the address is valid inside the `with` block only. Raises OSError."""
     if len(os.fsencode(path)) <= MAX_PATH_BYTES:
         yield str(path)
         return
@@ -33,6 +34,6 @@
 
 
 def is_same_user(connection: socket.socket) -> bool:
-    """Whether the other side is a process of the same user."""
+    """Whether the process at the other end of a Unix socket connection has the same user ID."""
     _, user, _ = struct.unpack("3i", connection.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return bool(user == os.getuid())
--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -1,7 +1,7 @@
-"""The new process of a hot restart: it takes over from the one that runs (see predecessor.py).
+"""The successor's side of a hot restart: a new process takes over from the running one (see predecessor.py).
 
-Where nobody runs, or is not understood, `Successor.connect` returns None and the start is an ordinary one;
-the log says why."""
+If no process runs, or none that speaks this protocol, `Successor.connect` returns None, and the start is an
+ordinary one. The reason is logged, unless there is no socket file."""
 
 from __future__ import annotations
 
@@ -25,8 +25,10 @@
 
 
 class Successor:
-    """The way to the process that runs, with its sockets. `on_alone()` is called when that process has gone,
-    `on_descriptor_count(count)` with how many descriptors it holds meanwhile."""
+    """The connection to the predecessor, and the sockets received from it.
+
+    `on_alone()` is called when the predecessor has ended, `on_descriptor_count(count)` when it reports the
+    number of descriptors that it still holds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -36,7 +38,7 @@
         self.on_descriptor_count: Callable[[int], None] = lambda _count: None
         self._offer: asyncio.Future[bool] = loop.create_future()
         self._state: asyncio.Future[Mapping[str, Any] | None] = loop.create_future()
-        self._early_messages: list[tuple[str, Any, list[int]]] = []  # that came before `complete`
+        self._early_messages: list[tuple[str, Any, list[int]]] = []  # messages received before `complete`
         self._tasks: set[asyncio.Task[Any]] = set()
         self._channel: Channel | None = None
         self._context: HotRestartContext | None = None
@@ -44,7 +46,7 @@
 
     @classmethod
     async def connect(cls, loop: asyncio.AbstractEventLoop, path: Path, name: str) -> Successor | None:
-        """The process that runs now, with its sockets; None where there is none to take over from."""
+        """Connect to the predecessor and receive its sockets; None if there is no usable predecessor."""
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             connection.settimeout(OFFER_TIMEOUT_S)
@@ -71,14 +73,16 @@
         return successor
 
     async def take_over(self) -> Mapping[str, Any] | None:
-        """Take over now; the state, or None where there is none to be had."""
+        """Request the predecessor's state, upon which it stops accepting clients. Returns the state, or None
+        if the predecessor sends none or does not answer within STATE_TIMEOUT_S."""
         assert self._channel is not None
         self._channel.send(MessageKind.TAKE_OVER)
         done, _ = await asyncio.wait([self._state], timeout=STATE_TIMEOUT_S)
         return self._state.result() if done else None
 
     def complete(self, context: HotRestartContext) -> None:
-        """From now on each process tells the other what it needs."""
+        """Announce that this process serves, and start the exchange with the predecessor; messages received
+        earlier are handled now."""
         self._context = context
         if not self._is_alone and self._channel is not None:
             context.gateway.sibling = SiblingChannel(self._channel)
@@ -91,7 +95,7 @@
             self._loop.call_soon(self.on_alone)
 
     def close(self) -> None:
-        """End the connection to the other process."""
+        """Close the connection to the predecessor."""
         if self._channel is not None:
             self._channel.close()
 
@@ -136,7 +140,7 @@
         handle_sibling_message(context, kind, value)
 
     async def _adopt_client(self, context: HotRestartContext, client: socket.socket) -> None:
-        """Go on with a client's connection that the other process had."""
+        """Continue a client's connection that the predecessor has transferred."""
         try:
             client.setblocking(False)
             await self._loop.connect_accepted_socket(context.listener.create_inherited_connection, client)
@@ -145,7 +149,8 @@
             client.close()
 
     def _on_closed(self) -> None:
-        """The other process has ended, or is not understood."""
+        """Resolve pending waits, and notify the owner: the predecessor has ended or sent a malformed
+        message."""
         self._is_alone = True
         if not self._offer.done():
             self._offer.set_result(False)
