--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -72,7 +72,7 @@
         try:
             self.ledger.import_state(now_ms, state.get("budgets", {}))
         except (ValueError, KeyError, TypeError) as problem:
-            log.warning("budgets: what the process before left cannot be used: %s", problem)
+            log.warning("budgets: the state of the previous process cannot be used: %s", problem)
 
     def reconfigure(self, settings: FleetSettings) -> bool:
         """Apply changed limits and bursts of budgets; returns whether any was changed. Other changes of the
@@ -82,8 +82,8 @@
         new_budgets = tuple(one.budget for one in settings.budgets)
         if _fixed_settings(settings) != _fixed_settings(old):
             log.warning(
-                "duties: what else than wholes and bursts of budgets has changed in the operator's "
-                "file takes effect at the next start"
+                "duties: the operator's file changes more than wholes and bursts of budgets; "
+                "all its changes take effect at the next start"
             )
             return False
         if self.ledger is None or new_budgets == old_budgets:
@@ -92,7 +92,7 @@
         self._settings = settings
         changed = [one for one in new_budgets if one not in old_budgets]
         figures = ", ".join(f"{one.name} whole {one.limit:g}, burst {one.burst:g}" for one in changed)
-        log.info("duties: budgets have other figures: %s", figures[:MAX_LOGGED_CHARACTERS])
+        log.info("duties: limits of budgets changed: %s", figures[:MAX_LOGGED_CHARACTERS])
         return True
 
     # -- requests
--- a/plumpick/gateway/cluster/fence.py
+++ b/plumpick/gateway/cluster/fence.py
@@ -43,7 +43,9 @@
             raise FenceError(f"{path}: {problem}") from problem
         checksum, _, rows = text.partition("\n")
         if checksum != f"{zlib.crc32(rows.encode()):08x}":
-            raise FenceError(f"{path}: torn or spoilt; its tokens are not to be guessed")
+            raise FenceError(
+                f"{path}: checksum mismatch, the file is torn or corrupt; restore it from a copy"
+            )
         self._highest = {task: int(token, 16) for task, token in json.loads(rows).items()}
 
     def _write(self, path: Path) -> None:
--- a/plumpick/gateway/cluster/fenced_effects.py
+++ b/plumpick/gateway/cluster/fenced_effects.py
@@ -53,7 +53,7 @@
     """The lease had expired before the first byte of the effect was written."""
 
     def __init__(self) -> None:
-        super().__init__("its lease had ended before the effect was written")
+        super().__init__("the lease expired before the effect was written")
 
 
 @dataclass(slots=True)
@@ -75,7 +75,7 @@
     """The bytes of the effect's HTTP request. Raises EffectTooLargeError."""
     data = json.dumps(body, separators=(",", ":")).encode()
     if len(data) > MAX_BODY_BYTES:
-        raise EffectTooLargeError(f"its body has {len(data)} bytes; {MAX_BODY_BYTES} is the most")
+        raise EffectTooLargeError(f"effect body of {len(data)} bytes exceeds the maximum of {MAX_BODY_BYTES}")
     host, port = receiver.address
     return (
         f"POST {receiver.path} HTTP/1.1\r\nHost: {host}:{port}\r\nDuty: {task}\r\nPeriod: {period}\r\n"
@@ -96,14 +96,14 @@
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*receiver.address, limit=READ_BYTES)
     except OSError as problem:  # a TimeoutError is one
-        raise ReceiverError(f"no connection to its receiver: {problem or 'no answer'}") from problem
+        raise ReceiverError(f"cannot connect to the receiver: {problem or 'timed out'}") from problem
     try:
         if not may_write():
             raise LeaseEndedError
         writer.write(request)
         status, receiver_token = await _read_response(reader)
     except (OSError, httptools.HttpParserError) as problem:
-        raise ReceiverError(f"no answer of its receiver: {problem or 'out of time'}") from problem
+        raise ReceiverError(f"no valid response from the receiver: {problem or 'timed out'}") from problem
     finally:
         writer.close()
     _check(status, receiver_token)
@@ -128,7 +128,7 @@
         try:
             larger_token = int(receiver_token, 16)
         except ValueError:
-            raise ReceiverError("its receiver refuses the token and names none") from None
+            raise ReceiverError("status 409 from the receiver without a valid Fencing-Token") from None
         raise StaleTokenError(larger_token)
     if not 200 <= status < 300:
-        raise ReceiverError(f"its receiver answered {status or 'nothing whole'}")
+        raise ReceiverError(f"expected status 2xx from the receiver, got {status or 'a truncated response'}")
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -131,9 +131,9 @@
             for lease, held in participant.holder.held.items():
                 self._on_slot_acquired(now_ms, lease, held.token)
             self._restart.drained = bool(state["drained"])
-            log.info("duties: %d leases taken over from the process before", len(participant.holder.held))
+            log.info("duties: %d leases taken over from the previous process", len(participant.holder.held))
         except (ValueError, KeyError, TypeError) as problem:
-            log.warning("duties: %s; this process begins anew", problem)
+            log.warning("duties: %s; this process starts without the previous process's state", problem)
 
     def _acquire_guard(self, participant: LeaseParticipant) -> None:
         is_acceptor = participant.gateway in participant.terms.acceptors
@@ -143,8 +143,8 @@
             self._on_sole_process(participant)
             return
         log.warning(
-            "duties: another process of this number %s; this one waits until it has ended",
-            "votes" if is_acceptor else "has the floors of its budgets",
+            "duties: another process of this gateway %s; this one waits until that process has ended",
+            "votes on leases" if is_acceptor else "spends the floors of its budgets",
         )
 
     def _on_guard_acquired(self) -> None:
@@ -209,7 +209,7 @@
         """Request a restart permit, under which this gateway is drained, or give it up (`wanted` false).
         Returns the error text, or an empty string."""
         if not self._settings.terms.restart_permits:
-            return "there are no turns: fleet.turns in the operator's file is 0"
+            return "restart permits are disabled: fleet.turns in the operator's file is 0"
         self._step([RestartPermitWanted(wanted)])
         return ""
 
@@ -240,7 +240,7 @@
             now_ms = self._system.boottime()
             participant.holder.pinned = self.budgets.pinned_slots(now_ms)
             if now_ms - self._due_ms > STALL_MS:
-                log.warning("duties: this process stood still for %.1f s", (now_ms - self._due_ms) / 1000)
+                log.warning("duties: this process stalled for %.1f s", (now_ms - self._due_ms) / 1000)
             self._decide(now_ms, participant, events or [])
             self.budgets.on_timer(now_ms)
         finally:
@@ -269,7 +269,7 @@
                 case StopRun():
                     self._runs.stop(action)
                 case ReportMissedRun():
-                    missed = "duties: %s, period %d: no run of ours (%s)"
+                    missed = "duties: %s, period %d: not run by this gateway (%s)"
                     log.warning(missed, action.task.name, action.period, action.reason)
         return releases
 
@@ -323,7 +323,7 @@
                 self._scheduler.yield_slot(change.lease)
                 self.budgets.yield_slots({change.lease})
             case LeaseDenied():
-                log.debug("duties: slot %d was not to be had: %s", change.lease, change.reason)
+                log.debug("duties: the lease of slot %d was denied: %s", change.lease, change.reason)
 
     def _on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
         self._scheduler.on_slot_acquired(now_ms, slot, token)
@@ -332,12 +332,12 @@
     def _log_acquired(self, change: LeaseAcquired) -> None:
         names = [name for name, state in self._scheduler.tasks.items() if state.slot == change.lease]
         shown = ", ".join(names[:MAX_LOGGED_TASKS]) or "no duty"
-        log.info("duties: slot %d is ours, token %x: %s", change.lease, change.token, shown)
+        log.info("duties: acquired the lease of slot %d, token %x: %s", change.lease, change.token, shown)
 
     def _on_lease_lost(self, now_ms: float, change: LeaseLost, is_slot: bool) -> None:
         lease = change.lease
         reason = change.reason
-        log.info("duties: slot %d is no longer ours, token %x: %s", lease, change.token, reason)
+        log.info("duties: lost the lease of slot %d, token %x: %s", lease, change.token, reason)
         if not is_slot:
             self._restart.on_permit_lost(reason)
             return
@@ -368,7 +368,7 @@
     def tasks_status(self, argument: str) -> tuple[bool, str]:
         """The reply to DUTIES [PAGE]: whether the command is rejected, and one line."""
         if self.participant is None or self.participant.closed:
-            return True, "another process has the duties"
+            return True, "another process of this gateway has the duties"
         now_ms = self._system.boottime()
         page = status.page_of(argument)
         return False, status.tasks_reply(self._config.name, self.participant, self._scheduler, now_ms, page)
@@ -377,8 +377,8 @@
         """The reply to BUDGETS [PAGE]: whether the command is rejected, and one line."""
         ledger = self.budgets.ledger
         if ledger is None:
-            return True, "no budgets are named here"
+            return True, "no budgets are configured for this gateway"
         if self.participant is None or self.participant.closed:
-            return True, "another process has the budgets"
+            return True, "another process of this gateway has the budgets"
         page = status.page_of(argument)
         return False, status.budgets_reply(self._config.name, ledger, self._system.boottime(), page)
--- a/plumpick/gateway/cluster/planned_restart.py
+++ b/plumpick/gateway/cluster/planned_restart.py
@@ -21,7 +21,7 @@
 
     def on_permit_acquired(self, token: int) -> None:
         """Drain this gateway, which now holds a restart permit with this fencing token."""
-        log.info("duties: it is our turn to be out, token %x", token)
+        log.info("duties: restart permit acquired, token %x: this gateway is drained", token)
         self.drained = True
         self._carry_out("DRAIN")
 
@@ -31,10 +31,10 @@
             return
         self.drained = False
         if reason is not LossReason.RELEASED:
-            log.warning("duties: our turn has ended (%s): clients are taken again", reason)
+            log.warning("duties: restart permit lost (%s): this gateway accepts clients again", reason)
         self._carry_out("UNDRAIN")
 
     def _carry_out(self, name: str) -> None:
         error = self._command(name)
         if error:
-            log.warning("duties: %s: %s", name, error)
+            log.warning("duties: %s failed: %s", name, error)
--- a/plumpick/gateway/cluster/status.py
+++ b/plumpick/gateway/cluster/status.py
@@ -103,5 +103,5 @@
         return [lease, grant.owner[0], f"{grant.token:x}", None, round(granted_ms), ""]
     reason: str = participant.not_held_reasons.get(lease, "")
     if acceptor is not None and now_ms < acceptor.startup_wait_until_ms:
-        reason = "this voter is silent after its start"
+        reason = "this voter grants no lease yet after its start"
     return [lease, None, "", None, None, reason]
--- a/plumpick/gateway/cluster/task_runs.py
+++ b/plumpick/gateway/cluster/task_runs.py
@@ -46,7 +46,7 @@
 
     def stop(self, action: StopRun) -> None:
         """Cancel the run of a scheduled task, without a call of `on_end`."""
-        log.warning("duties: %s, period %d: stopped, %s", action.task.name, action.period, action.reason)
+        log.warning("duties: %s, period %d: run stopped: %s", action.task.name, action.period, action.reason)
         run = self._runs.pop(action.task.name, None)
         if run is not None:
             run.cancel()
@@ -64,9 +64,9 @@
             return  # this run was stopped, or a newer run has replaced it
         del self._runs[name]
         if error is not None:
-            log.warning("duties: %s, period %d: %s", name, start.period, error)
+            log.warning("duties: %s, period %d: run failed: %s", name, start.period, error)
         else:
-            log.debug("duties: %s, period %d: done, token %x", name, start.period, start.token)
+            log.debug("duties: %s, period %d: run done, token %x", name, start.period, start.token)
         self._on_end(start, error)
 
     async def _execute(self, start: StartRun) -> EffectError | None:
@@ -84,6 +84,6 @@
         except EffectError as problem:
             return problem
         except Exception as problem:  # other runs and the leases must not be affected
-            log.exception("duties: %s, period %d raised", name, start.period)
+            log.exception("duties: %s, period %d: the run raised an exception", name, start.period)
             return EffectError(f"{type(problem).__name__}: {problem}")
         return None
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -63,7 +63,7 @@
         ValueError or TypeError if it is malformed."""
         plan, outcome, units = value
         if outcome not in OUTCOMES:
-            raise ValueError(f"{outcome!r} is no outcome")
+            raise ValueError(f"unknown outcome {outcome!r}, expected one of {OUTCOMES}")
         self.count(str(plan), outcome, float(units))
 
     def capture(self) -> dict[str, Any]:
--- a/plumpick/gateway/hot_restart/channel.py
+++ b/plumpick/gateway/hot_restart/channel.py
@@ -117,7 +117,7 @@
         try:
             messages = self._decoder.feed(data)
         except MessageFormatError as problem:
-            log.warning("handover: %s", problem)
+            log.warning("handover: connection to the other process closed: %s", problem)
             self.close()
             return
         for kind, value in messages:
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -47,7 +47,9 @@
     """The bytes of a message. Raises MessageTooLongError, and ValueError if the value has no JSON form."""
     text = json.dumps([kind, value], allow_nan=False, separators=(",", ":")).encode()
     if len(text) > MAX_TEXT_BYTES:
-        raise MessageTooLongError(f"a message of {len(text)} bytes")
+        raise MessageTooLongError(
+            f"message of {len(text)} bytes exceeds the maximum of {MAX_TEXT_BYTES} bytes"
+        )
     return _HEADER.pack(MAGIC, VERSION, len(text), zlib.crc32(text)) + text
 
 
@@ -65,11 +67,13 @@
         while len(self._bytes) >= _HEADER.size:
             magic, version, length, checksum = _HEADER.unpack_from(self._bytes)
             if magic != MAGIC:
-                raise MessageFormatError("this is no gatekeeper's message")
+                raise MessageFormatError(f"message begins with {magic!r}, expected {MAGIC!r}")
             if version != VERSION:
-                raise MessageFormatError(f"version {version} is not {VERSION}")
+                raise MessageFormatError(f"message of version {version}, expected version {VERSION}")
             if length > MAX_TEXT_BYTES:
-                raise MessageFormatError(f"a message of {length} bytes")
+                raise MessageFormatError(
+                    f"message of {length} bytes exceeds the maximum of {MAX_TEXT_BYTES} bytes"
+                )
             if len(self._bytes) < _HEADER.size + length:
                 break
             text = bytes(self._bytes[_HEADER.size : _HEADER.size + length])
@@ -80,11 +84,15 @@
 
 def _parse_text(text: bytes, checksum: int) -> tuple[str, Any]:
     if zlib.crc32(text) != checksum:
-        raise MessageFormatError("the checksum does not match")
+        raise MessageFormatError("checksum of the message does not match its text")
     try:
         kind, value = json.loads(text)
     except (ValueError, TypeError, RecursionError) as problem:
-        raise MessageFormatError("no JSON of ours") from problem
+        raise MessageFormatError(
+            f"message text is not a JSON array of a kind and a value: {problem}"
+        ) from problem
     if not isinstance(kind, str):
-        raise MessageFormatError("a message without a kind")
+        raise MessageFormatError(
+            f"kind of the message is of the type {type(kind).__name__}, expected a string"
+        )
     return kind, value
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -71,7 +71,7 @@
             os.rename(fresh, path)  # replaces the predecessor's socket atomically
             self._inode = os.stat(path).st_ino
         except OSError as problem:
-            log.warning("handover: no socket at %s: %s", path, problem.strerror)
+            log.warning("handover: no socket at %s: %s; no process can take over", path, problem.strerror)
             if listening is not None:
                 listening.close()
             return
@@ -116,7 +116,7 @@
             self._loop.remove_reader(self._socket)
             self._socket.close()
             self.open(self._path)
-            log.info("handover: the next process may come here again")
+            log.info("handover: listening for a next process again")
         elif attempts_left:
             self._loop.call_later(REOPEN_INTERVAL_S, self._reopen, attempts_left - 1)
 
@@ -163,13 +163,13 @@
         elif kind == MessageKind.SERVING:
             self._transfer_idle_connections(channel)
         elif not handle_sibling_message(self._context, kind, value):
-            log.warning("handover: %r is unknown", kind)
+            log.warning("handover: message of the unknown kind %r ignored", kind)
 
     def _offer(self, channel: Channel, name: Any) -> None:
         """Send the sockets to a successor with the same gateway name; close the channel of any other one."""
         context = self._context
         if name != context.name or context.listen_socket is None:
-            log.warning("handover: %r has asked %r", name, context.name)
+            log.warning("handover: a process of %r was rejected: this gateway is %r", name, context.name)
             channel.close()
             return
         sockets = (context.listen_socket, context.gateway.peers.bound_socket)
@@ -233,7 +233,7 @@
         gateway = self._context.gateway
         if not gateway.has_handed_over or self.is_stopping:
             return
-        log.warning("handover: the next process has gone; this one goes on")
+        log.warning("handover: the next process has ended; this one resumes its work")
         gateway.peers.start_receiving()
         gateway.resume_after_failed_handover()
         if self._context.participant is not None:
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -78,7 +78,7 @@
         else:
             return False
     except (ValueError, TypeError) as problem:
-        log.warning("handover: %s cannot be read: %s", kind, problem)
+        log.warning("handover: malformed message of the kind %s dropped: %s", kind, problem)
     return True
 
 
@@ -90,4 +90,4 @@
         context.gateway.apply_command(str(name), str(argument))
     except CommandRejectedError as problem:
         # The endpoint lists of the two processes may differ; the command stays in force in the other process.
-        log.warning("handover: %s %s: %s", name, argument, problem)
+        log.warning("handover: forwarded command %s %s rejected: %s", name, argument, problem)
--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -53,12 +53,13 @@
             with short_address(path) as address:
                 connection.connect(address)
             if not is_same_user(connection):
-                raise PermissionError(1, "it is another user's")
+                raise PermissionError(1, "the socket belongs to another user")
         except FileNotFoundError:
             connection.close()
             return None
         except OSError as problem:
-            log.warning("handover: nobody at %s (%s): an ordinary start", path, problem.strerror or problem)
+            reason = problem.strerror or problem
+            log.warning("handover: no process to take over from at %s (%s): ordinary start", path, reason)
             connection.close()
             return None
         successor = cls(loop)
@@ -67,7 +68,7 @@
         channel.send(MessageKind.HELLO, name)
         done, _ = await asyncio.wait([successor._offer], timeout=OFFER_TIMEOUT_S)
         if not done or not successor._offer.result() or successor.listen_socket is None:
-            log.warning("handover: no offer at %s: an ordinary start", path)
+            log.warning("handover: no offer from the process at %s: ordinary start", path)
             channel.close()
             return None
         return successor
@@ -128,7 +129,9 @@
             return
         if kind == MessageKind.CLIENT_CONNECTION:
             if not descriptors:
-                log.warning("handover: a client's connection was lost: this process has no descriptor left")
+                log.warning(
+                    "handover: a client's connection was closed: no descriptor was left to receive it"
+                )
             for descriptor in descriptors:
                 client = socket.socket(fileno=descriptor)
                 task = self._loop.create_task(self._adopt_client(context, client))
@@ -145,7 +148,7 @@
             client.setblocking(False)
             await self._loop.connect_accepted_socket(context.listener.create_inherited_connection, client)
         except OSError as problem:
-            log.warning("handover: a client's connection was lost: %s", problem)
+            log.warning("handover: a client's connection could not be taken over and was closed: %s", problem)
             client.close()
 
     def _on_closed(self) -> None:
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -183,7 +183,7 @@
             rows = await tier.until(later, 20, "a renewal by the next process")
             assert {row[5] for row in rows if row[1] > begin} == {token}  # the same owner, not a next one
             text = (gate.folder / "log").read_text()
-            assert "leases taken over" in text and "another process of this number votes" not in text
+            assert "leases taken over" in text and "another process of this gateway votes" not in text
             # One more with another $TMPDIR: it finds nobody to take over from.
             stray = tier.folder / "stray"
             stray.mkdir()
@@ -193,7 +193,7 @@
             other = await tier.supervisor.launch(gate)
             processes.append(other)
             await tier.until(
-                lambda: "another process of this number votes" in (gate.folder / "log").read_text(),
+                lambda: "another process of this gateway votes" in (gate.folder / "log").read_text(),
                 10,
                 "a second process without a vote",
             )
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -519,7 +519,7 @@
         one.processes[1].kill()
         await one.processes[1].wait()
         said = b""
-        while b"may come here again" not in said:
+        while b"listening for a next process again" not in said:
             said += await first.stderr.read(4096)
         await one.start()
         assert (await say(one.management[0], b"READY\n")).startswith("-ERR handed over to the successor")
