--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -109,11 +109,11 @@
         ledger = self.ledger
         if ledger is None:  # clients may connect before `start`
             return False
-        met = ledger.try_spend(self._clock(), charges)
+        is_spent = ledger.try_spend(self._clock(), charges)
         due_ms = ledger.next_timer_ms()
         if due_ms < self.timer_ms:
             self._wake(due_ms)
-        return met
+        return is_spent
 
     # -- leases and messages
 
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -18,7 +18,7 @@
 from plumpick.policy.scheduled_tasks import StartRun
 from plumpick.policy.usage_report import FleetUsage, UsageCollection, UsageCounter, UsageMessage
 
-STEP_S = 0.02
+POLL_STEP_S = 0.02
 OTHER_PLAN = 255  # index under which plans that are not configured are counted
 OUTCOMES = (usage_report.SERVED, usage_report.REJECTED, usage_report.FAILED)
 
@@ -111,7 +111,7 @@
             while not collection.is_over(now_ms := self._system.boottime()):
                 for gateway in collection.gateways_to_poll(now_ms):
                     self._poll(now_ms, name, start.period, gateway, collection)
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(POLL_STEP_S)
         finally:
             self._collections.pop(name, None)
         return self._body(start, collection.result(start.task.period_ms))
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -64,11 +64,11 @@
         listening: socket.socket | None = None
         try:
             listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            fresh = path.with_name(f"{path.name}.{os.getpid()}")
-            with short_address(fresh) as address:
+            temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
+            with short_address(temporary_path) as address:
                 listening.bind(address)
             listening.listen(LISTEN_BACKLOG)
-            os.rename(fresh, path)  # replaces the predecessor's socket atomically
+            os.rename(temporary_path, path)  # replaces the predecessor's socket atomically
             self._inode = os.stat(path).st_ino
         except OSError as problem:
             log.warning("handover: no socket at %s: %s; no process can take over", path, problem.strerror)
@@ -214,10 +214,10 @@
         if channel is not self._channel or channel.is_closed or not self._context.gateway.has_handed_over:
             return
 
-        def pass_on(descriptor: int) -> bool:
+        def send_descriptor(descriptor: int) -> bool:
             return channel.send_descriptors(MessageKind.CLIENT_CONNECTION, [descriptor])
 
-        if not self._context.listener.transfer_idle_connections(pass_on):
+        if not self._context.listener.transfer_idle_connections(send_descriptor):
             self._loop.call_later(TRANSFER_RETRY_S, self._transfer_idle_connections, channel)
 
     def send_descriptor_count(self) -> None:
