--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -27,14 +27,14 @@
 class Successor:
     """The connection to the predecessor, and the sockets received from it.
 
-    `on_alone()` is called when the predecessor has ended, `on_descriptor_count(count)` when it reports the
-    number of descriptors that it still holds."""
+    `on_predecessor_exit()` is called when the predecessor has ended, `on_descriptor_count(count)` when it
+    reports the number of descriptors that it still holds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self.listen_socket: socket.socket | None = None
         self.datagram_socket: socket.socket | None = None
-        self.on_alone: Callable[[], None] = lambda: None
+        self.on_predecessor_exit: Callable[[], None] = lambda: None
         self.on_descriptor_count: Callable[[int], None] = lambda _count: None
         self._offer: asyncio.Future[bool] = loop.create_future()
         self._state: asyncio.Future[Mapping[str, Any] | None] = loop.create_future()
@@ -42,7 +42,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._channel: Channel | None = None
         self._context: HotRestartContext | None = None
-        self._is_alone = False
+        self._predecessor_exited = False
 
     @classmethod
     async def connect(cls, loop: asyncio.AbstractEventLoop, path: Path, name: str) -> Successor | None:
@@ -85,15 +85,15 @@
         """Announce that this process serves, and start the exchange with the predecessor; messages received
         earlier are handled now."""
         self._context = context
-        if not self._is_alone and self._channel is not None:
+        if not self._predecessor_exited and self._channel is not None:
             context.gateway.sibling = SiblingChannel(self._channel)
             self._channel.send(MessageKind.SERVING)
         early = self._early_messages
         self._early_messages = []
         for kind, value, descriptors in early:
             self._handle(context, kind, value, descriptors)
-        if self._is_alone:
-            self._loop.call_soon(self.on_alone)
+        if self._predecessor_exited:
+            self._loop.call_soon(self.on_predecessor_exit)
 
     def close(self) -> None:
         """Close the connection to the predecessor."""
@@ -154,11 +154,11 @@
     def _on_closed(self) -> None:
         """Resolve pending waits, and notify the owner: the predecessor has ended or sent a malformed
         message."""
-        self._is_alone = True
+        self._predecessor_exited = True
         if not self._offer.done():
             self._offer.set_result(False)
         if not self._state.done():
             self._state.set_result(None)
         if self._context is not None:
             self._context.gateway.sibling = None
-            self.on_alone()
+            self.on_predecessor_exit()
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -68,7 +68,7 @@
             self._successor = await Successor.connect(self._loop, self._path, self._config.name)
         peers = self._gateway.peers
         if self._successor is not None:
-            self._successor.on_alone = self._on_alone
+            self._successor.on_predecessor_exit = self._on_alone
             self._successor.on_descriptor_count = self._on_descriptor_count
             self._gateway.set_descriptor_limit(self._config.sockets // 2)
             if self._successor.datagram_socket is not None:
