--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -1,5 +1,5 @@
-"""Budgets by several processes as `run` starts them, with faults between them; what all of them spent is
-added up on the machine's one clock."""
+"""Budgets of several gateway processes with injected faults; the units that all of them spent are added up by
+the machine's clock."""
 
 import asyncio
 
@@ -23,18 +23,18 @@
         (14, 3, ["figures", "divider-dies-lending"]),
     ],
 )
-def test_limit_is_never_passed_whatever_fails(seed, gatekeepers, cases):
+def test_budget_is_never_exceeded_under_faults(seed, gatekeepers, cases):
     outcome = asyncio.run(play(seed, gatekeepers, only=cases))
-    assert outcome.over == [] and outcome.spent > 100  # how soon all is back the benchmark tells
+    assert outcome.over == [] and outcome.spent > 100  # the benchmark measures the recovery time
 
 
 @pytest.mark.parametrize("plant", ["returns-twice", "fills-over-a-stall"])
-def test_mutant_passes_the_limit(plant):
+def test_planted_bug_exceeds_the_budget(plant):
     assert asyncio.run(play(21, 3, plant, cases=1)).over
 
 
-def test_gateway_cut_off_from_the_allocator_serves_by_its_guaranteed_limit():
-    """As stated beforehand: `plumpick bounds --operator`, "cut off alone"."""
+def test_gateway_cut_off_from_the_allocator_spends_its_guaranteed_limit():
+    """The bound is the one that `plumpick bounds --operator` prints for the state "cut off alone"."""
 
     async def scenario():
         tier = Tier(
@@ -51,11 +51,11 @@
             await tier.start()
             away = (await trial.divider() + 1) % 3
             tier.want(away, {"exports": 120.0})
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "what is lent is spent")
+            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "the grant is spent")
             tier.relay.sides = [{away}]
-            begin = machine_ms() + 1100  # its share has ended by then
+            begin = machine_ms() + 1100  # after the expiry of its grant
             rows = await tier.until(
-                lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "seconds cut off"
+                lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "3 s while cut off"
             )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
             fleet = operator_from(
@@ -72,7 +72,7 @@
             await tier.until(
                 lambda: sum(units for t, units in trial.spent("exports") if t > machine_ms() - 1000) > 40,
                 20,
-                "all of it again",
+                "the whole budget is spent again",
             )
         finally:
             await tier.close()
@@ -81,8 +81,9 @@
 
 
 @pytest.mark.parametrize("has_allocator", [True, False])
-def test_lower_limits_in_the_file_of_one_gateway_hold_for_the_whole_tier(has_allocator):
-    """Guards against limits messages that are dropped on arrival: each gateway then went by its own file."""
+def test_lower_limits_in_the_file_of_one_gateway_apply_to_the_whole_tier(has_allocator):
+    """Guards against limits messages that are dropped on receipt, so that each gateway applies its own
+    file."""
     exports = BUDGETS[0]
     lower = {**exports, "whole": exports["whole"] / 2, "burst": exports["burst"] / 2}
 
@@ -100,11 +101,11 @@
         try:
             await tier.start()
             number = await trial.divider()
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "what is granted is spent")
+            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "the grants are spent")
             await tier.change_at(number if has_allocator else (number + 1) % 3, [lower])
-            # Two rounds of messages to agree, and the term of what had been granted by the higher limit.
+            # Two rounds of messages to agree on the lower limits, and the term of grants by the higher limit.
             begin = machine_ms() + 2 * 1000 * 1.03
-            await tier.until(lambda: machine_ms() > begin + 4000, 20, "seconds with different limits")
+            await tier.until(lambda: machine_ms() > begin + 4000, 20, "4 s with the lower limits")
             spent = [(t, units) for t, units in trial.spent("exports") if t >= begin]
             assert not audit(spent, lower["whole"], lower["burst"])
             assert sum(units for _, units in spent) > 0.8 * lower["whole"] * 4
@@ -114,17 +115,17 @@
     asyncio.run(scenario())
 
 
-def test_audit_goes_by_the_limits_of_each_moment():
+def test_audit_applies_the_limits_in_force_at_each_time():
     rows = [(0.0, 1.0)] * 5 + [(1000.0, 1.0)] * 7
     assert len(audit(rows, 2.0, 5.0)) == 5
     assert len(audit(rows, 2.0, 5.0, [(500.0, 12.0, 5.0)])) == 2
-    assert not audit(rows, 2.0, 5.0, [(900.0, 2.0, 10.0)])  # what a raised burst adds is there at once
+    assert not audit(rows, 2.0, 5.0, [(900.0, 2.0, 10.0)])  # a raised burst can be spent at once
     lower = [(500.0, 1.0, 1.0)]
     assert len(audit([(0.0, 1.0)] * 5 + [(1000.0, 1.0)] * 2, 2.0, 5.0, lower)) == 1
     assert not audit([(0.0, 1.0), (400.0, 1.0), (1000.0, 1.0), (2000.0, 1.0)], 2.0, 5.0, lower)
 
 
-def test_audit_sees_one_unit_too_many_in_any_window():
+def test_audit_reports_one_unit_beyond_the_limit_in_any_window():
     rows = [(0.0, 1.0)] * 5 + [(1000.0, 1.0)] * 2
     assert not audit(rows, 2.0, 5.0)
     assert len(audit([*rows, (1000.0, 1.0)], 2.0, 5.0)) == 1
@@ -150,7 +151,7 @@
             await tier.start()
             answered = []
 
-            async def look(number):
+            async def send_request(number):
                 client = await Client().open(tier.gates[number].port)
                 client.send(request(path="/seat-check", deadline=1500).replace(b"basic", plan()))
                 answered.append(await client.answer())
@@ -158,15 +159,15 @@
             def plan():
                 return tier.supervisor.scenario.plans[0].name.encode()
 
-            asking = []
+            requests = []
 
             def enough():
-                asking.append(asyncio.create_task(look(len(asking) % 3)))
-                return len(trial.spent("looks")) >= 24  # as many as the floors alone give in six seconds
+                requests.append(asyncio.create_task(send_request(len(requests) % 3)))
+                return len(trial.spent("looks")) >= 24  # units of the guaranteed limits in six seconds
 
-            await tier.until(enough, 60, "what is lent is spent")
+            await tier.until(enough, 60, "the grants are spent")
             assert not audit(trial.spent("looks"), 8.0, 6.0) and not trial.spent("none")
-            await asyncio.gather(*asking)
+            await asyncio.gather(*requests)
             assert len(answered) > 24 and {status for status, *_ in answered} <= {503, 504}
             rows = [await asyncio.to_thread(fetch_budgets, ("127.0.0.1", port)) for port in tier.calls]
             assert "looks" in "\n".join(table_lines(rows)) and len(rows) == 3
@@ -176,5 +177,5 @@
     asyncio.run(scenario())
 
 
-def test_budgets_of_the_trials_hold_one_request_at_least():
+def test_bursts_of_the_trials_budgets_allow_at_least_one_request():
     assert all(one["burst"] >= 1 for one in BUDGETS)
--- a/tests/gateway/cluster/test_cluster_settings.py
+++ b/tests/gateway/cluster/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""The operator's settings of leases and scheduled tasks."""
+"""Parsing of the operator's settings of leases and scheduled tasks."""
 
 import pathlib
 import tomllib
@@ -18,7 +18,7 @@
     return {"fleet": {"voters": [0, 1, 2], "duty": list(duties), **keys}}
 
 
-def test_tasks_are_read_from_the_operators_settings():
+def test_scheduled_tasks_are_read_from_the_operators_settings():
     got = operator_from(
         fleet(DUTY, {**DUTY, "name": "two", "fenced": False, "repeatable": True}, turns=1), 3
     ).fleet
@@ -48,19 +48,19 @@
         (fleet(drift=0.5), "fleet.drift"),
     ],
 )
-def test_an_invalid_setting_is_named_by_its_key(value, key):
+def test_error_of_an_invalid_setting_names_its_key(value, key):
     with pytest.raises(ConfigError, match=key):
         operator_from(value, 3)
 
 
-def test_an_unreadable_file_is_named_in_the_error(tmp_path):
+def test_error_of_an_unreadable_file_names_the_file(tmp_path):
     (tmp_path / "bad.toml").write_text("[fleet\n")
     for name in ("bad.toml", "none.toml"):
         with pytest.raises(ConfigError, match=name):
             load(str(tmp_path / name), 3)
 
 
-def test_the_shipped_operators_file_is_valid():
+def test_shipped_operators_file_is_valid():
     text = (ROOT / "deploy/operator.toml").read_text()
     got = operator_from(tomllib.loads(text), 3).fleet
     assert got is not None and len(got.scheduled_tasks) >= 2
--- a/tests/gateway/cluster/test_cluster_startup.py
+++ b/tests/gateway/cluster/test_cluster_startup.py
@@ -1,4 +1,4 @@
-"""The daemon's start with and without what is done for the whole tier."""
+"""Start of the daemon with invalid operator's settings, and without any."""
 
 import json
 import os
@@ -16,7 +16,7 @@
         ("[fleet]\nvoters = [7]\n", "fleet.voters"),
     ],
 )
-def test_invalid_operators_settings_exit_with_2_and_one_line(tmp_path, text, key):
+def test_daemon_exits_with_2_and_one_line_on_invalid_operators_settings(tmp_path, text, key):
     (tmp_path / "config.json").write_text(json.dumps(config()))
     (tmp_path / "operator.toml").write_text(text)
     done = subprocess.run(
@@ -34,7 +34,7 @@
     assert done.returncode == 2 and key in done.stderr and len(done.stderr.splitlines()) == 1
 
 
-def test_the_cluster_is_not_imported_without_operators_settings():
+def test_cluster_modules_are_not_imported_without_operators_settings():
     code = (
         "import sys; import plumpick.gateway.daemon; "
         "print([m for m in sys.modules if m.startswith('plumpick') and "
--- a/tests/gateway/cluster/test_fenced_effects.py
+++ b/tests/gateway/cluster/test_fenced_effects.py
@@ -1,4 +1,4 @@
-"""Effects under a token, against a receiver on a socket."""
+"""Sending of effects with fencing tokens to a receiver over loopback."""
 
 import asyncio
 
@@ -9,26 +9,26 @@
 from plumpick.gateway.operator_config import Receiver
 
 
-async def until(true):
-    while not true():
+async def until(condition):
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-def test_an_effect_is_not_written_when_its_lease_ended_during_the_connect():
+def test_effect_is_not_written_if_its_lease_expired_during_the_connect():
     async def scenario():
-        came = []
+        received = []
 
         async def answer(reader, writer):
-            came.append(await reader.read(100))
+            received.append(await reader.read(100))
             writer.close()
 
         server = await asyncio.start_server(answer, HOST, 0)
         port = server.sockets[0].getsockname()[1]
         with pytest.raises(fenced_effects.LeaseEndedError):
             await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: False)
-        await until(lambda: came)
-        assert came == [b""]
-        with pytest.raises(fenced_effects.ReceiverError):  # it closes without an answer
+        await until(lambda: received)
+        assert received == [b""]
+        with pytest.raises(fenced_effects.ReceiverError):  # the receiver closes without an answer
             await fenced_effects.send(Receiver((HOST, port), "/"), "d", 1, 1, {}, lambda: True)
         server.close()
 
--- a/tests/gateway/cluster/test_lease_runner.py
+++ b/tests/gateway/cluster/test_lease_runner.py
@@ -1,4 +1,5 @@
-"""The lease runner on a loop: runs that raise or never end, lost leases, planned restarts."""
+"""The lease runner on an event loop: runs that raise or hang, lost leases, planned restarts, budget
+limits."""
 
 import asyncio
 
@@ -14,12 +15,12 @@
 
 
 class PlatformWithGuard(Platform):
-    """The real machine, with a guard that always is to be had."""
+    """The real platform, with a process guard that can always be acquired."""
 
     def guard(self, address):
         class Guard:
             def close(self):
-                """Nothing is held."""
+                """Do nothing: the guard holds no resource."""
 
         return Guard()
 
@@ -31,31 +32,32 @@
 
 
 def run_alone(duties, scenario, **fleet):
-    """A tier of one, whose voter is itself; `scenario(part, told)` once it owns all slots."""
+    """Start a lease runner that is the only gateway and acceptor; once it holds all slots, run
+    `scenario(runner, commands)`, where `commands` collects the operator's commands that it executes."""
 
-    async def whole():
+    async def run_scenario():
         settings = operator_from(
             {"fleet": {"voters": [0], "slots": 2, "term_s": 0.5, "duty": duties, **fleet}}, 1
         ).fleet
-        orders = []
-        part = lease_runner.LeaseRunner(
+        commands = []
+        runner = lease_runner.LeaseRunner(
             one_gatekeeper(),
             settings,
             asyncio.get_running_loop(),
             PlatformWithGuard(),
             lambda *_: None,
-            lambda name: orders.append(name) or "",
+            lambda name: commands.append(name) or "",
         )
-        part.start()
+        runner.start()
         try:
             async with asyncio.timeout(20):
-                while len(part.participant.holder.held) < 2:
+                while len(runner.participant.holder.held) < 2:
                     await asyncio.sleep(0.01)
-                await scenario(part, orders)
+                await scenario(runner, commands)
         finally:
-            part.close()
+            runner.close()
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 def duty(name, **more):
@@ -69,19 +71,19 @@
     }
 
 
-async def until(true):
-    while not true():
+async def until(condition):
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-def test_runs_that_raise_or_never_end_do_not_affect_others_or_the_leases(monkeypatch):
+def test_runs_that_raise_or_hang_affect_neither_other_runs_nor_the_leases(monkeypatch):
     runs = {"raises": 0, "hangs": 0, "works": 0}
     cancelled = []
 
     async def send(receiver, name, period, token, body, may):
         runs[name] += 1
         if name == "raises":
-            raise RuntimeError("as planted")
+            raise RuntimeError("injected fault")
         if name == "hangs":
             try:
                 await asyncio.sleep(3600)
@@ -91,50 +93,50 @@
 
     monkeypatch.setattr(fenced_effects, "send", send)
 
-    async def scenario(part, _orders):
+    async def scenario(runner, _commands):
         await until(lambda: runs["works"] >= 5 and runs["raises"] >= 2 and len(cancelled) >= 2)
-        assert len(part.participant.holder.held) == 2
+        assert len(runner.participant.holder.held) == 2
 
     run_alone([duty("raises"), duty("hangs", limit_s=0.3), duty("works")], scenario)
 
 
-def test_a_run_is_cancelled_with_its_lease_and_may_not_write(monkeypatch):
-    begun, looked = [], []
+def test_run_is_cancelled_with_its_lease_and_may_not_write(monkeypatch):
+    started, write_allowed = [], []
 
     async def send(receiver, name, period, token, body, may):
-        begun.append(period)
+        started.append(period)
         try:
             await asyncio.sleep(3600)
         finally:
-            looked.append(may())
+            write_allowed.append(may())
 
     monkeypatch.setattr(fenced_effects, "send", send)
 
-    async def scenario(part, _orders):
-        await until(lambda: begun)  # a task that is cancelled before it ran has nothing to look at
-        part.capture()
-        await until(lambda: looked)
-        assert looked == [False] and not part._may_act(0, 0)
+    async def scenario(runner, _commands):
+        await until(lambda: started)  # a task that is cancelled before its start would not reach `finally`
+        runner.capture()
+        await until(lambda: write_allowed)
+        assert write_allowed == [False] and not runner._may_act(0, 0)
 
     run_alone([duty("one", period_s=60)], scenario)
 
 
-def test_a_restart_permit_drains_and_its_release_undrains():
-    async def scenario(part, orders):
-        assert part.request_restart_permit(True) == ""
-        await until(lambda: orders == ["DRAIN"])
-        part.request_restart_permit(False)
-        await until(lambda: orders == ["DRAIN", "UNDRAIN"])
+def test_restart_permit_drains_the_gateway_and_its_release_undrains_it():
+    async def scenario(runner, commands):
+        assert runner.request_restart_permit(True) == ""
+        await until(lambda: commands == ["DRAIN"])
+        runner.request_restart_permit(False)
+        await until(lambda: commands == ["DRAIN", "UNDRAIN"])
 
     run_alone([], scenario, turns=1)
 
 
-def test_the_lower_limits_of_another_gateway_reach_the_budget_that_is_allocated_here():
-    async def scenario(part, _orders):
-        now_ms = part._system.boottime()
+def test_lower_limits_of_another_gateway_are_applied_to_an_allocated_budget():
+    async def scenario(runner, _commands):
+        now_ms = runner._system.boottime()
         query = encode_limits(LimitsMessage(0, 60.0, 30.0, True))
-        part._carry_out(now_ms, DeliverPayload(1, 0, query))
-        allocated = part.budgets.ledger.allocators["exports"].budget
+        runner._carry_out(now_ms, DeliverPayload(1, 0, query))
+        allocated = runner.budgets.ledger.allocators["exports"].budget
         assert (allocated.limit, allocated.burst) == (60.0, 30.0)
 
     budget = {"name": "exports", "whole": 120, "burst": 60, "floor": 0.3}
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -1,5 +1,4 @@
-"""Several processes of the program as `run` starts it, with faults between them; judged by all their
-records."""
+"""Leases of several gateway processes with injected faults, checked by the records of all of them."""
 
 import asyncio
 import json
@@ -31,22 +30,22 @@
         (15, 3, ["three-stops", "moving-split", "deaf"]),
     ],
 )
-def test_no_guarantee_is_broken_under_faults(seed, gatekeepers, cases):
+def test_no_lease_guarantee_is_violated_under_faults(seed, gatekeepers, cases):
     assert trial(seed, gatekeepers, cases).broken == []
 
 
 @pytest.mark.parametrize(
     ("plant", "case"), [("forgets-silence", "amnesia"), ("looks-never", "stops-before-the-look")]
 )
-def test_a_planted_bug_is_found(plant, case):
+def test_planted_bug_violates_a_lease_guarantee(plant, case):
     assert trial(21, 3, [case], plant=plant).broken
 
 
-def test_a_receiver_without_a_fence_takes_late_effects():
+def test_receiver_without_a_fence_executes_late_effects():
     assert trial(22, 3, ["stops-after-the-look"], fenced=False).judged.out_of_order
 
 
-def test_the_judge_reports_overlaps_and_late_effects():
+def test_judge_reports_overlapping_leases_and_late_effects():
     held = [["held", 10.0, 0, 1, 0, 7, 5.0, 100.0], ["held", 60.0, 1, 2, 0, 9, 55.0, 160.0]]
     assert judge(held, []).overlaps
     assert not judge([*held, ["lost", 50.0, 0, 1, 0, 7]], []).overlaps
@@ -64,7 +63,7 @@
     )
 
 
-def test_usage_is_sent_once_a_period_with_a_gap_for_a_dead_gateway():
+def test_usage_is_reported_once_a_period_with_a_gap_for_a_dead_gateway():
     async def scenario():
         tier = use_tier()
         try:
@@ -73,7 +72,7 @@
             dead = next(number for number in range(3) if tier.owner(one_slot()) != number)
             await tier.kill(dead, None)
             killed = time.time() * 1000
-            whole = await tier.until(
+            records = await tier.until(
                 lambda: [
                     one
                     for one in tier.receiver.records
@@ -82,10 +81,11 @@
                 20,
                 "a record of a period after the death",
             )
-            gaps = whole[0].body["gaps"]
+            gaps = records[0].body["gaps"]
             assert [gap["gatekeeper"] for gap in gaps] == [dead]
             assert (
-                gaps[0]["until_ms"] == 1000.0 and whole[0].body["until_ms"] - whole[0].body["from_ms"] == 1000
+                gaps[0]["until_ms"] == 1000.0
+                and records[0].body["until_ms"] - records[0].body["from_ms"] == 1000
             )
         finally:
             await tier.close()
@@ -102,7 +102,7 @@
     return slot_of("use", 4)
 
 
-def test_operators_see_leases_and_one_gateway_at_a_time_is_drained():
+def test_operators_list_leases_and_one_gateway_at_a_time_gets_a_restart_permit():
     async def scenario():
         tier = use_tier(management=True)
         try:
@@ -112,20 +112,20 @@
             def call(number, line):
                 return asyncio.to_thread(ask, ("127.0.0.1", tier.calls[number]), line)
 
-            whole = await asyncio.to_thread(fetch, ("127.0.0.1", tier.calls[0]))
+            reply = await asyncio.to_thread(fetch, ("127.0.0.1", tier.calls[0]))
             owner = tier.owner(one_slot())
-            row = next(row for row in whole["leases"] if row[0] == one_slot())
-            assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(lines(whole))
-            assert json.dumps(whole)
+            row = next(row for row in reply["leases"] if row[0] == one_slot())
+            assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(lines(reply))
+            assert json.dumps(reply)
             assert (await call(0, "DRAIN FLEET")).startswith("+OK")
-            await tier.until(lambda: tier.owner(4) == 0, 5, "a turn")
+            await tier.until(lambda: tier.owner(4) == 0, 5, "a restart permit")
             assert (await call(0, "READY")).startswith("+OK drain")
             assert (await call(1, "DRAIN FLEET")).startswith("+OK")
             await asyncio.sleep(1.5)
             assert tier.owner(4) == 0 and (await call(1, "READY")) == "+OK ready"
             begin = machine_ms()
-            await tier.kill(0, None)  # its turn comes free by its end
-            await tier.until(lambda: tier.owner(4) == 1, 5, "the turn of a dead one")
+            await tier.kill(0, None)  # its restart permit becomes free when the lease expires
+            await tier.until(lambda: tier.owner(4) == 1, 5, "the restart permit of a dead gateway")
             assert machine_ms() - begin > 400
             assert (await call(1, "READY")).startswith("+OK drain")
             assert (await call(1, "UNDRAIN")).startswith("+OK")
@@ -138,16 +138,16 @@
     asyncio.run(scenario())
 
 
-def test_a_hot_restart_keeps_leases_and_a_stray_process_does_not_vote():
+def test_hot_restart_keeps_leases_and_a_second_process_does_not_vote():
     async def scenario():
         tier = use_tier(management=True)
-        tier.fleet["term_s"] = 3.0  # so that none ends by itself on a busy machine
+        tier.fleet["term_s"] = 3.0  # long enough that no lease expires on a busy machine
         processes = []
         try:
             await tier.start()
             await tier.taken(["use"], 20)
-            # It has settled: the best placed one has it, and no voter has said of a larger token, of one that
-            # asked in vain at the start, when it was renewed.
+            # The lease is stable once its preferred holder has renewed it with the same token: no acceptor
+            # has reported a larger token of a request that failed at the start.
             best = min(range(3), key=lambda number: rendezvous_rank(one_slot(), number))
 
             def renewed():
@@ -155,7 +155,7 @@
                 last = max(rows, key=lambda row: row[1])
                 return last[2] == best and sum(row[5] == last[5] for row in rows) > 2 and last
 
-            token = (await tier.until(renewed, 30, "it is where it stays"))[5]
+            token = (await tier.until(renewed, 30, "the lease is stable at its preferred holder"))[5]
             owner, gate = best, tier.gates[best]
             old, calls = gate.process, dict(enumerate(tier.calls))
             from plumpick.rehearsal.supervisor import free_port
@@ -168,7 +168,7 @@
                     row[0] == "held" and row[3] == process.pid and row[5] == token for row in tier.look()
                 ),
                 10,
-                "the next process holds it",
+                "the successor holds the lease",
             )
             old.terminate()
             await old.wait()
@@ -180,11 +180,11 @@
                     row for row in tier.look() if row[0] == "held" and row[4] == one_slot() and row[1] > begin
                 ]
 
-            rows = await tier.until(later, 20, "a renewal by the next process")
-            assert {row[5] for row in rows if row[1] > begin} == {token}  # the same owner, not a next one
+            rows = await tier.until(later, 20, "a renewal by the successor")
+            assert {row[5] for row in rows if row[1] > begin} == {token}  # same ownership, no new token
             text = (gate.folder / "log").read_text()
             assert "leases taken over" in text and "another process of this gateway votes" not in text
-            # One more with another $TMPDIR: it finds nobody to take over from.
+            # A process with another $TMPDIR finds no predecessor, and starts beside the running one.
             stray = tier.folder / "stray"
             stray.mkdir()
             environment = tier.supervisor.environment_of
@@ -195,7 +195,7 @@
             await tier.until(
                 lambda: "another process of this gateway votes" in (gate.folder / "log").read_text(),
                 10,
-                "a second process without a vote",
+                "a log line of the second process, which has no vote",
             )
             assert calls
         finally:
@@ -209,8 +209,8 @@
     asyncio.run(scenario())
 
 
-def test_clocks_beyond_the_drift_are_logged():
-    async def said(rates):
+def test_clock_rates_beyond_the_configured_drift_are_logged():
+    async def log_counts(rates):
         tier = Tier(
             3,
             9,
@@ -228,19 +228,21 @@
             await tier.start()
             await tier.taken(DUTIES, 10)
             if max(rates) > 1.01:
-                await tier.until(lambda: any(logs()), 20, "a line of who holds a lease")
-            else:  # as long as a line takes to come where it is due
+                await tier.until(lambda: any(logs()), 20, "a log line of a lease holder")
+            else:  # 4 s: enough time for a line to be logged
                 begin = machine_ms()
                 await tier.until(lambda: machine_ms() - begin > 4000, 20, "four seconds")
             return logs()
         finally:
             await tier.close()
 
-    assert sum(asyncio.run(said([1.0, 1.0, 1.05])))  # who asks voters hears their clocks: the holders
-    assert asyncio.run(said([0.99, 1.0, 1.01])) == [0, 0, 0]
+    assert sum(
+        asyncio.run(log_counts([1.0, 1.0, 1.05]))
+    )  # holders compare the acceptors' clocks with their own
+    assert asyncio.run(log_counts([0.99, 1.0, 1.01])) == [0, 0, 0]
 
 
-def test_a_gateway_with_other_terms_is_logged_once_and_holds_nothing():
+def test_gateway_with_different_terms_is_logged_once_and_holds_no_lease():
     async def scenario():
         tier = Tier(
             3,
@@ -257,7 +259,7 @@
                 >= 2
                 and text,
                 10,
-                "a line for each",
+                "a log line for each other gateway",
             )
             assert log.count("settings of gatekeeper 0") == 1
         finally:
--- a/tests/support/faulty_gateway.py
+++ b/tests/support/faulty_gateway.py
@@ -1,5 +1,5 @@
-"""The daemon with a fault of its own in a hot restart: `python -m support.faulty_gateway`, in place of `-m
-plumpick`. $GATEWAY_FAULT names the fault."""
+"""The daemon with an injected fault in its hot restart: `python -m support.faulty_gateway` in place of
+`python -m plumpick`. $GATEWAY_FAULT names the fault."""
 
 import os
 import sys
@@ -12,19 +12,20 @@
 
 
 def export_raises(_state):
-    raise RuntimeError("as planted")
+    raise RuntimeError("injected fault: the state cannot be exported")
 
 
-def plant(fault):
-    """Plant the fault of that name; nothing is planted for an empty one."""
+def inject(fault):
+    """Inject the fault with this name; an empty name injects nothing. Raises ValueError for an unknown
+    name."""
     if fault == "state-raises":
         snapshot.export_state = export_raises
     elif fault == "state-too-long":
         message.MAX_TEXT_BYTES = SHORT_TEXT_BYTES
     elif fault:
-        raise ValueError(fault)
+        raise ValueError(f"unknown fault {fault!r}, expected state-raises or state-too-long")
 
 
 if __name__ == "__main__":
-    plant(os.environ.get("GATEWAY_FAULT", ""))
+    inject(os.environ.get("GATEWAY_FAULT", ""))
     sys.exit(daemon.main())
--- a/tests/support/lease_tier.py
+++ b/tests/support/lease_tier.py
@@ -1,7 +1,7 @@
-"""Participants of the leases in modelled time, with faults between them.
+"""A simulation of lease participants on virtual time, with faults injected between them.
 
-The network loses, duplicates, delays and cuts messages; processes stall, die and restart; clocks drift. True
-time judges: who holds a lease, and whether two do."""
+The network loses, duplicates, delays and blocks messages; processes stall, die and restart; clocks drift. By
+the simulation's true time it is checked that no lease has two holders at once."""
 
 import heapq
 import itertools
@@ -13,13 +13,13 @@
 from plumpick.policy.leases.terms import LeaseTerms
 
 UNIX_MS = 1.8e12
-FAULTS = ("kill", "stall", "stall", "split", "one-way", "weather", "clear", "all")
+FAULTS = ("kill", "stall", "stall", "split", "one-way", "bad-network", "good-network", "all")
 MAX_TIMER_MS = 1e5
 TIMER_SLACK_MS = 0.01
 
 
 class GatewayProcess:
-    """One incarnation of a gateway, with a clock that runs at `rate`."""
+    """One incarnation of a gateway, whose clock runs at `rate` times the speed of true time."""
 
     def __init__(self, tier, number, rate):
         self.tier, self.number, self.rate, self.started = tier, number, rate, tier.now
@@ -37,15 +37,15 @@
         )
 
     def clock(self):
-        """What its clock shows now."""
+        """The time that the process's clock shows now, in ms."""
         return self.clock_offset + (self.tier.now - self.started) * self.rate
 
     def true_time(self, clock_ms):
-        """The true time at which its clock shows that."""
+        """The true time at which the process's clock shows `clock_ms`."""
         return self.started + (clock_ms - self.clock_offset) / self.rate
 
     def handle(self, events=()):
-        """Hand events to the participant, or keep them until the stall is over."""
+        """Pass events to the participant; during a stall they are queued until it ends."""
         if self.dead:
             return
         if self.tier.now < self.stalled_until:
@@ -65,7 +65,7 @@
 
 
 class LeaseTier:
-    """A tier of gateways; `drift` is how far clocks run too fast or too slow."""
+    """A tier of gateways; `drift` is the deviation of each clock's rate from 1, up or down."""
 
     def __init__(self, seed, gateways=3, drift=0.0, **terms):
         self.rng, self.now, self.gateways = random.Random(seed), 0.0, gateways
@@ -80,7 +80,7 @@
             self.start(number)
 
     def start(self, number):
-        """A new incarnation of that gateway."""
+        """Start a new incarnation of the gateway with this number."""
         rate = 1 + self.rng.choice((-1, 1)) * self.drift
         process = self.processes[number] = GatewayProcess(self, number, rate)
         self.incarnations.append(process)
@@ -94,7 +94,7 @@
         self.at(self.now + ms, call)
 
     def carry_out(self, process, action):
-        """Do what a participant wants done."""
+        """Execute an action that a participant returned."""
         if isinstance(action, SendMessage):
             self._send(process, action)
         elif isinstance(action, LeaseAcquired):
@@ -122,7 +122,7 @@
         self.processes[number] = None
 
     def stall(self, number, ms):
-        """Suspend that process for so long."""
+        """Suspend the process of the gateway with this number for `ms`."""
         process = self.processes[number]
         process.stalled_until = max(process.stalled_until, self.now + ms)
         self.later(ms, lambda: process.handle())
@@ -138,7 +138,8 @@
         self.now = end
 
     def judge(self):
-        """Promise 1 by true time: a lease that a stalled process has not dropped counts until its end."""
+        """Check by true time that each lease has one holder at most. A lease that a stalled process still
+        holds counts until it expires."""
         holders = {}
         for process in self.incarnations:
             if process.dead or process.participant.closed:
@@ -152,7 +153,7 @@
         self.incarnations = [process for process in self.incarnations if not process.dead]
 
     def holder(self, lease):
-        """The number of the gateway that holds the lease and can use it, or None."""
+        """The number of the gateway that holds the lease and may still use it, or None."""
         return next(
             (
                 process.number
@@ -163,7 +164,7 @@
         )
 
     def run_until(self, condition, ms):
-        """Run until it is true; how long it took, or None."""
+        """Run until the condition is true; returns the time taken in ms, or None after `ms` without it."""
         begun = self.now
         while self.now < begun + ms:
             if condition():
@@ -172,7 +173,7 @@
         return None
 
     def draw_faults(self, seconds):
-        """Draw what goes wrong for so long."""
+        """Schedule random faults for the next `seconds`."""
         rng, end = self.rng, seconds * 1000
         t = 0.0
         while t < end:
@@ -194,10 +195,10 @@
             self.stall(number, for_ms)
         elif kind in ("split", "one-way"):
             self._split(for_ms, kind == "one-way")
-        elif kind == "weather":
+        elif kind == "bad-network":
             self.loss, self.duplication = rng.choice((0, 0.05, 0.3)), rng.choice((0, 0.3))
             self.delay = rng.choice(((1, 5), (1, 40), (1, 2000), (1, 10000)))
-        elif kind == "clear":
+        elif kind == "good-network":
             self.loss, self.duplication, self.delay = 0.0, 0.0, (1.0, 5.0)
 
     def _kill_and_restart(self, number, draw_ms):
