--- a/plumpick/cli.py
+++ b/plumpick/cli.py
@@ -1,5 +1,5 @@
-"""The command line: `plumpick NAME` runs a tool. `python -m plumpick` alone is the daemon, and imports none
-of it.
+"""The command line: `plumpick NAME` runs a tool. The daemon, `python -m plumpick`, does not import this
+module.
 
 Each tool is imported only when it is called.
 """
@@ -15,16 +15,16 @@
 
 
 class Parser(argparse.ArgumentParser):
-    """One line for what is wrong with the call, and exit code 2."""
+    """An argument parser that reports errors in one line, without the usage, and exits with EXIT_USAGE."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
-        """Print the message and end with the exit code of a wrong call."""
+        """Print the message and exit with EXIT_USAGE."""
         print(f"{self.prog}: {message}", file=sys.stderr)
         raise SystemExit(EXIT_USAGE)
 
 
 def version() -> str:
-    """The version as installed, or as the checkout says."""
+    """The version of the installed package or, if it is not installed, the version in pyproject.toml."""
     try:
         return metadata.version("plumpick")
     except metadata.PackageNotFoundError:
@@ -36,106 +36,112 @@
 
 
 def parser() -> argparse.ArgumentParser:  # noqa: PLR0915  (to be split by concern)
-    """All sub-commands and their flags."""
-    top = Parser(prog="plumpick", description="A gatekeeper, and the kit to rehearse with it.")
+    """The argument parser with all sub-commands and their flags."""
+    top = Parser(
+        prog="plumpick", description="A gateway, and the tools to operate, rehearse and simulate it."
+    )
     top.add_argument("--version", action="version", version=f"plumpick {version()}")
     tools = top.add_subparsers(dest="tool", required=True, parser_class=Parser)
-    serve = tools.add_parser("serve", help="run one gatekeeper, as `python -m plumpick` does")
+    serve = tools.add_parser("serve", help="run one gateway, as `python -m plumpick` does")
     serve.set_defaults(run="serve")
-    rehearse = tools.add_parser("rehearse", help="play a scenario with a whole fleet and judge it")
-    rehearse.add_argument("scenario", nargs="?", default="calm", help="a shipped scenario, or a file")
-    rehearse.add_argument("--seed", type=int, help="the same seed plays the same script")
-    rehearse.add_argument("--plant", metavar="NAME", help="let a relay do what must never happen")
+    rehearse = tools.add_parser("rehearse", help="run a scenario with a whole fleet and check its history")
+    rehearse.add_argument("scenario", nargs="?", default="calm", help="name of a shipped scenario, or a file")
+    rehearse.add_argument("--seed", type=int, help="seed of the scenario's script")
+    rehearse.add_argument("--plant", metavar="NAME", help="plant a bug that the check must report")
     rehearse.add_argument(
-        "--report", metavar="DIR", help="write report.json, history.jsonl and report.html there"
+        "--report", metavar="DIR", help="folder for report.json, history.jsonl and report.html"
     )
-    rehearse.add_argument("--brief", action="store_true", help="eight seconds of it")
-    rehearse.add_argument("--quiet", action="store_true", help="no live lines")
-    rehearse.add_argument("--list", action="store_true", help="list scenarios and plants")
+    rehearse.add_argument("--brief", action="store_true", help="run only eight seconds of the scenario")
+    rehearse.add_argument("--quiet", action="store_true", help="print no progress lines")
+    rehearse.add_argument("--list", action="store_true", help="list the scenarios and the bugs for --plant")
     rehearse.set_defaults(run="rehearse")
-    fleet = tools.add_parser("fleet", help="start a fleet and leave it up until Ctrl-C")
+    fleet = tools.add_parser("fleet", help="start a fleet and run it until Ctrl-C")
     fleet.add_argument("scenario", nargs="?", default="calm")
     fleet.add_argument("--seed", type=int)
     fleet.add_argument("--json", action="store_true", help="print addresses and processes as one JSON object")
     fleet.set_defaults(run="fleet")
-    audit = tools.add_parser("audit", help="judge a history again")
-    audit.add_argument("history")
+    audit = tools.add_parser("audit", help="check a recorded history again")
+    audit.add_argument("history", help="the recorded history, history.jsonl")
     audit.add_argument("--json", action="store_true", help="print rules and service as JSON")
     audit.set_defaults(run="audit")
-    bounds = tools.add_parser("bounds", help="how far quotas and ceilings can be passed, by a configuration")
-    bounds.add_argument("config", help="a gatekeeper's configuration")
-    bounds.add_argument("--operator", metavar="FILE", help="the operator's own file: its budgets, too")
-    bounds.add_argument("--json", action="store_true", help="print it as JSON")
-    bounds.add_argument("--spread", type=int, help="gatekeepers of a firm's set (4, or all)")
-    bounds.add_argument("--loss", type=float, default=0.08, help="share of messages lost (0.08)")
-    bounds.add_argument("--restarts", type=int, default=1, help="of a home within a window (1)")
+    bounds = tools.add_parser("bounds", help="how far quotas and hard limits can be exceeded by the settings")
+    bounds.add_argument("config", help="configuration file of a gateway")
+    bounds.add_argument("--operator", metavar="FILE", help="operator's file; adds the bounds of its budgets")
+    bounds.add_argument("--json", action="store_true", help="print JSON")
+    bounds.add_argument("--spread", type=int, help="number of gateways in a customer's set (4, or all)")
+    bounds.add_argument("--loss", type=float, default=0.08, help="ratio of lost messages (0.08)")
+    bounds.add_argument("--restarts", type=int, default=1, help="restarts of a quota's owner in a window (1)")
     bounds.set_defaults(run="bounds")
-    size = tools.add_parser("size", help="what a tier of the sizes in a form takes, against its limits")
-    size.add_argument("file", help="the form, TOML (deploy/target.toml explains each key)")
-    size.add_argument("--json", action="store_true", help="print it as JSON")
+    size = tools.add_parser("size", help="resources that a tier of a given size needs, against its limits")
+    size.add_argument("file", help="sizes of the tier, TOML (deploy/target.toml explains each key)")
+    size.add_argument("--json", action="store_true", help="print JSON")
     size.add_argument("--page", metavar="FILE", help="write the tables into this page (docs/CAPACITY.md)")
     size.set_defaults(run="size")
-    counts = tools.add_parser("counts", help="add up what a whole tier did, from its gatekeepers' records")
-    counts.add_argument("folder", help="with a NAME.log of each gatekeeper (plumpick.tools.traced)")
-    counts.add_argument("--span", type=float, default=1000.0, metavar="MS", help="a row for so long (1000)")
-    counts.add_argument("--json", action="store_true", help="print it as JSON")
+    counts = tools.add_parser("counts", help="totals of a whole tier, from the trace records of its gateways")
+    counts.add_argument("folder", help="folder with a NAME.log of each gateway (plumpick.tools.traced)")
+    counts.add_argument("--span", type=float, default=1000.0, metavar="MS", help="time span of a row (1000)")
+    counts.add_argument("--json", action="store_true", help="print JSON")
     counts.set_defaults(run="counts")
-    call = tools.add_parser("call", help="an operator's call to a gatekeeper")
-    call.add_argument("address", help="its management address, host:port")
+    call = tools.add_parser("call", help="send an operator's command to a gateway")
+    call.add_argument("address", help="management address of the gateway, host:port")
     call.add_argument("call", nargs="+", help="READY, DISABLE ID, ENABLE ID, DRAIN, DRAIN FLEET or UNDRAIN")
     call.set_defaults(run="call")
-    duties = tools.add_parser("duties", help="who holds which duty of the fleet, as a gatekeeper knows it")
-    duties.add_argument("address", help="its management address, host:port")
-    duties.add_argument("--json", action="store_true", help="print it as JSON")
+    duties = tools.add_parser("duties", help="leases and scheduled tasks of the fleet, as known to a gateway")
+    duties.add_argument("address", help="management address of the gateway, host:port")
+    duties.add_argument("--json", action="store_true", help="print JSON")
     duties.set_defaults(run="duties")
-    budgets = tools.add_parser("budgets", help="what gatekeepers may spend of the fleet's budgets")
-    budgets.add_argument("address", nargs="+", help="management addresses, host:port")
-    budgets.add_argument("--json", action="store_true", help="print it as JSON")
+    budgets = tools.add_parser("budgets", help="what each gateway may spend of the fleet's budgets")
+    budgets.add_argument("address", nargs="+", help="management addresses of gateways, host:port")
+    budgets.add_argument("--json", action="store_true", help="print JSON")
     budgets.set_defaults(run="budgets")
-    _configuration(tools.add_parser("configuration", help="settings for running gatekeepers, by versions"))
-    explore = tools.add_parser("explore", help="play ownership through every order of events")
-    explore.add_argument("--voters", type=int, choices=(2, 3), default=3)
-    explore.add_argument("--depth", type=int, default=7, help="moves (7)")
+    _configuration(tools.add_parser("configuration", help="versioned settings for running gateways"))
+    explore = tools.add_parser("explore", help="check lease ownership in every order of events")
+    explore.add_argument("--voters", type=int, choices=(2, 3), default=3, help="number of acceptors (3)")
+    explore.add_argument("--depth", type=int, default=7, help="number of events in a history (7)")
     explore.add_argument(
         "--begin",
         default="held",
-        help="what has passed before: nothing, held, given, renewed-late or taken-again",
+        help="initial situation: nothing, held, given, renewed-late or taken-again",
     )
-    explore.add_argument("--states", type=int, default=3_000_000, help="end after so many")
+    explore.add_argument("--states", type=int, default=3_000_000, help="maximum number of states to visit")
     for name, number in (("restarts", 1), ("doubles", 1), ("effects", 2), ("gives", 1)):
-        explore.add_argument(f"--{name}", type=int, default=number, help=f"in a history at most ({number})")
-    explore.add_argument("--plant", metavar="NAME", help="with this bug")
-    explore.add_argument("--plants", action="store_true", help="list the bugs")
-    explore.add_argument("--json", action="store_true")
+        explore.add_argument(
+            f"--{name}", type=int, default=number, help=f"maximum number in a history ({number})"
+        )
+    explore.add_argument("--plant", metavar="NAME", help="plant this bug")
+    explore.add_argument("--plants", action="store_true", help="list the bugs for --plant")
+    explore.add_argument("--json", action="store_true", help="print JSON")
     explore.set_defaults(run="explore")
-    simulate = tools.add_parser("simulate", help="play seeded faults on a virtual clock and network")
-    simulate.add_argument("--seeds", default="1-100", metavar="A-B", help="play these (1-100)")
-    simulate.add_argument("--seed", type=int, metavar="N", help="play this one and tell its story")
-    simulate.add_argument("--replay", metavar="FILE", help="play a saved case")
-    simulate.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="processes")
-    simulate.add_argument("--minutes", type=float, default=0.0, help="begin no seed after so long")
-    simulate.add_argument("--seconds", type=float, default=30.0, help="virtual seconds of a seed")
+    simulate = tools.add_parser("simulate", help="simulate a fleet with seeded faults in virtual time")
+    simulate.add_argument("--seeds", default="1-100", metavar="A-B", help="range of seeds to run (1-100)")
+    simulate.add_argument("--seed", type=int, metavar="N", help="run this seed and print its events")
+    simulate.add_argument("--replay", metavar="FILE", help="run a saved case")
+    simulate.add_argument("--jobs", type=int, default=os.cpu_count() or 1, help="number of processes")
+    simulate.add_argument(
+        "--minutes", type=float, default=0.0, help="time after which no further seed is started"
+    )
+    simulate.add_argument("--seconds", type=float, default=30.0, help="virtual seconds of a seed (30)")
     simulate.add_argument(
         "--duties",
         type=int,
         default=0,
         metavar="N",
-        help="with so many duties of the fleet, judged by the promises of ownership",
+        help="number of scheduled tasks of the fleet; adds checks of the lease guarantees",
     )
     simulate.add_argument(
         "--budgets",
         type=int,
         default=0,
         choices=range(4),
-        help="with so many budgets of the fleet, judged at each unit spent",
+        help="number of budgets of the fleet; adds a check of each unit spent",
     )
-    simulate.add_argument("--out", metavar="DIR", help="write the summary and failing cases there")
+    simulate.add_argument("--out", metavar="DIR", help="folder for the summary and failing cases")
     simulate.add_argument(
-        "--history", metavar="FILE", help="with --seed: write the records, for `plumpick audit`"
+        "--history", metavar="FILE", help="with --seed: file for the history, for `plumpick audit`"
     )
-    simulate.add_argument("--shrink", action="store_true", help="cut a failing case down")
+    simulate.add_argument("--shrink", action="store_true", help="minimize a failing case")
     simulate.add_argument(
-        "--twice", action="store_true", help="play it twice and find the first step that differs"
+        "--twice", action="store_true", help="run it twice and report the first step that differs"
     )
     simulate.set_defaults(run="simulate")
     return top
@@ -143,22 +149,24 @@
 
 def _configuration(tool: argparse.ArgumentParser) -> None:
     steps = tool.add_subparsers(dest="step", required=True, parser_class=Parser)
-    serve = steps.add_parser("serve", help="a service of versions, until SIGTERM")
-    serve.add_argument("--listen", required=True, metavar="HOST:PORT")
-    publish = steps.add_parser("publish", help="a file's settings become the next version")
-    publish.add_argument("file", help="a gatekeeper's configuration, or its settings alone")
-    back = steps.add_parser("back", help="an older version's content becomes the next version")
-    back.add_argument("--version", type=int, default=0, help="which (the one before the newest)")
+    serve = steps.add_parser("serve", help="run a version service until SIGTERM")
+    serve.add_argument("--listen", required=True, metavar="HOST:PORT", help="address of the service")
+    publish = steps.add_parser("publish", help="publish the settings of a file as the next version")
+    publish.add_argument("file", help="configuration file of a gateway, or only its settings")
+    back = steps.add_parser("back", help="publish the settings of an older version as the next version")
+    back.add_argument("--version", type=int, default=0, help="older version (the one before the newest)")
     for step in (publish, back):
-        step.add_argument("--to", nargs="+", required=True, metavar="HOST:PORT", help="all services")
-        step.add_argument("--in-force-in", type=float, default=3.0, metavar="S", help="seconds from now (3)")
-    status = steps.add_parser("status", help="who has which version, and who lacks the newest")
-    status.add_argument("to", nargs="+", metavar="HOST:PORT", help="all services")
+        step.add_argument("--to", nargs="+", required=True, metavar="HOST:PORT", help="all version services")
+        step.add_argument(
+            "--in-force-in", type=float, default=3.0, metavar="S", help="seconds until it is in force (3)"
+        )
+    status = steps.add_parser("status", help="which gateways and services have which version")
+    status.add_argument("to", nargs="+", metavar="HOST:PORT", help="all version services")
     tool.set_defaults(run="configuration")
 
 
 def main(arguments: list[str] | None = None) -> int:  # noqa: C901  (to be split by concern)
-    """Run a tool; the answer is its exit code."""
+    """Run the tool that the arguments name; returns its exit code."""
     try:
         given = parser().parse_args(arguments)
     except SystemExit as end:
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -1,5 +1,5 @@
-"""`plumpick bounds CONFIG [--operator FILE]`: how far quotas and ceilings can be passed, and what budgets
-come to, from the settings alone."""
+"""`plumpick bounds CONFIG [--operator FILE]`: how far quotas and hard limits can be exceeded, and the bounds
+of fleet-wide budgets, computed from the settings alone."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def settings_in(path: str) -> Settings:
-    """The settings in a gatekeeper's configuration. Raises OSError, ValueError or SettingsError."""
+    """The settings in a gateway's configuration file. Raises OSError, ValueError or SettingsError."""
     value = json.loads(Path(path).read_text(encoding="utf-8"))
     return parse_settings(JsonObject(value, "config").nested_object("settings").value, "config.settings")
 
 
 def as_dict(bound: Bound) -> dict[str, Any]:
-    """A bound for --json: units, seconds, shares of 1."""
+    """A bound as printed by --json; values in units, seconds, and ratios (1 is the whole)."""
     return {
         "plan": bound.plan,
         "situation": bound.situation.value,
@@ -41,7 +41,7 @@
 
 
 def text_of(rows: list[Bound], settings: Settings) -> str:
-    """The table for a person."""
+    """The bounds of quotas and hard limits as a text table, with a row for each plan and situation."""
     lines = [
         f"{settings.gateway_count} gatekeepers; "
         f"a try is held for {max_forwarding_delay_s(settings):.2f} s at most",
@@ -62,7 +62,7 @@
 
 
 def budgets_in(path: str, gateways: int) -> tuple[FleetSettings | None, list[BudgetBound]]:
-    """What the operator's file names, and the bounds of its budgets. Raises ConfigError."""
+    """The fleet's settings in the operator's file, and the bounds of its budgets. Raises ConfigError."""
     fleet = load(path, gateways).fleet
     if fleet is None:
         return None, []
@@ -74,7 +74,7 @@
 
 
 def budget_lines(fleet: FleetSettings | None, rows: list[BudgetBound]) -> list[str]:
-    """The table for a person."""
+    """The bounds of budgets as the lines of a text table, with a row for each budget, state and window."""
     if fleet is None or not rows:
         return ["no budgets are named"]
     vacancy_s = max_vacancy_s(fleet.terms, fleet.grant_term_ms)
@@ -90,7 +90,7 @@
 
 
 def bounds(given: argparse.Namespace) -> int:
-    """The tool."""
+    """Run the command; returns the exit code."""
     try:
         settings = settings_in(given.config)
         rows = compute_bounds(settings, set_size=given.spread, loss=given.loss, restarts=given.restarts)
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -1,7 +1,7 @@
-"""`plumpick budgets ADDRESS ...`: what each gateway may spend of fleet-wide budgets, and the sums.
+"""`plumpick budgets ADDRESS ...`: the part of fleet-wide budgets that each gateway may spend, and the sums.
 
-It asks each management address in turn, so that sums are not those of one moment. The first address that does
-not answer, or not with budgets, ends the command with one line on standard error."""
+The management addresses are queried one after another, so the sums mix values of different times. The command
+ends with one line on standard error at the first address that does not answer, or not with budgets."""
 
 from __future__ import annotations
 
@@ -23,13 +23,14 @@
 
 
 def fetch_budgets(address: tuple[str, int]) -> dict[str, Any]:
-    """The whole answer of the gateway at a management address. Raises OSError, or ValueError with what it
-    answered instead."""
+    """The combined pages of the BUDGETS reply of the gateway at a management address. Raises OSError, or
+    ValueError with the reply if it is an error."""
     return pages(address, "BUDGETS", "budgets")
 
 
 def table_lines(answers: list[dict[str, Any]]) -> list[str]:
-    """The answers as text: a table for each gateway and, where there are several, the sums by budget."""
+    """The replies as text: a table for each gateway and, if there are several gateways, the sums by
+    budget."""
     lines = []
     for answer in answers:
         lines += [f"{answer['gatekeeper']}:", HEADER, *map(_budget_line, answer["budgets"])]
@@ -63,7 +64,7 @@
 
 
 def budgets(arguments: argparse.Namespace) -> int:
-    """Run the command; the exit code."""
+    """Run the command; returns EXIT_OK, EXIT_REJECTED or EXIT_UNREACHABLE."""
     answers = []
     for address in arguments.address:
         try:
--- a/plumpick/tools/call.py
+++ b/plumpick/tools/call.py
@@ -1,4 +1,4 @@
-"""`plumpick call ADDRESS CALL [ID]`: an operator's call to a gatekeeper, for staff without another tool."""
+"""`plumpick call ADDRESS CALL [ID]`: sends an operator's command to a gateway's management address."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 import sys
 from typing import Any
 
-PATIENCE_S = 5.0  # for a connection, and again for the answer
-MOST_ANSWER = 4096  # bytes
+PATIENCE_S = 5.0  # timeout of the connect, and of each read of the reply
+MOST_ANSWER = 4096  # maximum length of a reply in bytes
 
 
 def ask(address: tuple[str, int], line: str) -> str:
-    """The answer, without its end; raises OSError, also where there is none."""
+    """Send a command line; returns the reply without its line end. Raises OSError, also for an empty
+    reply."""
     with socket.create_connection(address, PATIENCE_S) as plug:
         plug.sendall(line.encode() + b"\n")
         answer = b""
@@ -29,8 +30,8 @@
 
 
 def pages(address: tuple[str, int], line: str, key: str) -> dict[str, Any]:
-    """All pages of an answer in JSON as one, the rows under `key`; raises OSError or ValueError (the text
-    says what it answered)."""
+    """Fetch all pages of a JSON reply; returns the first page with the rows of all pages under `key`. Raises
+    OSError, or ValueError with the reply if it is an error."""
     whole: dict[str, Any] = {}
     page = 0
     while page < whole.get("pages", 1):
@@ -47,7 +48,7 @@
 
 
 def address_of(text: str) -> tuple[str, int]:
-    """Host and port of 'host:port'; raises ValueError."""
+    """Parse 'host:port'; returns host and port. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r} is no address")
@@ -55,7 +56,8 @@
 
 
 def call(given: argparse.Namespace) -> int:
-    """0 where the answer begins with +OK, 1 where it does not, 2 where there is none."""
+    """Run the command. Returns exit code 0 if the reply begins with +OK, 1 if it does not, and 2 if there is
+    no reply or an argument is invalid."""
     try:
         address = address_of(given.address)
     except ValueError as problem:
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -1,9 +1,10 @@
-"""Compile the decisions and the hottest files of the daemon with mypyc (typed Python to C).
+"""Compiles the policy and the most CPU-heavy modules of the daemon with mypyc (typed Python to C).
 
     python -m plumpick.tools.compile [FOLDER]
 
-into FOLDER, `compiled` in the virtual environment by default, for plumpick/gateway/compiled.py to use. Prints
-one line: what it made, or why the plain sources will serve. Exit code 0 either way: both decide alike."""
+The result goes to FOLDER, by default `compiled` in the virtual environment, from which
+plumpick/gateway/compiled.py loads it. Prints one line: the result, or the reason why the plain sources are
+used. The exit code is 0 in both cases, because compiled and plain modules behave alike."""
 
 from __future__ import annotations
 
@@ -24,15 +25,16 @@
     source_digest,
 )
 
-SECONDS = 600.0  # for each step
+SECONDS = 600.0  # timeout of each external command
 
 
 class NotCompiled(Exception):
-    """Why not; the text says so."""
+    """The sources could not be compiled; the text gives the reason."""
 
 
 def _run(words: list[str], folder: str, **more: str) -> None:
-    """Run a step; raises NotCompiled with the last line that it printed."""
+    """Run an external command in `folder`. Raises NotCompiled with the last line that it printed if it
+    fails."""
     try:
         done = subprocess.run(
             words,
@@ -50,7 +52,8 @@
 
 
 def compile_to(folder: Path = COMPILED_FOLDER, optimize: int = 2) -> Path:
-    """Compile, unless it has been done; the folder with the result. Raises NotCompiled or OSError."""
+    """Compile the current sources, unless `folder` has their result already; returns the folder of the
+    result. Raises NotCompiled or OSError."""
     made = folder / source_digest()
     if made.is_dir():
         return made
@@ -61,7 +64,7 @@
         raise NotCompiled("Python's headers are not here")
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
-        tools = Path(scratch, "tools")  # not among what the daemon may import
+        tools = Path(scratch, "tools")  # separate folder, from which the daemon cannot import
         _run(
             [
                 sys.executable,
@@ -80,8 +83,8 @@
         build, result = Path(scratch, "build"), Path(scratch, "result")
         ignored = shutil.ignore_patterns("__pycache__", *TOOL_PACKAGES)
         shutil.copytree(SOURCE_FOLDER / "plumpick", build / "plumpick", ignore=ignored)
-        # Danger: what mypy takes to be unreachable is left out of the compiled code. Seen: a look at an
-        # attribute that a call in between had changed. So it is an error here, and the plain sources serve.
+        # mypyc omits code that mypy considers unreachable. It once omitted a check of an attribute that a
+        # call in between had changed. Unreachable code is therefore an error: the plain sources are used then.
         _run(
             [
                 sys.executable,
@@ -95,22 +98,22 @@
             PYTHONPATH=str(tools),
             MYPYC_OPT_LEVEL=str(optimize),
         )
-        shutil.rmtree(build / "build", ignore_errors=True)  # setuptools' own copies
+        shutil.rmtree(build / "build", ignore_errors=True)  # copies made by setuptools
         for path in build.rglob("*.so"):
             target = result / path.relative_to(build)
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
         if len(list(result.rglob("*.so"))) != len(COMPILED_FILES) + 1:
             raise NotCompiled("mypyc left other files than expected")
-        for old in folder.iterdir():  # of other sources: only these are of use now
+        for old in folder.iterdir():  # results of other sources, which are no longer used
             if old.is_dir() and not old.name.startswith("tmp"):
                 shutil.rmtree(old, ignore_errors=True)
-        os.rename(result, made)  # whole or not at all
+        os.rename(result, made)  # atomic, so that no incomplete result is ever loaded
     return made
 
 
 def main() -> int:
-    """Print what came of it."""
+    """Compile and print the result in one line; always returns exit code 0."""
     folder = Path(sys.argv[1]) if len(sys.argv) > 1 else COMPILED_FOLDER
     try:
         print(f"decisions compiled: {compile_to(folder).name}")
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -1,7 +1,8 @@
-"""`plumpick configuration serve | publish | back | status`: settings for running gateways, by versions.
+"""`plumpick configuration serve | publish | back | status`: versioned settings for running gateways.
 
-Every step is a call of each service; one that does not answer is named, and the others go on. Exit codes: 0,
-1 where something is not as it should be, 2 where a call or a file is wrong or no service answers.
+Each sub-command but `serve` calls all given services; services that do not answer are listed, and the others
+are still called. Exit codes: 0 for success; 1 if a service failed or a gateway lacks the newest version; 2 if
+an argument or a file is invalid or no service answers.
 """
 
 from __future__ import annotations
@@ -27,23 +28,23 @@
 MAX_ACTIVATION_DELAY_S = 86_000.0
 
 Address = tuple[str, int]
-VersionDocument = dict[str, Any]  # a version as it is published, in JSON
+VersionDocument = dict[str, Any]  # JSON object with which a version is published
 
 
 class ConfigurationError(Exception):
-    """A step that came to nothing; one line."""
+    """A sub-command failed; the text is one line."""
 
 
 class ServiceCallError(ConfigurationError):
-    """A service that does not answer, or not as it should."""
+    """A service did not answer, or answered with an unexpected status or body."""
 
 
 class SettingsFileError(ConfigurationError):
-    """A file that holds no settings; the line names the key that is wrong."""
+    """A file contains no valid settings; the text names the invalid key."""
 
 
 def call_service(address: Address, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-    """Status and JSON of a service's response; raises ServiceCallError."""
+    """Call a service; returns the status and the decoded JSON of its response. Raises ServiceCallError."""
     connection = http.client.HTTPConnection(*address, timeout=CALL_TIMEOUT_S)
     try:
         connection.request(method, path, None if body is None else json.dumps(body))
@@ -57,8 +58,8 @@
 
 
 def load_settings(path: str) -> SettingsJson:
-    """The shared settings of a file: a gateway's configuration, or its `settings` alone. Raises
-    SettingsFileError."""
+    """The settings in a file that all gateways share. The file is a gateway's configuration, or only its
+    `settings` object. Raises SettingsFileError."""
     try:
         value = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as problem:
@@ -70,13 +71,13 @@
     try:
         parse_settings({**value, "myNumber": 0} if isinstance(value, dict) else value, "settings")
         settings_digest(value)
-    except (ValueError, TypeError) as problem:  # a SettingsError, a DeltaError, or of the types themselves
+    except (ValueError, TypeError) as problem:  # SettingsError, DeltaError, or wrong types of values
         raise SettingsFileError(f"{path}: {problem}") from problem
     return shared_settings(value)
 
 
 def fetch_statuses(addresses: list[Address]) -> tuple[list[ServiceStatus], list[str]]:
-    """What each service reports; and a line for each one that does not answer."""
+    """The status of each service that answers, and an error line for each other one."""
     statuses = []
     failures = []
     for address in addresses:
@@ -93,9 +94,11 @@
 def next_version(
     settings: SettingsJson, statuses: list[ServiceStatus], now_ms: float, delay_ms: float
 ) -> VersionDocument:
-    """The version that these settings become: the newest one again where it has this very content, so that
-    whoever lacks it gets it; else a new number. Services that know no version begin far above any number that
-    a forgotten process of theirs may have given."""
+    """The version under which these settings are published.
+
+    If the newest version has the same content, it is published again, so that services without it receive it;
+    otherwise the version gets a new number. If no service has a version, numbering starts at the Unix time in
+    ms, far above any number that services without stored versions may have assigned before a restart."""
     digest = settings_digest(settings)
     known = [row for status in statuses for row in status["versions"]]
     active_numbers = [row[2] for status in statuses for row in status["watchers"]]
@@ -109,7 +112,8 @@
 
 
 def publish(args: argparse.Namespace, addresses: list[Address]) -> int:
-    """Publish a file; the exit code. Raises ConfigurationError."""
+    """Publish the settings of a file as the next version; returns the exit code. Raises
+    ConfigurationError."""
     settings = load_settings(args.file)
     statuses, failures = fetch_statuses(addresses)
     if not statuses:
@@ -119,7 +123,8 @@
 
 
 def back(args: argparse.Namespace, addresses: list[Address]) -> int:
-    """Publish an older version's settings under a new number; the exit code. Raises ConfigurationError."""
+    """Publish the settings of an older version as the next version; returns the exit code. Raises
+    ConfigurationError."""
     statuses, failures = fetch_statuses(addresses)
     known = sorted({row[0] for status in statuses for row in status["versions"]})
     if len(known) < 2:
@@ -135,7 +140,8 @@
 
 
 def status(args: argparse.Namespace, addresses: list[Address]) -> int:
-    """Print who has which version: 0 where all have the newest, 1 where not, 2 where no service answers."""
+    """Print the versions that gateways and services have. Returns 0 if all have the newest one, 1 if not, 2
+    if no service answers."""
     statuses, failures = fetch_statuses(addresses)
     for line in failures:
         print(f"service lost: {line}")
@@ -147,7 +153,7 @@
 
 
 def _fetch_settings(number: int, addresses: list[Address]) -> SettingsJson:
-    """The settings of a version, of the first service that has it; raises ServiceCallError."""
+    """The settings of a version, from the first service that has it. Raises ServiceCallError."""
     for address in addresses:
         try:
             status, value = call_service(address, "GET", f"{PATH}/versions/{number}")
@@ -160,8 +166,8 @@
 
 
 def _put_version(version: VersionDocument, addresses: list[Address], failures: list[str]) -> int:
-    """Write a version to all services; 0, or 1 where one did not take it. `failures`: those of calls
-    before."""
+    """Publish a version at all services; returns 0, or 1 if any service failed. `failures` are the error
+    lines of earlier calls, which count as failures too."""
     problems = list(failures)
     for address in addresses:
         try:
@@ -203,14 +209,14 @@
 
 
 def serve(address: Address) -> int:
-    """Serve until SIGTERM; the exit code."""
+    """Run a version service until SIGTERM or SIGINT; returns exit code 0."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     asyncio.run(_serve_until_signal(address))
     return 0
 
 
 def configuration(args: argparse.Namespace) -> int:
-    """Run one step; the exit code."""
+    """Run the sub-command `args.step`; returns the exit code."""
     try:
         if args.step == "serve":
             return serve(address_of(args.listen))
--- a/plumpick/tools/configuration_service.py
+++ b/plumpick/tools/configuration_service.py
@@ -1,15 +1,15 @@
-"""`plumpick configuration serve`: a service of versions of the settings, over HTTP/1.1.
-
-    GET  /configuration?since=V&digest=D&name=N&...   the newest version once there is one that is newer, as
-                                                      200; 204 after timeout_ms without one
-    PUT  /configuration                               a version with all its settings: 200, or 409 with
-                                                      what is wrong
-    GET  /configuration/status                        who has which version
+"""`plumpick configuration serve`: the version service, which distributes versions of the settings over
+HTTP/1.1.
+
+    GET  /configuration?since=V&digest=D&name=N&...   long poll: 200 with the newest version as soon as it is
+                                                      newer than V; 204 after timeout_ms without one
+    PUT  /configuration                               publishes a version with all its settings: 200, or 409
+                                                      with the reason of its rejection
+    GET  /configuration/status                        the versions of the service and of its gateways
     GET  /configuration/versions/V                    a version with all its settings
 
-What is stored and answered is decided by plumpick/policy/dynamic_config/version_store.py. A request that
-cannot be read is answered with 400; a connection that speaks no HTTP, falls idle or is one too many is
-aborted.
+plumpick/policy/dynamic_config/version_store.py decides what is stored and answered. Malformed requests are
+answered with 400. A connection is aborted if it sends no valid HTTP, is idle, or exceeds MAX_CONNECTIONS.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 MAX_TARGET_BYTES = 16 * 1024
 READ_BYTES = 256 * 1024
 MAX_WATCH_TIMEOUT_MS = 20_000.0
-IDLE_TIMEOUT_S = 60.0  # of a connection without a request
+IDLE_TIMEOUT_S = 60.0  # time after which a connection without a complete request is aborted
 MAX_CONNECTIONS = 2048
 ACCEPT_BACKLOG = 1024
 MAX_NAME_CHARS = 64
@@ -45,16 +45,16 @@
 
 
 class RequestError(ValueError):
-    """A request that cannot be read; one line."""
+    """A request with a malformed or missing parameter; the text is one line."""
 
 
 def unix_ms() -> float:
-    """The time of day."""
+    """The Unix time in ms."""
     return time.time() * 1000
 
 
 class _Request:
-    """One request as its bytes come."""
+    """One HTTP request that is being received, with its parser."""
 
     def __init__(self) -> None:
         self.target = b""
@@ -73,12 +73,12 @@
 
 
 class VersionService:
-    """All connections of one service. `now_ms`: Unix ms."""
+    """The HTTP server of one version service, with its store. `now_ms()` returns the Unix time in ms."""
 
     def __init__(self, now_ms: Callable[[], float] = unix_ms) -> None:
         self.store = VersionStore()
         self.now_ms = now_ms
-        self._published = asyncio.Event()  # replaced with each new version
+        self._published = asyncio.Event()  # set when a version is published, then replaced by a new event
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.calls = 0
@@ -86,7 +86,7 @@
         self.port = 0
 
     async def open(self, host: str, port: int) -> None:
-        """Listen; raises OSError."""
+        """Start listening; a `port` of 0 selects a free one. Raises OSError."""
         self._server = await asyncio.start_server(self._serve_connection, host, port, backlog=ACCEPT_BACKLOG)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -106,13 +106,14 @@
             while await self._serve_request(reader, writer):
                 pass
         except (OSError, httptools.HttpParserError, TimeoutError, asyncio.CancelledError):
-            pass  # the client has gone, or speaks no HTTP
+            pass  # the client disconnected, was idle, or sent no valid HTTP
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
 
     async def _serve_request(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One request and its response; False where there is none."""
+        """Read a request and write its response. Returns False if the connection ended, or if the request is
+        too long."""
         request = await _read_request(reader)
         if request is None:
             return False
@@ -131,7 +132,8 @@
         return True
 
     async def _respond(self, request: _Request) -> tuple[int, bytes]:
-        """Status and body; raises ValueError for a request that cannot be read."""
+        """The status and the body of the response to a request. Raises ValueError if the request is
+        malformed."""
         parts = urlsplit(request.target.decode("ascii", "replace"))
         method = request.parser.get_method()
         path = parts.path
@@ -183,7 +185,8 @@
         return 200, b"{}"
 
     async def _watch(self, query: Query) -> bytes | None:
-        """The newest version once it is newer, or None when the watch's time is over; raises RequestError."""
+        """Wait for a version newer than the query's `since`; returns it, or None after the query's timeout.
+        Raises RequestError."""
         since_number = _number_in(query, "since")
         status = _status_from(query, self.now_ms())
         self.store.record_subscriber(status)
@@ -203,7 +206,8 @@
 
 
 async def _read_request(reader: asyncio.StreamReader) -> _Request | None:
-    """A request; None where the connection ends or the request is too long. Raises TimeoutError."""
+    """Read a request; None if the connection ended or the request is too long. Raises TimeoutError after
+    IDLE_TIMEOUT_S."""
     request = _Request()
     received_bytes = 0
     async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -217,7 +221,7 @@
 
 
 def _status_from(query: Query, now_ms: float) -> SubscriberStatus:
-    """What a gateway reports of itself with its call; raises RequestError."""
+    """The status that a gateway reports in the query of its long poll. Raises RequestError."""
     rejected_version = _number_in(query, "refused")
     name = _text_in(query, "name")[:MAX_NAME_CHARS]
     if not name:
@@ -239,7 +243,7 @@
 
 
 def _number_in(query: Query, key: str) -> int:
-    """A number of the query, 0 where it is missing; raises RequestError."""
+    """A non-negative integer of the query, 0 if it is missing. Raises RequestError if it is malformed."""
     text = query.get(key, ["0"])[0]
     if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) > MAX_VERSION_NUMBER:
         raise RequestError(f"{key}: {text!r:.40} is no number")
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -1,8 +1,8 @@
-"""`plumpick counts DIR`: what a whole tier did, added up from the records of its gatekeepers.
+"""`plumpick counts DIR`: totals of a whole tier, aggregated from the trace records of its gateways.
 
-A record is what `python -m plumpick.tools.traced` writes: lines with `@` and a JSON array of kind, Unix time
-in milliseconds and parts; what stands before the `@`, and lines without one, are skipped. One file a
-gatekeeper, named `NAME.log`."""
+`python -m plumpick.tools.traced` writes the records: lines with `@` and a JSON array of kind, Unix time in ms
+and further values. Text before the `@`, and lines without a record, are skipped. The folder has one file
+named `NAME.log` for each gateway."""
 
 from __future__ import annotations
 
@@ -38,25 +38,25 @@
 
 
 class CountsError(ValueError):
-    """Records that cannot be used; the text says why."""
+    """The records contain no request, so that there is no start time; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class Slice:
-    """What passed over all gatekeepers within one span of time."""
+    """The totals of all gateways within one span of time."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    workers: Counter[str] = field(default_factory=Counter)  # attempts, by worker
-    beliefs: list[dict[str, Any]] = field(default_factory=list)
+    workers: Counter[str] = field(default_factory=Counter)  # number of attempts by worker
+    beliefs: list[dict[str, Any]] = field(default_factory=list)  # values of the records of the kind `belief`
 
     def belief(self, name: str) -> float:
-        """The mean over gatekeepers of a figure that they believe; 0 where nobody told one."""
+        """The mean of a value over all records of the kind `belief` in this span; 0 if none has the value."""
         told = [row[name] for row in self.beliefs if isinstance(row.get(name), (int, float))]
         return sum(told) / len(told) if told else 0.0
 
 
 def rows_of(lines: Iterable[str]) -> tuple[list[list[Any]], int]:
-    """The records in a log, and how many lines began like one and could not be read (torn, by a kill)."""
+    """The records in a log, and the number of malformed ones, which a killed process leaves."""
     rows, torn = [], 0
     for line in lines:
         at = line.find('@["')
@@ -75,7 +75,7 @@
 
 
 def count_row(into: Slice, row: list[Any]) -> None:
-    """Add one record up. One whose parts are not as they should be raises IndexError or TypeError."""
+    """Add a record to the totals of its slice. Raises IndexError or TypeError if the record is malformed."""
     kind = row[0]
     if kind == "send":
         into.workers[row[3]] += 1
@@ -94,9 +94,8 @@
 
 
 def add_up(rows: Iterable[list[Any]], span_ms: float) -> tuple[dict[int, Slice], int]:
-    """By slice from the first arrival on (earlier ones are below 0), and how many records were malformed.
-
-    Raises CountsError where no request ever came."""
+    """The totals by slice, and the number of malformed records. Slices are numbered from the first request;
+    earlier ones have negative numbers. Raises CountsError if there is no request."""
     rows = list(rows)
     begun = min((row[1] for row in rows if row[0] == "arrival"), default=None)
     if begun is None:
@@ -112,8 +111,9 @@
 
 
 def summary(slices: dict[int, Slice]) -> dict[str, float]:
-    """Figures of the whole time: handshakes for each send, peak of calls and messages a slice, the highest
-    load of a worker over the mean of those that were sent anything in that slice."""
+    """Figures over all slices: connects per attempt, maximum of discovery calls and of messages in a slice,
+    and the highest load of a worker in a slice relative to the mean of the workers with attempts in that
+    slice."""
     sends = sum(one.counts["send"] for one in slices.values())
     total = sum(one.counts["handshake"] for one in slices.values())
     tilts = [
@@ -133,7 +133,7 @@
 
 
 def text_of(slices: dict[int, Slice], span_ms: float) -> str:
-    """The table for a person: a row a slice, then what the gatekeepers believed on the mean."""
+    """The totals as a text table with a row for each slice, followed by the summary."""
     believed = ("warm", "cold", "silent", "limit")
     lines = [f"{'s':>6}" + "".join(f"{name[:9]:>10}" for name in (*COLUMNS, *believed))]
     for place in sorted(slices):
@@ -145,7 +145,7 @@
 
 
 def counts(given: argparse.Namespace) -> int:
-    """The tool."""
+    """Run the command; returns the exit code."""
     files = sorted(Path(given.folder).glob("*.log"))
     if not files or given.span <= 0:
         problem = "no *.log there" if not files else "--span takes milliseconds above 0"
--- a/plumpick/tools/duties.py
+++ b/plumpick/tools/duties.py
@@ -1,4 +1,4 @@
-"""`plumpick duties ADDRESS`: who holds which duty of the fleet, as one gatekeeper knows it."""
+"""`plumpick duties ADDRESS`: leases and scheduled tasks of the fleet, as known to one gateway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 
 def fetch(address: tuple[str, int]) -> dict[str, Any]:
-    """All of its answer; raises OSError or ValueError (the text says what it answered)."""
+    """The combined pages of the DUTIES reply of the gateway at a management address. Raises OSError, or
+    ValueError with the reply if it is an error."""
     return pages(address, "DUTIES", "duties")
 
 
@@ -20,7 +21,7 @@
 
 
 def lines(whole: dict[str, Any]) -> list[str]:
-    """For a person."""
+    """The reply as text: the leases with their holders, then the scheduled tasks with their last runs."""
     named: dict[int, list[str]] = {}
     for name, slot, _, _ in whole["duties"]:
         named.setdefault(slot, []).append(name)
@@ -45,7 +46,8 @@
 
 
 def duties(given: argparse.Namespace) -> int:
-    """0; 1 where it answers that it has no duties; 2 where there is no answer."""
+    """Run the command. Returns exit code 0, 1 if the gateway answers with an error, 2 if it does not
+    answer."""
     try:
         whole = fetch(address_of(given.address))
     except (ValueError, OSError) as problem:
--- a/plumpick/tools/size.py
+++ b/plumpick/tools/size.py
@@ -1,4 +1,5 @@
-"""`plumpick size FILE`: what a tier of the sizes in an operator's form takes, row by row, against limits."""
+"""`plumpick size FILE`: the resources that a tier of the sizes in an operator's form needs, against its
+limits."""
 
 from __future__ import annotations
 
@@ -15,7 +16,8 @@
 
 
 def size(given: argparse.Namespace) -> int:
-    """0: printed, also where limits are passed; 2: a form, or slopes, that cannot be used."""
+    """Run the command. Returns exit code 0 if the rows were printed or written, also if limits are exceeded,
+    and 2 if the form, the slopes or the page are invalid."""
     try:
         sizes, slopes = load(given.file), read()
         lines = lines_of(sizes, chosen(slopes))
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -1,8 +1,8 @@
-"""The daemon with a record of what it does: `python -m plumpick.tools.traced`, in place of `-m plumpick`.
+"""The daemon with trace records: `python -m plumpick.tools.traced` in place of `python -m plumpick`.
 
-One line of JSON for each event and action of the module, each connection that is opened and each call of
-discovery goes to standard error, after `@`; `plumpick counts DIR` adds the logs of a whole tier up. The
-decisions are those of the daemon, compiled where they are. What the record costs is CPU: not for service."""
+Each event and action of the policy, each opened connection and each call of discovery is written to standard
+error as `@` and a line of JSON; `plumpick counts DIR` aggregates the logs of a whole tier. The decisions are
+those of the daemon, compiled if it is compiled. Tracing costs CPU and is not meant for production."""
 
 from __future__ import annotations
 
@@ -23,44 +23,44 @@
     RequestReceived,
 )
 
-BELIEF_MS = 100.0  # what the module believes is written so often
-KEPT_LINES = 50  # lines that wait to be written out together
+BELIEF_MS = 100.0  # interval of the records of the policy's estimates
+KEPT_LINES = 50  # number of buffered lines at which the buffer is written out
 
 
 class Record:
-    """Lines of JSON on standard error, each with the kind of what passed and when, in Unix milliseconds."""
+    """Writes trace records to standard error: a line of JSON each, with a kind and the Unix time in ms."""
 
     def __init__(self) -> None:
         self.now = Clock().now
         self._lines: list[str] = []
 
     def write(self, kind: str, *parts: Any) -> None:
-        """One line, soon."""
+        """Buffer a record; the buffer is written out at KEPT_LINES lines."""
         row = (kind, round(self.now(), 1), *parts)
         self._lines.append("@" + json.dumps(row, separators=(",", ":")) + "\n")
         if len(self._lines) >= KEPT_LINES:
             self.flush()
 
     def flush(self) -> None:
-        """Write out what is kept."""
+        """Write out the buffered records."""
         sys.stderr.write("".join(self._lines))
         sys.stderr.flush()
         self._lines = []
 
 
 class Recording:
-    """A controller that writes down what comes in and goes out, and leaves all else to the real one."""
+    """A proxy of the policy's controller that records its events and actions."""
 
     def __init__(self, record: Record, inner: Any) -> None:
         self._record, self._inner, self._decode = record, inner, inner.codec.decode
         self._belief_ms = 0.0
-        self._requests: dict[int, Any] = {}  # the module's own records of those that are open
+        self._requests: dict[int, Any] = {}  # the controller's state of each open request, by request number
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._inner, name)
 
     def handle(self, now_ms: float, events: list[Any]) -> list[Any]:
-        """One turn of the module."""
+        """Pass events to the controller; returns its actions, after both were recorded."""
         for event in events:
             self._came(event)
         actions: list[Any] = self._inner.handle(now_ms, events)
@@ -139,7 +139,8 @@
             )
 
     def _state(self, number: int) -> str:
-        """How far a request had come: sent, held, or how its home had been heard."""
+        """The progress of a request: `sent`, `held` in a queue, `asked`, `unheard` or `unasked` by the state
+        of its grant request to the quota's owner, `none` if it is unknown."""
         request = self._requests.get(number)
         if request is None:
             return "none"
@@ -177,9 +178,9 @@
 
 
 def main() -> int:
-    """Serve as the daemon does, with a record; the exit code."""
+    """Run the daemon with trace records; returns its exit code."""
     which = compiled.use_compiled_files()
-    import uvloop  # only now, as the daemon: what follows imports the decisions
+    import uvloop  # imported late, as in the daemon: the following imports load the policy
 
     from plumpick.gateway import daemon, discovery, process
     from plumpick.policy.controller import Controller
@@ -191,7 +192,7 @@
             began = record.now()
             try:
                 made = await super().create_connection(factory, host, port)
-            except BaseException as problem:  # told and passed on, a cancelling too
+            except BaseException as problem:  # also a cancellation; it is recorded and raised again
                 record.write("dial", host, type(problem).__name__, round(record.now() - began, 1))
                 raise
             record.write("dial", host, "up", round(record.now() - began, 1))
