--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -84,7 +84,7 @@
         ignored = shutil.ignore_patterns("__pycache__", *TOOL_PACKAGES)
         shutil.copytree(SOURCE_FOLDER / "plumpick", build / "plumpick", ignore=ignored)
         # mypyc omits code that mypy considers unreachable. It once omitted a check of an attribute that a
-        # call in between had changed. Unreachable code is therefore an error: the plain sources are used then.
+        # call in between had changed. Unreachable code is an error, upon which the plain sources are used.
         _run(
             [
                 sys.executable,
