--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -76,7 +76,7 @@
 def budget_lines(fleet: FleetSettings | None, rows: list[BudgetBound]) -> list[str]:
     """The bounds of budgets as the lines of a text table, with a row for each budget, state and window."""
     if fleet is None or not rows:
-        return ["no budgets are named"]
+        return ["no budgets are configured"]
     vacancy_s = max_vacancy_s(fleet.terms, fleet.grant_term_ms)
     lines = [
         "budgets: `most` is never passed; `sure` can be spent where so much is wanted",
--- a/plumpick/tools/call.py
+++ b/plumpick/tools/call.py
@@ -25,7 +25,7 @@
             answer += data
     text = answer.partition(b"\n")[0].decode(errors="replace")
     if not text:
-        raise ConnectionError("no answer")
+        raise ConnectionError("connection closed without a reply")
     return text
 
 
@@ -51,7 +51,7 @@
     """Parse 'host:port'; returns host and port. Raises ValueError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"{text!r} is no address")
+        raise ValueError(f"expected an address host:port, got {text!r}")
     return host, int(port)
 
 
@@ -65,7 +65,7 @@
         return 2
     line = " ".join(given.call)
     if "\n" in line or "\r" in line:
-        print("plumpick call: a call is one line", file=sys.stderr)
+        print("plumpick call: the command contains a line break", file=sys.stderr)
         return 2
     try:
         answer = ask(address, line)
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -48,7 +48,7 @@
     except (OSError, subprocess.TimeoutExpired) as problem:
         raise NotCompiled(str(problem)) from problem
     if done.returncode:
-        raise NotCompiled((done.stdout.strip().splitlines() or ["no word"])[-1])
+        raise NotCompiled((done.stdout.strip().splitlines() or ["the command failed without output"])[-1])
 
 
 def compile_to(folder: Path = COMPILED_FOLDER, optimize: int = 2) -> Path:
@@ -59,9 +59,9 @@
         return made
     compiler = sysconfig.get_config_var("CC") or "cc"
     if shutil.which(compiler.split()[0]) is None:
-        raise NotCompiled(f"there is no compiler ({compiler.split()[0]})")
+        raise NotCompiled(f"C compiler {compiler.split()[0]} not found")
     if not Path(sysconfig.get_paths()["include"], "Python.h").is_file():
-        raise NotCompiled("Python's headers are not here")
+        raise NotCompiled("Python's C headers (Python.h) not found")
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
         tools = Path(scratch, "tools")  # separate folder, from which the daemon cannot import
@@ -104,7 +104,7 @@
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
         if len(list(result.rglob("*.so"))) != len(COMPILED_FILES) + 1:
-            raise NotCompiled("mypyc left other files than expected")
+            raise NotCompiled(f"mypyc did not produce the expected {len(COMPILED_FILES) + 1} modules")
         for old in folder.iterdir():  # results of other sources, which are no longer used
             if old.is_dir() and not old.name.startswith("tmp"):
                 shutil.rmtree(old, ignore_errors=True)
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -65,7 +65,7 @@
     except OSError as problem:
         raise SettingsFileError(f"cannot read {path}: {problem.strerror}") from problem
     except (ValueError, RecursionError) as problem:
-        raise SettingsFileError(f"{path}: no JSON: {problem}") from problem
+        raise SettingsFileError(f"{path}: not valid JSON: {problem}") from problem
     if isinstance(value, dict) and isinstance(value.get("settings"), dict):
         value = value["settings"]
     try:
@@ -117,7 +117,7 @@
     settings = load_settings(args.file)
     statuses, failures = fetch_statuses(addresses)
     if not statuses:
-        raise ServiceCallError("no service answers")
+        raise ServiceCallError("none of the services answers")
     version = next_version(settings, statuses, _now_ms(), args.in_force_in * 1000)
     return _put_version(version, addresses, failures)
 
@@ -128,11 +128,11 @@
     statuses, failures = fetch_statuses(addresses)
     known = sorted({row[0] for status in statuses for row in status["versions"]})
     if len(known) < 2:
-        raise ConfigurationError("there is no version before")
+        raise ConfigurationError(f"no older version to go back to: the services keep {len(known)} version(s)")
     wanted = args.version or known[-2]
     if wanted not in known:
         raise ConfigurationError(
-            f"version {wanted} is not kept; there are {', '.join(map(str, known[-10:]))}"
+            f"version {wanted} is not kept; the newest versions kept are {', '.join(map(str, known[-10:]))}"
         )
     settings = _fetch_settings(wanted, addresses)
     version = next_version(settings, statuses, _now_ms(), args.in_force_in * 1000)
@@ -144,7 +144,7 @@
     if no service answers."""
     statuses, failures = fetch_statuses(addresses)
     for line in failures:
-        print(f"service lost: {line}")
+        print(f"service unreachable: {line}")
     if not statuses:
         return 2
     report = report_rollout(statuses)
@@ -162,7 +162,7 @@
         if status == 200:
             settings: SettingsJson = value["settings"]
             return settings
-    raise ServiceCallError(f"version {number} could not be read")
+    raise ServiceCallError(f"version {number} could not be fetched from any service")
 
 
 def _put_version(version: VersionDocument, addresses: list[Address], failures: list[str]) -> int:
@@ -203,7 +203,7 @@
     await service.open(*address)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    logging.info("listening at %s:%d", address[0], service.port)
+    logging.info("version service listening at %s:%d", address[0], service.port)
     await stop.wait()
     service.close()
 
@@ -223,7 +223,7 @@
         addresses = [address_of(text) for text in args.to]
         if args.step != "status" and not 0 <= args.in_force_in <= MAX_ACTIVATION_DELAY_S:
             raise ConfigurationError(
-                f"--in-force-in: {args.in_force_in:g} is not from 0 to {MAX_ACTIVATION_DELAY_S:g}"
+                f"--in-force-in: expected 0 to {MAX_ACTIVATION_DELAY_S:g} s, got {args.in_force_in:g}"
             )
         return {"publish": publish, "back": back, "status": status}[args.step](args, addresses)
     except (ConfigurationError, ValueError, OSError) as problem:
--- a/plumpick/tools/configuration_service.py
+++ b/plumpick/tools/configuration_service.py
@@ -155,7 +155,7 @@
     def _version(self, text: str) -> tuple[int, bytes]:
         stored = self.store.versions.get(_number_in({"version": [text]}, "version"))
         if stored is None:
-            return 404, json.dumps({"problem": f"version {text} is not kept here"}).encode()
+            return 404, json.dumps({"problem": f"version {text} is not kept by this service"}).encode()
         version = stored.version
         return 200, json.dumps(
             {
@@ -170,15 +170,15 @@
         try:
             value = json.loads(body)
         except (ValueError, RecursionError):
-            return 400, b'{"problem": "no JSON"}'
+            return 400, b'{"problem": "request body is not valid JSON"}'
         try:
             self.store.publish(self.now_ms(), value)
         except PublishError as problem:
-            log.warning("refused: %s", problem)
+            log.warning("published version rejected: %s", problem)
             return 409, json.dumps({"problem": str(problem)}).encode()
         newest = self.store.newest
         assert newest is not None
-        log.info("version %d %s is here", newest.number, newest.digest[:12])
+        log.info("version %d %s published", newest.number, newest.digest[:12])
         published = self._published
         self._published = asyncio.Event()
         published.set()
@@ -225,7 +225,7 @@
     rejected_version = _number_in(query, "refused")
     name = _text_in(query, "name")[:MAX_NAME_CHARS]
     if not name:
-        raise RequestError("name is missing")
+        raise RequestError("name: missing or empty")
     return SubscriberStatus(
         name=name,
         number=_number_in(query, "number"),
@@ -246,5 +246,5 @@
     """A non-negative integer of the query, 0 if it is missing. Raises RequestError if it is malformed."""
     text = query.get(key, ["0"])[0]
     if not text.isascii() or not text.isdigit() or len(text) > 20 or int(text) > MAX_VERSION_NUMBER:
-        raise RequestError(f"{key}: {text!r:.40} is no number")
+        raise RequestError(f"{key}: expected an integer from 0 to {MAX_VERSION_NUMBER}, got {text!r:.40}")
     return int(text)
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -99,7 +99,7 @@
     rows = list(rows)
     begun = min((row[1] for row in rows if row[0] == "arrival"), default=None)
     if begun is None:
-        raise CountsError("no request in these records")
+        raise CountsError("the records contain no request")
     slices: dict[int, Slice] = {}
     malformed = 0
     for row in rows:
@@ -148,7 +148,7 @@
     """Run the command; returns the exit code."""
     files = sorted(Path(given.folder).glob("*.log"))
     if not files or given.span <= 0:
-        problem = "no *.log there" if not files else "--span takes milliseconds above 0"
+        problem = "the folder contains no *.log file" if not files else "--span: expected more than 0 ms"
         print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
     rows, torn = [], 0
@@ -176,5 +176,5 @@
         )
     else:
         print(text_of(slices, given.span))
-        print(f"{torn + malformed} lines could not be read")
+        print(f"{torn + malformed} malformed records skipped")
     return EXIT_HELD
