--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -221,7 +221,8 @@
 
         def logs():
             return [
-                (gate.folder / "log").read_text().count("promise of one owner is off") for gate in tier.gates
+                (gate.folder / "log").read_text().count("a duty may have two owners at a time")
+                for gate in tier.gates
             ]
 
         try:
@@ -255,13 +256,15 @@
             await tier.start()
             await tier.taken(DUTIES, 10)
             log = await tier.until(
-                lambda: (text := (tier.gates[2].folder / "log").read_text()).count("settings of gatekeeper")
+                lambda: (text := (tier.gates[2].folder / "log").read_text()).count(
+                    "has other settings of duties or budgets"
+                )
                 >= 2
                 and text,
                 10,
                 "a log line for each other gateway",
             )
-            assert log.count("settings of gatekeeper 0") == 1
+            assert log.count("gatekeeper 0 has other settings of duties or budgets") == 1
         finally:
             await tier.close()
         assert not judge(tier.witnessed, tier.receiver.records).broken
