--- a/plumpick/cli.py
+++ b/plumpick/cli.py
@@ -168,50 +168,50 @@
 def main(arguments: list[str] | None = None) -> int:  # noqa: C901  (to be split by concern)
     """Run the tool that the arguments name; returns its exit code."""
     try:
-        given = parser().parse_args(arguments)
+        options = parser().parse_args(arguments)
     except SystemExit as end:
         return int(end.code or 0)
-    if given.run == "serve":
+    if options.run == "serve":
         from plumpick.__main__ import main as serve
 
         return serve()
-    if given.run == "bounds":
+    if options.run == "bounds":
         from plumpick.tools.bounds import bounds
 
-        return bounds(given)
-    if given.run == "size":
+        return bounds(options)
+    if options.run == "size":
         from plumpick.tools.size import size
 
-        return size(given)
-    if given.run == "call":
+        return size(options)
+    if options.run == "call":
         from plumpick.tools.call import call
 
-        return call(given)
-    if given.run == "budgets":
+        return call(options)
+    if options.run == "budgets":
         from plumpick.tools.budgets import budgets
 
-        return budgets(given)
-    if given.run == "duties":
+        return budgets(options)
+    if options.run == "duties":
         from plumpick.tools.duties import duties
 
-        return duties(given)
-    if given.run == "configuration":
+        return duties(options)
+    if options.run == "configuration":
         from plumpick.tools.configuration import configuration
 
-        return configuration(given)
-    if given.run == "counts":
+        return configuration(options)
+    if options.run == "counts":
         from plumpick.tools.counts import counts
 
-        return counts(given)
+        return counts(options)
     try:
-        if given.run == "simulate":
+        if options.run == "simulate":
             from plumpick.simulation.commands import simulate
 
-            return int(simulate(given))
-        if given.run == "explore":
+            return int(simulate(options))
+        if options.run == "explore":
             from plumpick.simulation.exploration.commands import explore
 
-            return explore(given)
+            return explore(options)
         from plumpick.rehearsal import commands
     except ModuleNotFoundError as problem:
         if problem.name not in ("msgspec", "matplotlib"):
@@ -219,7 +219,9 @@
         print(f"plumpick: {problem.name} is not installed; the tools need plumpick[kit]", file=sys.stderr)
         return EXIT_USAGE
     return int(
-        {"rehearse": commands.rehearse, "fleet": commands.fleet, "audit": commands.audit}[given.run](given)
+        {"rehearse": commands.rehearse, "fleet": commands.fleet, "audit": commands.audit}[options.run](
+            options
+        )
     )
 
 
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -14,19 +14,19 @@
 from plumpick.gateway.config import ConfigError
 from plumpick.gateway.operator_config import FleetSettings, load
 from plumpick.policy.budgets.bounds import BudgetBound, max_vacancy_s
-from plumpick.policy.budgets.bounds import bounds_of as budget_table
+from plumpick.policy.budgets.bounds import bounds_of as compute_budget_bounds
 from plumpick.policy.quota.bounds import Bound, BoundsError, Situation, compute_bounds, max_forwarding_delay_s
 from plumpick.policy.settings import Settings
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
 
-def settings_in(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     """The settings in a gateway's configuration file. Raises OSError, ValueError or SettingsError."""
     value = json.loads(Path(path).read_text(encoding="utf-8"))
     return parse_settings(JsonObject(value, "config").nested_object("settings").value, "config.settings")
 
 
-def as_dict(bound: Bound) -> dict[str, Any]:
+def bound_as_json(bound: Bound) -> dict[str, Any]:
     """A bound as printed by --json; values in units, seconds, and ratios (1 is the whole)."""
     return {
         "plan": bound.plan,
@@ -40,7 +40,7 @@
     }
 
 
-def text_of(rows: list[Bound], settings: Settings) -> str:
+def format_bounds(rows: list[Bound], settings: Settings) -> str:
     """The bounds of quotas and hard limits as a text table, with a row for each plan and situation."""
     lines = [
         f"{settings.gateway_count} gatekeepers; "
@@ -61,7 +61,7 @@
     return "\n".join(lines)
 
 
-def budgets_in(path: str, gateways: int) -> tuple[FleetSettings | None, list[BudgetBound]]:
+def load_budget_bounds(path: str, gateways: int) -> tuple[FleetSettings | None, list[BudgetBound]]:
     """The fleet's settings in the operator's file, and the bounds of its budgets. Raises ConfigError."""
     fleet = load(path, gateways).fleet
     if fleet is None:
@@ -69,11 +69,11 @@
     return fleet, [
         row
         for one in fleet.budgets
-        for row in budget_table(one.budget, gateways, fleet.terms, fleet.grant_term_ms)
+        for row in compute_budget_bounds(one.budget, gateways, fleet.terms, fleet.grant_term_ms)
     ]
 
 
-def budget_lines(fleet: FleetSettings | None, rows: list[BudgetBound]) -> list[str]:
+def format_budget_bounds(fleet: FleetSettings | None, rows: list[BudgetBound]) -> list[str]:
     """The bounds of budgets as the lines of a text table, with a row for each budget, state and window."""
     if fleet is None or not rows:
         return ["no budgets are configured"]
@@ -89,33 +89,46 @@
     ]
 
 
-def bounds(given: argparse.Namespace) -> int:
+def bounds(arguments: argparse.Namespace) -> int:
     """Run the command; returns the exit code."""
     try:
-        settings = settings_in(given.config)
-        rows = compute_bounds(settings, set_size=given.spread, loss=given.loss, restarts=given.restarts)
-        fleet, budgets = budgets_in(given.operator, settings.gateway_count) if given.operator else (None, [])
+        settings = load_settings(arguments.config)
+        rows = compute_bounds(
+            settings, set_size=arguments.spread, loss=arguments.loss, restarts=arguments.restarts
+        )
+        fleet, budgets = (
+            load_budget_bounds(arguments.operator, settings.gateway_count)
+            if arguments.operator
+            else (None, [])
+        )
     except OSError as problem:
-        print(f"plumpick: {given.config}: {problem.strerror}", file=sys.stderr)
+        print(f"plumpick: {arguments.config}: {problem.strerror}", file=sys.stderr)
         return EXIT_USAGE
     except ConfigError as problem:
         print(f"plumpick: {problem}", file=sys.stderr)
         return EXIT_USAGE
     except (SettingsError, BoundsError, ValueError) as problem:
-        print(f"plumpick: {given.config}: {problem}", file=sys.stderr)
+        print(f"plumpick: {arguments.config}: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    if given.json:
+    if arguments.json:
         print(
             json.dumps(
                 {
                     "situations": [one.value for one in Situation],
                     "held_s": max_forwarding_delay_s(settings),
-                    "bounds": [as_dict(row) for row in rows],
-                    **({"budgets": [asdict(row) for row in budgets]} if given.operator else {}),
+                    "bounds": [bound_as_json(row) for row in rows],
+                    **({"budgets": [asdict(row) for row in budgets]} if arguments.operator else {}),
                 },
                 indent=1,
             )
         )
     else:
-        print("\n".join([text_of(rows, settings), *(budget_lines(fleet, budgets) if given.operator else [])]))
+        print(
+            "\n".join(
+                [
+                    format_bounds(rows, settings),
+                    *(format_budget_bounds(fleet, budgets) if arguments.operator else []),
+                ]
+            )
+        )
     return EXIT_HELD
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -10,7 +10,7 @@
 import sys
 from typing import Any
 
-from plumpick.tools.call import address_of, pages
+from plumpick.tools.call import address_of, fetch_pages
 
 EXIT_OK = 0
 EXIT_REJECTED = 1  # a gateway answered that it has no budgets
@@ -25,7 +25,7 @@
 def fetch_budgets(address: tuple[str, int]) -> dict[str, Any]:
     """The combined pages of the BUDGETS reply of the gateway at a management address. Raises OSError, or
     ValueError with the reply if it is an error."""
-    return pages(address, "BUDGETS", "budgets")
+    return fetch_pages(address, "BUDGETS", "budgets")
 
 
 def table_lines(answers: list[dict[str, Any]]) -> list[str]:
--- a/plumpick/tools/call.py
+++ b/plumpick/tools/call.py
@@ -8,43 +8,43 @@
 import sys
 from typing import Any
 
-PATIENCE_S = 5.0  # timeout of the connect, and of each read of the reply
-MOST_ANSWER = 4096  # maximum length of a reply in bytes
+TIMEOUT_S = 5.0  # timeout of the connect, and of each read of the reply
+MAX_REPLY_BYTES = 4096  # maximum length of a reply in bytes
 
 
 def ask(address: tuple[str, int], line: str) -> str:
     """Send a command line; returns the reply without its line end. Raises OSError, also for an empty
     reply."""
-    with socket.create_connection(address, PATIENCE_S) as plug:
-        plug.sendall(line.encode() + b"\n")
-        answer = b""
-        while b"\n" not in answer and len(answer) < MOST_ANSWER:
-            data = plug.recv(MOST_ANSWER)
+    with socket.create_connection(address, TIMEOUT_S) as connection:
+        connection.sendall(line.encode() + b"\n")
+        response = b""
+        while b"\n" not in response and len(response) < MAX_REPLY_BYTES:
+            data = connection.recv(MAX_REPLY_BYTES)
             if not data:
                 break
-            answer += data
-    text = answer.partition(b"\n")[0].decode(errors="replace")
+            response += data
+    text = response.partition(b"\n")[0].decode(errors="replace")
     if not text:
         raise ConnectionError("connection closed without a reply")
     return text
 
 
-def pages(address: tuple[str, int], line: str, key: str) -> dict[str, Any]:
+def fetch_pages(address: tuple[str, int], line: str, key: str) -> dict[str, Any]:
     """Fetch all pages of a JSON reply; returns the first page with the rows of all pages under `key`. Raises
     OSError, or ValueError with the reply if it is an error."""
-    whole: dict[str, Any] = {}
+    reply: dict[str, Any] = {}
     page = 0
-    while page < whole.get("pages", 1):
-        answer = ask(address, f"{line} {page}")
-        if not answer.startswith("+OK "):
-            raise ValueError(answer)
-        news = json.loads(answer.removeprefix("+OK "))
+    while page < reply.get("pages", 1):
+        response = ask(address, f"{line} {page}")
+        if not response.startswith("+OK "):
+            raise ValueError(response)
+        page_reply = json.loads(response.removeprefix("+OK "))
         if page == 0:
-            whole = news
+            reply = page_reply
         else:
-            whole[key] += news[key]
+            reply[key] += page_reply[key]
         page += 1
-    return whole
+    return reply
 
 
 def address_of(text: str) -> tuple[str, int]:
@@ -55,22 +55,22 @@
     return host, int(port)
 
 
-def call(given: argparse.Namespace) -> int:
+def call(arguments: argparse.Namespace) -> int:
     """Run the command. Returns exit code 0 if the reply begins with +OK, 1 if it does not, and 2 if there is
     no reply or an argument is invalid."""
     try:
-        address = address_of(given.address)
+        address = address_of(arguments.address)
     except ValueError as problem:
         print(f"plumpick call: {problem}", file=sys.stderr)
         return 2
-    line = " ".join(given.call)
+    line = " ".join(arguments.call)
     if "\n" in line or "\r" in line:
         print("plumpick call: the command contains a line break", file=sys.stderr)
         return 2
     try:
-        answer = ask(address, line)
+        response = ask(address, line)
     except OSError as problem:
-        print(f"plumpick call: {given.address}: {problem}", file=sys.stderr)
+        print(f"plumpick call: {arguments.address}: {problem}", file=sys.stderr)
         return 2
-    print(answer)
-    return 0 if answer.startswith("+OK") else 1
+    print(response)
+    return 0 if response.startswith("+OK") else 1
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -25,43 +25,45 @@
     source_digest,
 )
 
-SECONDS = 600.0  # timeout of each external command
+COMMAND_TIMEOUT_S = 600.0  # timeout of each external command
 
 
-class NotCompiled(Exception):
+class CompilationError(Exception):
     """The sources could not be compiled; the text gives the reason."""
 
 
-def _run(words: list[str], folder: str, **more: str) -> None:
-    """Run an external command in `folder`. Raises NotCompiled with the last line that it printed if it
+def _run(command: list[str], folder: str, **variables: str) -> None:
+    """Run an external command in `folder`. Raises CompilationError with the last line that it printed if it
     fails."""
     try:
         done = subprocess.run(
-            words,
+            command,
             cwd=folder,
-            env={**os.environ, **more},
+            env={**os.environ, **variables},
             text=True,
-            timeout=SECONDS,
+            timeout=COMMAND_TIMEOUT_S,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
         )
     except (OSError, subprocess.TimeoutExpired) as problem:
-        raise NotCompiled(str(problem)) from problem
+        raise CompilationError(str(problem)) from problem
     if done.returncode:
-        raise NotCompiled((done.stdout.strip().splitlines() or ["the command failed without output"])[-1])
+        raise CompilationError(
+            (done.stdout.strip().splitlines() or ["the command failed without output"])[-1]
+        )
 
 
 def compile_to(folder: Path = COMPILED_FOLDER, optimize: int = 2) -> Path:
     """Compile the current sources, unless `folder` has their result already; returns the folder of the
-    result. Raises NotCompiled or OSError."""
-    made = folder / source_digest()
-    if made.is_dir():
-        return made
+    result. Raises CompilationError or OSError."""
+    target_folder = folder / source_digest()
+    if target_folder.is_dir():
+        return target_folder
     compiler = sysconfig.get_config_var("CC") or "cc"
     if shutil.which(compiler.split()[0]) is None:
-        raise NotCompiled(f"C compiler {compiler.split()[0]} not found")
+        raise CompilationError(f"C compiler {compiler.split()[0]} not found")
     if not Path(sysconfig.get_paths()["include"], "Python.h").is_file():
-        raise NotCompiled("Python's C headers (Python.h) not found")
+        raise CompilationError("Python's C headers (Python.h) not found")
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
         tools = Path(scratch, "tools")  # separate folder, from which the daemon cannot import
@@ -104,12 +106,12 @@
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
         if len(list(result.rglob("*.so"))) != len(COMPILED_FILES) + 1:
-            raise NotCompiled(f"mypyc did not produce the expected {len(COMPILED_FILES) + 1} modules")
+            raise CompilationError(f"mypyc did not produce the expected {len(COMPILED_FILES) + 1} modules")
         for old in folder.iterdir():  # results of other sources, which are no longer used
             if old.is_dir() and not old.name.startswith("tmp"):
                 shutil.rmtree(old, ignore_errors=True)
-        os.rename(result, made)  # atomic, so that no incomplete result is ever loaded
-    return made
+        os.rename(result, target_folder)  # atomic, so that no incomplete result is ever loaded
+    return target_folder
 
 
 def main() -> int:
@@ -117,7 +119,7 @@
     folder = Path(sys.argv[1]) if len(sys.argv) > 1 else COMPILED_FOLDER
     try:
         print(f"decisions compiled: {compile_to(folder).name}")
-    except (NotCompiled, OSError) as problem:
+    except (CompilationError, OSError) as problem:
         print(f"decisions stay plain Python: {problem}")
     return 0
 
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -49,21 +49,21 @@
     workers: Counter[str] = field(default_factory=Counter)  # number of attempts by worker
     beliefs: list[dict[str, Any]] = field(default_factory=list)  # values of the records of the kind `belief`
 
-    def belief(self, name: str) -> float:
+    def mean_belief(self, name: str) -> float:
         """The mean of a value over all records of the kind `belief` in this span; 0 if none has the value."""
-        told = [row[name] for row in self.beliefs if isinstance(row.get(name), (int, float))]
-        return sum(told) / len(told) if told else 0.0
+        values = [row[name] for row in self.beliefs if isinstance(row.get(name), (int, float))]
+        return sum(values) / len(values) if values else 0.0
 
 
-def rows_of(lines: Iterable[str]) -> tuple[list[list[Any]], int]:
+def parse_records(lines: Iterable[str]) -> tuple[list[list[Any]], int]:
     """The records in a log, and the number of malformed ones, which a killed process leaves."""
     rows, torn = [], 0
     for line in lines:
-        at = line.find('@["')
-        if at < 0:
+        start = line.find('@["')
+        if start < 0:
             continue
         try:
-            row = json.loads(line[at + 1 :])
+            row = json.loads(line[start + 1 :])
         except ValueError:
             torn += 1
             continue
@@ -93,30 +93,30 @@
     into.counts[kind] += 1
 
 
-def add_up(rows: Iterable[list[Any]], span_ms: float) -> tuple[dict[int, Slice], int]:
+def aggregate(rows: Iterable[list[Any]], span_ms: float) -> tuple[dict[int, Slice], int]:
     """The totals by slice, and the number of malformed records. Slices are numbered from the first request;
     earlier ones have negative numbers. Raises CountsError if there is no request."""
     rows = list(rows)
-    begun = min((row[1] for row in rows if row[0] == "arrival"), default=None)
-    if begun is None:
+    first_arrival_ms = min((row[1] for row in rows if row[0] == "arrival"), default=None)
+    if first_arrival_ms is None:
         raise CountsError("the records contain no request")
     slices: dict[int, Slice] = {}
     malformed = 0
     for row in rows:
         try:
-            count_row(slices.setdefault(int((row[1] - begun) // span_ms), Slice()), row)
+            count_row(slices.setdefault(int((row[1] - first_arrival_ms) // span_ms), Slice()), row)
         except (IndexError, TypeError):
             malformed += 1
     return slices, malformed
 
 
-def summary(slices: dict[int, Slice]) -> dict[str, float]:
+def summarize(slices: dict[int, Slice]) -> dict[str, float]:
     """Figures over all slices: connects per attempt, maximum of discovery calls and of messages in a slice,
     and the highest load of a worker in a slice relative to the mean of the workers with attempts in that
     slice."""
     sends = sum(one.counts["send"] for one in slices.values())
     total = sum(one.counts["handshake"] for one in slices.values())
-    tilts = [
+    load_ratios = [
         max(one.workers.values()) * len(one.workers) / sum(one.workers.values())
         for one in slices.values()
         if sum(one.workers.values()) >= 4 * len(one.workers) > 0
@@ -128,53 +128,53 @@
         "messages, most in a slice": max(one.counts["tell"] for one in slices.values()),
         "messages not taken in": sum(one.counts["tell"] - one.counts["heard"] for one in slices.values()),
         "sends on credit": sum(one.counts["credit"] for one in slices.values()),
-        "worker's load over the mean, most": round(max(tilts, default=0.0), 2),
+        "worker's load over the mean, most": round(max(load_ratios, default=0.0), 2),
     }
 
 
-def text_of(slices: dict[int, Slice], span_ms: float) -> str:
+def format_table(slices: dict[int, Slice], span_ms: float) -> str:
     """The totals as a text table with a row for each slice, followed by the summary."""
     believed = ("warm", "cold", "silent", "limit")
     lines = [f"{'s':>6}" + "".join(f"{name[:9]:>10}" for name in (*COLUMNS, *believed))]
     for place in sorted(slices):
         one = slices[place]
         cells = [f"{one.counts[name]:>10}" for name in COLUMNS]
-        cells += [f"{one.belief(name):>10.1f}" for name in believed]
+        cells += [f"{one.mean_belief(name):>10.1f}" for name in believed]
         lines.append(f"{place * span_ms / 1000:>6.1f}" + "".join(cells))
-    return "\n".join(lines + [f"{name}: {value}" for name, value in summary(slices).items()])
+    return "\n".join(lines + [f"{name}: {value}" for name, value in summarize(slices).items()])
 
 
-def counts(given: argparse.Namespace) -> int:
+def counts(arguments: argparse.Namespace) -> int:
     """Run the command; returns the exit code."""
-    files = sorted(Path(given.folder).glob("*.log"))
-    if not files or given.span <= 0:
+    files = sorted(Path(arguments.folder).glob("*.log"))
+    if not files or arguments.span <= 0:
         problem = "the folder contains no *.log file" if not files else "--span: expected more than 0 ms"
-        print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
+        print(f"plumpick: {arguments.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
     rows, torn = [], 0
     try:
         for path in files:
-            more, bad = rows_of(path.read_text(encoding="utf-8", errors="replace").splitlines())
+            more, bad = parse_records(path.read_text(encoding="utf-8", errors="replace").splitlines())
             rows, torn = rows + more, torn + bad
-        slices, malformed = add_up(rows, given.span)
+        slices, malformed = aggregate(rows, arguments.span)
     except OSError as problem:
-        print(f"plumpick: {given.folder}: {problem.strerror}", file=sys.stderr)
+        print(f"plumpick: {arguments.folder}: {problem.strerror}", file=sys.stderr)
         return EXIT_USAGE
     except CountsError as problem:
-        print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
+        print(f"plumpick: {arguments.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    if given.json:
+    if arguments.json:
         print(
             json.dumps(
                 {
-                    "slices": {place * given.span: dict(one.counts) for place, one in slices.items()},
-                    "summary": summary(slices),
+                    "slices": {place * arguments.span: dict(one.counts) for place, one in slices.items()},
+                    "summary": summarize(slices),
                     "torn": torn + malformed,
                 },
                 indent=1,
             )
         )
     else:
-        print(text_of(slices, given.span))
+        print(format_table(slices, arguments.span))
         print(f"{torn + malformed} malformed records skipped")
     return EXIT_HELD
--- a/plumpick/tools/size.py
+++ b/plumpick/tools/size.py
@@ -15,19 +15,19 @@
 from plumpick.cli import EXIT_HELD, EXIT_USAGE
 
 
-def size(given: argparse.Namespace) -> int:
+def size(arguments: argparse.Namespace) -> int:
     """Run the command. Returns exit code 0 if the rows were printed or written, also if limits are exceeded,
     and 2 if the form, the slopes or the page are invalid."""
     try:
-        sizes, slopes = load(given.file), read()
+        sizes, slopes = load(arguments.file), read()
         lines = lines_of(sizes, chosen(slopes))
-        if given.page:
-            page = Path(given.page)
+        if arguments.page:
+            page = Path(arguments.page)
             text = with_parts(page.read_text(encoding="utf-8"), parts(lines, slopes))
             page.write_text(text, encoding="utf-8")
             return EXIT_HELD
     except (FormError, ModelError, SlopesError, OSError, ValueError) as problem:
         print(f"plumpick size: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    print(json.dumps([as_dict(line) for line in lines], indent=1) if given.json else rows_table(lines))
+    print(json.dumps([as_dict(line) for line in lines], indent=1) if arguments.json else rows_table(lines))
     return EXIT_HELD
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -23,11 +23,11 @@
     RequestReceived,
 )
 
-BELIEF_MS = 100.0  # interval of the records of the policy's estimates
-KEPT_LINES = 50  # number of buffered lines at which the buffer is written out
+BELIEF_INTERVAL_MS = 100.0  # interval of the records of the policy's estimates
+MAX_BUFFERED_LINES = 50  # number of buffered lines at which the buffer is written out
 
 
-class Record:
+class TraceWriter:
     """Writes trace records to standard error: a line of JSON each, with a kind and the Unix time in ms."""
 
     def __init__(self) -> None:
@@ -35,10 +35,10 @@
         self._lines: list[str] = []
 
     def write(self, kind: str, *parts: Any) -> None:
-        """Buffer a record; the buffer is written out at KEPT_LINES lines."""
+        """Buffer a record; the buffer is written out at MAX_BUFFERED_LINES lines."""
         row = (kind, round(self.now(), 1), *parts)
         self._lines.append("@" + json.dumps(row, separators=(",", ":")) + "\n")
-        if len(self._lines) >= KEPT_LINES:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self.flush()
 
     def flush(self) -> None:
@@ -48,10 +48,10 @@
         self._lines = []
 
 
-class Recording:
+class TracingController:
     """A proxy of the policy's controller that records its events and actions."""
 
-    def __init__(self, record: Record, inner: Any) -> None:
+    def __init__(self, record: TraceWriter, inner: Any) -> None:
         self._record, self._inner, self._decode = record, inner, inner.codec.decode
         self._belief_ms = 0.0
         self._requests: dict[int, Any] = {}  # the controller's state of each open request, by request number
@@ -62,24 +62,24 @@
     def handle(self, now_ms: float, events: list[Any]) -> list[Any]:
         """Pass events to the controller; returns its actions, after both were recorded."""
         for event in events:
-            self._came(event)
+            self._record_event(event)
         actions: list[Any] = self._inner.handle(now_ms, events)
         for event in events:
             if isinstance(event, RequestReceived):
                 self._requests[event.id] = self._inner.requests.get(event.id)
         for action in actions:
-            self._went(action)
+            self._record_action(action)
         for one in [*events, *actions]:
             over = isinstance(one, (RejectRequest, FailRequest, ClientDisconnected))
             if over or isinstance(one, AttemptCompleted) and one.is_final:
                 self._requests.pop(one.id, None)
         if now_ms >= self._belief_ms:
-            self._belief_ms = now_ms + BELIEF_MS
-            self._believed()
+            self._belief_ms = now_ms + BELIEF_INTERVAL_MS
+            self._record_beliefs()
             self._record.flush()
         return actions
 
-    def _came(self, event: Any) -> None:
+    def _record_event(self, event: Any) -> None:
         write = self._record.write
         if isinstance(event, RequestReceived):
             write(
@@ -105,8 +105,8 @@
         elif isinstance(event, ClientDisconnected):
             write("gone", event.id)
         elif isinstance(event, PeerMessageReceived):
-            news = self._decode(event.data)
-            write("heard", event.sender, [item.kind for item in news.quota_messages] if news else None)
+            message = self._decode(event.data)
+            write("heard", event.sender, [item.kind for item in message.quota_messages] if message else None)
         elif isinstance(event, EndpointsUpdated):
             write(
                 "list",
@@ -114,7 +114,7 @@
                 [(server.id, server.state.name, server.started_ms) for server in event.endpoints],
             )
 
-    def _went(self, action: Any) -> None:
+    def _record_action(self, action: Any) -> None:
         write = self._record.write
         if isinstance(action, StartAttempt):
             request = self._inner.requests.get(action.id)
@@ -126,19 +126,19 @@
                 int(bool(request and request.owner_has_replied)),
             )
         elif isinstance(action, RejectRequest):
-            write("refuse", action.id, round(action.retry_after_ms), self._state(action.id))
+            write("refuse", action.id, round(action.retry_after_ms), self._progress_of(action.id))
         elif isinstance(action, FailRequest):
-            write("fail", action.id, self._state(action.id))
+            write("fail", action.id, self._progress_of(action.id))
         elif isinstance(action, SendPeerMessage):
-            news = self._decode(action.data)
+            message = self._decode(action.data)
             write(
                 "tell",
                 action.receiver,
-                [item.kind for item in news.quota_messages] if news else [],
+                [item.kind for item in message.quota_messages] if message else [],
                 len(action.data),
             )
 
-    def _state(self, number: int) -> str:
+    def _progress_of(self, number: int) -> str:
         """The progress of a request: `sent`, `held` in a queue, `asked`, `unheard` or `unasked` by the state
         of its grant request to the quota's owner, `none` if it is unknown."""
         request = self._requests.get(number)
@@ -152,7 +152,7 @@
             return "asked"
         return "unheard" if request.grant_requests else "unasked"
 
-    def _believed(self) -> None:
+    def _record_beliefs(self) -> None:
         state = self._inner.state
         limit, endpoints, quota = state.limit, state.endpoints, state.quota
         self._record.write(
@@ -179,43 +179,45 @@
 
 def main() -> int:
     """Run the daemon with trace records; returns its exit code."""
-    which = compiled.use_compiled_files()
+    description = compiled.use_compiled_files()
     import uvloop  # imported late, as in the daemon: the following imports load the policy
 
     from plumpick.gateway import daemon, discovery, process
     from plumpick.policy.controller import Controller
 
-    record, plain = Record(), process.Gateway
+    record, create_gateway = TraceWriter(), process.Gateway
 
     class Loop(uvloop.Loop):  # type: ignore[misc]
         async def create_connection(self, factory: Any, host: str, port: int) -> Any:
-            began = record.now()
+            started_ms = record.now()
             try:
-                made = await super().create_connection(factory, host, port)
+                connection = await super().create_connection(factory, host, port)
             except BaseException as problem:  # also a cancellation; it is recorded and raised again
-                record.write("dial", host, type(problem).__name__, round(record.now() - began, 1))
+                record.write("dial", host, type(problem).__name__, round(record.now() - started_ms, 1))
                 raise
-            record.write("dial", host, "up", round(record.now() - began, 1))
-            return made
+            record.write("dial", host, "up", round(record.now() - started_ms, 1))
+            return connection
 
     class AddressWatch(discovery.AddressWatch):
         async def _fetch(self, target: str, timeout_s: float) -> Any:
-            began = record.now()
+            started_ms = record.now()
             try:
-                news = await super()._fetch(target, timeout_s)
+                response = await super()._fetch(target, timeout_s)
             except BaseException as problem:
                 record.write(
-                    "call", target, str(problem) or type(problem).__name__, round(record.now() - began)
+                    "call", target, str(problem) or type(problem).__name__, round(record.now() - started_ms)
                 )
                 raise
-            record.write("call", target, "ok", round(record.now() - began), len(news.entries))
-            return news
+            record.write("call", target, "ok", round(record.now() - started_ms), len(response.entries))
+            return response
 
     def gateway(config: Any, loop: Any, platform: Any) -> Any:
         with open(os.environ["BALANCER_CONFIG"], encoding="utf-8") as file:
             for key, value in json.load(file)["settings"].items():
                 record.write("settings", key, value)
-        return plain(config, loop, Recording(record, Controller(config.settings, config.seed)), platform)
+        return create_gateway(
+            config, loop, TracingController(record, Controller(config.settings, config.seed)), platform
+        )
 
     def run(serving: Any) -> None:
         with asyncio.Runner(loop_factory=Loop) as runner:
@@ -225,7 +227,7 @@
     discovery.AddressWatch = AddressWatch  # type: ignore[misc]
     process.Gateway = gateway  # type: ignore[assignment,misc]
     daemon.uvloop = type("Uvloop", (), {"run": staticmethod(run)})  # type: ignore[assignment]
-    return daemon.main(which)
+    return daemon.main(description)
 
 
 if __name__ == "__main__":
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -11,7 +11,7 @@
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Judged, Tier, judge
 from plumpick.tools.call import ask
-from plumpick.tools.duties import fetch, lines
+from plumpick.tools.duties import fetch_duties, format_duties
 
 
 def trial(seed, gatekeepers, cases, **more):
@@ -112,10 +112,10 @@
             def call(number, line):
                 return asyncio.to_thread(ask, ("127.0.0.1", tier.calls[number]), line)
 
-            reply = await asyncio.to_thread(fetch, ("127.0.0.1", tier.calls[0]))
+            reply = await asyncio.to_thread(fetch_duties, ("127.0.0.1", tier.calls[0]))
             owner = tier.owner(one_slot())
             row = next(row for row in reply["leases"] if row[0] == one_slot())
-            assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(lines(reply))
+            assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(format_duties(reply))
             assert json.dumps(reply)
             assert (await call(0, "DRAIN FLEET")).startswith("+OK")
             await tier.until(lambda: tier.owner(4) == 0, 5, "a restart permit")
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -7,7 +7,7 @@
 from support.processes import free_port, start, tell_list, until_up
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE, main
-from plumpick.tools.counts import CountsError, add_up, rows_of, summary
+from plumpick.tools.counts import CountsError, aggregate, parse_records, summarize
 
 
 def line(*parts, before="0.123 "):
@@ -15,7 +15,7 @@
 
 
 def test_records_are_found_behind_whatever_stands_before_and_torn_ones_are_counted():
-    rows, torn = rows_of(
+    rows, torn = parse_records(
         [
             line("gone", 5.0, 1),
             "12 a line of the log",
@@ -45,14 +45,14 @@
         ["outcome", 1300.0],
     ]
     rows += [["send", 1010.0 + n, n, f"w{n % 2 * (n % 3)}", 1.0, n % 4 > 0] for n in range(12)]
-    slices, malformed = add_up(rows, 1000.0)
+    slices, malformed = aggregate(rows, 1000.0)
     assert malformed == 2 and set(slices) == {-1, 0, 1}
     first = slices[0]
     assert first.counts["send"] == 12 and first.counts["credit"] == 3 and first.counts["OK"] == 1
-    assert first.counts["handshake"] == 1 and first.counts["sign"] == 1 and first.belief("warm") == 39.0
-    assert first.belief("odd") == 0.0 and slices[-1].counts["turned away"] == 1
+    assert first.counts["handshake"] == 1 and first.counts["sign"] == 1 and first.mean_belief("warm") == 39.0
+    assert first.mean_belief("odd") == 0.0 and slices[-1].counts["turned away"] == 1
     assert first.workers == {"w0": 8, "w1": 2, "w2": 2}
-    figures = summary(slices)
+    figures = summarize(slices)
     assert figures["calls of discovery, most in a slice"] == 2 and figures["messages not taken in"] == 1
     assert figures["worker's load over the mean, most"] == 2.0
     assert figures["handshakes a send"] == pytest.approx(1 / 12, abs=1e-3)
@@ -60,7 +60,7 @@
 
 def test_records_without_a_request_and_folders_without_logs_are_named(tmp_path, capsys):
     with pytest.raises(CountsError):
-        add_up([["belief", 1.0, {}]], 1000.0)
+        aggregate([["belief", 1.0, {}]], 1000.0)
     assert main(["counts", str(tmp_path)]) == EXIT_USAGE
     (tmp_path / "n0.log").write_text("nothing\n")
     assert main(["counts", str(tmp_path)]) == EXIT_USAGE
