--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -16,7 +16,7 @@
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Judged, Tier, TooLate, judge
-from plumpick.tools.call import ask
+from plumpick.tools.call import send_command
 
 TERMS_S = (1.2, 2.5)
 PLANT_TERM_S = 5.0  # so that what a bug gains stands out over the next owner's calls, on a busy machine too
@@ -191,7 +191,7 @@
 
     async def _call(self, number: int, line: str) -> None:
         with contextlib.suppress(OSError):  # it has just died
-            await asyncio.to_thread(ask, ("127.0.0.1", self.tier.calls[number]), line)
+            await asyncio.to_thread(send_command, ("127.0.0.1", self.tier.calls[number]), line)
 
     async def turns(self) -> None:
         """The one turn for planned restarts: given back, taken again, and then the word that gave it back
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -21,7 +21,7 @@
 from plumpick.rehearsal.fleet import NEW_CONNECTIONS_MS, Fleet
 from plumpick.rehearsal.supervisor import Gatekeeper, Supervisor, free_port
 from plumpick.rehearsal.surroundings import HOST, Surroundings
-from plumpick.tools.call import ask
+from plumpick.tools.call import send_command
 
 MANAGEMENT_PORTS = (30_000, 32_000)
 KILL_MARGIN_S = 0.7  # beyond the longest deadline: SIGKILL may come so long after SIGTERM
@@ -209,7 +209,7 @@
         end = self.around.loop.time() + READY_TIMEOUT_S
         while process.returncode is None and self.around.loop.time() < end:
             try:
-                if (await asyncio.to_thread(ask, (HOST, port), "READY")).startswith("+OK"):
+                if (await asyncio.to_thread(send_command, (HOST, port), "READY")).startswith("+OK"):
                     return True
             except OSError:
                 pass
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.tools.call import ask
+from plumpick.tools.call import send_command
 
 HOST, ROOT = "127.0.0.1", Path(__file__).resolve().parent.parent
 PAUSE_S, UP_S = 0.3, 10.0  # between upgrades; for a new process to say yes
@@ -132,7 +132,7 @@
         async with asyncio.timeout(UP_S):
             while True:
                 try:
-                    if (await asyncio.to_thread(ask, (HOST, office), "READY")).startswith("+OK"):
+                    if (await asyncio.to_thread(send_command, (HOST, office), "READY")).startswith("+OK"):
                         return process, office
                 except OSError:
                     await asyncio.sleep(0.01)
--- a/plumpick/tools/call.py
+++ b/plumpick/tools/call.py
@@ -12,7 +12,7 @@
 MAX_REPLY_BYTES = 4096  # maximum length of a reply in bytes
 
 
-def ask(address: tuple[str, int], line: str) -> str:
+def send_command(address: tuple[str, int], line: str) -> str:
     """Send a command line; returns the reply without its line end. Raises OSError, also for an empty
     reply."""
     with socket.create_connection(address, TIMEOUT_S) as connection:
@@ -35,7 +35,7 @@
     reply: dict[str, Any] = {}
     page = 0
     while page < reply.get("pages", 1):
-        response = ask(address, f"{line} {page}")
+        response = send_command(address, f"{line} {page}")
         if not response.startswith("+OK "):
             raise ValueError(response)
         page_reply = json.loads(response.removeprefix("+OK "))
@@ -68,7 +68,7 @@
         print("plumpick call: the command contains a line break", file=sys.stderr)
         return 2
     try:
-        response = ask(address, line)
+        response = send_command(address, line)
     except OSError as problem:
         print(f"plumpick call: {arguments.address}: {problem}", file=sys.stderr)
         return 2
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -10,7 +10,7 @@
 from plumpick.policy.leases.terms import rendezvous_rank
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.tier import Judged, Tier, judge
-from plumpick.tools.call import ask
+from plumpick.tools.call import send_command
 from plumpick.tools.duties import fetch_duties, format_duties
 
 
@@ -110,7 +110,7 @@
             await tier.taken(["use"], 10)
 
             def call(number, line):
-                return asyncio.to_thread(ask, ("127.0.0.1", tier.calls[number]), line)
+                return asyncio.to_thread(send_command, ("127.0.0.1", tier.calls[number]), line)
 
             reply = await asyncio.to_thread(fetch_duties, ("127.0.0.1", tier.calls[0]))
             owner = tier.owner(one_slot())
--- a/tests/support/config_processes.py
+++ b/tests/support/config_processes.py
@@ -11,7 +11,7 @@
 from support.fakes import HOST, config, entry, run
 from support.processes import ROOT, free_port, until_up
 
-from plumpick.tools.call import ask
+from plumpick.tools.call import send_command
 from plumpick.tools.configuration_service import VersionService
 
 
@@ -78,7 +78,7 @@
 async def says(calls, line="CONFIGURATION"):
     while True:
         try:
-            return await asyncio.to_thread(ask, (HOST, calls), line)
+            return await asyncio.to_thread(send_command, (HOST, calls), line)
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
 
