--- a/plumpick/capacity/__init__.py
+++ b/plumpick/capacity/__init__.py
@@ -1,2 +1,2 @@
-"""What a tier of any size takes: measured slopes, rows worked out from them, the page. Of the kit: the daemon
-imports none of it."""
+"""The capacity model: resources that a tier of a given size needs, computed from measured slopes, and the
+tables of docs/CAPACITY.md. It belongs to the tools; the daemon does not import it."""
--- a/plumpick/capacity/form.py
+++ b/plumpick/capacity/form.py
@@ -1,6 +1,6 @@
-"""The sizes of a tier, from the operator's form (TOML); deploy/target.toml explains each key.
+"""Parsing of the operator's form (TOML) with the sizes of a tier; deploy/target.toml explains each key.
 
-Each key is due and checked by name; what cannot be served is refused by one line."""
+All keys are required. An invalid form is rejected with one line that names the key."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class FormError(ValueError):
-    """A form that cannot be used; the text names the key."""
+    """The form is invalid; the text is one line that names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """What a key may be."""
+    """The range of a key's values, and whether they must be integers."""
 
     least: float
     most: float
     whole: bool = True
 
 
-# A tier beyond these is none that this program could be asked for: a slip of the pen.
+# Sizes outside these ranges are taken for typing errors.
 KEYS: dict[str, dict[str, Key]] = {
     "tier": {
         "gatekeepers": Key(1, 10_000),
@@ -70,7 +70,7 @@
 
 
 def form_from(value: Mapping[str, Any]) -> dict[str, float]:  # noqa: C901  (to be split by concern)
-    """The sizes by key; raises FormError."""
+    """Check a decoded form; returns its sizes by key, without the names of tables. Raises FormError."""
     for part in value:
         if part not in KEYS:
             raise FormError(f"{part}: no such table; there are {', '.join(KEYS)}")
@@ -102,7 +102,7 @@
         raise FormError(f"{path}: is missing")
     if type(value) not in (int, float) or type(value) is float and not math.isfinite(value):
         raise FormError(f"{path}: {value!r} is no number")
-    if not kind.least <= value <= kind.most:  # before all else: TOML's whole numbers have any length
+    if not kind.least <= value <= kind.most:  # checked before any conversion: TOML integers have any length
         told = f"{value!r}" if abs(value) < 1e18 else "a number of more than 18 digits"
         raise FormError(f"{path}: {told} is not from {kind.least:g} to {kind.most:g}")
     if kind.whole and value != int(value):
@@ -111,7 +111,8 @@
 
 
 def load(path: str) -> dict[str, float]:
-    """Read the file; raises FormError with one line."""
+    """Read the form in a file; returns its sizes by key. Raises FormError with one line that names the
+    file."""
     try:
         return form_from(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as problem:
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -1,8 +1,9 @@
-"""Rows worked out: formulas over the sizes of a form, measured slopes and the program's own constants.
+"""Evaluation of the rows' formulas over the sizes of a form, measured slopes and the program's constants.
 
-A formula is arithmetic: a slope is called with a size; `growth(slope, x)` is what x of them add to
-what there is without them; `words(rate)` and `word_bytes(rate)` are what a gatekeeper
-tells at that rate with the form's sets."""
+A formula is arithmetic on names of sizes and constants. `NAME(x)` is the slope NAME at the size x;
+`growth(NAME, x)` is the difference between the slope at x and at 0; `words(rate)` and `word_bytes(rate)` are
+the number and the bytes of peer messages that a gateway sends per second at that request rate, with the
+form's gateway sets."""
 
 from __future__ import annotations
 
@@ -32,30 +33,30 @@
 from plumpick.tools.configuration_service import MAX_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
-SETS = (3, 20)  # of which words were measured at several rates
-SILENT = 2  # services of versions in turn that a row takes to be silent
+SETS = (3, 20)  # sizes of gateway sets for which messages were measured at several request rates
+SILENT = 2  # number of unreachable version services that the longest notification time assumes
 
 
 class ModelError(ValueError):
-    """A formula that cannot be worked out; the text says why."""
+    """A formula cannot be evaluated; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One row worked out."""
+    """One evaluated row."""
 
     row: Row
     value: float
     limit: float | None
     mechanism: str
     slopes: tuple[str, ...]
-    outside: tuple[str, ...]  # slopes read beyond what was measured
-    off: float  # largest residual of the slopes read
-    put_together: bool = False  # from slopes that were not measured together
+    outside: tuple[str, ...]  # slopes used outside their measured range, each with size and range
+    off: float  # largest residual of the slopes used
+    put_together: bool = False  # whether slopes of separate measurements were combined
 
     @property
     def ratio(self) -> float | None:
-        """Figure by limit; None without a limit."""
+        """The value divided by the limit; None without a limit."""
         return None if self.limit is None else self.value / self.limit
 
     @property
@@ -64,7 +65,7 @@
 
     @property
     def range(self) -> str:
-        """How far what was measured carries it."""
+        """How the value is backed by measurements, as printed in the column `range`."""
         if not self.slopes:
             return FORMULA
         if self.outside:
@@ -75,13 +76,13 @@
 
 @cache
 def _publish_s() -> float:
-    """After how long `publish` puts a version in force where it is not told; read once: parsers are slow."""
+    """The default of `publish --in-force-in` in seconds; cached, because building the parser is slow."""
     given = parser().parse_args(["configuration", "publish", "any", "--to", "any"])
     return float(given.in_force_in)
 
 
 def needs_restart(before: Settings, after: Settings) -> bool:
-    """Whether the program takes over such settings only by a restart."""
+    """Whether a gateway with the settings `before` must be restarted to apply `after`."""
     try:
         check(before, after)
     except ReconfigurationError:
@@ -90,7 +91,8 @@
 
 
 def constants(sizes: Mapping[str, float]) -> dict[str, float]:
-    """What the program's own text says at these sizes."""
+    """The program's constants and what it computes for a tier of these sizes, by the names used in
+    formulas."""
     gatekeepers = int(sizes["gatekeepers"])
     any_class = RequestClass("any", 1.0, 1.0, 1.0, Idempotency.IDEMPOTENT)
     tier = Settings(
@@ -132,8 +134,8 @@
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_TIMEOUT_MS,
         "shared_round_ms": endpoint_watch.MAX_ROUND_MS,
         "shared_worst_s": endpoint_watch.worst_notification_ms(True) / 1000,
-        "ending_s": shutdown_times([math.inf])[2],  # of classes with long deadlines
-        # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
+        "ending_s": shutdown_times([math.inf])[2],  # with request classes that have long deadlines
+        # 1 if a change of request classes or plans, as the form counts them, requires a restart.
         "restarts_a_version": float(any(needs_restart(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_notification_ms(1) / 1000, _publish_s()),
         "version_worst_s": subscriber.worst_notification_ms(SILENT) / 1000,
@@ -145,7 +147,7 @@
 
 @dataclass(slots=True)
 class _Reading:
-    """One formula worked out; what it read is kept."""
+    """The evaluation of one formula, which records the slopes that were used."""
 
     sizes: Mapping[str, float]
     named: Mapping[str, float]
@@ -164,15 +166,17 @@
         return slope.at(x)
 
     def growth(self, name: str, x: float) -> float:
-        """What x of them add, by a straight line."""
+        """The difference of a linear slope between x and 0. Raises ModelError for any other form."""
         whole, slope = self.at(name, x), self.slopes[name]
         if slope.form != LINEAR:
             raise ModelError(f"{name}: no straight line")
         return whole - slope.at(0.0)
 
     def told(self, what: str, rate: float) -> float:
-        """Words or bytes told at a rate. For sets that were not measured at that rate: what sets of 3 or 20
-        have at it, in proportion to what the set has at the rate of the sets' slope."""
+        """Messages or bytes sent per second at a request rate.
+
+        If the form's set size was not measured by rate, the value of the nearest measured set size is scaled
+        by the ratio of both set sizes in the slope by set size."""
         spread = self.sizes["set"]
         near = SETS[0] if spread < math.sqrt(SETS[0] * SETS[1]) else SETS[1]
         by_rate = self.at(f"{what}_by_rate_{near}", rate)
@@ -224,7 +228,7 @@
     slopes: Mapping[str, Slope],
     mechanisms: Mapping[str, str] = MECHANISMS,
 ) -> Line:
-    """One row at these sizes. Raises ModelError."""
+    """Evaluate one row at these sizes. Raises ModelError."""
     reading = _Reading(sizes, {**constants(sizes), **sizes}, slopes)
     value = reading.value(row.formula)
     limit = reading.value(row.limit) if row.limit else None
@@ -247,11 +251,11 @@
 def lines_of(
     sizes: Mapping[str, float], slopes: Mapping[str, Slope], rows: tuple[Row, ...] = ROWS
 ) -> list[Line]:
-    """All rows, what passes its limit by most first; those without a limit last."""
+    """Evaluate all rows; sorted by the ratio to their limits, largest first, rows without a limit last."""
     lines = [line_of(row, sizes, slopes) for row in rows]
     return sorted(lines, key=lambda line: -1.0 if line.ratio is None else line.ratio, reverse=True)
 
 
 def missing_of(lines: list[Line]) -> list[Line]:
-    """What passes its limit and is carried by no mechanism, by ratio."""
+    """The lines beyond their limits for which the program has no mechanism, in the given order."""
     return [line for line in lines if line.is_missing and line.ratio is not None and line.ratio > 1]
--- a/plumpick/capacity/page.py
+++ b/plumpick/capacity/page.py
@@ -14,14 +14,14 @@
 
 
 def number(value: float) -> str:
-    """Three figures, and all before the point."""
+    """A number with three significant digits; from 100 on as an integer, below 0.001 in exponential form."""
     if value and abs(value) < 0.001:
         return f"{value:.1e}"
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
 def rows_table(lines: Sequence[Line]) -> str:
-    """All rows."""
+    """The table of all evaluated rows, in Markdown."""
     head = [
         "| role or event | figure | at this size | limit | ratio | carried by | range | worked out as |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -43,7 +43,7 @@
 
 
 def slopes_table(slopes: Sequence[Slope]) -> str:
-    """What was measured."""
+    """The table of all measured slopes, in Markdown."""
     head = [
         "| slope | what | unit | by | points | curve | off | rounds apart | decisions | date |",
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -62,7 +62,7 @@
 
 
 def missing_text(lines: list[Line]) -> str:
-    """What is missing first, and which come next."""
+    """The list of figures beyond their limits without a mechanism, largest ratio first, in Markdown."""
     rows = missing_of(lines)
     if not rows:
         return "Nothing that passes its limit lacks a mechanism."
@@ -74,7 +74,7 @@
 
 
 def pairs_table(lines: Sequence[Line]) -> str:
-    """Where there are rows of both ways for one figure of a role or event: both, side by side."""
+    """The table of figures that have rows for both ways of changing settings, side by side, in Markdown."""
     head = [f"| role or event | figure | {BEFORE} | {WITH} |", "| --- | --- | --- | --- |"]
     found: dict[tuple[str, str], tuple[list[str], list[str]]] = {}
     for row in ROWS:
@@ -96,7 +96,7 @@
 
 
 def gaps_table() -> str:
-    """Which figures of which role or event have a row."""
+    """The table of the number of rows for each role or event and figure, in Markdown."""
     head = [f"| | {' | '.join(FIGURES)} |", "| --- |" + " --- |" * len(FIGURES)]
     body = []
     for who in (*ROLES, *EVENTS):
@@ -106,7 +106,7 @@
 
 
 def parts(lines: list[Line], slopes: Sequence[Slope]) -> dict[str, str]:
-    """All generated parts of the page."""
+    """All generated parts of the page, by name."""
     return {
         ROWS_TABLE: rows_table(lines),
         SLOPES_TABLE: slopes_table(slopes),
@@ -117,7 +117,8 @@
 
 
 def between(text: str, name: str) -> str:
-    """What stands between a part's marks. Raises ValueError where they are not there once each, in order."""
+    """The text between the begin and end marks of a part. Raises ValueError unless each mark occurs once, in
+    order."""
     begin, end = BEGIN.format(name), END.format(name)
     if text.count(begin) != 1 or text.count(end) != 1 or text.index(begin) > text.index(end):
         raise ValueError(f"the marks of {name} do not stand once each, in order")
@@ -125,7 +126,7 @@
 
 
 def with_parts(text: str, news: Mapping[str, str]) -> str:
-    """The page with these parts in place of its own."""
+    """The page with these parts replaced, by name. Raises ValueError if a part has no valid marks."""
     for name, part in news.items():
         old = between(text, name)
         begin, end = BEGIN.format(name), END.format(name)
@@ -134,7 +135,7 @@
 
 
 def as_dict(line: Line) -> dict[str, Any]:
-    """A row for --json."""
+    """An evaluated row as printed by --json."""
     row = line.row
     return {
         "who": row.who,
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -1,8 +1,8 @@
-"""The rows of docs/CAPACITY.md, as data: what each role and event takes, worked out by a formula of slopes,
-of the form's sizes and of the program's own constants (model.py lists the names), against a limit of the
+"""The rows of docs/CAPACITY.md as data: the resources that each role and event needs, each with a formula of
+slopes, of the form's sizes and of the program's constants (model.py lists the names), and a limit of the
 form.
 
-No figure stands here but changes of unit, and 1 where the program has one of a thing."""
+Formulas contain no numbers other than unit conversions, and 1 for a thing of which the program has one."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 )
 FIGURES = ("state", "messages", "bytes", "CPU", "memory", "descriptors", "recovery", "delay", "reach")
 
-# What carries a row: file and function, or "none". Whoever builds what is missing names it here, and gives
-# its rows the formulas of what it takes.
+# The implementation that a row depends on: file and function, or "none" if it is missing. Once it exists, it is
+# named here, and its rows get the formulas of its resources.
 MECHANISMS = {
     "period": "plumpick/policy/endpoint_table.py, EndpointTable.on_period",
     "shares": "plumpick/policy/admission.py, AdmissionQueue.on_period",
@@ -56,22 +56,23 @@
     "watching": "plumpick/policy/endpoint_watch.py, EndpointWatch",
     "estate": "plumpick/policy/snapshot.py, export_state and import_state",
     "settings": "plumpick/policy/settings_parser.py, parse_settings",
-    "file": "plumpick/gateway/config.py, load",  # what stands there is in force at the next start
-    # Settings in force without a restart: off unless the operator's file names a [configuration].
+    "file": "plumpick/gateway/config.py, load",  # changes of the file take effect at the next start
+    # Changes of settings without a restart; only if the operator's file has a [configuration] section.
     "versions": "plumpick/gateway/dynamic_config/client.py, ConfigClient",
     "change": "plumpick/policy/reconfiguration.py, apply",
     "waits": "plumpick/policy/dynamic_config/subscriber.py, ConfigSubscriber",
     "versions' service": "plumpick/tools/configuration_service.py, VersionService",
     "kept versions": "plumpick/policy/dynamic_config/version_store.py, VersionStore",
     "publishing": "plumpick/tools/configuration.py, publish and status",
-    "services": NONE,  # pools of workers, with routes to them
-    "calls to all": NONE,  # one call that reaches all gatekeepers
+    "services": NONE,  # several pools of workers, with routes to them
+    "calls to all": NONE,  # one operator's command that reaches all gateways
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row: `formula` and `limit` in the names of model.py; no limit where the operators set none."""
+    """One row of the table. `formula` and `limit` use the names of model.py; `limit` is empty if there is
+    none."""
 
     who: str
     figure: str
@@ -86,12 +87,12 @@
 MEAN = "requests_per_s / gatekeepers"
 CPU = "100 * cpu_part"
 CHANGED = "replaced_per_day * entries_a_replacement"
-# The two ways by which a change of the settings comes into force; rows of one figure stand in pairs.
+# The two ways in which a change of settings takes effect. Rows of one figure for both are shown as pairs.
 BEFORE, WITH = "before, with no service of versions named", "with versions from a service"
-SERVED = "gatekeepers / machines"  # by the service at one of the machines
+SERVED = "gatekeepers / machines"  # number of gateways of the version service on one machine
 
 ROWS = (
-    # A gatekeeper that serves.
+    # A serving gateway.
     Row(
         "gatekeeper",
         "CPU",
@@ -295,7 +296,7 @@
         "",
         "process",
     ),
-    # A firm's home.
+    # The owner of a customer's quota.
     Row("home of a firm", "state", "stores of firms at their home", "entries", HOMES, "", "home"),
     Row(
         "home of a firm",
@@ -715,7 +716,7 @@
         "",
         "process",
     ),
-    # One service of versions with all gatekeepers; where there are several each has its part.
+    # One version service with all gateways; several services share them.
     Row(
         "service of versions",
         "messages",
@@ -818,7 +819,7 @@
         "services_most",
         "publishing",
     ),
-    # The machines set aside, with a service of versions at each.
+    # The dedicated machines, each with a version service.
     Row(
         "each machine",
         "state",
--- a/plumpick/capacity/slopes.py
+++ b/plumpick/capacity/slopes.py
@@ -1,6 +1,6 @@
-"""Measured slopes: a curve through points, with how far it is off, kept as data in slopes.json.
+"""Measured slopes: a curve fitted to points, with its largest deviation, stored in slopes.json.
 
-`python -m benchmarks.slopes` measures and writes them; nothing else does."""
+Only `python -m benchmarks.slopes` measures and writes them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LINEAR, SORTED, POWER, SATURATING = "a + b x", "a + b x ln x", "a x^b", "a x / (b + x)"
 FORMS = (LINEAR, SORTED, POWER, SATURATING)
 LEAST_POINTS = 4
-COMPILED, PLAIN, EITHER = "compiled", "plain", "either"  # decisions under which a slope was measured
+COMPILED, PLAIN, EITHER = "compiled", "plain", "either"  # kinds of the policy with which a slope was measured
 KEYS = {
     "name",
     "what",
@@ -37,11 +37,11 @@
 
 
 class SlopesError(ValueError):
-    """Slopes that cannot be used; the text says why."""
+    """A slope or a file of slopes is invalid; the text gives the reason."""
 
 
 def value(form: str, a: float, b: float, x: float) -> float:
-    """The curve at x."""
+    """The value of the curve of this form, with the parameters a and b, at x."""
     if form == LINEAR:
         return a + b * x
     if form == SORTED:
@@ -52,7 +52,7 @@
 
 
 def _line(rows: Sequence[tuple[float, float, float]]) -> tuple[float, float]:
-    """Least squares of v = a + b u, with weights."""
+    """Fit v = a + b u by weighted least squares to rows of (u, v, weight); returns a and b."""
     whole = sum(weight for _, _, weight in rows)
     mean_u = sum(u * weight for u, _, weight in rows) / whole
     mean_v = sum(v * weight for _, v, weight in rows) / whole
@@ -62,7 +62,8 @@
 
 
 def fit(form: str, points: Sequence[Point]) -> tuple[float, float]:
-    """a and b by least squares of the relative deviation. Raises SlopesError where the form cannot hold."""
+    """Fit a curve of this form by least squares of the relative deviation; returns a and b. Raises
+    SlopesError if the form cannot represent the points."""
     if any(y <= 0 for _, y in points):
         if form != LINEAR:
             raise SlopesError(f"{form}: needs values above 0")
@@ -85,12 +86,12 @@
 
 
 def residual(form: str, a: float, b: float, points: Sequence[Point]) -> float:
-    """The largest deviation of the curve from a point, as a share of the point's value."""
+    """The largest deviation of the curve from a point, relative to the point's value."""
     return max(abs(value(form, a, b, x) - y) / abs(y) if y else abs(value(form, a, b, x)) for x, y in points)
 
 
 def best_fit(points: Sequence[Point], forms: Sequence[str] = FORMS) -> tuple[str, float, float, float]:
-    """Form, a, b and residual of whichever form is off least."""
+    """Form, a, b and residual of the form with the smallest residual."""
     found = []
     for form in forms:
         try:
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One measured slope."""
+    """One measured slope. The fields are the keys of slopes.json."""
 
     name: str
     what: str
@@ -116,7 +117,9 @@
     b: float
     points: tuple[Point, ...]
     residual: float
-    scatter: float  # largest by smallest of the rounds at one size, where it is worst; 1 with one round
+    scatter: (
+        float  # ratio of the largest to the smallest round at the size with the worst ratio; 1 for one round
+    )
     command: str
     date: str
     machine: str
@@ -133,11 +136,11 @@
         return max(x for x, _ in self.points)
 
     def holds(self, x: float) -> bool:
-        """Whether x lies in the measured range."""
+        """Whether x is within the measured range."""
         return self.least <= x <= self.most
 
     def check(self) -> None:
-        """Raises SlopesError where curve, points and residual are not of one another."""
+        """Check that a, b and the residual are those of the points. Raises SlopesError if not."""
         if len(self.points) < LEAST_POINTS or len({x for x, _ in self.points}) != len(self.points):
             raise SlopesError(f"{self.name}: {LEAST_POINTS} points at different sizes are due")
         a, b = fit(self.form, self.points)
@@ -151,7 +154,7 @@
 
 
 def slope_from(row: Any) -> Slope:
-    """A slope of the file. Raises SlopesError."""
+    """Parse and check one slope of the file. Raises SlopesError."""
     if not isinstance(row, dict) or set(row) != KEYS:
         raise SlopesError(f"a slope has the keys {', '.join(sorted(KEYS))}")
     try:
@@ -163,7 +166,7 @@
 
 
 def read(path: Path = FILE) -> tuple[Slope, ...]:
-    """All slopes of the file, each looked at. Raises OSError or SlopesError."""
+    """Read and check all slopes of the file. Raises OSError or SlopesError."""
     try:
         rows = list(json.loads(path.read_text(encoding="utf-8"))["slopes"])
     except (ValueError, KeyError, TypeError) as problem:
@@ -172,7 +175,8 @@
 
 
 def chosen(slopes: Sequence[Slope]) -> dict[str, Slope]:
-    """By name; measured on compiled decisions, as the deploy file builds them, where there are such."""
+    """The slopes by name. Slopes measured with the compiled policy, as the deploy file builds it, are
+    preferred."""
     found: dict[str, Slope] = {}
     for slope in sorted(slopes, key=lambda one: one.decisions == COMPILED):
         found[slope.name] = slope
