--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -33,8 +33,8 @@
 )
 FIGURES = ("state", "messages", "bytes", "CPU", "memory", "descriptors", "recovery", "delay", "reach")
 
-# The implementation that a row depends on: file and function, or "none" if it is missing. Once it exists, it is
-# named here, and its rows get the formulas of its resources.
+# The implementation that a row depends on: file and function, or "none" if it is missing. Once it exists, it
+# is named here, and its rows get the formulas of its resources.
 MECHANISMS = {
     "period": "plumpick/policy/endpoint_table.py, EndpointTable.on_period",
     "shares": "plumpick/policy/admission.py, AdmissionQueue.on_period",
