--- a/plumpick/capacity/form.py
+++ b/plumpick/capacity/form.py
@@ -73,15 +73,15 @@
     """Check a decoded form; returns its sizes by key, without the names of tables. Raises FormError."""
     for part in value:
         if part not in KEYS:
-            raise FormError(f"{part}: no such table; there are {', '.join(KEYS)}")
+            raise FormError(f"{part}: unknown table; expected {', '.join(KEYS)}")
     sizes: dict[str, float] = {}
     for part, keys in KEYS.items():
         table = value.get(part)
         if not isinstance(table, Mapping):
-            raise FormError(f"{part}: is missing" if table is None else f"{part}: is no table")
+            raise FormError(f"{part}: is missing" if table is None else f"{part}: expected a table")
         for key in table:
             if key not in keys:
-                raise FormError(f"{part}.{key}: no such key; there are {', '.join(keys)}")
+                raise FormError(f"{part}.{key}: unknown key; expected {', '.join(keys)}")
         for key, kind in keys.items():
             sizes[key] = _number(table.get(key), f"{part}.{key}", kind)
     if sizes["set"] > sizes["gatekeepers"]:
@@ -91,7 +91,9 @@
     if sizes["rack_workers"] > sizes["workers"]:
         raise FormError(f"tier.rack_workers: {sizes['rack_workers']:g} is more than tier.workers")
     if sizes["busiest_per_s"] * sizes["gatekeepers"] < sizes["requests_per_s"]:
-        raise FormError(f"load.busiest_per_s: {sizes['busiest_per_s']:g} is under the mean of all")
+        raise FormError(
+            f"load.busiest_per_s: {sizes['busiest_per_s']:g} is less than the mean of all gatekeepers"
+        )
     if sizes["restart_parts"] > sizes["gatekeepers"]:
         raise FormError(f"changes.restart_parts: {sizes['restart_parts']:g} is more than tier.gatekeepers")
     return sizes
@@ -101,12 +103,12 @@
     if value is None:
         raise FormError(f"{path}: is missing")
     if type(value) not in (int, float) or type(value) is float and not math.isfinite(value):
-        raise FormError(f"{path}: {value!r} is no number")
+        raise FormError(f"{path}: expected a finite number, got {value!r}")
     if not kind.least <= value <= kind.most:  # checked before any conversion: TOML integers have any length
         told = f"{value!r}" if abs(value) < 1e18 else "a number of more than 18 digits"
-        raise FormError(f"{path}: {told} is not from {kind.least:g} to {kind.most:g}")
+        raise FormError(f"{path}: expected {kind.least:g} to {kind.most:g}, got {told}")
     if kind.whole and value != int(value):
-        raise FormError(f"{path}: {value!r} is no whole number")
+        raise FormError(f"{path}: expected an integer, got {value!r}")
     return float(value)
 
 
@@ -118,6 +120,6 @@
     except OSError as problem:
         raise FormError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise FormError(f"{path}: no TOML: {problem}") from problem
+        raise FormError(f"{path}: not valid TOML: {problem}") from problem
     except FormError as problem:
         raise FormError(f"{path}: {problem}") from problem
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -110,7 +110,7 @@
     )
     default = operator_from({"fleet": {"voters": [0]}}, gatekeepers).fleet
     if default is None:
-        raise ModelError("the operator's file names no fleet")
+        raise ModelError("the default operator's file has no fleet settings")
     others = (
         replace(tier, classes=(*tier.classes, replace(any_class, name="other"))),
         replace(tier, plans=(*tier.plans, Plan("other"))),
@@ -159,7 +159,7 @@
     def at(self, name: str, x: float) -> float:
         slope = self.slopes.get(name)
         if slope is None:
-            raise ModelError(f"{name}: no such slope was measured")
+            raise ModelError(f"{name}: unknown slope")
         self.read[name] = slope
         if not slope.holds(x):
             self.outside[f"{name} at {x:,.4g}, measured {slope.least:,.4g} to {slope.most:,.4g}"] = None
@@ -169,7 +169,7 @@
         """The difference of a linear slope between x and 0. Raises ModelError for any other form."""
         whole, slope = self.at(name, x), self.slopes[name]
         if slope.form != LINEAR:
-            raise ModelError(f"{name}: no straight line")
+            raise ModelError(f"{name}: growth() requires a slope of the form {LINEAR}, got {slope.form}")
         return whole - slope.at(0.0)
 
     def told(self, what: str, rate: float) -> float:
@@ -202,7 +202,7 @@
                 try:
                     return _OPERATORS[type(op)](self._of(left), self._of(right))
                 except ZeroDivisionError as problem:
-                    raise ModelError(f"{ast.unparse(node)}: divided by 0") from problem
+                    raise ModelError(f"{ast.unparse(node)}: division by zero") from problem
             case ast.Call(func=ast.Name(id="growth"), args=[ast.Name(id=name), size], keywords=[]):
                 return self.growth(name, self._of(size))
             case ast.Call(func=ast.Name(id="words"), args=[rate], keywords=[]):
@@ -211,7 +211,7 @@
                 return self.told("bytes", self._of(rate))
             case ast.Call(func=ast.Name(id=name), args=[size], keywords=[]):
                 return self.at(name, self._of(size))
-        raise ModelError(f"{ast.unparse(node)}: is no part of a formula")
+        raise ModelError(f"{ast.unparse(node)}: expression not allowed in a formula")
 
 
 _OPERATORS: dict[Any, Callable[[float, float], float]] = {
@@ -233,9 +233,9 @@
     value = reading.value(row.formula)
     limit = reading.value(row.limit) if row.limit else None
     if limit is not None and limit <= 0:
-        raise ModelError(f"{row.who}, {row.what}: a limit of {limit:g}")
+        raise ModelError(f"{row.who}, {row.what}: expected a limit above 0, got {limit:g}")
     if row.mechanism not in mechanisms:
-        raise ModelError(f"{row.mechanism}: no such mechanism")
+        raise ModelError(f"{row.mechanism}: unknown mechanism")
     return Line(
         row,
         value,
--- a/plumpick/capacity/page.py
+++ b/plumpick/capacity/page.py
@@ -121,7 +121,7 @@
     order."""
     begin, end = BEGIN.format(name), END.format(name)
     if text.count(begin) != 1 or text.count(end) != 1 or text.index(begin) > text.index(end):
-        raise ValueError(f"the marks of {name} do not stand once each, in order")
+        raise ValueError(f"expected one begin mark and one end mark of the part {name!r}, in this order")
     return text[text.index(begin) + len(begin) : text.index(end)].strip("\n")
 
 
--- a/plumpick/capacity/slopes.py
+++ b/plumpick/capacity/slopes.py
@@ -66,12 +66,12 @@
     SlopesError if the form cannot represent the points."""
     if any(y <= 0 for _, y in points):
         if form != LINEAR:
-            raise SlopesError(f"{form}: needs values above 0")
+            raise SlopesError(f"{form}: requires values above 0")
         return _line([(x, y, 1.0) for x, y in points])
     if form == LINEAR:
         return _line([(x, y, 1 / y**2) for x, y in points])
     if any(x <= 0 for x, _ in points):
-        raise SlopesError(f"{form}: needs sizes above 0")
+        raise SlopesError(f"{form}: requires sizes above 0")
     if form == SORTED:
         return _line([(x * math.log(x), y, 1 / y**2) for x, y in points])
     if form == POWER:
@@ -80,9 +80,9 @@
     if form == SATURATING:  # x / y = b / a + x / a
         c, d = _line([(x, x / y, (y / x) ** 2) for x, y in points])
         if d <= 0 or c < 0:
-            raise SlopesError(f"{form}: does not bend so")
+            raise SlopesError(f"{form}: cannot represent the points, which do not saturate")
         return 1 / d, c / d
-    raise SlopesError(f"{form!r} is none of {', '.join(FORMS)}")
+    raise SlopesError(f"unknown form {form!r}, expected one of {', '.join(FORMS)}")
 
 
 def residual(form: str, a: float, b: float, points: Sequence[Point]) -> float:
@@ -142,21 +142,21 @@
     def check(self) -> None:
         """Check that a, b and the residual are those of the points. Raises SlopesError if not."""
         if len(self.points) < LEAST_POINTS or len({x for x, _ in self.points}) != len(self.points):
-            raise SlopesError(f"{self.name}: {LEAST_POINTS} points at different sizes are due")
+            raise SlopesError(f"{self.name}: expected at least {LEAST_POINTS} points, all at different sizes")
         a, b = fit(self.form, self.points)
         if not all(
             math.isclose(mine, told, rel_tol=1e-6, abs_tol=1e-12) for mine, told in ((a, self.a), (b, self.b))
         ):
-            raise SlopesError(f"{self.name}: a and b are not those of its points")
+            raise SlopesError(f"{self.name}: a and b do not match the points")
         off = residual(self.form, a, b, self.points)
         if not math.isclose(off, self.residual, rel_tol=1e-6, abs_tol=1e-9):
-            raise SlopesError(f"{self.name}: its residual is not that of its points")
+            raise SlopesError(f"{self.name}: the residual does not match the points")
 
 
 def slope_from(row: Any) -> Slope:
     """Parse and check one slope of the file. Raises SlopesError."""
     if not isinstance(row, dict) or set(row) != KEYS:
-        raise SlopesError(f"a slope has the keys {', '.join(sorted(KEYS))}")
+        raise SlopesError(f"expected a slope with the keys {', '.join(sorted(KEYS))}")
     try:
         slope = Slope(**{**row, "points": tuple((float(x), float(y)) for x, y in row["points"])})
         slope.check()
@@ -170,7 +170,7 @@
     try:
         rows = list(json.loads(path.read_text(encoding="utf-8"))["slopes"])
     except (ValueError, KeyError, TypeError) as problem:
-        raise SlopesError(f"{path.name}: cannot be read: {problem}") from problem
+        raise SlopesError(f"{path.name}: malformed: {problem}") from problem
     return tuple(slope_from(row) for row in rows)
 
 
