--- a/plumpick/capacity/form.py
+++ b/plumpick/capacity/form.py
@@ -19,57 +19,57 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Key:
+class KeyRange:
     """The range of a key's values, and whether they must be integers."""
 
-    least: float
-    most: float
-    whole: bool = True
+    minimum: float
+    maximum: float
+    is_integer: bool = True
 
 
 # Sizes outside these ranges are taken for typing errors.
-KEYS: dict[str, dict[str, Key]] = {
+KEYS: dict[str, dict[str, KeyRange]] = {
     "tier": {
-        "gatekeepers": Key(1, 10_000),
-        "workers": Key(1, 100_000),
-        "services": Key(1, 10_000),
-        "regions": Key(1, 100),
-        "zones": Key(1, 1000),
-        "rack_workers": Key(0, 10_000),
+        "gatekeepers": KeyRange(1, 10_000),
+        "workers": KeyRange(1, 100_000),
+        "services": KeyRange(1, 10_000),
+        "regions": KeyRange(1, 100),
+        "zones": KeyRange(1, 1000),
+        "rack_workers": KeyRange(0, 10_000),
     },
     "load": {
-        "requests_per_s": Key(1, 1e8, False),
-        "busiest_per_s": Key(1, 1e6, False),
-        "tenants": Key(1, 1e8),
-        "set": Key(1, 10_000),
-        "classes": Key(1, MAX_CLASSES),
-        "routes": Key(1, MAX_CLASSES),
-        "plans": Key(1, MAX_PLANS),
-        "answer_ms": Key(0, 60_000, False),
+        "requests_per_s": KeyRange(1, 1e8, False),
+        "busiest_per_s": KeyRange(1, 1e6, False),
+        "tenants": KeyRange(1, 1e8),
+        "set": KeyRange(1, 10_000),
+        "classes": KeyRange(1, MAX_CLASSES),
+        "routes": KeyRange(1, MAX_CLASSES),
+        "plans": KeyRange(1, MAX_PLANS),
+        "answer_ms": KeyRange(0, 60_000, False),
     },
     "changes": {
-        "configuration_per_day": Key(0, 1e6, False),
-        "replaced_per_day": Key(0, 1e6, False),
-        "entries_a_replacement": Key(1, 10),
-        "cut_off_s": Key(0, 86_400, False),
-        "restart_parts": Key(1, 1000),
+        "configuration_per_day": KeyRange(0, 1e6, False),
+        "replaced_per_day": KeyRange(0, 1e6, False),
+        "entries_a_replacement": KeyRange(1, 10),
+        "cut_off_s": KeyRange(0, 86_400, False),
+        "restart_parts": KeyRange(1, 1000),
     },
     "limits": {
-        "cpu_part": Key(1e-6, 1, False),
-        "memory_mb": Key(1, 1e6, False),
-        "bytes_per_s": Key(1, 1e10, False),
-        "words_taken_in_per_s": Key(1, 1e6, False),
-        "told_s": Key(0.001, 86_400, False),
-        "added_ms": Key(0.001, 60_000, False),
-        "added_part": Key(1e-6, 1, False),
-        "machines": Key(1, 1000),
-        "restarts_per_day": Key(1, 1e8, False),
-        "descriptors": Key(16, 1e7),
+        "cpu_part": KeyRange(1e-6, 1, False),
+        "memory_mb": KeyRange(1, 1e6, False),
+        "bytes_per_s": KeyRange(1, 1e10, False),
+        "words_taken_in_per_s": KeyRange(1, 1e6, False),
+        "told_s": KeyRange(0.001, 86_400, False),
+        "added_ms": KeyRange(0.001, 60_000, False),
+        "added_part": KeyRange(1e-6, 1, False),
+        "machines": KeyRange(1, 1000),
+        "restarts_per_day": KeyRange(1, 1e8, False),
+        "descriptors": KeyRange(16, 1e7),
     },
 }
 
 
-def form_from(value: Mapping[str, Any]) -> dict[str, float]:  # noqa: C901  (to be split by concern)
+def parse_form(value: Mapping[str, Any]) -> dict[str, float]:  # noqa: C901  (to be split by concern)
     """Check a decoded form; returns its sizes by key, without the names of tables. Raises FormError."""
     for part in value:
         if part not in KEYS:
@@ -82,8 +82,8 @@
         for key in table:
             if key not in keys:
                 raise FormError(f"{part}.{key}: unknown key; expected {', '.join(keys)}")
-        for key, kind in keys.items():
-            sizes[key] = _number(table.get(key), f"{part}.{key}", kind)
+        for key, key_range in keys.items():
+            sizes[key] = _number(table.get(key), f"{part}.{key}", key_range)
     if sizes["set"] > sizes["gatekeepers"]:
         raise FormError(f"load.set: {sizes['set']:g} is more than tier.gatekeepers, {sizes['gatekeepers']:g}")
     if sizes["zones"] > sizes["workers"]:
@@ -99,15 +99,17 @@
     return sizes
 
 
-def _number(value: Any, path: str, kind: Key) -> float:
+def _number(value: Any, path: str, key_range: KeyRange) -> float:
     if value is None:
         raise FormError(f"{path}: is missing")
     if type(value) not in (int, float) or type(value) is float and not math.isfinite(value):
         raise FormError(f"{path}: expected a finite number, got {value!r}")
-    if not kind.least <= value <= kind.most:  # checked before any conversion: TOML integers have any length
-        told = f"{value!r}" if abs(value) < 1e18 else "a number of more than 18 digits"
-        raise FormError(f"{path}: expected {kind.least:g} to {kind.most:g}, got {told}")
-    if kind.whole and value != int(value):
+    if (
+        not key_range.minimum <= value <= key_range.maximum
+    ):  # checked before any conversion: TOML integers have any length
+        shown = f"{value!r}" if abs(value) < 1e18 else "a number of more than 18 digits"
+        raise FormError(f"{path}: expected {key_range.minimum:g} to {key_range.maximum:g}, got {shown}")
+    if key_range.is_integer and value != int(value):
         raise FormError(f"{path}: expected an integer, got {value!r}")
     return float(value)
 
@@ -116,7 +118,7 @@
     """Read the form in a file; returns its sizes by key. Raises FormError with one line that names the
     file."""
     try:
-        return form_from(tomllib.loads(Path(path).read_text(encoding="utf-8")))
+        return parse_form(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as problem:
         raise FormError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -33,8 +33,11 @@
 from plumpick.tools.configuration_service import MAX_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
-SETS = (3, 20)  # sizes of gateway sets for which messages were measured at several request rates
-SILENT = 2  # number of unreachable version services that the longest notification time assumes
+MEASURED_SET_SIZES = (
+    3,
+    20,
+)  # sizes of gateway sets for which messages were measured at several request rates
+UNREACHABLE_SERVICES = 2  # number of unreachable version services that the longest notification time assumes
 
 
 class ModelError(ValueError):
@@ -42,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class EvaluatedRow:
     """One evaluated row."""
 
     row: Row
@@ -51,8 +54,8 @@
     mechanism: str
     slopes: tuple[str, ...]
     outside: tuple[str, ...]  # slopes used outside their measured range, each with size and range
-    off: float  # largest residual of the slopes used
-    put_together: bool = False  # whether slopes of separate measurements were combined
+    max_residual: float  # largest residual of the slopes used
+    is_combined: bool = False  # whether slopes of separate measurements were combined
 
     @property
     def ratio(self) -> float | None:
@@ -70,8 +73,8 @@
             return FORMULA
         if self.outside:
             return f"outside: {', '.join(self.outside)}"
-        more = ", put together" if self.put_together else ""
-        return f"{MEASURED}, off {100 * self.off:.0f} % at most{more}"
+        more = ", put together" if self.is_combined else ""
+        return f"{MEASURED}, off {100 * self.max_residual:.0f} % at most{more}"
 
 
 @cache
@@ -138,7 +141,7 @@
         # 1 if a change of request classes or plans, as the form counts them, requires a restart.
         "restarts_a_version": float(any(needs_restart(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_notification_ms(1) / 1000, _publish_s()),
-        "version_worst_s": subscriber.worst_notification_ms(SILENT) / 1000,
+        "version_worst_s": subscriber.worst_notification_ms(UNREACHABLE_SERVICES) / 1000,
         "versions_kept": float(version_store.MAX_VERSIONS),
         "connections_most": float(MAX_CONNECTIONS),
         "services_most": float(MAX_CONFIGURATION_SERVICES),
@@ -146,71 +149,79 @@
 
 
 @dataclass(slots=True)
-class _Reading:
+class _Evaluation:
     """The evaluation of one formula, which records the slopes that were used."""
 
     sizes: Mapping[str, float]
-    named: Mapping[str, float]
+    names: Mapping[str, float]
     slopes: Mapping[str, Slope]
-    read: dict[str, Slope] = field(default_factory=dict)
+    used: dict[str, Slope] = field(default_factory=dict)
     outside: dict[str, None] = field(default_factory=dict)
-    put_together: bool = False
+    is_combined: bool = False
 
-    def at(self, name: str, x: float) -> float:
+    def slope_value(self, name: str, x: float) -> float:
         slope = self.slopes.get(name)
         if slope is None:
             raise ModelError(f"{name}: unknown slope")
-        self.read[name] = slope
-        if not slope.holds(x):
-            self.outside[f"{name} at {x:,.4g}, measured {slope.least:,.4g} to {slope.most:,.4g}"] = None
-        return slope.at(x)
+        self.used[name] = slope
+        if not slope.covers(x):
+            self.outside[f"{name} at {x:,.4g}, measured {slope.min_x:,.4g} to {slope.max_x:,.4g}"] = None
+        return slope.value_at(x)
 
     def growth(self, name: str, x: float) -> float:
         """The difference of a linear slope between x and 0. Raises ModelError for any other form."""
-        whole, slope = self.at(name, x), self.slopes[name]
+        value, slope = self.slope_value(name, x), self.slopes[name]
         if slope.form != LINEAR:
             raise ModelError(f"{name}: growth() requires a slope of the form {LINEAR}, got {slope.form}")
-        return whole - slope.at(0.0)
+        return value - slope.value_at(0.0)
 
-    def told(self, what: str, rate: float) -> float:
+    def sent_per_s(self, what: str, rate: float) -> float:
         """Messages or bytes sent per second at a request rate.
 
         If the form's set size was not measured by rate, the value of the nearest measured set size is scaled
         by the ratio of both set sizes in the slope by set size."""
-        spread = self.sizes["set"]
-        near = SETS[0] if spread < math.sqrt(SETS[0] * SETS[1]) else SETS[1]
-        by_rate = self.at(f"{what}_by_rate_{near}", rate)
-        if spread == near:
+        set_size = self.sizes["set"]
+        nearest_size = (
+            MEASURED_SET_SIZES[0]
+            if set_size < math.sqrt(MEASURED_SET_SIZES[0] * MEASURED_SET_SIZES[1])
+            else MEASURED_SET_SIZES[1]
+        )
+        by_rate = self.slope_value(f"{what}_by_rate_{nearest_size}", rate)
+        if set_size == nearest_size:
             return by_rate
-        self.put_together = True
-        return by_rate * self.at(f"{what}_by_set", spread) / self.at(f"{what}_by_set", near)
-
-    def value(self, formula: str) -> float:
+        self.is_combined = True
+        return (
+            by_rate
+            * self.slope_value(f"{what}_by_set", set_size)
+            / self.slope_value(f"{what}_by_set", nearest_size)
+        )
+
+    def evaluate(self, formula: str) -> float:
         try:
             tree = ast.parse(formula, mode="eval")
         except SyntaxError as problem:
             raise ModelError(f"{formula}: {problem}") from problem
-        return self._of(tree.body)
+        return self._evaluate_node(tree.body)
 
-    def _of(self, node: ast.expr) -> float:
+    def _evaluate_node(self, node: ast.expr) -> float:
         match node:
             case ast.Constant(value=int() | float() as number):
                 return float(number)
-            case ast.Name(id=name) if name in self.named:
-                return self.named[name]
+            case ast.Name(id=name) if name in self.names:
+                return self.names[name]
             case ast.BinOp(left=left, op=op, right=right) if type(op) in _OPERATORS:
                 try:
-                    return _OPERATORS[type(op)](self._of(left), self._of(right))
+                    return _OPERATORS[type(op)](self._evaluate_node(left), self._evaluate_node(right))
                 except ZeroDivisionError as problem:
                     raise ModelError(f"{ast.unparse(node)}: division by zero") from problem
             case ast.Call(func=ast.Name(id="growth"), args=[ast.Name(id=name), size], keywords=[]):
-                return self.growth(name, self._of(size))
+                return self.growth(name, self._evaluate_node(size))
             case ast.Call(func=ast.Name(id="words"), args=[rate], keywords=[]):
-                return self.told("words", self._of(rate))
+                return self.sent_per_s("words", self._evaluate_node(rate))
             case ast.Call(func=ast.Name(id="word_bytes"), args=[rate], keywords=[]):
-                return self.told("bytes", self._of(rate))
+                return self.sent_per_s("bytes", self._evaluate_node(rate))
             case ast.Call(func=ast.Name(id=name), args=[size], keywords=[]):
-                return self.at(name, self._of(size))
+                return self.slope_value(name, self._evaluate_node(size))
         raise ModelError(f"{ast.unparse(node)}: expression not allowed in a formula")
 
 
@@ -222,40 +233,40 @@
 }
 
 
-def line_of(
+def evaluate_row(
     row: Row,
     sizes: Mapping[str, float],
     slopes: Mapping[str, Slope],
     mechanisms: Mapping[str, str] = MECHANISMS,
-) -> Line:
+) -> EvaluatedRow:
     """Evaluate one row at these sizes. Raises ModelError."""
-    reading = _Reading(sizes, {**constants(sizes), **sizes}, slopes)
-    value = reading.value(row.formula)
-    limit = reading.value(row.limit) if row.limit else None
+    evaluation = _Evaluation(sizes, {**constants(sizes), **sizes}, slopes)
+    value = evaluation.evaluate(row.formula)
+    limit = evaluation.evaluate(row.limit) if row.limit else None
     if limit is not None and limit <= 0:
         raise ModelError(f"{row.who}, {row.what}: expected a limit above 0, got {limit:g}")
     if row.mechanism not in mechanisms:
         raise ModelError(f"{row.mechanism}: unknown mechanism")
-    return Line(
+    return EvaluatedRow(
         row,
         value,
         limit,
         mechanisms[row.mechanism],
-        tuple(sorted(reading.read)),
-        tuple(reading.outside),
-        max((one.residual for one in reading.read.values()), default=0.0),
-        reading.put_together,
+        tuple(sorted(evaluation.used)),
+        tuple(evaluation.outside),
+        max((one.residual for one in evaluation.used.values()), default=0.0),
+        evaluation.is_combined,
     )
 
 
-def lines_of(
+def evaluate_rows(
     sizes: Mapping[str, float], slopes: Mapping[str, Slope], rows: tuple[Row, ...] = ROWS
-) -> list[Line]:
+) -> list[EvaluatedRow]:
     """Evaluate all rows; sorted by the ratio to their limits, largest first, rows without a limit last."""
-    lines = [line_of(row, sizes, slopes) for row in rows]
+    lines = [evaluate_row(row, sizes, slopes) for row in rows]
     return sorted(lines, key=lambda line: -1.0 if line.ratio is None else line.ratio, reverse=True)
 
 
-def missing_of(lines: list[Line]) -> list[Line]:
+def rows_without_mechanism(lines: list[EvaluatedRow]) -> list[EvaluatedRow]:
     """The lines beyond their limits for which the program has no mechanism, in the given order."""
     return [line for line in lines if line.is_missing and line.ratio is not None and line.ratio > 1]
--- a/plumpick/capacity/slopes.py
+++ b/plumpick/capacity/slopes.py
@@ -40,7 +40,7 @@
     """A slope or a file of slopes is invalid; the text gives the reason."""
 
 
-def value(form: str, a: float, b: float, x: float) -> float:
+def curve_value(form: str, a: float, b: float, x: float) -> float:
     """The value of the curve of this form, with the parameters a and b, at x."""
     if form == LINEAR:
         return a + b * x
@@ -51,11 +51,11 @@
     return a * x / (b + x) if b + x else 0.0
 
 
-def _line(rows: Sequence[tuple[float, float, float]]) -> tuple[float, float]:
+def _fit_line(rows: Sequence[tuple[float, float, float]]) -> tuple[float, float]:
     """Fit v = a + b u by weighted least squares to rows of (u, v, weight); returns a and b."""
-    whole = sum(weight for _, _, weight in rows)
-    mean_u = sum(u * weight for u, _, weight in rows) / whole
-    mean_v = sum(v * weight for _, v, weight in rows) / whole
+    total_weight = sum(weight for _, _, weight in rows)
+    mean_u = sum(u * weight for u, _, weight in rows) / total_weight
+    mean_v = sum(v * weight for _, v, weight in rows) / total_weight
     spread = sum(weight * (u - mean_u) ** 2 for u, _, weight in rows)
     b = sum(weight * (u - mean_u) * (v - mean_v) for u, v, weight in rows) / spread if spread else 0.0
     return mean_v - b * mean_u, b
@@ -67,18 +67,18 @@
     if any(y <= 0 for _, y in points):
         if form != LINEAR:
             raise SlopesError(f"{form}: requires values above 0")
-        return _line([(x, y, 1.0) for x, y in points])
+        return _fit_line([(x, y, 1.0) for x, y in points])
     if form == LINEAR:
-        return _line([(x, y, 1 / y**2) for x, y in points])
+        return _fit_line([(x, y, 1 / y**2) for x, y in points])
     if any(x <= 0 for x, _ in points):
         raise SlopesError(f"{form}: requires sizes above 0")
     if form == SORTED:
-        return _line([(x * math.log(x), y, 1 / y**2) for x, y in points])
+        return _fit_line([(x * math.log(x), y, 1 / y**2) for x, y in points])
     if form == POWER:
-        log_a, b = _line([(math.log(x), math.log(y), 1.0) for x, y in points])
+        log_a, b = _fit_line([(math.log(x), math.log(y), 1.0) for x, y in points])
         return math.exp(log_a), b
     if form == SATURATING:  # x / y = b / a + x / a
-        c, d = _line([(x, x / y, (y / x) ** 2) for x, y in points])
+        c, d = _fit_line([(x, x / y, (y / x) ** 2) for x, y in points])
         if d <= 0 or c < 0:
             raise SlopesError(f"{form}: cannot represent the points, which do not saturate")
         return 1 / d, c / d
@@ -87,7 +87,10 @@
 
 def residual(form: str, a: float, b: float, points: Sequence[Point]) -> float:
     """The largest deviation of the curve from a point, relative to the point's value."""
-    return max(abs(value(form, a, b, x) - y) / abs(y) if y else abs(value(form, a, b, x)) for x, y in points)
+    return max(
+        abs(curve_value(form, a, b, x) - y) / abs(y) if y else abs(curve_value(form, a, b, x))
+        for x, y in points
+    )
 
 
 def best_fit(points: Sequence[Point], forms: Sequence[str] = FORMS) -> tuple[str, float, float, float]:
@@ -99,8 +102,8 @@
         except SlopesError:
             continue
         found.append((residual(form, a, b, points), FORMS.index(form), a, b))
-    least, place, a, b = min(found)
-    return FORMS[place], a, b, least
+    smallest_residual, place, a, b = min(found)
+    return FORMS[place], a, b, smallest_residual
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,20 +127,20 @@
     date: str
     machine: str
 
-    def at(self, x: float) -> float:
-        return value(self.form, self.a, self.b, x)
+    def value_at(self, x: float) -> float:
+        return curve_value(self.form, self.a, self.b, x)
 
     @property
-    def least(self) -> float:
+    def min_x(self) -> float:
         return min(x for x, _ in self.points)
 
     @property
-    def most(self) -> float:
+    def max_x(self) -> float:
         return max(x for x, _ in self.points)
 
-    def holds(self, x: float) -> bool:
+    def covers(self, x: float) -> bool:
         """Whether x is within the measured range."""
-        return self.least <= x <= self.most
+        return self.min_x <= x <= self.max_x
 
     def check(self) -> None:
         """Check that a, b and the residual are those of the points. Raises SlopesError if not."""
@@ -145,11 +148,12 @@
             raise SlopesError(f"{self.name}: expected at least {LEAST_POINTS} points, all at different sizes")
         a, b = fit(self.form, self.points)
         if not all(
-            math.isclose(mine, told, rel_tol=1e-6, abs_tol=1e-12) for mine, told in ((a, self.a), (b, self.b))
+            math.isclose(fitted, stored, rel_tol=1e-6, abs_tol=1e-12)
+            for fitted, stored in ((a, self.a), (b, self.b))
         ):
             raise SlopesError(f"{self.name}: a and b do not match the points")
-        off = residual(self.form, a, b, self.points)
-        if not math.isclose(off, self.residual, rel_tol=1e-6, abs_tol=1e-9):
+        expected_residual = residual(self.form, a, b, self.points)
+        if not math.isclose(expected_residual, self.residual, rel_tol=1e-6, abs_tol=1e-9):
             raise SlopesError(f"{self.name}: the residual does not match the points")
 
 
@@ -165,7 +169,7 @@
     return slope
 
 
-def read(path: Path = FILE) -> tuple[Slope, ...]:
+def load_slopes(path: Path = FILE) -> tuple[Slope, ...]:
     """Read and check all slopes of the file. Raises OSError or SlopesError."""
     try:
         rows = list(json.loads(path.read_text(encoding="utf-8"))["slopes"])
@@ -174,7 +178,7 @@
     return tuple(slope_from(row) for row in rows)
 
 
-def chosen(slopes: Sequence[Slope]) -> dict[str, Slope]:
+def select_slopes(slopes: Sequence[Slope]) -> dict[str, Slope]:
     """The slopes by name. Slopes measured with the compiled policy, as the deploy file builds it, are
     preferred."""
     found: dict[str, Slope] = {}
--- a/plumpick/tools/size.py
+++ b/plumpick/tools/size.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 
 from plumpick.capacity.form import FormError, load
-from plumpick.capacity.model import ModelError, lines_of
-from plumpick.capacity.page import as_dict, parts, rows_table, with_parts
-from plumpick.capacity.slopes import SlopesError, chosen, read
+from plumpick.capacity.model import ModelError, evaluate_rows
+from plumpick.capacity.page import generated_parts, line_as_json, replace_parts, rows_table
+from plumpick.capacity.slopes import SlopesError, load_slopes, select_slopes
 from plumpick.cli import EXIT_HELD, EXIT_USAGE
 
 
@@ -19,15 +19,17 @@
     """Run the command. Returns exit code 0 if the rows were printed or written, also if limits are exceeded,
     and 2 if the form, the slopes or the page are invalid."""
     try:
-        sizes, slopes = load(arguments.file), read()
-        lines = lines_of(sizes, chosen(slopes))
+        sizes, slopes = load(arguments.file), load_slopes()
+        lines = evaluate_rows(sizes, select_slopes(slopes))
         if arguments.page:
             page = Path(arguments.page)
-            text = with_parts(page.read_text(encoding="utf-8"), parts(lines, slopes))
+            text = replace_parts(page.read_text(encoding="utf-8"), generated_parts(lines, slopes))
             page.write_text(text, encoding="utf-8")
             return EXIT_HELD
     except (FormError, ModelError, SlopesError, OSError, ValueError) as problem:
         print(f"plumpick size: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    print(json.dumps([as_dict(line) for line in lines], indent=1) if arguments.json else rows_table(lines))
+    print(
+        json.dumps([line_as_json(line) for line in lines], indent=1) if arguments.json else rows_table(lines)
+    )
     return EXIT_HELD
--- a/tests/capacity/test_size.py
+++ b/tests/capacity/test_size.py
@@ -17,8 +17,8 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 TARGET, PAGE = ROOT / "deploy/target.toml", ROOT / "docs/CAPACITY.md"
-ALL = slopes.read()
-CHOSEN = slopes.chosen(ALL)
+ALL = slopes.load_slopes()
+CHOSEN = slopes.select_slopes(ALL)
 
 
 def target():
@@ -26,7 +26,7 @@
 
 
 def lines():
-    return model.lines_of(target(), CHOSEN)
+    return model.evaluate_rows(target(), CHOSEN)
 
 
 def printed(capsys, *words):
@@ -39,20 +39,20 @@
     code, out, err = printed(capsys, str(TARGET))
     assert (code, err) == (0, "")
     text = PAGE.read_text()
-    assert page.between(text, page.ROWS_TABLE) == out.strip()
-    for name, part in page.parts(lines(), ALL).items():
-        assert page.between(text, name) == part, name
+    assert page.text_between_marks(text, page.ROWS_TABLE) == out.strip()
+    for name, part in page.generated_parts(lines(), ALL).items():
+        assert page.text_between_marks(text, name) == part, name
 
 
 def test_a_changed_slope_or_a_row_taken_out_shows_on_the_page():
     text = PAGE.read_text()
-    table = page.between(text, page.ROWS_TABLE)
+    table = page.text_between_marks(text, page.ROWS_TABLE)
     for name in {name for line in lines() for name in line.slopes}:
         dearer = replace(CHOSEN[name], a=CHOSEN[name].a * 1.1 + 0.1, b=CHOSEN[name].b * 1.1)
-        assert page.rows_table(model.lines_of(target(), {**CHOSEN, name: dearer})) != table, name
+        assert page.rows_table(model.evaluate_rows(target(), {**CHOSEN, name: dearer})) != table, name
     for place, row in enumerate(rows.ROWS):
         without = rows.ROWS[:place] + rows.ROWS[place + 1 :]
-        assert page.rows_table(model.lines_of(target(), CHOSEN, without)) != table, row.what
+        assert page.rows_table(model.evaluate_rows(target(), CHOSEN, without)) != table, row.what
 
 
 @pytest.mark.parametrize("slope", ALL, ids=lambda slope: f"{slope.name}-{slope.decisions}")
@@ -105,7 +105,7 @@
     def curve(name):
         slope = CHOSEN[name]
         a, b = slopes.fit(slope.form, slope.points)
-        return lambda x: slopes.value(slope.form, a, b, x)
+        return lambda x: slopes.curve_value(slope.form, a, b, x)
 
     names = {name: curve(name) for name in CHOSEN}
     names |= {
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("more", [{}, {"set": 20.0}, {"set": 7.0, "gatekeepers": 40.0, "workers": 200.0}])
 def test_every_figure_and_ratio_is_that_of_its_formula(more):
     sizes = {**target(), **more}
-    for line in model.lines_of(sizes, CHOSEN):
+    for line in model.evaluate_rows(sizes, CHOSEN):
         value = by_hand(line.row.formula, sizes)
         assert line.value == pytest.approx(value), line.row.what
         if line.row.limit:
@@ -132,21 +132,21 @@
     ratios = [line.ratio for line in lines()]
     told = [ratio for ratio in ratios if ratio is not None]
     assert ratios == sorted(told, reverse=True) + [None] * (len(ratios) - len(told))
-    missing = model.missing_of(lines())
+    missing = model.rows_without_mechanism(lines())
     assert missing and all(line.is_missing and line.ratio > 1 for line in missing)
 
 
 def test_a_mechanism_that_is_built_takes_its_rows_out_of_what_is_missing():
     sizes = target()
     built = {**rows.MECHANISMS, "services": "plumpick/some.py, thing"}
-    before = [line for line in map(lambda row: model.line_of(row, sizes, CHOSEN), rows.ROWS)]
-    after = [model.line_of(row, sizes, CHOSEN, built) for row in rows.ROWS]
+    before = [line for line in map(lambda row: model.evaluate_row(row, sizes, CHOSEN), rows.ROWS)]
+    after = [model.evaluate_row(row, sizes, CHOSEN, built) for row in rows.ROWS]
     assert sum(line.is_missing for line in after) < sum(line.is_missing for line in before)
 
 
 def test_what_is_missing_first_names_what_comes_next_and_no_change_of_configuration():
-    told = page.parts(lines(), ALL)[page.MISSING]
-    assert [line.mechanism for line in model.missing_of(lines())] == [rows.NONE] * 2
+    told = page.generated_parts(lines(), ALL)[page.MISSING]
+    assert [line.mechanism for line in model.rows_without_mechanism(lines())] == [rows.NONE] * 2
     assert "services, each a pool of workers" in told and "a call to each gatekeeper" in told
     assert "changes of configuration" not in told
 
@@ -167,27 +167,27 @@
 def test_a_version_that_the_program_refuses_in_service_takes_a_restart(monkeypatch):
     """So that no restarts is what the program says, and no figure by hand."""
     row = next(row for row in rows.ROWS if "restarts_a_version" in row.formula)
-    assert model.line_of(row, target(), CHOSEN).value == 0
+    assert model.evaluate_row(row, target(), CHOSEN).value == 0
 
     def refused(_old, _new):
         raise ReconfigurationError("classes: until a restart")
 
     monkeypatch.setattr(model, "check", refused)
-    assert model.line_of(row, target(), CHOSEN).value == 810 * 550
+    assert model.evaluate_row(row, target(), CHOSEN).value == 810 * 550
 
 
 def test_the_time_until_a_version_is_in_force_is_the_programs_own(monkeypatch):
     row = next(row for row in rows.ROWS if row.formula == "version_in_force_s")
-    assert model.line_of(row, target(), CHOSEN).value == 3.0  # the default of `publish`
+    assert model.evaluate_row(row, target(), CHOSEN).value == 3.0  # the default of `publish`
     monkeypatch.setattr(model.subscriber, "WATCH_TIMEOUT_MS", 4000.0)
-    assert model.line_of(row, target(), CHOSEN).value == pytest.approx(4.7)
+    assert model.evaluate_row(row, target(), CHOSEN).value == pytest.approx(4.7)
 
 
 def test_a_change_that_holds_up_the_loop_for_too_long_shows_as_such():
     """At many classes, not at few."""
     row = next(row for row in rows.ROWS if row.formula == "taken_over(routes)")
-    assert model.line_of(row, target(), CHOSEN).ratio > 1
-    assert model.line_of(row, {**target(), "routes": 230.0}, CHOSEN).ratio < 1
+    assert model.evaluate_row(row, target(), CHOSEN).ratio > 1
+    assert model.evaluate_row(row, {**target(), "routes": 230.0}, CHOSEN).ratio < 1
 
 
 def test_the_share_of_a_tier_is_the_default_of_the_operators_file():
@@ -199,18 +199,18 @@
 def test_a_figure_beyond_what_was_measured_says_so():
     sizes = target()
     row = next(row for row in rows.ROWS if row.formula == "changed_entry(workers)")
-    most = CHOSEN["changed_entry"].most
-    assert model.line_of(row, {**sizes, "workers": most}, CHOSEN).range.startswith("measured, off ")
-    beyond = model.line_of(row, {**sizes, "workers": most + 1}, CHOSEN).range
+    most = CHOSEN["changed_entry"].max_x
+    assert model.evaluate_row(row, {**sizes, "workers": most}, CHOSEN).range.startswith("measured, off ")
+    beyond = model.evaluate_row(row, {**sizes, "workers": most + 1}, CHOSEN).range
     assert beyond.startswith("outside: changed_entry at ")
     plain = next(row for row in rows.ROWS if row.formula == "configuration_per_day * gatekeepers")
-    assert model.line_of(plain, sizes, CHOSEN).range == "formula"
+    assert model.evaluate_row(plain, sizes, CHOSEN).range == "formula"
 
 
 def test_compiled_decisions_come_before_plain_ones():
     one = ALL[0]
     plain, made = replace(one, decisions=slopes.PLAIN), replace(one, decisions=slopes.COMPILED)
-    assert slopes.chosen([plain, made]) == slopes.chosen([made, plain]) == {one.name: made}
+    assert slopes.select_slopes([plain, made]) == slopes.select_slopes([made, plain]) == {one.name: made}
 
 
 @pytest.mark.parametrize(
@@ -233,7 +233,7 @@
 def test_what_is_no_formula_is_refused(formula):
     row = replace(rows.ROWS[0], formula=formula)
     with pytest.raises(model.ModelError):
-        model.line_of(row, target(), CHOSEN)
+        model.evaluate_row(row, target(), CHOSEN)
 
 
 FORMS = [
@@ -330,8 +330,8 @@
 
 
 def any_number(key):
-    low, high = key.least, key.most
-    return st.integers(math.ceil(low), int(high)) if key.whole else st.floats(low, high)
+    low, high = key.minimum, key.maximum
+    return st.integers(math.ceil(low), int(high)) if key.is_integer else st.floats(low, high)
 
 
 ANY_FORM = st.fixed_dictionaries(
@@ -351,8 +351,8 @@
         tier[key] = min(tier[key], tier["workers"])
     value["changes"]["restart_parts"] = min(value["changes"]["restart_parts"], tier["gatekeepers"])
     load["requests_per_s"] = min(load["requests_per_s"], load["busiest_per_s"] * tier["gatekeepers"])
-    sizes = form.form_from(value)
-    found = model.lines_of(sizes, CHOSEN)
+    sizes = form.parse_form(value)
+    found = model.evaluate_rows(sizes, CHOSEN)
     assert len(found) == len(rows.ROWS)
     assert all(math.isfinite(line.value) and line.value >= 0 for line in found), [
         (line.row.what, line.value) for line in found if not line.value >= 0
@@ -383,7 +383,7 @@
     path = tmp_path / "slopes.json"
     path.write_text(text)
     with pytest.raises(slopes.SlopesError):
-        slopes.read(path)
+        slopes.load_slopes(path)
 
 
 def test_the_daemon_knows_nothing_of_it():
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -48,12 +48,12 @@
 def test_every_slope_of_the_file_is_one_that_the_command_measures():
     tasks = {task.name: task for task in command.TASKS}
     assert len(tasks) == len(command.TASKS)
-    for slope in slopes.read():
+    for slope in slopes.load_slopes():
         task = tasks[slope.name]
         assert (slope.what, slope.x, slope.unit) == (task.what, task.x, task.unit)
         assert tuple(x for x, _ in slope.points) == task.sizes and slope.form in task.forms
         assert slope.decisions in ((slopes.PLAIN, slopes.COMPILED) if task.cpu else (slopes.EITHER,))
-    assert {slope.name for slope in slopes.read()} == set(tasks)
+    assert {slope.name for slope in slopes.load_slopes()} == set(tasks)
 
 
 def measured(*words):
@@ -71,13 +71,13 @@
     for _ in range(2):
         done = measured("--only", "list_bytes", "settings_bytes", "--out", str(path))
         assert done.returncode == 0, done.stderr
-    assert [slope.name for slope in slopes.read(path)] == ["list_bytes", "settings_bytes"]
+    assert [slope.name for slope in slopes.load_slopes(path)] == ["list_bytes", "settings_bytes"]
 
 
 def test_a_slope_of_cpu_is_measured_in_processes_of_its_own(tmp_path):
     path = tmp_path / "slopes.json"
     assert measured("--only", "settings_parse_by_plans", "--out", str(path)).returncode == 0
-    (slope,) = slopes.read(path)
+    (slope,) = slopes.load_slopes(path)
     assert slope.scatter > 1 and all(y > 0 for _, y in slope.points)
 
 
