--- a/tests/capacity/test_size.py
+++ b/tests/capacity/test_size.py
@@ -1,4 +1,4 @@
-"""The sizes of a tier: form, slopes, rows, page and command."""
+"""The capacity model: form, slopes, rows, page and the command `plumpick size`."""
 
 import ast
 import json
@@ -29,14 +29,14 @@
     return model.evaluate_rows(target(), CHOSEN)
 
 
-def printed(capsys, *words):
+def run_size_command(capsys, *words):
     code = main(["size", *words])
-    told = capsys.readouterr()
-    return code, told.out, told.err
+    output = capsys.readouterr()
+    return code, output.out, output.err
 
 
-def test_the_page_holds_what_the_command_prints_between_its_marks(capsys):
-    code, out, err = printed(capsys, str(TARGET))
+def test_page_contains_the_tables_of_the_command_between_its_marks(capsys):
+    code, out, err = run_size_command(capsys, str(TARGET))
     assert (code, err) == (0, "")
     text = PAGE.read_text()
     assert page.text_between_marks(text, page.ROWS_TABLE) == out.strip()
@@ -44,7 +44,7 @@
         assert page.text_between_marks(text, name) == part, name
 
 
-def test_a_changed_slope_or_a_row_taken_out_shows_on_the_page():
+def test_changed_slope_or_removed_row_changes_the_table():
     text = PAGE.read_text()
     table = page.text_between_marks(text, page.ROWS_TABLE)
     for name in {name for line in lines() for name in line.slopes}:
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("slope", ALL, ids=lambda slope: f"{slope.name}-{slope.decisions}")
-def test_a_slope_is_that_of_its_points(slope):
+def test_slope_matches_its_points_and_altered_slopes_are_rejected(slope):
     slope.check()
     assert len(slope.points) >= 4 and slope.command and slope.machine
     for wrong in (
@@ -69,7 +69,7 @@
             wrong.check()
 
 
-def test_every_slope_says_how_it_was_measured_and_every_row_what_carries_it():
+def test_slopes_name_their_command_and_rows_name_existing_code():
     for slope in ALL:
         assert slope.command.startswith(f"python -m benchmarks.slopes --only {slope.name}")
         assert ("--compiled" in slope.command) == (slope.decisions == slopes.COMPILED)
@@ -84,22 +84,21 @@
             assert f"def {name}" in text or f"class {name}" in text, mechanism
 
 
-def test_no_figure_is_written_into_a_formula():
-    """But changes of unit, and 1."""
+def test_formulas_contain_no_numbers_but_unit_conversions_and_1():
     for row in rows.ROWS:
         for formula in filter(None, (row.formula, row.limit)):
             numbers = {node.value for node in ast.walk(ast.parse(formula)) if isinstance(node, ast.Constant)}
             assert numbers <= {1, 10, 100, 1000, 10_000, 1_000_000, 86_400}, row.what
 
 
-def by_hand(formula, sizes):
-    """The same arithmetic by Python itself, with curves drawn from the points anew."""
+def evaluate_with_python(formula, sizes):
+    """Evaluate a formula with Python's own arithmetic, and with curves fitted again to the points."""
 
-    def told(what, rate):
-        near = 3 if sizes["set"] < 60**0.5 else 20
-        value = curve(f"{what}_by_rate_{near}")(rate)
-        if sizes["set"] != near:
-            value *= curve(f"{what}_by_set")(sizes["set"]) / curve(f"{what}_by_set")(near)
+    def sent_per_s(what, rate):
+        nearest_size = 3 if sizes["set"] < 60**0.5 else 20
+        value = curve(f"{what}_by_rate_{nearest_size}")(rate)
+        if sizes["set"] != nearest_size:
+            value *= curve(f"{what}_by_set")(sizes["set"]) / curve(f"{what}_by_set")(nearest_size)
         return value
 
     def curve(name):
@@ -109,34 +108,36 @@
 
     names = {name: curve(name) for name in CHOSEN}
     names |= {
-        "words": lambda rate: told("words", rate),
-        "word_bytes": lambda rate: told("bytes", rate),
+        "words": lambda rate: sent_per_s("words", rate),
+        "word_bytes": lambda rate: sent_per_s("bytes", rate),
         "growth": lambda slope, x: slope(x) - slope(0.0),
     }
     return eval(formula, {"__builtins__": {}}, {**names, **model.constants(sizes), **sizes})
 
 
 @pytest.mark.parametrize("more", [{}, {"set": 20.0}, {"set": 7.0, "gatekeepers": 40.0, "workers": 200.0}])
-def test_every_figure_and_ratio_is_that_of_its_formula(more):
+def test_values_and_ratios_equal_their_formulas_evaluated_by_python(more):
     sizes = {**target(), **more}
     for line in model.evaluate_rows(sizes, CHOSEN):
-        value = by_hand(line.row.formula, sizes)
+        value = evaluate_with_python(line.row.formula, sizes)
         assert line.value == pytest.approx(value), line.row.what
         if line.row.limit:
-            assert line.ratio == pytest.approx(value / by_hand(line.row.limit, sizes)), line.row.what
+            assert line.ratio == pytest.approx(value / evaluate_with_python(line.row.limit, sizes)), (
+                line.row.what
+            )
         else:
             assert line.ratio is None
 
 
-def test_the_table_begins_with_what_passes_its_limit_most():
+def test_table_is_sorted_by_the_ratio_to_the_limit():
     ratios = [line.ratio for line in lines()]
-    told = [ratio for ratio in ratios if ratio is not None]
-    assert ratios == sorted(told, reverse=True) + [None] * (len(ratios) - len(told))
+    limited = [ratio for ratio in ratios if ratio is not None]
+    assert ratios == sorted(limited, reverse=True) + [None] * (len(ratios) - len(limited))
     missing = model.rows_without_mechanism(lines())
     assert missing and all(line.is_missing and line.ratio > 1 for line in missing)
 
 
-def test_a_mechanism_that_is_built_takes_its_rows_out_of_what_is_missing():
+def test_rows_of_an_implemented_mechanism_are_no_longer_missing():
     sizes = target()
     built = {**rows.MECHANISMS, "services": "plumpick/some.py, thing"}
     before = [line for line in map(lambda row: model.evaluate_row(row, sizes, CHOSEN), rows.ROWS)]
@@ -144,14 +145,14 @@
     assert sum(line.is_missing for line in after) < sum(line.is_missing for line in before)
 
 
-def test_what_is_missing_first_names_what_comes_next_and_no_change_of_configuration():
-    told = page.generated_parts(lines(), ALL)[page.MISSING]
+def test_missing_part_of_the_page_lists_services_and_calls_but_no_change_of_configuration():
+    missing = page.generated_parts(lines(), ALL)[page.MISSING]
     assert [line.mechanism for line in model.rows_without_mechanism(lines())] == [rows.NONE] * 2
-    assert "services, each a pool of workers" in told and "a call to each gatekeeper" in told
-    assert "changes of configuration" not in told
+    assert "services, each a pool of workers" in missing and "a call to each gatekeeper" in missing
+    assert "changes of configuration" not in missing
 
 
-def test_before_and_after_versions_from_a_service_stand_side_by_side():
+def test_changes_of_configuration_exceed_limits_only_without_a_version_service():
     for figure in ("messages", "reach"):
         found = [
             line
@@ -164,39 +165,38 @@
         assert len(before) == 1 and after and not any(line.is_missing for line in (*before, *after))
 
 
-def test_a_version_that_the_program_refuses_in_service_takes_a_restart(monkeypatch):
-    """So that no restarts is what the program says, and no figure by hand."""
+def test_version_that_cannot_be_applied_at_run_time_counts_as_restarts(monkeypatch):
+    """Guards against a number of restarts that is written by hand instead of taken from the program."""
     row = next(row for row in rows.ROWS if "restarts_a_version" in row.formula)
     assert model.evaluate_row(row, target(), CHOSEN).value == 0
 
-    def refused(_old, _new):
+    def reject(_old, _new):
         raise ReconfigurationError("classes: until a restart")
 
-    monkeypatch.setattr(model, "check", refused)
+    monkeypatch.setattr(model, "check", reject)
     assert model.evaluate_row(row, target(), CHOSEN).value == 810 * 550
 
 
-def test_the_time_until_a_version_is_in_force_is_the_programs_own(monkeypatch):
+def test_time_until_a_version_is_in_force_follows_the_programs_constants(monkeypatch):
     row = next(row for row in rows.ROWS if row.formula == "version_in_force_s")
     assert model.evaluate_row(row, target(), CHOSEN).value == 3.0  # the default of `publish`
     monkeypatch.setattr(model.subscriber, "WATCH_TIMEOUT_MS", 4000.0)
     assert model.evaluate_row(row, target(), CHOSEN).value == pytest.approx(4.7)
 
 
-def test_a_change_that_holds_up_the_loop_for_too_long_shows_as_such():
-    """At many classes, not at few."""
+def test_change_that_blocks_the_event_loop_exceeds_its_limit_with_many_classes_only():
     row = next(row for row in rows.ROWS if row.formula == "taken_over(routes)")
     assert model.evaluate_row(row, target(), CHOSEN).ratio > 1
     assert model.evaluate_row(row, {**target(), "routes": 230.0}, CHOSEN).ratio < 1
 
 
-def test_the_share_of_a_tier_is_the_default_of_the_operators_file():
+def test_grant_term_is_the_default_of_the_operators_file_for_the_size_of_the_tier():
     for gatekeepers in (3.0, 240.0, 550.0, 10_000.0):
-        told = model.constants({**target(), "gatekeepers": gatekeepers})["share_default_s"]
-        assert told == min(60.0, max(2.0, gatekeepers / 8))
+        grant_term_s = model.constants({**target(), "gatekeepers": gatekeepers})["share_default_s"]
+        assert grant_term_s == min(60.0, max(2.0, gatekeepers / 8))
 
 
-def test_a_figure_beyond_what_was_measured_says_so():
+def test_range_column_marks_values_outside_the_measured_range():
     sizes = target()
     row = next(row for row in rows.ROWS if row.formula == "changed_entry(workers)")
     most = CHOSEN["changed_entry"].max_x
@@ -207,7 +207,7 @@
     assert model.evaluate_row(plain, sizes, CHOSEN).range == "formula"
 
 
-def test_compiled_decisions_come_before_plain_ones():
+def test_slopes_of_the_compiled_policy_are_preferred():
     one = ALL[0]
     plain, made = replace(one, decisions=slopes.PLAIN), replace(one, decisions=slopes.COMPILED)
     assert slopes.select_slopes([plain, made]) == slopes.select_slopes([made, plain]) == {one.name: made}
@@ -230,7 +230,7 @@
         "1 and workers",
     ],
 )
-def test_what_is_no_formula_is_refused(formula):
+def test_invalid_formula_is_rejected(formula):
     row = replace(rows.ROWS[0], formula=formula)
     with pytest.raises(model.ModelError):
         model.evaluate_row(row, target(), CHOSEN)
@@ -247,14 +247,14 @@
 
 
 @pytest.mark.parametrize(("curve", "points"), FORMS)
-def test_the_curve_that_was_drawn_is_found_again(curve, points):
+def test_fit_finds_the_form_and_parameters_of_exact_points(curve, points):
     found, a, b, off = slopes.best_fit(points)
     assert found == curve and off < 1e-9
     a_again, b_again = {"a + b x": (10, 2), "a x^b": (3, 0.5), "a x / (b + x)": (50, 9)}[curve]
     assert (a, b) == (pytest.approx(a_again), pytest.approx(b_again))
 
 
-def test_the_residual_is_the_largest_deviation():
+def test_residual_is_the_largest_relative_deviation():
     points = [(1, 10.0), (2, 20.0), (3, 30.0), (4, 60.0)]
     assert slopes.residual("a + b x", 0.0, 10.0, points) == pytest.approx(1 / 3)
 
@@ -302,31 +302,31 @@
 
 
 @pytest.mark.parametrize(("part", "key", "value"), BAD)
-def test_a_form_that_cannot_be_served_is_refused_by_one_line_that_names_the_key(
+def test_form_with_an_invalid_value_is_rejected_by_one_line_that_names_the_key(
     part, key, value, tmp_path, capsys
 ):
     path = tmp_path / "form.toml"
     path.write_text(as_toml(changed(part, key, value)))
-    code, out, err = printed(capsys, str(path))
+    code, out, err = run_size_command(capsys, str(path))
     assert (code, out) == (2, "") and err.count("\n") == 1
     assert f"{part}.{key}: " in err and len(err) < 600
 
 
 @pytest.mark.parametrize(("part", "key"), [(part, key) for part, keys in form.KEYS.items() for key in keys])
-def test_a_key_that_is_missing_is_named(part, key, tmp_path, capsys):
+def test_error_of_a_missing_key_names_the_key(part, key, tmp_path, capsys):
     path = tmp_path / "form.toml"
     path.write_text(as_toml(changed(part, key, None)))
-    code, out, err = printed(capsys, str(path))
+    code, out, err = run_size_command(capsys, str(path))
     assert (code, out) == (2, "") and err == f"plumpick size: {path}: {part}.{key}: is missing\n"
 
 
 @pytest.mark.parametrize("text", ["", "[tier]", "tier = 3", "[tier", "[halls]\nx = 1", "\udcff"])
-def test_a_file_that_is_no_form_is_refused_by_one_line(text, tmp_path, capsys):
+def test_malformed_or_missing_form_file_is_rejected_by_one_line(text, tmp_path, capsys):
     path = tmp_path / "form.toml"
     path.write_bytes(text.encode(errors="surrogateescape"))
-    code, out, err = printed(capsys, str(path))
+    code, out, err = run_size_command(capsys, str(path))
     assert (code, out) == (2, "") and err.count("\n") == 1
-    assert printed(capsys, str(tmp_path / "nowhere.toml"))[0] == 2
+    assert run_size_command(capsys, str(tmp_path / "nowhere.toml"))[0] == 2
 
 
 def any_number(key):
@@ -344,7 +344,7 @@
 
 @given(ANY_FORM)
 @settings(max_examples=150, deadline=None)
-def test_every_legal_form_gives_all_rows(value):
+def test_every_valid_form_gives_all_rows_with_finite_values(value):
     tier, load = value["tier"], value["load"]
     load["set"] = min(load["set"], tier["gatekeepers"])
     for key in ("zones", "rack_workers"):
@@ -359,18 +359,18 @@
     ]
 
 
-def test_json_has_the_same_rows(capsys):
-    code, out, _ = printed(capsys, str(TARGET), "--json")
-    told = json.loads(out)
-    assert code == 0 and [row["what"] for row in told] == [line.row.what for line in lines()]
-    assert [row["ratio"] for row in told] == [line.ratio for line in lines()]
+def test_json_output_has_the_same_rows_as_the_table(capsys):
+    code, out, _ = run_size_command(capsys, str(TARGET), "--json")
+    printed_rows = json.loads(out)
+    assert code == 0 and [row["what"] for row in printed_rows] == [line.row.what for line in lines()]
+    assert [row["ratio"] for row in printed_rows] == [line.ratio for line in lines()]
 
 
-def test_other_sizes_give_other_rows_from_the_same_slopes(tmp_path, capsys):
+def test_smaller_form_gives_smaller_values_from_the_same_slopes(tmp_path, capsys):
     path = tmp_path / "form.toml"
     path.write_text(as_toml(changed("tier", "workers", 1000)))
-    _, smaller, _ = printed(capsys, str(path), "--json")
-    _, larger, _ = printed(capsys, str(TARGET), "--json")
+    _, smaller, _ = run_size_command(capsys, str(path), "--json")
+    _, larger, _ = run_size_command(capsys, str(TARGET), "--json")
 
     def entry(text):
         return next(row["value"] for row in json.loads(text) if row["formula"] == "changed_entry(workers)")
@@ -379,14 +379,14 @@
 
 
 @pytest.mark.parametrize("text", ["", "{}", '{"slopes": [{}]}', '{"slopes": 3}', "[]"])
-def test_slopes_that_cannot_be_read_are_told(text, tmp_path):
+def test_malformed_slopes_file_raises_slopes_error(text, tmp_path):
     path = tmp_path / "slopes.json"
     path.write_text(text)
     with pytest.raises(slopes.SlopesError):
         slopes.load_slopes(path)
 
 
-def test_the_daemon_knows_nothing_of_it():
+def test_daemon_does_not_import_the_capacity_model():
     node = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["node"]
     assert not [name for name in node if "capacity" in name]
     paths = [path for name in node for path in [ROOT / name, *(ROOT / name).rglob("*.py")] if path.is_file()]
@@ -395,9 +395,9 @@
         assert "plumpick.capacity" not in path.read_text(), path
 
 
-def test_a_page_without_its_marks_is_refused(tmp_path, capsys):
+def test_page_without_marks_is_rejected_and_not_changed(tmp_path, capsys):
     path = tmp_path / "page.md"
     path.write_text("nothing")
-    code, out, err = printed(capsys, str(TARGET), "--page", str(path))
+    code, out, err = run_size_command(capsys, str(TARGET), "--page", str(path))
     assert (code, out) == (2, "") and err.count("\n") == 1
     assert path.read_text() == "nothing"
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -1,4 +1,5 @@
-"""Decisions compiled: the same actions to the bit, and a start without them wherever they cannot be had."""
+"""Compiled modules: they behave exactly like the plain sources, which are used where compiling is
+impossible."""
 
 import os
 import shutil
@@ -23,17 +24,17 @@
 
 @pytest.fixture(scope="module")
 def folder(tmp_path_factory):
-    """Compiled here, quickly rather than well."""
+    """A folder with the sources compiled without optimization, which is faster."""
     if shutil.which((sysconfig.get_config_var("CC") or "cc").split()[0]) is None:
         pytest.skip("there is no compiler on this machine")
     folder = tmp_path_factory.mktemp("compiled")
     made = tool.compile_to(folder, optimize=0)
-    assert tool.compile_to(folder) == made  # it is not done twice
+    assert tool.compile_to(folder) == made  # the existing result is used
     return folder
 
 
-def test_compiled_and_plain_decide_alike_to_the_bit(folder):
-    """Over worlds with failures, and over hostile events: a fault of one event ends that event alone."""
+def test_compiled_and_plain_policy_return_identical_actions(folder):
+    """Covers random traffic with failures, and malformed events, each of which raises for that event only."""
     plain = python("-m", "tests.same_actions")
     fast = python("-m", "tests.same_actions", folder)
     assert plain.returncode == fast.returncode == 0, plain.stderr + fast.stderr
@@ -41,11 +42,11 @@
     assert first == "decisions: plain Python" and second.startswith("decisions: compiled (")
     assert digest == other
     worlds, faults = map(int, count.split())
-    assert worlds == 0 and faults > 10  # hostile events did end by a fault, and only those
+    assert worlds == 0 and faults > 10  # only malformed events raised
 
 
-def test_a_simulated_fleet_has_the_same_history(folder):
-    """The whole daemon, on its virtual machine: every step of some seeds."""
+def test_simulated_fleet_has_the_same_history_compiled_and_plain(folder):
+    """Compares the digests of all steps of the whole daemon for some seeds of the simulation."""
     code = (
         "import sys; from pathlib import Path; from plumpick.gateway import compiled\n"
         "if len(sys.argv) > 1: compiled.use_compiled_files(Path(sys.argv[1]))\n"
@@ -58,8 +59,9 @@
     assert plain.stdout.split()[1:] == fast.stdout.split()[1:]
 
 
-def test_the_gatekeepers_own_tests_pass_compiled(folder):
-    """On real sockets. One is left out: it asks for a weak reference, which compiled objects have not."""
+def test_tests_of_the_gateway_pass_with_compiled_modules(folder):
+    """Runs on real sockets. One test is excluded, because it needs weak references, which compiled objects do
+    not support."""
     code = (
         "import sys; from pathlib import Path; from plumpick.gateway import compiled\n"
         "assert compiled.use_compiled_files(Path(sys.argv[1])).startswith('decisions: compiled')\n"
@@ -72,11 +74,11 @@
     assert done.returncode == 0, done.stdout[-3000:] + done.stderr
 
 
-def test_files_of_other_sources_are_not_taken(folder, tmp_path, monkeypatch):
+def test_compiled_files_of_other_sources_are_not_used(folder, tmp_path, monkeypatch):
     shutil.copytree(compiled.SOURCE_FOLDER / "plumpick", tmp_path / "tree" / "plumpick")
     monkeypatch.setattr(compiled, "SOURCE_FOLDER", tmp_path / "tree")
     before = compiled.source_digest()
-    # Also what is not compiled itself.
+    # The first file is not compiled itself, but counts for the digest.
     for changed in ("plumpick/gateway/config.py", "plumpick/policy/controller.py"):
         path = tmp_path / "tree" / changed
         path.write_text(path.read_text() + "\n# changed\n")
@@ -88,7 +90,9 @@
 
 
 @pytest.mark.parametrize("missing", ["compiler", "headers", "package"])
-def test_where_it_cannot_be_compiled_the_build_goes_on_and_says_why(missing, tmp_path, monkeypatch, capsys):
+def test_build_succeeds_and_prints_the_reason_if_compiling_is_impossible(
+    missing, tmp_path, monkeypatch, capsys
+):
     monkeypatch.setattr(sys, "argv", ["compile", str(tmp_path)])
     if missing == "compiler":
         monkeypatch.setattr(sysconfig, "get_config_var", lambda _name: "no-such-compiler")
@@ -101,12 +105,12 @@
         monkeypatch.setattr(tool, "COMPILER", "plumpick-has-no-such-package==1")
         monkeypatch.setenv("PIP_NO_INDEX", "1")
     assert tool.main() == 0
-    said = capsys.readouterr().out
-    assert said.startswith("decisions stay plain Python: ") and said.count("\n") == 1
+    output = capsys.readouterr().out
+    assert output.startswith("decisions stay plain Python: ") and output.count("\n") == 1
     assert not [path for path in tmp_path.iterdir() if path.is_dir()]
 
 
-def test_the_daemon_says_which_decides_and_starts_from_a_tree_that_cannot_be_written(tmp_path):
-    """With no configuration it ends with 2 and one line, whichever decides."""
+def test_daemon_without_a_configuration_exits_with_2_and_one_line(tmp_path):
+    """Holds for compiled and plain modules, also if no bytecode can be written."""
     done = python("-m", "plumpick", env={**os.environ, "BALANCER_CONFIG": "", "PYTHONDONTWRITEBYTECODE": "1"})
     assert done.returncode == 2 and done.stderr.count("\n") == 1
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -1,4 +1,4 @@
-"""Records of a daemon, and what they add up to."""
+"""Trace records of a daemon, and their totals by `plumpick counts`."""
 
 import json
 
@@ -14,7 +14,7 @@
     return before + "@" + json.dumps(parts)
 
 
-def test_records_are_found_behind_whatever_stands_before_and_torn_ones_are_counted():
+def test_records_are_parsed_after_any_prefix_and_malformed_ones_are_counted():
     rows, torn = parse_records(
         [
             line("gone", 5.0, 1),
@@ -27,7 +27,7 @@
     assert [row[1] for row in rows] == [5.0, 6.0] and torn == 2
 
 
-def test_a_tier_is_added_up_by_time_and_worker():
+def test_records_are_aggregated_by_time_slice_and_worker():
     rows = [
         ["arrival", 1000.0, 1],
         ["arrival", 2500.0, 2],
@@ -58,19 +58,21 @@
     assert figures["handshakes a send"] == pytest.approx(1 / 12, abs=1e-3)
 
 
-def test_records_without_a_request_and_folders_without_logs_are_named(tmp_path, capsys):
+def test_counts_rejects_records_without_a_request_folders_without_logs_and_invalid_spans(tmp_path, capsys):
     with pytest.raises(CountsError):
         aggregate([["belief", 1.0, {}]], 1000.0)
     assert main(["counts", str(tmp_path)]) == EXIT_USAGE
     (tmp_path / "n0.log").write_text("nothing\n")
     assert main(["counts", str(tmp_path)]) == EXIT_USAGE
     assert main(["counts", str(tmp_path), "--span", "0"]) == EXIT_USAGE
-    said = capsys.readouterr().err.splitlines()
-    assert len(said) == 3 and "no *.log" in said[0] and "no request" in said[1] and "--span" in said[2]
+    errors = capsys.readouterr().err.splitlines()
+    assert (
+        len(errors) == 3 and "no *.log" in errors[0] and "no request" in errors[1] and "--span" in errors[2]
+    )
 
 
-def test_a_daemon_with_a_record_serves_and_its_record_tells_so(tmp_path, capsys):
-    async def whole():
+def test_traced_daemon_serves_and_records_the_request(tmp_path, capsys):
+    async def scenario():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port, path = free_port(), tmp_path / "config.json"
             path.write_text(json.dumps(config(fake.port, port)))
@@ -85,21 +87,21 @@
                 assert (await client.answer())[0] == 200
                 client.close()
                 process.terminate()
-                _, said = await process.communicate()
+                _, log = await process.communicate()
                 assert process.returncode == 0
             finally:
                 if process.returncode is None:
                     process.kill()
                     await process.wait()
-            (tmp_path / "n0.log").write_bytes(said)
+            (tmp_path / "n0.log").write_bytes(log)
 
-    run(whole())
+    run(scenario())
     assert main(["counts", str(tmp_path), "--json"]) == EXIT_HELD
-    told_by = json.loads(capsys.readouterr().out)
+    output = json.loads(capsys.readouterr().out)
     total = {}
-    for counts in told_by["slices"].values():
+    for counts in output["slices"].values():
         for name, count in counts.items():
             total[name] = total.get(name, 0) + count
     assert (total["arrival"], total["send"], total["OK"], total["handshake"]) == (1, 1, 1, 2)
-    assert told_by["torn"] == 0 and total["belief"] > 0 and total["call"] >= 1
+    assert output["torn"] == 0 and total["belief"] > 0 and total["call"] >= 1
     assert main(["counts", str(tmp_path)]) == EXIT_HELD and HOST not in capsys.readouterr().out
--- a/tests/tools/test_budgets_command.py
+++ b/tests/tools/test_budgets_command.py
@@ -1,4 +1,4 @@
-"""What `plumpick budgets` and `plumpick bounds` print of budgets."""
+"""The output of `plumpick budgets`, and the budgets in the output of `plumpick bounds`."""
 
 import json
 
@@ -10,7 +10,7 @@
 from plumpick.tools.budgets import table_lines
 
 
-def test_table_names_allocator_token_and_sums():
+def test_table_shows_allocator_token_and_sums_of_budgets():
     fleet = LedgerFleet()
     fleet.give_leases_to(0)
     fleet.run(3000, [0, 200, 0])
@@ -41,7 +41,7 @@
     assert "n0, token 1, here: 42 lent to all" in text and "whole 60, floors and shares 59.8" in text
 
 
-def test_bounds_of_budgets_are_printed_beside_those_of_quotas(tmp_path, capsys):
+def test_bounds_command_prints_bounds_of_budgets_and_rejects_invalid_settings(tmp_path, capsys):
     (tmp_path / "config.json").write_text(json.dumps(config()))
     (tmp_path / "operator.toml").write_text(
         "[fleet]\nvoters = [0]\nterm_s = 4\nshare_s = 2\n"
