--- a/plumpick/capacity/form.py
+++ b/plumpick/capacity/form.py
@@ -27,7 +27,7 @@
     is_integer: bool = True
 
 
-# Sizes outside these ranges are taken for typing errors.
+# Sizes outside these ranges are considered typing errors.
 KEYS: dict[str, dict[str, KeyRange]] = {
     "tier": {
         "gatekeepers": KeyRange(1, 10_000),
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -33,10 +33,8 @@
 from plumpick.tools.configuration_service import MAX_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
-MEASURED_SET_SIZES = (
-    3,
-    20,
-)  # sizes of gateway sets for which messages were measured at several request rates
+# Sizes of gateway sets for which messages were measured at several request rates.
+MEASURED_SET_SIZES = (3, 20)
 UNREACHABLE_SERVICES = 2  # number of unreachable version services that the longest notification time assumes
 
 
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -27,12 +27,11 @@
 from plumpick.gateway.hot_restart.sibling import HotRestartContext, SiblingChannel, handle_sibling_message
 from plumpick.gateway.hot_restart.socket_path import is_same_user, short_address
 
-REOPEN_INTERVAL_S = 0.2  # interval of checks whether the socket's path is that of a dead successor
+REOPEN_INTERVAL_S = 0.2  # interval of checks whether the socket's path is that of a successor that has died
 MAX_REOPEN_ATTEMPTS = 20
 LISTEN_BACKLOG = 4
-SERVING_TIMEOUT_S = (
-    2.0  # time after which a successor that sends no SERVING (an older version) counts as serving
-)
+# Time after which a successor counts as serving that sends no SERVING, as older versions do.
+SERVING_TIMEOUT_S = 2.0
 TRANSFER_RETRY_S = 0.01  # interval of attempts to transfer the remaining idle connections
 
 log = logging.getLogger(__name__)
@@ -148,7 +147,7 @@
             os.close(self._reserve)
             self._reserve = None
 
-    # -- the next process
+    # -- the successor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
         for descriptor in descriptors:  # a successor has no reason to send descriptors
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -25,9 +25,7 @@
         self.listener = listener  # an HttpListener
         self.participant: Any = None  # ClusterParticipant, or None
         self.settings_source: Any = None  # client of the configuration service, or None
-        self.listen_socket: socket.socket | None = (
-            None  # listening socket, of which the server has a duplicate
-        )
+        self.listen_socket: socket.socket | None = None  # listening socket; the server has a duplicate
         self.server: Any = None  # asyncio server that accepts clients, or None
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -58,8 +58,11 @@
             connection.close()
             return None
         except OSError as problem:
-            reason = problem.strerror or problem
-            log.warning("handover: no process to take over from at %s (%s): ordinary start", path, reason)
+            log.warning(
+                "handover: no process to take over from at %s (%s): ordinary start",
+                path,
+                problem.strerror or problem,
+            )
             connection.close()
             return None
         successor = cls(loop)
@@ -100,7 +103,7 @@
         if self._channel is not None:
             self._channel.close()
 
-    # -- the other process
+    # -- the predecessor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
         if kind == MessageKind.OFFER and not self._offer.done():
