--- a/plumpick/capacity/page.py
+++ b/plumpick/capacity/page.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from plumpick.capacity.model import EvaluatedRow, rows_without_mechanism
-from plumpick.capacity.rows import BEFORE, EVENTS, FIGURES, ROLES, ROWS, WITH
+from plumpick.capacity.rows import EVENTS, FIGURES, ROLES, ROWS, WITH_SERVICE, WITHOUT_SERVICE
 from plumpick.capacity.slopes import Slope
 
 BEGIN, END = "<!-- {}: from `plumpick size`, not by hand -->", "<!-- end of {} -->"
@@ -75,10 +75,10 @@
 
 def pairs_table(lines: Sequence[EvaluatedRow]) -> str:
     """The table of figures that have rows for both ways of changing settings, side by side, in Markdown."""
-    head = [f"| role or event | figure | {BEFORE} | {WITH} |", "| --- | --- | --- | --- |"]
+    head = [f"| role or event | figure | {WITHOUT_SERVICE} | {WITH_SERVICE} |", "| --- | --- | --- | --- |"]
     found: dict[tuple[str, str], tuple[list[str], list[str]]] = {}
     for row in ROWS:
-        for place, way in enumerate((BEFORE, WITH)):
+        for place, way in enumerate((WITHOUT_SERVICE, WITH_SERVICE)):
             if row.what.startswith(way):
                 line = next(one for one in lines if one.row is row)
                 ratio = "" if line.ratio is None else f", {format_number(line.ratio)} times the limit"
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -83,13 +83,13 @@
     mechanism: str
 
 
-HERE, HOMES = "tenants * set / gatekeepers", "tenants / gatekeepers"
-MEAN = "requests_per_s / gatekeepers"
-CPU = "100 * cpu_part"
-CHANGED = "replaced_per_day * entries_a_replacement"
+CUSTOMERS_PER_GATEWAY, OWNED_PER_GATEWAY = "tenants * set / gatekeepers", "tenants / gatekeepers"
+MEAN_RATE = "requests_per_s / gatekeepers"
+CPU_LIMIT = "100 * cpu_part"
+CHANGES_PER_DAY = "replaced_per_day * entries_a_replacement"
 # The two ways in which a change of settings takes effect. Rows of one figure for both are shown as pairs.
-BEFORE, WITH = "before, with no service of versions named", "with versions from a service"
-SERVED = "gatekeepers / machines"  # number of gateways of the version service on one machine
+WITHOUT_SERVICE, WITH_SERVICE = "before, with no service of versions named", "with versions from a service"
+GATEWAYS_PER_MACHINE = "gatekeepers / machines"  # number of gateways of the version service on one machine
 
 ROWS = (
     # A serving gateway.
@@ -99,7 +99,7 @@
         "control with nothing to do",
         "% of a core",
         "idle_by_workers(workers) / 10",
-        CPU,
+        CPU_LIMIT,
         "period",
     ),
     Row(
@@ -108,7 +108,7 @@
         "the same, if each route is a class",
         "% of a core",
         "(idle_by_workers(workers) + growth(idle_by_classes, routes)) / 10",
-        CPU,
+        CPU_LIMIT,
         "shares",
     ),
     Row(
@@ -116,8 +116,8 @@
         "CPU",
         "control: accounts and stores looked through",
         "% of a core",
-        f"growth(idle_by_firms, {HERE}) / 10",
-        CPU,
+        f"growth(idle_by_firms, {CUSTOMERS_PER_GATEWAY}) / 10",
+        CPU_LIMIT,
         "tidy",
     ),
     Row(
@@ -125,8 +125,8 @@
         "CPU",
         "control: words taken in, at the mean load",
         "% of a core",
-        f"words({MEAN}) * heard_by_set(set) / 10000",
-        CPU,
+        f"words({MEAN_RATE}) * heard_by_set(set) / 10000",
+        CPU_LIMIT,
         "words in",
     ),
     Row(
@@ -134,8 +134,8 @@
         "CPU",
         "control: changes of the list, over a day",
         "% of a core",
-        f"{CHANGED} * changed_entry(workers) / 86400 / 10",
-        CPU,
+        f"{CHANGES_PER_DAY} * changed_entry(workers) / 86400 / 10",
+        CPU_LIMIT,
         "list",
     ),
     Row(
@@ -143,9 +143,10 @@
         "CPU",
         "control in all, at the mean load",
         "% of a core",
-        f"(idle_by_workers(workers) + growth(idle_by_firms, {HERE})) / 10"
-        f" + words({MEAN}) * heard_by_set(set) / 10000 + {CHANGED} * changed_entry(workers) / 86400 / 10",
-        CPU,
+        f"(idle_by_workers(workers) + growth(idle_by_firms, {CUSTOMERS_PER_GATEWAY})) / 10"
+        f" + words({MEAN_RATE}) * heard_by_set(set) / 10000"
+        f" + {CHANGES_PER_DAY} * changed_entry(workers) / 86400 / 10",
+        CPU_LIMIT,
         "period",
     ),
     Row(
@@ -153,7 +154,7 @@
         "CPU",
         "decisions of requests, at the mean load",
         "% of a core",
-        f"{MEAN} * request_by_workers(workers) / 10000",
+        f"{MEAN_RATE} * request_by_workers(workers) / 10000",
         "100",
         "choice",
     ),
@@ -171,7 +172,7 @@
         "messages",
         "words told, at the mean load",
         "a second",
-        f"words({MEAN})",
+        f"words({MEAN_RATE})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -180,7 +181,7 @@
         "messages",
         "words taken in, at the mean load (as many)",
         "a second",
-        f"words({MEAN})",
+        f"words({MEAN_RATE})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -198,7 +199,7 @@
         "bytes",
         "words told, at the mean load",
         "bytes a second",
-        f"word_bytes({MEAN})",
+        f"word_bytes({MEAN_RATE})",
         "bytes_per_s",
         "words",
     ),
@@ -216,7 +217,7 @@
         "state",
         "workers known, accounts, stores",
         "entries",
-        f"workers + {HERE} + {HOMES}",
+        f"workers + {CUSTOMERS_PER_GATEWAY} + {OWNED_PER_GATEWAY}",
         "",
         "list",
     ),
@@ -225,9 +226,9 @@
         "state",
         "those in bytes, with peers and open requests",
         "bytes",
-        f"growth(memory_by_workers, workers) + growth(memory_by_firms, {HERE})"
+        f"growth(memory_by_workers, workers) + growth(memory_by_firms, {CUSTOMERS_PER_GATEWAY})"
         " + growth(memory_by_peers, gatekeepers - 1)"
-        f" + growth(memory_by_requests, {MEAN} * answer_ms / 1000)",
+        f" + growth(memory_by_requests, {MEAN_RATE} * answer_ms / 1000)",
         "",
         "list",
     ),
@@ -236,9 +237,9 @@
         "memory",
         "the process, with firms, peers and open requests",
         "MB",
-        f"resident_by_workers(workers) + (growth(memory_by_firms, {HERE})"
+        f"resident_by_workers(workers) + (growth(memory_by_firms, {CUSTOMERS_PER_GATEWAY})"
         " + growth(memory_by_peers, gatekeepers - 1)"
-        f" + growth(memory_by_requests, {MEAN} * answer_ms / 1000)) / 1000000",
+        f" + growth(memory_by_requests, {MEAN_RATE} * answer_ms / 1000)) / 1000000",
         "memory_mb",
         "process",
     ),
@@ -297,13 +298,13 @@
         "process",
     ),
     # The owner of a customer's quota.
-    Row("home of a firm", "state", "stores of firms at their home", "entries", HOMES, "", "home"),
+    Row("home of a firm", "state", "stores of firms at their home", "entries", OWNED_PER_GATEWAY, "", "home"),
     Row(
         "home of a firm",
         "state",
         "the same in bytes, with accounts",
         "bytes",
-        f"growth(memory_by_firms, {HOMES})",
+        f"growth(memory_by_firms, {OWNED_PER_GATEWAY})",
         "",
         "home",
     ),
@@ -312,7 +313,7 @@
         "messages",
         "words told, by firms at a home, sets of 3",
         "a second",
-        f"words_by_firms({HOMES})",
+        f"words_by_firms({OWNED_PER_GATEWAY})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -340,7 +341,7 @@
         "messages",
         "those and words of quotas taken in, at the mean load",
         "a second",
-        f"voter_taken(gatekeepers) + words({MEAN})",
+        f"voter_taken(gatekeepers) + words({MEAN_RATE})",
         "words_taken_in_per_s",
         "leases",
     ),
@@ -363,7 +364,15 @@
         "leases",
     ),
     Row("voter", "state", "leases that it keeps", "entries", "slots", "", "leases"),
-    Row("voter", "CPU", "decisions of leases", "% of a core", "voter_cpu(gatekeepers) / 10", CPU, "leases"),
+    Row(
+        "voter",
+        "CPU",
+        "decisions of leases",
+        "% of a core",
+        "voter_cpu(gatekeepers) / 10",
+        CPU_LIMIT,
+        "leases",
+    ),
     Row(
         "owner of a duty",
         "messages",
@@ -406,7 +415,7 @@
         "decisions of leases",
         "% of a core",
         "owner_cpu(gatekeepers) / 10",
-        CPU,
+        CPU_LIMIT,
         "holding",
     ),
     Row("owner of a duty", "recovery", "so long a dead owner's lease lasts", "s", "term_s", "", "holding"),
@@ -454,7 +463,7 @@
         "askings for one budget answered",
         "% of a core",
         "askings_per_s * divider_asking(gatekeepers) / 10000",
-        CPU,
+        CPU_LIMIT,
         "dividing",
     ),
     Row(
@@ -538,7 +547,7 @@
         "messages",
         "answers to changes, over a day",
         "a second",
-        f"{CHANGED} * gatekeepers / 86400",
+        f"{CHANGES_PER_DAY} * gatekeepers / 86400",
         "",
         "watching",
     ),
@@ -573,7 +582,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{BEFORE}: to each gatekeeper, each change a whole file with all routes",
+        f"{WITHOUT_SERVICE}: to each gatekeeper, each change a whole file with all routes",
         "bytes a second",
         "configuration_per_day * settings_bytes(routes) / 86400",
         "bytes_per_s",
@@ -582,7 +591,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: to each gatekeeper, by changes",
+        f"{WITH_SERVICE}: to each gatekeeper, by changes",
         "bytes a second",
         "configuration_per_day * change_bytes(routes) / 86400",
         "bytes_per_s",
@@ -591,7 +600,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: those of a day",
+        f"{WITH_SERVICE}: those of a day",
         "bytes a day",
         "configuration_per_day * change_bytes(routes)",
         "",
@@ -600,7 +609,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: to and from each gatekeeper in rest",
+        f"{WITH_SERVICE}: to and from each gatekeeper in rest",
         "bytes a second",
         "rest_bytes(gatekeepers) / gatekeepers",
         "bytes_per_s",
@@ -609,7 +618,7 @@
     Row(
         "configuration",
         "messages",
-        f"{WITH}: calls of each gatekeeper in rest",
+        f"{WITH_SERVICE}: calls of each gatekeeper in rest",
         "a second",
         "rest_calls(gatekeepers) / gatekeepers",
         "words_taken_in_per_s",
@@ -618,7 +627,7 @@
     Row(
         "configuration",
         "delay",
-        f"{BEFORE}: a file with all routes as classes read at a start",
+        f"{WITHOUT_SERVICE}: a file with all routes as classes read at a start",
         "ms",
         "settings_parse_by_classes(routes)",
         "added_ms",
@@ -627,7 +636,7 @@
     Row(
         "configuration",
         "delay",
-        f"{BEFORE}: a file with all plans read at a start",
+        f"{WITHOUT_SERVICE}: a file with all plans read at a start",
         "ms",
         "settings_parse_by_plans(plans)",
         "added_ms",
@@ -636,7 +645,7 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: a class more taken over, on the loop",
+        f"{WITH_SERVICE}: a class more taken over, on the loop",
         "ms",
         "taken_over(routes)",
         "added_ms",
@@ -645,16 +654,16 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: the same with few classes",
+        f"{WITH_SERVICE}: the same with few classes",
         "ms",
-        f"taken_over_by_stores({HOMES})",
+        f"taken_over_by_stores({OWNED_PER_GATEWAY})",
         "added_ms",
         "change",
     ),
     Row(
         "configuration",
         "delay",
-        f"{WITH}: the burst of all plans taken over, on the loop",
+        f"{WITH_SERVICE}: the burst of all plans taken over, on the loop",
         "ms",
         "plans_taken_over(routes)",
         "added_ms",
@@ -663,7 +672,7 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: part of the day in which requests wait for changes",
+        f"{WITH_SERVICE}: part of the day in which requests wait for changes",
         "part",
         "configuration_per_day * taken_over(routes) / 1000 / 86400",
         "added_part",
@@ -672,19 +681,19 @@
     Row(
         "configuration",
         "CPU",
-        f"{WITH}: changes read beside the loop, over a day",
+        f"{WITH_SERVICE}: changes read beside the loop, over a day",
         "% of a core",
         "configuration_per_day * change_read(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "versions",
     ),
     Row(
         "configuration",
         "CPU",
-        f"{WITH}: changes taken over, over a day",
+        f"{WITH_SERVICE}: changes taken over, over a day",
         "% of a core",
         "configuration_per_day * taken_over(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "change",
     ),
     Row("configuration", "state", "routes, each as a class", "entries", "routes", "classes_most", "settings"),
@@ -813,7 +822,7 @@
     Row(
         "operator's tools",
         "messages",
-        f"{WITH}: calls, to see who has which version",
+        f"{WITH_SERVICE}: calls, to see who has which version",
         "calls",
         "machines",
         "services_most",
@@ -825,7 +834,7 @@
         "state",
         "gatekeepers that its service has",
         "entries",
-        SERVED,
+        GATEWAYS_PER_MACHINE,
         "",
         "versions' service",
     ),
@@ -834,7 +843,7 @@
         "messages",
         "their calls in rest",
         "a second",
-        f"rest_calls({SERVED})",
+        f"rest_calls({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
@@ -843,34 +852,34 @@
         "messages",
         "changes told, over a day",
         "a second",
-        f"configuration_per_day * {SERVED} / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} / 86400",
         "",
         "versions' service",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{WITH}: out and in in rest",
+        f"{WITH_SERVICE}: out and in in rest",
         "bytes a second",
-        f"rest_bytes({SERVED})",
+        f"rest_bytes({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{BEFORE}: each change a whole file with all routes",
+        f"{WITHOUT_SERVICE}: each change a whole file with all routes",
         "bytes a second",
-        f"configuration_per_day * {SERVED} * settings_bytes(routes) / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} * settings_bytes(routes) / 86400",
         "",
         "file",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{WITH}: changes told, over a day",
+        f"{WITH_SERVICE}: changes told, over a day",
         "bytes a second",
-        f"configuration_per_day * {SERVED} * change_bytes(routes) / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} * change_bytes(routes) / 86400",
         "",
         "versions' service",
     ),
@@ -879,7 +888,7 @@
         "CPU",
         "its service in rest",
         "% of a core",
-        f"rest_core({SERVED})",
+        f"rest_core({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
@@ -888,7 +897,7 @@
         "descriptors",
         "connections of gatekeepers",
         "descriptors",
-        SERVED,
+        GATEWAYS_PER_MACHINE,
         "connections_most",
         "versions' service",
     ),
@@ -917,7 +926,7 @@
         "delay",
         "part of the day in which requests wait for changed entries",
         "part",
-        f"{CHANGED} * changed_entry(workers) / 1000 / 86400",
+        f"{CHANGES_PER_DAY} * changed_entry(workers) / 1000 / 86400",
         "added_part",
         "list",
     ),
@@ -926,7 +935,7 @@
         "messages",
         "changes told to each gatekeeper",
         "a second",
-        f"{CHANGED} / 86400",
+        f"{CHANGES_PER_DAY} / 86400",
         "",
         "watching",
     ),
@@ -982,7 +991,7 @@
         "state",
         "entries that changed meanwhile",
         "entries",
-        f"{CHANGED} * cut_off_s / 86400",
+        f"{CHANGES_PER_DAY} * cut_off_s / 86400",
         "",
         "watching",
     ),
@@ -1007,7 +1016,7 @@
     Row(
         "a region cut off",
         "state",
-        f"{BEFORE}: changes that it lacks, then restarts of each",
+        f"{WITHOUT_SERVICE}: changes that it lacks, then restarts of each",
         "entries",
         "configuration_per_day * cut_off_s / 86400",
         "",
@@ -1016,14 +1025,20 @@
     Row(
         "a region cut off",
         "state",
-        f"{WITH}: changes that it lacks, for which a service keeps its base",
+        f"{WITH_SERVICE}: changes that it lacks, for which a service keeps its base",
         "entries",
         "configuration_per_day * cut_off_s / 86400",
         "versions_kept",
         "kept versions",
     ),
     Row(
-        "a region cut off", "messages", f"{WITH}: steps in which it takes them", "steps", "1", "", "versions"
+        "a region cut off",
+        "messages",
+        f"{WITH_SERVICE}: steps in which it takes them",
+        "steps",
+        "1",
+        "",
+        "versions",
     ),
     Row(
         "all restarted in parts",
@@ -1048,7 +1063,7 @@
         "delay",
         "what one passes to the next, on both loops",
         "ms",
-        f"estate_ms({HERE})",
+        f"estate_ms({CUSTOMERS_PER_GATEWAY})",
         "added_ms",
         "estate",
     ),
@@ -1057,7 +1072,7 @@
         "bytes",
         "what one passes to the next",
         "bytes",
-        f"estate_bytes({HERE})",
+        f"estate_bytes({CUSTOMERS_PER_GATEWAY})",
         "",
         "estate",
     ),
@@ -1073,7 +1088,7 @@
     Row(
         "changes of configuration",
         "messages",
-        f"{BEFORE}: restarts, each change one of each gatekeeper",
+        f"{WITHOUT_SERVICE}: restarts, each change one of each gatekeeper",
         "restarts a day",
         "configuration_per_day * gatekeepers",
         "restarts_per_day",
@@ -1082,7 +1097,7 @@
     Row(
         "changes of configuration",
         "messages",
-        f"{WITH}: restarts",
+        f"{WITH_SERVICE}: restarts",
         "restarts a day",
         "configuration_per_day * gatekeepers * restarts_a_version",
         "restarts_per_day",
@@ -1091,25 +1106,25 @@
     Row(
         "changes of configuration",
         "CPU",
-        f"{BEFORE}: each a whole file with all routes",
+        f"{WITHOUT_SERVICE}: each a whole file with all routes",
         "% of a core",
         "configuration_per_day * settings_parse_by_classes(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "settings",
     ),
     Row(
         "changes of configuration",
         "CPU",
-        f"{WITH}: changes read and taken over",
+        f"{WITH_SERVICE}: changes read and taken over",
         "% of a core",
         "configuration_per_day * (change_read(routes) + taken_over(routes)) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "versions",
     ),
     Row(
         "changes of configuration",
         "reach",
-        f"{BEFORE}: in force everywhere, gatekeepers restarted in parts",
+        f"{WITHOUT_SERVICE}: in force everywhere, gatekeepers restarted in parts",
         "s",
         "restart_parts * (ending_s + start_by_workers(workers))",
         "told_s",
@@ -1118,7 +1133,7 @@
     Row(
         "changes of configuration",
         "reach",
-        f"{WITH}: in force everywhere, one service silent",
+        f"{WITH_SERVICE}: in force everywhere, one service silent",
         "s",
         "version_in_force_s",
         "told_s",
@@ -1127,7 +1142,7 @@
     Row(
         "changes of configuration",
         "reach",
-        f"{WITH}: told and read everywhere, two services in turn silent",
+        f"{WITH_SERVICE}: told and read everywhere, two services in turn silent",
         "s",
         "version_worst_s + change_read(routes) / 1000",
         "told_s",
--- a/tests/capacity/test_size.py
+++ b/tests/capacity/test_size.py
@@ -159,8 +159,8 @@
             for line in lines()
             if (line.row.who, line.row.figure) == ("changes of configuration", figure)
         ]
-        before = [line for line in found if line.row.what.startswith(rows.BEFORE)]
-        after = [line for line in found if line.row.what.startswith(rows.WITH)]
+        before = [line for line in found if line.row.what.startswith(rows.WITHOUT_SERVICE)]
+        after = [line for line in found if line.row.what.startswith(rows.WITH_SERVICE)]
         assert all(line.ratio > 1 for line in before) and all(line.ratio < 1 for line in after)
         assert len(before) == 1 and after and not any(line.is_missing for line in (*before, *after))
 
