--- a/tests/support/lease_tier.py
+++ b/tests/support/lease_tier.py
@@ -54,9 +54,9 @@
         actions = self.participant.handle(self.clock(), [*self.waiting, *events])
         self.waiting = []
         for action in actions:
-            self.tier.carry_out(self, action)
+            self.tier.execute(self, action)
         due = min(self.true_time(self.participant.due_ms), self.tier.now + MAX_TIMER_MS)
-        self.tier.at(max(self.tier.now, due) + TIMER_SLACK_MS, self._on_timer)
+        self.tier.schedule_at(max(self.tier.now, due) + TIMER_SLACK_MS, self._on_timer)
 
     def _on_timer(self):
         is_due = self.clock() >= self.participant.due_ms
@@ -87,13 +87,13 @@
         process.handle()
         return process
 
-    def at(self, t, call):
+    def schedule_at(self, t, call):
         heapq.heappush(self._heap, (t, next(self._serial), call))
 
-    def later(self, ms, call):
-        self.at(self.now + ms, call)
+    def schedule_after(self, ms, call):
+        self.schedule_at(self.now + ms, call)
 
-    def carry_out(self, process, action):
+    def execute(self, process, action):
         """Execute an action that a participant returned."""
         if isinstance(action, SendMessage):
             self._send(process, action)
@@ -110,7 +110,7 @@
         if self.drops(process.number, action.receiver, action.data) or self.rng.random() < self.loss:
             return
         for _ in range(1 + (self.rng.random() < self.duplication)):
-            self.later(self.rng.uniform(*self.delay), lambda: self._deliver(process.number, action))
+            self.schedule_after(self.rng.uniform(*self.delay), lambda: self._deliver(process.number, action))
 
     def _deliver(self, sender, action):
         receiver = self.processes[action.receiver]
@@ -125,7 +125,7 @@
         """Suspend the process of the gateway with this number for `ms`."""
         process = self.processes[number]
         process.stalled_until = max(process.stalled_until, self.now + ms)
-        self.later(ms, lambda: process.handle())
+        self.schedule_after(ms, lambda: process.handle())
 
     def run(self, ms, judge=True):
         end = self.now + ms
@@ -165,10 +165,10 @@
 
     def run_until(self, condition, ms):
         """Run until the condition is true; returns the time taken in ms, or None after `ms` without it."""
-        begun = self.now
-        while self.now < begun + ms:
+        started_ms = self.now
+        while self.now < started_ms + ms:
             if condition():
-                return self.now - begun
+                return self.now - started_ms
             self.run(5)
         return None
 
@@ -179,12 +179,12 @@
         while t < end:
             t += rng.expovariate(1 / 700)
             kind = rng.choice(FAULTS)
-            self.at(self.now + t, lambda kind=kind: self._fault(kind))
+            self.schedule_at(self.now + t, lambda kind=kind: self._fault(kind))
 
     def _fault(self, kind):
         rng = self.rng
         number = rng.randrange(self.gateways)
-        for_ms = rng.choice((50, 300, 1000, 3000, 1.5 * self.terms.term_ms))
+        duration_ms = rng.choice((50, 300, 1000, 3000, 1.5 * self.terms.term_ms))
         if kind == "kill" and self.processes[number] is not None:
             self._kill_and_restart(number, lambda: rng.choice((10, 300, 1500)))
         elif kind == "all" and rng.random() < 0.2:
@@ -192,9 +192,9 @@
                 if self.processes[one] is not None:
                     self._kill_and_restart(one, lambda: rng.uniform(10, 2000))
         elif kind == "stall" and self.processes[number] is not None:
-            self.stall(number, for_ms)
+            self.stall(number, duration_ms)
         elif kind in ("split", "one-way"):
-            self._split(for_ms, kind == "one-way")
+            self._split(duration_ms, kind == "one-way")
         elif kind == "bad-network":
             self.loss, self.duplication = rng.choice((0, 0.05, 0.3)), rng.choice((0, 0.3))
             self.delay = rng.choice(((1, 5), (1, 40), (1, 2000), (1, 10000)))
@@ -203,9 +203,9 @@
 
     def _kill_and_restart(self, number, draw_ms):
         self.kill(number)
-        self.later(draw_ms(), lambda: self.processes[number] is None and self.start(number))
+        self.schedule_after(draw_ms(), lambda: self.processes[number] is None and self.start(number))
 
-    def _split(self, for_ms, one_way):
+    def _split(self, duration_ms, one_way):
         side = {number for number in range(self.gateways) if self.rng.random() < 0.4}
 
         def drops(sender, receiver, data):
@@ -218,4 +218,4 @@
                 self.drops = lambda sender, receiver, data: False
 
         self.drops = drops
-        self.later(for_ms, end)
+        self.schedule_after(duration_ms, end)
