--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -49,7 +49,7 @@
 from plumpick.policy.leases.rate_limit import PeerRateLimit
 from plumpick.policy.scheduled_tasks import ReleaseSlot, ReportMissedRun, StartRun, StopRun, TaskScheduler
 
-STALL_MS = 1000.0  # delay of a step from which on it is logged as a stall
+STALL_MS = 1000.0  # minimum delay of a step that is logged as a stall
 MIN_TIMER_MS = 1.0
 MAX_TIMER_MS = 60_000.0
 MAX_LOGGED_TASKS = 8
@@ -124,7 +124,7 @@
         self._step()
 
     def _restore(self, now_ms: float, participant: LeaseParticipant, state: dict[str, Any]) -> None:
-        """Import the state of the hot-restart predecessor; what is malformed in it is logged and dropped."""
+        """Import the state of the hot-restart predecessor up to the first malformed part, which is logged."""
         try:
             participant.restore(now_ms, state["leases"], accepts=self._guard.is_held)
             self.usage.restore(state["use"])
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -36,7 +36,7 @@
 
 
 class MessageFormatError(ValueError):
-    """The received bytes are no message of this version; the text gives the reason."""
+    """The received bytes are not a valid message of this version; the text gives the reason."""
 
 
 class MessageTooLongError(ValueError):
