--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -1,8 +1,9 @@
-"""Rows worked out: formulas over the sizes of a form, measured slopes and the program's own constants.
+"""Evaluation of the rows' formulas over the sizes of a form, measured slopes and the program's constants.
 
-A formula is arithmetic: a slope is called with a size; `growth(slope, x)` is what x of them add to
-what there is without them; `words(rate)` and `word_bytes(rate)` are what a gatekeeper
-tells at that rate with the form's sets."""
+A formula is arithmetic on names of sizes and constants. `NAME(x)` is the slope NAME at the size x;
+`growth(NAME, x)` is the difference between the slope at x and at 0; `words(rate)` and `word_bytes(rate)` are
+the number and the bytes of peer messages that a gateway sends per second at that request rate, with the
+form's gateway sets."""
 
 from __future__ import annotations
 
@@ -36,30 +37,31 @@
 from plumpick.tools.configuration_service import MAX_CONNECTIONS
 
 MEASURED, FORMULA = "measured", "formula"
-SETS = (3, 20)  # of which words were measured at several rates
-SILENT = 2  # services of versions in turn that a row takes to be silent
+# Sizes of gateway sets for which messages were measured at several request rates.
+MEASURED_SET_SIZES = (3, 20)
+UNREACHABLE_SERVICES = 2  # number of unreachable version services that the longest notification time assumes
 
 
 class ModelError(ValueError):
-    """A formula that cannot be worked out; the text says why."""
+    """A formula cannot be evaluated; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One row worked out."""
+class EvaluatedRow:
+    """One evaluated row."""
 
     row: Row
     value: float
     limit: float | None
     mechanism: str
     slopes: tuple[str, ...]
-    outside: tuple[str, ...]  # slopes read beyond what was measured
-    off: float  # largest residual of the slopes read
-    put_together: bool = False  # from slopes that were not measured together
+    outside: tuple[str, ...]  # slopes used outside their measured range, each with size and range
+    max_residual: float  # largest residual of the slopes used
+    is_combined: bool = False  # whether slopes of separate measurements were combined
 
     @property
     def ratio(self) -> float | None:
-        """Figure by limit; None without a limit."""
+        """The value divided by the limit; None without a limit."""
         return None if self.limit is None else self.value / self.limit
 
     @property
@@ -68,24 +70,24 @@
 
     @property
     def range(self) -> str:
-        """How far what was measured carries it."""
+        """How the value is backed by measurements, as printed in the column `range`."""
         if not self.slopes:
             return FORMULA
         if self.outside:
             return f"outside: {', '.join(self.outside)}"
-        more = ", put together" if self.put_together else ""
-        return f"{MEASURED}, off {100 * self.off:.0f} % at most{more}"
+        more = ", put together" if self.is_combined else ""
+        return f"{MEASURED}, off {100 * self.max_residual:.0f} % at most{more}"
 
 
 @cache
 def _publish_s() -> float:
-    """After how long `publish` puts a version in force where it is not told; read once: parsers are slow."""
+    """The default of `publish --in-force-in` in seconds; cached, because building the parser is slow."""
     given = parser().parse_args(["configuration", "publish", "any", "--to", "any"])
     return float(given.in_force_in)
 
 
 def needs_restart(before: Settings, after: Settings) -> bool:
-    """Whether the program takes over such settings only by a restart."""
+    """Whether a gateway with the settings `before` must be restarted to apply `after`."""
     try:
         check(before, after)
     except ReconfigurationError:
@@ -94,7 +96,8 @@
 
 
 def constants(sizes: Mapping[str, float]) -> dict[str, float]:
-    """What the program's own text says at these sizes."""
+    """The program's constants and what it computes for a tier of these sizes, by the names used in
+    formulas."""
     gatekeepers = int(sizes["gatekeepers"])
     any_class = RequestClass("any", 1.0, 1.0, 1.0, Idempotency.IDEMPOTENT)
     tier = Settings(
@@ -112,7 +115,7 @@
     )
     default = parse_operator_config({"fleet": {"voters": [0]}}, gatekeepers).fleet
     if default is None:
-        raise ModelError("the operator's file names no fleet")
+        raise ModelError("the default operator's file has no fleet settings")
     others = (
         replace(tier, classes=(*tier.classes, replace(any_class, name="other"))),
         replace(tier, plans=(*tier.plans, Plan("other"))),
@@ -136,11 +139,11 @@
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_TIMEOUT_MS,
         "shared_round_ms": endpoint_watch.MAX_ROUND_MS,
         "shared_worst_s": endpoint_watch.worst_notification_ms(True) / 1000,
-        "ending_s": shutdown_times([math.inf])[2],  # of classes with long deadlines
-        # What cannot be taken over in service takes a restart; a form's changes are of routes and plans.
+        "ending_s": shutdown_times([math.inf])[2],  # with request classes that have long deadlines
+        # 1 if a change of request classes or plans, as the form counts them, requires a restart.
         "restarts_a_version": float(any(needs_restart(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_notification_ms(1) / 1000, _publish_s()),
-        "version_worst_s": subscriber.worst_notification_ms(SILENT) / 1000,
+        "version_worst_s": subscriber.worst_notification_ms(UNREACHABLE_SERVICES) / 1000,
         "versions_kept": float(version_store.MAX_VERSIONS),
         "connections_most": float(MAX_CONNECTIONS),
         "services_most": float(MAX_CONFIGURATION_SERVICES),
@@ -148,70 +151,80 @@
 
 
 @dataclass(slots=True)
-class _Reading:
-    """One formula worked out; what it read is kept."""
+class _Evaluation:
+    """The evaluation of one formula, which records the slopes that were used."""
 
     sizes: Mapping[str, float]
-    named: Mapping[str, float]
+    names: Mapping[str, float]
     slopes: Mapping[str, Slope]
-    read: dict[str, Slope] = field(default_factory=dict)
+    used: dict[str, Slope] = field(default_factory=dict)
     outside: dict[str, None] = field(default_factory=dict)
-    put_together: bool = False
+    is_combined: bool = False
 
-    def at(self, name: str, x: float) -> float:
+    def slope_value(self, name: str, x: float) -> float:
         slope = self.slopes.get(name)
         if slope is None:
-            raise ModelError(f"{name}: no such slope was measured")
-        self.read[name] = slope
-        if not slope.holds(x):
-            self.outside[f"{name} at {x:,.4g}, measured {slope.least:,.4g} to {slope.most:,.4g}"] = None
-        return slope.at(x)
+            raise ModelError(f"{name}: unknown slope")
+        self.used[name] = slope
+        if not slope.covers(x):
+            self.outside[f"{name} at {x:,.4g}, measured {slope.min_x:,.4g} to {slope.max_x:,.4g}"] = None
+        return slope.value_at(x)
 
     def growth(self, name: str, x: float) -> float:
-        """What x of them add, by a straight line."""
-        whole, slope = self.at(name, x), self.slopes[name]
+        """The difference of a linear slope between x and 0. Raises ModelError for any other form."""
+        value, slope = self.slope_value(name, x), self.slopes[name]
         if slope.form != LINEAR:
-            raise ModelError(f"{name}: no straight line")
-        return whole - slope.at(0.0)
-
-    def told(self, what: str, rate: float) -> float:
-        """Words or bytes told at a rate. For sets that were not measured at that rate: what sets of 3 or 20
-        have at it, in proportion to what the set has at the rate of the sets' slope."""
-        spread = self.sizes["set"]
-        near = SETS[0] if spread < math.sqrt(SETS[0] * SETS[1]) else SETS[1]
-        by_rate = self.at(f"{what}_by_rate_{near}", rate)
-        if spread == near:
+            raise ModelError(f"{name}: growth() requires a slope of the form {LINEAR}, got {slope.form}")
+        return value - slope.value_at(0.0)
+
+    def sent_per_s(self, what: str, rate: float) -> float:
+        """Messages or bytes sent per second at a request rate.
+
+        If the form's set size was not measured by rate, the value of the nearest measured set size is scaled
+        by the ratio of both set sizes in the slope by set size."""
+        set_size = self.sizes["set"]
+        nearest_size = (
+            MEASURED_SET_SIZES[0]
+            if set_size < math.sqrt(MEASURED_SET_SIZES[0] * MEASURED_SET_SIZES[1])
+            else MEASURED_SET_SIZES[1]
+        )
+        by_rate = self.slope_value(f"{what}_by_rate_{nearest_size}", rate)
+        if set_size == nearest_size:
             return by_rate
-        self.put_together = True
-        return by_rate * self.at(f"{what}_by_set", spread) / self.at(f"{what}_by_set", near)
-
-    def value(self, formula: str) -> float:
+        self.is_combined = True
+        return (
+            by_rate
+            * self.slope_value(f"{what}_by_set", set_size)
+            / self.slope_value(f"{what}_by_set", nearest_size)
+        )
+
+    def evaluate(self, formula: str) -> float:
         try:
             tree = ast.parse(formula, mode="eval")
         except SyntaxError as problem:
             raise ModelError(f"{formula}: {problem}") from problem
-        return self._of(tree.body)
+        return self._evaluate_node(tree.body)
 
-    def _of(self, node: ast.expr) -> float:
+    def _evaluate_node(self, node: ast.expr) -> float:
         match node:
             case ast.Constant(value=int() | float() as number):
                 return float(number)
-            case ast.Name(id=name) if name in self.named:
-                return self.named[name]
+            case ast.Name(id=name) if name in self.names:
+                return self.names[name]
             case ast.BinOp(left=left, op=op, right=right) if type(op) in _OPERATORS:
                 try:
-                    return _OPERATORS[type(op)](self._of(left), self._of(right))
+                    return _OPERATORS[type(op)](self._evaluate_node(left), self._evaluate_node(right))
                 except ZeroDivisionError as problem:
-                    raise ModelError(f"{ast.unparse(node)}: divided by 0") from problem
+                    raise ModelError(f"{ast.unparse(node)}: division by zero") from problem
             case ast.Call(func=ast.Name(id="growth"), args=[ast.Name(id=name), size], keywords=[]):
-                return self.growth(name, self._of(size))
+                return self.growth(name, self._evaluate_node(size))
             case ast.Call(func=ast.Name(id="words"), args=[rate], keywords=[]):
-                return self.told("words", self._of(rate))
+                return self.sent_per_s("words", self._evaluate_node(rate))
             case ast.Call(func=ast.Name(id="word_bytes"), args=[rate], keywords=[]):
-                return self.told("bytes", self._of(rate))
+                return self.sent_per_s("bytes", self._evaluate_node(rate))
             case ast.Call(func=ast.Name(id=name), args=[size], keywords=[]):
-                return self.at(name, self._of(size))
-        raise ModelError(f"{ast.unparse(node)}: is no part of a formula")
+                return self.slope_value(name, self._evaluate_node(size))
+        raise ModelError(f"{ast.unparse(node)}: expression not allowed in a formula")
 
 
 _OPERATORS: dict[Any, Callable[[float, float], float]] = {
@@ -222,40 +235,40 @@
 }
 
 
-def line_of(
+def evaluate_row(
     row: Row,
     sizes: Mapping[str, float],
     slopes: Mapping[str, Slope],
     mechanisms: Mapping[str, str] = MECHANISMS,
-) -> Line:
-    """One row at these sizes. Raises ModelError."""
-    reading = _Reading(sizes, {**constants(sizes), **sizes}, slopes)
-    value = reading.value(row.formula)
-    limit = reading.value(row.limit) if row.limit else None
+) -> EvaluatedRow:
+    """Evaluate one row at these sizes. Raises ModelError."""
+    evaluation = _Evaluation(sizes, {**constants(sizes), **sizes}, slopes)
+    value = evaluation.evaluate(row.formula)
+    limit = evaluation.evaluate(row.limit) if row.limit else None
     if limit is not None and limit <= 0:
-        raise ModelError(f"{row.who}, {row.what}: a limit of {limit:g}")
+        raise ModelError(f"{row.who}, {row.what}: expected a limit above 0, got {limit:g}")
     if row.mechanism not in mechanisms:
-        raise ModelError(f"{row.mechanism}: no such mechanism")
-    return Line(
+        raise ModelError(f"{row.mechanism}: unknown mechanism")
+    return EvaluatedRow(
         row,
         value,
         limit,
         mechanisms[row.mechanism],
-        tuple(sorted(reading.read)),
-        tuple(reading.outside),
-        max((one.residual for one in reading.read.values()), default=0.0),
-        reading.put_together,
+        tuple(sorted(evaluation.used)),
+        tuple(evaluation.outside),
+        max((one.residual for one in evaluation.used.values()), default=0.0),
+        evaluation.is_combined,
     )
 
 
-def lines_of(
+def evaluate_rows(
     sizes: Mapping[str, float], slopes: Mapping[str, Slope], rows: tuple[Row, ...] = ROWS
-) -> list[Line]:
-    """All rows, what passes its limit by most first; those without a limit last."""
-    lines = [line_of(row, sizes, slopes) for row in rows]
+) -> list[EvaluatedRow]:
+    """Evaluate all rows; sorted by the ratio to their limits, largest first, rows without a limit last."""
+    lines = [evaluate_row(row, sizes, slopes) for row in rows]
     return sorted(lines, key=lambda line: -1.0 if line.ratio is None else line.ratio, reverse=True)
 
 
-def missing_of(lines: list[Line]) -> list[Line]:
-    """What passes its limit and is carried by no mechanism, by ratio."""
+def rows_without_mechanism(lines: list[EvaluatedRow]) -> list[EvaluatedRow]:
+    """The lines beyond their limits for which the program has no mechanism, in the given order."""
     return [line for line in lines if line.is_missing and line.ratio is not None and line.ratio > 1]
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -1,8 +1,8 @@
-"""The rows of docs/CAPACITY.md, as data: what each role and event takes, worked out by a formula of slopes,
-of the form's sizes and of the program's own constants (model.py lists the names), against a limit of the
+"""The rows of docs/CAPACITY.md as data: the resources that each role and event needs, each with a formula of
+slopes, of the form's sizes and of the program's constants (model.py lists the names), and a limit of the
 form.
 
-No figure stands here but changes of unit, and 1 where the program has one of a thing."""
+Formulas contain no numbers other than unit conversions, and 1 for a thing of which the program has one."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 )
 FIGURES = ("state", "messages", "bytes", "CPU", "memory", "descriptors", "recovery", "delay", "reach")
 
-# What carries a row: file and function, or "none". Whoever builds what is missing names it here, and gives
-# its rows the formulas of what it takes.
+# The implementation that a row depends on: file and function, or "none" if it is missing. Once it exists, it
+# is named here, and its rows get the formulas of its resources.
 MECHANISMS = {
     "period": "plumpick/policy/endpoint_table.py, EndpointTable.on_period",
     "shares": "plumpick/policy/admission.py, AdmissionQueue.on_period",
@@ -56,22 +56,23 @@
     "watching": "plumpick/policy/endpoint_watch.py, EndpointWatch",
     "estate": "plumpick/policy/snapshot.py, export_state and import_state",
     "settings": "plumpick/policy/settings_parser.py, parse_settings",
-    "file": "plumpick/gateway/config.py, load",  # what stands there is in force at the next start
-    # Settings in force without a restart: off unless the operator's file names a [configuration].
+    "file": "plumpick/gateway/config.py, load",  # changes of the file take effect at the next start
+    # Changes of settings without a restart; only if the operator's file has a [configuration] section.
     "versions": "plumpick/gateway/dynamic_config/client.py, ConfigClient",
     "change": "plumpick/policy/reconfiguration.py, apply",
     "waits": "plumpick/policy/dynamic_config/subscriber.py, ConfigSubscriber",
     "versions' service": "plumpick/tools/configuration_service.py, VersionService",
     "kept versions": "plumpick/policy/dynamic_config/version_store.py, VersionStore",
     "publishing": "plumpick/tools/configuration.py, publish and status",
-    "services": NONE,  # pools of workers, with routes to them
-    "calls to all": NONE,  # one call that reaches all gatekeepers
+    "services": NONE,  # several pools of workers, with routes to them
+    "calls to all": NONE,  # one operator's command that reaches all gateways
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One row: `formula` and `limit` in the names of model.py; no limit where the operators set none."""
+    """One row of the table. `formula` and `limit` use the names of model.py; `limit` is empty if there is
+    none."""
 
     who: str
     figure: str
@@ -82,23 +83,23 @@
     mechanism: str
 
 
-HERE, HOMES = "tenants * set / gatekeepers", "tenants / gatekeepers"
-MEAN = "requests_per_s / gatekeepers"
-CPU = "100 * cpu_part"
-CHANGED = "replaced_per_day * entries_a_replacement"
-# The two ways by which a change of the settings comes into force; rows of one figure stand in pairs.
-BEFORE, WITH = "before, with no service of versions named", "with versions from a service"
-SERVED = "gatekeepers / machines"  # by the service at one of the machines
+CUSTOMERS_PER_GATEWAY, OWNED_PER_GATEWAY = "tenants * set / gatekeepers", "tenants / gatekeepers"
+MEAN_RATE = "requests_per_s / gatekeepers"
+CPU_LIMIT = "100 * cpu_part"
+CHANGES_PER_DAY = "replaced_per_day * entries_a_replacement"
+# The two ways in which a change of settings takes effect. Rows of one figure for both are shown as pairs.
+WITHOUT_SERVICE, WITH_SERVICE = "before, with no service of versions named", "with versions from a service"
+GATEWAYS_PER_MACHINE = "gatekeepers / machines"  # number of gateways of the version service on one machine
 
 ROWS = (
-    # A gatekeeper that serves.
+    # A serving gateway.
     Row(
         "gatekeeper",
         "CPU",
         "control with nothing to do",
         "% of a core",
         "idle_by_workers(workers) / 10",
-        CPU,
+        CPU_LIMIT,
         "period",
     ),
     Row(
@@ -107,7 +108,7 @@
         "the same, if each route is a class",
         "% of a core",
         "(idle_by_workers(workers) + growth(idle_by_classes, routes)) / 10",
-        CPU,
+        CPU_LIMIT,
         "shares",
     ),
     Row(
@@ -115,8 +116,8 @@
         "CPU",
         "control: accounts and stores looked through",
         "% of a core",
-        f"growth(idle_by_firms, {HERE}) / 10",
-        CPU,
+        f"growth(idle_by_firms, {CUSTOMERS_PER_GATEWAY}) / 10",
+        CPU_LIMIT,
         "tidy",
     ),
     Row(
@@ -124,8 +125,8 @@
         "CPU",
         "control: words taken in, at the mean load",
         "% of a core",
-        f"words({MEAN}) * heard_by_set(set) / 10000",
-        CPU,
+        f"words({MEAN_RATE}) * heard_by_set(set) / 10000",
+        CPU_LIMIT,
         "words in",
     ),
     Row(
@@ -133,8 +134,8 @@
         "CPU",
         "control: changes of the list, over a day",
         "% of a core",
-        f"{CHANGED} * changed_entry(workers) / 86400 / 10",
-        CPU,
+        f"{CHANGES_PER_DAY} * changed_entry(workers) / 86400 / 10",
+        CPU_LIMIT,
         "list",
     ),
     Row(
@@ -142,9 +143,10 @@
         "CPU",
         "control in all, at the mean load",
         "% of a core",
-        f"(idle_by_workers(workers) + growth(idle_by_firms, {HERE})) / 10"
-        f" + words({MEAN}) * heard_by_set(set) / 10000 + {CHANGED} * changed_entry(workers) / 86400 / 10",
-        CPU,
+        f"(idle_by_workers(workers) + growth(idle_by_firms, {CUSTOMERS_PER_GATEWAY})) / 10"
+        f" + words({MEAN_RATE}) * heard_by_set(set) / 10000"
+        f" + {CHANGES_PER_DAY} * changed_entry(workers) / 86400 / 10",
+        CPU_LIMIT,
         "period",
     ),
     Row(
@@ -152,7 +154,7 @@
         "CPU",
         "decisions of requests, at the mean load",
         "% of a core",
-        f"{MEAN} * request_by_workers(workers) / 10000",
+        f"{MEAN_RATE} * request_by_workers(workers) / 10000",
         "100",
         "choice",
     ),
@@ -170,7 +172,7 @@
         "messages",
         "words told, at the mean load",
         "a second",
-        f"words({MEAN})",
+        f"words({MEAN_RATE})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -179,7 +181,7 @@
         "messages",
         "words taken in, at the mean load (as many)",
         "a second",
-        f"words({MEAN})",
+        f"words({MEAN_RATE})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -197,7 +199,7 @@
         "bytes",
         "words told, at the mean load",
         "bytes a second",
-        f"word_bytes({MEAN})",
+        f"word_bytes({MEAN_RATE})",
         "bytes_per_s",
         "words",
     ),
@@ -215,7 +217,7 @@
         "state",
         "workers known, accounts, stores",
         "entries",
-        f"workers + {HERE} + {HOMES}",
+        f"workers + {CUSTOMERS_PER_GATEWAY} + {OWNED_PER_GATEWAY}",
         "",
         "list",
     ),
@@ -224,9 +226,9 @@
         "state",
         "those in bytes, with peers and open requests",
         "bytes",
-        f"growth(memory_by_workers, workers) + growth(memory_by_firms, {HERE})"
+        f"growth(memory_by_workers, workers) + growth(memory_by_firms, {CUSTOMERS_PER_GATEWAY})"
         " + growth(memory_by_peers, gatekeepers - 1)"
-        f" + growth(memory_by_requests, {MEAN} * answer_ms / 1000)",
+        f" + growth(memory_by_requests, {MEAN_RATE} * answer_ms / 1000)",
         "",
         "list",
     ),
@@ -235,9 +237,9 @@
         "memory",
         "the process, with firms, peers and open requests",
         "MB",
-        f"resident_by_workers(workers) + (growth(memory_by_firms, {HERE})"
+        f"resident_by_workers(workers) + (growth(memory_by_firms, {CUSTOMERS_PER_GATEWAY})"
         " + growth(memory_by_peers, gatekeepers - 1)"
-        f" + growth(memory_by_requests, {MEAN} * answer_ms / 1000)) / 1000000",
+        f" + growth(memory_by_requests, {MEAN_RATE} * answer_ms / 1000)) / 1000000",
         "memory_mb",
         "process",
     ),
@@ -295,14 +297,14 @@
         "",
         "process",
     ),
-    # A firm's home.
-    Row("home of a firm", "state", "stores of firms at their home", "entries", HOMES, "", "home"),
+    # The owner of a customer's quota.
+    Row("home of a firm", "state", "stores of firms at their home", "entries", OWNED_PER_GATEWAY, "", "home"),
     Row(
         "home of a firm",
         "state",
         "the same in bytes, with accounts",
         "bytes",
-        f"growth(memory_by_firms, {HOMES})",
+        f"growth(memory_by_firms, {OWNED_PER_GATEWAY})",
         "",
         "home",
     ),
@@ -311,7 +313,7 @@
         "messages",
         "words told, by firms at a home, sets of 3",
         "a second",
-        f"words_by_firms({HOMES})",
+        f"words_by_firms({OWNED_PER_GATEWAY})",
         "words_taken_in_per_s",
         "words",
     ),
@@ -339,7 +341,7 @@
         "messages",
         "those and words of quotas taken in, at the mean load",
         "a second",
-        f"voter_taken(gatekeepers) + words({MEAN})",
+        f"voter_taken(gatekeepers) + words({MEAN_RATE})",
         "words_taken_in_per_s",
         "leases",
     ),
@@ -362,7 +364,15 @@
         "leases",
     ),
     Row("voter", "state", "leases that it keeps", "entries", "slots", "", "leases"),
-    Row("voter", "CPU", "decisions of leases", "% of a core", "voter_cpu(gatekeepers) / 10", CPU, "leases"),
+    Row(
+        "voter",
+        "CPU",
+        "decisions of leases",
+        "% of a core",
+        "voter_cpu(gatekeepers) / 10",
+        CPU_LIMIT,
+        "leases",
+    ),
     Row(
         "owner of a duty",
         "messages",
@@ -405,7 +415,7 @@
         "decisions of leases",
         "% of a core",
         "owner_cpu(gatekeepers) / 10",
-        CPU,
+        CPU_LIMIT,
         "holding",
     ),
     Row("owner of a duty", "recovery", "so long a dead owner's lease lasts", "s", "term_s", "", "holding"),
@@ -453,7 +463,7 @@
         "askings for one budget answered",
         "% of a core",
         "askings_per_s * divider_asking(gatekeepers) / 10000",
-        CPU,
+        CPU_LIMIT,
         "dividing",
     ),
     Row(
@@ -537,7 +547,7 @@
         "messages",
         "answers to changes, over a day",
         "a second",
-        f"{CHANGED} * gatekeepers / 86400",
+        f"{CHANGES_PER_DAY} * gatekeepers / 86400",
         "",
         "watching",
     ),
@@ -572,7 +582,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{BEFORE}: to each gatekeeper, each change a whole file with all routes",
+        f"{WITHOUT_SERVICE}: to each gatekeeper, each change a whole file with all routes",
         "bytes a second",
         "configuration_per_day * settings_bytes(routes) / 86400",
         "bytes_per_s",
@@ -581,7 +591,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: to each gatekeeper, by changes",
+        f"{WITH_SERVICE}: to each gatekeeper, by changes",
         "bytes a second",
         "configuration_per_day * change_bytes(routes) / 86400",
         "bytes_per_s",
@@ -590,7 +600,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: those of a day",
+        f"{WITH_SERVICE}: those of a day",
         "bytes a day",
         "configuration_per_day * change_bytes(routes)",
         "",
@@ -599,7 +609,7 @@
     Row(
         "configuration",
         "bytes",
-        f"{WITH}: to and from each gatekeeper in rest",
+        f"{WITH_SERVICE}: to and from each gatekeeper in rest",
         "bytes a second",
         "rest_bytes(gatekeepers) / gatekeepers",
         "bytes_per_s",
@@ -608,7 +618,7 @@
     Row(
         "configuration",
         "messages",
-        f"{WITH}: calls of each gatekeeper in rest",
+        f"{WITH_SERVICE}: calls of each gatekeeper in rest",
         "a second",
         "rest_calls(gatekeepers) / gatekeepers",
         "words_taken_in_per_s",
@@ -617,7 +627,7 @@
     Row(
         "configuration",
         "delay",
-        f"{BEFORE}: a file with all routes as classes read at a start",
+        f"{WITHOUT_SERVICE}: a file with all routes as classes read at a start",
         "ms",
         "settings_parse_by_classes(routes)",
         "added_ms",
@@ -626,7 +636,7 @@
     Row(
         "configuration",
         "delay",
-        f"{BEFORE}: a file with all plans read at a start",
+        f"{WITHOUT_SERVICE}: a file with all plans read at a start",
         "ms",
         "settings_parse_by_plans(plans)",
         "added_ms",
@@ -635,7 +645,7 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: a class more taken over, on the loop",
+        f"{WITH_SERVICE}: a class more taken over, on the loop",
         "ms",
         "taken_over(routes)",
         "added_ms",
@@ -644,16 +654,16 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: the same with few classes",
+        f"{WITH_SERVICE}: the same with few classes",
         "ms",
-        f"taken_over_by_stores({HOMES})",
+        f"taken_over_by_stores({OWNED_PER_GATEWAY})",
         "added_ms",
         "change",
     ),
     Row(
         "configuration",
         "delay",
-        f"{WITH}: the burst of all plans taken over, on the loop",
+        f"{WITH_SERVICE}: the burst of all plans taken over, on the loop",
         "ms",
         "plans_taken_over(routes)",
         "added_ms",
@@ -662,7 +672,7 @@
     Row(
         "configuration",
         "delay",
-        f"{WITH}: part of the day in which requests wait for changes",
+        f"{WITH_SERVICE}: part of the day in which requests wait for changes",
         "part",
         "configuration_per_day * taken_over(routes) / 1000 / 86400",
         "added_part",
@@ -671,19 +681,19 @@
     Row(
         "configuration",
         "CPU",
-        f"{WITH}: changes read beside the loop, over a day",
+        f"{WITH_SERVICE}: changes read beside the loop, over a day",
         "% of a core",
         "configuration_per_day * change_read(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "versions",
     ),
     Row(
         "configuration",
         "CPU",
-        f"{WITH}: changes taken over, over a day",
+        f"{WITH_SERVICE}: changes taken over, over a day",
         "% of a core",
         "configuration_per_day * taken_over(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "change",
     ),
     Row("configuration", "state", "routes, each as a class", "entries", "routes", "classes_most", "settings"),
@@ -715,7 +725,7 @@
         "",
         "process",
     ),
-    # One service of versions with all gatekeepers; where there are several each has its part.
+    # One version service with all gateways; several services share them.
     Row(
         "service of versions",
         "messages",
@@ -812,19 +822,19 @@
     Row(
         "operator's tools",
         "messages",
-        f"{WITH}: calls, to see who has which version",
+        f"{WITH_SERVICE}: calls, to see who has which version",
         "calls",
         "machines",
         "services_most",
         "publishing",
     ),
-    # The machines set aside, with a service of versions at each.
+    # The dedicated machines, each with a version service.
     Row(
         "each machine",
         "state",
         "gatekeepers that its service has",
         "entries",
-        SERVED,
+        GATEWAYS_PER_MACHINE,
         "",
         "versions' service",
     ),
@@ -833,7 +843,7 @@
         "messages",
         "their calls in rest",
         "a second",
-        f"rest_calls({SERVED})",
+        f"rest_calls({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
@@ -842,34 +852,34 @@
         "messages",
         "changes told, over a day",
         "a second",
-        f"configuration_per_day * {SERVED} / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} / 86400",
         "",
         "versions' service",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{WITH}: out and in in rest",
+        f"{WITH_SERVICE}: out and in in rest",
         "bytes a second",
-        f"rest_bytes({SERVED})",
+        f"rest_bytes({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{BEFORE}: each change a whole file with all routes",
+        f"{WITHOUT_SERVICE}: each change a whole file with all routes",
         "bytes a second",
-        f"configuration_per_day * {SERVED} * settings_bytes(routes) / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} * settings_bytes(routes) / 86400",
         "",
         "file",
     ),
     Row(
         "each machine",
         "bytes",
-        f"{WITH}: changes told, over a day",
+        f"{WITH_SERVICE}: changes told, over a day",
         "bytes a second",
-        f"configuration_per_day * {SERVED} * change_bytes(routes) / 86400",
+        f"configuration_per_day * {GATEWAYS_PER_MACHINE} * change_bytes(routes) / 86400",
         "",
         "versions' service",
     ),
@@ -878,7 +888,7 @@
         "CPU",
         "its service in rest",
         "% of a core",
-        f"rest_core({SERVED})",
+        f"rest_core({GATEWAYS_PER_MACHINE})",
         "",
         "versions' service",
     ),
@@ -887,7 +897,7 @@
         "descriptors",
         "connections of gatekeepers",
         "descriptors",
-        SERVED,
+        GATEWAYS_PER_MACHINE,
         "connections_most",
         "versions' service",
     ),
@@ -916,7 +926,7 @@
         "delay",
         "part of the day in which requests wait for changed entries",
         "part",
-        f"{CHANGED} * changed_entry(workers) / 1000 / 86400",
+        f"{CHANGES_PER_DAY} * changed_entry(workers) / 1000 / 86400",
         "added_part",
         "list",
     ),
@@ -925,7 +935,7 @@
         "messages",
         "changes told to each gatekeeper",
         "a second",
-        f"{CHANGED} / 86400",
+        f"{CHANGES_PER_DAY} / 86400",
         "",
         "watching",
     ),
@@ -981,7 +991,7 @@
         "state",
         "entries that changed meanwhile",
         "entries",
-        f"{CHANGED} * cut_off_s / 86400",
+        f"{CHANGES_PER_DAY} * cut_off_s / 86400",
         "",
         "watching",
     ),
@@ -1006,7 +1016,7 @@
     Row(
         "a region cut off",
         "state",
-        f"{BEFORE}: changes that it lacks, then restarts of each",
+        f"{WITHOUT_SERVICE}: changes that it lacks, then restarts of each",
         "entries",
         "configuration_per_day * cut_off_s / 86400",
         "",
@@ -1015,14 +1025,20 @@
     Row(
         "a region cut off",
         "state",
-        f"{WITH}: changes that it lacks, for which a service keeps its base",
+        f"{WITH_SERVICE}: changes that it lacks, for which a service keeps its base",
         "entries",
         "configuration_per_day * cut_off_s / 86400",
         "versions_kept",
         "kept versions",
     ),
     Row(
-        "a region cut off", "messages", f"{WITH}: steps in which it takes them", "steps", "1", "", "versions"
+        "a region cut off",
+        "messages",
+        f"{WITH_SERVICE}: steps in which it takes them",
+        "steps",
+        "1",
+        "",
+        "versions",
     ),
     Row(
         "all restarted in parts",
@@ -1047,7 +1063,7 @@
         "delay",
         "what one passes to the next, on both loops",
         "ms",
-        f"estate_ms({HERE})",
+        f"estate_ms({CUSTOMERS_PER_GATEWAY})",
         "added_ms",
         "estate",
     ),
@@ -1056,7 +1072,7 @@
         "bytes",
         "what one passes to the next",
         "bytes",
-        f"estate_bytes({HERE})",
+        f"estate_bytes({CUSTOMERS_PER_GATEWAY})",
         "",
         "estate",
     ),
@@ -1072,7 +1088,7 @@
     Row(
         "changes of configuration",
         "messages",
-        f"{BEFORE}: restarts, each change one of each gatekeeper",
+        f"{WITHOUT_SERVICE}: restarts, each change one of each gatekeeper",
         "restarts a day",
         "configuration_per_day * gatekeepers",
         "restarts_per_day",
@@ -1081,7 +1097,7 @@
     Row(
         "changes of configuration",
         "messages",
-        f"{WITH}: restarts",
+        f"{WITH_SERVICE}: restarts",
         "restarts a day",
         "configuration_per_day * gatekeepers * restarts_a_version",
         "restarts_per_day",
@@ -1090,25 +1106,25 @@
     Row(
         "changes of configuration",
         "CPU",
-        f"{BEFORE}: each a whole file with all routes",
+        f"{WITHOUT_SERVICE}: each a whole file with all routes",
         "% of a core",
         "configuration_per_day * settings_parse_by_classes(routes) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "settings",
     ),
     Row(
         "changes of configuration",
         "CPU",
-        f"{WITH}: changes read and taken over",
+        f"{WITH_SERVICE}: changes read and taken over",
         "% of a core",
         "configuration_per_day * (change_read(routes) + taken_over(routes)) / 86400 / 10",
-        CPU,
+        CPU_LIMIT,
         "versions",
     ),
     Row(
         "changes of configuration",
         "reach",
-        f"{BEFORE}: in force everywhere, gatekeepers restarted in parts",
+        f"{WITHOUT_SERVICE}: in force everywhere, gatekeepers restarted in parts",
         "s",
         "restart_parts * (ending_s + start_by_workers(workers))",
         "told_s",
@@ -1117,7 +1133,7 @@
     Row(
         "changes of configuration",
         "reach",
-        f"{WITH}: in force everywhere, one service silent",
+        f"{WITH_SERVICE}: in force everywhere, one service silent",
         "s",
         "version_in_force_s",
         "told_s",
@@ -1126,7 +1142,7 @@
     Row(
         "changes of configuration",
         "reach",
-        f"{WITH}: told and read everywhere, two services in turn silent",
+        f"{WITH_SERVICE}: told and read everywhere, two services in turn silent",
         "s",
         "version_worst_s + change_read(routes) / 1000",
         "told_s",
--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -1,7 +1,7 @@
-"""The new process of a hot restart: it takes over from the one that runs (see predecessor.py).
+"""The successor's side of a hot restart: a new process takes over from the running one (see predecessor.py).
 
-Where nobody runs, or is not understood, `Successor.connect` returns None and the start is an ordinary one;
-the log says why."""
+If no process runs, or none that speaks this protocol, `Successor.connect` returns None, and the start is an
+ordinary one. The reason is logged, unless there is no socket file."""
 
 from __future__ import annotations
 
@@ -25,38 +25,44 @@
 
 
 class Successor:
-    """The way to the process that runs, with its sockets. `on_alone()` is called when that process has gone,
-    `on_descriptor_count(count)` with how many descriptors it holds meanwhile."""
+    """The connection to the predecessor, and the sockets received from it.
+
+    `on_predecessor_exit()` is called when the predecessor has ended, `on_descriptor_count(count)` when it
+    reports the number of descriptors that it still holds."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self.listen_socket: socket.socket | None = None
         self.datagram_socket: socket.socket | None = None
-        self.on_alone: Callable[[], None] = lambda: None
+        self.on_predecessor_exit: Callable[[], None] = lambda: None
         self.on_descriptor_count: Callable[[int], None] = lambda _count: None
         self._offer: asyncio.Future[bool] = loop.create_future()
         self._state: asyncio.Future[Mapping[str, Any] | None] = loop.create_future()
-        self._early_messages: list[tuple[str, Any, list[int]]] = []  # that came before `complete`
+        self._early_messages: list[tuple[str, Any, list[int]]] = []  # messages received before `complete`
         self._tasks: set[asyncio.Task[Any]] = set()
         self._channel: Channel | None = None
         self._context: HotRestartContext | None = None
-        self._is_alone = False
+        self._predecessor_exited = False
 
     @classmethod
     async def connect(cls, loop: asyncio.AbstractEventLoop, path: Path, name: str) -> Successor | None:
-        """The process that runs now, with its sockets; None where there is none to take over from."""
+        """Connect to the predecessor and receive its sockets; None if there is no usable predecessor."""
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             connection.settimeout(OFFER_TIMEOUT_S)
             with short_address(path) as address:
                 connection.connect(address)
             if not is_same_user(connection):
-                raise PermissionError(1, "it is another user's")
+                raise PermissionError(1, "the socket belongs to another user")
         except FileNotFoundError:
             connection.close()
             return None
         except OSError as problem:
-            log.warning("handover: nobody at %s (%s): an ordinary start", path, problem.strerror or problem)
+            log.warning(
+                "handover: no process to take over from at %s (%s): ordinary start",
+                path,
+                problem.strerror or problem,
+            )
             connection.close()
             return None
         successor = cls(loop)
@@ -65,37 +71,39 @@
         channel.send(MessageKind.HELLO, name)
         done, _ = await asyncio.wait([successor._offer], timeout=OFFER_TIMEOUT_S)
         if not done or not successor._offer.result() or successor.listen_socket is None:
-            log.warning("handover: no offer at %s: an ordinary start", path)
+            log.warning("handover: no offer from the process at %s: ordinary start", path)
             channel.close()
             return None
         return successor
 
     async def take_over(self) -> Mapping[str, Any] | None:
-        """Take over now; the state, or None where there is none to be had."""
+        """Request the predecessor's state, upon which it stops accepting clients. Returns the state, or None
+        if the predecessor sends none or does not answer within STATE_TIMEOUT_S."""
         assert self._channel is not None
         self._channel.send(MessageKind.TAKE_OVER)
         done, _ = await asyncio.wait([self._state], timeout=STATE_TIMEOUT_S)
         return self._state.result() if done else None
 
     def complete(self, context: HotRestartContext) -> None:
-        """From now on each process tells the other what it needs."""
+        """Announce that this process serves, and start the exchange with the predecessor; messages received
+        earlier are handled now."""
         self._context = context
-        if not self._is_alone and self._channel is not None:
+        if not self._predecessor_exited and self._channel is not None:
             context.gateway.sibling = SiblingChannel(self._channel)
             self._channel.send(MessageKind.SERVING)
         early = self._early_messages
         self._early_messages = []
         for kind, value, descriptors in early:
             self._handle(context, kind, value, descriptors)
-        if self._is_alone:
-            self._loop.call_soon(self.on_alone)
+        if self._predecessor_exited:
+            self._loop.call_soon(self.on_predecessor_exit)
 
     def close(self) -> None:
-        """End the connection to the other process."""
+        """Close the connection to the predecessor."""
         if self._channel is not None:
             self._channel.close()
 
-    # -- the other process
+    # -- the predecessor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
         if kind == MessageKind.OFFER and not self._offer.done():
@@ -124,7 +132,9 @@
             return
         if kind == MessageKind.CLIENT_CONNECTION:
             if not descriptors:
-                log.warning("handover: a client's connection was lost: this process has no descriptor left")
+                log.warning(
+                    "handover: a client's connection was closed: no descriptor was left to receive it"
+                )
             for descriptor in descriptors:
                 client = socket.socket(fileno=descriptor)
                 task = self._loop.create_task(self._adopt_client(context, client))
@@ -136,21 +146,22 @@
         handle_sibling_message(context, kind, value)
 
     async def _adopt_client(self, context: HotRestartContext, client: socket.socket) -> None:
-        """Go on with a client's connection that the other process had."""
+        """Continue a client's connection that the predecessor has transferred."""
         try:
             client.setblocking(False)
             await self._loop.connect_accepted_socket(context.listener.create_inherited_connection, client)
         except OSError as problem:
-            log.warning("handover: a client's connection was lost: %s", problem)
+            log.warning("handover: a client's connection could not be taken over and was closed: %s", problem)
             client.close()
 
     def _on_closed(self) -> None:
-        """The other process has ended, or is not understood."""
-        self._is_alone = True
+        """Resolve pending waits, and notify the owner: the predecessor has ended or sent a malformed
+        message."""
+        self._predecessor_exited = True
         if not self._offer.done():
             self._offer.set_result(False)
         if not self._state.done():
             self._state.set_result(None)
         if self._context is not None:
             self._context.gateway.sibling = None
-            self.on_alone()
+            self.on_predecessor_exit()
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -1,8 +1,8 @@
-"""`plumpick counts DIR`: what a whole tier did, added up from the records of its gatekeepers.
+"""`plumpick counts DIR`: totals of a whole tier, aggregated from the trace records of its gateways.
 
-A record is what `python -m plumpick.tools.traced` writes: lines with `@` and a JSON array of kind, Unix time
-in milliseconds and parts; what stands before the `@`, and lines without one, are skipped. One file a
-gatekeeper, named `NAME.log`."""
+`python -m plumpick.tools.traced` writes the records: lines with `@` and a JSON array of kind, Unix time in ms
+and further values. Text before the `@`, and lines without a record, are skipped. The folder has one file
+named `NAME.log` for each gateway."""
 
 from __future__ import annotations
 
@@ -38,32 +38,32 @@
 
 
 class CountsError(ValueError):
-    """Records that cannot be used; the text says why."""
+    """The records contain no request, so that there is no start time; the text gives the reason."""
 
 
 @dataclass(slots=True)
 class Slice:
-    """What passed over all gatekeepers within one span of time."""
+    """The totals of all gateways within one span of time."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    workers: Counter[str] = field(default_factory=Counter)  # attempts, by worker
-    beliefs: list[dict[str, Any]] = field(default_factory=list)
+    workers: Counter[str] = field(default_factory=Counter)  # number of attempts by worker
+    beliefs: list[dict[str, Any]] = field(default_factory=list)  # values of the records of the kind `belief`
 
-    def belief(self, name: str) -> float:
-        """The mean over gatekeepers of a figure that they believe; 0 where nobody told one."""
-        told = [row[name] for row in self.beliefs if isinstance(row.get(name), (int, float))]
-        return sum(told) / len(told) if told else 0.0
+    def mean_belief(self, name: str) -> float:
+        """The mean of a value over all records of the kind `belief` in this span; 0 if none has the value."""
+        values = [row[name] for row in self.beliefs if isinstance(row.get(name), (int, float))]
+        return sum(values) / len(values) if values else 0.0
 
 
-def rows_of(lines: Iterable[str]) -> tuple[list[list[Any]], int]:
-    """The records in a log, and how many lines began like one and could not be read (torn, by a kill)."""
+def parse_records(lines: Iterable[str]) -> tuple[list[list[Any]], int]:
+    """The records in a log, and the number of malformed ones, which a killed process leaves."""
     rows, torn = [], 0
     for line in lines:
-        at = line.find('@["')
-        if at < 0:
+        start = line.find('@["')
+        if start < 0:
             continue
         try:
-            row = json.loads(line[at + 1 :])
+            row = json.loads(line[start + 1 :])
         except ValueError:
             torn += 1
             continue
@@ -75,7 +75,7 @@
 
 
 def count_row(into: Slice, row: list[Any]) -> None:
-    """Add one record up. One whose parts are not as they should be raises IndexError or TypeError."""
+    """Add a record to the totals of its slice. Raises IndexError or TypeError if the record is malformed."""
     kind = row[0]
     if kind == "send":
         into.workers[row[3]] += 1
@@ -93,30 +93,30 @@
     into.counts[kind] += 1
 
 
-def add_up(rows: Iterable[list[Any]], span_ms: float) -> tuple[dict[int, Slice], int]:
-    """By slice from the first arrival on (earlier ones are below 0), and how many records were malformed.
-
-    Raises CountsError where no request ever came."""
+def aggregate(rows: Iterable[list[Any]], span_ms: float) -> tuple[dict[int, Slice], int]:
+    """The totals by slice, and the number of malformed records. Slices are numbered from the first request;
+    earlier ones have negative numbers. Raises CountsError if there is no request."""
     rows = list(rows)
-    begun = min((row[1] for row in rows if row[0] == "arrival"), default=None)
-    if begun is None:
-        raise CountsError("no request in these records")
+    first_arrival_ms = min((row[1] for row in rows if row[0] == "arrival"), default=None)
+    if first_arrival_ms is None:
+        raise CountsError("the records contain no request")
     slices: dict[int, Slice] = {}
     malformed = 0
     for row in rows:
         try:
-            count_row(slices.setdefault(int((row[1] - begun) // span_ms), Slice()), row)
+            count_row(slices.setdefault(int((row[1] - first_arrival_ms) // span_ms), Slice()), row)
         except (IndexError, TypeError):
             malformed += 1
     return slices, malformed
 
 
-def summary(slices: dict[int, Slice]) -> dict[str, float]:
-    """Figures of the whole time: handshakes for each send, peak of calls and messages a slice, the highest
-    load of a worker over the mean of those that were sent anything in that slice."""
+def summarize(slices: dict[int, Slice]) -> dict[str, float]:
+    """Figures over all slices: connects per attempt, maximum of discovery calls and of messages in a slice,
+    and the highest load of a worker in a slice relative to the mean of the workers with attempts in that
+    slice."""
     sends = sum(one.counts["send"] for one in slices.values())
     total = sum(one.counts["handshake"] for one in slices.values())
-    tilts = [
+    load_ratios = [
         max(one.workers.values()) * len(one.workers) / sum(one.workers.values())
         for one in slices.values()
         if sum(one.workers.values()) >= 4 * len(one.workers) > 0
@@ -128,53 +128,53 @@
         "messages, most in a slice": max(one.counts["tell"] for one in slices.values()),
         "messages not taken in": sum(one.counts["tell"] - one.counts["heard"] for one in slices.values()),
         "sends on credit": sum(one.counts["credit"] for one in slices.values()),
-        "worker's load over the mean, most": round(max(tilts, default=0.0), 2),
+        "worker's load over the mean, most": round(max(load_ratios, default=0.0), 2),
     }
 
 
-def text_of(slices: dict[int, Slice], span_ms: float) -> str:
-    """The table for a person: a row a slice, then what the gatekeepers believed on the mean."""
+def format_table(slices: dict[int, Slice], span_ms: float) -> str:
+    """The totals as a text table with a row for each slice, followed by the summary."""
     believed = ("warm", "cold", "silent", "limit")
     lines = [f"{'s':>6}" + "".join(f"{name[:9]:>10}" for name in (*COLUMNS, *believed))]
     for place in sorted(slices):
         one = slices[place]
         cells = [f"{one.counts[name]:>10}" for name in COLUMNS]
-        cells += [f"{one.belief(name):>10.1f}" for name in believed]
+        cells += [f"{one.mean_belief(name):>10.1f}" for name in believed]
         lines.append(f"{place * span_ms / 1000:>6.1f}" + "".join(cells))
-    return "\n".join(lines + [f"{name}: {value}" for name, value in summary(slices).items()])
+    return "\n".join(lines + [f"{name}: {value}" for name, value in summarize(slices).items()])
 
 
-def counts(given: argparse.Namespace) -> int:
-    """The tool."""
-    files = sorted(Path(given.folder).glob("*.log"))
-    if not files or given.span <= 0:
-        problem = "no *.log there" if not files else "--span takes milliseconds above 0"
-        print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
+def counts(arguments: argparse.Namespace) -> int:
+    """Run the command; returns the exit code."""
+    files = sorted(Path(arguments.folder).glob("*.log"))
+    if not files or arguments.span <= 0:
+        problem = "the folder contains no *.log file" if not files else "--span: expected more than 0 ms"
+        print(f"plumpick: {arguments.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
     rows, torn = [], 0
     try:
         for path in files:
-            more, bad = rows_of(path.read_text(encoding="utf-8", errors="replace").splitlines())
+            more, bad = parse_records(path.read_text(encoding="utf-8", errors="replace").splitlines())
             rows, torn = rows + more, torn + bad
-        slices, malformed = add_up(rows, given.span)
+        slices, malformed = aggregate(rows, arguments.span)
     except OSError as problem:
-        print(f"plumpick: {given.folder}: {problem.strerror}", file=sys.stderr)
+        print(f"plumpick: {arguments.folder}: {problem.strerror}", file=sys.stderr)
         return EXIT_USAGE
     except CountsError as problem:
-        print(f"plumpick: {given.folder}: {problem}", file=sys.stderr)
+        print(f"plumpick: {arguments.folder}: {problem}", file=sys.stderr)
         return EXIT_USAGE
-    if given.json:
+    if arguments.json:
         print(
             json.dumps(
                 {
-                    "slices": {place * given.span: dict(one.counts) for place, one in slices.items()},
-                    "summary": summary(slices),
+                    "slices": {place * arguments.span: dict(one.counts) for place, one in slices.items()},
+                    "summary": summarize(slices),
                     "torn": torn + malformed,
                 },
                 indent=1,
             )
         )
     else:
-        print(text_of(slices, given.span))
-        print(f"{torn + malformed} lines could not be read")
+        print(format_table(slices, arguments.span))
+        print(f"{torn + malformed} malformed records skipped")
     return EXIT_HELD
