--- a/plumpick/rehearsal/__init__.py
+++ b/plumpick/rehearsal/__init__.py
@@ -1,5 +1,5 @@
-"""The rehearsal kit: a whole fleet on one workstation, judged by the five rules.
+"""The rehearsal kit: runs a whole fleet on one workstation and audits it against the five rules.
 
-It knows the daemon by its sockets alone and shares no code with it: an auditor that has a fault in common
-with the judged would see nothing. Nothing here is imported by `python -m plumpick`.
+The kit talks to the gateway only over sockets and shares no code with it, because an auditor with the same
+bug as the gateway would not detect that bug. `python -m plumpick` imports nothing from this package.
 """
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -1,7 +1,8 @@
-"""The auditor of the five rules. It reads records, one by one as they come, and nothing else.
+"""Audits the records of a run against the five rules of the rehearsal kit.
 
-So it judges a live rehearsal, a simulated step and a file of last week alike. Every breach names the rule,
-the time, the request, firm or server at fault, and holds the whole story of it in order.
+The auditor receives records one by one and has no other input, so it works in the same way on a live
+rehearsal, on a step of the simulation and on a stored history. Each breach names its rule, its time and the
+request, customer or worker concerned, and holds all related records in order.
 """
 
 from __future__ import annotations
@@ -41,23 +42,32 @@
     "ceilings",
 )
 
-# What the rules allow beyond their figures. Milliseconds, unless the name says otherwise.
+# Tolerances beyond the limits of the rules, in ms unless a comment says otherwise.
 TOLERANCES = {
-    "answer_late": 50.0,  # a final answer after the client's time
-    "send_after_end": 50.0,  # the first byte of an attempt after the request's end at the client
-    "drain_late": 50.0,  # beyond the grace
-    "told_after": 6000.0,  # what discovery has, and could be reached for, counts as told so long after
-    "key_window": 50.0,  # beyond the time for which a hall drops repeats
-    "ceiling_time": 150.0,  # the ceiling's slack is wider by what its rate gives in this time
-    "cold_requests": 1.0,  # of the dearest class, beyond a cold server's budget
-    "cold_informed_share": 2 / 3,  # of the work, from gatekeepers that had word of the start
-    "killed_early": 250.0,  # a connection may end so long before the record of its gatekeeper's end
+    # Maximum delay of a final response after the time that the client waits.
+    "answer_late": 50.0,
+    # Maximum delay of the first byte of an attempt after the end of its request at the client.
+    "send_after_end": 50.0,
+    # Maximum delay of an attempt after the end of the drain grace period.
+    "drain_late": 50.0,
+    # Time after which a status that a reachable discovery agent has counts as known to the gateway.
+    "told_after": 6000.0,
+    # Maximum delay of a repeat after the end of the deduplication window of its zone.
+    "key_window": 50.0,
+    # Time whose units at the ceiling's rate are added to the slack of the ceiling.
+    "ceiling_time": 150.0,
+    # Number of requests of the most expensive class that may exceed the budget of a cold worker.
+    "cold_requests": 1.0,
+    # Minimum share of the work of a breach that was sent by gateways informed of the worker's start.
+    "cold_informed_share": 2 / 3,
+    # Maximum time between the end of a connection and the later record that its gateway was killed.
+    "killed_early": 250.0,
 }
-DATAGRAM_BYTES = 256
-KEEP_MS = 20_000.0  # a request is forgotten so long after its end; nothing of it can come then
+DATAGRAM_BYTES = 256  # maximum size of a datagram
+KEEP_MS = 20_000.0  # time after which an ended request is removed; no further records of it can come
 SWEEP_MS = 1000.0
-MOST_BREACHES = 200  # of each rule that are kept with their stories; all are counted
-MOST_FIRM_STORY = 60
+MOST_BREACHES = 200  # maximum number of breaches stored per rule; further ones are only counted
+MOST_FIRM_STORY = 60  # maximum number of records kept per customer for a breach of its ceiling
 
 
 @dataclass(slots=True)
@@ -66,13 +76,13 @@
 
     rule: str
     t: float
-    what: str  # request, firm or server, by name
+    what: str  # name of the request, customer, worker or gateway concerned
     text: str
-    timing: bool  # judged by the clock: a late record could have made it
-    story: list[Record] = field(default_factory=list)
+    timing: bool  # whether a late record could have caused it, as it depends on the clock
+    story: list[Record] = field(default_factory=list)  # all related records, in order
 
     def as_dict(self) -> dict[str, Any]:
-        """For report.json: times in ms, the story as lines of the history."""
+        """Return the breach as in report.json: times in ms, related records as lines of the history."""
         return {
             "rule": self.rule,
             "t": self.t,
@@ -102,8 +112,8 @@
     answered: bool = False
     refused: bool = False
     effects: int = 0
-    came_late: bool = False  # a repeat came when its hall had forgotten the first
-    sent_on: bool = False
+    came_late: bool = False  # whether a repeat arrived after the deduplication window of its zone
+    sent_on: bool = False  # whether a worker has received an attempt
 
 
 @dataclass(slots=True)
@@ -117,23 +127,22 @@
 @dataclass(slots=True)
 class _Life:
     born: Born
-    sent: deque[tuple[float, float, bool]] = field(
-        default_factory=deque
-    )  # when, work, by one with word of it
-    work: float = 0.0
+    # Attempts in the window: time, work in ms, whether the sending gateway knew of the worker's start.
+    sent: deque[tuple[float, float, bool]] = field(default_factory=deque)
+    work: float = 0.0  # total work of `sent`, in ms
     broken: bool = False
-    peak: float = 0.0  # the highest share of the budget that was sent
+    peak: float = 0.0  # highest share of the budget that was sent
     story: deque[Record] = field(default_factory=lambda: deque(maxlen=400))
 
 
 class Auditor:
-    """Judges by the five rules; feed it records in their order."""
+    """Audits records, fed in order, against the five rules."""
 
     def __init__(self) -> None:
         self.most_breaches = MOST_BREACHES
         self.breaches: list[Breach] = []
-        self.counts = dict.fromkeys(RULES, 0)  # breaches
-        self.chances = dict.fromkeys(RULES, 0)  # how often each rule could have been broken
+        self.counts = dict.fromkeys(RULES, 0)  # number of breaches
+        self.chances = dict.fromkeys(RULES, 0)  # number of situations in which the rule could be broken
         self.seen = 0
         self._terms: dict[str, Any] = {}
         self._kinds: dict[str, dict[str, Any]] = {}
@@ -145,10 +154,11 @@
         self._up_since: dict[str, float] = {}
         self._lives: dict[str, _Life] = {}
         self._stores: dict[str, _Store] = {}
-        self._down_since: dict[str, float] = {}  # gatekeepers that were killed,
-        self._killed: dict[str, deque[float]] = {}  # when each was killed of late
-        self._over_since: dict[str, float] = {}  # and those that have ended in any way
-        self._broken: list[tuple[float, _Request, Left]] = []  # judged once it is known who died
+        self._down_since: dict[str, float] = {}  # time at which a gateway that is down was killed
+        self._killed: dict[str, deque[float]] = {}  # times of the last kills of each gateway
+        self._over_since: dict[str, float] = {}  # time at which a gateway that is down ended in any way
+        # Broken connections, audited when it is known whether their gateway was killed.
+        self._broken: list[tuple[float, _Request, Left]] = []
         self._expected_ends: set[str] = set()
         self.lag_p99_ms = self.lag_max_ms = 0.0
         self.stalls: list[Lag] = []
@@ -174,14 +184,14 @@
         }
 
     def feed(self, record: Record) -> None:
-        """The next record."""
+        """Audit the next record; records after the end of the run are ignored."""
         self.seen += 1
         take = self._take.get(type(record))
         if take is not None and not self.over:
             take(record)  # type: ignore[operator]
 
     def verdicts(self) -> dict[str, str]:
-        """For each rule `held`, `broken` or `not put to the test`."""
+        """Return `held`, `broken` or `not put to the test` for each rule."""
         return {
             rule: "broken" if self.counts[rule] else "held" if self.chances[rule] else "not put to the test"
             for rule in RULES
@@ -201,7 +211,7 @@
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
 
     def _end(self, record: Ended) -> None:
-        """What is open now is not judged: its time is not up."""
+        """End the audit; open requests are not audited because their time is not up."""
         self._settle(record.t, everything=True)
         self.lag_p99_ms, self.lag_max_ms = record.lag_p99_ms, record.lag_max_ms
         self.over = True
@@ -216,18 +226,18 @@
             for attempt in request.attempts if request is not None else ():
                 self._by_attempt.pop(attempt.n, None)
 
-    # -- rule 1: each request that is taken gets one final answer, in time
+    # -- rule 1: each accepted request gets exactly one final response, in time
 
     def _asked(self, record: Asked) -> None:
         request = self._requests.get(record.id)
-        if request is not None:  # sent once more on a new connection
+        if request is not None:  # the client sent it again on a new connection
             request.story.append(record)
             return
         self._forget(record.t)
         self._requests[record.id] = _Request(record, [record])
         self.chances[LOST] += 1
         if self._over_since.get(record.gate, record.t) < record.t:
-            self.chances[LOST] -= 1  # there is nobody who could take it
+            self.chances[LOST] -= 1  # no process runs that could accept it
 
     def _finish(self, request: _Request, t: float) -> None:
         if request.ended_t is None:
@@ -237,12 +247,12 @@
     def _answered(self, record: Answered) -> None:
         request = self._requests.get(record.id)
         if request is None:
-            self._breach(LOST, record.t, record.id, "an answer to a request that nobody sent", [record])
+            self._breach(LOST, record.t, record.id, "response to a request that no client sent", [record])
             return
         request.story.append(record)
         asked = request.asked
         if request.answered:
-            self._breach(LOST, record.t, record.id, "a second final answer", request.story)
+            self._breach(LOST, record.t, record.id, "received a second final response", request.story)
             return
         late = record.t - asked.t - asked.wait_ms
         if late > TOLERANCES["answer_late"]:
@@ -250,7 +260,7 @@
                 LOST,
                 record.t,
                 record.id,
-                f"answered {late:.1f} ms after the client's time was up",
+                f"answered {late:.1f} ms after the time that the client waits",
                 request.story,
                 timing=True,
             )
@@ -261,7 +271,7 @@
                     LOST,
                     record.t,
                     record.id,
-                    "served with a body that no server made for this request",
+                    "answered 200 with a body that no worker made for this request",
                     request.story,
                 )
         request.answered = True
@@ -277,7 +287,7 @@
                         EFFECTS,
                         record.t,
                         record.id,
-                        f"refused, though attempt {loose[0].n} at {loose[0].server} may have run",
+                        f"rejected although attempt {loose[0].n} at {loose[0].server} may have run",
                         request.story,
                     )
 
@@ -293,12 +303,12 @@
         request = self._requests.get(record.id)
         story = request.story if request is not None else []
         story.append(record)
-        self._breach(LOST, record.t, record.id, "more than its one answer came on its connection", story)
+        self._breach(LOST, record.t, record.id, "received bytes after the end of its response", story)
 
     def _left(self, record: Left) -> None:
         request = self._requests.get(record.id)
         if request is None:
-            return  # it could not be sent at all: nobody has taken it
+            return  # it was never sent, so no gateway accepted it
         request.story.append(record)
         if record.why == "overdue":
             self._settle_one(request, record, record.t)
@@ -308,19 +318,19 @@
         self._finish(request, record.t)
 
     def _settle(self, t: float, everything: bool = False) -> None:
-        """Judge connections that broke: by now it is known whether their gatekeeper was killed."""
+        """Audit broken connections that are old enough to know whether their gateway was killed."""
         while self._broken and (everything or self._broken[0][0] < t - TOLERANCES["killed_early"]):
             _, request, record = self._broken.pop(0)
             self._settle_one(request, record, record.t + TOLERANCES["killed_early"])
 
     def _settle_one(self, request: _Request, record: Left, until_t: float) -> None:
         if self._over_since.get(request.asked.gate, request.asked.t) < request.asked.t:
-            return  # it was never taken: its gatekeeper had ended
+            return  # its gateway had ended and never accepted it
         down = self._down_since.get(request.asked.gate)
-        # What it held when it was killed is the client's to try again.
+        # Requests open at a killed gateway are not breaches: their clients retry them.
         if down is not None and down <= until_t and (record.why == "broken" or down >= request.asked.t):
             return
-        # A new process may start before the client notices the end of the one before.
+        # A new gateway process may start before the client notices the end of the previous one.
         if record.why == "broken" and any(
             request.asked.t <= killed <= record.t <= killed + TOLERANCES["killed_early"]
             for killed in self._killed.get(request.asked.gate, ())
@@ -340,7 +350,7 @@
         request = self._requests.get(record.id)
         if request is None:
             self._breach(
-                LOST, record.t, record.id, f"{record.server} was sent a request that no client sent", [record]
+                LOST, record.t, record.id, f"{record.server} received a request that no client sent", [record]
             )
             return
         request.story.append(record)
@@ -354,12 +364,12 @@
                     LOST,
                     record.t,
                     record.id,
-                    f"sent on {late:.1f} ms after the request had ended",
+                    f"sent to {record.server} {late:.1f} ms after the request had ended",
                     request.story,
                     timing=True,
                 )
             if request.refused and self._kinds[asked.kind]["repeats"] != "safe":
-                self._breach(EFFECTS, record.t, record.id, "sent on after it was refused", request.story)
+                self._breach(EFFECTS, record.t, record.id, "sent on after its rejection", request.story)
         request.attempts.append(attempt)
         self._by_attempt[record.n] = (request, attempt)
         self._check_drain(asked.gate, record, request)
@@ -370,7 +380,10 @@
             self._check_ceiling(request, record)
 
     def _check_repeat(self, request: _Request, attempt: _Attempt) -> None:
-        """A further attempt: allowed where no earlier one may have run, else by the class."""
+        """Check whether an attempt is allowed after the earlier attempts of its request.
+
+        It is always allowed if no earlier attempt may have run; otherwise the request class decides.
+        """
         kind = self._kinds[request.asked.kind]
         if kind["repeats"] == "safe":
             return
@@ -403,7 +416,8 @@
                 EFFECTS,
                 attempt.t,
                 name,
-                f"sent again {age:.0f} ms after an attempt that may have run: the hall forgets sooner",
+                f"sent again {age:.0f} ms after an attempt that may have run, "
+                f"beyond the deduplication window of {kind['window_s']:g} s",
                 request.story,
                 timing=True,
             )
@@ -420,7 +434,7 @@
             return
         request.story.append(record)
         if record.repeat or self._kinds[request.asked.kind]["repeats"] == "safe":
-            return  # a dropped repeat is no second effect
+            return  # a dropped repeat has no effect
         request.effects += 1
         if request.effects > 1:
             self._breach(
@@ -429,7 +443,7 @@
                 request.asked.id,
                 f"took effect {request.effects} times",
                 request.story,
-                timing=request.came_late,  # what follows from that is of the clock, too
+                timing=request.came_late,  # a consequence of a breach that depends on the clock
             )
 
     def _replied(self, record: Replied) -> None:
@@ -437,7 +451,7 @@
         if request is not None:
             request.story.append(record)
 
-    # -- rule 3: drains are kept
+    # -- rule 3: no new attempts go to a worker after its drain grace period
 
     def _tell(self, record: Told) -> None:
         self._told[record.gate, record.server] = record
@@ -463,12 +477,12 @@
                 DRAINS,
                 record.t,
                 record.server,
-                f"{gate} sent {record.id} {late:.1f} ms after the grace for one that is {told.status}",
+                f"{gate} sent {record.id} {late:.1f} ms after the grace period; the worker is {told.status}",
                 [told, *request.story],
                 timing=True,
             )
 
-    # -- rule 4: a cold server is not pushed over
+    # -- rule 4: a cold worker is not overloaded
 
     def _born(self, record: Born) -> None:
         self._lives[record.server] = _Life(record)
@@ -505,11 +519,11 @@
                 COLD,
                 record.t,
                 record.server,
-                f"sent {life.work:.0f} ms of work in {rules['fall_ms']:.0f} ms, and bears {budget:.0f}",
+                f"received {life.work:.0f} ms of work in {rules['fall_ms']:.0f} ms, budget {budget:.0f} ms",
                 [born, *life.story],
             )
 
-    # -- rule 5: ceilings are kept
+    # -- rule 5: no customer exceeds its ceiling
 
     def _check_ceiling(self, request: _Request, record: Took) -> None:
         asked = request.asked
@@ -532,11 +546,11 @@
                 CEILINGS,
                 record.t,
                 asked.firm,
-                f"{-store.level:.2f} units beyond its ceiling, with a slack of {slack:.2f}",
+                f"{-store.level:.2f} units above its ceiling, allowed slack is {slack:.2f} units",
                 list(store.story),
             )
 
-    # -- gatekeepers
+    # -- gateway processes and datagrams
 
     def _gate(self, record: Gate) -> None:
         if record.what == "started":
@@ -555,7 +569,7 @@
             expected = record.gate in self._expected_ends
             if not expected or record.code not in (0, -9):
                 self._breach(
-                    LOST, record.t, record.gate, f"ended by itself with code {record.code}", [record]
+                    LOST, record.t, record.gate, f"ended unexpectedly with code {record.code}", [record]
                 )
             elif record.code == -9:
                 self._down_since.setdefault(record.gate, record.t)
@@ -563,12 +577,13 @@
 
     def _passed(self, record: Passed) -> None:
         if record.size > DATAGRAM_BYTES:
-            self._breach(LOST, record.t, record.sender, f"a datagram of {record.size} bytes", [record])
+            text = f"sent a datagram of {record.size} bytes, maximum is {DATAGRAM_BYTES}"
+            self._breach(LOST, record.t, record.sender, text, [record])
 
-    # -- what reports want beyond verdicts
+    # -- further figures for reports
 
     def open_requests(self, gate: str) -> list[str]:
-        """The ids of the requests at a gateway that have no final answer yet."""
+        """Return the ids of the requests at a gateway that have no final response yet."""
         return [
             name
             for name, request in self._requests.items()
@@ -576,11 +591,11 @@
         ]
 
     def nearest(self) -> dict[str, float]:
-        """How near each firm under a ceiling came to it, in units left, by name."""
+        """Return the lowest number of units left below its ceiling, for each customer that has one."""
         return {firm: round(store.lowest, 3) for firm, store in self._stores.items()}
 
     def as_dict(self) -> dict[str, Any]:
-        """The `rules` of report.json."""
+        """Return the value of `rules` in report.json."""
         verdicts = self.verdicts()
         return {
             rule: {
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -1,7 +1,7 @@
-"""The way of datagrams between gatekeepers: delay, loss, a full inbox, splits.
+"""A relay for the datagrams between gateways, with delay, loss, full inboxes and network splits.
 
-Each pair of gatekeepers has a socket each way: the address at which the one reaches the other, and from
-which it hears it. So a gatekeeper knows its peers by address, as on the platform.
+Each ordered pair of gateways has its own relay socket: the sender sends to its address, and datagrams of the
+opposite direction arrive from it. A gateway therefore identifies each peer by address, as in production.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class _Plug(asyncio.DatagramProtocol):
-    """Where `sender` reaches `receiver`."""
+    """The relay socket to which `sender` sends its datagrams for `receiver`."""
 
     def __init__(self, relay: Relay, sender: int, receiver: int) -> None:
         self.relay, self.sender, self.receiver = relay, sender, receiver
@@ -27,27 +27,27 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        if address[1] == self.relay.ports[self.sender]:  # a stranger is nobody's peer
+        if address[1] == self.relay.ports[self.sender]:  # ignores datagrams of other processes
             self.relay.carry(self, data)
 
 
 class Relay:
-    """Carries datagrams between the gatekeepers, whose own ports are `ports`."""
+    """Carries datagrams between the gateways that listen on `ports`."""
 
     def __init__(
         self, around: Surroundings, part: PeerPart, names: list[str], record: Callable[[Record], None]
     ) -> None:
         self._around, self._part, self._names, self._record = around, part, names, record
         self._rng = around.chance("datagrams")
-        self.ports = [0] * len(names)  # set by the supervisor
+        self.ports = [0] * len(names)  # datagram ports of the gateways, set by the supervisor
         self._plugs: dict[tuple[int, int], _Plug] = {}
         self._inbox: list[deque[float]] = [deque() for _ in names]
-        self.sides: list[set[int]] = []  # who is cut off from all others
-        self.deaf: list[tuple[set[int], set[int]]] = []  # what the first say does not come to the second
-        # What a script does with one datagram, by sender, receiver and bytes: ms more, or None: it is lost.
+        self.sides: list[set[int]] = []  # sets of gateways that are cut off from all others
+        self.deaf: list[tuple[set[int], set[int]]] = []  # (senders, receivers) that are cut one way
+        # Fault injection for a datagram (sender, receiver, data): additional delay in ms, None to lose it.
         self.hook: Callable[[int, int, bytes], float | None] = lambda _sender, _receiver, _data: 0.0
-        self.loss, self.twice = part.loss, 0.0  # shares
-        self.delay_ms = tuple(part.delay_ms)  # drawn for each, so that they overtake one another
+        self.loss, self.twice = part.loss, 0.0  # shares of datagrams that are lost, delivered twice
+        self.delay_ms = tuple(part.delay_ms)  # drawn per datagram, so that datagrams are reordered
 
     async def start(self) -> None:
         for sender in range(len(self._names)):
@@ -58,11 +58,11 @@
                     self._plugs[sender, receiver] = plug
 
     def address(self, sender: int, receiver: int) -> str:
-        """Where `sender` reaches `receiver`, as host:port."""
+        """Return the host:port to which `sender` sends its datagrams for `receiver`."""
         return f"{HOST}:{self._plugs[sender, receiver].transport.get_extra_info('sockname')[1]}"
 
     def carry(self, plug: _Plug, data: bytes) -> None:
-        """A datagram has come from `plug.sender`."""
+        """Schedule the delivery of a datagram received from `plug.sender`, or drop it."""
         more_ms = self.hook(plug.sender, plug.receiver, data)
         if any((plug.sender in side) != (plug.receiver in side) for side in self.sides) or any(
             plug.sender in some and plug.receiver in others for some, others in self.deaf
@@ -75,7 +75,7 @@
                 self._around.later(more_ms + self._rng.uniform(*self.delay_ms), self._deliver, plug, data)
 
     def again(self, sender: int, receiver: int, data: bytes) -> None:
-        """Deliver a datagram now that came before."""
+        """Deliver an earlier datagram once more, without delay."""
         self._deliver(self._plugs[sender, receiver], data)
 
     def _deliver(self, plug: _Plug, data: bytes) -> None:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -1,7 +1,8 @@
-"""What passed in a rehearsal, as typed records in the order of one clock; the auditor reads nothing else.
+"""Typed records of everything observed in a rehearsal, ordered by one clock; the auditor's only input.
 
-A history is a file of JSON lines, each a list: the record's type, then its fields in their order here. Times
-are milliseconds since the start. An attempt at a server has a number `n` of its own over the whole run.
+A history is a file of JSON lines. Each line is a list: the name of the record type, then the record's fields
+in the order in which its class declares them. Times are in milliseconds since the start of the run. An
+attempt at a worker is identified by a number `n` that is unique within the run.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 class HistoryError(ValueError):
-    """A history that cannot be read; the text names the line."""
+    """A history is malformed; the message names the line."""
 
 
 @dataclass(slots=True)
 class Began:
-    """The start, with the terms that bind: classes, plans, rules, prices, as `scenario.terms` has them."""
+    """The run has started; `terms` holds its classes, plans, rules and prices as made by `Scenario.terms`."""
 
     t: float
     terms: dict[str, Any]
@@ -29,7 +30,11 @@
 
 @dataclass(slots=True)
 class Asked:
-    """The last byte of a client's request is written. `op` is what the client wants, `turn` its n-th try."""
+    """A client has written the last byte of a request.
+
+    `op` identifies the operation that the client wants; all its tries share it. `turn` is the index of the
+    try, from 0.
+    """
 
     t: float
     id: str
@@ -46,20 +51,22 @@
 
 @dataclass(slots=True)
 class Answered:
-    """The last byte of an answer has come to the client. `source` is the attempt that its body names, or
-    -1."""
+    """A client has received the last byte of a response.
+
+    `source` is the number of the attempt named in the body, -1 if the body names none.
+    """
 
     t: float
     id: str
     status: int
     source: int
-    owner: str  # the request that the body was made for
+    owner: str  # id of the request for which the worker made the body
     retry_ms: float
 
 
 @dataclass(slots=True)
 class Surplus:
-    """Bytes beyond the answer to this request came on its connection."""
+    """A client has received bytes after the end of the response, on the connection of this request."""
 
     t: float
     id: str
@@ -67,8 +74,11 @@
 
 @dataclass(slots=True)
 class Left:
-    """The client stopped waiting: `overdue` (no answer in time), `broken` (the connection ended with no whole
-    answer), `unreachable` (it never came up) or `went` (it closed of its own will)."""
+    """A client has stopped waiting for a response.
+
+    `why` is `overdue` (no response in time), `broken` (the connection ended before a complete response),
+    `unreachable` (the connection could not be opened) or `went` (the client closed it deliberately).
+    """
 
     t: float
     id: str
@@ -77,21 +87,23 @@
 
 @dataclass(slots=True)
 class Born:
-    """A process of a server starts; capacity is in milliseconds of work a millisecond when warm."""
+    """A worker process has started; `capacity` is in milliseconds of work per millisecond when warm."""
 
     t: float
     server: str
     life: int
     hall: str
     capacity: float
-    cold_from: float  # 1: it starts warm
+    cold_from: float  # share of the capacity that is available at the start; 1: starts warm
     warm_ms: float
 
 
 @dataclass(slots=True)
 class Died:
-    """A process of a server has ended: `stopped`, `silent` (the machine is cut off) or `fell` (pushed
-    over)."""
+    """A worker process has ended.
+
+    `why` is `stopped`, `silent` (its machine was cut off from the network) or `fell` (overloaded while cold).
+    """
 
     t: float
     server: str
@@ -101,8 +113,10 @@
 
 @dataclass(slots=True)
 class Took:
-    """A whole attempt has come to a server; its first byte came at `first_t`. `work_ms` is its class's
-    mean."""
+    """A worker has received a complete attempt.
+
+    Its first byte arrived at `first_t`. `work_ms` is the mean work of the request class.
+    """
 
     t: float
     n: int
@@ -116,7 +130,7 @@
 
 @dataclass(slots=True)
 class Turned:
-    """The server has written that it will not run this attempt."""
+    """A worker has answered that it rejects this attempt without running it."""
 
     t: float
     n: int
@@ -124,7 +138,7 @@
 
 @dataclass(slots=True)
 class Ran:
-    """The ledger: an attempt took effect, or (`repeat`) was dropped as a repeat of a key."""
+    """An attempt took effect, or with `repeat` was dropped because its idempotency key had been used."""
 
     t: float
     n: int
@@ -133,7 +147,7 @@
 
 @dataclass(slots=True)
 class Replied:
-    """The server has written an answer to this attempt; `spoilt` ones are not what the server meant."""
+    """A worker has written the answer to this attempt; `spoilt` marks an answer corrupted by a fault."""
 
     t: float
     n: int
@@ -144,7 +158,7 @@
 
 @dataclass(slots=True)
 class Wasted:
-    """Work was done on an attempt whose answer nobody waits for."""
+    """A worker has spent work on an attempt whose answer no client waits for any more."""
 
     t: float
     n: int
@@ -153,7 +167,7 @@
 
 @dataclass(slots=True)
 class Told:
-    """The roster's agent has written this to a gatekeeper."""
+    """The discovery agent has written the status of a worker to a gateway."""
 
     t: float
     gate: str
@@ -164,7 +178,7 @@
 
 @dataclass(slots=True)
 class Had:
-    """Word of a server has come to the agent beside a gatekeeper, and the agent could be reached."""
+    """The status of a worker has reached the discovery agent of a gateway, and the agent was reachable."""
 
     t: float
     gate: str
@@ -175,7 +189,10 @@
 
 @dataclass(slots=True)
 class Passed:
-    """A datagram from one gatekeeper to another: `delivered`, `lost`, `cut` or `crowded out`."""
+    """The relay has handled a datagram between two gateways.
+
+    `fate` is `delivered`, `lost`, `cut` (by a network split) or `crowded out` (the inbox was full).
+    """
 
     t: float
     sender: str
@@ -186,7 +203,7 @@
 
 @dataclass(slots=True)
 class Gate:
-    """A gatekeeper's process: `started`, `ready`, `term`, `kill`, `hup`, or `exited` with its code."""
+    """A gateway process `started`, is `ready`, was sent `term`, `kill` or `hup`, or `exited` with `code`."""
 
     t: float
     gate: str
@@ -196,7 +213,7 @@
 
 @dataclass(slots=True)
 class Mark:
-    """Something goes wrong, or is well again, by the script."""
+    """The script of the scenario has injected a fault or ended one; `text` describes it."""
 
     t: float
     text: str
@@ -204,7 +221,7 @@
 
 @dataclass(slots=True)
 class Lag:
-    """The stand-ins' own loop came so much too late; its records of that while are late by as much."""
+    """The event loop of the stubs ran `ms` late, so the records of that time may be late by as much."""
 
     t: float
     ms: float
@@ -212,7 +229,10 @@
 
 @dataclass(slots=True)
 class Ended:
-    """The run is over, with the quantiles of the stand-ins' lag; what is open from here on is not judged."""
+    """The run is over, with quantiles of the lag of the stubs' event loop.
+
+    Requests that are still open are not audited.
+    """
 
     t: float
     lag_p99_ms: float
@@ -267,48 +287,52 @@
 
 
 def line_of(record: Record) -> str:
-    """The record as a line of a history."""
+    """Return the record as a line of a history, without the line end."""
     name = type(record).__name__
     return json.dumps([name, *(getattr(record, field) for field in _FIELDS[name])], separators=(",", ":"))
 
 
 def record_from(line: str, number: int = 0) -> Record:
-    """The record in a line; raises HistoryError."""
+    """Return the record on line `number` of a history; raises HistoryError if the line is malformed."""
     try:
         name, *values = json.loads(line)
         if len(values) != len(_FIELDS[name]) or not isinstance(values[0], int | float):
-            raise HistoryError(f"line {number}: a record {name!r} has other fields")
+            raise HistoryError(
+                f"line {number}: record {name!r} has the wrong fields, expected {', '.join(_FIELDS[name])}"
+            )
         return TYPES[name](*values)
     except (ValueError, TypeError, KeyError) as problem:
         if isinstance(problem, HistoryError):
             raise
-        raise HistoryError(f"line {number}: no record: {line[:60]!r}") from problem
+        raise HistoryError(f"line {number}: not a record, got {line[:60]!r}") from problem
 
 
 def read_history(lines: Iterable[str]) -> Iterator[Record]:
-    """The records of a history; raises HistoryError, also for one that is out of order or of another
-    version."""
+    """Yield the records of a history.
+
+    Raises HistoryError if a line is malformed, out of order, or the history has another version.
+    """
     last = 0.0
     for number, line in enumerate(lines, 1):
         record = record_from(line, number)
         if number == 1 and (not isinstance(record, Began) or record.terms.get("version") != VERSION):
-            raise HistoryError(f"line 1: not the start of a history of version {VERSION}")
+            raise HistoryError(f"line 1: expected the start of a history of version {VERSION}")
         if record.t < last:
-            raise HistoryError(f"line {number}: earlier than the line before")
+            raise HistoryError(f"line {number}: earlier ({record.t} ms) than the line before ({last} ms)")
         last = record.t
         yield record
 
 
 class Recorder:
-    """Hands each record, at once, to all that listen; and writes it, where a file is given.
+    """Passes each record synchronously to all listeners and writes it to the history file, if there is one.
 
-    Ended is the last: what the fleet does while it is taken down belongs to no history.
-    A file that can't be written is told once by `problem` and given up; the listeners go on.
+    Records after Ended are dropped: the shutdown of the fleet is not part of the history. On the first write
+    error the file is closed and `problem` is set; the listeners still receive all records.
     """
 
     def __init__(self) -> None:
-        self.listeners: list[Any] = []  # each has feed(record)
-        self.problem: str = ""
+        self.listeners: list[Any] = []  # objects with a method feed(record)
+        self.problem: str = ""  # why the history is incomplete, empty if it is complete
         self._file: TextIO | None = None
         self._over = False
         self._last_t = 0.0
@@ -320,7 +344,8 @@
         if self._over:
             return
         self._over = isinstance(record, Ended)
-        if record.t < self._last_t:  # of one turn of the loop, noted a moment after what it caused
+        # Within one iteration of the event loop a cause may be recorded just after its effect.
+        if record.t < self._last_t:
             record.t = self._last_t
         self._last_t = record.t
         for listener in self.listeners:
@@ -332,11 +357,11 @@
                 self.give_up(problem)
 
     def give_up(self, problem: OSError) -> None:
-        """Write no more; keep why."""
+        """Stop writing the history and keep the reason in `problem`."""
         self.problem = self.problem or f"the history could not be written: {problem.strerror}"
         file, self._file = self._file, None
         if file is not None:
-            with contextlib.suppress(OSError):  # what is buffered cannot be written either, as told before
+            with contextlib.suppress(OSError):  # flushing the buffer fails for the same reason
                 file.close()
 
     def close(self) -> None:
--- a/plumpick/rehearsal/scenario.py
+++ b/plumpick/rehearsal/scenario.py
@@ -1,6 +1,7 @@
-"""Scenarios: what a rehearsal plays, read from TOML and checked key by key.
+"""Scenarios: the description of a rehearsal's fleet, load and faults, read from TOML and validated.
 
-Times are in the unit that the key names (`_ms`, `_s`), ranges are `[low, high]` and drawn evenly.
+Times are in the unit that ends the key (`_ms`, `_s`). Ranges are `[low, high]`, from which values are drawn
+uniformly.
 """
 
 from __future__ import annotations
@@ -24,51 +25,51 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be played; the text names the key."""
+    """A scenario is invalid; the message names the key."""
 
 
 class Part(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True):
-    """What all tables have in common: a key that is not known is an error."""
+    """Base class of all tables of a scenario; an unknown key is an error."""
 
 
 class FleetPart(Part):
-    """Who takes part."""
+    """Numbers of gateways and workers, their zones, and resources."""
 
     gatekeepers: Annotated[int, Meta(ge=1, le=64)] = 3
     servers: Annotated[int, Meta(ge=1, le=2000)] = 12
     halls: Annotated[list[Name], Meta(min_length=1)] = field(
         default_factory=lambda: ["hall-a", "hall-b", "hall-c"]
     )
-    sockets: Annotated[int, Meta(ge=64)] = 512  # descriptors of each gatekeeper
-    memory_mb: Positive = 192.0
+    sockets: Annotated[int, Meta(ge=64)] = 512  # maximum number of file descriptors of each gateway
+    memory_mb: Positive = 192.0  # maximum memory of each gateway
 
 
 class ServerPart(Part):
-    """A licence server: its machine, and how it reports."""
+    """Machine and load reports of a worker stub."""
 
     cores: Annotated[int, Meta(ge=1)] = 2
-    speed: Range = field(default_factory=lambda: [0.9, 1.1])
-    slots_per_core: Annotated[int, Meta(ge=1)] = 4
-    queue_per_core: Annotated[int, Meta(ge=0)] = 20
-    connections: Annotated[int, Meta(ge=1)] = 1000
-    idle_s: Positive = 30.0
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
-    warm_s: Range = field(default_factory=lambda: [9.0, 15.0])
-    report_ms: Range = field(default_factory=lambda: [130.0, 510.0])
-    report_late_ms: Range = field(default_factory=lambda: [46.0, 210.0])
-    drops_cancelled: bool = True  # what waits is dropped when its connection ends
-    error_share: Share = 0.0
+    speed: Range = field(default_factory=lambda: [0.9, 1.1])  # factor of the work done per unit of time
+    slots_per_core: Annotated[int, Meta(ge=1)] = 4  # maximum number of concurrent attempts per core
+    queue_per_core: Annotated[int, Meta(ge=0)] = 20  # maximum number of queued attempts per core
+    connections: Annotated[int, Meta(ge=1)] = 1000  # maximum number of open connections
+    idle_s: Positive = 30.0  # time after which an idle connection is closed
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25  # share of the capacity at the start
+    warm_s: Range = field(default_factory=lambda: [9.0, 15.0])  # time to warm up to full capacity
+    report_ms: Range = field(default_factory=lambda: [130.0, 510.0])  # interval between load reports
+    report_late_ms: Range = field(default_factory=lambda: [46.0, 210.0])  # delay of a load report
+    drops_cancelled: bool = True  # whether a queued attempt is dropped when its connection ends
+    error_share: Share = 0.0  # share of the attempts that are answered with an error
 
 
 class LoadPart(Part):
-    """How much is asked for."""
+    """Load within the quotas, as a share of the workers' capacity or as a rate."""
 
-    share: Annotated[float, Meta(gt=0, le=3)] = 0.5  # inside the quotas, of what the servers can do
-    rate_per_s: NotNegative = 0.0  # inside the quotas; above 0 it binds in place of `share`
+    share: Annotated[float, Meta(gt=0, le=3)] = 0.5  # load within the quotas / capacity of all workers
+    rate_per_s: NotNegative = 0.0  # requests within the quotas; replaces `share` if above 0
 
 
 class ClassPart(Part):
-    """A class of requests."""
+    """A request class: its share of the requests, its work, target time, deadline, worth and idempotency."""
 
     name: Name
     share: Share
@@ -77,144 +78,148 @@
     deadline_ms: Positive
     worth: Positive
     repeats: Repeats
-    window_s: NotNegative = 0.0  # for keyed ones: how long a hall drops repeats
+    window_s: NotNegative = 0.0  # deduplication window of a zone for a keyed class
 
 
 class PlanPart(Part):
-    """A plan, and the part of the use inside quotas that its firms make."""
+    """A plan; `share` is the share of its customers in the load within the quotas."""
 
     name: Name
     share: Share
     rate_per_s: Range
     burst_s: Range
     value: Positive = 1.0
-    over_cost: Share = 0.6
-    ceiling: NotNegative = 0.0  # times the quota; 0: no hard ceiling
+    over_cost: Share = 0.6  # share of the worth that is charged for requests served beyond the quota
+    ceiling: NotNegative = 0.0  # hard ceiling as a multiple of the quota; 0: no ceiling
 
 
 class ClientPart(Part):
-    """Firms and their clients."""
+    """Customers and their clients."""
 
-    retries: Annotated[int, Meta(ge=0, le=10)] = 3
-    patience: Range = field(default_factory=lambda: [0.5, 1.0])  # of the class's deadline
-    honour: Share = 0.7  # of the clients that wait as `Retry-After` says
-    backoff_ms: Range = field(default_factory=lambda: [40.0, 300.0])
+    retries: Annotated[int, Meta(ge=0, le=10)] = 3  # maximum number of retries per operation
+    patience: Range = field(default_factory=lambda: [0.5, 1.0])  # client timeout / deadline of the class
+    honour: Share = 0.7  # share of the clients that wait as long as `Retry-After` says
+    backoff_ms: Range = field(default_factory=lambda: [40.0, 300.0])  # time before a retry, times 2 ** try
+    # Number of gateways to which a customer sends requests.
     spread: Annotated[list[Annotated[int, Meta(ge=1)]], Meta(min_length=2, max_length=2)] = field(
         default_factory=lambda: [2, 4]
     )
-    usual_use: Range = field(default_factory=lambda: [0.15, 0.5])  # of the quota's rate
-    full: Share = 0.15  # of the firms use nearly all of it
-    heavy: Share = 0.08  # ask for up to `heavy_times` their quota all the time
+    usual_use: Range = field(default_factory=lambda: [0.15, 0.5])  # usual request rate / quota rate
+    full: Share = 0.15  # share of the customers that use nearly all of their quota
+    heavy: Share = 0.08  # share of the customers that always request `heavy_times` their quota
     heavy_times: Range = field(default_factory=lambda: [1.6, 4.5])
-    spiky: Share = 0.15  # ask for up to `spike_times` now and then
+    spiky: Share = 0.15  # share of the customers that have spikes of `spike_times` their quota
     spike_times: Range = field(default_factory=lambda: [2.0, 7.5])
-    spike_s: Range = field(default_factory=lambda: [0.8, 4.0])
-    spike_every_s: Range = field(default_factory=lambda: [10.0, 25.0])
-    shift_s: Range = field(default_factory=lambda: [13.0, 23.0])  # the busiest gatekeeper of a firm changes
-    skew: Range = field(default_factory=lambda: [0.3, 1.5])  # how unevenly a firm spreads; 0: evenly
-    notice_s: Range = field(default_factory=lambda: [0.93, 3.1])  # a dead gatekeeper is still asked
-    impatient: Share = 0.0  # of the tries whose client closes early
+    spike_s: Range = field(default_factory=lambda: [0.8, 4.0])  # duration of a spike
+    spike_every_s: Range = field(default_factory=lambda: [10.0, 25.0])  # time between spikes
+    # Time until the busiest gateway of a customer changes.
+    shift_s: Range = field(default_factory=lambda: [13.0, 23.0])
+    skew: Range = field(default_factory=lambda: [0.3, 1.5])  # unevenness over the gateways; 0: even
+    notice_s: Range = field(default_factory=lambda: [0.93, 3.1])  # time until clients avoid a dead gateway
+    impatient: Share = 0.0  # share of the tries that the client cancels early
 
 
 class PeerPart(Part):
-    """Datagrams between gatekeepers."""
+    """Datagrams between gateways."""
 
     delay_ms: Range = field(default_factory=lambda: [1.6, 39.0])
-    loss: Share = 0.03
-    inbox_per_s: Positive = 60.0
+    loss: Share = 0.03  # share of lost datagrams
+    inbox_per_s: Positive = 60.0  # maximum number of datagrams per second delivered to a gateway
 
 
 class RosterPart(Part):
-    """How late the roster's news is."""
+    """Delay between a change of a worker and its notification by discovery, by kind of change."""
 
     add_s: Range = field(default_factory=lambda: [0.2, 1.2])
     drain_s: Range = field(default_factory=lambda: [0.3, 1.5])
     gone_s: Range = field(default_factory=lambda: [1.2, 4.0])
-    spread_ms: Range = field(default_factory=lambda: [40.0, 360.0])  # from one gatekeeper to the next
+    spread_ms: Range = field(default_factory=lambda: [40.0, 360.0])  # additional delay per gateway
 
 
 class RulesPart(Part):
-    """The figures of the rules."""
+    """Limits of the audited rules."""
 
-    drain_grace_ms: Positive = 1000.0
-    fall_multiple: Positive = 2.5
+    drain_grace_ms: Positive = 1000.0  # time after which a draining worker must get no new attempts
+    fall_multiple: Positive = 2.5  # work in `fall_ms` that overloads a cold worker / its current capacity
     fall_ms: Positive = 1000.0
-    ceiling_slack: Share = 0.1  # of the ceiling's burst, or the largest request
+    ceiling_slack: Share = 0.1  # slack of a ceiling / its burst; at least the largest request
 
 
 class PricesPart(Part):
-    """What comes off service, each times its share or rate."""
+    """Prices subtracted from the service score, each multiplied by its measured share or rate."""
 
-    waste: NotNegative = 0.05
-    late_fail: NotNegative = 0.03
-    peer: NotNegative = 0.02
-    cross_hall: NotNegative = 0.01
+    waste: NotNegative = 0.05  # work wasted
+    late_fail: NotNegative = 0.03  # worth that failed after its target time
+    peer: NotNegative = 0.02  # datagram bytes between gateways
+    cross_hall: NotNegative = 0.01  # attempts sent to a worker in another zone
 
 
 class Event(Part, tag_field="do"):
-    """Something that happens at `at_s`."""
+    """Base class of scheduled events; `at_s` is the time since the start of the run."""
 
     at_s: NotNegative
 
 
 class KillGatekeeper(Event, tag="kill-gatekeeper"):
-    """SIGKILL; it is back, with nothing but its last list, after `back_s` (0: never)."""
+    """Sends SIGKILL to a gateway; restarts it after `back_s` (0: never) with only its last endpoint list."""
 
     gatekeeper: Annotated[int, Meta(ge=0)]
     back_s: NotNegative = 1.0
 
 
 class RestartGatekeeper(Event, tag="restart-gatekeeper"):
-    """SIGTERM, and a new start once it has ended."""
+    """Sends SIGTERM to a gateway and starts it again when its process has ended."""
 
     gatekeeper: Annotated[int, Meta(ge=0)]
 
 
 class PauseGatekeeper(Event, tag="pause-gatekeeper"):
-    """SIGSTOP for so long, then SIGCONT: it stands still, and its connections stay open."""
+    """Stalls a gateway by SIGSTOP for `for_s`, then sends SIGCONT; its connections stay open."""
 
     gatekeeper: Annotated[int, Meta(ge=0)]
     for_s: Positive = 3.5
 
 
 class MoveRoster(Event, tag="move-roster"):
-    """The agents' addresses move; the configurations are replaced and SIGHUP is sent."""
+    """Moves the discovery agents to new addresses, replaces the configurations and sends SIGHUP."""
 
 
 class RosterSilent(Event, tag="roster-silent"):
-    """The roster says nothing for so long."""
+    """Makes discovery unreachable for `for_s`."""
 
     for_s: Positive
 
 
 class SilentWatches(Event, tag="silent-watches"):
-    """All open watches of the roster fall silent: their connections stay open, and nothing more comes there.
-    New calls are answered as ever."""
+    """Stops all open discovery watches from sending events; their connections stay open.
+
+    New calls are answered normally.
+    """
 
 
 class ReleaseServers(Event, tag="release-servers"):
-    """A rolling release: this share of the servers is replaced by cold successors within `within_s`."""
+    """A rolling release: replaces this share of the workers by cold ones within `within_s`."""
 
     share: Share = 0.9
     within_s: Positive = 20.0
-    linger_s: NotNegative = 3.0  # for so long one that drains goes on
+    linger_s: NotNegative = 3.0  # time for which a draining worker keeps running
 
 
 class SilentServers(Event, tag="silent-servers"):
-    """So many servers fall silent (no reset, no answer), and come back cold."""
+    """Makes `count` workers unreachable (no reset, no answer) for `for_s`; they come back cold."""
 
     count: Annotated[int, Meta(ge=1)] = 1
     for_s: Positive = 8.0
 
 
 class ServerFault(Event, tag="server-fault"):
-    """So many servers (0: all of them) have a fault of this kind for so long.
+    """Injects a fault into `count` workers (0: all) for `for_s`.
 
-    `swallow`: attempts are never answered; `error`: answered 500 after their work; `fast-error`: 500 at once;
-    `reset-before`, `reset-after`: the connection breaks before or after the effect; `slow-after-record`: the
-    answer comes `by_ms` after the effect; `spoilt`: noise in place of the answer; `half-speed`: `by` times
-    the speed; `freeze`: nothing moves for `by_ms` of every `every_s`; `unmeasured-reset`: an answer with no
-    length, which a reset cuts off.
+    `swallow`: attempts are never answered; `error`: attempts are answered 500 after their work; `fast-error`:
+    attempts are answered 500 immediately; `reset-before`, `reset-after`: the connection is reset before or
+    after the effect; `slow-after-record`: the answer is sent `by_ms` after the effect; `spoilt`: random bytes
+    are sent instead of the answer; `half-speed`: the speed is multiplied by `by`; `freeze`: the worker stalls
+    for `by_ms` every `every_s`; `unmeasured-reset`: an answer without a length is cut off by a reset.
     """
 
     fault: Literal[
@@ -239,7 +244,7 @@
 
 
 class HotFirm(Event, tag="hot-firm"):
-    """One firm of a plan asks for so many times its quota, for so long, mostly through one gatekeeper."""
+    """A customer of a plan requests `times` its quota for `for_s`, a share `crowd` of it via one gateway."""
 
     for_s: Positive
     plan: Name
@@ -248,7 +253,7 @@
 
 
 class SplitPeers(Event, tag="split-peers"):
-    """These gatekeepers and the others do not hear one another for so long."""
+    """Cuts all datagrams between the gateways in `side` and the others for `for_s`."""
 
     for_s: Positive
     side: Annotated[list[Annotated[int, Meta(ge=0)]], Meta(min_length=1)]
@@ -309,7 +314,7 @@
 
 
 class Scenario(Part):
-    """A whole scenario; what a file leaves out is as the class has it."""
+    """A complete scenario; keys missing in a file have the defaults of this class."""
 
     title: str = "a calm day"
     seconds: Annotated[float, Meta(ge=1, le=86_400)] = 50.0
@@ -328,7 +333,7 @@
     events: list[AnyEvent] = []
 
     def terms(self, seed: int, plant: str, name: str) -> dict[str, Any]:
-        """What a history begins with: all that the auditor and the counting of service go by."""
+        """Return the terms at the start of a history: the parameters of the auditor and the service score."""
         return {
             "version": VERSION,
             "scenario": name,
@@ -344,11 +349,11 @@
         }
 
     def hall_of(self, number: int) -> str:
-        """The hall of the gatekeeper or server of that number."""
+        """Return the zone of the gateway or worker with this number."""
         return self.fleet.halls[number % len(self.fleet.halls)]
 
     def brief(self) -> Scenario:
-        """The same in at most eight seconds: the events move together, each keeps its order and its kind."""
+        """Return the scenario shortened to at most eight seconds, with all events at scaled times."""
         seconds = min(8.0, self.seconds)
         part = seconds / self.seconds
         if part == 1.0:
@@ -372,42 +377,47 @@
 
 
 def check(scenario: Scenario) -> Scenario:  # noqa: C901  (to be split by concern)
-    """What no single key shows: raises ScenarioError."""
+    """Return the scenario; raises ScenarioError if its keys are inconsistent with one another."""
     for path, rows in (("classes", scenario.classes), ("plans", scenario.plans)):
         names = [row.name for row in rows]
         if len(set(names)) < len(names):
-            raise ScenarioError(f"{path}: a name stands there twice")
+            raise ScenarioError(f"{path}: duplicate name, got {', '.join(names)}")
         if abs(sum(row.share for row in rows) - 1) > 0.01:
-            raise ScenarioError(f"{path}: the shares do not make 1")
+            raise ScenarioError(
+                f"{path}: the shares must add up to 1, got {sum(row.share for row in rows):g}"
+            )
     for number, kind in enumerate(scenario.classes):
         if kind.aim_ms > kind.deadline_ms:
-            raise ScenarioError(f"classes[{number}].aim_ms: beyond the deadline")
+            raise ScenarioError(
+                f"classes[{number}].aim_ms: {kind.aim_ms:g} exceeds deadline_ms, {kind.deadline_ms:g}"
+            )
         if kind.repeats == "keyed" and not kind.window_s:
-            raise ScenarioError(f"classes[{number}].window_s: a keyed class needs one")
+            raise ScenarioError(f"classes[{number}].window_s: must be above 0 for a keyed class")
     for part in (scenario.server, scenario.clients, scenario.peers, scenario.roster, *scenario.plans):
         for key, value in msgspec.structs.asdict(part).items():
             if isinstance(value, list) and value[0] > value[1]:
                 raise ScenarioError(
-                    f"{type(part).__name__.removesuffix('Part').lower()}.{key}: {value} is no range"
+                    f"{type(part).__name__.removesuffix('Part').lower()}.{key}: "
+                    f"expected a range [low, high], got {value}"
                 )
     count = scenario.fleet.gatekeepers
     known, plans = {kind.name for kind in scenario.classes}, {plan.name for plan in scenario.plans}
     for number, event in enumerate(scenario.events):
         path = f"events[{number}]"
         if event.at_s > scenario.seconds:
-            raise ScenarioError(f"{path}.at_s: after the end")
+            raise ScenarioError(f"{path}.at_s: {event.at_s:g} is after the end, {scenario.seconds:g} s")
         gates = [event.gatekeeper] if hasattr(event, "gatekeeper") else getattr(event, "side", [])
         if any(gate >= count for gate in gates):
-            raise ScenarioError(f"{path}: there are only {count} gatekeepers, from 0")
+            raise ScenarioError(f"{path}: gatekeeper number must be below {count}, got {gates}")
         if not set(getattr(event, "classes", [])) <= known:
-            raise ScenarioError(f"{path}.classes: no such class")
+            raise ScenarioError(f"{path}.classes: unknown class in {getattr(event, 'classes', [])}")
         if getattr(event, "plan", None) not in {None, *plans}:
-            raise ScenarioError(f"{path}.plan: no such plan")
+            raise ScenarioError(f"{path}.plan: unknown plan {getattr(event, 'plan', None)!r}")
     return scenario
 
 
 def shipped() -> dict[str, str]:
-    """The scenarios that come with the program, by name, with their titles."""
+    """Return the titles of the scenarios shipped with the package, by name."""
     folder = resources.files("plumpick.rehearsal") / "scenarios"
     return {
         file.name.removesuffix(".toml"): str(tomllib.loads(file.read_text(encoding="utf-8"))["title"])
@@ -417,7 +427,7 @@
 
 
 def load(name: str) -> Scenario:
-    """A shipped scenario by its name, or one in a file; raises ScenarioError with one line."""
+    """Return a shipped scenario by name or a scenario from a file; raises ScenarioError with one line."""
     folder = resources.files("plumpick.rehearsal") / "scenarios"
     try:
         if "/" in name or name.endswith(".toml"):
@@ -425,11 +435,11 @@
         elif (folder / f"{name}.toml").is_file():
             text = (folder / f"{name}.toml").read_text(encoding="utf-8")
         else:
-            raise ScenarioError(f"there is no scenario {name!r}; there are: {', '.join(shipped())}")
+            raise ScenarioError(f"unknown scenario {name!r}; available scenarios: {', '.join(shipped())}")
         return check(msgspec.convert(tomllib.loads(text), Scenario))
     except OSError as problem:
         raise ScenarioError(f"{name}: cannot be read: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise ScenarioError(f"{name}: no TOML: {problem}") from problem
+        raise ScenarioError(f"{name}: invalid TOML: {problem}") from problem
     except msgspec.ValidationError as problem:
         raise ScenarioError(f"{name}: {str(problem).replace('`$.', '`')}") from problem
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -1,7 +1,8 @@
-"""Service as the users count it, from the same records as the auditor's.
+"""Computes the service score of a run from the same records as the auditor.
 
-Worth answered in time over the worth asked for inside the quotas; a client's further tries belong to its
-first. 65 % the whole run, 20 % the worst 10 s, 15 % the worst-served plan; the prices come off.
+The service share is the worth answered in time divided by the worth requested within the quotas; the retries
+of a client count for its first try. The score is 65 % of the share of the whole run, 20 % of that of the
+worst 10 s and 15 % of that of the worst-served plan, minus the prices.
 """
 
 from __future__ import annotations
@@ -25,8 +26,9 @@
 )
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
-WINDOW_S, FULL_MESSAGE = 10, 256
-KEEP_MS = 60_000.0
+WINDOW_S = 10
+FULL_MESSAGE = 256  # bytes of the largest datagram between gateways
+KEEP_MS = 60_000.0  # time after which the operations and tries of clients are removed
 
 
 @dataclass(slots=True)
@@ -35,7 +37,7 @@
     t: float
 
     def take(self, t: float, rate: float, burst: float, units: float) -> bool:
-        """Fill for the time gone by; take the units if they are there."""
+        """Refill for the elapsed time and take the units; returns whether there were enough of them."""
         self.level = min(burst, self.level + (t - self.t) / 1000 * rate)
         self.t = t
         if self.level < units:
@@ -50,13 +52,13 @@
     worth: float
     plan: str
     kind: str
-    inside: bool  # of what one gatekeeper that saw all first tries would let in
+    inside: bool  # whether a single gateway that sees all first tries would admit it
     served: bool = False
     ended_t: float = 0.0
 
 
 class Tally:
-    """Sums for one class, plan or second: worth asked for inside the quotas, served in time, and counts."""
+    """Totals of a class, plan or second: worth offered within quotas, worth served in time, and counts."""
 
     __slots__ = ("offered", "served", "asked", "refused", "failed", "late")
 
@@ -65,12 +67,12 @@
         self.asked = self.refused = self.failed = self.late = 0
 
     def share(self) -> float:
-        """Served over offered, at most 1; 1 where nothing was offered."""
+        """Return the served worth divided by the offered worth, at most 1; 1 if no worth was offered."""
         return min(1.0, self.served / self.offered) if self.offered else 1.0
 
 
 class Service:
-    """Counts service; feed it records in their order."""
+    """Computes the service score from records, fed in order."""
 
     def __init__(self) -> None:
         self._terms: dict[str, Any] = {}
@@ -79,7 +81,7 @@
         self._halls: dict[str, str] = {}
         self._ops: dict[int, _Op] = {}
         self._tries: dict[str, tuple[Asked, int]] = {}
-        self._inside: dict[str, bool] = {}  # tries that were sent on: inside their quota?
+        self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
         self._first: dict[str, _Bucket] = {}
         self._sent: dict[str, _Bucket] = {}
         self._server_hall: dict[str, str] = {}
@@ -111,7 +113,7 @@
         }
 
     def feed(self, record: Record) -> None:
-        """The next record."""
+        """Count the next record; records after the end of the run are ignored."""
         take = self._take.get(type(record))
         if take is not None and not self.end_t:
             take(record)  # type: ignore[operator]
@@ -213,7 +215,7 @@
             self._late(op)
 
     def _late(self, op: _Op) -> None:
-        """It failed its client only after the wanted time; counted once."""
+        """Count the worth of an operation that failed only after the target time of its class, once."""
         if op.inside and not op.served and not op.ended_t:
             op.ended_t = op.t + self._kinds[op.kind]["aim_ms"]
             self.late_worth += op.worth
@@ -231,7 +233,7 @@
             self.peer_bytes += record.size
 
     def _sweep(self, t: float) -> None:
-        """Forget what is over for long."""
+        """Remove operations and tries that are older than KEEP_MS."""
         if t - self._swept < KEEP_MS:
             return
         self._swept = t
@@ -244,7 +246,7 @@
     # -- figures
 
     def worst_window(self) -> tuple[float, int]:
-        """The lowest share served in any 10 s on end, and the second at which they begin."""
+        """Return the lowest service share of any 10 consecutive seconds and the first of these seconds."""
         last = int(self.end_t // 1000) or max(self.seconds, default=0)
         worst = (1.0, 0)
         for start in range(0, max(1, last - WINDOW_S + 1)):
@@ -257,13 +259,13 @@
         return worst
 
     def so_far(self, t: float) -> float:
-        """The share served of what was asked for until a moment ago, for a live line."""
+        """Return the service share of the run up to two seconds before `t` (ms), for the progress line."""
         rows = [row for second, row in self.seconds.items() if second < t // 1000 - 2]
         offered = sum(row.offered for row in rows)
         return min(1.0, sum(row.served for row in rows) / offered) if offered else 1.0
 
     def as_dict(self) -> dict[str, Any]:
-        """The `service` of report.json: shares of 1, rounded to six digits."""
+        """Return the value of `service` in report.json: shares between 0 and 1, rounded to six digits."""
         window, start = self.worst_window()
         plans = {name: tally.share() for name, tally in sorted(self.plans.items())}
         prices, offered = self._terms["prices"], self.total.offered or 1.0
--- a/plumpick/rehearsal/surroundings.py
+++ b/plumpick/rehearsal/surroundings.py
@@ -1,4 +1,4 @@
-"""Time, chance and the loop: what every stand-in is handed, and never takes from the system by itself."""
+"""Clock, random numbers and event loop of a rehearsal; stubs use these and never those of the system."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class Surroundings:
-    """The loop, the clock and the source of chance of one rehearsal.
+    """The event loop, clock and random seed of one rehearsal.
 
-    `monotonic` gives seconds that only advance, `unix_s` the time of day at the start. Played on another loop
-    with another clock, the same stand-ins live in modelled time.
+    `monotonic` returns monotonic seconds; `unix_s` is the Unix time at the start, by default the system's.
+    With a simulated loop and clock the same stubs run in simulated time.
     """
 
     def __init__(
@@ -36,42 +36,51 @@
         self._unix_ms = (time.time() if unix_s is None else unix_s) * 1000
 
     def now(self) -> float:
-        """Milliseconds since the start, to the microsecond, so that a written record equals the live one."""
+        """Return milliseconds since the start.
+
+        Rounded to microseconds, so that a record read back from a history equals the recorded one.
+        """
         return round((self._monotonic() - self._start) * 1000, 3)
 
     def unix_ms(self, t: float) -> float:
-        """That time of the rehearsal as Unix time in milliseconds."""
+        """Convert milliseconds since the start into Unix time in milliseconds."""
         return round(self._unix_ms + t, 3)
 
     def chance(self, name: str) -> random.Random:
-        """A source of random numbers of its own for each part: what one draws does not shift another's."""
+        """Return a random generator for the part `name`; its draws do not affect those of other parts."""
         return random.Random(f"{self.seed}/{name}")
 
     def later(self, ms: float, call: Callable[..., Any], *arguments: Any) -> asyncio.TimerHandle:
-        """Call after so many milliseconds."""
+        """Call `call(*arguments)` after `ms` milliseconds."""
         return self.loop.call_later(max(0.0, ms) / 1000, call, *arguments)
 
     def reset(self, transport: Any) -> None:
-        """Close a connection with a reset, behind what has been written."""
+        """Close a connection with a TCP reset after the data written so far."""
         with socket.socket(fileno=os.dup(transport.get_extra_info("socket").fileno())) as plug:
             plug.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         transport.abort()
 
     @staticmethod
     def settle() -> None:
-        """What the start made stays: looking through it again and again is a stall each time."""
+        """Exempt all objects that exist after the start from garbage collection.
+
+        Scanning them in each full collection would stall the event loop.
+        """
         gc.collect()
         gc.freeze()
 
     def spawn(self, tasks: set[asyncio.Task[Any]], work: Coroutine[Any, Any, None]) -> None:
-        """Run beside; `tasks`, its owner's, holds it until it ends: the loop alone would not keep it."""
+        """Run `work` as a task; `tasks` holds it until it ends, as the loop has only a weak reference."""
         task = self.loop.create_task(work)
         tasks.add(task)
         task.add_done_callback(tasks.discard)
 
 
 async def is_up(port: int, limit_s: float) -> bool:
-    """Whether the gatekeeper at that port answers /up with 200 in time; the port may be somebody else's."""
+    """Return whether the process at `port` answers GET /up with status 200 within `limit_s` seconds.
+
+    Returns False for any other answer, as another process may have taken the port.
+    """
     try:
         reader, writer = await asyncio.open_connection(HOST, port)
     except OSError:
@@ -80,7 +89,7 @@
         writer.write(request_bytes("GET", "/up", {}))
         async with asyncio.timeout(limit_s):
             return b" 200 " in await reader.readline()
-    except (OSError, ValueError):  # a TimeoutError is an OSError; a line without end is a ValueError
+    except (OSError, ValueError):  # TimeoutError is an OSError; readline raises ValueError on a too long line
         return False
     finally:
         writer.close()
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -78,8 +78,8 @@
             CLASS + 'aim_ms = 7\nrepeats = "keyed"',
             "window_s",
         ),
-        ("= 1", "no TOML"),
-        ("title = '\x00'", "no TOML"),
+        ("= 1", "invalid TOML"),
+        ("title = '\x00'", "invalid TOML"),
     ],
 )
 def test_what_is_wrong_is_told_in_one_line_that_names_the_key(tmp_path, text, key):
