--- a/plumpick/rehearsal/commands.py
+++ b/plumpick/rehearsal/commands.py
@@ -1,4 +1,4 @@
-"""`plumpick rehearse`, `plumpick fleet` and `plumpick audit`: what they print, write and end with."""
+"""The commands `plumpick rehearse`, `plumpick fleet` and `plumpick audit`: output, files and exit codes."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from plumpick.rehearsal.supervisor import StartFailed
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LIVE_S = 1.0
-CLEAR = "\r\x1b[K"  # back to the start of the terminal's line, and empty it
+LIVE_S = 1.0  # interval between progress lines on a terminal
+CLEAR = "\r\x1b[K"  # moves the cursor to the start of the line and clears the line
 FILES = ("report.json", "history.jsonl", "report.html")
 
 
@@ -33,7 +33,10 @@
 
 
 def _loop_run(work: Callable[[], Coroutine[Any, Any, int]]) -> int:
-    """Run on a loop of its own; SIGINT and SIGTERM end it in order, with 130."""
+    """Run `work` on a new event loop and return its exit code.
+
+    SIGINT and SIGTERM cancel it; the exit code is then EXIT_INTERRUPTED.
+    """
 
     async def guarded() -> int:
         loop, task = asyncio.get_running_loop(), asyncio.current_task()
@@ -49,7 +52,7 @@
 
 
 def _not_started(problem: StartFailed | OSError) -> int:
-    """Tell why there is no fleet; the exit code."""
+    """Print why the fleet could not be started and return the exit code."""
     if isinstance(problem, StartFailed):
         _say(f"plumpick: {problem}")
         return EXIT_BROKEN
@@ -65,7 +68,7 @@
 
 
 def verdict_text(auditor: Auditor, service: Service) -> str:
-    """The table that stands at the end of a rehearsal and of an audit."""
+    """Return the summary that is printed at the end of a rehearsal or an audit."""
     verdicts, counted = auditor.verdicts(), service.as_dict()
     lines = [
         _table(
@@ -96,12 +99,14 @@
     )
     lines.append("prices   " + "   ".join(f"{name} {cost:.4f}" for name, cost in counted["prices"].items()))
     lines.append("counts   " + "   ".join(f"{name} {count}" for name, count in counted["counts"].items()))
-    lines.append(f"the stand-ins' lag: p99 {auditor.lag_p99_ms:.1f} ms, most {auditor.lag_max_ms:.1f} ms")
+    lines.append(
+        f"lag of the stubs' event loop: p99 {auditor.lag_p99_ms:.1f} ms, maximum {auditor.lag_max_ms:.1f} ms"
+    )
     return "\n".join(lines)
 
 
 def report_of(auditor: Auditor, service: Service, terms: dict[str, Any], exit_code: int) -> dict[str, Any]:
-    """What report.json holds; docs/operators/rehearsal.md has each key."""
+    """Return the content of report.json; docs/operators/rehearsal.md describes its keys."""
     return {
         "scenario": terms["scenario"],
         "title": terms["title"],
@@ -123,7 +128,10 @@
 
 
 class _Live:
-    """A line a second on a terminal, one each five seconds elsewhere; marks as they come."""
+    """Prints the progress of a rehearsal: events of the script, and a progress line.
+
+    The progress line is printed each second on a terminal and every five seconds elsewhere.
+    """
 
     def __init__(self, fleet: Fleet, quiet: bool) -> None:
         self.fleet, self.quiet, self.shown, self.tries, self.count = fleet, quiet, 0, 0, 0
@@ -157,7 +165,7 @@
 
 
 def _folder(given: str) -> Path | None:
-    """The folder of the report, made; None, and a word, where it cannot be written."""
+    """Create the report folder and return its path; if it is not writable, print why and return None."""
     folder = Path(given)
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -169,7 +177,7 @@
 
 
 def rehearse(given: argparse.Namespace) -> int:
-    """Play a scenario and judge it."""
+    """Run `plumpick rehearse`: play a scenario, audit it and return the exit code."""
     if given.list:
         print(_table([("scenario", "what it plays"), *shipped().items()]) + "\n")
         print(
@@ -184,7 +192,7 @@
     try:
         scenario = load(given.scenario)
         if given.plant is not None and given.plant not in PLANTS:
-            raise ScenarioError(f"--plant: there is no {given.plant!r}; there are: {', '.join(PLANTS)}")
+            raise ScenarioError(f"--plant: unknown plant {given.plant!r}; available: {', '.join(PLANTS)}")
     except ScenarioError as problem:
         _say(f"plumpick: {problem}")
         return EXIT_USAGE
@@ -224,7 +232,7 @@
         if problem:
             _say(f"plumpick: {problem}")
     if slow:
-        _say(f"plumpick: this verdict does not count: {slow}")
+        _say(f"plumpick: the verdict is invalid: {slow}")
     if folder is not None:
         terms = scenario.terms(seed, given.plant or "", given.scenario)
         _write_report(folder, report_of(fleet.auditor, fleet.service, terms, code), fleet)
@@ -232,22 +240,22 @@
 
 
 def _write_report(folder: Path, report: dict[str, Any], fleet: Fleet) -> None:
-    """report.json and report.html; what cannot be written is told, and changes no verdict."""
+    """Write report.json and report.html; a write error is printed and does not change the exit code."""
     try:
         (folder / FILES[0]).write_text(json.dumps(report, indent=1) + "\n", encoding="utf-8")
         if fleet.recorder.problem:
-            return  # the plots are drawn from the history, and that is not whole
-        from plumpick.rehearsal.page import page_of  # slow to import, and only needed here
+            return  # the plots are drawn from the history, which is incomplete
+        from plumpick.rehearsal.page import page_of  # imported only here because matplotlib is slow to import
 
         (folder / FILES[2]).write_text(page_of(folder / FILES[1], report), encoding="utf-8")
     except (OSError, HistoryError) as problem:
         _say(f"plumpick: the report could not be written: {problem}")
         return
-    _say(f"report in {folder}")
+    _say(f"report written to {folder}")
 
 
 def audit(given: argparse.Namespace) -> int:
-    """Judge a history again; the verdict is the same."""
+    """Run `plumpick audit`: audit a stored history, with the same verdict as in its rehearsal."""
     auditor, service = Auditor(), Service()
     terms: dict[str, Any] = {}
     try:
@@ -263,22 +271,22 @@
         _say(f"plumpick: {given.history}: {problem}")
         return EXIT_USAGE
     if not terms:
-        _say(f"plumpick: {given.history}: it is empty")
+        _say(f"plumpick: {given.history}: the history is empty")
         return EXIT_USAGE
     if not auditor.over:
-        _say("plumpick: the history has no end: it is judged as far as it goes")
+        _say("plumpick: the history has no end record; auditing the records up to its last line")
     code, slow = _exit_code(auditor)
     if given.json:
         print(json.dumps(report_of(auditor, service, terms, code), indent=1))
     else:
         print(verdict_text(auditor, service))
     if slow:
-        _say(f"plumpick: this verdict does not count: {slow}")
+        _say(f"plumpick: the verdict is invalid: {slow}")
     return code
 
 
 def fleet(given: argparse.Namespace) -> int:
-    """Start a fleet and leave it up."""
+    """Run `plumpick fleet`: start a fleet and keep it running until interrupted."""
     try:
         scenario = load(given.scenario)
     except ScenarioError as problem:
@@ -288,7 +296,7 @@
 
 
 def curl_of(one: Fleet) -> str:
-    """A line that gets a 200 when it is pasted, as long as the fleet is up."""
+    """Return a curl command that is answered 200 while the fleet is running."""
     scenario, gate = one.scenario, one.supervisor.gates[0]
     kind = min(scenario.classes, key=lambda kind: kind.repeats != "safe")
     firm = one.front.firms[0]
@@ -305,7 +313,7 @@
 
 
 def description_of(one: Fleet) -> dict[str, Any]:
-    """The fleet as one JSON object; later fronts add their keys."""
+    """Return the addresses of the fleet and its customers as a JSON object; callers may add keys."""
     return {
         "gatekeepers": [
             {
@@ -331,7 +339,7 @@
 
 async def _fleet(scenario: Scenario, given: argparse.Namespace, seed: int) -> int:
     one = Fleet(Surroundings(asyncio.get_running_loop(), seed), scenario, given.scenario)
-    one.recorder.listeners.clear()  # nobody judges: nothing is kept
+    one.recorder.listeners.clear()  # no audit takes place, so no records are kept
     try:
         await one.start()
         about = description_of(one)
@@ -343,7 +351,7 @@
             print(
                 _table(rows) + f"\n\nroster   {' '.join(about['roster'])}\nservers  "
                 f"{' '.join(row['address'] for row in about['servers'])}\n\n{about['curl']}\n\n"
-                "Ctrl-C ends it.",
+                "Press Ctrl-C to stop the fleet.",
                 flush=True,
             )
         await asyncio.Event().wait()
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -1,4 +1,4 @@
-"""report.html: one file that opens offline, with plots drawn from the history."""
+"""Generates report.html: a self-contained file with the verdicts and with plots drawn from the history."""
 
 from __future__ import annotations
 
@@ -23,19 +23,21 @@
 
 
 class _Series:
-    """What the plots need of a history, gathered in one pass."""
+    """Data series for the plots, collected from the records of a history in one pass."""
 
     def __init__(self) -> None:
         self.service = Service()
         self.terms: dict[str, Any] = {}
-        self.marks: list[tuple[float, str]] = []
+        self.marks: list[tuple[float, str]] = []  # events of the script: time in s, text
+        # Served requests by class: time of the response in s, time since the first try in ms.
         self.waits: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.asked: dict[str, Asked] = {}
-        self.first_t: dict[int, float] = {}
+        self.asked: dict[str, Asked] = {}  # by request id
+        self.first_t: dict[int, float] = {}  # time of the first try of each operation, in ms
+        # Number of attempts by worker and second.
         self.per_server: defaultdict[str, defaultdict[int, int]] = defaultdict(lambda: defaultdict(int))
-        self.used: defaultdict[str, float] = defaultdict(float)
-        self.wanted: defaultdict[str, float] = defaultdict(float)
-        self.plans: dict[str, str] = {}
+        self.used: defaultdict[str, float] = defaultdict(float)  # units sent to workers, by customer
+        self.wanted: defaultdict[str, float] = defaultdict(float)  # units of first tries, by customer
+        self.plans: dict[str, str] = {}  # plan of each customer
         self._sent: set[str] = set()
         self.end_s = 0.0
 
@@ -121,14 +123,14 @@
 
 def _service(series: _Series) -> str:
     figure, axes = _figure(
-        "Worth asked for inside the quotas, and served in time, by second of the first try"
+        "Worth requested within the quotas and worth served in time, by second of the first try"
     )
     seconds = sorted(series.service.seconds)
     offered = [series.service.seconds[second].offered for second in seconds]
     served = [series.service.seconds[second].served for second in seconds]
-    axes.fill_between(seconds, offered, color="#d5e3ef", step="mid", label="asked for")
+    axes.fill_between(seconds, offered, color="#d5e3ef", step="mid", label="requested")
     axes.plot(seconds, served, color=PALETTE[0], linewidth=1.4, drawstyle="steps-mid", label="served in time")
-    axes.set_ylabel("worth a second", fontsize=8)
+    axes.set_ylabel("worth per second", fontsize=8)
     axes.set_xlabel("seconds", fontsize=8)
     axes.legend(fontsize=7, loc="lower left", frameon=False, ncols=2)
     _marks(axes, series)
@@ -136,7 +138,7 @@
 
 
 def _waits(series: _Series) -> str:
-    figure, axes = _figure("Waits from the first try to the answer, against each class's aim", 3.4)
+    figure, axes = _figure("Time from the first try to the response, and target time of each class", 3.4)
     for color, kind in zip(PALETTE, series.terms["classes"], strict=False):
         points = series.waits.get(kind["name"], [])
         points = points[:: max(1, len(points) // MOST_POINTS)]
@@ -159,7 +161,7 @@
 
 def _servers(series: _Series) -> str:
     names = sorted(series.per_server)
-    figure, axes = _figure("Attempts a second at each server", max(2.2, 0.17 * len(names) + 1.0))
+    figure, axes = _figure("Attempts per second at each worker", max(2.2, 0.17 * len(names) + 1.0))
     seconds = int(series.end_s) + 1
     rows = [[series.per_server[name].get(second, 0) for second in range(seconds)] for name in names]
     image = axes.imshow(
@@ -188,7 +190,7 @@
 
     firms = sorted(series.used, key=lambda firm: -series.wanted[firm] / allowed(firm))[:MOST_FIRMS]
     figure, axes = _figure(
-        "Quota used against allowed, the firms that asked for most of theirs", 0.28 * len(firms) + 1.2
+        "Quota used by the customers with the highest demand relative to their quota", 0.28 * len(firms) + 1.2
     )
     for place, firm in enumerate(firms):
         axes.barh(
@@ -196,14 +198,14 @@
             100 * series.wanted[firm] / allowed(firm),
             color="#e3e8ed",
             height=0.75,
-            label="asked for (first tries)" if not place else None,
+            label="requested (first tries)" if not place else None,
         )
         axes.barh(
             place,
             100 * series.used[firm] / allowed(firm),
             color=PALETTE[2],
             height=0.45,
-            label="sent on" if not place else None,
+            label="sent to workers" if not place else None,
         )
         quota = quotas[series.plans[firm]]
         if quota["ceiling_rate"]:
@@ -218,7 +220,7 @@
     axes.axvline(100, color=INK, linewidth=0.9)
     axes.set_yticks(range(len(firms)), [f"{firm[-8:]} {series.plans[firm]}" for firm in firms], fontsize=7)
     axes.invert_yaxis()
-    axes.set_xlabel("% of the quota of the whole run, its burst included", fontsize=8)
+    axes.set_xlabel("% of the quota of the whole run, including its burst", fontsize=8)
     handles, labels = axes.get_legend_handles_labels()
     axes.legend(
         dict(zip(labels, handles, strict=True)).values(), dict.fromkeys(labels), fontsize=7, frameon=False
@@ -253,11 +255,11 @@
                 f"<details><summary>{head}</summary><pre>{html.escape(chr(10).join(breach['story']))}"
                 "</pre></details>"
             )
-    return "<h2>Breaches, each with its story</h2>" + "".join(parts) if parts else ""
+    return "<h2>Breaches with their related records</h2>" + "".join(parts) if parts else ""
 
 
 def page_of(history: Path, report: dict[str, Any]) -> str:
-    """The page for a history and its report; raises HistoryError or OSError."""
+    """Return the HTML page for a history file and its report; raises HistoryError or OSError."""
     series = _Series()
     with history.open(encoding="utf-8") as lines:
         for record in read_history(lines):
@@ -297,8 +299,8 @@
         '<link rel="icon" href="data:,"><meta name="viewport" content="width=device-width">'
         f"<style>{_STYLE}</style></head><body><h1>{html.escape(report['title'])}</h1>"
         f'<p class="sub">scenario {html.escape(report["scenario"])}, seed {report["seed"]}{planted}, '
-        f"{report['seconds']:g} s, {series.terms['gatekeepers']} gatekeepers; the stand-ins' lag p99 "
-        f"{report['lag_ms']['p99']:.1f} ms, most {report['lag_ms']['max']:.1f} ms</p>"
+        f"{report['seconds']:g} s, {series.terms['gatekeepers']} gatekeepers; lag of the stubs' event loop: "
+        f"p99 {report['lag_ms']['p99']:.1f} ms, maximum {report['lag_ms']['max']:.1f} ms</p>"
         f'<div class="rules">{cards}</div><h2>Service</h2><span class="big">'
         f"{counted['service']:.4f}</span><table>{table}</table>{_breaches(report)}{''.join(plots)}"
         "</body></html>\n"
