--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -259,36 +259,40 @@
     | Lag
     | Ended
 )
+# Record types by the name under which histories store them; the names must not change.
 TYPES: dict[str, type[Any]] = {
-    kind.__name__: kind
-    for kind in (
-        Began,
-        Asked,
-        Answered,
-        Surplus,
-        Left,
-        Born,
-        Died,
-        Took,
-        Turned,
-        Ran,
-        Replied,
-        Wasted,
-        Told,
-        Had,
-        Passed,
-        Gate,
-        Mark,
-        Lag,
-        Ended,
-    )
+    "Began": Began,
+    "Asked": Asked,
+    "Answered": Answered,
+    "Surplus": Surplus,
+    "Left": Left,
+    "Born": Born,
+    "Died": Died,
+    "Took": Took,
+    "Turned": Turned,
+    "Ran": Ran,
+    "Replied": Replied,
+    "Wasted": Wasted,
+    "Told": Told,
+    "Had": Had,
+    "Passed": Passed,
+    "Gate": Gate,
+    "Mark": Mark,
+    "Lag": Lag,
+    "Ended": Ended,
 }
+_NAMES = {kind: name for name, kind in TYPES.items()}
 _FIELDS = {name: tuple(field.name for field in fields(kind)) for name, kind in TYPES.items()}
 
 
+def type_name(record: Record) -> str:
+    """Return the name under which histories store the type of the record."""
+    return _NAMES[type(record)]
+
+
 def line_of(record: Record) -> str:
     """Return the record as a line of a history, without the line end."""
-    name = type(record).__name__
+    name = _NAMES[type(record)]
     return json.dumps([name, *(getattr(record, field) for field in _FIELDS[name])], separators=(",", ":"))
 
 
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -21,7 +21,7 @@
 from plumpick.rehearsal import scenario as script
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, LOST, Breach
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Record, line_of
+from plumpick.rehearsal.records import Record, line_of, type_name
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import Surroundings
@@ -327,8 +327,8 @@
 
     def feed(self, record: Record) -> None:
         """A record: it is part of the history's identity."""
-        self.requests += type(record).__name__ == "Asked"
-        self.machine.note(line_of(record) if type(record).__name__ != "Began" else "Began")
+        self.requests += type_name(record) == "Asked"
+        self.machine.note(line_of(record) if type_name(record) != "Began" else "Began")
         if self.record is not None:
             self.record(record)
 
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -20,6 +20,7 @@
     Told,
     Took,
     Turned,
+    type_name,
 )
 from plumpick.rehearsal.scenario import Scenario
 
@@ -358,7 +359,7 @@
     first, second = auditor.breaches
     assert (first.rule, first.what, first.t) == (EFFECTS, "r1", 130)
     assert "b1" in first.text and "a1" in first.text and "2 times" in second.text
-    kinds = [type(record).__name__ for record in first.story]
+    kinds = [type_name(record) for record in first.story]
     assert kinds == ["Asked", "Took", "Took", "Ran", "Ran", "Replied", "Answered"]
 
 
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -20,11 +20,16 @@
 from plumpick.rehearsal.wire import MAX_HEAD, Reader, WireError, answer_bytes, request_bytes
 
 ASKED = Asked(12.345, "r1", 1, 0, "f1", "basico", "seat-check", "n0", 900.0, 1.0, "")
+STORED_NAMES = (
+    "Began Asked Answered Surplus Left Born Died Took Turned Ran Replied Wasted Told Had Passed Gate Mark "
+    "Lag Ended"
+)
 START = Began(0.0, Scenario().terms(1, "", "x"))
 
 
 def test_each_type_of_record_survives_its_line():
     assert len(records.TYPES) == 19
+    assert " ".join(records.TYPES) == STORED_NAMES
     samples = {"float": 1.5, "int": 3, "str": "x", "bool": True, "dict[str, Any]": {"version": 1}}
     for kind in records.TYPES.values():
         record = kind(*(samples[str(field.type)] for field in records.fields(kind)))
--- a/tests/simulation/test_wide_tier.py
+++ b/tests/simulation/test_wide_tier.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from plumpick.rehearsal.records import type_name
 from plumpick.simulation.faults import Case, Fault
 from plumpick.simulation.world import World
 
@@ -19,9 +20,9 @@
     pairs, gates = set(), {}
 
     def note(record):
-        if type(record).__name__ == "Asked":
+        if type_name(record) == "Asked":
             gates[record.id] = record.gate
-        if type(record).__name__ == "Took":
+        if type_name(record) == "Took":
             pairs.add((gates[record.id], record.server))
 
     case = Case(11, seconds=SECONDS, gatekeepers=40, servers=60, load=LOAD, faults=faults)
