--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -15,7 +15,6 @@
 from plumpick.rehearsal.records import (
     Answered,
     Asked,
-    Began,
     Born,
     Died,
     Ended,
@@ -27,6 +26,7 @@
     Ran,
     Record,
     Replied,
+    RunStarted,
     Surplus,
     Told,
     Took,
@@ -164,7 +164,7 @@
         self.stalls: list[Lag] = []
         self.over = False
         self._take = {
-            Began: self._began,
+            RunStarted: self._began,
             Asked: self._asked,
             Answered: self._answered,
             Surplus: self._surplus,
@@ -206,7 +206,7 @@
 
     # -- the run
 
-    def _began(self, record: Began) -> None:
+    def _began(self, record: RunStarted) -> None:
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
 
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import Began, Ended, Lag, Mark, Recorder
+from plumpick.rehearsal.records import Ended, Lag, Mark, Recorder, RunStarted
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -181,7 +181,7 @@
     async def start(self) -> None:
         """Start all, the gatekeepers last; raises StartFailed or OSError."""
         terms = self.scenario.terms(self.around.seed, self.plant.name if self.plant else "", self.name)
-        self.recorder(Began(self.around.now(), terms | {"quotas": self.quotas}))
+        self.recorder(RunStarted(self.around.now(), terms | {"quotas": self.quotas}))
         await asyncio.gather(*(server.start(cold=False) for server in self.servers.values()))
         for agent in self.agents:
             await agent.start()
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -15,7 +15,7 @@
 from matplotlib.figure import Figure
 
 from plumpick.rehearsal.auditor import RULES
-from plumpick.rehearsal.records import Answered, Asked, Began, Mark, Record, Took, read_history
+from plumpick.rehearsal.records import Answered, Asked, Mark, Record, RunStarted, Took, read_history
 from plumpick.rehearsal.service import Service
 
 MOST_FIRMS, MOST_POINTS = 12, 4000
@@ -45,7 +45,7 @@
         self.service.feed(record)
         self.end_s = record.t / 1000
         match record:
-            case Began():
+            case RunStarted():
                 self.terms = record.terms
             case Mark():
                 self.marks.append((record.t / 1000, record.text))
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Began:
+class RunStarted:
     """The run has started; `terms` holds its classes, plans, rules and prices as made by `Scenario.terms`."""
 
     t: float
@@ -240,7 +240,7 @@
 
 
 Record = (
-    Began
+    RunStarted
     | Asked
     | Answered
     | Surplus
@@ -261,7 +261,7 @@
 )
 # Record types by the name under which histories store them; the names must not change.
 TYPES: dict[str, type[Any]] = {
-    "Began": Began,
+    "Began": RunStarted,
     "Asked": Asked,
     "Answered": Answered,
     "Surplus": Surplus,
@@ -319,7 +319,7 @@
     last = 0.0
     for number, line in enumerate(lines, 1):
         record = record_from(line, number)
-        if number == 1 and (not isinstance(record, Began) or record.terms.get("version") != VERSION):
+        if number == 1 and (not isinstance(record, RunStarted) or record.terms.get("version") != VERSION):
             raise HistoryError(f"line 1: expected the start of a history of version {VERSION}")
         if record.t < last:
             raise HistoryError(f"line {number}: earlier ({record.t} ms) than the line before ({last} ms)")
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -14,13 +14,13 @@
 from plumpick.rehearsal.records import (
     Answered,
     Asked,
-    Began,
     Born,
     Ended,
     Left,
     Passed,
     Record,
     Replied,
+    RunStarted,
     Took,
     Wasted,
 )
@@ -100,7 +100,7 @@
         self._swept = 0.0
         self._useful: dict[int, float] = {}
         self._take = {
-            Began: self._began,
+            RunStarted: self._began,
             Asked: self._asked,
             Answered: self._answered,
             Took: self._took_it,
@@ -118,7 +118,7 @@
         if take is not None and not self.end_t:
             take(record)  # type: ignore[operator]
 
-    def _began(self, record: Began) -> None:
+    def _began(self, record: RunStarted) -> None:
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
         self._quotas = record.terms["quotas"]
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -13,7 +13,6 @@
 from plumpick.rehearsal.records import (
     Answered,
     Asked,
-    Began,
     Born,
     Died,
     Gate,
@@ -22,6 +21,7 @@
     Ran,
     Record,
     Replied,
+    RunStarted,
     Told,
     Took,
     Turned,
@@ -96,7 +96,7 @@
         self._cold: set[str] = set()
         self._later_try: dict[str, str] = {}  # a request: its op's next try, at another gatekeeper
         self._by_type = {
-            Began: self._began,
+            RunStarted: self._began,
             Asked: self._asked,
             Answered: self._answered,
             Left: self._left,
@@ -122,7 +122,7 @@
         if take is not None:
             take(record)
 
-    def _began(self, record: Began) -> None:
+    def _began(self, record: RunStarted) -> None:
         self._kinds = {kind["name"]: kind["repeats"] for kind in record.terms["classes"]}
 
     def _asked(self, record: Asked) -> None:
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -6,7 +6,6 @@
 from plumpick.rehearsal.records import (
     Answered,
     Asked,
-    Began,
     Born,
     Died,
     Ended,
@@ -16,6 +15,7 @@
     Passed,
     Ran,
     Replied,
+    RunStarted,
     Surplus,
     Told,
     Took,
@@ -48,7 +48,7 @@
 
 
 def began():
-    return Began(0.0, Scenario().terms(1, "", "made by hand") | {"quotas": QUOTAS})
+    return RunStarted(0.0, Scenario().terms(1, "", "made by hand") | {"quotas": QUOTAS})
 
 
 def judge(*records, over=True):
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -7,11 +7,11 @@
 from plumpick.rehearsal import records
 from plumpick.rehearsal.records import (
     Asked,
-    Began,
     Ended,
     HistoryError,
     Mark,
     Recorder,
+    RunStarted,
     line_of,
     read_history,
     record_from,
@@ -24,7 +24,7 @@
     "Began Asked Answered Surplus Left Born Died Took Turned Ran Replied Wasted Told Had Passed Gate Mark "
     "Lag Ended"
 )
-START = Began(0.0, Scenario().terms(1, "", "x"))
+START = RunStarted(0.0, Scenario().terms(1, "", "x"))
 
 
 def test_each_type_of_record_survives_its_line():
@@ -59,7 +59,7 @@
     with pytest.raises(HistoryError, match="line 1"):
         list(read_history([line_of(ASKED)]))
     with pytest.raises(HistoryError, match="version"):
-        list(read_history([line_of(Began(0.0, {"version": 99}))]))
+        list(read_history([line_of(RunStarted(0.0, {"version": 99}))]))
     with pytest.raises(HistoryError, match="line 3: earlier"):
         list(read_history([line_of(START), line_of(ASKED), line_of(Mark(12.3, "x"))]))
 
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -3,14 +3,14 @@
 import pytest
 from test_auditor import QUOTAS, asked, took
 
-from plumpick.rehearsal.records import Answered, Began, Born, Ended, Left, Passed, Replied, Wasted
+from plumpick.rehearsal.records import Answered, Born, Ended, Left, Passed, Replied, RunStarted, Wasted
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.service import Service
 
 
 def count(*records, end=20_000.0):
     service = Service()
-    service.feed(Began(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
+    service.feed(RunStarted(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
     service.feed(Born(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
     service.feed(Born(0.0, "b1", 1, "hall-b", 2.0, 1.0, 9000.0))
     for record in [*sorted(records, key=lambda record: record.t), Ended(end, 1.0, 1.0)]:
@@ -99,7 +99,7 @@
 
 def test_tables_stay_bounded():
     service = Service()
-    service.feed(Began(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
+    service.feed(RunStarted(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
     for number in range(1, 4000):
         for record in served(number, t=number * 100.0, after=50.0):
             service.feed(record)
