--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -19,7 +19,7 @@
 
 from plumpick.policy.quota.bounds import max_combined_excess, max_excess_over_hard_limit
 from plumpick.policy.settings_parser import parse_settings
-from plumpick.rehearsal.records import Asked, Record, Took
+from plumpick.rehearsal.records import Record, RequestSent, Took
 from plumpick.simulation.commands import seeds_of
 from plumpick.simulation.faults import KINDS, Case, Fault
 from plumpick.simulation.world import Result, World
@@ -35,13 +35,13 @@
 
     def __init__(self, quotas: dict[str, dict[str, float]]) -> None:
         self._quotas = quotas
-        self._asked: dict[str, Asked] = {}
+        self._asked: dict[str, RequestSent] = {}
         self._levels: dict[tuple[str, str], tuple[float, float]] = {}
         self.worst: defaultdict[tuple[str, str], float] = defaultdict(float)  # by plan and kind: units beyond
 
     def feed(self, record: Record) -> None:
         """The next record."""
-        if isinstance(record, Asked):
+        if isinstance(record, RequestSent):
             self._asked[record.id] = record
         elif isinstance(record, Took) and record.id in self._asked:
             asked = self._asked.pop(record.id)
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.runs import figures_of, quantile
 from benchmarks.scale.tier import COUNTED, SETTLE, Tier
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Record, Replied, Told, Took
+from plumpick.rehearsal.records import Answered, Had, Passed, Record, Replied, RequestSent, Told, Took
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     ClassPart,
@@ -99,7 +99,7 @@
         self.counts: Counter[str] = Counter()
         self.added: list[float] = []
         self.inside: set[str] = set()  # names of firms that ask for no more than their quota
-        self._asked: dict[str, Asked] = {}
+        self._asked: dict[str, RequestSent] = {}
         self._took: dict[int, float] = {}  # when an attempt came to its worker, ms
         self._worked: dict[int, float] = {}
         self._had: dict[tuple[str, str, int, str], float] = {}  # when an agent had word of a worker
@@ -118,7 +118,7 @@
         elif isinstance(record, Told):
             had = self._had.get((record.gate, record.server, record.life, record.status), record.t)
             self.told_ms = max(self.told_ms, record.t - had)
-        elif isinstance(record, Asked):
+        elif isinstance(record, RequestSent):
             self._asked[record.id] = record
             count["tries"] += counted
             count["tries_inside"] += counted and record.firm in self.inside
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.fleet import SoakFleet, SoakSupervisor
 from plumpick.rehearsal.auditor import LOST, Breach
 from plumpick.rehearsal.fleet import too_slow
-from plumpick.rehearsal.records import Asked, Took
+from plumpick.rehearsal.records import RequestSent, Took
 
 TCP_TABLE = Path("/proc/net/tcp")
 ESTABLISHED, CLOSE_WAIT = "01", "08"
@@ -55,7 +55,7 @@
 
 def _was_turned_back_unread(fleet: SoakFleet, breach: Breach) -> bool:
     """Whether a crowd had all connections, and this one was closed before anything of it went on."""
-    gates = [record.gate for record in breach.story if isinstance(record, Asked)]
+    gates = [record.gate for record in breach.story if isinstance(record, RequestSent)]
     if breach.rule != LOST or not gates or any(isinstance(record, Took) for record in breach.story):
         return False
     return breach.text.startswith("the connection ended") and fleet.is_in_crowd(gates[0], breach.t)
@@ -64,7 +64,7 @@
 def _was_unanswered_while_stopped(fleet: SoakFleet, breach: Breach) -> bool:
     """Whether the client's time ended while the gateway's process was stopped: nobody could answer, or only
     once the process went on."""
-    asked = [record for record in breach.story if isinstance(record, Asked)]
+    asked = [record for record in breach.story if isinstance(record, RequestSent)]
     if breach.rule != LOST or not asked or not breach.text.startswith(("no answer when", "answered")):
         return False
     time_up_ms = asked[0].t + asked[0].wait_ms
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.rehearsal.records import Answered, Asked, Gate, read_history
+from plumpick.rehearsal.records import Answered, Gate, RequestSent, read_history
 
 SCENARIO = Path(__file__).resolve().parents[1] / "plumpick/rehearsal/scenarios/standstills.toml"
 ROWS = ("standing, while it stood", "standing, after", "others, while one stood", "others, after", "all else")
@@ -61,7 +61,7 @@
     answers = {one.id: one for one in records if isinstance(one, Answered)}
     table: dict[str, dict[str, int]] = {name: defaultdict(int) for name in ROWS}
     for one in records:
-        if not isinstance(one, Asked):
+        if not isinstance(one, RequestSent):
             continue
         where = "all else"
         for gate, begin, end in spans:
@@ -101,8 +101,8 @@
             return 1
         quiet = play(calm, given.seed, Path(folder, "calm"))
         # The same moments of the script: both count from the first request.
-        first = min(one.t for one in stood if isinstance(one, Asked))
-        shift = min(one.t for one in quiet if isinstance(one, Asked)) - first
+        first = min(one.t for one in stood if isinstance(one, RequestSent))
+        shift = min(one.t for one in quiet if isinstance(one, RequestSent)) - first
         here = rows(stood, spans, given.after * 1000)
         there = rows(
             quiet, [(gate, begin + shift, end + shift) for gate, begin, end in spans], given.after * 1000
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -14,7 +14,6 @@
 
 from plumpick.rehearsal.records import (
     Answered,
-    Asked,
     Born,
     Died,
     Ended,
@@ -26,6 +25,7 @@
     Ran,
     Record,
     Replied,
+    RequestSent,
     RunStarted,
     Surplus,
     Told,
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class _Request:
-    asked: Asked
+    asked: RequestSent
     story: list[Record]
     attempts: list[_Attempt] = field(default_factory=list)
     ended_t: float | None = None
@@ -165,7 +165,7 @@
         self.over = False
         self._take = {
             RunStarted: self._began,
-            Asked: self._asked,
+            RequestSent: self._asked,
             Answered: self._answered,
             Surplus: self._surplus,
             Left: self._left,
@@ -228,7 +228,7 @@
 
     # -- rule 1: each accepted request gets exactly one final response, in time
 
-    def _asked(self, record: Asked) -> None:
+    def _asked(self, record: RequestSent) -> None:
         request = self._requests.get(record.id)
         if request is not None:  # the client sent it again on a new connection
             request.story.append(record)
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Answered, Asked, Left, Record, Surplus
+from plumpick.rehearsal.records import Answered, Left, Record, RequestSent, Surplus
 from plumpick.rehearsal.scenario import ClassPart, HotFirm, PlanPart, Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
@@ -460,7 +460,7 @@
         connection.timer = self.around.later(after, connection.close_with, why)
         connection.transport.write(message)
         self.record(
-            Asked(
+            RequestSent(
                 self.now(),
                 request_id,
                 op.number,
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -15,7 +15,7 @@
 from matplotlib.figure import Figure
 
 from plumpick.rehearsal.auditor import RULES
-from plumpick.rehearsal.records import Answered, Asked, Mark, Record, RunStarted, Took, read_history
+from plumpick.rehearsal.records import Answered, Mark, Record, RequestSent, RunStarted, Took, read_history
 from plumpick.rehearsal.service import Service
 
 MOST_FIRMS, MOST_POINTS = 12, 4000
@@ -31,7 +31,7 @@
         self.marks: list[tuple[float, str]] = []  # events of the script: time in s, text
         # Served requests by class: time of the response in s, time since the first try in ms.
         self.waits: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.asked: dict[str, Asked] = {}  # by request id
+        self.asked: dict[str, RequestSent] = {}  # by request id
         self.first_t: dict[int, float] = {}  # time of the first try of each operation, in ms
         # Number of attempts by worker and second.
         self.per_server: defaultdict[str, defaultdict[int, int]] = defaultdict(lambda: defaultdict(int))
@@ -49,7 +49,7 @@
                 self.terms = record.terms
             case Mark():
                 self.marks.append((record.t / 1000, record.text))
-            case Asked():
+            case RequestSent():
                 self.first_t.setdefault(record.op, record.t)
                 self.asked[record.id] = record
                 self.plans[record.firm] = record.plan
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.rehearsal.records import Asked, Born, Record, Told
+from plumpick.rehearsal.records import Born, Record, RequestSent, Told
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
@@ -249,7 +249,7 @@
         self._seen: set[str] = set()
 
     def feed(self, record: Record) -> None:
-        if isinstance(record, Asked):
+        if isinstance(record, RequestSent):
             self._gates[record.id] = record.gate
 
     def gate_of(self, message: Message) -> str:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class RequestSent:
     """A client has written the last byte of a request.
 
     `op` identifies the operation that the client wants; all its tries share it. `turn` is the index of the
@@ -241,7 +241,7 @@
 
 Record = (
     RunStarted
-    | Asked
+    | RequestSent
     | Answered
     | Surplus
     | Left
@@ -262,7 +262,7 @@
 # Record types by the name under which histories store them; the names must not change.
 TYPES: dict[str, type[Any]] = {
     "Began": RunStarted,
-    "Asked": Asked,
+    "Asked": RequestSent,
     "Answered": Answered,
     "Surplus": Surplus,
     "Left": Left,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -13,13 +13,13 @@
 
 from plumpick.rehearsal.records import (
     Answered,
-    Asked,
     Born,
     Ended,
     Left,
     Passed,
     Record,
     Replied,
+    RequestSent,
     RunStarted,
     Took,
     Wasted,
@@ -80,7 +80,7 @@
         self._quotas: dict[str, dict[str, float]] = {}
         self._halls: dict[str, str] = {}
         self._ops: dict[int, _Op] = {}
-        self._tries: dict[str, tuple[Asked, int]] = {}
+        self._tries: dict[str, tuple[RequestSent, int]] = {}
         self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
         self._first: dict[str, _Bucket] = {}
         self._sent: dict[str, _Bucket] = {}
@@ -101,7 +101,7 @@
         self._useful: dict[int, float] = {}
         self._take = {
             RunStarted: self._began,
-            Asked: self._asked,
+            RequestSent: self._asked,
             Answered: self._answered,
             Took: self._took_it,
             Replied: self._replied,
@@ -141,7 +141,7 @@
             self.by_second_plan[second, op.plan],
         )
 
-    def _asked(self, record: Asked) -> None:
+    def _asked(self, record: RequestSent) -> None:
         if record.id in self._tries:
             return
         self._sweep(record.t)
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -12,7 +12,6 @@
 
 from plumpick.rehearsal.records import (
     Answered,
-    Asked,
     Born,
     Died,
     Gate,
@@ -21,6 +20,7 @@
     Ran,
     Record,
     Replied,
+    RequestSent,
     RunStarted,
     Told,
     Took,
@@ -71,7 +71,7 @@
 
 @dataclass
 class _Try:
-    asked: Asked
+    asked: RequestSent
     out: dict[int, str] = field(default_factory=dict)  # attempts at servers
     sent: int = 0
     turned: bool = False
@@ -97,7 +97,7 @@
         self._later_try: dict[str, str] = {}  # a request: its op's next try, at another gatekeeper
         self._by_type = {
             RunStarted: self._began,
-            Asked: self._asked,
+            RequestSent: self._asked,
             Answered: self._answered,
             Left: self._left,
             Took: self._took,
@@ -125,7 +125,7 @@
     def _began(self, record: RunStarted) -> None:
         self._kinds = {kind["name"]: kind["repeats"] for kind in record.terms["classes"]}
 
-    def _asked(self, record: Asked) -> None:
+    def _asked(self, record: RequestSent) -> None:
         if record.id in self._tries:
             return
         before = self._tries.get(self._by_op.get(record.op, ""))
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -5,7 +5,6 @@
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
     Answered,
-    Asked,
     Born,
     Died,
     Ended,
@@ -15,6 +14,7 @@
     Passed,
     Ran,
     Replied,
+    RequestSent,
     RunStarted,
     Surplus,
     Told,
@@ -71,7 +71,9 @@
 def asked(
     t=100.0, name="r1", kind="hours-debit", wait=1000.0, plan="basico", firm="f1", gate="n0", op=1, turn=0
 ):
-    return Asked(t, name, op, turn, firm, plan, kind, gate, wait, 1.0, "k" if kind == "seat-checkout" else "")
+    return RequestSent(
+        t, name, op, turn, firm, plan, kind, gate, wait, 1.0, "k" if kind == "seat-checkout" else ""
+    )
 
 
 def took(t, n=1, name="r1", server="a1", kind="hours-debit", first=None, life=1, work=225.0):
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -6,11 +6,11 @@
 
 from plumpick.rehearsal import records
 from plumpick.rehearsal.records import (
-    Asked,
     Ended,
     HistoryError,
     Mark,
     Recorder,
+    RequestSent,
     RunStarted,
     line_of,
     read_history,
@@ -19,7 +19,7 @@
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.wire import MAX_HEAD, Reader, WireError, answer_bytes, request_bytes
 
-ASKED = Asked(12.345, "r1", 1, 0, "f1", "basico", "seat-check", "n0", 900.0, 1.0, "")
+ASKED = RequestSent(12.345, "r1", 1, 0, "f1", "basico", "seat-check", "n0", 900.0, 1.0, "")
 STORED_NAMES = (
     "Began Asked Answered Surplus Left Born Died Took Turned Ran Replied Wasted Told Had Passed Gate Mark "
     "Lag Ended"
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.runs import part_of, play, quantile
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
 from plumpick.policy.events import Endpoint, EndpointState
-from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Replied, Told, Took
+from plumpick.rehearsal.records import Answered, Had, Passed, Replied, RequestSent, Told, Took
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
 
@@ -164,7 +164,7 @@
     watch.inside = {"f"}
 
     def asked(t, request, firm):
-        return Asked(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
+        return RequestSent(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
 
     for record in (
         Passed(999.0, "n0", "n1", 50, "delivered"),
