--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.runs import figures_of, quantile
 from benchmarks.scale.tier import COUNTED, SETTLE, Tier
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Answered, Had, Passed, Record, Replied, RequestSent, Told, Took
+from plumpick.rehearsal.records import Had, Passed, Record, Replied, RequestSent, ResponseReceived, Told, Took
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     ClassPart,
@@ -127,7 +127,12 @@
             count["attempts"] += counted
         elif isinstance(record, Replied):
             self._worked[record.n] = record.t - self._took.pop(record.n, record.t)
-        elif isinstance(record, Answered) and counted and record.status == 200 and record.id in self._asked:
+        elif (
+            isinstance(record, ResponseReceived)
+            and counted
+            and record.status == 200
+            and record.id in self._asked
+        ):
             asked = self._asked.pop(record.id)
             count["served"] += 1
             count["served_inside"] += asked.firm in self.inside
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.rehearsal.records import Answered, Gate, RequestSent, read_history
+from plumpick.rehearsal.records import Gate, RequestSent, ResponseReceived, read_history
 
 SCENARIO = Path(__file__).resolve().parents[1] / "plumpick/rehearsal/scenarios/standstills.toml"
 ROWS = ("standing, while it stood", "standing, after", "others, while one stood", "others, after", "all else")
@@ -58,7 +58,7 @@
 
 def rows(records: list[Any], spans: list[tuple[str, float, float]], after_ms: float) -> dict[str, Any]:
     """Tries, those with no answer in time, refused and served, by row."""
-    answers = {one.id: one for one in records if isinstance(one, Answered)}
+    answers = {one.id: one for one in records if isinstance(one, ResponseReceived)}
     table: dict[str, dict[str, int]] = {name: defaultdict(int) for name in ROWS}
     for one in records:
         if not isinstance(one, RequestSent):
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -13,7 +13,6 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
-    Answered,
     Born,
     Died,
     Ended,
@@ -26,6 +25,7 @@
     Record,
     Replied,
     RequestSent,
+    ResponseReceived,
     RunStarted,
     Surplus,
     Told,
@@ -166,7 +166,7 @@
         self._take = {
             RunStarted: self._began,
             RequestSent: self._asked,
-            Answered: self._answered,
+            ResponseReceived: self._answered,
             Surplus: self._surplus,
             Left: self._left,
             Born: self._born,
@@ -244,7 +244,7 @@
             request.ended_t = t
             self._ended.append((t, request.asked.id))
 
-    def _answered(self, record: Answered) -> None:
+    def _answered(self, record: ResponseReceived) -> None:
         request = self._requests.get(record.id)
         if request is None:
             self._breach(LOST, record.t, record.id, "response to a request that no client sent", [record])
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Answered, Left, Record, RequestSent, Surplus
+from plumpick.rehearsal.records import Left, Record, RequestSent, ResponseReceived, Surplus
 from plumpick.rehearsal.scenario import ClassPart, HotFirm, PlanPart, Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
@@ -491,7 +491,7 @@
     ) -> None:
         """A whole answer has come."""
         self.open -= 1
-        self.record(Answered(self.now(), request_id, status, source, owner, round(retry_ms, 3)))
+        self.record(ResponseReceived(self.now(), request_id, status, source, owner, round(retry_ms, 3)))
         if status in (429, 503):
             wait = self._rng.uniform(*self.scenario.clients.backoff_ms) * 2**op.turn
             self._retry(op, max(wait, retry_ms) if op.firm.honours else wait)
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -15,7 +15,15 @@
 from matplotlib.figure import Figure
 
 from plumpick.rehearsal.auditor import RULES
-from plumpick.rehearsal.records import Answered, Mark, Record, RequestSent, RunStarted, Took, read_history
+from plumpick.rehearsal.records import (
+    Mark,
+    Record,
+    RequestSent,
+    ResponseReceived,
+    RunStarted,
+    Took,
+    read_history,
+)
 from plumpick.rehearsal.service import Service
 
 MOST_FIRMS, MOST_POINTS = 12, 4000
@@ -54,7 +62,7 @@
                 self.asked[record.id] = record
                 self.plans[record.firm] = record.plan
                 self.wanted[record.firm] += record.units * (record.turn == 0)
-            case Answered() if record.status == 200 and record.id in self.asked:
+            case ResponseReceived() if record.status == 200 and record.id in self.asked:
                 asked = self.asked[record.id]
                 self.waits[asked.kind].append((record.t / 1000, record.t - self.first_t[asked.op]))
             case Took():
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Answered:
+class ResponseReceived:
     """A client has received the last byte of a response.
 
     `source` is the number of the attempt named in the body, -1 if the body names none.
@@ -242,7 +242,7 @@
 Record = (
     RunStarted
     | RequestSent
-    | Answered
+    | ResponseReceived
     | Surplus
     | Left
     | Born
@@ -263,7 +263,7 @@
 TYPES: dict[str, type[Any]] = {
     "Began": RunStarted,
     "Asked": RequestSent,
-    "Answered": Answered,
+    "Answered": ResponseReceived,
     "Surplus": Surplus,
     "Left": Left,
     "Born": Born,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -12,7 +12,6 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
-    Answered,
     Born,
     Ended,
     Left,
@@ -20,6 +19,7 @@
     Record,
     Replied,
     RequestSent,
+    ResponseReceived,
     RunStarted,
     Took,
     Wasted,
@@ -102,7 +102,7 @@
         self._take = {
             RunStarted: self._began,
             RequestSent: self._asked,
-            Answered: self._answered,
+            ResponseReceived: self._answered,
             Took: self._took_it,
             Replied: self._replied,
             Wasted: self._wasted,
@@ -179,7 +179,7 @@
                 self.over_units += asked.units
                 self.over_cost += quota["over_cost"] * kind["worth"] * quota["value"] * asked.units
 
-    def _answered(self, record: Answered) -> None:
+    def _answered(self, record: ResponseReceived) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
-    Answered,
     Born,
     Died,
     Gate,
@@ -21,6 +20,7 @@
     Record,
     Replied,
     RequestSent,
+    ResponseReceived,
     RunStarted,
     Told,
     Took,
@@ -98,7 +98,7 @@
         self._by_type = {
             RunStarted: self._began,
             RequestSent: self._asked,
-            Answered: self._answered,
+            ResponseReceived: self._answered,
             Left: self._left,
             Took: self._took,
             Turned: self._turned,
@@ -145,7 +145,7 @@
         self._open[one.asked.gate] -= 1
         return one
 
-    def _answered(self, record: Answered) -> None:
+    def _answered(self, record: ResponseReceived) -> None:
         one = self._end(record.id)
         if one is None:
             return
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -4,7 +4,6 @@
 
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
-    Answered,
     Born,
     Died,
     Ended,
@@ -15,6 +14,7 @@
     Ran,
     Replied,
     RequestSent,
+    ResponseReceived,
     RunStarted,
     Surplus,
     Told,
@@ -81,7 +81,7 @@
 
 
 def served(t, n=1, name="r1"):
-    return [Ran(t, n, False), Replied(t, n, 200, False, 50.0), Answered(t, name, 200, n, name, 0.0)]
+    return [Ran(t, n, False), Replied(t, n, 200, False, 50.0), ResponseReceived(t, name, 200, n, name, 0.0)]
 
 
 # -- no request is lost
@@ -139,8 +139,8 @@
 
 def test_a_second_answer_and_bytes_beyond_the_answer_are_breaches():
     assert broken(asked(), took(110), *served(200), Surplus(201, "r1")) == {LOST}
-    assert broken(asked(), took(110), *served(200), Answered(210, "r1", 502, -1, "", 0.0)) == {LOST}
-    assert broken(Answered(210, "r9", 502, -1, "", 0.0)) == {LOST}
+    assert broken(asked(), took(110), *served(200), ResponseReceived(210, "r1", 502, -1, "", 0.0)) == {LOST}
+    assert broken(ResponseReceived(210, "r9", 502, -1, "", 0.0)) == {LOST}
 
 
 def test_only_the_body_that_a_server_made_for_the_request_serves_it():
@@ -151,15 +151,17 @@
         *other,
         Ran(150, 2, False),
         Replied(150, 2, 200, False, 9.0),
-        Answered(200, "r1", 200, 2, "r2", 0.0),
+        ResponseReceived(200, "r1", 200, 2, "r2", 0.0),
     ) == {LOST}
-    assert broken(asked(), took(110), Ran(150, 1, False), Answered(200, "r1", 200, 1, "r1", 0.0)) == {LOST}
+    assert broken(asked(), took(110), Ran(150, 1, False), ResponseReceived(200, "r1", 200, 1, "r1", 0.0)) == {
+        LOST
+    }
     assert broken(
         asked(),
         took(110),
         Ran(150, 1, False),
         Replied(150, 1, 200, True, 9.0),
-        Answered(200, "r1", 200, 1, "r1", 0.0),
+        ResponseReceived(200, "r1", 200, 1, "r1", 0.0),
     ) == {LOST}  # a spoilt answer is none
 
 
@@ -233,11 +235,11 @@
 
 @pytest.mark.parametrize("status", [429, 503])
 def test_a_refusal_promises_that_nothing_ran(status):
-    refusal = Answered(200, "r1", status, -1, "", 250.0)
+    refusal = ResponseReceived(200, "r1", status, -1, "", 250.0)
     assert broken(asked(), refusal) == set()
     assert broken(asked(), took(110), Turned(120, 1), refusal) == set()
     assert broken(asked(), took(110), refusal) == {EFFECTS}
-    assert broken(asked(), took(110), Answered(200, "r1", 502, -1, "", 0.0)) == set()
+    assert broken(asked(), took(110), ResponseReceived(200, "r1", 502, -1, "", 0.0)) == set()
     assert broken(asked(kind="seat-check"), took(110, kind="seat-check"), refusal) == set()
     assert EFFECTS in broken(asked(), refusal, took(210, first=205))  # on its way after the promise
 
@@ -356,7 +358,7 @@
         Ran(200, 1, False),
         Ran(220, 2, False),
         Replied(220, 2, 200, False, 9.0),
-        Answered(230, "r1", 200, 2, "r1", 0.0),
+        ResponseReceived(230, "r1", 200, 2, "r1", 0.0),
     )
     first, second = auditor.breaches
     assert (first.rule, first.what, first.t) == (EFFECTS, "r1", 130)
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -3,7 +3,16 @@
 import pytest
 from test_auditor import QUOTAS, asked, took
 
-from plumpick.rehearsal.records import Answered, Born, Ended, Left, Passed, Replied, RunStarted, Wasted
+from plumpick.rehearsal.records import (
+    Born,
+    Ended,
+    Left,
+    Passed,
+    Replied,
+    ResponseReceived,
+    RunStarted,
+    Wasted,
+)
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.service import Service
 
@@ -24,13 +33,16 @@
         asked(t=t, name=name, op=op or number, turn=turn, kind=kind, plan=plan),
         took(t + 1, number, name, server),
         Replied(t + after - 1, number, 200, False, 225.0),
-        Answered(t + after, name, 200, number, name, 0.0),
+        ResponseReceived(t + after, name, 200, number, name, 0.0),
     ]
 
 
 def refused(number, t=100.0, op=None, turn=0):
     name = f"r{number}"
-    return [asked(t=t, name=name, op=op or number, turn=turn), Answered(t + 10, name, 503, -1, "", 0.0)]
+    return [
+        asked(t=t, name=name, op=op or number, turn=turn),
+        ResponseReceived(t + 10, name, 503, -1, "", 0.0),
+    ]
 
 
 def test_all_served_in_time_is_whole():
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.runs import part_of, play, quantile
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
 from plumpick.policy.events import Endpoint, EndpointState
-from plumpick.rehearsal.records import Answered, Had, Passed, Replied, RequestSent, Told, Took
+from plumpick.rehearsal.records import Had, Passed, Replied, RequestSent, ResponseReceived, Told, Took
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
 
@@ -174,11 +174,11 @@
         asked(1300.0, "a", "f"),
         Took(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
         Replied(1350.0, 7, 200, False, 30.0),
-        Answered(1360.0, "a", 200, 7, "a", 0.0),
+        ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
         Had(1365.0, "n0", "w", 2, "ready"),
         Told(1372.5, "n0", "w", 2, "ready"),
         asked(1400.0, "b", "heavy"),
-        Answered(1401.0, "b", 429, -1, "b", 0.0),
+        ResponseReceived(1401.0, "b", 429, -1, "b", 0.0),
     ):
         watch.feed(record)
     figures = watch.figures(1, 1.0)
