--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -19,7 +19,7 @@
 
 from plumpick.policy.quota.bounds import max_combined_excess, max_excess_over_hard_limit
 from plumpick.policy.settings_parser import parse_settings
-from plumpick.rehearsal.records import Record, RequestSent, Took
+from plumpick.rehearsal.records import AttemptReceived, Record, RequestSent
 from plumpick.simulation.commands import seeds_of
 from plumpick.simulation.faults import KINDS, Case, Fault
 from plumpick.simulation.world import Result, World
@@ -43,7 +43,7 @@
         """The next record."""
         if isinstance(record, RequestSent):
             self._asked[record.id] = record
-        elif isinstance(record, Took) and record.id in self._asked:
+        elif isinstance(record, AttemptReceived) and record.id in self._asked:
             asked = self._asked.pop(record.id)
             terms = self._quotas[asked.plan]
             for kind, rate, burst in (
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -18,7 +18,16 @@
 from benchmarks.scale.runs import figures_of, quantile
 from benchmarks.scale.tier import COUNTED, SETTLE, Tier
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Had, Passed, Record, Replied, RequestSent, ResponseReceived, Told, Took
+from plumpick.rehearsal.records import (
+    AttemptReceived,
+    Had,
+    Passed,
+    Record,
+    Replied,
+    RequestSent,
+    ResponseReceived,
+    Told,
+)
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     ClassPart,
@@ -122,7 +131,7 @@
             self._asked[record.id] = record
             count["tries"] += counted
             count["tries_inside"] += counted and record.firm in self.inside
-        elif isinstance(record, Took):
+        elif isinstance(record, AttemptReceived):
             self._took[record.n] = record.t
             count["attempts"] += counted
         elif isinstance(record, Replied):
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -11,7 +11,7 @@
 from benchmarks.soak.fleet import SoakFleet, SoakSupervisor
 from plumpick.rehearsal.auditor import LOST, Breach
 from plumpick.rehearsal.fleet import too_slow
-from plumpick.rehearsal.records import RequestSent, Took
+from plumpick.rehearsal.records import AttemptReceived, RequestSent
 
 TCP_TABLE = Path("/proc/net/tcp")
 ESTABLISHED, CLOSE_WAIT = "01", "08"
@@ -56,7 +56,11 @@
 def _was_turned_back_unread(fleet: SoakFleet, breach: Breach) -> bool:
     """Whether a crowd had all connections, and this one was closed before anything of it went on."""
     gates = [record.gate for record in breach.story if isinstance(record, RequestSent)]
-    if breach.rule != LOST or not gates or any(isinstance(record, Took) for record in breach.story):
+    if (
+        breach.rule != LOST
+        or not gates
+        or any(isinstance(record, AttemptReceived) for record in breach.story)
+    ):
         return False
     return breach.text.startswith("the connection ended") and fleet.is_in_crowd(gates[0], breach.t)
 
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptReceived,
     Born,
     Died,
     Ended,
@@ -29,7 +30,6 @@
     RunStarted,
     Surplus,
     Told,
-    Took,
     Turned,
     line_of,
 )
@@ -171,7 +171,7 @@
             Left: self._left,
             Born: self._born,
             Died: self._died,
-            Took: self._took,
+            AttemptReceived: self._took,
             Turned: self._turned,
             Ran: self._ran,
             Told: self._tell,
@@ -345,7 +345,7 @@
 
     # -- rule 2: effects happen once
 
-    def _took(self, record: Took) -> None:
+    def _took(self, record: AttemptReceived) -> None:
         life = self._lives.get(record.server)
         request = self._requests.get(record.id)
         if request is None:
@@ -461,7 +461,7 @@
     def _has(self, record: Had) -> None:
         self._had[record.gate, record.server] = record
 
-    def _check_drain(self, gate: str, record: Took, request: _Request) -> None:
+    def _check_drain(self, gate: str, record: AttemptReceived, request: _Request) -> None:
         told = self._told.get((gate, record.server))
         had = self._had.get((gate, record.server))
         since = math.inf if told is None or told.status == "ready" else told.t
@@ -494,7 +494,7 @@
         if life is not None and life.born.life == record.life:
             life.story.append(record)
 
-    def _check_cold(self, gate: str, record: Took, life: _Life) -> None:
+    def _check_cold(self, gate: str, record: AttemptReceived, life: _Life) -> None:
         born, rules = life.born, self._terms["rules"]
         share = born.cold_from + (1 - born.cold_from) * (record.t - born.t) / born.warm_ms
         if share >= 1 or life.broken:
@@ -525,7 +525,7 @@
 
     # -- rule 5: no customer exceeds its ceiling
 
-    def _check_ceiling(self, request: _Request, record: Took) -> None:
+    def _check_ceiling(self, request: _Request, record: AttemptReceived) -> None:
         asked = request.asked
         terms = self._terms["quotas"][asked.plan]
         if not terms["ceiling_rate"]:
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Born, Died, Ran, Record, Replied, Took, Turned, Wasted
+from plumpick.rehearsal.records import AttemptReceived, Born, Died, Ran, Record, Replied, Turned, Wasted
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
@@ -277,7 +277,9 @@
             connection.write(answer_bytes(404))
             return
         n = next(self._serials)
-        self.record(Took(t, n, request_id, self.name, self.life, message.first_t, name, kind.work_ms))
+        self.record(
+            AttemptReceived(t, n, request_id, self.name, self.life, message.first_t, name, kind.work_ms)
+        )
         if self._cold and self._pressed(t, kind.work_ms):
             self.stop("fell")
             return
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -16,12 +16,12 @@
 
 from plumpick.rehearsal.auditor import RULES
 from plumpick.rehearsal.records import (
+    AttemptReceived,
     Mark,
     Record,
     RequestSent,
     ResponseReceived,
     RunStarted,
-    Took,
     read_history,
 )
 from plumpick.rehearsal.service import Service
@@ -65,7 +65,7 @@
             case ResponseReceived() if record.status == 200 and record.id in self.asked:
                 asked = self.asked[record.id]
                 self.waits[asked.kind].append((record.t / 1000, record.t - self.first_t[asked.op]))
-            case Took():
+            case AttemptReceived():
                 self.per_server[record.server][int(record.t // 1000)] += 1
                 if record.id not in self._sent and record.id in self.asked:
                     self._sent.add(record.id)
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -112,7 +112,7 @@
 
 
 @dataclass(slots=True)
-class Took:
+class AttemptReceived:
     """A worker has received a complete attempt.
 
     Its first byte arrived at `first_t`. `work_ms` is the mean work of the request class.
@@ -247,7 +247,7 @@
     | Left
     | Born
     | Died
-    | Took
+    | AttemptReceived
     | Turned
     | Ran
     | Replied
@@ -268,7 +268,7 @@
     "Left": Left,
     "Born": Born,
     "Died": Died,
-    "Took": Took,
+    "Took": AttemptReceived,
     "Turned": Turned,
     "Ran": Ran,
     "Replied": Replied,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptReceived,
     Born,
     Ended,
     Left,
@@ -21,7 +22,6 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
-    Took,
     Wasted,
 )
 
@@ -103,7 +103,7 @@
             RunStarted: self._began,
             RequestSent: self._asked,
             ResponseReceived: self._answered,
-            Took: self._took_it,
+            AttemptReceived: self._took_it,
             Replied: self._replied,
             Wasted: self._wasted,
             Passed: self._passed,
@@ -161,7 +161,7 @@
                 tally.offered += op.worth * inside
         self._tries[record.id] = (record, record.op)
 
-    def _took_it(self, record: Took) -> None:
+    def _took_it(self, record: AttemptReceived) -> None:
         self.attempts += 1
         asked, _ = self._tries.get(record.id, (None, 0))
         if asked is None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptReceived,
     Born,
     Died,
     Gate,
@@ -23,7 +24,6 @@
     ResponseReceived,
     RunStarted,
     Told,
-    Took,
     Turned,
     Wasted,
 )
@@ -100,7 +100,7 @@
             RequestSent: self._asked,
             ResponseReceived: self._answered,
             Left: self._left,
-            Took: self._took,
+            AttemptReceived: self._took,
             Turned: self._turned,
             Replied: self._replied,
             Ran: self._ran,
@@ -160,7 +160,7 @@
         if one is not None and one.out:
             self.mark("a client left while its request was at a server")
 
-    def _took(self, record: Took) -> None:
+    def _took(self, record: AttemptReceived) -> None:
         one = self._tries.get(record.id)
         if one is None:
             return
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -4,6 +4,7 @@
 
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
+    AttemptReceived,
     Born,
     Died,
     Ended,
@@ -18,7 +19,6 @@
     RunStarted,
     Surplus,
     Told,
-    Took,
     Turned,
     type_name,
 )
@@ -77,7 +77,7 @@
 
 
 def took(t, n=1, name="r1", server="a1", kind="hours-debit", first=None, life=1, work=225.0):
-    return Took(t, n, name, server, life, t if first is None else first, kind, work)
+    return AttemptReceived(t, n, name, server, life, t if first is None else first, kind, work)
 
 
 def served(t, n=1, name="r1"):
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
-from plumpick.rehearsal.records import Born, Died, Ran, Replied, Took, Turned, Wasted
+from plumpick.rehearsal.records import AttemptReceived, Born, Died, Ran, Replied, Turned, Wasted
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
 
@@ -254,13 +254,13 @@
     house.server.fall_silent()
     late = house.ask("r2")
     house.around.run(5000)
-    assert not wire.answers and not late.answers and not wire.closed and len(house.of(Took)) == 1
+    assert not wire.answers and not late.answers and not wire.closed and len(house.of(AttemptReceived)) == 1
     with contextlib.suppress(StopIteration):
         house.server.come_back().send(None)
     assert wire.closed and house.server.life == 2 and house.server.warmth(house.around.t) == 0.25
     house.ask("r3")
     house.around.run(5000)
-    assert house.of(Took)[-1].life == 2 and house.of(Replied)
+    assert house.of(AttemptReceived)[-1].life == 2 and house.of(Replied)
 
 
 def test_work_nobody_waits_for_goes_on_and_waiting_work_is_dropped():
@@ -312,4 +312,4 @@
     wire.connection.data_received(request_bytes("GET", "/nothing", {"X-Request-Id": "a"}))
     assert wire.answers[0].status == 404
     wire.connection.data_received(b"\x00\r\n\r\n")
-    assert wire.closed and not house.of(Took)
+    assert wire.closed and not house.of(AttemptReceived)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -12,7 +12,15 @@
 from benchmarks.scale.runs import part_of, play, quantile
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
 from plumpick.policy.events import Endpoint, EndpointState
-from plumpick.rehearsal.records import Had, Passed, Replied, RequestSent, ResponseReceived, Told, Took
+from plumpick.rehearsal.records import (
+    AttemptReceived,
+    Had,
+    Passed,
+    Replied,
+    RequestSent,
+    ResponseReceived,
+    Told,
+)
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
 
@@ -172,7 +180,7 @@
         Passed(1100.0, "n0", "n1", 60, "lost"),
         Passed(1200.0, "n0", "n1", 20, "crowded out"),
         asked(1300.0, "a", "f"),
-        Took(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
+        AttemptReceived(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
         Replied(1350.0, 7, 200, False, 30.0),
         ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
         Had(1365.0, "n0", "w", 2, "ready"),
