--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -14,6 +14,7 @@
 
 from plumpick.rehearsal.records import (
     AttemptReceived,
+    AttemptRejected,
     Born,
     Died,
     Ended,
@@ -30,7 +31,6 @@
     RunStarted,
     Surplus,
     Told,
-    Turned,
     line_of,
 )
 
@@ -172,7 +172,7 @@
             Born: self._born,
             Died: self._died,
             AttemptReceived: self._took,
-            Turned: self._turned,
+            AttemptRejected: self._turned,
             Ran: self._ran,
             Told: self._tell,
             Had: self._has,
@@ -422,7 +422,7 @@
                 timing=True,
             )
 
-    def _turned(self, record: Turned) -> None:
+    def _turned(self, record: AttemptRejected) -> None:
         request, attempt = self._by_attempt.get(record.n, (None, None))
         if request is not None and attempt is not None:
             request.story.append(record)
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -18,7 +18,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import AttemptReceived, Born, Died, Ran, Record, Replied, Turned, Wasted
+from plumpick.rehearsal.records import (
+    AttemptReceived,
+    AttemptRejected,
+    Born,
+    Died,
+    Ran,
+    Record,
+    Replied,
+    Wasted,
+)
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
@@ -303,7 +312,7 @@
             or (len(self.connections) > self.part.connections)
         ):
             connection.write(answer_bytes(503, b"", NOT_RUN + self._load(t)))
-            self.record(Turned(t, n))
+            self.record(AttemptRejected(t, n))
             return
         connection.job = job
         self._advance(t)
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -129,7 +129,7 @@
 
 
 @dataclass(slots=True)
-class Turned:
+class AttemptRejected:
     """A worker has answered that it rejects this attempt without running it."""
 
     t: float
@@ -248,7 +248,7 @@
     | Born
     | Died
     | AttemptReceived
-    | Turned
+    | AttemptRejected
     | Ran
     | Replied
     | Wasted
@@ -269,7 +269,7 @@
     "Born": Born,
     "Died": Died,
     "Took": AttemptReceived,
-    "Turned": Turned,
+    "Turned": AttemptRejected,
     "Ran": Ran,
     "Replied": Replied,
     "Wasted": Wasted,
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -12,6 +12,7 @@
 
 from plumpick.rehearsal.records import (
     AttemptReceived,
+    AttemptRejected,
     Born,
     Died,
     Gate,
@@ -24,7 +25,6 @@
     ResponseReceived,
     RunStarted,
     Told,
-    Turned,
     Wasted,
 )
 
@@ -101,7 +101,7 @@
             ResponseReceived: self._answered,
             Left: self._left,
             AttemptReceived: self._took,
-            Turned: self._turned,
+            AttemptRejected: self._turned,
             Replied: self._replied,
             Ran: self._ran,
             Wasted: self._wasted,
@@ -185,7 +185,7 @@
             one.out.pop(n, None)
         return one
 
-    def _turned(self, record: Turned) -> None:
+    def _turned(self, record: AttemptRejected) -> None:
         one = self._gone(record.n)
         if one is not None:
             one.turned = True
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -5,6 +5,7 @@
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
     AttemptReceived,
+    AttemptRejected,
     Born,
     Died,
     Ended,
@@ -19,7 +20,6 @@
     RunStarted,
     Surplus,
     Told,
-    Turned,
     type_name,
 )
 from plumpick.rehearsal.scenario import Scenario
@@ -193,12 +193,12 @@
 
 def test_an_unsafe_request_goes_out_again_only_if_it_surely_never_ran():
     sent = [asked(), took(110, 1, server="a1")]
-    assert broken(*sent, Turned(120, 1), took(130, 2, server="b1")) == set()
+    assert broken(*sent, AttemptRejected(120, 1), took(130, 2, server="b1")) == set()
     assert broken(*sent, took(130, 2, server="b1")) == {EFFECTS}
     assert broken(*sent, Replied(120, 1, 500, False, 9.0), took(130, 2, server="b1")) == {EFFECTS}
     # Turned away only once the other was on its way.
-    assert broken(*sent, Turned(125, 1), took(130, 2, server="b1", first=125 - HAIR)) == {EFFECTS}
-    assert broken(*sent, Turned(125, 1), took(130, 2, server="b1", first=125)) == set()
+    assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125 - HAIR)) == {EFFECTS}
+    assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125)) == set()
 
 
 def test_two_effects_of_one_request_are_a_breach_and_a_dropped_repeat_is_not():
@@ -217,7 +217,7 @@
     sent = [asked(kind="seat-checkout"), took(110, 1, kind="seat-checkout")]
     assert broken(*sent, took(300, 2, server="a2", kind="seat-checkout")) == set()
     assert broken(*sent, took(300, 2, server="b1", kind="seat-checkout")) == {EFFECTS}
-    assert broken(*sent, Turned(150, 1), took(300, 2, server="b1", kind="seat-checkout")) == set()
+    assert broken(*sent, AttemptRejected(150, 1), took(300, 2, server="b1", kind="seat-checkout")) == set()
 
 
 @pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {EFFECTS})])
@@ -237,7 +237,7 @@
 def test_a_refusal_promises_that_nothing_ran(status):
     refusal = ResponseReceived(200, "r1", status, -1, "", 250.0)
     assert broken(asked(), refusal) == set()
-    assert broken(asked(), took(110), Turned(120, 1), refusal) == set()
+    assert broken(asked(), took(110), AttemptRejected(120, 1), refusal) == set()
     assert broken(asked(), took(110), refusal) == {EFFECTS}
     assert broken(asked(), took(110), ResponseReceived(200, "r1", 502, -1, "", 0.0)) == set()
     assert broken(asked(kind="seat-check"), took(110, kind="seat-check"), refusal) == set()
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -8,7 +8,7 @@
 import pytest
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
-from plumpick.rehearsal.records import AttemptReceived, Born, Died, Ran, Replied, Turned, Wasted
+from plumpick.rehearsal.records import AttemptReceived, AttemptRejected, Born, Died, Ran, Replied, Wasted
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
 
@@ -161,7 +161,7 @@
     house.server.draining = True
     assert house.ask("r4").answers[0].headers[b"x-not-run"] == b"1"
     house.around.run(5000)
-    assert [record.n for record in house.of(Turned)] == [3, 4] and len(house.of(Ran)) == 2
+    assert [record.n for record in house.of(AttemptRejected)] == [3, 4] and len(house.of(Ran)) == 2
     assert first.answers and second.answers
 
 
