--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -26,7 +26,7 @@
     Replied,
     RequestSent,
     ResponseReceived,
-    Told,
+    StatusSent,
 )
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -124,7 +124,7 @@
             count["taken"] += record.fate == "delivered"
         elif isinstance(record, Had):
             self._had[record.gate, record.server, record.life, record.status] = record.t
-        elif isinstance(record, Told):
+        elif isinstance(record, StatusSent):
             had = self._had.get((record.gate, record.server, record.life, record.status), record.t)
             self.told_ms = max(self.told_ms, record.t - had)
         elif isinstance(record, RequestSent):
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -29,8 +29,8 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
+    StatusSent,
     Surplus,
-    Told,
     line_of,
 )
 
@@ -149,7 +149,7 @@
         self._requests: dict[str, _Request] = {}
         self._by_attempt: dict[int, tuple[_Request, _Attempt]] = {}
         self._ended: deque[tuple[float, str]] = deque()
-        self._told: dict[tuple[str, str], Told] = {}
+        self._told: dict[tuple[str, str], StatusSent] = {}
         self._had: dict[tuple[str, str], Had] = {}
         self._up_since: dict[str, float] = {}
         self._lives: dict[str, _Life] = {}
@@ -174,7 +174,7 @@
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
             Ran: self._ran,
-            Told: self._tell,
+            StatusSent: self._tell,
             Had: self._has,
             Gate: self._gate,
             Passed: self._passed,
@@ -453,7 +453,7 @@
 
     # -- rule 3: no new attempts go to a worker after its drain grace period
 
-    def _tell(self, record: Told) -> None:
+    def _tell(self, record: StatusSent) -> None:
         self._told[record.gate, record.server] = record
         if record.status != "ready":
             self.chances[DRAINS] += 1
@@ -468,7 +468,7 @@
         if had is not None and had.status != "ready" and had.life == record.life:
             due = max(had.t, self._up_since.get(gate, 0.0)) + TOLERANCES["told_after"]
             if due < since:
-                since, told = due, Told(due, gate, record.server, had.life, had.status)
+                since, told = due, StatusSent(due, gate, record.server, had.life, had.status)
         if told is None or since == math.inf:
             return
         late = record.first_t - since - self._terms["rules"]["drain_grace_ms"]
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.rehearsal.records import Born, Record, RequestSent, Told
+from plumpick.rehearsal.records import Born, Record, RequestSent, StatusSent
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
@@ -273,7 +273,7 @@
 
     def feed(self, record: Record) -> None:
         super().feed(record)
-        if isinstance(record, Told):
+        if isinstance(record, StatusSent):
             if record.status == "draining":
                 self._draining[record.gate, record.server] = record.t
             else:
@@ -304,7 +304,7 @@
         super().feed(record)
         if isinstance(record, Born) and record.cold_from < 1:
             self._cold[record.server] = record.t
-        elif isinstance(record, Told) and record.status == "ready":
+        elif isinstance(record, StatusSent) and record.status == "ready":
             self._told[record.server].add(record.gate)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -166,7 +166,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class StatusSent:
     """The discovery agent has written the status of a worker to a gateway."""
 
     t: float
@@ -252,7 +252,7 @@
     | Ran
     | Replied
     | Wasted
-    | Told
+    | StatusSent
     | Passed
     | Gate
     | Mark
@@ -273,7 +273,7 @@
     "Ran": Ran,
     "Replied": Replied,
     "Wasted": Wasted,
-    "Told": Told,
+    "Told": StatusSent,
     "Had": Had,
     "Passed": Passed,
     "Gate": Gate,
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from plumpick.rehearsal.records import Had, Record, Told
+from plumpick.rehearsal.records import Had, Record, StatusSent
 from plumpick.rehearsal.scenario import RosterPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
@@ -202,14 +202,14 @@
         for entry in entries:
             if self._told.get(entry.name) != (entry.life, entry.status):
                 self._told[entry.name] = (entry.life, entry.status)
-                self._record(Told(t, self.gate, entry.name, entry.life, entry.status))
+                self._record(StatusSent(t, self.gate, entry.name, entry.life, entry.status))
         if whole:
             names = {entry.name for entry in entries}
             for name, (life, status) in list(self._told.items()):
                 if name not in names:
                     del self._told[name]
                     if status != "gone":
-                        self._record(Told(t, self.gate, name, life, "gone"))
+                        self._record(StatusSent(t, self.gate, name, life, "gone"))
 
 
 class Roster:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -24,7 +24,7 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
-    Told,
+    StatusSent,
     Wasted,
 )
 
@@ -105,7 +105,7 @@
             Replied: self._replied,
             Ran: self._ran,
             Wasted: self._wasted,
-            Told: self._told,
+            StatusSent: self._told,
             Gate: self._gate,
             Passed: self._passed,
             Born: self._born,
@@ -213,7 +213,7 @@
         self._finished(record.n)
         self._gone(record.n)
 
-    def _told(self, record: Told) -> None:
+    def _told(self, record: StatusSent) -> None:
         if record.status != "draining":
             self._draining.pop((record.gate, record.server), None)
             return
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -18,8 +18,8 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
+    StatusSent,
     Surplus,
-    Told,
     type_name,
 )
 from plumpick.rehearsal.scenario import Scenario
@@ -251,15 +251,17 @@
 @pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {DRAINS})])
 def test_new_work_stops_a_grace_after_the_word(status, late, verdict):
     first = 500 + 1000 + TOLERANCES["drain_late"] + late
-    told = Told(500, "n0", "a1", 1, status)
+    told = StatusSent(500, "n0", "a1", 1, status)
     assert broken(told, asked(t=1400), took(first + 300, first=first)) == verdict
 
 
 def test_each_gatekeeper_is_judged_by_its_own_word_and_the_latest():
-    told = Told(500, "n1", "a1", 1, "gone")
+    told = StatusSent(500, "n1", "a1", 1, "gone")
     assert broken(told, asked(t=4000, gate="n0"), took(4010)) == set()
     assert broken(told, asked(t=4000, gate="n1"), took(4010)) == {DRAINS}
-    assert broken(told, Told(3000, "n1", "a1", 2, "ready"), asked(t=4000, gate="n1"), took(4010)) == set()
+    assert (
+        broken(told, StatusSent(3000, "n1", "a1", 2, "ready"), asked(t=4000, gate="n1"), took(4010)) == set()
+    )
 
 
 # -- a cold server is not pushed over
@@ -268,7 +270,7 @@
 def cold_run(works, informed=3, step=1.0):
     """Work sent to a server of 2 ms a ms that is born at 1000 with a quarter of it; by four gatekeepers."""
     records = [Born(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9)]
-    records += [Told(1001, f"n{gate}", "c1", 1, "ready") for gate in range(informed)]
+    records += [StatusSent(1001, f"n{gate}", "c1", 1, "ready") for gate in range(informed)]
     for number, work in enumerate(works):
         t, gate, name = 1100 + number * step, f"n{number % 4}", f"r{number}"
         records += [
@@ -404,7 +406,7 @@
 
 
 def test_a_server_that_died_is_part_of_the_story_of_a_cold_one():
-    records = [Born(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9), Told(1001, "n0", "c1", 1, "ready")]
+    records = [Born(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9), StatusSent(1001, "n0", "c1", 1, "ready")]
     for number in range(8):
         records += [
             asked(t=1100, name=f"r{number}", kind="seat-check", op=number),
--- a/tests/rehearsal/test_ways.py
+++ b/tests/rehearsal/test_ways.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.records import Passed, Told
+from plumpick.rehearsal.records import Passed, StatusSent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import PeerPart, RosterPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -64,7 +64,7 @@
 
 
 def told(records):
-    return [(record.server, record.status) for record in records if isinstance(record, Told)]
+    return [(record.server, record.status) for record in records if isinstance(record, StatusSent)]
 
 
 def test_the_whole_list_then_a_watch_that_waits_for_news():
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -19,7 +19,7 @@
     Replied,
     RequestSent,
     ResponseReceived,
-    Told,
+    StatusSent,
 )
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
@@ -184,7 +184,7 @@
         Replied(1350.0, 7, 200, False, 30.0),
         ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
         Had(1365.0, "n0", "w", 2, "ready"),
-        Told(1372.5, "n0", "w", 2, "ready"),
+        StatusSent(1372.5, "n0", "w", 2, "ready"),
         asked(1400.0, "b", "heavy"),
         ResponseReceived(1401.0, "b", 429, -1, "b", 0.0),
     ):
