--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -20,12 +20,12 @@
 from plumpick.rehearsal.fleet import Fleet
 from plumpick.rehearsal.records import (
     AttemptReceived,
-    Had,
     Passed,
     Record,
     Replied,
     RequestSent,
     ResponseReceived,
+    StatusAvailable,
     StatusSent,
 )
 from plumpick.rehearsal.scenario import (
@@ -122,7 +122,7 @@
             count["told_bytes"] += record.size
             count["come"] += record.fate in ("delivered", "crowded out")
             count["taken"] += record.fate == "delivered"
-        elif isinstance(record, Had):
+        elif isinstance(record, StatusAvailable):
             self._had[record.gate, record.server, record.life, record.status] = record.t
         elif isinstance(record, StatusSent):
             had = self._had.get((record.gate, record.server, record.life, record.status), record.t)
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -19,7 +19,6 @@
     Died,
     Ended,
     Gate,
-    Had,
     Lag,
     Left,
     Passed,
@@ -29,6 +28,7 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
+    StatusAvailable,
     StatusSent,
     Surplus,
     line_of,
@@ -150,7 +150,7 @@
         self._by_attempt: dict[int, tuple[_Request, _Attempt]] = {}
         self._ended: deque[tuple[float, str]] = deque()
         self._told: dict[tuple[str, str], StatusSent] = {}
-        self._had: dict[tuple[str, str], Had] = {}
+        self._had: dict[tuple[str, str], StatusAvailable] = {}
         self._up_since: dict[str, float] = {}
         self._lives: dict[str, _Life] = {}
         self._stores: dict[str, _Store] = {}
@@ -175,7 +175,7 @@
             AttemptRejected: self._turned,
             Ran: self._ran,
             StatusSent: self._tell,
-            Had: self._has,
+            StatusAvailable: self._has,
             Gate: self._gate,
             Passed: self._passed,
             Lag: self._lag,
@@ -458,7 +458,7 @@
         if record.status != "ready":
             self.chances[DRAINS] += 1
 
-    def _has(self, record: Had) -> None:
+    def _has(self, record: StatusAvailable) -> None:
         self._had[record.gate, record.server] = record
 
     def _check_drain(self, gate: str, record: AttemptReceived, request: _Request) -> None:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -177,7 +177,7 @@
 
 
 @dataclass(slots=True)
-class Had:
+class StatusAvailable:
     """The status of a worker has reached the discovery agent of a gateway, and the agent was reachable."""
 
     t: float
@@ -274,7 +274,7 @@
     "Replied": Replied,
     "Wasted": Wasted,
     "Told": StatusSent,
-    "Had": Had,
+    "Had": StatusAvailable,
     "Passed": Passed,
     "Gate": Gate,
     "Mark": Mark,
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -13,7 +13,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from plumpick.rehearsal.records import Had, Record, StatusSent
+from plumpick.rehearsal.records import Record, StatusAvailable, StatusSent
 from plumpick.rehearsal.scenario import RosterPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
@@ -118,7 +118,7 @@
             self._answer_watch(call)
 
     def _has(self, entry: Listed) -> None:
-        self._record(Had(self.around.now(), self.gate, entry.name, entry.life, entry.status))
+        self._record(StatusAvailable(self.around.now(), self.gate, entry.name, entry.life, entry.status))
 
     def lose_watches(self) -> None:
         """All open watches fall silent: their connections stay open, and nothing comes on them any more."""
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -14,11 +14,11 @@
 from plumpick.policy.events import Endpoint, EndpointState
 from plumpick.rehearsal.records import (
     AttemptReceived,
-    Had,
     Passed,
     Replied,
     RequestSent,
     ResponseReceived,
+    StatusAvailable,
     StatusSent,
 )
 
@@ -183,7 +183,7 @@
         AttemptReceived(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
         Replied(1350.0, 7, 200, False, 30.0),
         ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
-        Had(1365.0, "n0", "w", 2, "ready"),
+        StatusAvailable(1365.0, "n0", "w", 2, "ready"),
         StatusSent(1372.5, "n0", "w", 2, "ready"),
         asked(1400.0, "b", "heavy"),
         ResponseReceived(1401.0, "b", 429, -1, "b", 0.0),
