--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -15,7 +15,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Born,
     Died,
     Ended,
     Gate,
@@ -31,6 +30,7 @@
     StatusAvailable,
     StatusSent,
     Surplus,
+    WorkerStarted,
     line_of,
 )
 
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class _Life:
-    born: Born
+    born: WorkerStarted
     # Attempts in the window: time, work in ms, whether the sending gateway knew of the worker's start.
     sent: deque[tuple[float, float, bool]] = field(default_factory=deque)
     work: float = 0.0  # total work of `sent`, in ms
@@ -169,7 +169,7 @@
             ResponseReceived: self._answered,
             Surplus: self._surplus,
             Left: self._left,
-            Born: self._born,
+            WorkerStarted: self._born,
             Died: self._died,
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
@@ -484,7 +484,7 @@
 
     # -- rule 4: a cold worker is not overloaded
 
-    def _born(self, record: Born) -> None:
+    def _born(self, record: WorkerStarted) -> None:
         self._lives[record.server] = _Life(record)
         if record.cold_from < 1:
             self.chances[COLD] += 1
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -21,12 +21,12 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Born,
     Died,
     Ran,
     Record,
     Replied,
     Wasted,
+    WorkerStarted,
 )
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -206,7 +206,7 @@
         t = self.now()
         self.since_unix = self.around.unix_ms(t) if cold else 0.0
         self.record(
-            Born(
+            WorkerStarted(
                 t,
                 self.name,
                 self.life,
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.rehearsal.records import Born, Record, RequestSent, StatusSent
+from plumpick.rehearsal.records import Record, RequestSent, StatusSent, WorkerStarted
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
@@ -302,7 +302,7 @@
 
     def feed(self, record: Record) -> None:
         super().feed(record)
-        if isinstance(record, Born) and record.cold_from < 1:
+        if isinstance(record, WorkerStarted) and record.cold_from < 1:
             self._cold[record.server] = record.t
         elif isinstance(record, StatusSent) and record.status == "ready":
             self._told[record.server].add(record.gate)
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class Born:
+class WorkerStarted:
     """A worker process has started; `capacity` is in milliseconds of work per millisecond when warm."""
 
     t: float
@@ -245,7 +245,7 @@
     | ResponseReceived
     | Surplus
     | Left
-    | Born
+    | WorkerStarted
     | Died
     | AttemptReceived
     | AttemptRejected
@@ -266,7 +266,7 @@
     "Answered": ResponseReceived,
     "Surplus": Surplus,
     "Left": Left,
-    "Born": Born,
+    "Born": WorkerStarted,
     "Died": Died,
     "Took": AttemptReceived,
     "Turned": AttemptRejected,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -13,7 +13,6 @@
 
 from plumpick.rehearsal.records import (
     AttemptReceived,
-    Born,
     Ended,
     Left,
     Passed,
@@ -23,6 +22,7 @@
     ResponseReceived,
     RunStarted,
     Wasted,
+    WorkerStarted,
 )
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
@@ -109,7 +109,7 @@
             Passed: self._passed,
             Ended: self._end,
             Left: self._left,
-            Born: self._born,
+            WorkerStarted: self._born,
         }
 
     def feed(self, record: Record) -> None:
@@ -124,7 +124,7 @@
         self._quotas = record.terms["quotas"]
         self._halls = record.terms["halls"]
 
-    def _born(self, record: Born) -> None:
+    def _born(self, record: WorkerStarted) -> None:
         self._server_hall[record.server] = record.hall
 
     def _end(self, record: Ended) -> None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -13,7 +13,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Born,
     Died,
     Gate,
     Left,
@@ -26,6 +25,7 @@
     RunStarted,
     StatusSent,
     Wasted,
+    WorkerStarted,
 )
 
 JUST_BEFORE_MS = 250.0
@@ -108,7 +108,7 @@
             StatusSent: self._told,
             Gate: self._gate,
             Passed: self._passed,
-            Born: self._born,
+            WorkerStarted: self._born,
             Died: self._died,
         }
 
@@ -257,7 +257,7 @@
         if record.fate != "delivered":
             self._lost.append(record)
 
-    def _born(self, record: Born) -> None:
+    def _born(self, record: WorkerStarted) -> None:
         (self._cold.add if record.cold_from < 1 else self._cold.discard)(record.server)
 
     def _died(self, record: Died) -> None:
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -6,7 +6,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Born,
     Died,
     Ended,
     Gate,
@@ -20,6 +19,7 @@
     RunStarted,
     StatusSent,
     Surplus,
+    WorkerStarted,
     type_name,
 )
 from plumpick.rehearsal.scenario import Scenario
@@ -56,7 +56,7 @@
     auditor = Auditor()
     auditor.feed(began())
     for name, hall in (("a1", "hall-a"), ("a2", "hall-a"), ("b1", "hall-b")):
-        auditor.feed(Born(0.0, name, 1, hall, 2.0, 1.0, 9000.0))
+        auditor.feed(WorkerStarted(0.0, name, 1, hall, 2.0, 1.0, 9000.0))
     for record in records:
         auditor.feed(record)
     if over:
@@ -269,7 +269,7 @@
 
 def cold_run(works, informed=3, step=1.0):
     """Work sent to a server of 2 ms a ms that is born at 1000 with a quarter of it; by four gatekeepers."""
-    records = [Born(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9)]
+    records = [WorkerStarted(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9)]
     records += [StatusSent(1001, f"n{gate}", "c1", 1, "ready") for gate in range(informed)]
     for number, work in enumerate(works):
         t, gate, name = 1100 + number * step, f"n{number % 4}", f"r{number}"
@@ -378,7 +378,7 @@
 def test_tables_are_forgotten_in_time():
     auditor = Auditor()
     auditor.feed(began())
-    auditor.feed(Born(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
+    auditor.feed(WorkerStarted(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
     for number in range(3000):
         t, name = 100.0 * number, f"r{number}"
         for record in [
@@ -406,7 +406,10 @@
 
 
 def test_a_server_that_died_is_part_of_the_story_of_a_cold_one():
-    records = [Born(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9), StatusSent(1001, "n0", "c1", 1, "ready")]
+    records = [
+        WorkerStarted(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9),
+        StatusSent(1001, "n0", "c1", 1, "ready"),
+    ]
     for number in range(8):
         records += [
             asked(t=1100, name=f"r{number}", kind="seat-check", op=number),
@@ -414,4 +417,4 @@
         ]
     auditor = judge(*records, Died(1102, "c1", 1, "fell"))
     (breach,) = auditor.breaches
-    assert isinstance(breach.story[0], Born) and len(breach.story) >= 4
+    assert isinstance(breach.story[0], WorkerStarted) and len(breach.story) >= 4
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -8,7 +8,15 @@
 import pytest
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
-from plumpick.rehearsal.records import AttemptReceived, AttemptRejected, Born, Died, Ran, Replied, Wasted
+from plumpick.rehearsal.records import (
+    AttemptReceived,
+    AttemptRejected,
+    Died,
+    Ran,
+    Replied,
+    Wasted,
+    WorkerStarted,
+)
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
 
@@ -151,7 +159,7 @@
     house.around.run(5000)
     (ran,) = house.of(Ran)
     assert ran.t > 3 * work_of("r1")
-    assert house.of(Born)[0].cold_from == 0.25
+    assert house.of(WorkerStarted)[0].cold_from == 0.25
 
 
 def test_full_house_and_draining_turn_away_and_say_that_nothing_ran():
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -4,7 +4,6 @@
 from test_auditor import QUOTAS, asked, took
 
 from plumpick.rehearsal.records import (
-    Born,
     Ended,
     Left,
     Passed,
@@ -12,6 +11,7 @@
     ResponseReceived,
     RunStarted,
     Wasted,
+    WorkerStarted,
 )
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.service import Service
@@ -20,8 +20,8 @@
 def count(*records, end=20_000.0):
     service = Service()
     service.feed(RunStarted(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
-    service.feed(Born(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
-    service.feed(Born(0.0, "b1", 1, "hall-b", 2.0, 1.0, 9000.0))
+    service.feed(WorkerStarted(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
+    service.feed(WorkerStarted(0.0, "b1", 1, "hall-b", 2.0, 1.0, 9000.0))
     for record in [*sorted(records, key=lambda record: record.t), Ended(end, 1.0, 1.0)]:
         service.feed(record)
     return service, service.as_dict()
