--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -15,7 +15,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Died,
     Ended,
     Gate,
     Lag,
@@ -30,6 +29,7 @@
     StatusAvailable,
     StatusSent,
     Surplus,
+    WorkerEnded,
     WorkerStarted,
     line_of,
 )
@@ -170,7 +170,7 @@
             Surplus: self._surplus,
             Left: self._left,
             WorkerStarted: self._born,
-            Died: self._died,
+            WorkerEnded: self._died,
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
             Ran: self._ran,
@@ -489,7 +489,7 @@
         if record.cold_from < 1:
             self.chances[COLD] += 1
 
-    def _died(self, record: Died) -> None:
+    def _died(self, record: WorkerEnded) -> None:
         life = self._lives.get(record.server)
         if life is not None and life.born.life == record.life:
             life.story.append(record)
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -21,11 +21,11 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Died,
     Ran,
     Record,
     Replied,
     Wasted,
+    WorkerEnded,
     WorkerStarted,
 )
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
@@ -223,14 +223,14 @@
         if self.down:
             return
         self.down = True
-        self.record(Died(self.now(), self.name, self.life, why))
+        self.record(WorkerEnded(self.now(), self.name, self.life, why))
         self._close()
 
     def fall_silent(self) -> None:
         """The machine is cut off: what comes is not heard, nothing is said, connections stay open."""
         if not self.down and not self.silent:
             self.silent = True
-            self.record(Died(self.now(), self.name, self.life, "silent"))
+            self.record(WorkerEnded(self.now(), self.name, self.life, "silent"))
             self._drop_timer()
             self._busy.clear()
             self._queue.clear()
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -99,7 +99,7 @@
 
 
 @dataclass(slots=True)
-class Died:
+class WorkerEnded:
     """A worker process has ended.
 
     `why` is `stopped`, `silent` (its machine was cut off from the network) or `fell` (overloaded while cold).
@@ -246,7 +246,7 @@
     | Surplus
     | Left
     | WorkerStarted
-    | Died
+    | WorkerEnded
     | AttemptReceived
     | AttemptRejected
     | Ran
@@ -267,7 +267,7 @@
     "Surplus": Surplus,
     "Left": Left,
     "Born": WorkerStarted,
-    "Died": Died,
+    "Died": WorkerEnded,
     "Took": AttemptReceived,
     "Turned": AttemptRejected,
     "Ran": Ran,
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -13,7 +13,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Died,
     Gate,
     Left,
     Passed,
@@ -25,6 +24,7 @@
     RunStarted,
     StatusSent,
     Wasted,
+    WorkerEnded,
     WorkerStarted,
 )
 
@@ -109,7 +109,7 @@
             Gate: self._gate,
             Passed: self._passed,
             WorkerStarted: self._born,
-            Died: self._died,
+            WorkerEnded: self._died,
         }
 
     def mark(self, name: str) -> None:
@@ -260,7 +260,7 @@
     def _born(self, record: WorkerStarted) -> None:
         (self._cold.add if record.cold_from < 1 else self._cold.discard)(record.server)
 
-    def _died(self, record: Died) -> None:
+    def _died(self, record: WorkerEnded) -> None:
         hit = [n for n, (_, server) in self._of.items() if server == record.server]
         if hit:
             self.mark("a server died with an attempt in it")
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -6,7 +6,6 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Died,
     Ended,
     Gate,
     Lag,
@@ -19,6 +18,7 @@
     RunStarted,
     StatusSent,
     Surplus,
+    WorkerEnded,
     WorkerStarted,
     type_name,
 )
@@ -415,6 +415,6 @@
             asked(t=1100, name=f"r{number}", kind="seat-check", op=number),
             took(1101, number + 1, f"r{number}", "c1", "seat-check", work=400.0),
         ]
-    auditor = judge(*records, Died(1102, "c1", 1, "fell"))
+    auditor = judge(*records, WorkerEnded(1102, "c1", 1, "fell"))
     (breach,) = auditor.breaches
     assert isinstance(breach.story[0], WorkerStarted) and len(breach.story) >= 4
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -11,10 +11,10 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     AttemptRejected,
-    Died,
     Ran,
     Replied,
     Wasted,
+    WorkerEnded,
     WorkerStarted,
 )
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
@@ -211,7 +211,7 @@
         house.ask(f"r{number}")
     assert not house.server.down
     wire = house.ask("r99")
-    assert house.server.down and wire.closed and house.of(Died)[0].why == "fell"
+    assert house.server.down and wire.closed and house.of(WorkerEnded)[0].why == "fell"
 
 
 def test_slow_after_record_the_effect_stands_long_before_the_answer():
