--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -18,11 +18,11 @@
     Ended,
     Gate,
     Lag,
-    Left,
     Passed,
     Ran,
     Record,
     Replied,
+    RequestAbandoned,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -158,7 +158,7 @@
         self._killed: dict[str, deque[float]] = {}  # times of the last kills of each gateway
         self._over_since: dict[str, float] = {}  # time at which a gateway that is down ended in any way
         # Broken connections, audited when it is known whether their gateway was killed.
-        self._broken: list[tuple[float, _Request, Left]] = []
+        self._broken: list[tuple[float, _Request, RequestAbandoned]] = []
         self._expected_ends: set[str] = set()
         self.lag_p99_ms = self.lag_max_ms = 0.0
         self.stalls: list[Lag] = []
@@ -168,7 +168,7 @@
             RequestSent: self._asked,
             ResponseReceived: self._answered,
             Surplus: self._surplus,
-            Left: self._left,
+            RequestAbandoned: self._left,
             WorkerStarted: self._born,
             WorkerEnded: self._died,
             AttemptReceived: self._took,
@@ -305,7 +305,7 @@
         story.append(record)
         self._breach(LOST, record.t, record.id, "received bytes after the end of its response", story)
 
-    def _left(self, record: Left) -> None:
+    def _left(self, record: RequestAbandoned) -> None:
         request = self._requests.get(record.id)
         if request is None:
             return  # it was never sent, so no gateway accepted it
@@ -323,7 +323,7 @@
             _, request, record = self._broken.pop(0)
             self._settle_one(request, record, record.t + TOLERANCES["killed_early"])
 
-    def _settle_one(self, request: _Request, record: Left, until_t: float) -> None:
+    def _settle_one(self, request: _Request, record: RequestAbandoned, until_t: float) -> None:
         if self._over_since.get(request.asked.gate, request.asked.t) < request.asked.t:
             return  # its gateway had ended and never accepted it
         down = self._down_since.get(request.asked.gate)
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Left, Record, RequestSent, ResponseReceived, Surplus
+from plumpick.rehearsal.records import Record, RequestAbandoned, RequestSent, ResponseReceived, Surplus
 from plumpick.rehearsal.scenario import ClassPart, HotFirm, PlanPart, Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
@@ -501,7 +501,7 @@
     def left(self, request_id: str, op: Op, why: str) -> None:
         """A try has ended without an answer."""
         self.open -= 1
-        self.record(Left(self.now(), request_id, why))
+        self.record(RequestAbandoned(self.now(), request_id, why))
         if why == "unreachable" or why == "broken" or op.kind.repeats == "safe" and why == "overdue":
             self._retry(op, self._rng.uniform(*self.scenario.clients.backoff_ms) * 2**op.turn)
 
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Left:
+class RequestAbandoned:
     """A client has stopped waiting for a response.
 
     `why` is `overdue` (no response in time), `broken` (the connection ended before a complete response),
@@ -244,7 +244,7 @@
     | RequestSent
     | ResponseReceived
     | Surplus
-    | Left
+    | RequestAbandoned
     | WorkerStarted
     | WorkerEnded
     | AttemptReceived
@@ -265,7 +265,7 @@
     "Asked": RequestSent,
     "Answered": ResponseReceived,
     "Surplus": Surplus,
-    "Left": Left,
+    "Left": RequestAbandoned,
     "Born": WorkerStarted,
     "Died": WorkerEnded,
     "Took": AttemptReceived,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -14,10 +14,10 @@
 from plumpick.rehearsal.records import (
     AttemptReceived,
     Ended,
-    Left,
     Passed,
     Record,
     Replied,
+    RequestAbandoned,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -108,7 +108,7 @@
             Wasted: self._wasted,
             Passed: self._passed,
             Ended: self._end,
-            Left: self._left,
+            RequestAbandoned: self._left,
             WorkerStarted: self._born,
         }
 
@@ -204,7 +204,7 @@
             if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
                 self._late(op)
 
-    def _left(self, record: Left) -> None:
+    def _left(self, record: RequestAbandoned) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -14,11 +14,11 @@
     AttemptReceived,
     AttemptRejected,
     Gate,
-    Left,
     Passed,
     Ran,
     Record,
     Replied,
+    RequestAbandoned,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -99,7 +99,7 @@
             RunStarted: self._began,
             RequestSent: self._asked,
             ResponseReceived: self._answered,
-            Left: self._left,
+            RequestAbandoned: self._left,
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
             Replied: self._replied,
@@ -155,7 +155,7 @@
         if record.status in (429, 503) and record.retry_ms:
             self.mark("a request was refused with a time to come back")
 
-    def _left(self, record: Left) -> None:
+    def _left(self, record: RequestAbandoned) -> None:
         one = self._end(record.id)
         if one is not None and one.out:
             self.mark("a client left while its request was at a server")
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -9,10 +9,10 @@
     Ended,
     Gate,
     Lag,
-    Left,
     Passed,
     Ran,
     Replied,
+    RequestAbandoned,
     RequestSent,
     ResponseReceived,
     RunStarted,
@@ -106,29 +106,35 @@
 
 
 def test_no_answer_is_a_breach_unless_the_client_went_by_itself_or_the_run_ended():
-    assert broken(asked(), Left(1170, "r1", "overdue")) == {LOST}
-    assert broken(asked(), Left(300, "r1", "broken")) == {LOST}
-    assert broken(asked(), Left(300, "r1", "went")) == set()
+    assert broken(asked(), RequestAbandoned(1170, "r1", "overdue")) == {LOST}
+    assert broken(asked(), RequestAbandoned(300, "r1", "broken")) == {LOST}
+    assert broken(asked(), RequestAbandoned(300, "r1", "went")) == set()
     assert broken(asked(), took(120), Ran(150, 1, False)) == set()  # open at the end
-    assert broken(Left(300, "never sent", "unreachable")) == set()
+    assert broken(RequestAbandoned(300, "never sent", "unreachable")) == set()
 
 
 def test_what_a_killed_gatekeeper_held_is_the_clients_to_try_again():
     kill, gone = Gate(300, "n0", "kill", 0), Gate(320, "n0", "exited", -9)
-    assert broken(asked(), kill, Left(310, "r1", "broken"), gone) == set()
-    assert broken(asked(), Left(299, "r1", "broken"), kill, gone) == set()  # noted a moment before
-    assert broken(asked(), kill, gone, Left(1170, "r1", "overdue")) == set()
-    assert broken(asked(gate="n1"), kill, gone, Left(310, "r1", "broken")) == {LOST}  # another one held it
+    assert broken(asked(), kill, RequestAbandoned(310, "r1", "broken"), gone) == set()
+    assert (
+        broken(asked(), RequestAbandoned(299, "r1", "broken"), kill, gone) == set()
+    )  # noted a moment before
+    assert broken(asked(), kill, gone, RequestAbandoned(1170, "r1", "overdue")) == set()
+    assert broken(asked(gate="n1"), kill, gone, RequestAbandoned(310, "r1", "broken")) == {
+        LOST
+    }  # another one held it
     early = 300 - TOLERANCES["killed_early"]
-    assert broken(asked(t=20), Left(early - HAIR, "r1", "broken"), kill, gone) == {LOST}
+    assert broken(asked(t=20), RequestAbandoned(early - HAIR, "r1", "broken"), kill, gone) == {LOST}
     back = [Gate(500, "n0", "started", 0), Gate(600, "n0", "ready", 0)]
-    assert broken(kill, gone, *back, asked(t=700), Left(900, "r1", "broken")) == {LOST}
+    assert broken(kill, gone, *back, asked(t=700), RequestAbandoned(900, "r1", "broken")) == {LOST}
 
 
 def test_a_request_to_a_gatekeeper_that_has_ended_was_never_taken():
     gone = [Gate(50, "n0", "term", 0), Gate(90, "n0", "exited", 0)]
-    assert broken(*gone, asked(t=100), Left(110, "r1", "broken")) == set()
-    assert broken(asked(t=80), *gone[:1], Gate(90, "n0", "exited", 0), Left(95, "r1", "broken")) == {LOST}
+    assert broken(*gone, asked(t=100), RequestAbandoned(110, "r1", "broken")) == set()
+    assert broken(
+        asked(t=80), *gone[:1], Gate(90, "n0", "exited", 0), RequestAbandoned(95, "r1", "broken")
+    ) == {LOST}
 
 
 def test_a_gatekeeper_that_ends_by_itself_or_with_an_error_has_crashed():
@@ -371,7 +377,7 @@
 
 def test_nothing_after_the_end_is_judged():
     auditor = judge(asked())
-    auditor.feed(Left(99_999, "r1", "overdue"))
+    auditor.feed(RequestAbandoned(99_999, "r1", "overdue"))
     assert not any(auditor.counts.values())
 
 
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -5,9 +5,9 @@
 
 from plumpick.rehearsal.records import (
     Ended,
-    Left,
     Passed,
     Replied,
+    RequestAbandoned,
     ResponseReceived,
     RunStarted,
     Wasted,
@@ -105,7 +105,7 @@
 
 
 def test_no_answer_counts_as_failed():
-    _, counted = count(asked(), Left(1170, "r1", "overdue"))
+    _, counted = count(asked(), RequestAbandoned(1170, "r1", "overdue"))
     assert counted["whole"] == 0.0 and counted["counts"]["failed"] == 1
 
 
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -14,7 +14,7 @@
 from benchmarks.soak.play import play_seed
 from benchmarks.soak.schedule import Crowd, HotRestart, TerminateTwo, draw_schedule
 from plumpick.rehearsal.auditor import EFFECTS, LOST, Breach
-from plumpick.rehearsal.records import Left, RequestSent
+from plumpick.rehearsal.records import RequestAbandoned, RequestSent
 
 SHORT_S = 20.0
 
@@ -72,7 +72,7 @@
 
 def breach(rule=LOST, text="the connection ended with no whole answer"):
     asked = RequestSent(1.0, "a" * 16, 1, 0, "firm", "basico", "seat-check", "n0", 1000.0, 1.0, "")
-    return Breach(rule, 5.0, "a" * 16, text, False, [asked, Left(5.0, "a" * 16, "broken")])
+    return Breach(rule, 5.0, "a" * 16, text, False, [asked, RequestAbandoned(5.0, "a" * 16, "broken")])
 
 
 def judged(fleet):
