--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
     Ended,
     Gate,
     Lag,
     Passed,
-    Ran,
     Record,
     Replied,
     RequestAbandoned,
@@ -173,7 +173,7 @@
             WorkerEnded: self._died,
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
-            Ran: self._ran,
+            AttemptExecuted: self._ran,
             StatusSent: self._tell,
             StatusAvailable: self._has,
             Gate: self._gate,
@@ -428,7 +428,7 @@
             request.story.append(record)
             attempt.turned_t = record.t
 
-    def _ran(self, record: Ran) -> None:
+    def _ran(self, record: AttemptExecuted) -> None:
         request, attempt = self._by_attempt.get(record.n, (None, None))
         if request is None or attempt is None:
             return
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -19,9 +19,9 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
-    Ran,
     Record,
     Replied,
     Wasted,
@@ -398,7 +398,7 @@
             self._reply(job, 500)
             return
         repeat = kind.repeats == "keyed" and self._keys.is_repeat(job.came, name, job.key)
-        self.record(Ran(t, job.n, repeat))
+        self.record(AttemptExecuted(t, job.n, repeat))
         if job.connection is None:
             self.record(Wasted(t, job.n, round(job.work, 1)))
         elif self.faults.hits("reset_after", name, self.rng):
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -137,7 +137,7 @@
 
 
 @dataclass(slots=True)
-class Ran:
+class AttemptExecuted:
     """An attempt took effect, or with `repeat` was dropped because its idempotency key had been used."""
 
     t: float
@@ -249,7 +249,7 @@
     | WorkerEnded
     | AttemptReceived
     | AttemptRejected
-    | Ran
+    | AttemptExecuted
     | Replied
     | Wasted
     | StatusSent
@@ -270,7 +270,7 @@
     "Died": WorkerEnded,
     "Took": AttemptReceived,
     "Turned": AttemptRejected,
-    "Ran": Ran,
+    "Ran": AttemptExecuted,
     "Replied": Replied,
     "Wasted": Wasted,
     "Told": StatusSent,
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
     Gate,
     Passed,
-    Ran,
     Record,
     Replied,
     RequestAbandoned,
@@ -103,7 +103,7 @@
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
             Replied: self._replied,
-            Ran: self._ran,
+            AttemptExecuted: self._ran,
             Wasted: self._wasted,
             StatusSent: self._told,
             Gate: self._gate,
@@ -204,7 +204,7 @@
         if one is not None and one.asked.id in self._later_try:
             self.mark(FROM_RECORDS[1])
 
-    def _ran(self, record: Ran) -> None:
+    def _ran(self, record: AttemptExecuted) -> None:
         self._finished(record.n)
         if record.repeat:
             self.mark("a hall dropped a repeat of a key")
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -4,13 +4,13 @@
 
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
     Ended,
     Gate,
     Lag,
     Passed,
-    Ran,
     Replied,
     RequestAbandoned,
     RequestSent,
@@ -81,7 +81,11 @@
 
 
 def served(t, n=1, name="r1"):
-    return [Ran(t, n, False), Replied(t, n, 200, False, 50.0), ResponseReceived(t, name, 200, n, name, 0.0)]
+    return [
+        AttemptExecuted(t, n, False),
+        Replied(t, n, 200, False, 50.0),
+        ResponseReceived(t, name, 200, n, name, 0.0),
+    ]
 
 
 # -- no request is lost
@@ -109,7 +113,7 @@
     assert broken(asked(), RequestAbandoned(1170, "r1", "overdue")) == {LOST}
     assert broken(asked(), RequestAbandoned(300, "r1", "broken")) == {LOST}
     assert broken(asked(), RequestAbandoned(300, "r1", "went")) == set()
-    assert broken(asked(), took(120), Ran(150, 1, False)) == set()  # open at the end
+    assert broken(asked(), took(120), AttemptExecuted(150, 1, False)) == set()  # open at the end
     assert broken(RequestAbandoned(300, "never sent", "unreachable")) == set()
 
 
@@ -155,17 +159,17 @@
         asked(),
         took(110),
         *other,
-        Ran(150, 2, False),
+        AttemptExecuted(150, 2, False),
         Replied(150, 2, 200, False, 9.0),
         ResponseReceived(200, "r1", 200, 2, "r2", 0.0),
     ) == {LOST}
-    assert broken(asked(), took(110), Ran(150, 1, False), ResponseReceived(200, "r1", 200, 1, "r1", 0.0)) == {
-        LOST
-    }
+    assert broken(
+        asked(), took(110), AttemptExecuted(150, 1, False), ResponseReceived(200, "r1", 200, 1, "r1", 0.0)
+    ) == {LOST}
     assert broken(
         asked(),
         took(110),
-        Ran(150, 1, False),
+        AttemptExecuted(150, 1, False),
         Replied(150, 1, 200, True, 9.0),
         ResponseReceived(200, "r1", 200, 1, "r1", 0.0),
     ) == {LOST}  # a spoilt answer is none
@@ -213,10 +217,10 @@
         took(110, 1, kind="seat-checkout"),
         took(300, 2, server="a2", kind="seat-checkout"),
     ]
-    assert broken(*sent, Ran(400, 1, False), Ran(420, 2, True)) == set()
-    assert broken(*sent, Ran(400, 1, False), Ran(420, 2, False)) == {EFFECTS}
+    assert broken(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, True)) == set()
+    assert broken(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == {EFFECTS}
     safe = [asked(kind="seat-check"), took(110, 1, kind="seat-check"), took(300, 2, "r1", "b1", "seat-check")]
-    assert broken(*safe, Ran(400, 1, False), Ran(420, 2, False)) == set()
+    assert broken(*safe, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == set()
 
 
 def test_a_keyed_request_stays_in_its_hall_while_it_may_have_run():
@@ -363,8 +367,8 @@
         asked(),
         took(110, 1),
         took(130, 2, server="b1"),
-        Ran(200, 1, False),
-        Ran(220, 2, False),
+        AttemptExecuted(200, 1, False),
+        AttemptExecuted(220, 2, False),
         Replied(220, 2, 200, False, 9.0),
         ResponseReceived(230, "r1", 200, 2, "r1", 0.0),
     )
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -9,9 +9,9 @@
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
 from plumpick.rehearsal.records import (
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
-    Ran,
     Replied,
     Wasted,
     WorkerEnded,
@@ -138,7 +138,7 @@
     one, two = house.ask("r1"), house.ask("r2")
     house.around.run(5000)
     assert [answer.status for answer in one.answers + two.answers] == [200, 200]
-    ran = {record.n: record.t for record in house.of(Ran)}
+    ran = {record.n: record.t for record in house.of(AttemptExecuted)}
     assert ran[1] == pytest.approx(work_of("r1"), abs=1) and ran[2] == pytest.approx(work_of("r2"), abs=1)
 
 
@@ -147,7 +147,7 @@
     for name in ("r1", "r2", "r3"):
         house.ask(name)
     house.around.run(10_000)
-    last = max(record.t for record in house.of(Ran))
+    last = max(record.t for record in house.of(AttemptExecuted))
     assert last == pytest.approx(sum(map(work_of, ("r1", "r2", "r3"))), abs=1)
 
 
@@ -157,7 +157,7 @@
     assert [round(server.warmth(t), 3) for t in (0, 5000, 10_000, 20_000)] == [0.25, 0.625, 1.0, 1.0]
     house.ask("r1")
     house.around.run(5000)
-    (ran,) = house.of(Ran)
+    (ran,) = house.of(AttemptExecuted)
     assert ran.t > 3 * work_of("r1")
     assert house.of(WorkerStarted)[0].cold_from == 0.25
 
@@ -169,7 +169,9 @@
     house.server.draining = True
     assert house.ask("r4").answers[0].headers[b"x-not-run"] == b"1"
     house.around.run(5000)
-    assert [record.n for record in house.of(AttemptRejected)] == [3, 4] and len(house.of(Ran)) == 2
+    assert [record.n for record in house.of(AttemptRejected)] == [3, 4] and len(
+        house.of(AttemptExecuted)
+    ) == 2
     assert first.answers and second.answers
 
 
@@ -179,11 +181,11 @@
     house.ask("r1", kind="seat-checkout", key="k1")
     Wire(other).ask("r1", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert sorted(record.repeat for record in house.of(Ran)) == [False, True]
+    assert sorted(record.repeat for record in house.of(AttemptExecuted)) == [False, True]
     house.around.run(15_000)
     house.ask("r2", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert [record.repeat for record in house.of(Ran)].count(False) == 2
+    assert [record.repeat for record in house.of(AttemptExecuted)].count(False) == 2
 
 
 def test_the_memory_of_keys_is_bounded_by_its_window():
@@ -219,7 +221,7 @@
     house.server.faults.slow_after_record, house.server.faults.slow_ms = {"seat-checkout": 1.0}, 2000.0
     wire = house.ask("r1", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert house.of(Replied)[0].t - house.of(Ran)[0].t == pytest.approx(2000, abs=1)
+    assert house.of(Replied)[0].t - house.of(AttemptExecuted)[0].t == pytest.approx(2000, abs=1)
     assert wire.answers[0].status == 200
 
 
@@ -239,7 +241,7 @@
     wire, well = house.ask("r1", kind="hours-debit"), house.ask("r2")
     house.around.run(5000)
     assert [answer.status for answer in wire.answers] == answers and wire.closed is closed
-    assert len([record for record in house.of(Ran) if record.n == 1]) == ran
+    assert len([record for record in house.of(AttemptExecuted) if record.n == 1]) == ran
     assert [answer.status for answer in well.answers] == [200]  # the other class is well
 
 
@@ -248,12 +250,12 @@
     slow.server.faults.speed = 0.5
     slow.ask("r1")
     slow.around.run(5000)
-    assert slow.of(Ran)[0].t == pytest.approx(2 * work_of("r1"), abs=1)
+    assert slow.of(AttemptExecuted)[0].t == pytest.approx(2 * work_of("r1"), abs=1)
     frozen = House()
     frozen.server.faults.freeze_ms, frozen.server.faults.freeze_every_ms = 1000.0, 5000.0
     frozen.ask("r1")
     frozen.around.run(8000)
-    assert frozen.of(Ran)[0].t == pytest.approx(1000 + work_of("r1"), abs=1)
+    assert frozen.of(AttemptExecuted)[0].t == pytest.approx(1000 + work_of("r1"), abs=1)
 
 
 def test_silence_says_nothing_and_it_comes_back_cold_as_another_life():
@@ -277,7 +279,9 @@
     running.abort()
     waiting.abort()
     house.around.run(5000)
-    assert [record.n for record in house.of(Wasted)] == [1] and [record.n for record in house.of(Ran)] == [1]
+    assert [record.n for record in house.of(Wasted)] == [1] and [
+        record.n for record in house.of(AttemptExecuted)
+    ] == [1]
 
 
 def test_idle_connections_are_closed():
