--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -19,10 +19,10 @@
 from benchmarks.scale.tier import COUNTED, SETTLE, Tier
 from plumpick.rehearsal.fleet import Fleet
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptReceived,
     Passed,
     Record,
-    Replied,
     RequestSent,
     ResponseReceived,
     StatusAvailable,
@@ -134,7 +134,7 @@
         elif isinstance(record, AttemptReceived):
             self._took[record.n] = record.t
             count["attempts"] += counted
-        elif isinstance(record, Replied):
+        elif isinstance(record, AttemptAnswered):
             self._worked[record.n] = record.t - self._took.pop(record.n, record.t)
         elif (
             isinstance(record, ResponseReceived)
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
@@ -21,7 +22,6 @@
     Lag,
     Passed,
     Record,
-    Replied,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -180,7 +180,7 @@
             Passed: self._passed,
             Lag: self._lag,
             Ended: self._end,
-            Replied: self._replied,
+            AttemptAnswered: self._replied,
         }
 
     def feed(self, record: Record) -> None:
@@ -296,7 +296,7 @@
         return {
             record.n
             for record in request.story
-            if isinstance(record, Replied) and record.status == 200 and not record.spoilt
+            if isinstance(record, AttemptAnswered) and record.status == 200 and not record.spoilt
         }
 
     def _surplus(self, record: Surplus) -> None:
@@ -446,7 +446,7 @@
                 timing=request.came_late,  # a consequence of a breach that depends on the clock
             )
 
-    def _replied(self, record: Replied) -> None:
+    def _replied(self, record: AttemptAnswered) -> None:
         request, _ = self._by_attempt.get(record.n, (None, None))
         if request is not None:
             request.story.append(record)
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -19,11 +19,11 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
     Record,
-    Replied,
     Wasted,
     WorkerEnded,
     WorkerStarted,
@@ -415,15 +415,15 @@
             return
         connection.job, job.connection = None, None
         if self.faults.hits("spoilt", job.kind.name, self.rng):
-            self.record(Replied(t, job.n, status, True, round(job.work, 1)))
+            self.record(AttemptAnswered(t, job.n, status, True, round(job.work, 1)))
             connection.write(b"\x16\x03\x01 no answer at all\r\n\r\n")
             return
         if status == 200 and self.faults.hits("unmeasured_reset", job.kind.name, self.rng):
-            self.record(Replied(t, job.n, status, True, round(job.work, 1)))
+            self.record(AttemptAnswered(t, job.n, status, True, round(job.work, 1)))
             connection.write(f"HTTP/1.1 200 OK\r\n\r\n{job.id} {job.n} ".encode())
             self.around.reset(connection.transport)
             return
-        self.record(Replied(t, job.n, status, False, round(job.work, 1)))
+        self.record(AttemptAnswered(t, job.n, status, False, round(job.work, 1)))
         body = f"{job.id} {job.n} {self.name}\n".encode() if status == 200 else b""
         connection.write(answer_bytes(status, body, self._load(t)))
 
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -146,7 +146,7 @@
 
 
 @dataclass(slots=True)
-class Replied:
+class AttemptAnswered:
     """A worker has written the answer to this attempt; `spoilt` marks an answer corrupted by a fault."""
 
     t: float
@@ -250,7 +250,7 @@
     | AttemptReceived
     | AttemptRejected
     | AttemptExecuted
-    | Replied
+    | AttemptAnswered
     | Wasted
     | StatusSent
     | Passed
@@ -271,7 +271,7 @@
     "Took": AttemptReceived,
     "Turned": AttemptRejected,
     "Ran": AttemptExecuted,
-    "Replied": Replied,
+    "Replied": AttemptAnswered,
     "Wasted": Wasted,
     "Told": StatusSent,
     "Had": StatusAvailable,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -12,11 +12,11 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptReceived,
     Ended,
     Passed,
     Record,
-    Replied,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -104,7 +104,7 @@
             RequestSent: self._asked,
             ResponseReceived: self._answered,
             AttemptReceived: self._took_it,
-            Replied: self._replied,
+            AttemptAnswered: self._replied,
             Wasted: self._wasted,
             Passed: self._passed,
             Ended: self._end,
@@ -220,7 +220,7 @@
             op.ended_t = op.t + self._kinds[op.kind]["aim_ms"]
             self.late_worth += op.worth
 
-    def _replied(self, record: Replied) -> None:
+    def _replied(self, record: AttemptAnswered) -> None:
         self.worked_ms += record.worked_ms
         if record.status == 200 and not record.spoilt:
             self._useful[record.n] = record.worked_ms
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -11,13 +11,13 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
     Gate,
     Passed,
     Record,
-    Replied,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -102,7 +102,7 @@
             RequestAbandoned: self._left,
             AttemptReceived: self._took,
             AttemptRejected: self._turned,
-            Replied: self._replied,
+            AttemptAnswered: self._replied,
             AttemptExecuted: self._ran,
             Wasted: self._wasted,
             StatusSent: self._told,
@@ -190,7 +190,7 @@
         if one is not None:
             one.turned = True
 
-    def _replied(self, record: Replied) -> None:
+    def _replied(self, record: AttemptAnswered) -> None:
         one = self._gone(record.n)
         if record.spoilt:
             self.mark("a spoilt answer was written")
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -4,6 +4,7 @@
 
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, EFFECTS, LOST, TOLERANCES, Auditor
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
@@ -11,7 +12,6 @@
     Gate,
     Lag,
     Passed,
-    Replied,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -83,7 +83,7 @@
 def served(t, n=1, name="r1"):
     return [
         AttemptExecuted(t, n, False),
-        Replied(t, n, 200, False, 50.0),
+        AttemptAnswered(t, n, 200, False, 50.0),
         ResponseReceived(t, name, 200, n, name, 0.0),
     ]
 
@@ -160,7 +160,7 @@
         took(110),
         *other,
         AttemptExecuted(150, 2, False),
-        Replied(150, 2, 200, False, 9.0),
+        AttemptAnswered(150, 2, 200, False, 9.0),
         ResponseReceived(200, "r1", 200, 2, "r2", 0.0),
     ) == {LOST}
     assert broken(
@@ -170,7 +170,7 @@
         asked(),
         took(110),
         AttemptExecuted(150, 1, False),
-        Replied(150, 1, 200, True, 9.0),
+        AttemptAnswered(150, 1, 200, True, 9.0),
         ResponseReceived(200, "r1", 200, 1, "r1", 0.0),
     ) == {LOST}  # a spoilt answer is none
 
@@ -205,7 +205,7 @@
     sent = [asked(), took(110, 1, server="a1")]
     assert broken(*sent, AttemptRejected(120, 1), took(130, 2, server="b1")) == set()
     assert broken(*sent, took(130, 2, server="b1")) == {EFFECTS}
-    assert broken(*sent, Replied(120, 1, 500, False, 9.0), took(130, 2, server="b1")) == {EFFECTS}
+    assert broken(*sent, AttemptAnswered(120, 1, 500, False, 9.0), took(130, 2, server="b1")) == {EFFECTS}
     # Turned away only once the other was on its way.
     assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125 - HAIR)) == {EFFECTS}
     assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125)) == set()
@@ -369,7 +369,7 @@
         took(130, 2, server="b1"),
         AttemptExecuted(200, 1, False),
         AttemptExecuted(220, 2, False),
-        Replied(220, 2, 200, False, 9.0),
+        AttemptAnswered(220, 2, 200, False, 9.0),
         ResponseReceived(230, "r1", 200, 2, "r1", 0.0),
     )
     first, second = auditor.breaches
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -9,10 +9,10 @@
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
-    Replied,
     Wasted,
     WorkerEnded,
     WorkerStarted,
@@ -221,7 +221,7 @@
     house.server.faults.slow_after_record, house.server.faults.slow_ms = {"seat-checkout": 1.0}, 2000.0
     wire = house.ask("r1", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert house.of(Replied)[0].t - house.of(AttemptExecuted)[0].t == pytest.approx(2000, abs=1)
+    assert house.of(AttemptAnswered)[0].t - house.of(AttemptExecuted)[0].t == pytest.approx(2000, abs=1)
     assert wire.answers[0].status == 200
 
 
@@ -270,7 +270,7 @@
     assert wire.closed and house.server.life == 2 and house.server.warmth(house.around.t) == 0.25
     house.ask("r3")
     house.around.run(5000)
-    assert house.of(AttemptReceived)[-1].life == 2 and house.of(Replied)
+    assert house.of(AttemptReceived)[-1].life == 2 and house.of(AttemptAnswered)
 
 
 def test_work_nobody_waits_for_goes_on_and_waiting_work_is_dropped():
@@ -314,7 +314,7 @@
     house.ask("r1")
     Wire(other).ask("r1")
     house.around.run(5000)
-    first, second = house.of(Replied)
+    first, second = house.of(AttemptAnswered)
     assert first.worked_ms == second.worked_ms
 
 
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -4,9 +4,9 @@
 from test_auditor import QUOTAS, asked, took
 
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     Ended,
     Passed,
-    Replied,
     RequestAbandoned,
     ResponseReceived,
     RunStarted,
@@ -32,7 +32,7 @@
     return [
         asked(t=t, name=name, op=op or number, turn=turn, kind=kind, plan=plan),
         took(t + 1, number, name, server),
-        Replied(t + after - 1, number, 200, False, 225.0),
+        AttemptAnswered(t + after - 1, number, 200, False, 225.0),
         ResponseReceived(t + after, name, 200, number, name, 0.0),
     ]
 
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -13,9 +13,9 @@
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
 from plumpick.policy.events import Endpoint, EndpointState
 from plumpick.rehearsal.records import (
+    AttemptAnswered,
     AttemptReceived,
     Passed,
-    Replied,
     RequestSent,
     ResponseReceived,
     StatusAvailable,
@@ -181,7 +181,7 @@
         Passed(1200.0, "n0", "n1", 20, "crowded out"),
         asked(1300.0, "a", "f"),
         AttemptReceived(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
-        Replied(1350.0, 7, 200, False, 30.0),
+        AttemptAnswered(1350.0, 7, 200, False, 30.0),
         ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
         StatusAvailable(1365.0, "n0", "w", 2, "ready"),
         StatusSent(1372.5, "n0", "w", 2, "ready"),
