--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -24,9 +24,9 @@
     AttemptReceived,
     AttemptRejected,
     Record,
-    Wasted,
     WorkerEnded,
     WorkerStarted,
+    WorkWasted,
 )
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -400,7 +400,7 @@
         repeat = kind.repeats == "keyed" and self._keys.is_repeat(job.came, name, job.key)
         self.record(AttemptExecuted(t, job.n, repeat))
         if job.connection is None:
-            self.record(Wasted(t, job.n, round(job.work, 1)))
+            self.record(WorkWasted(t, job.n, round(job.work, 1)))
         elif self.faults.hits("reset_after", name, self.rng):
             job.connection.job = None
             job.connection.transport.abort()
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -157,7 +157,7 @@
 
 
 @dataclass(slots=True)
-class Wasted:
+class WorkWasted:
     """A worker has spent work on an attempt whose answer no client waits for any more."""
 
     t: float
@@ -251,7 +251,7 @@
     | AttemptRejected
     | AttemptExecuted
     | AttemptAnswered
-    | Wasted
+    | WorkWasted
     | StatusSent
     | Passed
     | Gate
@@ -272,7 +272,7 @@
     "Turned": AttemptRejected,
     "Ran": AttemptExecuted,
     "Replied": AttemptAnswered,
-    "Wasted": Wasted,
+    "Wasted": WorkWasted,
     "Told": StatusSent,
     "Had": StatusAvailable,
     "Passed": Passed,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -21,8 +21,8 @@
     RequestSent,
     ResponseReceived,
     RunStarted,
-    Wasted,
     WorkerStarted,
+    WorkWasted,
 )
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
@@ -105,7 +105,7 @@
             ResponseReceived: self._answered,
             AttemptReceived: self._took_it,
             AttemptAnswered: self._replied,
-            Wasted: self._wasted,
+            WorkWasted: self._wasted,
             Passed: self._passed,
             Ended: self._end,
             RequestAbandoned: self._left,
@@ -225,7 +225,7 @@
         if record.status == 200 and not record.spoilt:
             self._useful[record.n] = record.worked_ms
 
-    def _wasted(self, record: Wasted) -> None:
+    def _wasted(self, record: WorkWasted) -> None:
         self.worked_ms += record.worked_ms
 
     def _passed(self, record: Passed) -> None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -23,9 +23,9 @@
     ResponseReceived,
     RunStarted,
     StatusSent,
-    Wasted,
     WorkerEnded,
     WorkerStarted,
+    WorkWasted,
 )
 
 JUST_BEFORE_MS = 250.0
@@ -104,7 +104,7 @@
             AttemptRejected: self._turned,
             AttemptAnswered: self._replied,
             AttemptExecuted: self._ran,
-            Wasted: self._wasted,
+            WorkWasted: self._wasted,
             StatusSent: self._told,
             Gate: self._gate,
             Passed: self._passed,
@@ -209,7 +209,7 @@
         if record.repeat:
             self.mark("a hall dropped a repeat of a key")
 
-    def _wasted(self, record: Wasted) -> None:
+    def _wasted(self, record: WorkWasted) -> None:
         self._finished(record.n)
         self._gone(record.n)
 
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -13,9 +13,9 @@
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
-    Wasted,
     WorkerEnded,
     WorkerStarted,
+    WorkWasted,
 )
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
@@ -279,7 +279,7 @@
     running.abort()
     waiting.abort()
     house.around.run(5000)
-    assert [record.n for record in house.of(Wasted)] == [1] and [
+    assert [record.n for record in house.of(WorkWasted)] == [1] and [
         record.n for record in house.of(AttemptExecuted)
     ] == [1]
 
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -10,8 +10,8 @@
     RequestAbandoned,
     ResponseReceived,
     RunStarted,
-    Wasted,
     WorkerStarted,
+    WorkWasted,
 )
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.service import Service
@@ -94,7 +94,7 @@
     _, counted = count(
         *served(1),
         *served(2, t=200, server="b1"),
-        Wasted(300, 9, 450.0),
+        WorkWasted(300, 9, 450.0),
         Passed(300, "n0", "n1", 256, "delivered"),
         Passed(300, "n0", "n1", 256, "lost"),
     )
