--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -21,7 +21,7 @@
 from plumpick.rehearsal.records import (
     AttemptAnswered,
     AttemptReceived,
-    Passed,
+    DatagramHandled,
     Record,
     RequestSent,
     ResponseReceived,
@@ -117,7 +117,7 @@
     def feed(self, record: Record) -> None:
         """The next record."""
         counted, count = self.from_ms <= record.t < self.until_ms, self.counts
-        if isinstance(record, Passed) and counted:
+        if isinstance(record, DatagramHandled) and counted:
             count["told"] += 1
             count["told_bytes"] += record.size
             count["come"] += record.fate in ("delivered", "crowded out")
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -17,10 +17,10 @@
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
+    DatagramHandled,
     Ended,
     Gate,
     Lag,
-    Passed,
     Record,
     RequestAbandoned,
     RequestSent,
@@ -177,7 +177,7 @@
             StatusSent: self._tell,
             StatusAvailable: self._has,
             Gate: self._gate,
-            Passed: self._passed,
+            DatagramHandled: self._passed,
             Lag: self._lag,
             Ended: self._end,
             AttemptAnswered: self._replied,
@@ -575,7 +575,7 @@
                 self._down_since.setdefault(record.gate, record.t)
         self._settle(record.t)
 
-    def _passed(self, record: Passed) -> None:
+    def _passed(self, record: DatagramHandled) -> None:
         if record.size > DATAGRAM_BYTES:
             text = f"sent a datagram of {record.size} bytes, maximum is {DATAGRAM_BYTES}"
             self._breach(LOST, record.t, record.sender, text, [record])
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.rehearsal.records import Passed, Record
+from plumpick.rehearsal.records import DatagramHandled, Record
 from plumpick.rehearsal.scenario import PeerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
@@ -92,7 +92,9 @@
 
     def _tell(self, plug: _Plug, data: bytes, fate: str) -> None:
         self._record(
-            Passed(self._around.now(), self._names[plug.sender], self._names[plug.receiver], len(data), fate)
+            DatagramHandled(
+                self._around.now(), self._names[plug.sender], self._names[plug.receiver], len(data), fate
+            )
         )
 
     def close(self) -> None:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -188,7 +188,7 @@
 
 
 @dataclass(slots=True)
-class Passed:
+class DatagramHandled:
     """The relay has handled a datagram between two gateways.
 
     `fate` is `delivered`, `lost`, `cut` (by a network split) or `crowded out` (the inbox was full).
@@ -253,7 +253,7 @@
     | AttemptAnswered
     | WorkWasted
     | StatusSent
-    | Passed
+    | DatagramHandled
     | Gate
     | Mark
     | Lag
@@ -275,7 +275,7 @@
     "Wasted": WorkWasted,
     "Told": StatusSent,
     "Had": StatusAvailable,
-    "Passed": Passed,
+    "Passed": DatagramHandled,
     "Gate": Gate,
     "Mark": Mark,
     "Lag": Lag,
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -14,8 +14,8 @@
 from plumpick.rehearsal.records import (
     AttemptAnswered,
     AttemptReceived,
+    DatagramHandled,
     Ended,
-    Passed,
     Record,
     RequestAbandoned,
     RequestSent,
@@ -106,7 +106,7 @@
             AttemptReceived: self._took_it,
             AttemptAnswered: self._replied,
             WorkWasted: self._wasted,
-            Passed: self._passed,
+            DatagramHandled: self._passed,
             Ended: self._end,
             RequestAbandoned: self._left,
             WorkerStarted: self._born,
@@ -228,7 +228,7 @@
     def _wasted(self, record: WorkWasted) -> None:
         self.worked_ms += record.worked_ms
 
-    def _passed(self, record: Passed) -> None:
+    def _passed(self, record: DatagramHandled) -> None:
         if record.fate == "delivered":
             self.peer_bytes += record.size
 
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -15,8 +15,8 @@
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
+    DatagramHandled,
     Gate,
-    Passed,
     Record,
     RequestAbandoned,
     RequestSent,
@@ -91,7 +91,7 @@
         self._open: Counter[str] = Counter()  # requests by gatekeeper
         self._down: set[str] = set()
         self._term: set[str] = set()
-        self._lost: deque[Passed] = deque()
+        self._lost: deque[DatagramHandled] = deque()
         self._draining: dict[tuple[str, str], float] = {}
         self._cold: set[str] = set()
         self._later_try: dict[str, str] = {}  # a request: its op's next try, at another gatekeeper
@@ -107,7 +107,7 @@
             WorkWasted: self._wasted,
             StatusSent: self._told,
             Gate: self._gate,
-            Passed: self._passed,
+            DatagramHandled: self._passed,
             WorkerStarted: self._born,
             WorkerEnded: self._died,
         }
@@ -253,7 +253,7 @@
                 self.mark("a gatekeeper came back while the roster was silent")
             self._down.discard(gate)
 
-    def _passed(self, record: Passed) -> None:
+    def _passed(self, record: DatagramHandled) -> None:
         if record.fate != "delivered":
             self._lost.append(record)
 
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -8,10 +8,10 @@
     AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
+    DatagramHandled,
     Ended,
     Gate,
     Lag,
-    Passed,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -194,8 +194,8 @@
 
 
 def test_a_datagram_of_more_than_256_bytes():
-    assert broken(Passed(10, "n0", "n1", 256, "delivered")) == set()
-    assert broken(Passed(10, "n0", "n1", 257, "delivered")) == {LOST}
+    assert broken(DatagramHandled(10, "n0", "n1", 256, "delivered")) == set()
+    assert broken(DatagramHandled(10, "n0", "n1", 257, "delivered")) == {LOST}
 
 
 # -- effects happen once
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -5,8 +5,8 @@
 
 from plumpick.rehearsal.records import (
     AttemptAnswered,
+    DatagramHandled,
     Ended,
-    Passed,
     RequestAbandoned,
     ResponseReceived,
     RunStarted,
@@ -95,8 +95,8 @@
         *served(1),
         *served(2, t=200, server="b1"),
         WorkWasted(300, 9, 450.0),
-        Passed(300, "n0", "n1", 256, "delivered"),
-        Passed(300, "n0", "n1", 256, "lost"),
+        DatagramHandled(300, "n0", "n1", 256, "delivered"),
+        DatagramHandled(300, "n0", "n1", 256, "lost"),
     )
     prices = counted["prices"]
     assert prices["waste"] == pytest.approx(0.05 * 450 / 450)
--- a/tests/rehearsal/test_ways.py
+++ b/tests/rehearsal/test_ways.py
@@ -7,7 +7,7 @@
 import uvloop
 
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.records import Passed, StatusSent
+from plumpick.rehearsal.records import DatagramHandled, StatusSent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import PeerPart, RosterPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -213,7 +213,7 @@
             ears[2][0].sendto(b"%d" % number, address(relay, 2, 1))
         while len(records) < 6:
             await asyncio.sleep(0)
-        fates = [record.fate for record in records if isinstance(record, Passed)]
+        fates = [record.fate for record in records if isinstance(record, DatagramHandled)]
         assert sorted(fates) == ["crowded out"] * 2 + ["cut"] + ["delivered"] * 3
         relay.close()
         lossy, ears, records = await three(around, loss=1.0)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.records import (
     AttemptAnswered,
     AttemptReceived,
-    Passed,
+    DatagramHandled,
     RequestSent,
     ResponseReceived,
     StatusAvailable,
@@ -175,10 +175,10 @@
         return RequestSent(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
 
     for record in (
-        Passed(999.0, "n0", "n1", 50, "delivered"),
-        Passed(1000.0, "n0", "n1", 40, "delivered"),
-        Passed(1100.0, "n0", "n1", 60, "lost"),
-        Passed(1200.0, "n0", "n1", 20, "crowded out"),
+        DatagramHandled(999.0, "n0", "n1", 50, "delivered"),
+        DatagramHandled(1000.0, "n0", "n1", 40, "delivered"),
+        DatagramHandled(1100.0, "n0", "n1", 60, "lost"),
+        DatagramHandled(1200.0, "n0", "n1", 20, "crowded out"),
         asked(1300.0, "a", "f"),
         AttemptReceived(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
         AttemptAnswered(1350.0, 7, 200, False, 30.0),
