--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any
 
-from plumpick.rehearsal.records import Gate, RequestSent, ResponseReceived, read_history
+from plumpick.rehearsal.records import GatewayEvent, RequestSent, ResponseReceived, read_history
 
 SCENARIO = Path(__file__).resolve().parents[1] / "plumpick/rehearsal/scenarios/standstills.toml"
 ROWS = ("standing, while it stood", "standing, after", "others, while one stood", "others, after", "all else")
@@ -49,9 +49,9 @@
     begun: dict[str, float] = {}
     spans = []
     for one in records:
-        if isinstance(one, Gate) and one.what == "stop":
+        if isinstance(one, GatewayEvent) and one.what == "stop":
             begun[one.gate] = one.t
-        elif isinstance(one, Gate) and one.what == "cont" and one.gate in begun:
+        elif isinstance(one, GatewayEvent) and one.what == "cont" and one.gate in begun:
             spans.append((one.gate, begun.pop(one.gate), one.t))
     return spans
 
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -19,7 +19,7 @@
     AttemptRejected,
     DatagramHandled,
     Ended,
-    Gate,
+    GatewayEvent,
     Lag,
     Record,
     RequestAbandoned,
@@ -176,7 +176,7 @@
             AttemptExecuted: self._ran,
             StatusSent: self._tell,
             StatusAvailable: self._has,
-            Gate: self._gate,
+            GatewayEvent: self._gate,
             DatagramHandled: self._passed,
             Lag: self._lag,
             Ended: self._end,
@@ -552,7 +552,7 @@
 
     # -- gateway processes and datagrams
 
-    def _gate(self, record: Gate) -> None:
+    def _gate(self, record: GatewayEvent) -> None:
         if record.what == "started":
             self._settle(record.t, everything=True)
             self._up_since[record.gate] = record.t
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -202,7 +202,7 @@
 
 
 @dataclass(slots=True)
-class Gate:
+class GatewayEvent:
     """A gateway process `started`, is `ready`, was sent `term`, `kill` or `hup`, or `exited` with `code`."""
 
     t: float
@@ -254,7 +254,7 @@
     | WorkWasted
     | StatusSent
     | DatagramHandled
-    | Gate
+    | GatewayEvent
     | Mark
     | Lag
     | Ended
@@ -276,7 +276,7 @@
     "Told": StatusSent,
     "Had": StatusAvailable,
     "Passed": DatagramHandled,
-    "Gate": Gate,
+    "Gate": GatewayEvent,
     "Mark": Mark,
     "Lag": Lag,
     "Ended": Ended,
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.records import Gate, Record
+from plumpick.rehearsal.records import GatewayEvent, Record
 from plumpick.rehearsal.roster import Agent
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
@@ -231,21 +231,21 @@
             if await self._start_once(gate):
                 gate.starts += 1
                 gate.ready, gate.ready_t = True, self.around.now()
-                self._record(Gate(self.around.now(), gate.name, "ready", 0))
+                self._record(GatewayEvent(self.around.now(), gate.name, "ready", 0))
                 return
             if gate.told_to_end:  # while it started; whoever told it to starts it again
-                self._record(Gate(self.around.now(), gate.name, "exited", -9))
+                self._record(GatewayEvent(self.around.now(), gate.name, "exited", -9))
                 return
             tail = self.log_tail(gate)
             if gate.starts:
-                self._record(Gate(self.around.now(), gate.name, "exited", 1))
+                self._record(GatewayEvent(self.around.now(), gate.name, "exited", 1))
             if gate.starts or "address already in use" not in tail.lower() or attempt == PORT_TRIES - 1:
                 raise StartFailed(f"gatekeeper {gate.name} ended at its start:\n{tail}")
 
     async def _start_once(self, gate: Gatekeeper) -> bool:
         gate.ready, gate.ready_t, gate.told_to_end = False, math.inf, False
         gate.process = await self.launch(gate)
-        self._record(Gate(self.around.now(), gate.name, "started", 0))
+        self._record(GatewayEvent(self.around.now(), gate.name, "started", 0))
         gate.watch = self.around.loop.create_task(self._watch(gate, gate.process))
         end = self.around.loop.time() + READY_S
         while gate.running() and self.around.loop.time() < end:
@@ -283,7 +283,7 @@
     async def _watch(self, gate: Gatekeeper, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
         if gate.ready and not self.closing:  # what ends at its start is told by who starts it
-            self._record(Gate(self.around.now(), gate.name, "exited", code))
+            self._record(GatewayEvent(self.around.now(), gate.name, "exited", code))
             self._ended(gate)
 
     def log_tail(self, gate: Gatekeeper) -> str:
@@ -298,14 +298,14 @@
     def kill(self, gate: Gatekeeper) -> None:
         """SIGKILL: it ends without a word."""
         if gate.running():
-            self._record(Gate(self.around.now(), gate.name, "kill", 0))
+            self._record(GatewayEvent(self.around.now(), gate.name, "kill", 0))
             gate.told_to_end = True
             gate.process.kill()  # type: ignore[union-attr]
 
     def terminate(self, gate: Gatekeeper) -> None:
         """SIGTERM: it finishes what it has."""
         if gate.running():
-            self._record(Gate(self.around.now(), gate.name, "term", 0))
+            self._record(GatewayEvent(self.around.now(), gate.name, "term", 0))
             gate.told_to_end = True
             gate.process.terminate()  # type: ignore[union-attr]
 
@@ -313,19 +313,19 @@
         """The configuration is replaced, and SIGHUP is sent."""
         if gate.running():
             self.write(gate)
-            self._record(Gate(self.around.now(), gate.name, "hup", 0))
+            self._record(GatewayEvent(self.around.now(), gate.name, "hup", 0))
             gate.process.send_signal(signal.SIGHUP)  # type: ignore[union-attr]
 
     def stop(self, gate: Gatekeeper) -> None:
         """SIGSTOP: it stands still."""
         if gate.running():
-            self._record(Gate(self.around.now(), gate.name, "stop", 0))
+            self._record(GatewayEvent(self.around.now(), gate.name, "stop", 0))
             gate.process.send_signal(signal.SIGSTOP)  # type: ignore[union-attr]
 
     def go_on(self, gate: Gatekeeper) -> None:
         """SIGCONT."""
         if gate.running():
-            self._record(Gate(self.around.now(), gate.name, "cont", 0))
+            self._record(GatewayEvent(self.around.now(), gate.name, "cont", 0))
             gate.process.send_signal(signal.SIGCONT)  # type: ignore[union-attr]
 
     async def close(self) -> None:
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -16,7 +16,7 @@
     AttemptReceived,
     AttemptRejected,
     DatagramHandled,
-    Gate,
+    GatewayEvent,
     Record,
     RequestAbandoned,
     RequestSent,
@@ -106,7 +106,7 @@
             AttemptExecuted: self._ran,
             WorkWasted: self._wasted,
             StatusSent: self._told,
-            Gate: self._gate,
+            GatewayEvent: self._gate,
             DatagramHandled: self._passed,
             WorkerStarted: self._born,
             WorkerEnded: self._died,
@@ -225,7 +225,7 @@
         ):
             self.mark("word of a drain came while an attempt was at that server")
 
-    def _gate(self, record: Gate) -> None:  # noqa: C901  (to be split by concern)
+    def _gate(self, record: GatewayEvent) -> None:  # noqa: C901  (to be split by concern)
         gate = record.gate
         if record.what in ("kill", "term"):
             while self._lost and self._lost[0].t < record.t - JUST_BEFORE_MS:
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -10,7 +10,7 @@
     AttemptRejected,
     DatagramHandled,
     Ended,
-    Gate,
+    GatewayEvent,
     Lag,
     RequestAbandoned,
     RequestSent,
@@ -118,7 +118,7 @@
 
 
 def test_what_a_killed_gatekeeper_held_is_the_clients_to_try_again():
-    kill, gone = Gate(300, "n0", "kill", 0), Gate(320, "n0", "exited", -9)
+    kill, gone = GatewayEvent(300, "n0", "kill", 0), GatewayEvent(320, "n0", "exited", -9)
     assert broken(asked(), kill, RequestAbandoned(310, "r1", "broken"), gone) == set()
     assert (
         broken(asked(), RequestAbandoned(299, "r1", "broken"), kill, gone) == set()
@@ -129,22 +129,22 @@
     }  # another one held it
     early = 300 - TOLERANCES["killed_early"]
     assert broken(asked(t=20), RequestAbandoned(early - HAIR, "r1", "broken"), kill, gone) == {LOST}
-    back = [Gate(500, "n0", "started", 0), Gate(600, "n0", "ready", 0)]
+    back = [GatewayEvent(500, "n0", "started", 0), GatewayEvent(600, "n0", "ready", 0)]
     assert broken(kill, gone, *back, asked(t=700), RequestAbandoned(900, "r1", "broken")) == {LOST}
 
 
 def test_a_request_to_a_gatekeeper_that_has_ended_was_never_taken():
-    gone = [Gate(50, "n0", "term", 0), Gate(90, "n0", "exited", 0)]
+    gone = [GatewayEvent(50, "n0", "term", 0), GatewayEvent(90, "n0", "exited", 0)]
     assert broken(*gone, asked(t=100), RequestAbandoned(110, "r1", "broken")) == set()
     assert broken(
-        asked(t=80), *gone[:1], Gate(90, "n0", "exited", 0), RequestAbandoned(95, "r1", "broken")
+        asked(t=80), *gone[:1], GatewayEvent(90, "n0", "exited", 0), RequestAbandoned(95, "r1", "broken")
     ) == {LOST}
 
 
 def test_a_gatekeeper_that_ends_by_itself_or_with_an_error_has_crashed():
-    assert broken(Gate(50, "n0", "exited", 0)) == {LOST}
-    assert broken(Gate(40, "n0", "term", 0), Gate(50, "n0", "exited", 1)) == {LOST}
-    assert broken(Gate(40, "n0", "term", 0), Gate(50, "n0", "exited", 0)) == set()
+    assert broken(GatewayEvent(50, "n0", "exited", 0)) == {LOST}
+    assert broken(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 1)) == {LOST}
+    assert broken(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 0)) == set()
 
 
 def test_a_second_answer_and_bytes_beyond_the_answer_are_breaches():
@@ -347,9 +347,9 @@
     for number in range(13):
         if number == 6:
             records += [
-                Gate(1000, "n0", "kill", 0),
-                Gate(1000, "n0", "exited", -9),
-                Gate(1000, "n0", "started", 0),
+                GatewayEvent(1000, "n0", "kill", 0),
+                GatewayEvent(1000, "n0", "exited", -9),
+                GatewayEvent(1000, "n0", "started", 0),
             ]
         name = f"r{number}"
         records += [
