--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import Ended, Lag, Mark, Recorder, RunStarted
+from plumpick.rehearsal.records import Ended, Lag, Recorder, RunStarted, ScriptEvent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -264,7 +264,7 @@
         """Note what goes wrong, for records and reports."""
         t = self.around.now()
         self.marks.append((t, text))
-        self.recorder(Mark(t, text))
+        self.recorder(ScriptEvent(t, text))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         async def guarded() -> None:
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -17,11 +17,11 @@
 from plumpick.rehearsal.auditor import RULES
 from plumpick.rehearsal.records import (
     AttemptReceived,
-    Mark,
     Record,
     RequestSent,
     ResponseReceived,
     RunStarted,
+    ScriptEvent,
     read_history,
 )
 from plumpick.rehearsal.service import Service
@@ -55,7 +55,7 @@
         match record:
             case RunStarted():
                 self.terms = record.terms
-            case Mark():
+            case ScriptEvent():
                 self.marks.append((record.t / 1000, record.text))
             case RequestSent():
                 self.first_t.setdefault(record.op, record.t)
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -212,7 +212,7 @@
 
 
 @dataclass(slots=True)
-class Mark:
+class ScriptEvent:
     """The script of the scenario has injected a fault or ended one; `text` describes it."""
 
     t: float
@@ -255,7 +255,7 @@
     | StatusSent
     | DatagramHandled
     | GatewayEvent
-    | Mark
+    | ScriptEvent
     | Lag
     | Ended
 )
@@ -277,7 +277,7 @@
     "Had": StatusAvailable,
     "Passed": DatagramHandled,
     "Gate": GatewayEvent,
-    "Mark": Mark,
+    "Mark": ScriptEvent,
     "Lag": Lag,
     "Ended": Ended,
 }
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -8,10 +8,10 @@
 from plumpick.rehearsal.records import (
     Ended,
     HistoryError,
-    Mark,
     Recorder,
     RequestSent,
     RunStarted,
+    ScriptEvent,
     line_of,
     read_history,
     record_from,
@@ -61,7 +61,7 @@
     with pytest.raises(HistoryError, match="version"):
         list(read_history([line_of(RunStarted(0.0, {"version": 99}))]))
     with pytest.raises(HistoryError, match="line 3: earlier"):
-        list(read_history([line_of(START), line_of(ASKED), line_of(Mark(12.3, "x"))]))
+        list(read_history([line_of(START), line_of(ASKED), line_of(ScriptEvent(12.3, "x"))]))
 
 
 class Full:
@@ -79,7 +79,7 @@
     recorder.listeners.append(type("L", (), {"feed": staticmethod(heard.append)}))
     recorder.write_to(Full())
     for t in range(3):
-        recorder(Mark(float(t), "x"))
+        recorder(ScriptEvent(float(t), "x"))
     recorder.close()
     assert len(heard) == 3 and "No space left" in recorder.problem
 
@@ -88,7 +88,7 @@
     recorder, heard = Recorder(), []
     recorder.listeners.append(type("L", (), {"feed": staticmethod(heard.append)}))
     for t in (5.0, 4.9, 6.0):
-        recorder(Mark(t, "x"))
+        recorder(ScriptEvent(t, "x"))
     assert [record.t for record in heard] == [5.0, 5.0, 6.0]
 
 
@@ -137,8 +137,8 @@
     """Seen on a busy machine: word of the roster came while the fleet was taken down, behind the end."""
     recorder, path = Recorder(), tmp_path / "history.jsonl"
     recorder.write_to(path.open("w"))
-    for record in (Mark(1.0, "a"), Ended(2.0, 0.5, 0.5), Mark(3.0, "b")):
+    for record in (ScriptEvent(1.0, "a"), Ended(2.0, 0.5, 0.5), ScriptEvent(3.0, "b")):
         recorder(record)
     recorder.close()
     kept = [record_from(line) for line in path.read_text().splitlines()]
-    assert kept == [Mark(1.0, "a"), Ended(2.0, 0.5, 0.5)]
+    assert kept == [ScriptEvent(1.0, "a"), Ended(2.0, 0.5, 0.5)]
