--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -20,7 +20,7 @@
     DatagramHandled,
     Ended,
     GatewayEvent,
-    Lag,
+    LoopLag,
     Record,
     RequestAbandoned,
     RequestSent,
@@ -161,7 +161,7 @@
         self._broken: list[tuple[float, _Request, RequestAbandoned]] = []
         self._expected_ends: set[str] = set()
         self.lag_p99_ms = self.lag_max_ms = 0.0
-        self.stalls: list[Lag] = []
+        self.stalls: list[LoopLag] = []
         self.over = False
         self._take = {
             RunStarted: self._began,
@@ -178,7 +178,7 @@
             StatusAvailable: self._has,
             GatewayEvent: self._gate,
             DatagramHandled: self._passed,
-            Lag: self._lag,
+            LoopLag: self._lag,
             Ended: self._end,
             AttemptAnswered: self._replied,
         }
@@ -216,7 +216,7 @@
         self.lag_p99_ms, self.lag_max_ms = record.lag_p99_ms, record.lag_max_ms
         self.over = True
 
-    def _lag(self, record: Lag) -> None:
+    def _lag(self, record: LoopLag) -> None:
         self.stalls.append(record)
 
     def _forget(self, t: float) -> None:
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import Ended, Lag, Recorder, RunStarted, ScriptEvent
+from plumpick.rehearsal.records import Ended, LoopLag, Recorder, RunStarted, ScriptEvent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -63,7 +63,7 @@
         self.counts[min(len(self.counts) - 1, int(late * 2))] += 1
         self.most = max(self.most, late)
         if late > STALL_MS:
-            self._recorder(Lag(now, round(late, 3)))
+            self._recorder(LoopLag(now, round(late, 3)))
         self.start()
 
     def stop(self) -> None:
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -220,7 +220,7 @@
 
 
 @dataclass(slots=True)
-class Lag:
+class LoopLag:
     """The event loop of the stubs ran `ms` late, so the records of that time may be late by as much."""
 
     t: float
@@ -256,7 +256,7 @@
     | DatagramHandled
     | GatewayEvent
     | ScriptEvent
-    | Lag
+    | LoopLag
     | Ended
 )
 # Record types by the name under which histories store them; the names must not change.
@@ -278,7 +278,7 @@
     "Passed": DatagramHandled,
     "Gate": GatewayEvent,
     "Mark": ScriptEvent,
-    "Lag": Lag,
+    "Lag": LoopLag,
     "Ended": Ended,
 }
 _NAMES = {kind: name for name, kind in TYPES.items()}
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -11,7 +11,7 @@
     DatagramHandled,
     Ended,
     GatewayEvent,
-    Lag,
+    LoopLag,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
@@ -406,9 +406,9 @@
 
     late = [asked(), took(110), *served(100 + 1000 + 80)]
     assert not too_slow(judge(*late))
-    assert too_slow(judge(*late[:-1], Lag(1175, 60.0), late[-1]))
-    assert not too_slow(judge(Lag(500, 60.0), *late[1:1], *late))  # long before
-    double = [asked(), took(110, 1), Lag(125, 60.0), took(130, 2, server="b1")]
+    assert too_slow(judge(*late[:-1], LoopLag(1175, 60.0), late[-1]))
+    assert not too_slow(judge(LoopLag(500, 60.0), *late[1:1], *late))  # long before
+    double = [asked(), took(110, 1), LoopLag(125, 60.0), took(130, 2, server="b1")]
     assert not too_slow(judge(*double))  # no clock was needed for this one
     slow = judge(*late[:2], over=False)
     slow.feed(Ended(9000, 16.0, 20.0))
