--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -18,13 +18,13 @@
     AttemptReceived,
     AttemptRejected,
     DatagramHandled,
-    Ended,
     GatewayEvent,
     LoopLag,
     Record,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
+    RunEnded,
     RunStarted,
     StatusAvailable,
     StatusSent,
@@ -179,7 +179,7 @@
             GatewayEvent: self._gate,
             DatagramHandled: self._passed,
             LoopLag: self._lag,
-            Ended: self._end,
+            RunEnded: self._end,
             AttemptAnswered: self._replied,
         }
 
@@ -210,7 +210,7 @@
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
 
-    def _end(self, record: Ended) -> None:
+    def _end(self, record: RunEnded) -> None:
         """End the audit; open requests are not audited because their time is not up."""
         self._settle(record.t, everything=True)
         self.lag_p99_ms, self.lag_max_ms = record.lag_p99_ms, record.lag_max_ms
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import Ended, LoopLag, Recorder, RunStarted, ScriptEvent
+from plumpick.rehearsal.records import LoopLag, Recorder, RunEnded, RunStarted, ScriptEvent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -230,7 +230,7 @@
         """The end of the records."""
         if not self.auditor.over:
             self.lag.stop()
-            self.recorder(Ended(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
+            self.recorder(RunEnded(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
 
     async def close(self) -> None:
         """End all processes, sockets and files, also after a start that failed half way."""
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -228,7 +228,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class RunEnded:
     """The run is over, with quantiles of the lag of the stubs' event loop.
 
     Requests that are still open are not audited.
@@ -257,7 +257,7 @@
     | GatewayEvent
     | ScriptEvent
     | LoopLag
-    | Ended
+    | RunEnded
 )
 # Record types by the name under which histories store them; the names must not change.
 TYPES: dict[str, type[Any]] = {
@@ -279,7 +279,7 @@
     "Gate": GatewayEvent,
     "Mark": ScriptEvent,
     "Lag": LoopLag,
-    "Ended": Ended,
+    "Ended": RunEnded,
 }
 _NAMES = {kind: name for name, kind in TYPES.items()}
 _FIELDS = {name: tuple(field.name for field in fields(kind)) for name, kind in TYPES.items()}
@@ -347,7 +347,7 @@
     def __call__(self, record: Record) -> None:
         if self._over:
             return
-        self._over = isinstance(record, Ended)
+        self._over = isinstance(record, RunEnded)
         # Within one iteration of the event loop a cause may be recorded just after its effect.
         if record.t < self._last_t:
             record.t = self._last_t
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -15,11 +15,11 @@
     AttemptAnswered,
     AttemptReceived,
     DatagramHandled,
-    Ended,
     Record,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
+    RunEnded,
     RunStarted,
     WorkerStarted,
     WorkWasted,
@@ -107,7 +107,7 @@
             AttemptAnswered: self._replied,
             WorkWasted: self._wasted,
             DatagramHandled: self._passed,
-            Ended: self._end,
+            RunEnded: self._end,
             RequestAbandoned: self._left,
             WorkerStarted: self._born,
         }
@@ -127,7 +127,7 @@
     def _born(self, record: WorkerStarted) -> None:
         self._server_hall[record.server] = record.hall
 
-    def _end(self, record: Ended) -> None:
+    def _end(self, record: RunEnded) -> None:
         self.end_t = record.t
 
     def _tallies(self, op: _Op) -> tuple[Tally, ...]:
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -9,12 +9,12 @@
     AttemptReceived,
     AttemptRejected,
     DatagramHandled,
-    Ended,
     GatewayEvent,
     LoopLag,
     RequestAbandoned,
     RequestSent,
     ResponseReceived,
+    RunEnded,
     RunStarted,
     StatusSent,
     Surplus,
@@ -60,7 +60,7 @@
     for record in records:
         auditor.feed(record)
     if over:
-        auditor.feed(Ended(max(record.t for record in records) + 5000.0, 1.0, 2.0))
+        auditor.feed(RunEnded(max(record.t for record in records) + 5000.0, 1.0, 2.0))
     return auditor
 
 
@@ -411,7 +411,7 @@
     double = [asked(), took(110, 1), LoopLag(125, 60.0), took(130, 2, server="b1")]
     assert not too_slow(judge(*double))  # no clock was needed for this one
     slow = judge(*late[:2], over=False)
-    slow.feed(Ended(9000, 16.0, 20.0))
+    slow.feed(RunEnded(9000, 16.0, 20.0))
     assert "ms late" in too_slow(slow)
 
 
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -6,10 +6,10 @@
 
 from plumpick.rehearsal import records
 from plumpick.rehearsal.records import (
-    Ended,
     HistoryError,
     Recorder,
     RequestSent,
+    RunEnded,
     RunStarted,
     ScriptEvent,
     line_of,
@@ -137,8 +137,8 @@
     """Seen on a busy machine: word of the roster came while the fleet was taken down, behind the end."""
     recorder, path = Recorder(), tmp_path / "history.jsonl"
     recorder.write_to(path.open("w"))
-    for record in (ScriptEvent(1.0, "a"), Ended(2.0, 0.5, 0.5), ScriptEvent(3.0, "b")):
+    for record in (ScriptEvent(1.0, "a"), RunEnded(2.0, 0.5, 0.5), ScriptEvent(3.0, "b")):
         recorder(record)
     recorder.close()
     kept = [record_from(line) for line in path.read_text().splitlines()]
-    assert kept == [ScriptEvent(1.0, "a"), Ended(2.0, 0.5, 0.5)]
+    assert kept == [ScriptEvent(1.0, "a"), RunEnded(2.0, 0.5, 0.5)]
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -6,9 +6,9 @@
 from plumpick.rehearsal.records import (
     AttemptAnswered,
     DatagramHandled,
-    Ended,
     RequestAbandoned,
     ResponseReceived,
+    RunEnded,
     RunStarted,
     WorkerStarted,
     WorkWasted,
@@ -22,7 +22,7 @@
     service.feed(RunStarted(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
     service.feed(WorkerStarted(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
     service.feed(WorkerStarted(0.0, "b1", 1, "hall-b", 2.0, 1.0, 9000.0))
-    for record in [*sorted(records, key=lambda record: record.t), Ended(end, 1.0, 1.0)]:
+    for record in [*sorted(records, key=lambda record: record.t), RunEnded(end, 1.0, 1.0)]:
         service.feed(record)
     return service, service.as_dict()
 
