--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -18,6 +18,7 @@
     AttemptReceived,
     AttemptRejected,
     DatagramHandled,
+    ExtraBytesReceived,
     GatewayEvent,
     LoopLag,
     Record,
@@ -28,7 +29,6 @@
     RunStarted,
     StatusAvailable,
     StatusSent,
-    Surplus,
     WorkerEnded,
     WorkerStarted,
     line_of,
@@ -167,7 +167,7 @@
             RunStarted: self._began,
             RequestSent: self._asked,
             ResponseReceived: self._answered,
-            Surplus: self._surplus,
+            ExtraBytesReceived: self._surplus,
             RequestAbandoned: self._left,
             WorkerStarted: self._born,
             WorkerEnded: self._died,
@@ -299,7 +299,7 @@
             if isinstance(record, AttemptAnswered) and record.status == 200 and not record.spoilt
         }
 
-    def _surplus(self, record: Surplus) -> None:
+    def _surplus(self, record: ExtraBytesReceived) -> None:
         request = self._requests.get(record.id)
         story = request.story if request is not None else []
         story.append(record)
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -15,7 +15,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Record, RequestAbandoned, RequestSent, ResponseReceived, Surplus
+from plumpick.rehearsal.records import (
+    ExtraBytesReceived,
+    Record,
+    RequestAbandoned,
+    RequestSent,
+    ResponseReceived,
+)
 from plumpick.rehearsal.scenario import ClassPart, HotFirm, PlanPart, Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
@@ -82,7 +88,7 @@
         front = self.front
         if self.asked is None:  # nothing is asked: what comes belongs to no request
             if self.last_id:
-                front.record(Surplus(front.now(), self.last_id))
+                front.record(ExtraBytesReceived(front.now(), self.last_id))
             self.transport.abort()
             return
         try:
@@ -98,7 +104,7 @@
             self.stop_timer()
             keep = message.headers.get(b"connection") != b"close"
             if more or self.reader.begun:
-                front.record(Surplus(front.now(), request_id))
+                front.record(ExtraBytesReceived(front.now(), request_id))
                 keep = False
             if keep:
                 self.door.put_back(self)
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Surplus:
+class ExtraBytesReceived:
     """A client has received bytes after the end of the response, on the connection of this request."""
 
     t: float
@@ -243,7 +243,7 @@
     RunStarted
     | RequestSent
     | ResponseReceived
-    | Surplus
+    | ExtraBytesReceived
     | RequestAbandoned
     | WorkerStarted
     | WorkerEnded
@@ -264,7 +264,7 @@
     "Began": RunStarted,
     "Asked": RequestSent,
     "Answered": ResponseReceived,
-    "Surplus": Surplus,
+    "Surplus": ExtraBytesReceived,
     "Left": RequestAbandoned,
     "Born": WorkerStarted,
     "Died": WorkerEnded,
--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -9,6 +9,7 @@
     AttemptReceived,
     AttemptRejected,
     DatagramHandled,
+    ExtraBytesReceived,
     GatewayEvent,
     LoopLag,
     RequestAbandoned,
@@ -17,7 +18,6 @@
     RunEnded,
     RunStarted,
     StatusSent,
-    Surplus,
     WorkerEnded,
     WorkerStarted,
     type_name,
@@ -148,7 +148,7 @@
 
 
 def test_a_second_answer_and_bytes_beyond_the_answer_are_breaches():
-    assert broken(asked(), took(110), *served(200), Surplus(201, "r1")) == {LOST}
+    assert broken(asked(), took(110), *served(200), ExtraBytesReceived(201, "r1")) == {LOST}
     assert broken(asked(), took(110), *served(200), ResponseReceived(210, "r1", 502, -1, "", 0.0)) == {LOST}
     assert broken(ResponseReceived(210, "r9", 502, -1, "", 0.0)) == {LOST}
 
