--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -65,9 +65,9 @@
 }
 DATAGRAM_BYTES = 256  # maximum size of a datagram
 KEEP_MS = 20_000.0  # time after which an ended request is removed; no further records of it can come
-SWEEP_MS = 1000.0
-MOST_BREACHES = 200  # maximum number of breaches stored per rule; further ones are only counted
-MOST_FIRM_STORY = 60  # maximum number of records kept per customer for a breach of its ceiling
+
+MAX_BREACHES_PER_RULE = 200  # maximum number of breaches stored per rule; further ones are only counted
+MAX_CUSTOMER_RECORDS = 60  # maximum number of records kept per customer for a breach of its ceiling
 
 
 @dataclass(slots=True)
@@ -117,15 +117,15 @@
 
 
 @dataclass(slots=True)
-class _Store:
+class _Bucket:
     level: float
     t: float
     lowest: float
-    story: deque[Record] = field(default_factory=lambda: deque(maxlen=MOST_FIRM_STORY))
+    story: deque[Record] = field(default_factory=lambda: deque(maxlen=MAX_CUSTOMER_RECORDS))
 
 
 @dataclass(slots=True)
-class _Life:
+class _WorkerProcess:
     born: WorkerStarted
     # Attempts in the window: time, work in ms, whether the sending gateway knew of the worker's start.
     sent: deque[tuple[float, float, bool]] = field(default_factory=deque)
@@ -139,7 +139,7 @@
     """Audits records, fed in order, against the five rules."""
 
     def __init__(self) -> None:
-        self.most_breaches = MOST_BREACHES
+        self.most_breaches = MAX_BREACHES_PER_RULE
         self.breaches: list[Breach] = []
         self.counts = dict.fromkeys(RULES, 0)  # number of breaches
         self.chances = dict.fromkeys(RULES, 0)  # number of situations in which the rule could be broken
@@ -149,44 +149,44 @@
         self._requests: dict[str, _Request] = {}
         self._by_attempt: dict[int, tuple[_Request, _Attempt]] = {}
         self._ended: deque[tuple[float, str]] = deque()
-        self._told: dict[tuple[str, str], StatusSent] = {}
-        self._had: dict[tuple[str, str], StatusAvailable] = {}
-        self._up_since: dict[str, float] = {}
-        self._lives: dict[str, _Life] = {}
-        self._stores: dict[str, _Store] = {}
-        self._down_since: dict[str, float] = {}  # time at which a gateway that is down was killed
-        self._killed: dict[str, deque[float]] = {}  # times of the last kills of each gateway
-        self._over_since: dict[str, float] = {}  # time at which a gateway that is down ended in any way
+        self._sent_statuses: dict[tuple[str, str], StatusSent] = {}
+        self._available_statuses: dict[tuple[str, str], StatusAvailable] = {}
+        self._started_t: dict[str, float] = {}
+        self._workers: dict[str, _WorkerProcess] = {}
+        self._ceiling_buckets: dict[str, _Bucket] = {}
+        self._killed_t: dict[str, float] = {}  # time at which a gateway that is down was killed
+        self._recent_kills: dict[str, deque[float]] = {}  # times of the last kills of each gateway
+        self._exited_t: dict[str, float] = {}  # time at which a gateway that is down ended in any way
         # Broken connections, audited when it is known whether their gateway was killed.
-        self._broken: list[tuple[float, _Request, RequestAbandoned]] = []
-        self._expected_ends: set[str] = set()
+        self._broken_connections: list[tuple[float, _Request, RequestAbandoned]] = []
+        self._gateways_asked_to_end: set[str] = set()
         self.lag_p99_ms = self.lag_max_ms = 0.0
         self.stalls: list[LoopLag] = []
         self.over = False
-        self._take = {
-            RunStarted: self._began,
-            RequestSent: self._asked,
-            ResponseReceived: self._answered,
-            ExtraBytesReceived: self._surplus,
-            RequestAbandoned: self._left,
-            WorkerStarted: self._born,
-            WorkerEnded: self._died,
-            AttemptReceived: self._took,
-            AttemptRejected: self._turned,
-            AttemptExecuted: self._ran,
-            StatusSent: self._tell,
-            StatusAvailable: self._has,
-            GatewayEvent: self._gate,
-            DatagramHandled: self._passed,
-            LoopLag: self._lag,
-            RunEnded: self._end,
-            AttemptAnswered: self._replied,
+        self._handlers = {
+            RunStarted: self._on_run_started,
+            RequestSent: self._on_request_sent,
+            ResponseReceived: self._on_response,
+            ExtraBytesReceived: self._on_extra_bytes,
+            RequestAbandoned: self._on_request_abandoned,
+            WorkerStarted: self._on_worker_started,
+            WorkerEnded: self._on_worker_ended,
+            AttemptReceived: self._on_attempt_received,
+            AttemptRejected: self._on_attempt_rejected,
+            AttemptExecuted: self._on_attempt_executed,
+            StatusSent: self._on_status_sent,
+            StatusAvailable: self._on_status_available,
+            GatewayEvent: self._on_gateway_event,
+            DatagramHandled: self._on_datagram,
+            LoopLag: self._on_loop_lag,
+            RunEnded: self._on_run_ended,
+            AttemptAnswered: self._on_attempt_answered,
         }
 
     def feed(self, record: Record) -> None:
         """Audit the next record; records after the end of the run are ignored."""
         self.seen += 1
-        take = self._take.get(type(record))
+        take = self._handlers.get(type(record))
         if take is not None and not self.over:
             take(record)  # type: ignore[operator]
 
@@ -206,20 +206,20 @@
 
     # -- the run
 
-    def _began(self, record: RunStarted) -> None:
+    def _on_run_started(self, record: RunStarted) -> None:
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
 
-    def _end(self, record: RunEnded) -> None:
+    def _on_run_ended(self, record: RunEnded) -> None:
         """End the audit; open requests are not audited because their time is not up."""
-        self._settle(record.t, everything=True)
+        self._audit_broken_connections(record.t, everything=True)
         self.lag_p99_ms, self.lag_max_ms = record.lag_p99_ms, record.lag_max_ms
         self.over = True
 
-    def _lag(self, record: LoopLag) -> None:
+    def _on_loop_lag(self, record: LoopLag) -> None:
         self.stalls.append(record)
 
-    def _forget(self, t: float) -> None:
+    def _remove_ended_requests(self, t: float) -> None:
         while self._ended and self._ended[0][0] < t - KEEP_MS:
             _, request_id = self._ended.popleft()
             request = self._requests.pop(request_id, None)
@@ -228,15 +228,15 @@
 
     # -- rule 1: each accepted request gets exactly one final response, in time
 
-    def _asked(self, record: RequestSent) -> None:
+    def _on_request_sent(self, record: RequestSent) -> None:
         request = self._requests.get(record.id)
         if request is not None:  # the client sent it again on a new connection
             request.story.append(record)
             return
-        self._forget(record.t)
+        self._remove_ended_requests(record.t)
         self._requests[record.id] = _Request(record, [record])
         self.chances[LOST] += 1
-        if self._over_since.get(record.gate, record.t) < record.t:
+        if self._exited_t.get(record.gate, record.t) < record.t:
             self.chances[LOST] -= 1  # no process runs that could accept it
 
     def _finish(self, request: _Request, t: float) -> None:
@@ -244,7 +244,7 @@
             request.ended_t = t
             self._ended.append((t, request.asked.id))
 
-    def _answered(self, record: ResponseReceived) -> None:
+    def _on_response(self, record: ResponseReceived) -> None:
         request = self._requests.get(record.id)
         if request is None:
             self._breach(LOST, record.t, record.id, "response to a request that no client sent", [record])
@@ -299,41 +299,43 @@
             if isinstance(record, AttemptAnswered) and record.status == 200 and not record.spoilt
         }
 
-    def _surplus(self, record: ExtraBytesReceived) -> None:
+    def _on_extra_bytes(self, record: ExtraBytesReceived) -> None:
         request = self._requests.get(record.id)
         story = request.story if request is not None else []
         story.append(record)
         self._breach(LOST, record.t, record.id, "received bytes after the end of its response", story)
 
-    def _left(self, record: RequestAbandoned) -> None:
+    def _on_request_abandoned(self, record: RequestAbandoned) -> None:
         request = self._requests.get(record.id)
         if request is None:
             return  # it was never sent, so no gateway accepted it
         request.story.append(record)
         if record.why == "overdue":
-            self._settle_one(request, record, record.t)
+            self._audit_abandoned(request, record, record.t)
         elif record.why == "broken":
-            self._broken.append((record.t, request, record))
-            self._settle(record.t)
+            self._broken_connections.append((record.t, request, record))
+            self._audit_broken_connections(record.t)
         self._finish(request, record.t)
 
-    def _settle(self, t: float, everything: bool = False) -> None:
+    def _audit_broken_connections(self, t: float, everything: bool = False) -> None:
         """Audit broken connections that are old enough to know whether their gateway was killed."""
-        while self._broken and (everything or self._broken[0][0] < t - TOLERANCES["killed_early"]):
-            _, request, record = self._broken.pop(0)
-            self._settle_one(request, record, record.t + TOLERANCES["killed_early"])
+        while self._broken_connections and (
+            everything or self._broken_connections[0][0] < t - TOLERANCES["killed_early"]
+        ):
+            _, request, record = self._broken_connections.pop(0)
+            self._audit_abandoned(request, record, record.t + TOLERANCES["killed_early"])
 
-    def _settle_one(self, request: _Request, record: RequestAbandoned, until_t: float) -> None:
-        if self._over_since.get(request.asked.gate, request.asked.t) < request.asked.t:
+    def _audit_abandoned(self, request: _Request, record: RequestAbandoned, until_t: float) -> None:
+        if self._exited_t.get(request.asked.gate, request.asked.t) < request.asked.t:
             return  # its gateway had ended and never accepted it
-        down = self._down_since.get(request.asked.gate)
+        down = self._killed_t.get(request.asked.gate)
         # Requests open at a killed gateway are not breaches: their clients retry them.
         if down is not None and down <= until_t and (record.why == "broken" or down >= request.asked.t):
             return
         # A new gateway process may start before the client notices the end of the previous one.
         if record.why == "broken" and any(
             request.asked.t <= killed <= record.t <= killed + TOLERANCES["killed_early"]
-            for killed in self._killed.get(request.asked.gate, ())
+            for killed in self._recent_kills.get(request.asked.gate, ())
         ):
             return
         text = (
@@ -345,8 +347,8 @@
 
     # -- rule 2: effects happen once
 
-    def _took(self, record: AttemptReceived) -> None:
-        life = self._lives.get(record.server)
+    def _on_attempt_received(self, record: AttemptReceived) -> None:
+        life = self._workers.get(record.server)
         request = self._requests.get(record.id)
         if request is None:
             self._breach(
@@ -422,13 +424,13 @@
                 timing=True,
             )
 
-    def _turned(self, record: AttemptRejected) -> None:
+    def _on_attempt_rejected(self, record: AttemptRejected) -> None:
         request, attempt = self._by_attempt.get(record.n, (None, None))
         if request is not None and attempt is not None:
             request.story.append(record)
             attempt.turned_t = record.t
 
-    def _ran(self, record: AttemptExecuted) -> None:
+    def _on_attempt_executed(self, record: AttemptExecuted) -> None:
         request, attempt = self._by_attempt.get(record.n, (None, None))
         if request is None or attempt is None:
             return
@@ -446,27 +448,27 @@
                 timing=request.came_late,  # a consequence of a breach that depends on the clock
             )
 
-    def _replied(self, record: AttemptAnswered) -> None:
+    def _on_attempt_answered(self, record: AttemptAnswered) -> None:
         request, _ = self._by_attempt.get(record.n, (None, None))
         if request is not None:
             request.story.append(record)
 
     # -- rule 3: no new attempts go to a worker after its drain grace period
 
-    def _tell(self, record: StatusSent) -> None:
-        self._told[record.gate, record.server] = record
+    def _on_status_sent(self, record: StatusSent) -> None:
+        self._sent_statuses[record.gate, record.server] = record
         if record.status != "ready":
             self.chances[DRAINS] += 1
 
-    def _has(self, record: StatusAvailable) -> None:
-        self._had[record.gate, record.server] = record
+    def _on_status_available(self, record: StatusAvailable) -> None:
+        self._available_statuses[record.gate, record.server] = record
 
     def _check_drain(self, gate: str, record: AttemptReceived, request: _Request) -> None:
-        told = self._told.get((gate, record.server))
-        had = self._had.get((gate, record.server))
+        told = self._sent_statuses.get((gate, record.server))
+        had = self._available_statuses.get((gate, record.server))
         since = math.inf if told is None or told.status == "ready" else told.t
         if had is not None and had.status != "ready" and had.life == record.life:
-            due = max(had.t, self._up_since.get(gate, 0.0)) + TOLERANCES["told_after"]
+            due = max(had.t, self._started_t.get(gate, 0.0)) + TOLERANCES["told_after"]
             if due < since:
                 since, told = due, StatusSent(due, gate, record.server, had.life, had.status)
         if told is None or since == math.inf:
@@ -484,23 +486,23 @@
 
     # -- rule 4: a cold worker is not overloaded
 
-    def _born(self, record: WorkerStarted) -> None:
-        self._lives[record.server] = _Life(record)
+    def _on_worker_started(self, record: WorkerStarted) -> None:
+        self._workers[record.server] = _WorkerProcess(record)
         if record.cold_from < 1:
             self.chances[COLD] += 1
 
-    def _died(self, record: WorkerEnded) -> None:
-        life = self._lives.get(record.server)
+    def _on_worker_ended(self, record: WorkerEnded) -> None:
+        life = self._workers.get(record.server)
         if life is not None and life.born.life == record.life:
             life.story.append(record)
 
-    def _check_cold(self, gate: str, record: AttemptReceived, life: _Life) -> None:
+    def _check_cold(self, gate: str, record: AttemptReceived, life: _WorkerProcess) -> None:
         born, rules = life.born, self._terms["rules"]
         share = born.cold_from + (1 - born.cold_from) * (record.t - born.t) / born.warm_ms
         if share >= 1 or life.broken:
             return
         life.story.append(record)
-        told = self._told.get((gate, record.server))
+        told = self._sent_statuses.get((gate, record.server))
         informed = told is not None and told.life == record.life
         life.sent.append((record.t, record.work_ms, informed))
         life.work += record.work_ms
@@ -531,9 +533,9 @@
         if not terms["ceiling_rate"]:
             return
         self.chances[CEILINGS] += 1
-        store = self._stores.get(asked.firm)
+        store = self._ceiling_buckets.get(asked.firm)
         if store is None:
-            store = self._stores[asked.firm] = _Store(
+            store = self._ceiling_buckets[asked.firm] = _Bucket(
                 terms["ceiling_burst"], record.t, terms["ceiling_burst"]
             )
         gone_s = (record.t - store.t) / 1000
@@ -552,30 +554,30 @@
 
     # -- gateway processes and datagrams
 
-    def _gate(self, record: GatewayEvent) -> None:
+    def _on_gateway_event(self, record: GatewayEvent) -> None:
         if record.what == "started":
-            self._settle(record.t, everything=True)
-            self._up_since[record.gate] = record.t
-            self._down_since.pop(record.gate, None)
-            self._over_since.pop(record.gate, None)
-            self._expected_ends.discard(record.gate)
+            self._audit_broken_connections(record.t, everything=True)
+            self._started_t[record.gate] = record.t
+            self._killed_t.pop(record.gate, None)
+            self._exited_t.pop(record.gate, None)
+            self._gateways_asked_to_end.discard(record.gate)
         elif record.what in ("kill", "term"):
-            self._expected_ends.add(record.gate)
+            self._gateways_asked_to_end.add(record.gate)
             if record.what == "kill":
-                self._down_since[record.gate] = record.t
-                self._killed.setdefault(record.gate, deque(maxlen=8)).append(record.t)
+                self._killed_t[record.gate] = record.t
+                self._recent_kills.setdefault(record.gate, deque(maxlen=8)).append(record.t)
         elif record.what == "exited":
-            self._over_since[record.gate] = record.t
-            expected = record.gate in self._expected_ends
+            self._exited_t[record.gate] = record.t
+            expected = record.gate in self._gateways_asked_to_end
             if not expected or record.code not in (0, -9):
                 self._breach(
                     LOST, record.t, record.gate, f"ended unexpectedly with code {record.code}", [record]
                 )
             elif record.code == -9:
-                self._down_since.setdefault(record.gate, record.t)
-        self._settle(record.t)
+                self._killed_t.setdefault(record.gate, record.t)
+        self._audit_broken_connections(record.t)
 
-    def _passed(self, record: DatagramHandled) -> None:
+    def _on_datagram(self, record: DatagramHandled) -> None:
         if record.size > DATAGRAM_BYTES:
             text = f"sent a datagram of {record.size} bytes, maximum is {DATAGRAM_BYTES}"
             self._breach(LOST, record.t, record.sender, text, [record])
@@ -592,7 +594,7 @@
 
     def nearest(self) -> dict[str, float]:
         """Return the lowest number of units left below its ceiling, for each customer that has one."""
-        return {firm: round(store.lowest, 3) for firm, store in self._stores.items()}
+        return {firm: round(store.lowest, 3) for firm, store in self._ceiling_buckets.items()}
 
     def as_dict(self) -> dict[str, Any]:
         """Return the value of `rules` in report.json."""
--- a/plumpick/rehearsal/commands.py
+++ b/plumpick/rehearsal/commands.py
@@ -28,7 +28,7 @@
 FILES = ("report.json", "history.jsonl", "report.html")
 
 
-def _say(text: str = "") -> None:
+def _print_error(text: str = "") -> None:
     print(text, file=sys.stderr, flush=True)
 
 
@@ -54,9 +54,9 @@
 def _not_started(problem: StartFailed | OSError) -> int:
     """Print why the fleet could not be started and return the exit code."""
     if isinstance(problem, StartFailed):
-        _say(f"plumpick: {problem}")
+        _print_error(f"plumpick: {problem}")
         return EXIT_BROKEN
-    _say(f"plumpick: the fleet could not be started: {problem}")
+    _print_error(f"plumpick: the fleet could not be started: {problem}")
     return EXIT_USAGE
 
 
@@ -148,7 +148,7 @@
         fleet, self.count = self.fleet, self.count + 1
         t = fleet.around.now()
         for at, text in fleet.marks[self.shown :]:
-            _say(f"{CLEAR if self.terminal else ''}  {at / 1000:7.2f} s  {text}")
+            _print_error(f"{CLEAR if self.terminal else ''}  {at / 1000:7.2f} s  {text}")
         self.shown = len(fleet.marks)
         if not self.terminal and self.count % 5:
             return
@@ -161,7 +161,7 @@
         if self.terminal:
             print(f"{CLEAR}{line}", end="", file=sys.stderr, flush=True)
         else:
-            _say(line)
+            _print_error(line)
 
 
 def _folder(given: str) -> Path | None:
@@ -171,7 +171,7 @@
         folder.mkdir(parents=True, exist_ok=True)
         (folder / FILES[1]).open("w", encoding="utf-8").close()
     except OSError as problem:
-        _say(f"plumpick: {given}: no report can be written there: {problem.strerror}")
+        _print_error(f"plumpick: {given}: no report can be written there: {problem.strerror}")
         return None
     return folder
 
@@ -194,7 +194,7 @@
         if given.plant is not None and given.plant not in PLANTS:
             raise ScenarioError(f"--plant: unknown plant {given.plant!r}; available: {', '.join(PLANTS)}")
     except ScenarioError as problem:
-        _say(f"plumpick: {problem}")
+        _print_error(f"plumpick: {problem}")
         return EXIT_USAGE
     scenario = scenario.brief() if given.brief else scenario
     seed = seed_of(given.seed)
@@ -211,7 +211,7 @@
         if folder is not None:
             fleet.recorder.write_to((folder / FILES[1]).open("w", encoding="utf-8"))
         if not given.quiet:
-            _say(
+            _print_error(
                 f"{given.scenario}, seed {seed}{f', planted: {given.plant}' if given.plant else ''}: "
                 f"{scenario.fleet.gatekeepers} gatekeepers, {scenario.fleet.servers} servers, "
                 f"{len(fleet.front.firms)} firms, {scenario.seconds:g} s"
@@ -230,9 +230,9 @@
     print(("\n" if live.terminal else "") + verdict_text(fleet.auditor, fleet.service))
     for problem in [fleet.recorder.problem, *fleet.failed]:
         if problem:
-            _say(f"plumpick: {problem}")
+            _print_error(f"plumpick: {problem}")
     if slow:
-        _say(f"plumpick: the verdict is invalid: {slow}")
+        _print_error(f"plumpick: the verdict is invalid: {slow}")
     if folder is not None:
         terms = scenario.terms(seed, given.plant or "", given.scenario)
         _write_report(folder, report_of(fleet.auditor, fleet.service, terms, code), fleet)
@@ -249,9 +249,9 @@
 
         (folder / FILES[2]).write_text(page_of(folder / FILES[1], report), encoding="utf-8")
     except (OSError, HistoryError) as problem:
-        _say(f"plumpick: the report could not be written: {problem}")
+        _print_error(f"plumpick: the report could not be written: {problem}")
         return
-    _say(f"report written to {folder}")
+    _print_error(f"report written to {folder}")
 
 
 def audit(given: argparse.Namespace) -> int:
@@ -265,23 +265,23 @@
                 auditor.feed(record)
                 service.feed(record)
     except (OSError, UnicodeDecodeError) as problem:
-        _say(f"plumpick: {given.history}: {problem}")
+        _print_error(f"plumpick: {given.history}: {problem}")
         return EXIT_USAGE
     except HistoryError as problem:
-        _say(f"plumpick: {given.history}: {problem}")
+        _print_error(f"plumpick: {given.history}: {problem}")
         return EXIT_USAGE
     if not terms:
-        _say(f"plumpick: {given.history}: the history is empty")
+        _print_error(f"plumpick: {given.history}: the history is empty")
         return EXIT_USAGE
     if not auditor.over:
-        _say("plumpick: the history has no end record; auditing the records up to its last line")
+        _print_error("plumpick: the history has no end record; auditing the records up to its last line")
     code, slow = _exit_code(auditor)
     if given.json:
         print(json.dumps(report_of(auditor, service, terms, code), indent=1))
     else:
         print(verdict_text(auditor, service))
     if slow:
-        _say(f"plumpick: the verdict is invalid: {slow}")
+        _print_error(f"plumpick: the verdict is invalid: {slow}")
     return code
 
 
@@ -290,7 +290,7 @@
     try:
         scenario = load(given.scenario)
     except ScenarioError as problem:
-        _say(f"plumpick: {problem}")
+        _print_error(f"plumpick: {problem}")
         return EXIT_USAGE
     return _loop_run(lambda: _fleet(scenario, given, seed_of(given.seed)))
 
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -16,7 +16,7 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
 
-class _Plug(asyncio.DatagramProtocol):
+class _RelaySocket(asyncio.DatagramProtocol):
     """The relay socket to which `sender` sends its datagrams for `receiver`."""
 
     def __init__(self, relay: Relay, sender: int, receiver: int) -> None:
@@ -40,7 +40,7 @@
         self._around, self._part, self._names, self._record = around, part, names, record
         self._rng = around.chance("datagrams")
         self.ports = [0] * len(names)  # datagram ports of the gateways, set by the supervisor
-        self._plugs: dict[tuple[int, int], _Plug] = {}
+        self._sockets: dict[tuple[int, int], _RelaySocket] = {}
         self._inbox: list[deque[float]] = [deque() for _ in names]
         self.sides: list[set[int]] = []  # sets of gateways that are cut off from all others
         self.deaf: list[tuple[set[int], set[int]]] = []  # (senders, receivers) that are cut one way
@@ -53,50 +53,50 @@
         for sender in range(len(self._names)):
             for receiver in range(len(self._names)):
                 if sender != receiver:
-                    plug = _Plug(self, sender, receiver)
-                    await self._around.loop.create_datagram_endpoint(lambda plug=plug: plug, (HOST, 0))
-                    self._plugs[sender, receiver] = plug
+                    socket = _RelaySocket(self, sender, receiver)
+                    await self._around.loop.create_datagram_endpoint(lambda socket=socket: socket, (HOST, 0))
+                    self._sockets[sender, receiver] = socket
 
     def address(self, sender: int, receiver: int) -> str:
         """Return the host:port to which `sender` sends its datagrams for `receiver`."""
-        return f"{HOST}:{self._plugs[sender, receiver].transport.get_extra_info('sockname')[1]}"
+        return f"{HOST}:{self._sockets[sender, receiver].transport.get_extra_info('sockname')[1]}"
 
-    def carry(self, plug: _Plug, data: bytes) -> None:
-        """Schedule the delivery of a datagram received from `plug.sender`, or drop it."""
-        more_ms = self.hook(plug.sender, plug.receiver, data)
-        if any((plug.sender in side) != (plug.receiver in side) for side in self.sides) or any(
-            plug.sender in some and plug.receiver in others for some, others in self.deaf
+    def carry(self, socket: _RelaySocket, data: bytes) -> None:
+        """Schedule the delivery of a datagram received from `socket.sender`, or drop it."""
+        more_ms = self.hook(socket.sender, socket.receiver, data)
+        if any((socket.sender in side) != (socket.receiver in side) for side in self.sides) or any(
+            socket.sender in some and socket.receiver in others for some, others in self.deaf
         ):
-            self._tell(plug, data, "cut")
+            self._record_fate(socket, data, "cut")
         elif more_ms is None or self._rng.random() < self.loss:
-            self._tell(plug, data, "lost")
+            self._record_fate(socket, data, "lost")
         else:
             for _ in range(1 + (self.twice > 0 and self._rng.random() < self.twice)):
-                self._around.later(more_ms + self._rng.uniform(*self.delay_ms), self._deliver, plug, data)
+                self._around.later(more_ms + self._rng.uniform(*self.delay_ms), self._deliver, socket, data)
 
     def again(self, sender: int, receiver: int, data: bytes) -> None:
         """Deliver an earlier datagram once more, without delay."""
-        self._deliver(self._plugs[sender, receiver], data)
+        self._deliver(self._sockets[sender, receiver], data)
 
-    def _deliver(self, plug: _Plug, data: bytes) -> None:
-        t, inbox = self._around.now(), self._inbox[plug.receiver]
+    def _deliver(self, socket: _RelaySocket, data: bytes) -> None:
+        t, inbox = self._around.now(), self._inbox[socket.receiver]
         while inbox and inbox[0] <= t - 1000:
             inbox.popleft()
-        back = self._plugs[plug.receiver, plug.sender]
+        back = self._sockets[socket.receiver, socket.sender]
         if len(inbox) >= self._part.inbox_per_s:
-            self._tell(plug, data, "crowded out")
+            self._record_fate(socket, data, "crowded out")
         elif not back.transport.is_closing():
             inbox.append(t)
-            self._tell(plug, data, "delivered")
-            back.transport.sendto(data, (HOST, self.ports[plug.receiver]))
+            self._record_fate(socket, data, "delivered")
+            back.transport.sendto(data, (HOST, self.ports[socket.receiver]))
 
-    def _tell(self, plug: _Plug, data: bytes, fate: str) -> None:
+    def _record_fate(self, socket: _RelaySocket, data: bytes, fate: str) -> None:
         self._record(
             DatagramHandled(
-                self._around.now(), self._names[plug.sender], self._names[plug.receiver], len(data), fate
+                self._around.now(), self._names[socket.sender], self._names[socket.receiver], len(data), fate
             )
         )
 
     def close(self) -> None:
-        for plug in self._plugs.values():
-            plug.transport.close()
+        for socket in self._sockets.values():
+            socket.transport.close()
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -145,7 +145,7 @@
     return _svg(figure)
 
 
-def _waits(series: _Series) -> str:
+def _response_times(series: _Series) -> str:
     figure, axes = _figure("Time from the first try to the response, and target time of each class", 3.4)
     for color, kind in zip(PALETTE, series.terms["classes"], strict=False):
         points = series.waits.get(kind["name"], [])
@@ -296,7 +296,7 @@
         _by_second(
             series, list(series.terms["quotas"]), series.service.by_second_plan, "Service of each plan"
         ),
-        _waits(series),
+        _response_times(series),
         _servers(series),
         _quotas(series),
     ]
--- a/plumpick/rehearsal/scenario.py
+++ b/plumpick/rehearsal/scenario.py
@@ -301,7 +301,7 @@
     ]
 
 
-def _plans() -> list[PlanPart]:
+def default_plans() -> list[PlanPart]:
     return [
         PlanPart(name="basico", share=0.41, rate_per_s=[0.6, 1.0], burst_s=[3.4, 5.4], value=0.88),
         PlanPart(
@@ -329,7 +329,7 @@
     classes: Annotated[list[ClassPart], Meta(min_length=1, max_length=15)] = field(
         default_factory=default_classes
     )
-    plans: Annotated[list[PlanPart], Meta(min_length=1, max_length=15)] = field(default_factory=_plans)
+    plans: Annotated[list[PlanPart], Meta(min_length=1, max_length=15)] = field(default_factory=default_plans)
     events: list[AnyEvent] = []
 
     def terms(self, seed: int, plant: str, name: str) -> dict[str, Any]:
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True)
-class _Op:
+class _Operation:
     t: float
     worth: float
     plan: str
@@ -79,7 +79,7 @@
         self._kinds: dict[str, dict[str, Any]] = {}
         self._quotas: dict[str, dict[str, float]] = {}
         self._halls: dict[str, str] = {}
-        self._ops: dict[int, _Op] = {}
+        self._ops: dict[int, _Operation] = {}
         self._tries: dict[str, tuple[RequestSent, int]] = {}
         self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
         self._first: dict[str, _Bucket] = {}
@@ -97,40 +97,40 @@
         self.peer_bytes = self.crossings = self.attempts = self.tries = self.first_tries = self.sent_on = 0
         self.over_units = self.sent_units = 0.0
         self.end_t = 0.0
-        self._swept = 0.0
+        self._last_removal_t = 0.0
         self._useful: dict[int, float] = {}
-        self._take = {
-            RunStarted: self._began,
-            RequestSent: self._asked,
-            ResponseReceived: self._answered,
-            AttemptReceived: self._took_it,
-            AttemptAnswered: self._replied,
-            WorkWasted: self._wasted,
-            DatagramHandled: self._passed,
-            RunEnded: self._end,
-            RequestAbandoned: self._left,
-            WorkerStarted: self._born,
+        self._handlers = {
+            RunStarted: self._on_run_started,
+            RequestSent: self._on_request_sent,
+            ResponseReceived: self._on_response,
+            AttemptReceived: self._on_attempt_received,
+            AttemptAnswered: self._on_attempt_answered,
+            WorkWasted: self._on_work_wasted,
+            DatagramHandled: self._on_datagram,
+            RunEnded: self._on_run_ended,
+            RequestAbandoned: self._on_request_abandoned,
+            WorkerStarted: self._on_worker_started,
         }
 
     def feed(self, record: Record) -> None:
         """Count the next record; records after the end of the run are ignored."""
-        take = self._take.get(type(record))
+        take = self._handlers.get(type(record))
         if take is not None and not self.end_t:
             take(record)  # type: ignore[operator]
 
-    def _began(self, record: RunStarted) -> None:
+    def _on_run_started(self, record: RunStarted) -> None:
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
         self._quotas = record.terms["quotas"]
         self._halls = record.terms["halls"]
 
-    def _born(self, record: WorkerStarted) -> None:
+    def _on_worker_started(self, record: WorkerStarted) -> None:
         self._server_hall[record.server] = record.hall
 
-    def _end(self, record: RunEnded) -> None:
+    def _on_run_ended(self, record: RunEnded) -> None:
         self.end_t = record.t
 
-    def _tallies(self, op: _Op) -> tuple[Tally, ...]:
+    def _tallies(self, op: _Operation) -> tuple[Tally, ...]:
         second = int(op.t // 1000)
         return (
             self.total,
@@ -141,17 +141,17 @@
             self.by_second_plan[second, op.plan],
         )
 
-    def _asked(self, record: RequestSent) -> None:
+    def _on_request_sent(self, record: RequestSent) -> None:
         if record.id in self._tries:
             return
-        self._sweep(record.t)
+        self._remove_old(record.t)
         self.tries += 1
         op = self._ops.get(record.op)
         if op is None:
             quota, kind = self._quotas[record.plan], self._kinds[record.kind]
             bucket = self._first.setdefault(record.firm, _Bucket(quota["burst"], record.t))
             inside = bucket.take(record.t, quota["rate"], quota["burst"], record.units)
-            op = self._ops[record.op] = _Op(
+            op = self._ops[record.op] = _Operation(
                 record.t, kind["worth"] * quota["value"] * record.units, record.plan, record.kind, inside
             )
             self.first_tries += 1
@@ -161,7 +161,7 @@
                 tally.offered += op.worth * inside
         self._tries[record.id] = (record, record.op)
 
-    def _took_it(self, record: AttemptReceived) -> None:
+    def _on_attempt_received(self, record: AttemptReceived) -> None:
         self.attempts += 1
         asked, _ = self._tries.get(record.id, (None, 0))
         if asked is None:
@@ -179,7 +179,7 @@
                 self.over_units += asked.units
                 self.over_cost += quota["over_cost"] * kind["worth"] * quota["value"] * asked.units
 
-    def _answered(self, record: ResponseReceived) -> None:
+    def _on_response(self, record: ResponseReceived) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
@@ -190,7 +190,7 @@
             if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
                 for tally in tallies:
                     tally.late += 1
-                self._late(op)
+                self._count_late_failure(op)
             elif not op.served:
                 op.served = True
                 for tally in tallies:
@@ -202,9 +202,9 @@
             for tally in tallies:
                 tally.failed += 1
             if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
-                self._late(op)
+                self._count_late_failure(op)
 
-    def _left(self, record: RequestAbandoned) -> None:
+    def _on_request_abandoned(self, record: RequestAbandoned) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
@@ -212,31 +212,31 @@
         for tally in self._tallies(op):
             tally.failed += 1
         if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
-            self._late(op)
+            self._count_late_failure(op)
 
-    def _late(self, op: _Op) -> None:
+    def _count_late_failure(self, op: _Operation) -> None:
         """Count the worth of an operation that failed only after the target time of its class, once."""
         if op.inside and not op.served and not op.ended_t:
             op.ended_t = op.t + self._kinds[op.kind]["aim_ms"]
             self.late_worth += op.worth
 
-    def _replied(self, record: AttemptAnswered) -> None:
+    def _on_attempt_answered(self, record: AttemptAnswered) -> None:
         self.worked_ms += record.worked_ms
         if record.status == 200 and not record.spoilt:
             self._useful[record.n] = record.worked_ms
 
-    def _wasted(self, record: WorkWasted) -> None:
+    def _on_work_wasted(self, record: WorkWasted) -> None:
         self.worked_ms += record.worked_ms
 
-    def _passed(self, record: DatagramHandled) -> None:
+    def _on_datagram(self, record: DatagramHandled) -> None:
         if record.fate == "delivered":
             self.peer_bytes += record.size
 
-    def _sweep(self, t: float) -> None:
+    def _remove_old(self, t: float) -> None:
         """Remove operations and tries that are older than KEEP_MS."""
-        if t - self._swept < KEEP_MS:
+        if t - self._last_removal_t < KEEP_MS:
             return
-        self._swept = t
+        self._last_removal_t = t
         self._ops = {number: op for number, op in self._ops.items() if op.t > t - KEEP_MS}
         self._tries = {name: pair for name, pair in self._tries.items() if pair[0].t > t - KEEP_MS}
         self._inside = {name: inside for name, inside in self._inside.items() if name in self._tries}
