--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -330,8 +330,8 @@
 class Recorder:
     """Passes each record synchronously to all listeners and writes it to the history file, if there is one.
 
-    Records after RunEnded are dropped: the shutdown of the fleet is not part of the history. On the first write
-    error the file is closed and `problem` is set; the listeners still receive all records.
+    Records after RunEnded are dropped: the shutdown of the fleet is not part of the history. On the first
+    write error the file is closed and `problem` is set; the listeners still receive all records.
     """
 
     def __init__(self) -> None:
