--- a/tests/rehearsal/test_auditor.py
+++ b/tests/rehearsal/test_auditor.py
@@ -1,4 +1,4 @@
-"""The auditor on records made by hand: for each rule one step inside its bound, and one outside."""
+"""Tests of the auditor on hand-made records: for each rule, values just inside and just outside its limit."""
 
 import pytest
 
@@ -44,17 +44,17 @@
         "over_cost": 0.6,
     },
 }
-HAIR = 0.01  # ms
+EPSILON_MS = 0.01  # ms
 
 
-def began():
+def run_started():
     return RunStarted(0.0, Scenario().terms(1, "", "made by hand") | {"quotas": QUOTAS})
 
 
-def judge(*records, over=True):
-    """The auditor after these records, with servers a1 and a2 in one hall and b1 in another."""
+def audited(*records, over=True):
+    """Return an auditor fed with these records; workers a1 and a2 are in one zone, b1 is in another."""
     auditor = Auditor()
-    auditor.feed(began())
+    auditor.feed(run_started())
     for name, hall in (("a1", "hall-a"), ("a2", "hall-a"), ("b1", "hall-b")):
         auditor.feed(WorkerStarted(0.0, name, 1, hall, 2.0, 1.0, 9000.0))
     for record in records:
@@ -64,11 +64,11 @@
     return auditor
 
 
-def broken(*records, **more):
-    return {rule for rule, count in judge(*records, **more).counts.items() if count}
+def broken_rules(*records, **more):
+    return {rule for rule, count in audited(*records, **more).counts.items() if count}
 
 
-def asked(
+def request_sent(
     t=100.0, name="r1", kind="hours-debit", wait=1000.0, plan="basico", firm="f1", gate="n0", op=1, turn=0
 ):
     return RequestSent(
@@ -76,7 +76,7 @@
     )
 
 
-def took(t, n=1, name="r1", server="a1", kind="hours-debit", first=None, life=1, work=225.0):
+def attempt_received(t, n=1, name="r1", server="a1", kind="hours-debit", first=None, life=1, work=225.0):
     return AttemptReceived(t, n, name, server, life, t if first is None else first, kind, work)
 
 
@@ -88,11 +88,11 @@
     ]
 
 
-# -- no request is lost
+# -- rule 1: each accepted request gets one final response
 
 
-def test_an_ordinary_request_breaks_nothing_and_counts_as_a_chance():
-    auditor = judge(asked(), took(110), *served(200))
+def test_normal_request_breaks_no_rule_and_counts_as_a_chance():
+    auditor = audited(request_sent(), attempt_received(110), *served(200))
     assert not any(auditor.counts.values())
     assert auditor.verdicts() == {
         LOST: "held",
@@ -103,219 +103,269 @@
     }
 
 
-@pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {LOST})])
-def test_an_answer_may_be_so_late(late, verdict):
+@pytest.mark.parametrize(("late", "verdict"), [(-EPSILON_MS, set()), (EPSILON_MS, {LOST})])
+def test_response_is_a_breach_only_beyond_the_late_answer_tolerance(late, verdict):
     t = 100 + 1000 + TOLERANCES["answer_late"] + late
-    assert broken(asked(), took(110), *served(t)) == verdict
+    assert broken_rules(request_sent(), attempt_received(110), *served(t)) == verdict
 
 
-def test_no_answer_is_a_breach_unless_the_client_went_by_itself_or_the_run_ended():
-    assert broken(asked(), RequestAbandoned(1170, "r1", "overdue")) == {LOST}
-    assert broken(asked(), RequestAbandoned(300, "r1", "broken")) == {LOST}
-    assert broken(asked(), RequestAbandoned(300, "r1", "went")) == set()
-    assert broken(asked(), took(120), AttemptExecuted(150, 1, False)) == set()  # open at the end
-    assert broken(RequestAbandoned(300, "never sent", "unreachable")) == set()
+def test_missing_response_is_a_breach_unless_client_closed_or_run_ended():
+    assert broken_rules(request_sent(), RequestAbandoned(1170, "r1", "overdue")) == {LOST}
+    assert broken_rules(request_sent(), RequestAbandoned(300, "r1", "broken")) == {LOST}
+    assert broken_rules(request_sent(), RequestAbandoned(300, "r1", "went")) == set()
+    assert (
+        broken_rules(request_sent(), attempt_received(120), AttemptExecuted(150, 1, False)) == set()
+    )  # still open at the end of the run
+    assert broken_rules(RequestAbandoned(300, "never sent", "unreachable")) == set()
 
 
-def test_what_a_killed_gatekeeper_held_is_the_clients_to_try_again():
+def test_requests_open_at_a_killed_gateway_are_no_breach():
     kill, gone = GatewayEvent(300, "n0", "kill", 0), GatewayEvent(320, "n0", "exited", -9)
-    assert broken(asked(), kill, RequestAbandoned(310, "r1", "broken"), gone) == set()
+    assert broken_rules(request_sent(), kill, RequestAbandoned(310, "r1", "broken"), gone) == set()
     assert (
-        broken(asked(), RequestAbandoned(299, "r1", "broken"), kill, gone) == set()
-    )  # noted a moment before
-    assert broken(asked(), kill, gone, RequestAbandoned(1170, "r1", "overdue")) == set()
-    assert broken(asked(gate="n1"), kill, gone, RequestAbandoned(310, "r1", "broken")) == {
+        broken_rules(request_sent(), RequestAbandoned(299, "r1", "broken"), kill, gone) == set()
+    )  # recorded just before the kill
+    assert broken_rules(request_sent(), kill, gone, RequestAbandoned(1170, "r1", "overdue")) == set()
+    assert broken_rules(request_sent(gate="n1"), kill, gone, RequestAbandoned(310, "r1", "broken")) == {
         LOST
-    }  # another one held it
+    }  # open at another gateway
     early = 300 - TOLERANCES["killed_early"]
-    assert broken(asked(t=20), RequestAbandoned(early - HAIR, "r1", "broken"), kill, gone) == {LOST}
+    assert broken_rules(
+        request_sent(t=20), RequestAbandoned(early - EPSILON_MS, "r1", "broken"), kill, gone
+    ) == {LOST}
     back = [GatewayEvent(500, "n0", "started", 0), GatewayEvent(600, "n0", "ready", 0)]
-    assert broken(kill, gone, *back, asked(t=700), RequestAbandoned(900, "r1", "broken")) == {LOST}
+    assert broken_rules(kill, gone, *back, request_sent(t=700), RequestAbandoned(900, "r1", "broken")) == {
+        LOST
+    }
 
 
-def test_a_request_to_a_gatekeeper_that_has_ended_was_never_taken():
+def test_request_sent_to_an_ended_gateway_is_no_breach():
     gone = [GatewayEvent(50, "n0", "term", 0), GatewayEvent(90, "n0", "exited", 0)]
-    assert broken(*gone, asked(t=100), RequestAbandoned(110, "r1", "broken")) == set()
-    assert broken(
-        asked(t=80), *gone[:1], GatewayEvent(90, "n0", "exited", 0), RequestAbandoned(95, "r1", "broken")
+    assert broken_rules(*gone, request_sent(t=100), RequestAbandoned(110, "r1", "broken")) == set()
+    assert broken_rules(
+        request_sent(t=80),
+        *gone[:1],
+        GatewayEvent(90, "n0", "exited", 0),
+        RequestAbandoned(95, "r1", "broken"),
     ) == {LOST}
 
 
-def test_a_gatekeeper_that_ends_by_itself_or_with_an_error_has_crashed():
-    assert broken(GatewayEvent(50, "n0", "exited", 0)) == {LOST}
-    assert broken(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 1)) == {LOST}
-    assert broken(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 0)) == set()
+def test_gateway_exit_without_signal_or_with_error_code_is_a_breach():
+    assert broken_rules(GatewayEvent(50, "n0", "exited", 0)) == {LOST}
+    assert broken_rules(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 1)) == {LOST}
+    assert broken_rules(GatewayEvent(40, "n0", "term", 0), GatewayEvent(50, "n0", "exited", 0)) == set()
 
 
-def test_a_second_answer_and_bytes_beyond_the_answer_are_breaches():
-    assert broken(asked(), took(110), *served(200), ExtraBytesReceived(201, "r1")) == {LOST}
-    assert broken(asked(), took(110), *served(200), ResponseReceived(210, "r1", 502, -1, "", 0.0)) == {LOST}
-    assert broken(ResponseReceived(210, "r9", 502, -1, "", 0.0)) == {LOST}
+def test_second_response_and_extra_bytes_are_breaches():
+    assert broken_rules(
+        request_sent(), attempt_received(110), *served(200), ExtraBytesReceived(201, "r1")
+    ) == {LOST}
+    assert broken_rules(
+        request_sent(), attempt_received(110), *served(200), ResponseReceived(210, "r1", 502, -1, "", 0.0)
+    ) == {LOST}
+    assert broken_rules(ResponseReceived(210, "r9", 502, -1, "", 0.0)) == {LOST}
 
 
-def test_only_the_body_that_a_server_made_for_the_request_serves_it():
-    other = [asked(name="r2", op=2), took(120, 2, "r2")]
-    assert broken(
-        asked(),
-        took(110),
+def test_200_with_a_body_not_made_for_the_request_is_a_breach():
+    other = [request_sent(name="r2", op=2), attempt_received(120, 2, "r2")]
+    assert broken_rules(
+        request_sent(),
+        attempt_received(110),
         *other,
         AttemptExecuted(150, 2, False),
         AttemptAnswered(150, 2, 200, False, 9.0),
         ResponseReceived(200, "r1", 200, 2, "r2", 0.0),
     ) == {LOST}
-    assert broken(
-        asked(), took(110), AttemptExecuted(150, 1, False), ResponseReceived(200, "r1", 200, 1, "r1", 0.0)
+    assert broken_rules(
+        request_sent(),
+        attempt_received(110),
+        AttemptExecuted(150, 1, False),
+        ResponseReceived(200, "r1", 200, 1, "r1", 0.0),
     ) == {LOST}
-    assert broken(
-        asked(),
-        took(110),
+    assert broken_rules(
+        request_sent(),
+        attempt_received(110),
         AttemptExecuted(150, 1, False),
         AttemptAnswered(150, 1, 200, True, 9.0),
         ResponseReceived(200, "r1", 200, 1, "r1", 0.0),
-    ) == {LOST}  # a spoilt answer is none
+    ) == {LOST}  # a corrupted answer does not count
 
 
-@pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {LOST})])
-def test_nothing_is_sent_for_a_request_after_its_end(late, verdict):
+@pytest.mark.parametrize(("late", "verdict"), [(-EPSILON_MS, set()), (EPSILON_MS, {LOST})])
+def test_attempt_after_the_end_of_its_request_is_a_breach(late, verdict):
     first = 200 + TOLERANCES["send_after_end"] + late
     assert (
-        broken(
-            asked(kind="seat-check"),
-            took(110, kind="seat-check"),
+        broken_rules(
+            request_sent(kind="seat-check"),
+            attempt_received(110, kind="seat-check"),
             *served(200),
-            took(first + 5, 2, kind="seat-check", first=first),
+            attempt_received(first + 5, 2, kind="seat-check", first=first),
         )
         == verdict
     )
 
 
-def test_a_server_that_gets_what_no_client_sent_is_told():
-    assert broken(took(110, name="nobody's")) == {LOST}
+def test_attempt_for_a_request_that_no_client_sent_is_a_breach():
+    assert broken_rules(attempt_received(110, name="nobody's")) == {LOST}
 
 
-def test_a_datagram_of_more_than_256_bytes():
-    assert broken(DatagramHandled(10, "n0", "n1", 256, "delivered")) == set()
-    assert broken(DatagramHandled(10, "n0", "n1", 257, "delivered")) == {LOST}
+def test_datagram_of_more_than_256_bytes_is_a_breach():
+    assert broken_rules(DatagramHandled(10, "n0", "n1", 256, "delivered")) == set()
+    assert broken_rules(DatagramHandled(10, "n0", "n1", 257, "delivered")) == {LOST}
 
 
-# -- effects happen once
+# -- rule 2: effects happen at most once
 
 
-def test_an_unsafe_request_goes_out_again_only_if_it_surely_never_ran():
-    sent = [asked(), took(110, 1, server="a1")]
-    assert broken(*sent, AttemptRejected(120, 1), took(130, 2, server="b1")) == set()
-    assert broken(*sent, took(130, 2, server="b1")) == {EFFECTS}
-    assert broken(*sent, AttemptAnswered(120, 1, 500, False, 9.0), took(130, 2, server="b1")) == {EFFECTS}
-    # Turned away only once the other was on its way.
-    assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125 - HAIR)) == {EFFECTS}
-    assert broken(*sent, AttemptRejected(125, 1), took(130, 2, server="b1", first=125)) == set()
+def test_unsafe_request_may_be_retried_only_after_its_attempt_was_rejected():
+    sent = [request_sent(), attempt_received(110, 1, server="a1")]
+    assert broken_rules(*sent, AttemptRejected(120, 1), attempt_received(130, 2, server="b1")) == set()
+    assert broken_rules(*sent, attempt_received(130, 2, server="b1")) == {EFFECTS}
+    assert broken_rules(
+        *sent, AttemptAnswered(120, 1, 500, False, 9.0), attempt_received(130, 2, server="b1")
+    ) == {EFFECTS}
+    # The first attempt was rejected only after the second was sent.
+    assert broken_rules(
+        *sent, AttemptRejected(125, 1), attempt_received(130, 2, server="b1", first=125 - EPSILON_MS)
+    ) == {EFFECTS}
+    assert (
+        broken_rules(*sent, AttemptRejected(125, 1), attempt_received(130, 2, server="b1", first=125))
+        == set()
+    )
 
 
-def test_two_effects_of_one_request_are_a_breach_and_a_dropped_repeat_is_not():
+def test_second_effect_is_a_breach_and_dropped_repeat_is_not():
     sent = [
-        asked(kind="seat-checkout"),
-        took(110, 1, kind="seat-checkout"),
-        took(300, 2, server="a2", kind="seat-checkout"),
+        request_sent(kind="seat-checkout"),
+        attempt_received(110, 1, kind="seat-checkout"),
+        attempt_received(300, 2, server="a2", kind="seat-checkout"),
+    ]
+    assert broken_rules(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, True)) == set()
+    assert broken_rules(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == {EFFECTS}
+    safe = [
+        request_sent(kind="seat-check"),
+        attempt_received(110, 1, kind="seat-check"),
+        attempt_received(300, 2, "r1", "b1", "seat-check"),
     ]
-    assert broken(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, True)) == set()
-    assert broken(*sent, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == {EFFECTS}
-    safe = [asked(kind="seat-check"), took(110, 1, kind="seat-check"), took(300, 2, "r1", "b1", "seat-check")]
-    assert broken(*safe, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == set()
+    assert broken_rules(*safe, AttemptExecuted(400, 1, False), AttemptExecuted(420, 2, False)) == set()
 
 
-def test_a_keyed_request_stays_in_its_hall_while_it_may_have_run():
-    sent = [asked(kind="seat-checkout"), took(110, 1, kind="seat-checkout")]
-    assert broken(*sent, took(300, 2, server="a2", kind="seat-checkout")) == set()
-    assert broken(*sent, took(300, 2, server="b1", kind="seat-checkout")) == {EFFECTS}
-    assert broken(*sent, AttemptRejected(150, 1), took(300, 2, server="b1", kind="seat-checkout")) == set()
+def test_keyed_request_that_may_have_run_must_stay_in_its_zone():
+    sent = [request_sent(kind="seat-checkout"), attempt_received(110, 1, kind="seat-checkout")]
+    assert broken_rules(*sent, attempt_received(300, 2, server="a2", kind="seat-checkout")) == set()
+    assert broken_rules(*sent, attempt_received(300, 2, server="b1", kind="seat-checkout")) == {EFFECTS}
+    assert (
+        broken_rules(
+            *sent, AttemptRejected(150, 1), attempt_received(300, 2, server="b1", kind="seat-checkout")
+        )
+        == set()
+    )
 
 
-@pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {EFFECTS})])
-def test_a_keyed_request_goes_out_again_only_while_its_hall_remembers(late, verdict):
+@pytest.mark.parametrize(("late", "verdict"), [(-EPSILON_MS, set()), (EPSILON_MS, {EFFECTS})])
+def test_keyed_retry_after_the_deduplication_window_is_a_breach(late, verdict):
     again = 110 + 15_000 + TOLERANCES["key_window"] + late
     assert (
-        broken(
-            asked(kind="seat-checkout", wait=30_000.0),
-            took(110, 1, kind="seat-checkout"),
-            took(again, 2, server="a2", kind="seat-checkout"),
+        broken_rules(
+            request_sent(kind="seat-checkout", wait=30_000.0),
+            attempt_received(110, 1, kind="seat-checkout"),
+            attempt_received(again, 2, server="a2", kind="seat-checkout"),
         )
         == verdict
     )
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_a_refusal_promises_that_nothing_ran(status):
+def test_rejection_is_a_breach_if_an_attempt_may_have_run(status):
     refusal = ResponseReceived(200, "r1", status, -1, "", 250.0)
-    assert broken(asked(), refusal) == set()
-    assert broken(asked(), took(110), AttemptRejected(120, 1), refusal) == set()
-    assert broken(asked(), took(110), refusal) == {EFFECTS}
-    assert broken(asked(), took(110), ResponseReceived(200, "r1", 502, -1, "", 0.0)) == set()
-    assert broken(asked(kind="seat-check"), took(110, kind="seat-check"), refusal) == set()
-    assert EFFECTS in broken(asked(), refusal, took(210, first=205))  # on its way after the promise
+    assert broken_rules(request_sent(), refusal) == set()
+    assert broken_rules(request_sent(), attempt_received(110), AttemptRejected(120, 1), refusal) == set()
+    assert broken_rules(request_sent(), attempt_received(110), refusal) == {EFFECTS}
+    assert (
+        broken_rules(request_sent(), attempt_received(110), ResponseReceived(200, "r1", 502, -1, "", 0.0))
+        == set()
+    )
+    assert (
+        broken_rules(request_sent(kind="seat-check"), attempt_received(110, kind="seat-check"), refusal)
+        == set()
+    )
+    assert EFFECTS in broken_rules(
+        request_sent(), refusal, attempt_received(210, first=205)
+    )  # sent after the rejection
 
 
-# -- drains are kept
+# -- rule 3: no new attempts after the drain grace period
 
 
 @pytest.mark.parametrize("status", ["draining", "gone"])
-@pytest.mark.parametrize(("late", "verdict"), [(-HAIR, set()), (HAIR, {DRAINS})])
-def test_new_work_stops_a_grace_after_the_word(status, late, verdict):
+@pytest.mark.parametrize(("late", "verdict"), [(-EPSILON_MS, set()), (EPSILON_MS, {DRAINS})])
+def test_attempt_after_the_drain_grace_period_is_a_breach(status, late, verdict):
     first = 500 + 1000 + TOLERANCES["drain_late"] + late
     told = StatusSent(500, "n0", "a1", 1, status)
-    assert broken(told, asked(t=1400), took(first + 300, first=first)) == verdict
+    assert broken_rules(told, request_sent(t=1400), attempt_received(first + 300, first=first)) == verdict
 
 
-def test_each_gatekeeper_is_judged_by_its_own_word_and_the_latest():
+def test_drain_is_audited_by_the_latest_status_sent_to_each_gateway():
     told = StatusSent(500, "n1", "a1", 1, "gone")
-    assert broken(told, asked(t=4000, gate="n0"), took(4010)) == set()
-    assert broken(told, asked(t=4000, gate="n1"), took(4010)) == {DRAINS}
+    assert broken_rules(told, request_sent(t=4000, gate="n0"), attempt_received(4010)) == set()
+    assert broken_rules(told, request_sent(t=4000, gate="n1"), attempt_received(4010)) == {DRAINS}
     assert (
-        broken(told, StatusSent(3000, "n1", "a1", 2, "ready"), asked(t=4000, gate="n1"), took(4010)) == set()
+        broken_rules(
+            told,
+            StatusSent(3000, "n1", "a1", 2, "ready"),
+            request_sent(t=4000, gate="n1"),
+            attempt_received(4010),
+        )
+        == set()
     )
 
 
-# -- a cold server is not pushed over
+# -- rule 4: cold workers are not overloaded
 
 
 def cold_run(works, informed=3, step=1.0):
-    """Work sent to a server of 2 ms a ms that is born at 1000 with a quarter of it; by four gatekeepers."""
+    """Return the broken rules after four gateways sent attempts with this work (ms) to a cold worker.
+
+    The worker has a capacity of 2 ms of work per ms and starts at 1000 ms with a quarter of it. The first
+    `informed` gateways know of its start; attempts are `step` ms apart.
+    """
     records = [WorkerStarted(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9)]
     records += [StatusSent(1001, f"n{gate}", "c1", 1, "ready") for gate in range(informed)]
     for number, work in enumerate(works):
         t, gate, name = 1100 + number * step, f"n{number % 4}", f"r{number}"
         records += [
-            asked(t=t - 1, name=name, kind="seat-check", gate=gate, op=number),
-            took(t, number + 1, name, "c1", "seat-check", work=work),
+            request_sent(t=t - 1, name=name, kind="seat-check", gate=gate, op=number),
+            attempt_received(t, number + 1, name, "c1", "seat-check", work=work),
         ]
-    return broken(*records)
+    return broken_rules(*records)
 
 
-def test_a_cold_servers_budget_within_a_hair():
+def test_work_just_above_the_budget_of_a_cold_worker_is_a_breach():
     budget = 2.5 * 2.0 * 0.25 * 1000 + TOLERANCES["cold_requests"] * 225
     assert cold_run([budget / 8 - 0.01] * 8) == set()
     assert cold_run([budget / 8 + 0.01] * 8) == {COLD}
 
 
-def test_the_budget_is_for_each_window_of_a_second_over_all_gatekeepers():
+def test_cold_budget_applies_to_each_one_second_window_over_all_gateways():
     budget = 2.5 * 2.0 * 0.25 * 1000 + 225
-    assert cold_run([budget / 8 + 0.01] * 8, step=143) == set()  # the first is out of it by then
+    assert cold_run([budget / 8 + 0.01] * 8, step=143) == set()  # the first is outside the window of the last
     assert cold_run([budget / 9 + 0.01] * 9, step=125.1) == set()
     assert cold_run([budget / 4] * 9, step=125.1) == {COLD}
 
 
-def test_those_that_had_no_word_of_its_start_are_not_to_blame():
+def test_cold_worker_overload_is_no_breach_if_too_few_gateways_knew_of_its_start():
     assert cold_run([400.0] * 8, informed=3) == {COLD}  # three quarters of the work
     assert cold_run([400.0] * 5, informed=3) == {COLD}
     assert cold_run([400.0] * 5, informed=2) == set()  # three fifths
 
 
-def test_a_warm_server_bears_what_it_is_sent():
-    work = [asked(t=1000 + n, name=f"r{n}", kind="seat-check", op=n) for n in range(40)]
-    work += [took(1100 + n, n + 1, f"r{n}", "a1", "seat-check", work=900.0) for n in range(40)]
-    assert broken(*work) == set()
+def test_warm_worker_has_no_budget():
+    work = [request_sent(t=1000 + n, name=f"r{n}", kind="seat-check", op=n) for n in range(40)]
+    work += [attempt_received(1100 + n, n + 1, f"r{n}", "a1", "seat-check", work=900.0) for n in range(40)]
+    assert broken_rules(*work) == set()
 
 
-# -- ceilings are kept
+# -- rule 5: ceilings
 
 
 def ceiling_run(count, gap, plan="amplio"):
@@ -323,26 +373,28 @@
     for number in range(count):
         t, name = 1000 + number * gap, f"r{number}"
         records += [
-            asked(t=t - 0.5, name=name, kind="seat-check", plan=plan, gate=f"n{number % 3}", op=number),
-            took(t, number + 1, name, kind="seat-check"),
+            request_sent(
+                t=t - 0.5, name=name, kind="seat-check", plan=plan, gate=f"n{number % 3}", op=number
+            ),
+            attempt_received(t, number + 1, name, kind="seat-check"),
         ]
-    return judge(*records)
+    return audited(*records)
 
 
-def test_a_ceiling_holds_over_all_gatekeepers_within_its_slack():
-    # 10 in store, slack 1 and what 10 a second give in 150 ms: at once 12.5 are borne.
+def test_ceiling_applies_over_all_gateways_within_its_slack():
+    # Burst 10, slack 1, and 1.5 units that the rate of 10/s gives in 150 ms: 12.5 units are allowed at once.
     assert not ceiling_run(12, 0.0).counts[CEILINGS]
     assert ceiling_run(13, 0.0).counts[CEILINGS] == 1
-    # Slowly, what the rate gives comes on top: at 8 a second for ever.
+    # 8 requests per second are below the rate and allowed indefinitely.
     assert not ceiling_run(200, 125.0).counts[CEILINGS]
     assert ceiling_run(200, 90.0).counts[CEILINGS]
     assert not ceiling_run(200, 0.0, plan="basico").counts[CEILINGS]
 
 
-def test_a_ceiling_counts_each_try_once_and_counts_through_a_restart():
-    once = [asked(kind="seat-check", plan="amplio")]
-    once += [took(110 + n, n + 1, kind="seat-check") for n in range(30)]
-    assert CEILINGS not in broken(*once)
+def test_ceiling_counts_each_try_once_and_survives_a_gateway_restart():
+    once = [request_sent(kind="seat-check", plan="amplio")]
+    once += [attempt_received(110 + n, n + 1, kind="seat-check") for n in range(30)]
+    assert CEILINGS not in broken_rules(*once)
     records = []
     for number in range(13):
         if number == 6:
@@ -353,20 +405,20 @@
             ]
         name = f"r{number}"
         records += [
-            asked(t=1000, name=name, kind="seat-check", plan="amplio", op=number),
-            took(1000, number + 1, name, kind="seat-check"),
+            request_sent(t=1000, name=name, kind="seat-check", plan="amplio", op=number),
+            attempt_received(1000, number + 1, name, kind="seat-check"),
         ]
-    assert broken(*records) == {CEILINGS}
+    assert broken_rules(*records) == {CEILINGS}
 
 
-# -- what is told
+# -- content of breaches
 
 
-def test_a_breach_holds_the_whole_story_also_of_what_comes_later():
-    auditor = judge(
-        asked(),
-        took(110, 1),
-        took(130, 2, server="b1"),
+def test_breach_holds_all_records_of_its_request_including_later_ones():
+    auditor = audited(
+        request_sent(),
+        attempt_received(110, 1),
+        attempt_received(130, 2, server="b1"),
         AttemptExecuted(200, 1, False),
         AttemptExecuted(220, 2, False),
         AttemptAnswered(220, 2, 200, False, 9.0),
@@ -379,21 +431,21 @@
     assert kinds == ["Asked", "Took", "Took", "Ran", "Ran", "Replied", "Answered"]
 
 
-def test_nothing_after_the_end_is_judged():
-    auditor = judge(asked())
+def test_records_after_the_end_of_the_run_are_ignored():
+    auditor = audited(request_sent())
     auditor.feed(RequestAbandoned(99_999, "r1", "overdue"))
     assert not any(auditor.counts.values())
 
 
-def test_tables_are_forgotten_in_time():
+def test_auditor_removes_ended_requests():
     auditor = Auditor()
-    auditor.feed(began())
+    auditor.feed(run_started())
     auditor.feed(WorkerStarted(0.0, "a1", 1, "hall-a", 2.0, 1.0, 9000.0))
     for number in range(3000):
         t, name = 100.0 * number, f"r{number}"
         for record in [
-            asked(t=t, name=name, op=number),
-            took(t + 1, number, name),
+            request_sent(t=t, name=name, op=number),
+            attempt_received(t + 1, number, name),
             *served(t + 50, number, name),
         ]:
             auditor.feed(record)
@@ -401,30 +453,35 @@
     assert not any(auditor.counts.values())
 
 
-def test_a_stall_beside_a_breach_that_the_clock_made_voids_the_verdict():
+def test_stall_near_a_timing_breach_invalidates_the_verdict():
     from plumpick.rehearsal.fleet import too_slow
 
-    late = [asked(), took(110), *served(100 + 1000 + 80)]
-    assert not too_slow(judge(*late))
-    assert too_slow(judge(*late[:-1], LoopLag(1175, 60.0), late[-1]))
-    assert not too_slow(judge(LoopLag(500, 60.0), *late[1:1], *late))  # long before
-    double = [asked(), took(110, 1), LoopLag(125, 60.0), took(130, 2, server="b1")]
-    assert not too_slow(judge(*double))  # no clock was needed for this one
-    slow = judge(*late[:2], over=False)
+    late = [request_sent(), attempt_received(110), *served(100 + 1000 + 80)]
+    assert not too_slow(audited(*late))
+    assert too_slow(audited(*late[:-1], LoopLag(1175, 60.0), late[-1]))
+    assert not too_slow(audited(LoopLag(500, 60.0), *late[1:1], *late))  # stall long before the breach
+    double = [
+        request_sent(),
+        attempt_received(110, 1),
+        LoopLag(125, 60.0),
+        attempt_received(130, 2, server="b1"),
+    ]
+    assert not too_slow(audited(*double))  # this breach does not depend on the clock
+    slow = audited(*late[:2], over=False)
     slow.feed(RunEnded(9000, 16.0, 20.0))
     assert "ms late" in too_slow(slow)
 
 
-def test_a_server_that_died_is_part_of_the_story_of_a_cold_one():
+def test_breach_of_a_cold_worker_holds_its_start_and_end():
     records = [
         WorkerStarted(1000, "c1", 1, "hall-a", 2.0, 0.25, 1e9),
         StatusSent(1001, "n0", "c1", 1, "ready"),
     ]
     for number in range(8):
         records += [
-            asked(t=1100, name=f"r{number}", kind="seat-check", op=number),
-            took(1101, number + 1, f"r{number}", "c1", "seat-check", work=400.0),
+            request_sent(t=1100, name=f"r{number}", kind="seat-check", op=number),
+            attempt_received(1101, number + 1, f"r{number}", "c1", "seat-check", work=400.0),
         ]
-    auditor = judge(*records, WorkerEnded(1102, "c1", 1, "fell"))
+    auditor = audited(*records, WorkerEnded(1102, "c1", 1, "fell"))
     (breach,) = auditor.breaches
     assert isinstance(breach.story[0], WorkerStarted) and len(breach.story) >= 4
--- a/tests/rehearsal/test_records_and_wire.py
+++ b/tests/rehearsal/test_records_and_wire.py
@@ -1,4 +1,4 @@
-"""Records as lines of a history, and messages cut out of bytes."""
+"""Tests of records as lines of a history and of the HTTP parser of the stubs."""
 
 import json
 
@@ -27,7 +27,7 @@
 START = RunStarted(0.0, Scenario().terms(1, "", "x"))
 
 
-def test_each_type_of_record_survives_its_line():
+def test_each_record_type_is_equal_after_a_round_trip():
     assert len(records.TYPES) == 19
     assert " ".join(records.TYPES) == STORED_NAMES
     samples = {"float": 1.5, "int": 3, "str": "x", "bool": True, "dict[str, Any]": {"version": 1}}
@@ -50,12 +50,12 @@
         json.dumps(["Mark", 1.0, "a", "b"]),
     ],
 )
-def test_a_line_that_is_no_record_is_told_with_its_number(line):
+def test_malformed_line_raises_error_with_its_line_number(line):
     with pytest.raises(HistoryError, match="line 2"):
         list(read_history([line_of(START), line]))
 
 
-def test_a_history_must_begin_at_its_start_in_a_known_version_and_run_forward():
+def test_history_without_start_or_in_unknown_version_or_out_of_order_is_rejected():
     with pytest.raises(HistoryError, match="line 1"):
         list(read_history([line_of(ASKED)]))
     with pytest.raises(HistoryError, match="version"):
@@ -64,8 +64,8 @@
         list(read_history([line_of(START), line_of(ASKED), line_of(ScriptEvent(12.3, "x"))]))
 
 
-class Full:
-    """A file on a full disk."""
+class FullDiskFile:
+    """A fake file whose writes fail because the disk is full."""
 
     def write(self, _text):
         raise OSError(28, "No space left on device")
@@ -74,22 +74,22 @@
         raise OSError(28, "No space left on device")
 
 
-def test_a_full_disk_is_told_once_and_the_listeners_go_on():
-    recorder, heard = Recorder(), []
-    recorder.listeners.append(type("L", (), {"feed": staticmethod(heard.append)}))
-    recorder.write_to(Full())
+def test_write_error_is_kept_and_listeners_still_receive_records():
+    recorder, received = Recorder(), []
+    recorder.listeners.append(type("L", (), {"feed": staticmethod(received.append)}))
+    recorder.write_to(FullDiskFile())
     for t in range(3):
         recorder(ScriptEvent(float(t), "x"))
     recorder.close()
-    assert len(heard) == 3 and "No space left" in recorder.problem
+    assert len(received) == 3 and "No space left" in recorder.problem
 
 
-def test_records_never_run_backward():
-    recorder, heard = Recorder(), []
-    recorder.listeners.append(type("L", (), {"feed": staticmethod(heard.append)}))
+def test_recorder_raises_earlier_times_to_the_previous_time():
+    recorder, received = Recorder(), []
+    recorder.listeners.append(type("L", (), {"feed": staticmethod(received.append)}))
     for t in (5.0, 4.9, 6.0):
         recorder(ScriptEvent(t, "x"))
-    assert [record.t for record in heard] == [5.0, 5.0, 6.0]
+    assert [record.t for record in received] == [5.0, 5.0, 6.0]
 
 
 MESSAGES = [
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("answers", "raw"), MESSAGES)
-def test_messages_are_the_same_wherever_their_bytes_are_split(answers, raw):
+def test_message_is_parsed_equally_for_every_split_of_its_bytes(answers, raw):
     for cut in range(len(raw) + 1):
         reader = Reader(answers)
         found = reader.feed(raw[:cut], 1.0) + reader.feed(raw[cut:] + raw[:5], 2.0)
@@ -109,7 +109,7 @@
         assert found[0].first_t == (1.0 if cut else 2.0)
 
 
-def test_several_messages_at_once():
+def test_two_messages_in_one_chunk_are_both_returned():
     raw = answer_bytes(200, b"one") + answer_bytes(404, b"two")
     one, two = Reader(True).feed(raw, 0.0)
     assert (one.status, one.body, two.status, two.body) == (200, b"one", 404, b"two")
@@ -128,13 +128,13 @@
         b"x" * (MAX_HEAD + 1),
     ],
 )
-def test_what_the_protocol_does_not_have_is_a_fault(raw):
+def test_bytes_outside_the_http_subset_raise_wire_error(raw):
     with pytest.raises(WireError):
         Reader(True).feed(raw, 0.0)
 
 
-def test_the_end_of_a_history_is_its_last_record(tmp_path):
-    """Seen on a busy machine: word of the roster came while the fleet was taken down, behind the end."""
+def test_records_after_run_ended_are_not_written(tmp_path):
+    """On a busy machine discovery events arrived during the shutdown of the fleet, after the end record."""
     recorder, path = Recorder(), tmp_path / "history.jsonl"
     recorder.write_to(path.open("w"))
     for record in (ScriptEvent(1.0, "a"), RunEnded(2.0, 0.5, 0.5), ScriptEvent(3.0, "b")):
--- a/tests/rehearsal/test_scenarios.py
+++ b/tests/rehearsal/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: what ships can be played, and what is wrong names its key."""
+"""Tests of scenarios: shipped ones are valid, and errors name the key."""
 
 import pathlib
 
@@ -30,7 +30,7 @@
     return str(path)
 
 
-def test_what_ships_is_there_and_each_can_be_played_in_full_and_in_brief():
+def test_shipped_scenarios_are_valid_in_full_and_in_brief():
     assert sorted(set(shipped()) & set(NAMES)) == NAMES
     for name in shipped():
         whole = load(name)
@@ -40,11 +40,11 @@
         assert whole.seconds <= 60
 
 
-def test_brief_takes_at_most_ten_seconds():
+def test_brief_scenario_takes_at_most_eight_seconds():
     assert load("brief").seconds <= 8 and load("brief").brief() == load("brief")
 
 
-def test_an_own_file_overrides_only_what_it_names(tmp_path):
+def test_scenario_file_overrides_only_the_keys_it_contains(tmp_path):
     own = load(write(tmp_path, 'title = "x"\nseconds = 5\n[fleet]\nservers = 4\n'))
     assert own.fleet.servers == 4 and own.fleet.gatekeepers == 3 and own.seconds == 5
 
@@ -82,13 +82,13 @@
         ("title = '\x00'", "invalid TOML"),
     ],
 )
-def test_what_is_wrong_is_told_in_one_line_that_names_the_key(tmp_path, text, key):
-    with pytest.raises(ScenarioError) as told:
+def test_invalid_scenario_raises_one_line_error_that_names_the_key(tmp_path, text, key):
+    with pytest.raises(ScenarioError) as error:
         load(write(tmp_path, text))
-    assert key in str(told.value) and "\n" not in str(told.value)
+    assert key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_scenario_that_is_not_there_is_told_with_those_that_are():
+def test_unknown_scenario_error_lists_the_available_ones():
     with pytest.raises(ScenarioError, match="calm"):
         load("clam")
     with pytest.raises(ScenarioError, match="cannot be read"):
@@ -108,11 +108,11 @@
     assert not missing
 
 
-def test_the_halls_go_round():
+def test_zones_are_assigned_in_turn():
     assert [Scenario().hall_of(number) for number in (0, 1, 2, 3)] == ["hall-a", "hall-b", "hall-c", "hall-a"]
 
 
-def test_a_brief_release_takes_fewer_servers():
+def test_brief_release_replaces_a_smaller_share_of_the_workers():
     release = ReleaseServers(at_s=10, share=0.9, within_s=30)
     short = Scenario(seconds=50, events=[release]).brief().events[0]
     assert short.share == 0.25 and short.within_s < 6 and short.at_s == pytest.approx(1.6)
--- a/tests/rehearsal/test_service.py
+++ b/tests/rehearsal/test_service.py
@@ -1,7 +1,7 @@
-"""Service by hand: what is offered, what counts, what comes off."""
+"""Tests of the service score on hand-made records: offered worth, served worth and prices."""
 
 import pytest
-from test_auditor import QUOTAS, asked, took
+from test_auditor import QUOTAS, attempt_received, request_sent
 
 from plumpick.rehearsal.records import (
     AttemptAnswered,
@@ -30,8 +30,8 @@
 def served(number, t=100.0, after=100.0, op=None, turn=0, kind="hours-debit", plan="basico", server="a1"):
     name = f"r{number}"
     return [
-        asked(t=t, name=name, op=op or number, turn=turn, kind=kind, plan=plan),
-        took(t + 1, number, name, server),
+        request_sent(t=t, name=name, op=op or number, turn=turn, kind=kind, plan=plan),
+        attempt_received(t + 1, number, name, server),
         AttemptAnswered(t + after - 1, number, 200, False, 225.0),
         ResponseReceived(t + after, name, 200, number, name, 0.0),
     ]
@@ -40,41 +40,43 @@
 def refused(number, t=100.0, op=None, turn=0):
     name = f"r{number}"
     return [
-        asked(t=t, name=name, op=op or number, turn=turn),
+        request_sent(t=t, name=name, op=op or number, turn=turn),
         ResponseReceived(t + 10, name, 503, -1, "", 0.0),
     ]
 
 
-def test_all_served_in_time_is_whole():
+def test_service_is_1_if_all_requests_are_served_in_time():
     _, counted = count(*served(1), *served(2, t=200))
     assert counted["whole"] == counted["worst_10_s"] == counted["worst_plan"] == 1.0
     assert counted["service"] == pytest.approx(1.0)
 
 
-def test_an_answer_after_the_aim_is_worth_nothing_and_costs():
+def test_response_after_the_target_time_is_worth_0_and_has_a_price():
     _, counted = count(*served(1, after=1999), *served(2, t=200, after=2001))
     assert counted["whole"] == pytest.approx(0.5)
     assert counted["prices"]["late_fail"] == pytest.approx(0.03 * 0.5) and counted["counts"]["late"] == 1
 
 
-def test_a_clients_retry_belongs_to_its_first_try_and_its_time():
+def test_retry_counts_for_the_first_try_and_its_target_time():
     _, counted = count(*refused(1), *served(2, t=1000, op=1, turn=1))
     assert (
         counted["whole"] == 1.0 and counted["counts"]["first_tries"] == 1 and counted["counts"]["tries"] == 2
     )
-    _, counted = count(*refused(1), *served(2, t=2050, op=1, turn=1))  # in time for itself, not for the first
+    _, counted = count(
+        *refused(1), *served(2, t=2050, op=1, turn=1)
+    )  # in time for the retry, late for the first try
     assert counted["whole"] == 0.0
 
 
-def test_only_what_is_inside_the_quota_is_offered_and_what_is_sent_beyond_costs():
-    one = [record for number in range(1, 9) for record in served(number, t=100.0 + number)]  # 5 are in store
+def test_requests_beyond_the_quota_are_not_offered_and_have_a_price():
+    one = [record for number in range(1, 9) for record in served(number, t=100.0 + number)]  # the burst is 5
     _, counted = count(*one)
     assert counted["whole"] == 1.0 and counted["counts"]["sent_on"] == 8
     assert counted["over_quota_share"] == pytest.approx(3 / 8)
     assert counted["prices"]["over_quota"] == pytest.approx(0.6 * 3 / 5)
 
 
-def test_classes_and_plans_weigh_by_worth():
+def test_classes_and_plans_are_weighted_by_worth():
     service, counted = count(*served(1, kind="seat-check", plan="amplio"), *refused(2, t=200))
     assert service.total.offered == pytest.approx(3 * 1.8 + 2 * 1.0)
     assert counted["whole"] == pytest.approx(5.4 / 7.4, abs=1e-6)
@@ -82,7 +84,7 @@
     assert counted["service"] < 0.65 * 5.4 / 7.4 + 0.2 * 5.4 / 7.4 + 0.001
 
 
-def test_the_worst_ten_seconds_are_found():
+def test_worst_ten_seconds_contain_the_rejected_request():
     good = [record for number in range(1, 21) for record in served(number, t=number * 1900.0)]
     bad = refused(50, t=21_500.0)
     service, counted = count(*good, *bad, end=42_000.0)
@@ -90,7 +92,7 @@
     assert 12 <= start <= 21 and counted["worst_10_s"] < counted["whole"] < 1.0
 
 
-def test_waste_crossings_and_messages_come_off():
+def test_prices_of_waste_zone_crossings_and_datagrams_are_subtracted():
     _, counted = count(
         *served(1),
         *served(2, t=200, server="b1"),
@@ -104,12 +106,12 @@
     assert counted["service"] == pytest.approx(1 - sum(prices.values()), abs=1e-5)
 
 
-def test_no_answer_counts_as_failed():
-    _, counted = count(asked(), RequestAbandoned(1170, "r1", "overdue"))
+def test_missing_response_counts_as_failed():
+    _, counted = count(request_sent(), RequestAbandoned(1170, "r1", "overdue"))
     assert counted["whole"] == 0.0 and counted["counts"]["failed"] == 1
 
 
-def test_tables_stay_bounded():
+def test_service_removes_old_operations_and_tries():
     service = Service()
     service.feed(RunStarted(0.0, Scenario().terms(1, "", "by hand") | {"quotas": QUOTAS}))
     for number in range(1, 4000):
