--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -18,7 +18,16 @@
 from benchmarks.scale.runs import figures_of, quantile
 from benchmarks.scale.tier import COUNTED, SETTLE, Tier
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Record, Replied, Told, Took
+from plumpick.rehearsal.records import (
+    AttemptAnswered,
+    AttemptReceived,
+    DatagramHandled,
+    Record,
+    RequestSent,
+    ResponseReceived,
+    StatusAvailable,
+    StatusSent,
+)
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     ClassPart,
@@ -99,7 +108,7 @@
         self.counts: Counter[str] = Counter()
         self.added: list[float] = []
         self.inside: set[str] = set()  # names of firms that ask for no more than their quota
-        self._asked: dict[str, Asked] = {}
+        self._asked: dict[str, RequestSent] = {}
         self._took: dict[int, float] = {}  # when an attempt came to its worker, ms
         self._worked: dict[int, float] = {}
         self._had: dict[tuple[str, str, int, str], float] = {}  # when an agent had word of a worker
@@ -108,26 +117,31 @@
     def feed(self, record: Record) -> None:
         """The next record."""
         counted, count = self.from_ms <= record.t < self.until_ms, self.counts
-        if isinstance(record, Passed) and counted:
+        if isinstance(record, DatagramHandled) and counted:
             count["told"] += 1
             count["told_bytes"] += record.size
             count["come"] += record.fate in ("delivered", "crowded out")
             count["taken"] += record.fate == "delivered"
-        elif isinstance(record, Had):
+        elif isinstance(record, StatusAvailable):
             self._had[record.gate, record.server, record.life, record.status] = record.t
-        elif isinstance(record, Told):
+        elif isinstance(record, StatusSent):
             had = self._had.get((record.gate, record.server, record.life, record.status), record.t)
             self.told_ms = max(self.told_ms, record.t - had)
-        elif isinstance(record, Asked):
+        elif isinstance(record, RequestSent):
             self._asked[record.id] = record
             count["tries"] += counted
             count["tries_inside"] += counted and record.firm in self.inside
-        elif isinstance(record, Took):
+        elif isinstance(record, AttemptReceived):
             self._took[record.n] = record.t
             count["attempts"] += counted
-        elif isinstance(record, Replied):
+        elif isinstance(record, AttemptAnswered):
             self._worked[record.n] = record.t - self._took.pop(record.n, record.t)
-        elif isinstance(record, Answered) and counted and record.status == 200 and record.id in self._asked:
+        elif (
+            isinstance(record, ResponseReceived)
+            and counted
+            and record.status == 200
+            and record.id in self._asked
+        ):
             asked = self._asked.pop(record.id)
             count["served"] += 1
             count["served_inside"] += asked.firm in self.inside
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -15,7 +15,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Answered, Asked, Left, Record, Surplus
+from plumpick.rehearsal.records import (
+    ExtraBytesReceived,
+    Record,
+    RequestAbandoned,
+    RequestSent,
+    ResponseReceived,
+)
 from plumpick.rehearsal.scenario import ClassPart, HotFirm, PlanPart, Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
@@ -82,7 +88,7 @@
         front = self.front
         if self.asked is None:  # nothing is asked: what comes belongs to no request
             if self.last_id:
-                front.record(Surplus(front.now(), self.last_id))
+                front.record(ExtraBytesReceived(front.now(), self.last_id))
             self.transport.abort()
             return
         try:
@@ -98,7 +104,7 @@
             self.stop_timer()
             keep = message.headers.get(b"connection") != b"close"
             if more or self.reader.begun:
-                front.record(Surplus(front.now(), request_id))
+                front.record(ExtraBytesReceived(front.now(), request_id))
                 keep = False
             if keep:
                 self.door.put_back(self)
@@ -460,7 +466,7 @@
         connection.timer = self.around.later(after, connection.close_with, why)
         connection.transport.write(message)
         self.record(
-            Asked(
+            RequestSent(
                 self.now(),
                 request_id,
                 op.number,
@@ -491,7 +497,7 @@
     ) -> None:
         """A whole answer has come."""
         self.open -= 1
-        self.record(Answered(self.now(), request_id, status, source, owner, round(retry_ms, 3)))
+        self.record(ResponseReceived(self.now(), request_id, status, source, owner, round(retry_ms, 3)))
         if status in (429, 503):
             wait = self._rng.uniform(*self.scenario.clients.backoff_ms) * 2**op.turn
             self._retry(op, max(wait, retry_ms) if op.firm.honours else wait)
@@ -501,7 +507,7 @@
     def left(self, request_id: str, op: Op, why: str) -> None:
         """A try has ended without an answer."""
         self.open -= 1
-        self.record(Left(self.now(), request_id, why))
+        self.record(RequestAbandoned(self.now(), request_id, why))
         if why == "unreachable" or why == "broken" or op.kind.repeats == "safe" and why == "overdue":
             self._retry(op, self._rng.uniform(*self.scenario.clients.backoff_ms) * 2**op.turn)
 
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import Began, Ended, Lag, Mark, Recorder
+from plumpick.rehearsal.records import LoopLag, Recorder, RunEnded, RunStarted, ScriptEvent
 from plumpick.rehearsal.roster import Agent, Listed, Roster
 from plumpick.rehearsal.scenario import (
     AnyEvent,
@@ -63,7 +63,7 @@
         self.counts[min(len(self.counts) - 1, int(late * 2))] += 1
         self.most = max(self.most, late)
         if late > STALL_MS:
-            self._recorder(Lag(now, round(late, 3)))
+            self._recorder(LoopLag(now, round(late, 3)))
         self.start()
 
     def stop(self) -> None:
@@ -181,7 +181,7 @@
     async def start(self) -> None:
         """Start all, the gatekeepers last; raises StartFailed or OSError."""
         terms = self.scenario.terms(self.around.seed, self.plant.name if self.plant else "", self.name)
-        self.recorder(Began(self.around.now(), terms | {"quotas": self.quotas}))
+        self.recorder(RunStarted(self.around.now(), terms | {"quotas": self.quotas}))
         await asyncio.gather(*(server.start(cold=False) for server in self.servers.values()))
         for agent in self.agents:
             await agent.start()
@@ -230,7 +230,7 @@
         """The end of the records."""
         if not self.auditor.over:
             self.lag.stop()
-            self.recorder(Ended(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
+            self.recorder(RunEnded(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
 
     async def close(self) -> None:
         """End all processes, sockets and files, also after a start that failed half way."""
@@ -264,7 +264,7 @@
         """Note what goes wrong, for records and reports."""
         t = self.around.now()
         self.marks.append((t, text))
-        self.recorder(Mark(t, text))
+        self.recorder(ScriptEvent(t, text))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         async def guarded() -> None:
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -18,7 +18,16 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumpick.rehearsal.records import Born, Died, Ran, Record, Replied, Took, Turned, Wasted
+from plumpick.rehearsal.records import (
+    AttemptAnswered,
+    AttemptExecuted,
+    AttemptReceived,
+    AttemptRejected,
+    Record,
+    WorkerEnded,
+    WorkerStarted,
+    WorkWasted,
+)
 from plumpick.rehearsal.scenario import ClassPart, RulesPart, ServerPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
@@ -197,7 +206,7 @@
         t = self.now()
         self.since_unix = self.around.unix_ms(t) if cold else 0.0
         self.record(
-            Born(
+            WorkerStarted(
                 t,
                 self.name,
                 self.life,
@@ -214,14 +223,14 @@
         if self.down:
             return
         self.down = True
-        self.record(Died(self.now(), self.name, self.life, why))
+        self.record(WorkerEnded(self.now(), self.name, self.life, why))
         self._close()
 
     def fall_silent(self) -> None:
         """The machine is cut off: what comes is not heard, nothing is said, connections stay open."""
         if not self.down and not self.silent:
             self.silent = True
-            self.record(Died(self.now(), self.name, self.life, "silent"))
+            self.record(WorkerEnded(self.now(), self.name, self.life, "silent"))
             self._drop_timer()
             self._busy.clear()
             self._queue.clear()
@@ -277,7 +286,9 @@
             connection.write(answer_bytes(404))
             return
         n = next(self._serials)
-        self.record(Took(t, n, request_id, self.name, self.life, message.first_t, name, kind.work_ms))
+        self.record(
+            AttemptReceived(t, n, request_id, self.name, self.life, message.first_t, name, kind.work_ms)
+        )
         if self._cold and self._pressed(t, kind.work_ms):
             self.stop("fell")
             return
@@ -301,7 +312,7 @@
             or (len(self.connections) > self.part.connections)
         ):
             connection.write(answer_bytes(503, b"", NOT_RUN + self._load(t)))
-            self.record(Turned(t, n))
+            self.record(AttemptRejected(t, n))
             return
         connection.job = job
         self._advance(t)
@@ -387,9 +398,9 @@
             self._reply(job, 500)
             return
         repeat = kind.repeats == "keyed" and self._keys.is_repeat(job.came, name, job.key)
-        self.record(Ran(t, job.n, repeat))
+        self.record(AttemptExecuted(t, job.n, repeat))
         if job.connection is None:
-            self.record(Wasted(t, job.n, round(job.work, 1)))
+            self.record(WorkWasted(t, job.n, round(job.work, 1)))
         elif self.faults.hits("reset_after", name, self.rng):
             job.connection.job = None
             job.connection.transport.abort()
@@ -404,15 +415,15 @@
             return
         connection.job, job.connection = None, None
         if self.faults.hits("spoilt", job.kind.name, self.rng):
-            self.record(Replied(t, job.n, status, True, round(job.work, 1)))
+            self.record(AttemptAnswered(t, job.n, status, True, round(job.work, 1)))
             connection.write(b"\x16\x03\x01 no answer at all\r\n\r\n")
             return
         if status == 200 and self.faults.hits("unmeasured_reset", job.kind.name, self.rng):
-            self.record(Replied(t, job.n, status, True, round(job.work, 1)))
+            self.record(AttemptAnswered(t, job.n, status, True, round(job.work, 1)))
             connection.write(f"HTTP/1.1 200 OK\r\n\r\n{job.id} {job.n} ".encode())
             self.around.reset(connection.transport)
             return
-        self.record(Replied(t, job.n, status, False, round(job.work, 1)))
+        self.record(AttemptAnswered(t, job.n, status, False, round(job.work, 1)))
         body = f"{job.id} {job.n} {self.name}\n".encode() if status == 200 else b""
         connection.write(answer_bytes(status, body, self._load(t)))
 
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumpick.rehearsal.records import Asked, Born, Record, Told
+from plumpick.rehearsal.records import Record, RequestSent, StatusSent, WorkerStarted
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
@@ -249,7 +249,7 @@
         self._seen: set[str] = set()
 
     def feed(self, record: Record) -> None:
-        if isinstance(record, Asked):
+        if isinstance(record, RequestSent):
             self._gates[record.id] = record.gate
 
     def gate_of(self, message: Message) -> str:
@@ -273,7 +273,7 @@
 
     def feed(self, record: Record) -> None:
         super().feed(record)
-        if isinstance(record, Told):
+        if isinstance(record, StatusSent):
             if record.status == "draining":
                 self._draining[record.gate, record.server] = record.t
             else:
@@ -302,9 +302,9 @@
 
     def feed(self, record: Record) -> None:
         super().feed(record)
-        if isinstance(record, Born) and record.cold_from < 1:
+        if isinstance(record, WorkerStarted) and record.cold_from < 1:
             self._cold[record.server] = record.t
-        elif isinstance(record, Told) and record.status == "ready":
+        elif isinstance(record, StatusSent) and record.status == "ready":
             self._told[record.server].add(record.gate)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -1,7 +1,8 @@
-"""Service as the users count it, from the same records as the auditor's.
+"""Computes the service score of a run from the same records as the auditor.
 
-Worth answered in time over the worth asked for inside the quotas; a client's further tries belong to its
-first. 65 % the whole run, 20 % the worst 10 s, 15 % the worst-served plan; the prices come off.
+The service share is the worth answered in time divided by the worth requested within the quotas; the retries
+of a client count for its first try. The score is 65 % of the share of the whole run, 20 % of that of the
+worst 10 s and 15 % of that of the worst-served plan, minus the prices.
 """
 
 from __future__ import annotations
@@ -11,22 +12,23 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
-    Answered,
-    Asked,
-    Began,
-    Born,
-    Ended,
-    Left,
-    Passed,
+    AttemptAnswered,
+    AttemptReceived,
+    DatagramHandled,
     Record,
-    Replied,
-    Took,
-    Wasted,
+    RequestAbandoned,
+    RequestSent,
+    ResponseReceived,
+    RunEnded,
+    RunStarted,
+    WorkerStarted,
+    WorkWasted,
 )
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
-WINDOW_S, FULL_MESSAGE = 10, 256
-KEEP_MS = 60_000.0
+WINDOW_S = 10
+FULL_MESSAGE = 256  # bytes of the largest datagram between gateways
+KEEP_MS = 60_000.0  # time after which the operations and tries of clients are removed
 
 
 @dataclass(slots=True)
@@ -35,7 +37,7 @@
     t: float
 
     def take(self, t: float, rate: float, burst: float, units: float) -> bool:
-        """Fill for the time gone by; take the units if they are there."""
+        """Refill for the elapsed time and take the units; returns whether there were enough of them."""
         self.level = min(burst, self.level + (t - self.t) / 1000 * rate)
         self.t = t
         if self.level < units:
@@ -45,18 +47,18 @@
 
 
 @dataclass(slots=True)
-class _Op:
+class _Operation:
     t: float
     worth: float
     plan: str
     kind: str
-    inside: bool  # of what one gatekeeper that saw all first tries would let in
+    inside: bool  # whether a single gateway that sees all first tries would admit it
     served: bool = False
     ended_t: float = 0.0
 
 
 class Tally:
-    """Sums for one class, plan or second: worth asked for inside the quotas, served in time, and counts."""
+    """Totals of a class, plan or second: worth offered within quotas, worth served in time, and counts."""
 
     __slots__ = ("offered", "served", "asked", "refused", "failed", "late")
 
@@ -65,21 +67,21 @@
         self.asked = self.refused = self.failed = self.late = 0
 
     def share(self) -> float:
-        """Served over offered, at most 1; 1 where nothing was offered."""
+        """Return the served worth divided by the offered worth, at most 1; 1 if no worth was offered."""
         return min(1.0, self.served / self.offered) if self.offered else 1.0
 
 
 class Service:
-    """Counts service; feed it records in their order."""
+    """Computes the service score from records, fed in order."""
 
     def __init__(self) -> None:
         self._terms: dict[str, Any] = {}
         self._kinds: dict[str, dict[str, Any]] = {}
         self._quotas: dict[str, dict[str, float]] = {}
         self._halls: dict[str, str] = {}
-        self._ops: dict[int, _Op] = {}
-        self._tries: dict[str, tuple[Asked, int]] = {}
-        self._inside: dict[str, bool] = {}  # tries that were sent on: inside their quota?
+        self._ops: dict[int, _Operation] = {}
+        self._tries: dict[str, tuple[RequestSent, int]] = {}
+        self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
         self._first: dict[str, _Bucket] = {}
         self._sent: dict[str, _Bucket] = {}
         self._server_hall: dict[str, str] = {}
@@ -95,40 +97,40 @@
         self.peer_bytes = self.crossings = self.attempts = self.tries = self.first_tries = self.sent_on = 0
         self.over_units = self.sent_units = 0.0
         self.end_t = 0.0
-        self._swept = 0.0
+        self._last_removal_t = 0.0
         self._useful: dict[int, float] = {}
-        self._take = {
-            Began: self._began,
-            Asked: self._asked,
-            Answered: self._answered,
-            Took: self._took_it,
-            Replied: self._replied,
-            Wasted: self._wasted,
-            Passed: self._passed,
-            Ended: self._end,
-            Left: self._left,
-            Born: self._born,
+        self._handlers = {
+            RunStarted: self._on_run_started,
+            RequestSent: self._on_request_sent,
+            ResponseReceived: self._on_response,
+            AttemptReceived: self._on_attempt_received,
+            AttemptAnswered: self._on_attempt_answered,
+            WorkWasted: self._on_work_wasted,
+            DatagramHandled: self._on_datagram,
+            RunEnded: self._on_run_ended,
+            RequestAbandoned: self._on_request_abandoned,
+            WorkerStarted: self._on_worker_started,
         }
 
     def feed(self, record: Record) -> None:
-        """The next record."""
-        take = self._take.get(type(record))
+        """Count the next record; records after the end of the run are ignored."""
+        take = self._handlers.get(type(record))
         if take is not None and not self.end_t:
             take(record)  # type: ignore[operator]
 
-    def _began(self, record: Began) -> None:
+    def _on_run_started(self, record: RunStarted) -> None:
         self._terms = record.terms
         self._kinds = {kind["name"]: kind for kind in record.terms["classes"]}
         self._quotas = record.terms["quotas"]
         self._halls = record.terms["halls"]
 
-    def _born(self, record: Born) -> None:
+    def _on_worker_started(self, record: WorkerStarted) -> None:
         self._server_hall[record.server] = record.hall
 
-    def _end(self, record: Ended) -> None:
+    def _on_run_ended(self, record: RunEnded) -> None:
         self.end_t = record.t
 
-    def _tallies(self, op: _Op) -> tuple[Tally, ...]:
+    def _tallies(self, op: _Operation) -> tuple[Tally, ...]:
         second = int(op.t // 1000)
         return (
             self.total,
@@ -139,17 +141,17 @@
             self.by_second_plan[second, op.plan],
         )
 
-    def _asked(self, record: Asked) -> None:
+    def _on_request_sent(self, record: RequestSent) -> None:
         if record.id in self._tries:
             return
-        self._sweep(record.t)
+        self._remove_old(record.t)
         self.tries += 1
         op = self._ops.get(record.op)
         if op is None:
             quota, kind = self._quotas[record.plan], self._kinds[record.kind]
             bucket = self._first.setdefault(record.firm, _Bucket(quota["burst"], record.t))
             inside = bucket.take(record.t, quota["rate"], quota["burst"], record.units)
-            op = self._ops[record.op] = _Op(
+            op = self._ops[record.op] = _Operation(
                 record.t, kind["worth"] * quota["value"] * record.units, record.plan, record.kind, inside
             )
             self.first_tries += 1
@@ -159,7 +161,7 @@
                 tally.offered += op.worth * inside
         self._tries[record.id] = (record, record.op)
 
-    def _took_it(self, record: Took) -> None:
+    def _on_attempt_received(self, record: AttemptReceived) -> None:
         self.attempts += 1
         asked, _ = self._tries.get(record.id, (None, 0))
         if asked is None:
@@ -177,7 +179,7 @@
                 self.over_units += asked.units
                 self.over_cost += quota["over_cost"] * kind["worth"] * quota["value"] * asked.units
 
-    def _answered(self, record: Answered) -> None:
+    def _on_response(self, record: ResponseReceived) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
@@ -188,7 +190,7 @@
             if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
                 for tally in tallies:
                     tally.late += 1
-                self._late(op)
+                self._count_late_failure(op)
             elif not op.served:
                 op.served = True
                 for tally in tallies:
@@ -200,9 +202,9 @@
             for tally in tallies:
                 tally.failed += 1
             if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
-                self._late(op)
+                self._count_late_failure(op)
 
-    def _left(self, record: Left) -> None:
+    def _on_request_abandoned(self, record: RequestAbandoned) -> None:
         asked, number = self._tries.get(record.id, (None, 0))
         op = self._ops.get(number)
         if asked is None or op is None:
@@ -210,31 +212,31 @@
         for tally in self._tallies(op):
             tally.failed += 1
         if record.t - op.t > self._kinds[op.kind]["aim_ms"]:
-            self._late(op)
+            self._count_late_failure(op)
 
-    def _late(self, op: _Op) -> None:
-        """It failed its client only after the wanted time; counted once."""
+    def _count_late_failure(self, op: _Operation) -> None:
+        """Count the worth of an operation that failed only after the target time of its class, once."""
         if op.inside and not op.served and not op.ended_t:
             op.ended_t = op.t + self._kinds[op.kind]["aim_ms"]
             self.late_worth += op.worth
 
-    def _replied(self, record: Replied) -> None:
+    def _on_attempt_answered(self, record: AttemptAnswered) -> None:
         self.worked_ms += record.worked_ms
         if record.status == 200 and not record.spoilt:
             self._useful[record.n] = record.worked_ms
 
-    def _wasted(self, record: Wasted) -> None:
+    def _on_work_wasted(self, record: WorkWasted) -> None:
         self.worked_ms += record.worked_ms
 
-    def _passed(self, record: Passed) -> None:
+    def _on_datagram(self, record: DatagramHandled) -> None:
         if record.fate == "delivered":
             self.peer_bytes += record.size
 
-    def _sweep(self, t: float) -> None:
-        """Forget what is over for long."""
-        if t - self._swept < KEEP_MS:
+    def _remove_old(self, t: float) -> None:
+        """Remove operations and tries that are older than KEEP_MS."""
+        if t - self._last_removal_t < KEEP_MS:
             return
-        self._swept = t
+        self._last_removal_t = t
         self._ops = {number: op for number, op in self._ops.items() if op.t > t - KEEP_MS}
         self._tries = {name: pair for name, pair in self._tries.items() if pair[0].t > t - KEEP_MS}
         self._inside = {name: inside for name, inside in self._inside.items() if name in self._tries}
@@ -244,7 +246,7 @@
     # -- figures
 
     def worst_window(self) -> tuple[float, int]:
-        """The lowest share served in any 10 s on end, and the second at which they begin."""
+        """Return the lowest service share of any 10 consecutive seconds and the first of these seconds."""
         last = int(self.end_t // 1000) or max(self.seconds, default=0)
         worst = (1.0, 0)
         for start in range(0, max(1, last - WINDOW_S + 1)):
@@ -257,13 +259,13 @@
         return worst
 
     def so_far(self, t: float) -> float:
-        """The share served of what was asked for until a moment ago, for a live line."""
+        """Return the service share of the run up to two seconds before `t` (ms), for the progress line."""
         rows = [row for second, row in self.seconds.items() if second < t // 1000 - 2]
         offered = sum(row.offered for row in rows)
         return min(1.0, sum(row.served for row in rows) / offered) if offered else 1.0
 
     def as_dict(self) -> dict[str, Any]:
-        """The `service` of report.json: shares of 1, rounded to six digits."""
+        """Return the value of `service` in report.json: shares between 0 and 1, rounded to six digits."""
         window, start = self.worst_window()
         plans = {name: tally.share() for name, tally in sorted(self.plans.items())}
         prices, offered = self._terms["prices"], self.total.offered or 1.0
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -11,21 +11,21 @@
 from typing import Any
 
 from plumpick.rehearsal.records import (
-    Answered,
-    Asked,
-    Began,
-    Born,
-    Died,
-    Gate,
-    Left,
-    Passed,
-    Ran,
+    AttemptAnswered,
+    AttemptExecuted,
+    AttemptReceived,
+    AttemptRejected,
+    DatagramHandled,
+    GatewayEvent,
     Record,
-    Replied,
-    Told,
-    Took,
-    Turned,
-    Wasted,
+    RequestAbandoned,
+    RequestSent,
+    ResponseReceived,
+    RunStarted,
+    StatusSent,
+    WorkerEnded,
+    WorkerStarted,
+    WorkWasted,
 )
 
 MAX_LOSS_BEFORE_END_MS = 250.0  # maximum time between the loss of a peer message and the gateway's end
@@ -71,7 +71,7 @@
 
 @dataclass
 class _RequestState:
-    asked: Asked
+    asked: RequestSent
     attempts: dict[int, str] = field(default_factory=dict)  # attempts in progress: attempt number -> worker
     attempts_sent: int = 0  # number of attempts that reached a worker
     was_rejected: bool = False  # whether a worker rejected an attempt
@@ -91,25 +91,25 @@
         self._open_requests: Counter[str] = Counter()  # number of unanswered requests by gateway
         self._down: set[str] = set()
         self._terminating: set[str] = set()
-        self._lost_messages: deque[Passed] = deque()
+        self._lost_messages: deque[DatagramHandled] = deque()
         self._draining: dict[tuple[str, str], float] = {}
         self._warming: set[str] = set()
         self._retries: dict[str, str] = {}  # request -> its retry through another gateway
         self._by_type = {
-            Began: self._began,
-            Asked: self._asked,
-            Answered: self._answered,
-            Left: self._left,
-            Took: self._took,
-            Turned: self._turned,
-            Replied: self._replied,
-            Ran: self._ran,
-            Wasted: self._wasted,
-            Told: self._told,
-            Gate: self._gate,
-            Passed: self._passed,
-            Born: self._born,
-            Died: self._died,
+            RunStarted: self._began,
+            RequestSent: self._asked,
+            ResponseReceived: self._answered,
+            RequestAbandoned: self._left,
+            AttemptReceived: self._took,
+            AttemptRejected: self._turned,
+            AttemptAnswered: self._replied,
+            AttemptExecuted: self._ran,
+            WorkWasted: self._wasted,
+            StatusSent: self._told,
+            GatewayEvent: self._gate,
+            DatagramHandled: self._passed,
+            WorkerStarted: self._born,
+            WorkerEnded: self._died,
         }
 
     def count_reached(self, name: str) -> None:
@@ -122,10 +122,10 @@
         if handler is not None:
             handler(record)
 
-    def _began(self, record: Began) -> None:
+    def _began(self, record: RunStarted) -> None:
         self._kinds = {kind["name"]: kind["repeats"] for kind in record.terms["classes"]}
 
-    def _asked(self, record: Asked) -> None:
+    def _asked(self, record: RequestSent) -> None:
         if record.id in self._requests:
             return
         before = self._requests.get(self._latest_by_operation.get(record.op, ""))
@@ -145,7 +145,7 @@
         self._open_requests[one.asked.gate] -= 1
         return one
 
-    def _answered(self, record: Answered) -> None:
+    def _answered(self, record: ResponseReceived) -> None:
         one = self._finish_request(record.id)
         if one is None:
             return
@@ -155,12 +155,12 @@
         if record.status in (429, 503) and record.retry_ms:
             self.count_reached("a request was refused with a time to come back")
 
-    def _left(self, record: Left) -> None:
+    def _left(self, record: RequestAbandoned) -> None:
         one = self._finish_request(record.id)
         if one is not None and one.attempts:
             self.count_reached("a client left while its request was at a server")
 
-    def _took(self, record: Took) -> None:
+    def _took(self, record: AttemptReceived) -> None:
         one = self._requests.get(record.id)
         if one is None:
             return
@@ -185,12 +185,12 @@
             one.attempts.pop(n, None)
         return one
 
-    def _turned(self, record: Turned) -> None:
+    def _turned(self, record: AttemptRejected) -> None:
         one = self._remove_attempt(record.n)
         if one is not None:
             one.was_rejected = True
 
-    def _replied(self, record: Replied) -> None:
+    def _replied(self, record: AttemptAnswered) -> None:
         one = self._remove_attempt(record.n)
         if record.spoilt:
             self.count_reached("a spoilt answer was written")
@@ -204,16 +204,16 @@
         if one is not None and one.asked.id in self._retries:
             self.count_reached(RECORD_COVERAGE_POINTS[1])
 
-    def _ran(self, record: Ran) -> None:
+    def _ran(self, record: AttemptExecuted) -> None:
         self._on_attempt_finished(record.n)
         if record.repeat:
             self.count_reached("a hall dropped a repeat of a key")
 
-    def _wasted(self, record: Wasted) -> None:
+    def _wasted(self, record: WorkWasted) -> None:
         self._on_attempt_finished(record.n)
         self._remove_attempt(record.n)
 
-    def _told(self, record: Told) -> None:
+    def _told(self, record: StatusSent) -> None:
         if record.status != "draining":
             self._draining.pop((record.gate, record.server), None)
             return
@@ -225,7 +225,7 @@
         ):
             self.count_reached("word of a drain came while an attempt was at that server")
 
-    def _gate(self, record: Gate) -> None:  # noqa: C901  (to be split by concern)
+    def _gate(self, record: GatewayEvent) -> None:  # noqa: C901  (to be split by concern)
         gate = record.gate
         if record.what in ("kill", "term"):
             while self._lost_messages and self._lost_messages[0].t < record.t - MAX_LOSS_BEFORE_END_MS:
@@ -255,14 +255,14 @@
                 self.count_reached("a gatekeeper came back while the roster was silent")
             self._down.discard(gate)
 
-    def _passed(self, record: Passed) -> None:
+    def _passed(self, record: DatagramHandled) -> None:
         if record.fate != "delivered":
             self._lost_messages.append(record)
 
-    def _born(self, record: Born) -> None:
+    def _born(self, record: WorkerStarted) -> None:
         (self._warming.add if record.cold_from < 1 else self._warming.discard)(record.server)
 
-    def _died(self, record: Died) -> None:
+    def _died(self, record: WorkerEnded) -> None:
         affected = [n for n, (_, server) in self._attempts.items() if server == record.server]
         if affected:
             self.count_reached("a server died with an attempt in it")
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -21,7 +21,7 @@
 from plumpick.rehearsal import scenario as script
 from plumpick.rehearsal.auditor import CEILINGS, COLD, DRAINS, LOST, Breach
 from plumpick.rehearsal.fleet import Fleet
-from plumpick.rehearsal.records import Record, line_of
+from plumpick.rehearsal.records import Record, line_of, type_name
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import Surroundings
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -8,7 +8,15 @@
 import pytest
 
 from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
-from plumpick.rehearsal.records import Born, Died, Ran, Replied, Took, Turned, Wasted
+from plumpick.rehearsal.records import (
+    AttemptAnswered,
+    AttemptExecuted,
+    AttemptReceived,
+    AttemptRejected,
+    WorkerEnded,
+    WorkerStarted,
+    WorkWasted,
+)
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
 
@@ -130,7 +138,7 @@
     one, two = house.ask("r1"), house.ask("r2")
     house.around.run(5000)
     assert [answer.status for answer in one.answers + two.answers] == [200, 200]
-    ran = {record.n: record.t for record in house.of(Ran)}
+    ran = {record.n: record.t for record in house.of(AttemptExecuted)}
     assert ran[1] == pytest.approx(work_of("r1"), abs=1) and ran[2] == pytest.approx(work_of("r2"), abs=1)
 
 
@@ -139,7 +147,7 @@
     for name in ("r1", "r2", "r3"):
         house.ask(name)
     house.around.run(10_000)
-    last = max(record.t for record in house.of(Ran))
+    last = max(record.t for record in house.of(AttemptExecuted))
     assert last == pytest.approx(sum(map(work_of, ("r1", "r2", "r3"))), abs=1)
 
 
@@ -149,9 +157,9 @@
     assert [round(server.warmth(t), 3) for t in (0, 5000, 10_000, 20_000)] == [0.25, 0.625, 1.0, 1.0]
     house.ask("r1")
     house.around.run(5000)
-    (ran,) = house.of(Ran)
+    (ran,) = house.of(AttemptExecuted)
     assert ran.t > 3 * work_of("r1")
-    assert house.of(Born)[0].cold_from == 0.25
+    assert house.of(WorkerStarted)[0].cold_from == 0.25
 
 
 def test_full_house_and_draining_turn_away_and_say_that_nothing_ran():
@@ -161,7 +169,9 @@
     house.server.draining = True
     assert house.ask("r4").answers[0].headers[b"x-not-run"] == b"1"
     house.around.run(5000)
-    assert [record.n for record in house.of(Turned)] == [3, 4] and len(house.of(Ran)) == 2
+    assert [record.n for record in house.of(AttemptRejected)] == [3, 4] and len(
+        house.of(AttemptExecuted)
+    ) == 2
     assert first.answers and second.answers
 
 
@@ -171,11 +181,11 @@
     house.ask("r1", kind="seat-checkout", key="k1")
     Wire(other).ask("r1", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert sorted(record.repeat for record in house.of(Ran)) == [False, True]
+    assert sorted(record.repeat for record in house.of(AttemptExecuted)) == [False, True]
     house.around.run(15_000)
     house.ask("r2", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert [record.repeat for record in house.of(Ran)].count(False) == 2
+    assert [record.repeat for record in house.of(AttemptExecuted)].count(False) == 2
 
 
 def test_the_memory_of_keys_is_bounded_by_its_window():
@@ -203,7 +213,7 @@
         house.ask(f"r{number}")
     assert not house.server.down
     wire = house.ask("r99")
-    assert house.server.down and wire.closed and house.of(Died)[0].why == "fell"
+    assert house.server.down and wire.closed and house.of(WorkerEnded)[0].why == "fell"
 
 
 def test_slow_after_record_the_effect_stands_long_before_the_answer():
@@ -211,7 +221,7 @@
     house.server.faults.slow_after_record, house.server.faults.slow_ms = {"seat-checkout": 1.0}, 2000.0
     wire = house.ask("r1", kind="seat-checkout", key="k1")
     house.around.run(5000)
-    assert house.of(Replied)[0].t - house.of(Ran)[0].t == pytest.approx(2000, abs=1)
+    assert house.of(AttemptAnswered)[0].t - house.of(AttemptExecuted)[0].t == pytest.approx(2000, abs=1)
     assert wire.answers[0].status == 200
 
 
@@ -231,7 +241,7 @@
     wire, well = house.ask("r1", kind="hours-debit"), house.ask("r2")
     house.around.run(5000)
     assert [answer.status for answer in wire.answers] == answers and wire.closed is closed
-    assert len([record for record in house.of(Ran) if record.n == 1]) == ran
+    assert len([record for record in house.of(AttemptExecuted) if record.n == 1]) == ran
     assert [answer.status for answer in well.answers] == [200]  # the other class is well
 
 
@@ -240,12 +250,12 @@
     slow.server.faults.speed = 0.5
     slow.ask("r1")
     slow.around.run(5000)
-    assert slow.of(Ran)[0].t == pytest.approx(2 * work_of("r1"), abs=1)
+    assert slow.of(AttemptExecuted)[0].t == pytest.approx(2 * work_of("r1"), abs=1)
     frozen = House()
     frozen.server.faults.freeze_ms, frozen.server.faults.freeze_every_ms = 1000.0, 5000.0
     frozen.ask("r1")
     frozen.around.run(8000)
-    assert frozen.of(Ran)[0].t == pytest.approx(1000 + work_of("r1"), abs=1)
+    assert frozen.of(AttemptExecuted)[0].t == pytest.approx(1000 + work_of("r1"), abs=1)
 
 
 def test_silence_says_nothing_and_it_comes_back_cold_as_another_life():
@@ -254,13 +264,13 @@
     house.server.fall_silent()
     late = house.ask("r2")
     house.around.run(5000)
-    assert not wire.answers and not late.answers and not wire.closed and len(house.of(Took)) == 1
+    assert not wire.answers and not late.answers and not wire.closed and len(house.of(AttemptReceived)) == 1
     with contextlib.suppress(StopIteration):
         house.server.come_back().send(None)
     assert wire.closed and house.server.life == 2 and house.server.warmth(house.around.t) == 0.25
     house.ask("r3")
     house.around.run(5000)
-    assert house.of(Took)[-1].life == 2 and house.of(Replied)
+    assert house.of(AttemptReceived)[-1].life == 2 and house.of(AttemptAnswered)
 
 
 def test_work_nobody_waits_for_goes_on_and_waiting_work_is_dropped():
@@ -269,7 +279,9 @@
     running.abort()
     waiting.abort()
     house.around.run(5000)
-    assert [record.n for record in house.of(Wasted)] == [1] and [record.n for record in house.of(Ran)] == [1]
+    assert [record.n for record in house.of(WorkWasted)] == [1] and [
+        record.n for record in house.of(AttemptExecuted)
+    ] == [1]
 
 
 def test_idle_connections_are_closed():
@@ -302,7 +314,7 @@
     house.ask("r1")
     Wire(other).ask("r1")
     house.around.run(5000)
-    first, second = house.of(Replied)
+    first, second = house.of(AttemptAnswered)
     assert first.worked_ms == second.worked_ms
 
 
@@ -312,4 +324,4 @@
     wire.connection.data_received(request_bytes("GET", "/nothing", {"X-Request-Id": "a"}))
     assert wire.answers[0].status == 404
     wire.connection.data_received(b"\x00\r\n\r\n")
-    assert wire.closed and not house.of(Took)
+    assert wire.closed and not house.of(AttemptReceived)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -12,7 +12,15 @@
 from benchmarks.scale.runs import part_of, play, quantile
 from benchmarks.scale.tier import BEGIN_MS, COUNTED, SETTLE, Tier, TierError
 from plumpick.policy.events import Endpoint, EndpointState
-from plumpick.rehearsal.records import Answered, Asked, Had, Passed, Replied, Told, Took
+from plumpick.rehearsal.records import (
+    AttemptAnswered,
+    AttemptReceived,
+    DatagramHandled,
+    RequestSent,
+    ResponseReceived,
+    StatusAvailable,
+    StatusSent,
+)
 
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
 
@@ -164,21 +172,21 @@
     watch.inside = {"f"}
 
     def asked(t, request, firm):
-        return Asked(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
+        return RequestSent(t, request, 1, 0, firm, "p", "k", "n0", 500.0, 1.0, "")
 
     for record in (
-        Passed(999.0, "n0", "n1", 50, "delivered"),
-        Passed(1000.0, "n0", "n1", 40, "delivered"),
-        Passed(1100.0, "n0", "n1", 60, "lost"),
-        Passed(1200.0, "n0", "n1", 20, "crowded out"),
+        DatagramHandled(999.0, "n0", "n1", 50, "delivered"),
+        DatagramHandled(1000.0, "n0", "n1", 40, "delivered"),
+        DatagramHandled(1100.0, "n0", "n1", 60, "lost"),
+        DatagramHandled(1200.0, "n0", "n1", 20, "crowded out"),
         asked(1300.0, "a", "f"),
-        Took(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
-        Replied(1350.0, 7, 200, False, 30.0),
-        Answered(1360.0, "a", 200, 7, "a", 0.0),
-        Had(1365.0, "n0", "w", 2, "ready"),
-        Told(1372.5, "n0", "w", 2, "ready"),
+        AttemptReceived(1310.0, 7, "a", "w", 1, 1309.0, "k", 30.0),
+        AttemptAnswered(1350.0, 7, 200, False, 30.0),
+        ResponseReceived(1360.0, "a", 200, 7, "a", 0.0),
+        StatusAvailable(1365.0, "n0", "w", 2, "ready"),
+        StatusSent(1372.5, "n0", "w", 2, "ready"),
         asked(1400.0, "b", "heavy"),
-        Answered(1401.0, "b", 429, -1, "b", 0.0),
+        ResponseReceived(1401.0, "b", 429, -1, "b", 0.0),
     ):
         watch.feed(record)
     figures = watch.figures(1, 1.0)
