--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -1,8 +1,8 @@
-"""Scripted clients behind a stand-in front: firms that ask, wait, give up and ask again.
+"""Scripted clients and a front that distributes their requests: customers send, wait, give up and retry.
 
-Arrivals do not wait for answers. Each firm has a plan, a set of gatekeepers and a habit: most use a part of
-their quota, some nearly all, some far more. What a client wants is one `op`; its tries are requests of
-their own.
+Arrivals are open-loop: they do not wait for responses. Each customer has a plan, a set of gateways and a
+level of use: most customers use a part of their quota, some nearly all of it, and some far more. One
+operation (`op`) is what a client wants to have done; each try of it is a separate request.
 """
 
 from __future__ import annotations
@@ -20,55 +20,60 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 from plumpick.rehearsal.wire import Reader, WireError, request_bytes
 
-OVERDUE_MS = 70.0  # so long after its time a client that has no answer closes the connection
-# a connection that ends so soon after a request crossed it: the gatekeeper had closed it before
+OVERDUE_MS = (
+    70.0  # Time after a request's deadline at which a client without a response closes the connection
+)
+# Time after sending within which a closed connection means that the gateway closed it before the request came
 CROSS_MS = 100.0
-UP_S = 1.0  # for an answer to /up
-POLL_MS = 50.0  # how often the front looks whether a gatekeeper that was down is up
-IDLE_CLOSE_MS = 1500.0  # a client closes a connection that it has not used for so long
-DOOR_PART = 0.3  # of a gatekeeper's descriptors that clients hold at most
+UP_S = 1.0  # Time limit for a response to /up
+POLL_MS = 50.0  # Interval at which the front checks whether a gateway that was down is up again
+IDLE_CLOSE_MS = 1500.0  # Idle time after which a client closes a connection
+DOOR_PART = 0.3  # Maximum share of a gateway's file descriptors that clients use for connections
 
 
 @dataclass(slots=True)
 class Firm:
-    """A member firm."""
+    """A customer: its quota and how it uses it. Times are in ms since the start of the run."""
 
     name: str
     plan: PlanPart
-    rate: float  # its quota, units a second
-    burst: float
-    spread: int
-    first: int
-    use: float  # what it asks for, times its quota
-    honours: bool
-    weights: list[float] = field(default_factory=list)
-    spike: tuple[float, float] = (0.0, 1.0)  # how many times of `use`, until when
-    hot_until: float = 0.0
-    hot_times: float = 0.0
-    crowd: float = 0.0
+    rate: float  # Quota, in units per second
+    burst: float  # Burst of the quota, in units
+    spread: int  # Number of gateways that the customer sends to
+    first: int  # Number of the first of these gateways
+    use: float  # Request rate as a multiple of the quota
+    honours: bool  # Whether the customer waits as long as Retry-After says
+    weights: list[float] = field(default_factory=list)  # Weights of the customer's gateways, in their order
+    spike: tuple[float, float] = (
+        0.0,
+        1.0,
+    )  # Factor on `use` during a spike, and the time at which the spike ends
+    hot_until: float = 0.0  # Time until which additional requests are sent; 0 if none are
+    hot_times: float = 0.0  # Rate of the additional requests as a multiple of the quota
+    crowd: float = 0.0  # Share of the requests that go to the gateway with the highest weight only
 
 
 @dataclass(slots=True)
 class Op:
-    """What a client wants: one thing, over all of its tries."""
+    """One operation that a client wants to have done, across all of its tries."""
 
     number: int
     firm: Firm
     kind: ClassPart
-    key: str
-    turn: int = 0
+    key: str  # Idempotency key, sent for request classes with keys only
+    turn: int = 0  # Number of tries sent before the current one
 
 
 class _Try(asyncio.Protocol):
-    """One connection of the front to a gatekeeper; it carries one try at a time."""
+    """A connection from the front to a gateway; it carries one try at a time."""
 
     def __init__(self, front: Front, door: Door) -> None:
         self.front, self.door = front, door
         self.transport: Any = None
         self.reader = Reader(answers=True)
-        self.asked: tuple[str, Op] | None = None  # the try that is out
+        self.asked: tuple[str, Op] | None = None  # Request id and operation of the try that awaits a response
         self.last_id = ""
-        self.fresh = True  # nothing was answered on it yet
+        self.fresh = True  # Whether no response has come on this connection yet
         self.timer: asyncio.TimerHandle | None = None
         self.message = b""
         self.idle_t = self.asked_t = 0.0
@@ -80,7 +85,7 @@
 
     def data_received(self, data: bytes) -> None:
         front = self.front
-        if self.asked is None:  # nothing is asked: what comes belongs to no request
+        if self.asked is None:  # No try awaits a response, so these bytes belong to no request.
             if self.last_id:
                 front.record(Surplus(front.now(), self.last_id))
             self.transport.abort()
@@ -120,7 +125,7 @@
         if self.asked is not None:
             crossed = self.front.now() - self.asked_t < CROSS_MS
             if crossed and not self.fresh and not self.reader.begun:
-                # It was closed between requests, and ours crossed that: it is sent once more on a new one.
+                # The gateway closed the idle connection before the request arrived: resend it on a new one.
                 asked, self.asked = self.asked, None
                 self.stop_timer()
                 self.front.send_again(self.door, asked, self.message)
@@ -142,20 +147,20 @@
             self.timer = None
 
     def close_with(self, why: str) -> None:
-        """The client waits no longer."""
+        """End the try without a response, recorded with the reason `why`, and abort the connection."""
         self.timer = None
         self._end(why)
         self.transport.abort()
 
 
 class Door:
-    """The front's way to one gatekeeper: whether it is held to be up, and the connections to it."""
+    """The front's connections to one gateway, and whether the front takes that gateway to be up."""
 
     def __init__(self, front: Front, number: int) -> None:
         self.front, self.number, self.name = front, number, f"n{number}"
         self.port = 0
         self.up = False
-        self.leaving = False  # a planned end: no new connections, but those that there are are used
+        self.leaving = False  # Whether the gateway shuts down gracefully: only open connections are used
         self.idle: list[_Try] = []
         self.count = 0
         self._polling = False
@@ -170,13 +175,13 @@
             self.idle.remove(connection)
 
     def tidy(self) -> None:
-        """Close what has been idle for long."""
+        """Close connections that have been idle for longer than IDLE_CLOSE_MS."""
         t = self.front.now()
         while self.idle and t - self.idle[0].idle_t > IDLE_CLOSE_MS:
             self.idle.pop(0).transport.close()
 
     def leaves(self, after_ms: float) -> None:
-        """The gatekeeper was told to end: after so long no new connection comes to it."""
+        """Note a graceful shutdown of the gateway: no new connections are opened after `after_ms`."""
 
         def leave() -> None:
             self.leaving = True
@@ -184,13 +189,13 @@
         self.front.around.later(after_ms, leave)
 
     def usable(self) -> bool:
-        """Whether the front sends requests there."""
+        """Return whether the front sends requests to this gateway."""
         if self.leaving:
             self.idle = [one for one in self.idle if not one.transport.is_closing()]
         return self.up and (not self.leaving or bool(self.idle))
 
     def went_down(self, notice_ms: float) -> None:
-        """The gatekeeper has ended; the front notices only later, but knows of a planned end."""
+        """Handle the end of the gateway's process: noticed after `notice_ms`, at once if it was planned."""
         if self.leaving:
             self.leaving = False
             self._notice()
@@ -203,7 +208,7 @@
             self.poll()
 
     def poll(self) -> None:
-        """Ask /up until it is answered with 200."""
+        """Request /up in the background until the response is 200; then the gateway is up again."""
         if not self._polling and not self.front.stopped:
             self._polling = True
             self.front.around.spawn(self.front.tasks, self._ask_up())
@@ -216,7 +221,7 @@
 
 
 class Front:
-    """Deals each firm's requests out among the gatekeepers of its set, and plays the clients behind it."""
+    """Plays all clients, and distributes each customer's requests over the gateways of its set."""
 
     def __init__(
         self, around: Surroundings, scenario: Scenario, capacity: float, record: Callable[[Record], None]
@@ -229,17 +234,16 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self._timers: set[asyncio.TimerHandle] = set()
         self.stopped = True
-        self.open = 0  # tries that are out
-        self.refused: set[int] = (
-            set()
-        )  # ports of connections that a plant's relay took and nobody listened behind
+        self.open = 0  # Number of tries that await a response
+        # Local ports of connections that a fault relay accepted although nothing listens at the target
+        self.refused: set[int] = set()
         self.most = max(8, int(scenario.fleet.sockets * DOOR_PART))
         self.firms = self._make_firms(capacity)
 
-    # -- the firms
+    # -- customers
 
     def _make_firms(self, capacity: float) -> list[Firm]:
-        """As many firms as make the load, by what each asks for inside its quota."""
+        """Return enough customers to make the scenario's load, counting requests within their quotas only."""
         part, rng = self.scenario.clients, self.around.chance("firms")
         mean_work = sum(kind.share * kind.work_ms for kind in self.scenario.classes)
         target = self.scenario.load.rate_per_s or capacity * 1000 / mean_work * self.scenario.load.share
@@ -270,7 +274,7 @@
                 firm.burst = max(2.0, firm.burst)
                 firms.append(firm)
                 inside += rate * asked
-        # The figures of a plan are the same for all its firms, as the settings tell them.
+        # The settings state one rate and burst per plan, so all customers of a plan get the mean.
         for plan in self.scenario.plans:
             mine = [firm for firm in firms if firm.plan is plan]
             rate = sum(firm.rate for firm in mine) / len(mine)
@@ -280,7 +284,7 @@
         return firms
 
     def quotas(self) -> dict[str, dict[str, float]]:
-        """Each plan's figures for this run: units a second, burst, ceiling and its slack."""
+        """Return the quota of each plan in this run: units per second, burst, ceiling, slack and prices."""
         result = {}
         for plan in self.scenario.plans:
             firm = next(firm for firm in self.firms if firm.plan is plan)
@@ -298,7 +302,7 @@
         return result
 
     def _shift(self, firm: Firm) -> None:
-        """The firm's traffic moves: another of its gatekeepers is the busiest."""
+        """Redistribute the customer's traffic, so that another of its gateways is the busiest; repeats."""
         skew = self._rng.uniform(*self.scenario.clients.skew)
         weights = [1 / (rank + 1) ** skew for rank in range(firm.spread)]
         self._rng.shuffle(weights)
@@ -314,7 +318,7 @@
         self._later(self._rng.uniform(*part.spike_every_s) * 1000, self._spike, firm)
 
     def heat(self, event: HotFirm) -> str:
-        """A firm of the plan, one with a wide set, asks for far more; its name."""
+        """Let the plan's customer with the most gateways send additional requests; return its name."""
         firm = max(
             (firm for firm in self.firms if firm.plan.name == event.plan and not firm.hot_until),
             key=lambda firm: firm.spread,
@@ -330,7 +334,7 @@
     # -- arrivals
 
     def start(self) -> None:
-        """From now on firms ask."""
+        """Start the arrivals of all customers."""
         self.stopped = False
         for firm in self.firms:
             self._shift(firm)
@@ -342,14 +346,14 @@
         self._tidy()
 
     def stop(self) -> None:
-        """Nobody asks anew; what is out may be answered."""
+        """Stop the arrivals and retries; tries under way may still get a response."""
         self.stopped = True
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
 
     def close(self) -> None:
-        """All connections end, and what waits on them is not recorded."""
+        """Stop the arrivals and cancel all background tasks."""
         self.stop()
         for task in list(self.tasks):
             task.cancel()
@@ -369,7 +373,7 @@
         self._timers.add(timer)
 
     def _arrive_later(self, firm: Firm, extra: bool = False) -> None:
-        """The next arrival of a firm, or of what it asks for on top while it is hot."""
+        """Schedule the customer's next arrival; with `extra`, the next of its additional requests."""
         t = self.now()
         if extra:
             if t >= firm.hot_until:
@@ -380,7 +384,7 @@
             times, until = firm.spike
             rate = firm.rate * firm.use * (times if t < until else 1.0)
         wait = self._rng.expovariate(rate) * 1000
-        if not extra and wait > 1000.0:  # look again: a spike may have come
+        if not extra and wait > 1000.0:  # Draw again later, because a spike may begin in between.
             self._later(1000.0, self._arrive_later, firm)
             return
         self._later(wait, self._arrive, firm, extra)
@@ -405,7 +409,7 @@
         return self._rng.choices([door for door, _ in up], [weight for _, weight in up])[0]
 
     def _ask(self, op: Op) -> None:
-        """One try goes out."""
+        """Send one try of the operation, unless the front has stopped."""
         if self.stopped:
             return
         door = self._door(op)
@@ -476,7 +480,7 @@
         )
 
     def send_again(self, door: Door, asked: tuple[str, Op], message: bytes) -> None:
-        """Once more, on a new connection, with the same id."""
+        """Resend a request on a new connection with the same request id."""
         request_id, op = asked
         wait_ms = float(message.partition(b"X-Deadline-Ms: ")[2].partition(b"\r\n")[0])
         self._dial(door, request_id, op, message, wait_ms)
@@ -489,7 +493,7 @@
     def answered(
         self, request_id: str, op: Op, status: int, source: int, owner: str, retry_ms: float
     ) -> None:
-        """A whole answer has come."""
+        """Record a complete response, and schedule a retry where the status allows one."""
         self.open -= 1
         self.record(Answered(self.now(), request_id, status, source, owner, round(retry_ms, 3)))
         if status in (429, 503):
@@ -499,7 +503,7 @@
             self._retry(op, self._rng.uniform(*self.scenario.clients.backoff_ms) * 2**op.turn)
 
     def left(self, request_id: str, op: Op, why: str) -> None:
-        """A try has ended without an answer."""
+        """Record that a try ended without a response, and schedule a retry where that is safe."""
         self.open -= 1
         self.record(Left(self.now(), request_id, why))
         if why == "unreachable" or why == "broken" or op.kind.repeats == "safe" and why == "overdue":
@@ -512,5 +516,5 @@
 
 
 def capacity_of(servers: list[Any]) -> float:
-    """What servers do together when warm, in ms of work a ms."""
+    """Return the total capacity of warm servers, in ms of work per ms."""
     return math.fsum(server.capacity for server in servers)
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -1,5 +1,5 @@
-"""The whole fleet: gatekeepers, licence servers, roster, datagrams, front; and the script of what goes
-wrong."""
+"""The whole fleet of a rehearsal (gateways, worker stubs, discovery stub, datagram relay and clients) and the
+scripted faults."""
 
 from __future__ import annotations
 
@@ -36,20 +36,23 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LAG_STEP_MS, STALL_MS = 10.0, 25.0  # the loop is looked at so often; a stall of so long is noted
-SLOW_P99_MS = 15.0  # with more than that the workstation was too slow
-SETTLE_MS = 250.0  # between the last look at open tries and the end
-GROUP_SIZE = 4
-FIRST_MS = 1000.0  # after it is ready
-NEW_CONNECTIONS_MS = (200.0, 400.0)  # for so long after SIGTERM clients open new ones, as the protocol has it
+LAG_STEP_MS, STALL_MS = 10.0, 25.0  # Interval of the lag samples, and lag from which a stall is recorded
+SLOW_P99_MS = 15.0  # Maximum 99th percentile of the event loop's lag with which a verdict counts
+SETTLE_MS = 250.0  # Time between the last response and the end of the records
+GROUP_SIZE = 4  # Number of workers in a group of a zone
+FIRST_MS = 1000.0  # Time after a gateway is ready during which it gets no SIGHUP
+NEW_CONNECTIONS_MS = (
+    200.0,
+    400.0,
+)  # Range of the time after SIGTERM during which clients open new connections
 
 
 class LagMeter:
-    """How late the stand-ins' loop comes: all their times are off by as much."""
+    """Measures the lag of the event loop that runs the stubs; recorded times are inaccurate by that lag."""
 
     def __init__(self, around: Surroundings, recorder: Recorder) -> None:
         self._around, self._recorder = around, recorder
-        self.counts = [0] * 2000  # by half a millisecond
+        self.counts = [0] * 2000  # Histogram of the lag in steps of 0.5 ms
         self.most = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
@@ -71,7 +74,7 @@
             self._timer.cancel()
 
     def quantile(self, share: float) -> float:
-        """Lag in ms that this share of the looks did not pass."""
+        """Return the lag in ms that this share of the samples did not exceed; 0 without samples."""
         total, seen = sum(self.counts), 0
         for place, count in enumerate(self.counts):
             seen += count
@@ -81,7 +84,7 @@
 
 
 class Fleet:
-    """A fleet that can be started, played with and ended. Everything it makes is gone after `close`."""
+    """A fleet that plays one scenario. `close` removes all its processes, sockets and files."""
 
     def __init__(
         self,
@@ -91,7 +94,7 @@
         plant: str = "",
         supervise: type[Supervisor] = Supervisor,
     ) -> None:
-        """`supervise` starts and ends the gatekeepers: as real processes, or as simulated ones."""
+        """Build the fleet; `supervise` starts and ends the gateways as real or as simulated processes."""
         self.around, self.scenario, self.name = around, scenario, name
         self.recorder = Recorder()
         self.auditor, self.service = Auditor(), Service()
@@ -142,7 +145,7 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.timers: list[asyncio.TimerHandle] = []
         self.marks: list[tuple[float, str]] = []
-        self.failed: list[str] = []  # what the script could not do
+        self.failed: list[str] = []  # Errors of scripted events that could not be played
         self._releasing: set[str] = set()
 
     def _new_server(self, hall: str, group: int) -> LicenceServer:
@@ -179,7 +182,7 @@
     # -- start and end
 
     async def start(self) -> None:
-        """Start all, the gatekeepers last; raises StartFailed or OSError."""
+        """Start the stubs, then the gateways. Raises StartFailed or OSError."""
         terms = self.scenario.terms(self.around.seed, self.plant.name if self.plant else "", self.name)
         self.recorder(Began(self.around.now(), terms | {"quotas": self.quotas}))
         await asyncio.gather(*(server.start(cold=False) for server in self.servers.values()))
@@ -219,7 +222,7 @@
             self.timers.append(self.around.later(event.at_s * 1000, self._begin, event))
         await asyncio.sleep(self.scenario.seconds)
         self.front.stop()
-        # What was asked last gets its time, up to the longest that a client waits for.
+        # The last requests get the longest deadline of any class to complete.
         end = self.around.loop.time() + max(kind.deadline_ms for kind in self.scenario.classes) / 1000 + 1.0
         while self.front.open > 0 and self.around.loop.time() < end:
             await asyncio.sleep(0.05)
@@ -227,13 +230,13 @@
         self.finish()
 
     def finish(self) -> None:
-        """The end of the records."""
+        """Write the record that ends the history, unless it is written already."""
         if not self.auditor.over:
             self.lag.stop()
             self.recorder(Ended(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
 
     async def close(self) -> None:
-        """End all processes, sockets and files, also after a start that failed half way."""
+        """End all processes and remove all sockets and files, also after a start that failed half way."""
         self.lag.stop()
         for timer in self.timers:
             timer.cancel()
@@ -244,7 +247,7 @@
             await self.supervisor.close()
         finally:
             self.recorder.listeners.clear()
-            self.recorder.close()  # what ends from here on is our doing
+            self.recorder.close()  # Whatever ends from here on ends because of this shutdown.
             if self.stage is not None:
                 self.stage.close()
             for server in self.servers.values():
@@ -261,7 +264,7 @@
     # -- the script
 
     def mark(self, text: str) -> None:
-        """Note what goes wrong, for records and reports."""
+        """Record a fault or another event of the script, for the history and the reports."""
         t = self.around.now()
         self.marks.append((t, text))
         self.recorder(Mark(t, text))
@@ -287,17 +290,17 @@
                 self._spawn(self._restart(self.supervisor.gates[event.gatekeeper]))
             case PauseGatekeeper():
                 gate = self.supervisor.gates[event.gatekeeper]
-                self.mark(f"gatekeeper {gate.name} stands still (SIGSTOP)")
+                self.mark(f"gatekeeper {gate.name} is stopped (SIGSTOP)")
                 self.supervisor.stop(gate)
                 self._later(event.for_s * 1000, self._go_on, gate)
             case MoveRoster():
                 self._spawn(self._move_roster())
             case RosterSilent():
-                self.mark("the roster falls silent")
+                self.mark("discovery stops answering")
                 self.roster.silence(event.for_s * 1000)
-                self._later(event.for_s * 1000, self.mark, "the roster speaks again")
+                self._later(event.for_s * 1000, self.mark, "discovery answers again")
             case SilentWatches():
-                self.mark("all open watches fall silent")
+                self.mark("all open discovery watches stop answering")
                 for agent in self.agents:
                     agent.lose_watches()
             case ReleaseServers():
@@ -308,13 +311,13 @@
                 self._fault(event)
             case HotFirm():
                 firm = self.front.heat(event)
-                self.mark(f"firm {firm} asks for {event.times:g} times its quota")
+                self.mark(f"customer {firm} sends {event.times:g} times its quota in addition")
             case SplitPeers():
                 side = set(event.side)
                 self.relay.sides.append(side)
-                self.mark(f"gatekeepers {sorted(side)} and the others do not hear one another")
+                self.mark(f"gatekeepers {sorted(side)} are partitioned from the others")
                 self._later(event.for_s * 1000, self.relay.sides.remove, side)
-                self._later(event.for_s * 1000, self.mark, "gatekeepers hear one another again")
+                self._later(event.for_s * 1000, self.mark, "the partition of the gatekeepers ends")
 
     async def _kill(self, gate: Gatekeeper, back_s: float) -> None:
         self.mark(f"gatekeeper {gate.name} is killed")
@@ -325,7 +328,7 @@
             await self._start_again(gate)
 
     async def _restart(self, gate: Gatekeeper) -> None:
-        self.mark(f"gatekeeper {gate.name} is told to end (SIGTERM)")
+        self.mark(f"gatekeeper {gate.name} gets SIGTERM")
         self.front.doors[gate.number].leaves(self._rng.uniform(*NEW_CONNECTIONS_MS))
         self.supervisor.terminate(gate)
         if gate.watch is not None:
@@ -333,25 +336,27 @@
             await self._start_again(gate)
 
     async def _start_again(self, gate: Gatekeeper) -> None:
-        """Once, whatever has ended it: it may be killed while it finishes, and then two wait for its end."""
+        """Start the gateway unless it runs: if it is killed while it drains, two callers wait for its end."""
         async with gate.starting:
             if not gate.running():
                 await self.supervisor.start(gate)
-                self.mark(f"gatekeeper {gate.name} is back")
+                self.mark(f"gatekeeper {gate.name} is up again")
 
     def _go_on(self, gate: Gatekeeper) -> None:
         self.supervisor.go_on(gate)
-        self.mark(f"gatekeeper {gate.name} goes on (SIGCONT)")
+        self.mark(f"gatekeeper {gate.name} resumes (SIGCONT)")
 
     async def _move_roster(self) -> None:
-        self.mark("the roster's agents move (SIGHUP)")
+        self.mark("the discovery agents move to new addresses; gatekeepers get SIGHUP")
         for agent, gate in zip(self.agents, self.supervisor.gates, strict=True):
             await agent.start()
             self._spawn(self._reload(gate))
 
     async def _reload(self, gate: Gatekeeper) -> None:
-        """SIGHUP, but never before a gatekeeper is ready nor in its first second, as the protocol has it: it
-        would end one that has not come to handle it."""
+        """Send SIGHUP, but not before FIRST_MS after the gateway is ready.
+
+        SIGHUP ends a process that has not installed its handler yet.
+        """
         while not gate.running() or self.around.now() - gate.ready_t < FIRST_MS:
             await asyncio.sleep(0.05)
         self.supervisor.reload(gate)
@@ -364,7 +369,7 @@
         ]
 
     def _release(self, event: ReleaseServers) -> None:
-        """Servers drain one after the other; for each a cold successor under a new name begins."""
+        """Drain workers one after the other, and start a cold replacement with a new name for each."""
         chosen = self._ready()
         self._rng.shuffle(chosen)
         chosen = chosen[: max(1, round(event.share * len(chosen)))]
@@ -376,7 +381,7 @@
         self._later(event.within_s * 1000, self.mark, "the release ends")
 
     async def _replace(self, server: LicenceServer, linger_s: float) -> None:
-        server.draining = True  # it turns new work away from now on; the roster tells later
+        server.draining = True  # The worker rejects new attempts from now on; discovery reports it later.
         self.roster.news(self._listed(server, "draining"))
         successor = self._new_server(server.hall, self.groups[server.name])
         await successor.start(cold=True)
@@ -392,12 +397,12 @@
     def _silence(self, event: SilentServers) -> None:
         for server in self._pick(event.count):
             server.fall_silent()
-            self.mark(f"server {server.name} falls silent")
+            self.mark(f"server {server.name} becomes unreachable")
             self._later(event.for_s * 1000, lambda one=server: self._spawn(self._unsilence(one)))
 
     async def _unsilence(self, server: LicenceServer) -> None:
         await server.come_back()
-        self.mark(f"server {server.name} is back, cold")
+        self.mark(f"server {server.name} is reachable again, with a cold process")
         self.roster.news(self._listed(server, "ready"))
 
     def _pick(self, count: int) -> list[LicenceServer]:
@@ -408,7 +413,7 @@
         chosen = self._pick(event.count)
         classes = event.classes or [kind.name for kind in self.scenario.classes]
         which = event.fault.replace("-", "_")
-        self.mark(f"{len(chosen)} servers: {event.fault}")
+        self.mark(f"{len(chosen)} servers: fault {event.fault} begins")
         for server in chosen:
             faults = server.faults
             if event.fault == "half-speed":
@@ -428,29 +433,32 @@
                 server.faults.freeze_every_ms = 0.0
             else:
                 setattr(server.faults, event.fault.replace("-", "_"), {})
-        self.mark(f"{len(chosen)} servers: no more {event.fault}")
+        self.mark(f"{len(chosen)} servers: fault {event.fault} ends")
 
 
 def too_slow(auditor: Auditor) -> str:
-    """Why the workstation was too slow for the verdict to count, or nothing.
+    """Return why the workstation was too slow for the verdict to count, or an empty string.
 
-    A breach that the clock alone made counts for nothing where the stand-ins' loop stood still beside it.
+    A breach of a time limit does not count if the event loop of the stubs stalled at about the same time.
     """
     if auditor.lag_p99_ms > SLOW_P99_MS:
-        return f"the stand-ins' loop came {auditor.lag_p99_ms:.1f} ms late (p99; {SLOW_P99_MS:g} is the most)"
+        return (
+            f"the stubs' event loop ran {auditor.lag_p99_ms:.1f} ms late "
+            f"(99th percentile; the limit is {SLOW_P99_MS:g} ms)"
+        )
     for breach in auditor.breaches:
         if breach.timing and any(
             stall.t - stall.ms - 50 <= breach.t <= stall.t + 50 for stall in auditor.stalls
         ):
-            return f"the stand-ins' loop stood still when {breach.rule} was judged at {breach.t / 1000:.2f} s"
+            return f"the stubs' event loop stalled when {breach.rule} was judged at {breach.t / 1000:.2f} s"
     return ""
 
 
 def seed_of(number: int | None) -> int:
-    """The seed that was asked for, or one of the system's choice."""
+    """Return the given seed, or a random one if it is None."""
     return random.SystemRandom().randrange(1 << 31) if number is None else number
 
 
 def percent(value: float) -> str:
-    """A share as a person reads it; whole only where it is."""
+    """Format a share as a percentage, rounded down to a tenth: "100 %" is never the result of rounding."""
     return "100 %" if value >= 1 else f"{math.floor(value * 1000) / 10:.1f} %"
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -1,9 +1,9 @@
-"""A stand-in licence server: cores, slots, a queue, a cold start, faults by script, and a ledger of effects.
+"""A worker stub: cores, slots, a queue, a cold start, scripted faults, and records of what took effect.
 
-Work is shared out as a processor does it: with n requests in its slots each gets 1/n of what the cores
-give, and one core at most. A new process starts cold, its capacity grows evenly, and if it is sent more
-than a multiple of what it can do it falls over and stays down. What took effect stands in the ledger; a
-hall's servers share the memory of keys, and drop a repeat while it lasts.
+The processor is modelled as processor sharing: each of n requests in the slots gets 1/n of the cores, and
+one core at most. A new process starts cold and its capacity grows linearly; a cold process that is sent more
+than a multiple of its capacity crashes and stays down. Every effect is recorded. The workers of a zone share
+the set of idempotency keys they have seen, and drop a repeat within the window of its request class.
 """
 
 from __future__ import annotations
@@ -24,15 +24,18 @@
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
 
 NOT_RUN = "X-Not-Run: 1\r\n"
-USE_MEMORY_MS, SERVICE_GAIN = 400.0, 0.1  # over which `util` is averaged; how `latency_ms` is learned
-COLD_STEP_MS = 50.0  # a cold server's speed is set anew so often
-LONGEST_MS = 20_000.0  # no attempt is in the house for longer
-SLACK_REQUESTS = 1.0  # of the dearest class, that a cold server bears beyond its budget
+# Time constant of the average behind `util`, and weight of a new sample in the average behind `latency_ms`
+USE_MEMORY_MS, SERVICE_GAIN = 400.0, 0.1
+COLD_STEP_MS = 50.0  # Interval at which a cold worker's speed is updated
+LONGEST_MS = 20_000.0  # Maximum time that an attempt spends in a worker
+SLACK_REQUESTS = (
+    1.0  # Number of requests of the most expensive class that a cold worker bears beyond its budget
+)
 
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with a server now. Shares are chances for each attempt, by class."""
+    """Faults active at a worker. Each mapping gives the probability per attempt, by request class."""
 
     swallow: dict[str, float] = field(default_factory=dict)
     error: dict[str, float] = field(default_factory=dict)
@@ -40,37 +43,38 @@
     reset_before: dict[str, float] = field(default_factory=dict)
     reset_after: dict[str, float] = field(default_factory=dict)
     slow_after_record: dict[str, float] = field(default_factory=dict)
-    slow_ms: float = 0.0
+    slow_ms: float = 0.0  # Delay of the response under `slow_after_record`
     spoilt: dict[str, float] = field(default_factory=dict)
     unmeasured_reset: dict[str, float] = field(default_factory=dict)
-    speed: float = 1.0
-    freeze_ms: float = 0.0  # of every
-    freeze_every_ms: float = 0.0
+    speed: float = 1.0  # Factor on the worker's speed
+    freeze_ms: float = 0.0  # Duration of each freeze
+    freeze_every_ms: float = 0.0  # Period of the freezes; 0 if there are none
 
     def hits(self, which: str, kind: str, rng: random.Random) -> bool:
+        """Draw whether the fault `which` strikes an attempt of the request class `kind`."""
         share = getattr(self, which).get(kind, 0.0)
         return bool(share) and rng.random() < share
 
 
 class HallKeys:
-    """The keys that the servers of one hall remember, and since when; forgotten once their window is over.
+    """Idempotency keys that the workers of one zone share, each kept until its window is over.
 
-    Times are those at which attempts come: a repeat that comes within the window is dropped, however long it
-    then waits."""
+    The window is measured between arrivals of attempts: a repeat that arrives within it is dropped, however
+    long it then waits in the queue."""
 
     def __init__(self, windows_ms: dict[str, float]) -> None:
         self._windows = windows_ms
         self._since: dict[tuple[str, str], float] = {}
 
     def is_repeat(self, t: float, kind: str, key: str) -> bool:
-        """Whether this key had its effect within the window; if not, it has it now."""
+        """Return whether the key took effect within its window before `t`; if not, record it as used now."""
         window = self._windows[kind]
         since = self._since.get((kind, key))
         if since is not None and t - since <= window:
             return True
         self._since.pop((kind, key), None)
         self._since[kind, key] = t
-        while self._since:  # they stand in the order of time
+        while self._since:  # The entries are ordered by time.
             (oldest_kind, oldest_key), when = next(iter(self._since.items()))
             if t - when <= max(self._windows.values()) + LONGEST_MS:
                 break
@@ -79,7 +83,7 @@
 
 
 class _Job:
-    """An attempt in the house."""
+    """An attempt that is queued or running at a worker."""
 
     __slots__ = ("n", "id", "kind", "key", "work", "connection", "end", "came", "began_t")
 
@@ -99,7 +103,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; it carries one request at a time."""
+    """A connection to a worker; it carries one request at a time."""
 
     def __init__(self, server: LicenceServer) -> None:
         self.server, self.life = server, server.life
@@ -137,7 +141,7 @@
 
 
 class LicenceServer:
-    """One licence server. `record` takes the records, `serials` numbers the attempts of all servers."""
+    """A worker stub. `record` receives its records; `serials` numbers the attempts at all workers."""
 
     def __init__(
         self,
@@ -156,12 +160,12 @@
         self.now, self.record, self._serials, self._keys = around.now, record, serials, keys
         self.rng = around.chance(f"server {name}")
         self.speed = self.rng.uniform(*part.speed)
-        self.capacity = part.cores * self.speed  # ms of work a ms, warm
+        self.capacity = part.cores * self.speed  # Capacity when warm, in ms of work per ms
         self.warm_ms = self.rng.uniform(*part.warm_s) * 1000
         self.faults = Faults()
         self.life, self.port, self.since_unix = 0, 0, 0.0
         self.silent = self.draining = self.down = False
-        self.connections: dict[_Connection, None] = {}  # in the order in which they came
+        self.connections: dict[_Connection, None] = {}  # Open connections in the order of their arrival
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._frozen_until = 0.0
@@ -170,22 +174,22 @@
 
     def _clear(self) -> None:
         self._born_t = self.now()
-        self._busy: list[
-            tuple[float, int, _Job]
-        ] = []  # in the slots, by the attained service at which each ends
+        # Heap of the attempts in slots, keyed by the attained service at which each ends
+        self._busy: list[tuple[float, int, _Job]] = []
         self._queue: deque[_Job] = deque()
-        self._attained, self._at = 0.0, self.now()  # service that each in a slot has had; as of when
+        # Service in ms attained by a job that has been in a slot since the start, and the time of this value
+        self._attained, self._at = 0.0, self.now()
         self._rate = 0.0
         self._use, self._service_ms = 0.0, sum(kind.work_ms * kind.share for kind in self.kinds.values())
         self._report, self._shown = "", deque[tuple[float, str]]()
         self._next_report_t = 0.0
-        self._sent: deque[tuple[float, float]] = deque()  # work sent to it while cold
+        self._sent: deque[tuple[float, float]] = deque()  # Time and work (ms) of each attempt sent while cold
         self._sent_sum = 0.0
 
-    # -- its life
+    # -- start and end of the process
 
     async def start(self, cold: bool) -> None:
-        """A process begins to listen: at a port of the system's choice, later at the same."""
+        """Start a new incarnation that listens at a free port, or at the port of the previous incarnation."""
         self.life += 1
         self.silent = self.draining = self.down = False
         self._clear()
@@ -210,7 +214,7 @@
         self._sweep(self.life)
 
     def stop(self, why: str = "stopped") -> None:
-        """The process ends: its connections are reset, new ones are refused. Waiting work never ran."""
+        """End the process: connections are reset, new ones refused, and queued attempts never run."""
         if self.down:
             return
         self.down = True
@@ -218,7 +222,7 @@
         self._close()
 
     def fall_silent(self) -> None:
-        """The machine is cut off: what comes is not heard, nothing is said, connections stay open."""
+        """Cut the worker off: requests are ignored, no response is sent, and connections stay open."""
         if not self.down and not self.silent:
             self.silent = True
             self.record(Died(self.now(), self.name, self.life, "silent"))
@@ -227,7 +231,7 @@
             self._queue.clear()
 
     async def come_back(self) -> None:
-        """A machine that was silent is back: old connections are reset, the process is new and cold."""
+        """Bring an unreachable worker back: reset its old connections and start a new, cold incarnation."""
         self._close()
         await self.start(cold=True)
 
@@ -248,14 +252,14 @@
             self._timer = None
 
     def warmth(self, t: float) -> float:
-        """The share of its capacity that it has."""
+        """Return the share of its warm capacity that the worker has at time `t`."""
         if not self._cold:
             return 1.0
         share = self.part.cold_from + (1 - self.part.cold_from) * (t - self._born_t) / self.warm_ms
         return min(1.0, share)
 
     def _sweep(self, life: int) -> None:
-        """Close connections that are idle for too long."""
+        """Close connections that have been idle for longer than `idle_s`; repeats every second."""
         if life != self.life or self.down:
             return
         t = self.now()
@@ -268,7 +272,7 @@
     # -- attempts
 
     def take(self, connection: _Connection, message: Message) -> None:
-        """A whole attempt has come."""
+        """Handle a complete request: reject it, apply a fault to it, or put it into a slot or the queue."""
         t = self.now()
         request_id = message.headers.get(b"x-request-id", b"").decode("latin-1")
         name = message.start[1].decode("latin-1").lstrip("/").partition("?")[0].partition("/")[0]
@@ -282,11 +286,11 @@
             self.stop("fell")
             return
         key = message.headers.get(b"idempotency-key", b"").decode("latin-1")
-        # One request is the same work wherever it runs.
+        # The work depends on the request id only, so a request takes the same work at every worker.
         work = random.Random(f"{self.around.seed}/{request_id}").expovariate(1 / kind.work_ms)
         job = _Job(n, request_id, kind, key, min(work, 6 * kind.work_ms), connection, t)
         if self.faults.hits("swallow", name, self.rng):
-            connection.job = job  # it is in nobody's hands
+            connection.job = job  # The attempt is neither queued nor run, and gets no response.
             return
         if self.faults.hits("fast_error", name, self.rng):
             self._reply(job, 500)
@@ -312,7 +316,7 @@
         self._set_rate(t)
 
     def _pressed(self, t: float, work_ms: float) -> bool:
-        """Whether the work sent within the rule's window is more than a cold server bears."""
+        """Return whether the work sent within the last `fall_ms` is more than the cold worker bears."""
         share = self.warmth(t)
         if share >= 1.0:
             self._cold = False
@@ -326,7 +330,7 @@
         return self._sent_sum > budget + SLACK_REQUESTS * dearest
 
     def cancelled(self, job: _Job) -> None:
-        """Its connection has ended. What waits may be dropped; what runs goes on."""
+        """Handle the end of an attempt's connection: with `drops_cancelled`, a queued attempt is dropped."""
         if self.part.drops_cancelled and job.began_t < 0 and job in self._queue:
             self._queue.remove(job)
 
@@ -337,7 +341,7 @@
         heapq.heappush(self._busy, (job.end, job.n, job))
 
     def _advance(self, t: float) -> None:
-        """Account for the time gone by."""
+        """Update the attained service and the utilization up to time `t`."""
         gone = t - self._at
         if gone <= 0:
             return
@@ -347,8 +351,7 @@
         self._at = t
 
     def _set_rate(self, t: float) -> None:
-        """How fast each in a slot advances, in ms of warm single-core service a ms; and when the next
-        ends."""
+        """Set the service rate per slot (warm single-core ms per ms) and the timer of the next end."""
         self._drop_timer()
         count = len(self._busy)
         if not count:
@@ -380,7 +383,7 @@
         self._set_rate(t)
 
     def _finish(self, t: float, job: _Job) -> None:
-        """The work of an attempt is done: its effect stands from here on."""
+        """Complete an attempt: record its effect and send the response, subject to faults."""
         kind, name = job.kind, job.kind.name
         self._service_ms += (t - job.began_t - self._service_ms) * SERVICE_GAIN
         if self.faults.hits("error", name, self.rng) or self.rng.random() < self.part.error_share:
@@ -417,7 +420,7 @@
         connection.write(answer_bytes(status, body, self._load(t)))
 
     def _load(self, t: float) -> str:
-        """The load report as a header: refreshed now and then, and shown late."""
+        """Return the load report as a header line; it is refreshed at intervals and shown with a delay."""
         if t >= self._next_report_t:
             self._advance(t)
             text = f'X-Load: {{"util":{self._use:.3f},"latency_ms":{self._service_ms:.1f}}}\r\n'
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -1,7 +1,7 @@
-"""Planted faults: a relay on the way between a gatekeeper and its servers or clients does what must never
-happen.
+"""Fault injection by a relay between the gateways and their workers or clients.
 
-The daemon holds no fault code, and does nothing wrong. The auditor has to find the breach all the same.
+Each fault makes the relay break one of the auditor's rules; the gateway itself contains no fault code. The
+auditor must find the breach in the records.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
-DRAIN_SURE_MS = 1150.0  # after word of a drain: beyond the grace and its tolerance
-COLD_SURE_MS = 150.0
+# Time after notice of a drain from which new work breaks the rule, as grace period and tolerance are over
+DRAIN_SURE_MS = 1150.0
+COLD_SURE_MS = 150.0  # Time after a cold start from which work is sent to the cold worker
 
 
 class _Far(asyncio.Protocol):
-    """The relay's connection to where the messages really go."""
+    """The relay's connection to the target of the messages."""
 
     def __init__(self, near: _Near) -> None:
         self.near = near
@@ -43,7 +44,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             messages = self.reader.feed(data, 0.0)
-        except WireError:  # a spoilt answer goes on as it is
+        except WireError:  # A malformed response is passed on unchanged.
             self.near.say(data)
             return
         for message in messages:
@@ -55,7 +56,7 @@
 
 
 class _Near(asyncio.Protocol):
-    """A connection that has come to the relay."""
+    """A connection that the relay accepted."""
 
     def __init__(self, stage: Stage, port: int) -> None:
         self.stage, self.port = stage, port
@@ -94,7 +95,7 @@
                     await self.stage.around.loop.create_connection(lambda: far, HOST, port)
                 except OSError:
                     if self.far is far:
-                        # Without us the client would have seen that nobody listens.
+                        # Without the relay, the client's connection would have been refused.
                         self.stage.refused.add(self.transport.get_extra_info("peername")[1])
                         self.close()
 
@@ -122,33 +123,33 @@
 
 
 class Plant:
-    """What goes wrong: `request` may send a message elsewhere or change it, `answer` may change what comes
-    back.
+    """An injected fault: `request` may redirect or change a request, `answer` may change the response.
 
-    `at_servers`: the relay stands before the servers, else before the gatekeepers. A plant hears all records.
+    With `at_servers` the relay stands between gateways and workers, else between clients and gateways.
+    A fault receives all records of the run.
     """
 
     name, at_servers = "", False
-    rule = ""  # that it breaks
+    rule = ""  # Name of the auditor's rule that the fault breaks
 
     def __init__(self, around: Surroundings) -> None:
         self.around, self.stage = around, None  # type: Surroundings, Stage | None
-        self.done = 0  # how often it has struck
+        self.done = 0  # Number of messages that the fault has affected
 
     def feed(self, record: Record) -> None:
-        """A record has come."""
+        """Receive a record of the run."""
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        """Where the message goes, and its bytes."""
+        """Return the target port and the bytes of a request that was sent to `port`."""
         return port, message.raw
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
-        """What the other side gets for this answer."""
+        """Return the messages that the sender of `request` gets in place of the response `message`."""
         return [message.raw]
 
 
 class _EveryNth(Plant):
-    """Strikes at every n-th answer that it is for."""
+    """A fault that changes every n-th of the responses it applies to."""
 
     every = 10
 
@@ -170,7 +171,7 @@
 
 
 class DoubleDebit(Plant):
-    """An hours-debit is sent to a second server too, while the first runs it."""
+    """An hours-debit request is also sent to a second worker, while the first one runs it."""
 
     name, at_servers, rule = "double-debit", True, "effects-once"
     every = 4
@@ -190,7 +191,7 @@
 
 
 class LostAnswer(_EveryNth):
-    """An answer never reaches its client; the connection stays open."""
+    """A response never reaches its client; the connection stays open."""
 
     name, rule = "lost-answer", "no-request-lost"
 
@@ -199,7 +200,7 @@
 
 
 class SecondAnswer(_EveryNth):
-    """A client gets its answer twice."""
+    """A client gets its response twice."""
 
     name, rule = "second-answer", "no-request-lost"
 
@@ -208,7 +209,7 @@
 
 
 class ForeignAnswer(_EveryNth):
-    """A client gets the body that was made for another."""
+    """A client gets the response to another client's request."""
 
     name, rule = "foreign-answer", "no-request-lost"
 
@@ -227,7 +228,7 @@
 
 
 class UnsafeRefusal(_EveryNth):
-    """An hours-debit that ran is refused, as if another try were harmless."""
+    """A successful response to an hours-debit is replaced by a 503, as if a retry were safe."""
 
     name, rule = "unsafe-refusal", "effects-once"
     every = 4
@@ -240,8 +241,11 @@
 
 
 class _Divert(Plant):
-    """Sends attempts elsewhere, but only such as break no other rule by that: no keyed ones, whose hall would
-    change, and of unsafe ones the first."""
+    """A fault that redirects attempts, but only those whose redirection breaks no other rule.
+
+    Attempts with an idempotency key stay, as their zone would change; of unsafe requests only the first
+    attempt is redirected.
+    """
 
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
@@ -253,7 +257,7 @@
             self._gates[record.id] = record.gate
 
     def gate_of(self, message: Message) -> str:
-        """The gatekeeper that sends it, where it may be diverted, else nothing."""
+        """Return the gateway that sent the attempt, or "" if the attempt must not be redirected."""
         name = message.headers.get(b"x-request-id", b"").decode()
         again = name in self._seen
         self._seen.add(name)
@@ -262,7 +266,7 @@
 
 
 class SendToDrained(_Divert):
-    """Now and then work goes to a server of which its gatekeeper was told long ago that it drains."""
+    """Some attempts go to a worker whose draining was announced to the sending gateway long before."""
 
     name, at_servers, rule = "send-to-drained", True, "drains-kept"
 
@@ -291,7 +295,10 @@
 
 
 class ColdRush(_Divert):
-    """All gatekeepers' work goes to a server that has just started, no more from each than it might send."""
+    """Attempts of all gateways go to one worker that has just started.
+
+    Each gateway alone stays within what it may send to a cold worker.
+    """
 
     name, at_servers, rule = "cold-rush", True, "cold-servers"
 
@@ -319,8 +326,8 @@
 
 
 class OverCeiling(Plant):
-    """Firms under a ceiling pass for many firms, so that no gatekeeper sees what they are sent on for
-    together."""
+    """Requests of customers with a ceiling carry changing customer keys, so that no gateway sees a customer's
+    total."""
 
     name, rule = "over-ceiling", "ceilings"
     names = 24
@@ -328,7 +335,7 @@
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
         self._count = itertools.count(1)
-        self.plans: set[bytes] = set()  # that have a ceiling
+        self.plans: set[bytes] = set()  # Names of the plans with a ceiling
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.headers.get(b"x-tier") not in self.plans:
@@ -355,21 +362,21 @@
 
 
 class Stage:
-    """The relays of one plant, one for each target port."""
+    """The relays of one injected fault, one for each target port."""
 
     def __init__(self, around: Surroundings, plant: Plant) -> None:
         self.around, self.plant = around, plant
         plant.stage = self
         self.near: set[_Near] = set()
-        self.ports: dict[int, int] = {}  # the relay's port for a target's
-        self.refused: set[int] = set()  # ports of clients whose target did not listen
+        self.ports: dict[int, int] = {}  # Port of the relay by port of the target
+        self.refused: set[int] = set()  # Local ports of clients whose target refused the connection
         self.port_of: Callable[[str], int] = lambda name: 0
         self.targets: Callable[[], list[int]] = list
         self._servers: list[asyncio.Server] = []
         self._aside: set[asyncio.Task[Any]] = set()
 
     async def before(self, port: int) -> int:
-        """The port of a relay before this one."""
+        """Return the port of the relay in front of the target port, started on first use."""
         if port not in self.ports:
             server = await self.around.loop.create_server(lambda: _Near(self, port), HOST, 0)
             self._servers.append(server)
@@ -377,7 +384,7 @@
         return self.ports[port]
 
     def send_aside(self, port: int, raw: bytes) -> None:
-        """Send a message on a connection of its own, and read what comes without telling anybody."""
+        """Send a message on a separate connection, and discard the response."""
 
         async def send() -> None:
             try:
@@ -388,7 +395,7 @@
             try:
                 await reader.readuntil(b"\r\n\r\n")
             except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                pass  # its server has gone
+                pass  # The target closed the connection.
             finally:
                 writer.close()
 
--- a/plumpick/rehearsal/receiver.py
+++ b/plumpick/rehearsal/receiver.py
@@ -1,7 +1,8 @@
-"""A stand-in that receives duties' effects: a fence, a list of the keys that it took, and a record of each.
+"""A stub that receives the effects of scheduled tasks: it checks fencing tokens, rejects repeated keys and
+records every effect.
 
-It may die before or after it took one (the connection breaks), answer late, and be away; `restart` makes
-it come back with what it kept, or with nothing."""
+It can break the connection before or after it accepts an effect, respond late, and stop listening. `restart`
+loads the fencing tokens from their file, if there is one; the keys of accepted effects stay in memory."""
 
 from __future__ import annotations
 
@@ -20,13 +21,16 @@
 
 
 def machine_ms() -> float:
-    """The machine's one clock, as the witnesses have it."""
+    """Return the machine's CLOCK_BOOTTIME in ms, the clock that the witness processes use too."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Came:
-    """One effect that came whole. `fate`: taken, again (its key was taken before) or fenced."""
+    """An effect that was received completely.
+
+    `fate` is "taken" (accepted), "again" (its key was accepted before) or "fenced" (its token was rejected).
+    """
 
     t: float
     duty: str
@@ -37,7 +41,7 @@
 
 
 class _Caller(asyncio.Protocol):
-    """One connection."""
+    """A connection of a gateway to the receiver."""
 
     def __init__(self, receiver: Receiver) -> None:
         self._receiver, self._reader, self.transport = receiver, Reader(answers=False), None
@@ -58,7 +62,12 @@
 
 
 class Receiver:
-    """`dies_before`, `dies_after`, `late` are shares of the effects; `late_ms` how late an answer is then."""
+    """The receiver of effects.
+
+    `dies_before` and `dies_after` are the probabilities that the connection breaks before or after an effect
+    is accepted; `late` is the probability that a response is delayed by `late_ms`. Without `fenced`, effects
+    with an old token are accepted.
+    """
 
     def __init__(
         self,
@@ -75,18 +84,18 @@
         self.late_ms = 500.0
         self.records: list[Came] = []
         self.callers: set[_Caller] = set()
-        self.came = asyncio.Event()  # set at each effect taken
+        self.came = asyncio.Event()  # Set at each accepted effect
         self.port = 0
         self._server: Any = None
 
     async def start(self) -> None:
-        """Be there, at the same port as before."""
+        """Listen, at the same port as before if there was one."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _Caller(self), HOST, self.port, reuse_address=True)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def away(self) -> None:
-        """Gone, with all connections; what it has taken is kept by `restart`."""
+        """Stop listening and abort all connections; `restart` undoes it."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -94,14 +103,14 @@
             caller.transport.abort()  # type: ignore[attr-defined]
 
     async def restart(self) -> None:
-        """Come back: the fence is read from its file, if it has one."""
+        """Listen again, with the fencing tokens read from their file if there is one."""
         self.away()
         if self._path is not None:
             self._fence = Fence(self._path)
         await self.start()
 
     def asked(self, caller: _Caller, message: Message) -> None:
-        """One effect: refuse it, know it, or take it."""
+        """Record an effect as accepted, repeated or fenced off, and respond to it."""
         chance, headers = self._chance, message.headers
         if chance.random() < self.dies_before:
             caller.transport.abort()  # type: ignore[attr-defined]
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -1,7 +1,7 @@
-"""A stand-in roster: an agent beside each gatekeeper, which tells the list of servers late, and may be
-silent.
+"""A discovery stub: one agent per gateway, which serves the list of workers late and can stop responding.
 
-What a gatekeeper is told is recorded when it is written. The rule on drains counts from there.
+What a gateway is notified of is recorded when it is written to the connection; the rule on drains counts
+from that moment.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
 
-MOVED_CLOSE_MS = 1500.0  # so long after a move the old address keeps its open connections
-GONE_KEPT = 4096  # changes that an agent remembers; who asks from before gets the whole list
-WATCH_MOST_MS = 60_000.0
+MOVED_CLOSE_MS = 1500.0  # Time after a move for which connections to the old address stay open
+GONE_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
+WATCH_MOST_MS = 60_000.0  # Maximum duration of a watch
 
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """A server as the roster lists it."""
+    """A worker as discovery lists it."""
 
     name: str
     life: int
     port: int
     hall: str
     group: int
-    status: str  # ready, draining or gone
-    since_unix: float
+    status: str  # "ready", "draining" or "gone"
+    since_unix: float  # Start of the process in Unix time (ms); 0 if it started warm
 
 
 class _Call(asyncio.Protocol):
-    """One connection of a gatekeeper to its agent."""
+    """A connection of a gateway to its discovery agent."""
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
@@ -45,7 +45,7 @@
         self.reader = Reader(answers=False)
         self.waits: asyncio.TimerHandle | None = None
         self.since = -1
-        self.lost = False  # whatever it asks has no answer any more
+        self.lost = False  # Whether requests on this connection are no longer responded to
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
@@ -71,7 +71,7 @@
 
 
 class Agent:
-    """The agent beside one gatekeeper: what has been sent to it, and the calls that wait for more."""
+    """The discovery agent of one gateway: its list of workers, and the watches that wait for a change."""
 
     def __init__(self, around: Surroundings, gate: str, record: Callable[[Record], None]) -> None:
         self.around, self.gate, self._record = around, gate, record
@@ -79,16 +79,18 @@
         self.index = 1
         self.silent = False
         self.port = 0
-        self.calls: dict[_Call, None] = {}  # in the order in which they came
+        self.calls: dict[_Call, None] = {}  # Open connections in the order of their arrival
         self.address_of: Callable[[Listed], str] = lambda entry: f"{HOST}:{entry.port}"
         self._changes: list[tuple[int, Listed]] = []
-        self._held: list[tuple[_Call, Message]] = []  # what was asked while it is silent
-        self._told: dict[str, tuple[int, str]] = {}
-        self._unsaid: dict[str, Listed] = {}  # what came while it was silent
+        self._held: list[tuple[_Call, Message]] = []  # Requests received while the agent is silent
+        self._told: dict[
+            str, tuple[int, str]
+        ] = {}  # Last (incarnation, status) sent to the gateway, by worker
+        self._unsaid: dict[str, Listed] = {}  # Changes received while the agent is silent
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen at a new port; an agent that listens already moves there."""
+        """Listen at a new port; an agent that listens already moves to the new port."""
         old, old_calls = self._server, list(self.calls)
         self._server = await self.around.loop.create_server(lambda: _Call(self), HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
@@ -103,7 +105,7 @@
             call.transport.abort()
 
     def change(self, entry: Listed) -> None:
-        """Word of a server has come to this machine."""
+        """Apply a change of one worker to the list, and respond to waiting watches."""
         self.index += 1
         if entry.status == "gone":
             self.view.pop(entry.name, None)
@@ -121,13 +123,13 @@
         self._record(Had(self.around.now(), self.gate, entry.name, entry.life, entry.status))
 
     def lose_watches(self) -> None:
-        """All open watches fall silent: their connections stay open, and nothing comes on them any more."""
+        """Stop responding on the connections of all open watches; the connections stay open."""
         for call in [call for call in self.calls if call.waits is not None]:
             call.stop_waiting()
             call.lost = True
 
     def speak(self) -> None:
-        """The silence is over: what was asked meanwhile is answered, and waiting calls hear what is new."""
+        """End the silence: respond to the requests received meanwhile, and to watches that have changes."""
         self.silent = False
         unsaid, self._unsaid = self._unsaid, {}
         for entry in unsaid.values():
@@ -140,7 +142,7 @@
             self._answer_watch(call)
 
     def whole(self) -> dict[str, Any]:
-        """The whole list, as a call gets it."""
+        """Return the whole list of workers in the form of a response."""
         return {
             "index": self.index,
             "snapshot": True,
@@ -160,7 +162,7 @@
         }
 
     def asked(self, call: _Call, message: Message) -> None:
-        """One call."""
+        """Handle one request for the list or for a watch; requests of a silent agent are held back."""
         if call.lost:
             return
         if self.silent:
@@ -197,7 +199,7 @@
         self.tell(news, whole=False)
 
     def tell(self, entries: list[Listed], whole: bool) -> None:
-        """Record what the gatekeeper is told that it was not told before."""
+        """Record each change of incarnation or status that the gateway is notified of."""
         t = self.around.now()
         for entry in entries:
             if self._told.get(entry.name) != (entry.life, entry.status):
@@ -213,20 +215,20 @@
 
 
 class Roster:
-    """Sends word of the servers to the agents, late."""
+    """Sends changes of workers to all discovery agents, with delays."""
 
     def __init__(self, around: Surroundings, part: RosterPart, agents: list[Agent]) -> None:
         self._around, self._part, self.agents = around, part, agents
         self._rng = around.chance("roster")
-        self._last: dict[tuple[int, str], float] = {}  # when the latest word of a server is due at an agent
+        self._last: dict[tuple[int, str], float] = {}  # Due time of the last change, by agent and worker
 
     def begin(self, entries: list[Listed]) -> None:
-        """What all know from the start."""
+        """Set the list of workers that all agents have at the start."""
         for agent in self.agents:
             agent.view = {entry.name: entry for entry in entries}
 
     def news(self, entry: Listed) -> None:
-        """Something has happened; each agent hears of it in its time, of one server in order."""
+        """Send a change to each agent after a random delay; changes of one worker arrive in order."""
         late = {"ready": self._part.add_s, "draining": self._part.drain_s, "gone": self._part.gone_s}
         notice_ms = self._rng.uniform(*late[entry.status]) * 1000
         for number, agent in enumerate(self.agents):
@@ -235,7 +237,7 @@
             self._around.later(due - self._around.now(), agent.change, entry)
 
     def silence(self, for_ms: float) -> None:
-        """All agents say nothing for so long."""
+        """Stop all agents from responding for `for_ms`."""
         for agent in self.agents:
             agent.silent = True
             self._around.later(for_ms, agent.speak)
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -1,4 +1,4 @@
-"""Starts gatekeepers as real processes, just as `run` does, and ends each of them, whatever happens."""
+"""Starts gateways as real processes, as the `run` command does, and ends all of them in every case."""
 
 from __future__ import annotations
 
@@ -22,21 +22,23 @@
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 
-ROOT = Path(__file__).resolve().parents[2]  # where the program that runs this is found again
-READY_S = 20.0  # a gatekeeper that is not up by then will not be
-PORTS, PEER_PORTS_FROM = (10_000, 20_000), 10_000
-PORT_TRIES = 3  # a port may be taken between our look and its start
-LOG_TAIL = 2000
-POLL_S, ANSWER_S = 0.02, 0.5
+ROOT = Path(__file__).resolve().parents[2]  # Import path of the program for the processes it starts
+READY_S = 20.0  # Maximum time in which a gateway must respond to /up after its start
+PORTS, PEER_PORTS_FROM = (10_000, 20_000), 10_000  # Range of client ports, and offset of the port for peers
+PORT_TRIES = 3  # Number of starts with new ports: a free port may be taken before the gateway binds it
+LOG_TAIL = 2000  # Number of characters of the log that an error shows
+POLL_S, ANSWER_S = 0.02, 0.5  # Interval between requests to /up, and time limit for each
 
 
 class StartFailed(Exception):
-    """A gatekeeper could not be started; the text holds the end of its log."""
+    """A gateway could not be started; the message ends with the last part of its log."""
 
 
 def free_port(kind: int = socket.SOCK_STREAM, first: tuple[int, int] = PORTS) -> int:
-    """A port that was free just now, below those that the system gives to who connects: a gatekeeper that
-    comes back finds its own still free."""
+    """Return a port that is free now, outside the system's range of ephemeral ports.
+
+    A gateway that restarts therefore finds its port free. Raises OSError if none is found.
+    """
     for _ in range(100):
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
@@ -44,21 +46,21 @@
             except OSError:
                 continue
             return int(probe.getsockname()[1])
-    raise OSError("no port is free")
+    raise OSError(f"found no free port from {first[0]} to {first[1] - 1} in 100 tries")
 
 
 class Gatekeeper:
-    """One gatekeeper, over all of its processes."""
+    """One gateway, across all of its processes."""
 
     def __init__(self, supervisor: Supervisor, number: int, agent: Agent) -> None:
         self.supervisor, self.number, self.agent = supervisor, number, agent
         self.name = f"n{number}"
         self.port = self.peer_port = 0
         self.starts = 0
-        self.ready = False  # the process that runs has been up
+        self.ready = False  # Whether the current process has responded to /up
         self.ready_t = math.inf
         self.starting = asyncio.Lock()
-        self.told_to_end = False  # the process that runs, by us
+        self.told_to_end = False  # Whether this supervisor sent SIGTERM or SIGKILL to the current process
         self.process: asyncio.subprocess.Process | None = None
         self.watch: asyncio.Task[Any] | None = None
         self.folder = supervisor.folder / self.name
@@ -72,7 +74,7 @@
 
 
 class Supervisor:
-    """All gatekeepers of a rehearsal. `ended` is told when a process ends."""
+    """All gateways of a rehearsal. `ended` is called when the process of a gateway that was ready ends."""
 
     def __init__(
         self,
@@ -88,26 +90,27 @@
         self.around, self.scenario, self.folder, self._relay = around, scenario, folder, relay
         self._quotas, self._record, self._ended = quotas, record, ended
         self._rng = around.chance("supervisor")
-        self.module = "plumpick"  # what is run: the daemon, or one that also tells what it does
+        self.module = "plumpick"  # Module to run: the gateway, or a variant that also records what it does
         self.environment_of: Callable[[Gatekeeper], dict[str, str]] = lambda _gate: {}
-        self.more_of: Callable[[Gatekeeper], dict[str, Any]] = lambda _gate: {}  # in its configuration
+        # Additional entries of a gateway's configuration
+        self.more_of: Callable[[Gatekeeper], dict[str, Any]] = lambda _gate: {}
         self.gates = [Gatekeeper(self, number, agent) for number, agent in enumerate(agents)]
         self.closing = False
         self._kept: list[socket.socket] = []
 
     @staticmethod
     def make_folder() -> Path:
-        """Where configurations and logs go."""
+        """Create and return a temporary folder for configurations and logs."""
         return Path(tempfile.mkdtemp(prefix="plumpick-"))
 
     def drop_folder(self) -> None:
-        """Nothing of it stays."""
+        """Delete the folder with all configurations and logs."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def ports(self) -> tuple[int, int]:
-        """Ports for a gatekeeper's clients and its datagrams."""
-        # A socket of ours that nobody listens at keeps the first for this gatekeeper, also while it is
-        # down; the second is so much above it, so that it is nobody else's either.
+        """Reserve and return a gateway's port for clients and its port for datagrams; raises OSError."""
+        # A bound socket that does not listen reserves the client port for this gateway while it is down.
+        # The port for datagrams is at a fixed offset, so no other gateway gets it either.
         for _ in range(100):
             plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             plug.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -122,12 +125,12 @@
                 continue
             self._kept.append(plug)
             return port, port + PEER_PORTS_FROM
-        raise OSError("no ports are free")
+        raise OSError("found no free pair of ports for a gateway in 100 tries")
 
     # -- configurations
 
     def settings_of(self, number: int) -> dict[str, Any]:
-        """The settings in the platform's form."""
+        """Return the settings of one gateway, in the form that the platform provides them."""
         scenario = self.scenario
         repeats = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
         return {
@@ -189,7 +192,7 @@
         }
 
     def configuration(self, gate: Gatekeeper) -> dict[str, Any]:
-        """All that a gatekeeper is told at a start; its list is the one that its agent has now."""
+        """Return the configuration for a start of the gateway, with its agent's current list of workers."""
         peers = [
             f"{HOST}:{gate.peer_port}" if other is gate else self._relay.address(gate.number, other.number)
             for other in self.gates
@@ -212,7 +215,7 @@
         }
 
     def write(self, gate: Gatekeeper) -> Path:
-        """Put its configuration where it is read, in one step."""
+        """Replace the gateway's configuration file atomically and return its path."""
         gate.folder.mkdir(exist_ok=True)
         path = gate.folder / "config.json"
         news = gate.folder / "config.new"
@@ -223,7 +226,7 @@
     # -- starts
 
     async def start(self, gate: Gatekeeper) -> None:
-        """Start a process and wait until it is up; raises StartFailed."""
+        """Start a process of the gateway and wait until it is up. Raises StartFailed."""
         for attempt in range(PORT_TRIES):
             if not gate.starts:
                 gate.port, gate.peer_port = self.ports()
@@ -233,14 +236,14 @@
                 gate.ready, gate.ready_t = True, self.around.now()
                 self._record(Gate(self.around.now(), gate.name, "ready", 0))
                 return
-            if gate.told_to_end:  # while it started; whoever told it to starts it again
+            if gate.told_to_end:  # Ended on purpose while it started: whoever ended it starts it again.
                 self._record(Gate(self.around.now(), gate.name, "exited", -9))
                 return
             tail = self.log_tail(gate)
             if gate.starts:
                 self._record(Gate(self.around.now(), gate.name, "exited", 1))
             if gate.starts or "address already in use" not in tail.lower() or attempt == PORT_TRIES - 1:
-                raise StartFailed(f"gatekeeper {gate.name} ended at its start:\n{tail}")
+                raise StartFailed(f"gatekeeper {gate.name} exited during its start; end of its log:\n{tail}")
 
     async def _start_once(self, gate: Gatekeeper) -> bool:
         gate.ready, gate.ready_t, gate.told_to_end = False, math.inf, False
@@ -254,12 +257,13 @@
             await asyncio.sleep(POLL_S)
         if gate.running():
             raise StartFailed(
-                f"gatekeeper {gate.name} is not up after {READY_S:.0f} s:\n{self.log_tail(gate)}"
+                f"gatekeeper {gate.name} did not respond to /up within {READY_S:.0f} s; end of its log:\n"
+                f"{self.log_tail(gate)}"
             )
         return False
 
     async def launch(self, gate: Gatekeeper) -> asyncio.subprocess.Process:
-        """A process of the gatekeeper, as `run` starts it."""
+        """Start a process of the gateway as the `run` command does, and return it."""
         environment = {
             **os.environ,
             "BALANCER_CONFIG": str(self.write(gate)),
@@ -282,12 +286,12 @@
 
     async def _watch(self, gate: Gatekeeper, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if gate.ready and not self.closing:  # what ends at its start is told by who starts it
+        if gate.ready and not self.closing:  # An exit during the start is recorded by `start`.
             self._record(Gate(self.around.now(), gate.name, "exited", code))
             self._ended(gate)
 
     def log_tail(self, gate: Gatekeeper) -> str:
-        """The end of its log."""
+        """Return the last part of the gateway's log, or an empty string if there is none."""
         try:
             return (gate.folder / "log").read_text(encoding="utf-8", errors="replace")[-LOG_TAIL:]
         except OSError:
@@ -296,40 +300,40 @@
     # -- ends
 
     def kill(self, gate: Gatekeeper) -> None:
-        """SIGKILL: it ends without a word."""
+        """Send SIGKILL to the gateway, if it runs."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "kill", 0))
             gate.told_to_end = True
             gate.process.kill()  # type: ignore[union-attr]
 
     def terminate(self, gate: Gatekeeper) -> None:
-        """SIGTERM: it finishes what it has."""
+        """Send SIGTERM to the gateway, if it runs, for a graceful shutdown."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "term", 0))
             gate.told_to_end = True
             gate.process.terminate()  # type: ignore[union-attr]
 
     def reload(self, gate: Gatekeeper) -> None:
-        """The configuration is replaced, and SIGHUP is sent."""
+        """Write the gateway's configuration anew and send SIGHUP, if it runs."""
         if gate.running():
             self.write(gate)
             self._record(Gate(self.around.now(), gate.name, "hup", 0))
             gate.process.send_signal(signal.SIGHUP)  # type: ignore[union-attr]
 
     def stop(self, gate: Gatekeeper) -> None:
-        """SIGSTOP: it stands still."""
+        """Suspend the gateway's process with SIGSTOP, if it runs."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "stop", 0))
             gate.process.send_signal(signal.SIGSTOP)  # type: ignore[union-attr]
 
     def go_on(self, gate: Gatekeeper) -> None:
-        """SIGCONT."""
+        """Resume the gateway's process with SIGCONT, if it runs."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "cont", 0))
             gate.process.send_signal(signal.SIGCONT)  # type: ignore[union-attr]
 
     async def close(self) -> None:
-        """End all processes at once."""
+        """Kill all processes, wait for their ends and release the reserved ports."""
         self.closing = True
         for gate in self.gates:
             if gate.running():
--- a/tests/rehearsal/test_runs.py
+++ b/tests/rehearsal/test_runs.py
@@ -200,7 +200,8 @@
         timeout=PATIENCE_S,
         env={**os.environ, "PYTHONPATH": str(ROOT), "TMPDIR": str(tmp)},
     )
-    assert done.returncode == 1 and "ended at its start" in done.stderr and "no loop today" in done.stderr
+    assert done.returncode == 1 and "exited during its start" in done.stderr
+    assert "no loop today" in done.stderr
     assert not list(tmp.iterdir()) and not daemons_of(tmp)
 
 
@@ -344,7 +345,7 @@
     ]
     slow.write_text("\n".join(kept) + "\n")
     done = plumpick("audit", slow)
-    assert done.returncode == 3 and "stood still" in done.stderr and "no-request-lost  broken" in done.stdout
+    assert done.returncode == 3 and "stalled when" in done.stderr and "no-request-lost  broken" in done.stdout
 
 
 def test_a_gatekeeper_that_is_killed_while_it_finishes_and_told_to_reload_at_its_start_is_back_once(tmp_path):
@@ -359,4 +360,4 @@
     )
     done = plumpick("rehearse", short(tmp_path, events, seconds=4), "--quiet")
     assert done.returncode in (0, 3) and "no-request-lost  held" in done.stdout, done.stdout + done.stderr
-    assert "could not be" not in done.stderr and "ended at its start" not in done.stderr
+    assert "could not be" not in done.stderr and "exited during its start" not in done.stderr
