--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -24,7 +24,7 @@
 PERIOD_S = 0.2
 PLANT_ROUNDS = 4  # a planted bug shows by chance: its trial plays its cases so often, or until it is found
 MINUTE_S = 60.0
-BOUND_TERMS = 2.0  # promise 4
+BOUND_TERMS = 2.0  # Maximum time from an owner's death to the next owner's lease, in terms of the lease
 ALL_BACK_S = 20.0  # a tier that does nothing for so long after its faults has stopped for good
 
 
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -1,8 +1,8 @@
-"""Gatekeepers alone, as real processes, with a relay between them and a receiver of their duties' effects:
-for trials of what they do together when parts of the system break. No servers and no clients.
+"""Gateways as real processes, with a datagram relay between them and a receiver of the effects of their
+scheduled tasks, but without workers and clients: for trials of leases, tasks and budgets under faults.
 
-Every process tells what it holds (witness.py), the receiver what it took, by the machine's one clock;
-`judge` reads records and nothing else."""
+Every process records what it holds (see witness.py) and the receiver records what it accepted, both by the
+machine's clock; `judge` reads these records only."""
 
 from __future__ import annotations
 
@@ -21,34 +21,38 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, Supervisor, free_port
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LOOK_S = 0.01
-CALL_PORTS = (30_000, 32_000)  # where operators call
+LOOK_S = 0.01  # Interval at which `until` checks its condition
+CALL_PORTS = (30_000, 32_000)  # Range of the gateways' management ports
 QUOTA = {"rate": 1.0, "burst": 2.0, "ceiling_rate": 0.0, "ceiling_burst": 0.0, "ceiling_slack": 0.0}
 
 
 class TooLate(Exception):
-    """What was waited for did not come; the text says what."""
+    """A condition was not met in time; the message names it."""
 
 
 @dataclass
 class Tier:
-    """`duties` are rows of the operator's file; `fleet` its other keys. Everything is gone after `close`."""
+    """Several gateways with their relay and receiver. `close` ends all processes and deletes all files.
+
+    `duties` are the `[[fleet.duty]]` tables of the operator's file; `fleet` holds its other keys.
+    """
 
     gatekeepers: int
     seed: int
     fleet: dict[str, Any]
     duties: list[dict[str, Any]]
     plant: str = ""
-    rates: list[float] = field(default_factory=list)  # of the gatekeepers' clocks
+    rates: list[float] = field(default_factory=list)  # Rate of each gateway's clock; empty if all run at 1
     fenced: bool = True
     management: bool = False
     environment: dict[str, str] = field(default_factory=dict)
     budgets: list[dict[str, Any]] = field(default_factory=list)
-    demand: dict[str, float] = field(default_factory=dict)  # requests a second at each, by budget
-    fleet_of: Callable[[int], dict[str, Any]] | None = None  # settings that differ by gatekeeper
+    demand: dict[str, float] = field(default_factory=dict)  # Requests per second at each gateway, by budget
+    # Keys of the `[fleet]` table that differ by gateway
+    fleet_of: Callable[[int], dict[str, Any]] | None = None
 
     async def start(self) -> None:
-        """Start all; raises StartFailed or OSError."""
+        """Start relay, receiver and gateways. Raises StartFailed or OSError."""
         self.around = Surroundings(asyncio.get_running_loop(), self.seed)
         scenario = Scenario(
             fleet=FleetPart(gatekeepers=self.gatekeepers, servers=1),
@@ -91,27 +95,27 @@
         return self.supervisor.gates
 
     def want(self, number: int, demand: dict[str, float]) -> None:
-        """From now on so many requests a second come to that gatekeeper, by budget."""
+        """Set the requests per second that a gateway spends of each budget."""
         path = self.folder / f"demand-{number}"
         fresh = path.with_suffix(".new")
         fresh.write_text(json.dumps(demand), encoding="utf-8")
         fresh.rename(path)
 
     async def change(self, budgets: list[dict[str, Any]], chance: random.Random) -> None:
-        """Other figures of budgets, at one gatekeeper after another (SIGHUP); over once all have them."""
+        """Change the limits of the budgets at one gateway after another (SIGHUP); return when all have them."""
         for number in chance.sample(range(self.gatekeepers), self.gatekeepers):
             await self.change_at(number, budgets)
             await asyncio.sleep(chance.uniform(0, 0.3))
 
     async def change_at(self, number: int, budgets: list[dict[str, Any]]) -> None:
-        """Other limits of budgets at one gateway (SIGHUP); files written later have them, too."""
+        """Change the limits of the budgets at one gateway (SIGHUP); files written later contain them, too."""
         self.budgets = budgets
         async with self.gates[number].starting:
             self._write_settings(number)
             await self._hang_up(self.gates[number])
 
     async def _hang_up(self, gate: Gatekeeper) -> None:
-        """SIGHUP, if it runs; wait until it has read its file."""
+        """Send SIGHUP to the gateway, if it runs, and wait until it has read its file."""
         process, begin = gate.process, machine_ms()
         if process is None or not gate.running():
             return
@@ -120,7 +124,7 @@
             lambda: not gate.running()
             or any(row[0] == "figures" and row[3] == process.pid and row[1] >= begin for row in self.look()),
             10,
-            f"{gate.name} has other figures",
+            f"new limits of budgets at {gate.name}",
         )
 
     def _write_settings(self, number: int) -> None:
@@ -150,11 +154,11 @@
         return {"management": f"{HOST}:{self.calls[gate.number]}"}
 
     def ledger(self, number: int) -> Path:
-        """What the processes of that number have told."""
+        """Return the file to which the processes of a gateway write their records."""
         return self.folder / f"witness-{number}"
 
     def look(self) -> list[list[Any]]:
-        """All that was told up to now, as [kind, t, number, pid, ...], in the order of reading."""
+        """Return all records written up to now, as [kind, t, number, pid, ...], in the order of reading."""
         for number in range(self.gatekeepers):
             path, begin = self.ledger(number), self._read.get(number, 0)
             if not path.exists():
@@ -170,7 +174,7 @@
         return self.witnessed
 
     def owner(self, lease: int) -> int | None:
-        """The number of who told last that it holds the lease, if that has not ended."""
+        """Return the number of the gateway that holds the lease by the latest record, or None."""
         last = max(
             (row for row in self.look() if row[0] in ("held", "lost") and row[4] == lease),
             key=lambda row: row[1],
@@ -179,16 +183,19 @@
         return None if last is None or last[0] == "lost" or last[7] < machine_ms() else last[2]
 
     async def until(self, true: Callable[[], Any], limit_s: float, what: str) -> Any:
-        """Wait for a record; raises TooLate."""
+        """Wait until `true` returns a true value, and return it. Raises TooLate after `limit_s` seconds."""
         end = machine_ms() + limit_s * 1000
         while not (value := true()):
             if machine_ms() > end:
-                raise TooLate(f"seed {self.seed}: {what}: not within {limit_s:g} s")
+                raise TooLate(f"seed {self.seed}: {what}: not seen within {limit_s:g} s")
             await asyncio.sleep(LOOK_S)
         return value
 
     async def taken(self, duties: list[str], limit_s: float, since: float | None = None) -> None:
-        """Wait until an effect of each of these duties has been taken after `since` (now)."""
+        """Wait until an effect of each of these tasks has been accepted after `since` (default: now).
+
+        Raises TooLate after `limit_s` seconds.
+        """
         begin = machine_ms() if since is None else since
         await self.until(
             lambda: set(duties)
@@ -198,8 +205,11 @@
         )
 
     async def stands_in_an_effect(self, lease: int, when: str, for_s: float) -> int | None:
-        """Its owner stops itself in the midst of an effect, `before` or `after` its look at the clock, and
-        goes on after so long; its number, or None where it did not come to that."""
+        """Let the lease's owner suspend itself while it sends an effect, and resume it after `for_s`.
+
+        `when` is "before" or "after": relative to the check of the clock. Returns the owner's number, or None
+        if no owner was suspended.
+        """
         number = self.owner(lease)
         if number is None:
             return None
@@ -219,7 +229,7 @@
         return number if stood else None
 
     async def kill(self, number: int, back_s: float | None = 0.3) -> None:
-        """SIGKILL, and a new start after so long (None: none)."""
+        """Send SIGKILL to a gateway and start it again after `back_s` seconds (None: not at all)."""
         gate = self.gates[number]
         async with gate.starting:
             if gate.running():
@@ -230,7 +240,7 @@
                 await self.supervisor.start(gate)
 
     async def stand(self, number: int, for_s: float) -> None:
-        """SIGSTOP for so long."""
+        """Suspend a gateway's process with SIGSTOP for `for_s` seconds."""
         gate = self.gates[number]
         process = gate.process
         self.supervisor.stop(gate)
@@ -252,16 +262,18 @@
 
 @dataclass
 class Judged:
-    """What the records show."""
-
-    overlaps: list[str] = field(default_factory=list)  # promise 1
-    out_of_order: list[str] = field(default_factory=list)  # promises 2 and 3
-    doubles: list[str] = field(default_factory=list)
-    late: list[str] = field(default_factory=list)  # promise 5: begun when its lease had ended
+    """Broken promises, one text each, and counts of effects that the records show."""
+
+    overlaps: list[str] = field(default_factory=list)  # A lease had two owners at one time
+    out_of_order: list[str] = field(
+        default_factory=list
+    )  # An effect was admitted after one with a larger token
+    doubles: list[str] = field(default_factory=list)  # An effect of one period was accepted twice
+    late: list[str] = field(default_factory=list)  # An effect was begun after its lease had ended
     taken: int = 0
     fenced: int = 0
     again: int = 0
-    owners: int = 0  # tokens under which something was held
+    owners: int = 0  # Number of pairs of lease and fencing token that were held
 
     @property
     def broken(self) -> list[str]:
@@ -269,15 +281,18 @@
 
 
 def judge(witnessed: list[list[Any]], received: list[Came]) -> Judged:  # noqa: C901  (to be split by concern)
-    """Promises 1, 2, 3 and 5. A lease counts from when its holder knew of it to its end by the machine's
-    clock, or to when it was let go of; also after its process was killed."""
+    """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
+    of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
+
+    A lease lasts from the moment at which its holder knew of it until its expiry by the machine's clock, or
+    until it was released; the death of the holder's process does not end it."""
     result = Judged(
         taken=sum(one.fate == "taken" for one in received),
         fenced=sum(one.fate == "fenced" for one in received),
         again=sum(one.fate == "again" for one in received),
     )
-    spans: dict[tuple[int, int], list[float]] = {}  # (lease, token): from, until
-    ends: dict[int, tuple[float, float]] = {}  # token: from, until, of any lease
+    spans: dict[tuple[int, int], list[float]] = {}  # [begin, end] by lease and token
+    ends: dict[int, tuple[float, float]] = {}  # (begin, end) by token, of any lease
     order = sorted(witnessed, key=lambda row: row[1])
     for kind, t, _number, _pid, *parts in order:
         if kind == "held":
@@ -306,7 +321,9 @@
                 last = row
     for kind, t, _number, _pid, *parts in order:
         if kind == "effect" and not (parts[2] in ends and t <= ends[parts[2]][1]):
-            result.late.append(f"{parts[0]} {parts[1]} under {parts[2]:x} begun at {t:.1f}, after its lease")
+            result.late.append(
+                f"{parts[0]} {parts[1]} under {parts[2]:x} begun at {t:.1f}, after its lease ended"
+            )
     highest: dict[str, int] = {}
     keys: set[tuple[str, int]] = set()
     for one in received:
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -1,18 +1,27 @@
-"""The daemon with a record of what it holds: `python -m plumpick.rehearsal.witness`, in place of `-m
-plumpick`.
-
-One line of JSON for each thing, in $WITNESS_FILE, with the machine's clock that goes on through everything
-(CLOCK_BOOTTIME, ms): `held` (lease, token, since, until) whenever that changes, `lost`, `effect` (duty,
-period, token) right before it is written. $WITNESS_RATE makes the program's clock run at that
-rate, with $WITNESS_HINT tokens begin in a first process at 10^6, in those after it at 1, as if the time of
-day fell back, $WITNESS_PLANT plants a bug
-(benchmarks/ownership/plants.py, benchmarks/budgets/plants.py). `spent` (budget, units, at what time by
-its clock) for each budget that a request took from, `lent` for
-each share that is taken, `figures` when budgets have others. $WITNESS_DEMAND names a file of requests a
-second by budget, which the process then wants to spend by itself, as if clients came. Where
-$WITNESS_FILE.before or .after is there, the process takes it away and stops itself, before or after it
-looks at the clock for an effect; with .before-share or .after-share it kills itself before or after it sends
-the next share of a budget."""
+"""The gateway with a record of the leases and budgets it holds: `python -m plumpick.rehearsal.witness` in
+place of `python -m plumpick`.
+
+It appends one line of JSON per record to $WITNESS_FILE: [kind, time, pid, ...], with the time by
+CLOCK_BOOTTIME in ms. The kinds are:
+
+- `life` (name): the process has started.
+- `held` (lease, token, since, until), whenever this changes, and `lost` (lease, token).
+- `effect` (task, period, token), right before the effect of a scheduled task is written.
+- `spent` (budget, units, time by the process's clock), for each budget that a request was charged to.
+- `lent`, for each accepted grant of a budget, and `figures`, when the limits of the budgets have changed.
+
+Environment variables change how the process behaves:
+
+- $WITNESS_RATE is the rate at which the process's clock runs.
+- With $WITNESS_HINT, fencing tokens begin at 10^6 in the first process and at 1 in all later ones, as if the
+  time of day had been set back.
+- $WITNESS_PLANT names a bug to plant (benchmarks/ownership/plants.py, benchmarks/budgets/plants.py).
+- $WITNESS_DEMAND names a file of requests per second by budget, which the process spends by itself, as if
+  clients sent requests.
+
+Files trigger faults, once each; the process deletes the file. $WITNESS_FILE.before and .after suspend the
+process before or after it checks the clock for an effect; .before-share and .after-share kill it before or
+after it sends the next grant of a budget."""
 
 from __future__ import annotations
 
@@ -25,16 +34,16 @@
 import time
 from typing import Any
 
-DEMAND_STEP_S = 0.02
+DEMAND_STEP_S = 0.02  # Interval at which requests are spent under $WITNESS_DEMAND
 
 
 def true_ms() -> float:
-    """The machine's clock."""
+    """Return the machine's CLOCK_BOOTTIME in ms."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
 class Ledger:
-    """Where the record goes: one line at a time, whole, whatever becomes of the process."""
+    """Writes the records; each line is one write to the file, so a killed process leaves no partial line."""
 
     def __init__(self, path: str, rate: float) -> None:
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -45,12 +54,14 @@
         os.write(self._file, (json.dumps([kind, true_ms(), os.getpid(), *parts]) + "\n").encode())
 
     def true(self, clock_ms: float) -> float:
-        """When the program's clock shows that. Danger: all processes of a number are on one machine and so
-        have one clock, which is off from the machine's by the same: an upgrade passes on times."""
+        """Convert a time of the process's clock to the machine's clock.
+
+        All processes of a gateway must have the same rate, because a hot restart passes on times.
+        """
         return clock_ms / self._rate
 
     def look(self, member: Any) -> None:
-        """Write down what has changed of what it holds."""
+        """Record the leases that the participant has acquired, renewed or lost since the last call."""
         held = (
             {}
             if member.closed
@@ -69,7 +80,7 @@
 
 
 def obey(when: str, number: signal.Signals) -> None:
-    """Send itself that signal, once, where it was told to: SIGSTOP (until SIGCONT) or SIGKILL."""
+    """If the file $WITNESS_FILE.`when` exists, delete it and send this process the signal `number`."""
     try:
         os.unlink(f"{os.environ['WITNESS_FILE']}.{when}")
     except FileNotFoundError:
@@ -78,7 +89,7 @@
 
 
 def clients_of(begin: Any) -> Any:
-    """A part in the fleet's work that wants to spend by itself, as often as the file says."""
+    """Wrap LeaseRunner.start so that the runner also spends budgets at the rates in $WITNESS_DEMAND."""
 
     def opened(part: Any, state: Any = None) -> None:
         begin(part, state)
@@ -89,7 +100,7 @@
                 with open(os.environ["WITNESS_DEMAND"], encoding="utf-8") as file:
                     wanted.update(json.load(file))
             except (OSError, ValueError):
-                pass  # it is being written
+                pass  # The file is missing or incomplete: the previous rates remain.
             for name, rate in wanted.items():
                 for _ in range(int(rate * DEMAND_STEP_S + chance.random())):
                     part.budgets.spend([(name, 1.0)])
@@ -101,7 +112,7 @@
 
 
 def main() -> int:  # noqa: C901, PLR0915  (to be split by concern)
-    """The exit code."""
+    """Patch the gateway to write records and apply faults, run it and return its exit code."""
     from plumpick.gateway import daemon
     from plumpick.gateway.cluster import fenced_effects, lease_runner
     from plumpick.gateway.platform import Platform
