--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -102,7 +102,7 @@
         fresh.rename(path)
 
     async def change(self, budgets: list[dict[str, Any]], chance: random.Random) -> None:
-        """Change the limits of the budgets at one gateway after another (SIGHUP); return when all have them."""
+        """Change the limits of the budgets at one gateway after another (SIGHUP) until all have them."""
         for number in chance.sample(range(self.gatekeepers), self.gatekeepers):
             await self.change_at(number, budgets)
             await asyncio.sleep(chance.uniform(0, 0.3))
