--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -147,7 +147,7 @@
         if process is None or not gate.running():
             return
         self.mark(f"gatekeeper {gate.name} is told to end (SIGTERM)")
-        self.front.doors[gate.number].leaves(self._rng.uniform(*NEW_CONNECTIONS_MS))
+        self.front.gateway_connections[gate.number].begin_shutdown(self._rng.uniform(*NEW_CONNECTIONS_MS))
         self.supervisor.terminate(gate)
         begin_ms = self.around.now()
         if not await self._has_ended(process):
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -28,9 +28,9 @@
         await fleet.play()
         judge_rules(fleet, verdict)
         fleet.front.close()
-        for door in fleet.front.doors:
-            while door.idle:
-                door.idle.pop().transport.abort()
+        for connections in fleet.front.gateway_connections:
+            while connections.idle:
+                connections.idle.pop().transport.abort()
         await asyncio.sleep(SETTLE_S)
         judge_resources(fleet, verdict)
         judge_logs(fleet, verdict)
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from plumpick.rehearsal.auditor import Auditor
-from plumpick.rehearsal.clients import Front, capacity_of
+from plumpick.rehearsal.clients import Front, total_capacity
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
@@ -112,7 +112,7 @@
                 scenario.hall_of(number),
                 number // (GROUP_SIZE * len(halls)) * len(halls) + number % len(halls),
             )
-        self.capacity = capacity_of(list(self.servers.values()))
+        self.capacity = total_capacity(list(self.servers.values()))
         gates = [f"n{number}" for number in range(scenario.fleet.gatekeepers)]
         self.agents = [Agent(around, gate, self.recorder) for gate in gates]
         self.roster = Roster(around, scenario.roster, self.agents)
@@ -200,16 +200,16 @@
         for result in results:
             if isinstance(result, BaseException):
                 raise result
-        for gate, door in zip(self.supervisor.gates, self.front.doors, strict=True):
-            door.port = await self._door_port(gate)
-            door.up = True
+        for gate, connections in zip(self.supervisor.gates, self.front.gateway_connections, strict=True):
+            connections.port = await self._entry_port(gate)
+            connections.up = True
         self.around.settle()
 
     def _relayed(self, entry: Listed) -> str:
         assert self.stage is not None
         return f"{HOST}:{self.stage.ports.get(entry.port, entry.port)}"
 
-    async def _door_port(self, gate: Gatekeeper) -> int:
+    async def _entry_port(self, gate: Gatekeeper) -> int:
         if self.stage is not None and self.plant is not None and not self.plant.at_servers:
             return await self.stage.before(gate.port)
         return gate.port
@@ -258,8 +258,8 @@
             self.supervisor.drop_folder()
 
     def _gate_ended(self, gate: Gatekeeper) -> None:
-        door = self.front.doors[gate.number]
-        door.went_down(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
+        connections = self.front.gateway_connections[gate.number]
+        connections.process_ended(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
 
     # -- the script
 
@@ -310,7 +310,7 @@
             case ServerFault():
                 self._fault(event)
             case HotFirm():
-                firm = self.front.heat(event)
+                firm = self.front.add_hot_traffic(event)
                 self.mark(f"customer {firm} sends {event.times:g} times its quota in addition")
             case SplitPeers():
                 side = set(event.side)
@@ -329,7 +329,7 @@
 
     async def _restart(self, gate: Gatekeeper) -> None:
         self.mark(f"gatekeeper {gate.name} gets SIGTERM")
-        self.front.doors[gate.number].leaves(self._rng.uniform(*NEW_CONNECTIONS_MS))
+        self.front.gateway_connections[gate.number].begin_shutdown(self._rng.uniform(*NEW_CONNECTIONS_MS))
         self.supervisor.terminate(gate)
         if gate.watch is not None:
             await gate.watch
