--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -248,7 +248,7 @@
         receiver = self.tier.receiver
         receiver.dies_before, receiver.dies_after, receiver.late = 0.2, 0.3, 0.3
         await asyncio.sleep(1.0)
-        receiver.away()
+        receiver.stop_listening()
         await asyncio.sleep(0.8)
         receiver.dies_before = receiver.dies_after = receiver.late = 0.0
         await receiver.restart()
@@ -256,7 +256,7 @@
     async def receiver_gone(self) -> None:
         """Away for a minute, while the owner dies and another works on."""
         receiver = self.tier.receiver
-        receiver.away()
+        receiver.stop_listening()
         await asyncio.sleep(MINUTE_S / 2)
         await self.tier.kill(await self._owner())
         await asyncio.sleep(MINUTE_S / 2)
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -204,7 +204,7 @@
     try:
         tier = Tier(of_rehearsal(fleet), seed)
     finally:
-        fleet.supervisor.drop_folder()
+        fleet.supervisor.delete_folder()
         loop.close()
     return figures_of(tier, tier.run([(SETTLE, SETTLE_S), (COUNTED, seconds)]))
 
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -51,7 +51,7 @@
         self.management: dict[int, int] = {}
         self.started_pids: list[int] = []
         self._stops: list[_Stop] = []
-        self.more_of = self._more
+        self.extra_configuration_of = self._more
 
     def _more(self, gate: Gatekeeper) -> dict[str, Any]:
         self.management[gate.number] = free_port(first=MANAGEMENT_PORTS)
@@ -69,7 +69,7 @@
             self._stops.append(_Stop(gate.name, gate.process, self.around.now()))
         super().stop(gate)
 
-    def go_on(self, gate: Gatekeeper) -> None:
+    def resume(self, gate: Gatekeeper) -> None:
         """SIGCONT to the process that was stopped: the gateway may have a next one by now."""
         for stop in self._stops:
             if stop.gate == gate.name and stop.end_ms == math.inf:
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -13,10 +13,10 @@
 from plumpick.rehearsal.auditor import Auditor
 from plumpick.rehearsal.clients import Front, total_capacity
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
+from plumpick.rehearsal.licence_server import WorkerStub, ZoneKeys
 from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
 from plumpick.rehearsal.records import Began, Ended, Lag, Mark, Recorder
-from plumpick.rehearsal.roster import Agent, Listed, Roster
+from plumpick.rehearsal.roster import DiscoveryAgent, DiscoveryStub, ListedWorker
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     HotFirm,
@@ -40,7 +40,7 @@
 SLOW_P99_MS = 15.0  # Maximum 99th percentile of the event loop's lag with which a verdict counts
 SETTLE_MS = 250.0  # Time between the last response and the end of the records
 GROUP_SIZE = 4  # Number of workers in a group of a zone
-FIRST_MS = 1000.0  # Time after a gateway is ready during which it gets no SIGHUP
+MIN_UPTIME_FOR_SIGHUP_MS = 1000.0  # Time after a gateway is ready during which it gets no SIGHUP
 NEW_CONNECTIONS_MS = (
     200.0,
     400.0,
@@ -58,9 +58,9 @@
 
     def start(self) -> None:
         self._due = self._around.now() + LAG_STEP_MS
-        self._timer = self._around.later(LAG_STEP_MS, self._look)
+        self._timer = self._around.later(LAG_STEP_MS, self._sample)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         now = self._around.now()
         late = max(0.0, now - self._due)
         self.counts[min(len(self.counts) - 1, int(late * 2))] += 1
@@ -103,9 +103,9 @@
         self._rng = around.chance("script")
         halls = scenario.fleet.halls
         windows = {kind.name: kind.window_s * 1000 for kind in scenario.classes if kind.repeats == "keyed"}
-        self._keys = {hall: HallKeys(windows) for hall in halls}
+        self._keys = {hall: ZoneKeys(windows) for hall in halls}
         self._names = itertools.count(1)
-        self.servers: dict[str, LicenceServer] = {}
+        self.servers: dict[str, WorkerStub] = {}
         self.groups: dict[str, int] = {}
         for number in range(scenario.fleet.servers):
             self._new_server(
@@ -114,8 +114,8 @@
             )
         self.capacity = total_capacity(list(self.servers.values()))
         gates = [f"n{number}" for number in range(scenario.fleet.gatekeepers)]
-        self.agents = [Agent(around, gate, self.recorder) for gate in gates]
-        self.roster = Roster(around, scenario.roster, self.agents)
+        self.agents = [DiscoveryAgent(around, gate, self.recorder) for gate in gates]
+        self.roster = DiscoveryStub(around, scenario.roster, self.agents)
         self.relay = Relay(around, scenario.peers, gates, self.recorder)
         self.front = Front(around, scenario, self.capacity, self.recorder)
         self.quotas = self.front.quotas()
@@ -148,9 +148,9 @@
         self.failed: list[str] = []  # Errors of scripted events that could not be played
         self._releasing: set[str] = set()
 
-    def _new_server(self, hall: str, group: int) -> LicenceServer:
+    def _new_server(self, hall: str, group: int) -> WorkerStub:
         name = f"lic-{next(self._names):03d}"
-        server = LicenceServer(
+        server = WorkerStub(
             self.around,
             name,
             hall,
@@ -166,12 +166,12 @@
 
     def _port_of(self, name: str) -> int:
         server = self.servers.get(name)
-        return 0 if server is None or server.down or server.silent else server.port
+        return 0 if server is None or server.down or server.is_unreachable else server.port
 
-    def _listed(self, server: LicenceServer, status: str) -> Listed:
-        return Listed(
+    def _listed(self, server: WorkerStub, status: str) -> ListedWorker:
+        return ListedWorker(
             server.name,
-            server.life,
+            server.incarnation,
             server.port,
             server.hall,
             self.groups[server.name],
@@ -192,7 +192,7 @@
                 for server in self.servers.values():
                     await self.stage.before(server.port)
                 agent.address_of = self._relayed
-        self.roster.begin([self._listed(server, "ready") for server in self.servers.values()])
+        self.roster.set_initial_list([self._listed(server, "ready") for server in self.servers.values()])
         await self.relay.start()
         results = await asyncio.gather(
             *(self.supervisor.start(gate) for gate in self.supervisor.gates), return_exceptions=True
@@ -205,7 +205,7 @@
             connections.up = True
         self.around.settle()
 
-    def _relayed(self, entry: Listed) -> str:
+    def _relayed(self, entry: ListedWorker) -> str:
         assert self.stage is not None
         return f"{HOST}:{self.stage.ports.get(entry.port, entry.port)}"
 
@@ -255,7 +255,7 @@
             for agent in self.agents:
                 agent.close()
             self.relay.close()
-            self.supervisor.drop_folder()
+            self.supervisor.delete_folder()
 
     def _gate_ended(self, gate: Gatekeeper) -> None:
         connections = self.front.gateway_connections[gate.number]
@@ -292,7 +292,7 @@
                 gate = self.supervisor.gates[event.gatekeeper]
                 self.mark(f"gatekeeper {gate.name} is stopped (SIGSTOP)")
                 self.supervisor.stop(gate)
-                self._later(event.for_s * 1000, self._go_on, gate)
+                self._later(event.for_s * 1000, self._resume, gate)
             case MoveRoster():
                 self._spawn(self._move_roster())
             case RosterSilent():
@@ -302,11 +302,11 @@
             case SilentWatches():
                 self.mark("all open discovery watches stop answering")
                 for agent in self.agents:
-                    agent.lose_watches()
+                    agent.drop_watches()
             case ReleaseServers():
                 self._release(event)
             case SilentServers():
-                self._silence(event)
+                self._cut_off(event)
             case ServerFault():
                 self._fault(event)
             case HotFirm():
@@ -342,8 +342,8 @@
                 await self.supervisor.start(gate)
                 self.mark(f"gatekeeper {gate.name} is up again")
 
-    def _go_on(self, gate: Gatekeeper) -> None:
-        self.supervisor.go_on(gate)
+    def _resume(self, gate: Gatekeeper) -> None:
+        self.supervisor.resume(gate)
         self.mark(f"gatekeeper {gate.name} resumes (SIGCONT)")
 
     async def _move_roster(self) -> None:
@@ -353,19 +353,19 @@
             self._spawn(self._reload(gate))
 
     async def _reload(self, gate: Gatekeeper) -> None:
-        """Send SIGHUP, but not before FIRST_MS after the gateway is ready.
+        """Send SIGHUP, but not before MIN_UPTIME_FOR_SIGHUP_MS after the gateway is ready.
 
         SIGHUP ends a process that has not installed its handler yet.
         """
-        while not gate.running() or self.around.now() - gate.ready_t < FIRST_MS:
+        while not gate.running() or self.around.now() - gate.ready_t < MIN_UPTIME_FOR_SIGHUP_MS:
             await asyncio.sleep(0.05)
         self.supervisor.reload(gate)
 
-    def _ready(self) -> list[LicenceServer]:
+    def _ready(self) -> list[WorkerStub]:
         return [
             server
             for server in self.servers.values()
-            if not (server.down or server.draining or server.silent or server.name in self._releasing)
+            if not (server.down or server.draining or server.is_unreachable or server.name in self._releasing)
         ]
 
     def _release(self, event: ReleaseServers) -> None:
@@ -380,32 +380,32 @@
             self._later(place * step_ms, lambda one=server: self._spawn(self._replace(one, event.linger_s)))
         self._later(event.within_s * 1000, self.mark, "the release ends")
 
-    async def _replace(self, server: LicenceServer, linger_s: float) -> None:
+    async def _replace(self, server: WorkerStub, linger_s: float) -> None:
         server.draining = True  # The worker rejects new attempts from now on; discovery reports it later.
-        self.roster.news(self._listed(server, "draining"))
+        self.roster.publish(self._listed(server, "draining"))
         successor = self._new_server(server.hall, self.groups[server.name])
         await successor.start(cold=True)
         if self.stage is not None and self.plant is not None and self.plant.at_servers:
             await self.stage.before(successor.port)
-        self.roster.news(self._listed(successor, "ready"))
+        self.roster.publish(self._listed(successor, "ready"))
         late_s = max(*self.scenario.roster.drain_s) + max(*self.scenario.roster.spread_ms) / 1000
         await asyncio.sleep(late_s + linger_s)
         server.stop()
         self._releasing.discard(server.name)
-        self.roster.news(self._listed(server, "gone"))
+        self.roster.publish(self._listed(server, "gone"))
 
-    def _silence(self, event: SilentServers) -> None:
+    def _cut_off(self, event: SilentServers) -> None:
         for server in self._pick(event.count):
-            server.fall_silent()
+            server.become_unreachable()
             self.mark(f"server {server.name} becomes unreachable")
-            self._later(event.for_s * 1000, lambda one=server: self._spawn(self._unsilence(one)))
+            self._later(event.for_s * 1000, lambda one=server: self._spawn(self._restore(one)))
 
-    async def _unsilence(self, server: LicenceServer) -> None:
-        await server.come_back()
+    async def _restore(self, server: WorkerStub) -> None:
+        await server.restart_cold()
         self.mark(f"server {server.name} is reachable again, with a cold process")
-        self.roster.news(self._listed(server, "ready"))
+        self.roster.publish(self._listed(server, "ready"))
 
-    def _pick(self, count: int) -> list[LicenceServer]:
+    def _pick(self, count: int) -> list[WorkerStub]:
         ready = self._ready()
         return self._rng.sample(ready, min(count, max(1, len(ready) - 1)) if count else len(ready))
 
@@ -423,9 +423,9 @@
             else:
                 setattr(faults, which, dict.fromkeys(classes, event.share))
                 faults.slow_ms = event.by_ms
-        self._later(event.for_s * 1000, self._heal, chosen, event)
+        self._later(event.for_s * 1000, self._end_fault, chosen, event)
 
-    def _heal(self, chosen: list[LicenceServer], event: ServerFault) -> None:
+    def _end_fault(self, chosen: list[WorkerStub], event: ServerFault) -> None:
         for server in chosen:
             if event.fault == "half-speed":
                 server.faults.speed = 1.0
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -25,9 +25,9 @@
 
 NOT_RUN = "X-Not-Run: 1\r\n"
 # Time constant of the average behind `util`, and weight of a new sample in the average behind `latency_ms`
-USE_MEMORY_MS, SERVICE_GAIN = 400.0, 0.1
+USE_TIME_CONSTANT_MS, SERVICE_GAIN = 400.0, 0.1
 COLD_STEP_MS = 50.0  # Interval at which a cold worker's speed is updated
-LONGEST_MS = 20_000.0  # Maximum time that an attempt spends in a worker
+MAX_ATTEMPT_MS = 20_000.0  # Maximum time that an attempt spends in a worker
 SLACK_REQUESTS = (
     1.0  # Number of requests of the most expensive class that a cold worker bears beyond its budget
 )
@@ -50,13 +50,13 @@
     freeze_ms: float = 0.0  # Duration of each freeze
     freeze_every_ms: float = 0.0  # Period of the freezes; 0 if there are none
 
-    def hits(self, which: str, kind: str, rng: random.Random) -> bool:
+    def is_drawn(self, which: str, kind: str, rng: random.Random) -> bool:
         """Draw whether the fault `which` strikes an attempt of the request class `kind`."""
         share = getattr(self, which).get(kind, 0.0)
         return bool(share) and rng.random() < share
 
 
-class HallKeys:
+class ZoneKeys:
     """Idempotency keys that the workers of one zone share, each kept until its window is over.
 
     The window is measured between arrivals of attempts: a repeat that arrives within it is dropped, however
@@ -76,7 +76,7 @@
         self._since[kind, key] = t
         while self._since:  # The entries are ordered by time.
             (oldest_kind, oldest_key), when = next(iter(self._since.items()))
-            if t - when <= max(self._windows.values()) + LONGEST_MS:
+            if t - when <= max(self._windows.values()) + MAX_ATTEMPT_MS:
                 break
             del self._since[oldest_kind, oldest_key]
         return False
@@ -85,7 +85,7 @@
 class _Job:
     """An attempt that is queued or running at a worker."""
 
-    __slots__ = ("n", "id", "kind", "key", "work", "connection", "end", "came", "began_t")
+    __slots__ = ("n", "id", "kind", "key", "work", "connection", "end", "arrived_t", "began_t")
 
     def __init__(
         self,
@@ -95,18 +95,18 @@
         key: str,
         work: float,
         connection: _Connection,
-        came: float,
+        arrived_t: float,
     ) -> None:
         self.n, self.id, self.kind, self.key, self.work = n, request_id, kind, key, work
         self.connection: _Connection | None = connection
-        self.came, self.end, self.began_t = came, 0.0, -1.0
+        self.arrived_t, self.end, self.began_t = arrived_t, 0.0, -1.0
 
 
 class _Connection(asyncio.Protocol):
     """A connection to a worker; it carries one request at a time."""
 
-    def __init__(self, server: LicenceServer) -> None:
-        self.server, self.life = server, server.life
+    def __init__(self, server: WorkerStub) -> None:
+        self.server, self.incarnation = server, server.incarnation
         self.transport: Any = None
         self.reader = Reader(answers=False)
         self.job: _Job | None = None
@@ -119,7 +119,7 @@
 
     def data_received(self, data: bytes) -> None:
         server = self.server
-        if server.silent or self.life != server.life:
+        if server.is_unreachable or self.incarnation != server.incarnation:
             return
         try:
             messages = self.reader.feed(data, server.now())
@@ -127,7 +127,7 @@
             self.transport.abort()
             return
         for message in messages:
-            server.take(self, message)
+            server.receive(self, message)
 
     def connection_lost(self, _problem: Exception | None) -> None:
         self.server.connections.pop(self, None)
@@ -140,7 +140,7 @@
         self.transport.write(data)
 
 
-class LicenceServer:
+class WorkerStub:
     """A worker stub. `record` receives its records; `serials` numbers the attempts at all workers."""
 
     def __init__(
@@ -151,7 +151,7 @@
         part: ServerPart,
         rules: RulesPart,
         classes: list[ClassPart],
-        keys: HallKeys,
+        keys: ZoneKeys,
         record: Callable[[Record], None],
         serials: itertools.count[int],
     ) -> None:
@@ -163,8 +163,8 @@
         self.capacity = part.cores * self.speed  # Capacity when warm, in ms of work per ms
         self.warm_ms = self.rng.uniform(*part.warm_s) * 1000
         self.faults = Faults()
-        self.life, self.port, self.since_unix = 0, 0, 0.0
-        self.silent = self.draining = self.down = False
+        self.incarnation, self.port, self.since_unix = 0, 0, 0.0
+        self.is_unreachable = self.draining = self.down = False
         self.connections: dict[_Connection, None] = {}  # Open connections in the order of their arrival
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -190,8 +190,8 @@
 
     async def start(self, cold: bool) -> None:
         """Start a new incarnation that listens at a free port, or at the port of the previous incarnation."""
-        self.life += 1
-        self.silent = self.draining = self.down = False
+        self.incarnation += 1
+        self.is_unreachable = self.draining = self.down = False
         self._clear()
         self._cold = cold
         self._server = await self.around.loop.create_server(
@@ -204,33 +204,33 @@
             Born(
                 t,
                 self.name,
-                self.life,
+                self.incarnation,
                 self.hall,
                 round(self.capacity, 4),
                 self.part.cold_from if cold else 1.0,
                 round(self.warm_ms, 1),
             )
         )
-        self._sweep(self.life)
+        self._sweep(self.incarnation)
 
     def stop(self, why: str = "stopped") -> None:
         """End the process: connections are reset, new ones refused, and queued attempts never run."""
         if self.down:
             return
         self.down = True
-        self.record(Died(self.now(), self.name, self.life, why))
+        self.record(Died(self.now(), self.name, self.incarnation, why))
         self._close()
 
-    def fall_silent(self) -> None:
+    def become_unreachable(self) -> None:
         """Cut the worker off: requests are ignored, no response is sent, and connections stay open."""
-        if not self.down and not self.silent:
-            self.silent = True
-            self.record(Died(self.now(), self.name, self.life, "silent"))
+        if not self.down and not self.is_unreachable:
+            self.is_unreachable = True
+            self.record(Died(self.now(), self.name, self.incarnation, "silent"))
             self._drop_timer()
             self._busy.clear()
             self._queue.clear()
 
-    async def come_back(self) -> None:
+    async def restart_cold(self) -> None:
         """Bring an unreachable worker back: reset its old connections and start a new, cold incarnation."""
         self._close()
         await self.start(cold=True)
@@ -251,27 +251,27 @@
             self._timer.cancel()
             self._timer = None
 
-    def warmth(self, t: float) -> float:
+    def warm_share(self, t: float) -> float:
         """Return the share of its warm capacity that the worker has at time `t`."""
         if not self._cold:
             return 1.0
         share = self.part.cold_from + (1 - self.part.cold_from) * (t - self._born_t) / self.warm_ms
         return min(1.0, share)
 
-    def _sweep(self, life: int) -> None:
+    def _sweep(self, incarnation: int) -> None:
         """Close connections that have been idle for longer than `idle_s`; repeats every second."""
-        if life != self.life or self.down:
+        if incarnation != self.incarnation or self.down:
             return
         t = self.now()
-        if not self.silent:
+        if not self.is_unreachable:
             for connection in list(self.connections):
                 if connection.job is None and t - connection.idle_t > self.part.idle_s * 1000:
                     connection.transport.close()
-        self.around.later(1000.0, self._sweep, life)
+        self.around.later(1000.0, self._sweep, incarnation)
 
     # -- attempts
 
-    def take(self, connection: _Connection, message: Message) -> None:
+    def receive(self, connection: _Connection, message: Message) -> None:
         """Handle a complete request: reject it, apply a fault to it, or put it into a slot or the queue."""
         t = self.now()
         request_id = message.headers.get(b"x-request-id", b"").decode("latin-1")
@@ -281,21 +281,21 @@
             connection.write(answer_bytes(404))
             return
         n = next(self._serials)
-        self.record(Took(t, n, request_id, self.name, self.life, message.first_t, name, kind.work_ms))
-        if self._cold and self._pressed(t, kind.work_ms):
+        self.record(Took(t, n, request_id, self.name, self.incarnation, message.first_t, name, kind.work_ms))
+        if self._cold and self._is_overloaded(t, kind.work_ms):
             self.stop("fell")
             return
         key = message.headers.get(b"idempotency-key", b"").decode("latin-1")
         # The work depends on the request id only, so a request takes the same work at every worker.
         work = random.Random(f"{self.around.seed}/{request_id}").expovariate(1 / kind.work_ms)
         job = _Job(n, request_id, kind, key, min(work, 6 * kind.work_ms), connection, t)
-        if self.faults.hits("swallow", name, self.rng):
+        if self.faults.is_drawn("swallow", name, self.rng):
             connection.job = job  # The attempt is neither queued nor run, and gets no response.
             return
-        if self.faults.hits("fast_error", name, self.rng):
+        if self.faults.is_drawn("fast_error", name, self.rng):
             self._reply(job, 500)
             return
-        if self.faults.hits("reset_before", name, self.rng):
+        if self.faults.is_drawn("reset_before", name, self.rng):
             connection.transport.abort()
             return
         room = self.part.cores * (self.part.slots_per_core + self.part.queue_per_core)
@@ -315,9 +315,9 @@
             self._queue.append(job)
         self._set_rate(t)
 
-    def _pressed(self, t: float, work_ms: float) -> bool:
+    def _is_overloaded(self, t: float, work_ms: float) -> bool:
         """Return whether the work sent within the last `fall_ms` is more than the cold worker bears."""
-        share = self.warmth(t)
+        share = self.warm_share(t)
         if share >= 1.0:
             self._cold = False
             return False
@@ -347,7 +347,7 @@
             return
         self._attained += gone * self._rate
         used = min(1.0, len(self._busy) / self.part.cores)
-        self._use += (used - self._use) * -math.expm1(-gone / USE_MEMORY_MS)
+        self._use += (used - self._use) * -math.expm1(-gone / USE_TIME_CONSTANT_MS)
         self._at = t
 
     def _set_rate(self, t: float) -> None:
@@ -357,7 +357,7 @@
         if not count:
             self._rate = 0.0
             return
-        share = min(1.0, self.part.cores / count) * self.warmth(t) * self.faults.speed
+        share = min(1.0, self.part.cores / count) * self.warm_share(t) * self.faults.speed
         wait = COLD_STEP_MS if self._cold else math.inf
         if t < self._frozen_until:
             share, wait = 0.0, self._frozen_until - t
@@ -386,31 +386,36 @@
         """Complete an attempt: record its effect and send the response, subject to faults."""
         kind, name = job.kind, job.kind.name
         self._service_ms += (t - job.began_t - self._service_ms) * SERVICE_GAIN
-        if self.faults.hits("error", name, self.rng) or self.rng.random() < self.part.error_share:
+        if self.faults.is_drawn("error", name, self.rng) or self.rng.random() < self.part.error_share:
             self._reply(job, 500)
             return
-        repeat = kind.repeats == "keyed" and self._keys.is_repeat(job.came, name, job.key)
+        repeat = kind.repeats == "keyed" and self._keys.is_repeat(job.arrived_t, name, job.key)
         self.record(Ran(t, job.n, repeat))
         if job.connection is None:
             self.record(Wasted(t, job.n, round(job.work, 1)))
-        elif self.faults.hits("reset_after", name, self.rng):
+        elif self.faults.is_drawn("reset_after", name, self.rng):
             job.connection.job = None
             job.connection.transport.abort()
-        elif self.faults.hits("slow_after_record", name, self.rng):
+        elif self.faults.is_drawn("slow_after_record", name, self.rng):
             self.around.later(self.faults.slow_ms, self._reply, job, 200)
         else:
             self._reply(job, 200)
 
     def _reply(self, job: _Job, status: int) -> None:
         connection, t = job.connection, self.now()
-        if connection is None or self.silent or self.down or connection.life != self.life:
+        if (
+            connection is None
+            or self.is_unreachable
+            or self.down
+            or connection.incarnation != self.incarnation
+        ):
             return
         connection.job, job.connection = None, None
-        if self.faults.hits("spoilt", job.kind.name, self.rng):
+        if self.faults.is_drawn("spoilt", job.kind.name, self.rng):
             self.record(Replied(t, job.n, status, True, round(job.work, 1)))
             connection.write(b"\x16\x03\x01 no answer at all\r\n\r\n")
             return
-        if status == 200 and self.faults.hits("unmeasured_reset", job.kind.name, self.rng):
+        if status == 200 and self.faults.is_drawn("unmeasured_reset", job.kind.name, self.rng):
             self.record(Replied(t, job.n, status, True, round(job.work, 1)))
             connection.write(f"HTTP/1.1 200 OK\r\n\r\n{job.id} {job.n} ".encode())
             self.around.reset(connection.transport)
--- a/plumpick/rehearsal/receiver.py
+++ b/plumpick/rehearsal/receiver.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Came:
+class ReceivedEffect:
     """An effect that was received completely.
 
     `fate` is "taken" (accepted), "again" (its key was accepted before) or "fenced" (its token was rejected).
@@ -40,7 +40,7 @@
     body: dict[str, Any]
 
 
-class _Caller(asyncio.Protocol):
+class _GatewayConnection(asyncio.Protocol):
     """A connection of a gateway to the receiver."""
 
     def __init__(self, receiver: Receiver) -> None:
@@ -56,7 +56,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             for message in self._reader.feed(data, 0.0):
-                self._receiver.asked(self, message)
+                self._receiver.handle_effect(self, message)
         except (WireError, KeyError, ValueError):
             self.transport.abort()  # type: ignore[attr-defined]
 
@@ -82,19 +82,21 @@
         self._keys: set[tuple[str, int]] = set()
         self.dies_before = self.dies_after = self.late = 0.0
         self.late_ms = 500.0
-        self.records: list[Came] = []
-        self.callers: set[_Caller] = set()
-        self.came = asyncio.Event()  # Set at each accepted effect
+        self.records: list[ReceivedEffect] = []
+        self.callers: set[_GatewayConnection] = set()
+        self.effect_accepted = asyncio.Event()  # Set at each accepted effect
         self.port = 0
         self._server: Any = None
 
     async def start(self) -> None:
         """Listen, at the same port as before if there was one."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Caller(self), HOST, self.port, reuse_address=True)
+        self._server = await loop.create_server(
+            lambda: _GatewayConnection(self), HOST, self.port, reuse_address=True
+        )
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def away(self) -> None:
+    def stop_listening(self) -> None:
         """Stop listening and abort all connections; `restart` undoes it."""
         if self._server is not None:
             self._server.close()
@@ -104,12 +106,12 @@
 
     async def restart(self) -> None:
         """Listen again, with the fencing tokens read from their file if there is one."""
-        self.away()
+        self.stop_listening()
         if self._path is not None:
             self._fence = Fence(self._path)
         await self.start()
 
-    def asked(self, caller: _Caller, message: Message) -> None:
+    def handle_effect(self, caller: _GatewayConnection, message: Message) -> None:
         """Record an effect as accepted, repeated or fenced off, and respond to it."""
         chance, headers = self._chance, message.headers
         if chance.random() < self.dies_before:
@@ -124,9 +126,11 @@
             fate = "again"
         else:
             self._keys.add(key)
-        self.records.append(Came(self._clock(), duty, period, token, fate, json.loads(message.body)))
+        self.records.append(
+            ReceivedEffect(self._clock(), duty, period, token, fate, json.loads(message.body))
+        )
         if fate == "taken":
-            self.came.set()
+            self.effect_accepted.set()
         if chance.random() < self.dies_after:
             caller.transport.abort()  # type: ignore[attr-defined]
             return
@@ -139,9 +143,9 @@
         asyncio.get_running_loop().call_later(wait_s, self._answer, caller, answer)
 
     @staticmethod
-    def _answer(caller: _Caller, answer: bytes) -> None:
+    def _answer(caller: _GatewayConnection, answer: bytes) -> None:
         if caller.transport is not None and not caller.transport.is_closing():
             caller.transport.write(answer)
 
     def close(self) -> None:
-        self.away()
+        self.stop_listening()
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -18,17 +18,17 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
 
-MOVED_CLOSE_MS = 1500.0  # Time after a move for which connections to the old address stay open
-GONE_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
-WATCH_MOST_MS = 60_000.0  # Maximum duration of a watch
+OLD_ADDRESS_LINGER_MS = 1500.0  # Time after a move for which connections to the old address stay open
+MAX_CHANGES_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
+MAX_WATCH_MS = 60_000.0  # Maximum duration of a watch
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedWorker:
     """A worker as discovery lists it."""
 
     name: str
-    life: int
+    incarnation: int
     port: int
     hall: str
     group: int
@@ -36,14 +36,14 @@
     since_unix: float  # Start of the process in Unix time (ms); 0 if it started warm
 
 
-class _Call(asyncio.Protocol):
+class _GatewayConnection(asyncio.Protocol):
     """A connection of a gateway to its discovery agent."""
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: DiscoveryAgent) -> None:
         self.agent = agent
         self.transport: Any = None
         self.reader = Reader(answers=False)
-        self.waits: asyncio.TimerHandle | None = None
+        self.watch_timer: asyncio.TimerHandle | None = None
         self.since = -1
         self.lost = False  # Whether requests on this connection are no longer responded to
 
@@ -62,41 +62,43 @@
             self.transport.abort()
             return
         for message in messages:
-            self.agent.asked(self, message)
+            self.agent.handle_request(self, message)
 
     def stop_waiting(self) -> None:
-        if self.waits is not None:
-            self.waits.cancel()
-            self.waits = None
+        if self.watch_timer is not None:
+            self.watch_timer.cancel()
+            self.watch_timer = None
 
 
-class Agent:
+class DiscoveryAgent:
     """The discovery agent of one gateway: its list of workers, and the watches that wait for a change."""
 
     def __init__(self, around: Surroundings, gate: str, record: Callable[[Record], None]) -> None:
         self.around, self.gate, self._record = around, gate, record
-        self.view: dict[str, Listed] = {}
+        self.view: dict[str, ListedWorker] = {}
         self.index = 1
         self.silent = False
         self.port = 0
-        self.calls: dict[_Call, None] = {}  # Open connections in the order of their arrival
-        self.address_of: Callable[[Listed], str] = lambda entry: f"{HOST}:{entry.port}"
-        self._changes: list[tuple[int, Listed]] = []
-        self._held: list[tuple[_Call, Message]] = []  # Requests received while the agent is silent
-        self._told: dict[
+        self.calls: dict[_GatewayConnection, None] = {}  # Open connections in the order of their arrival
+        self.address_of: Callable[[ListedWorker], str] = lambda entry: f"{HOST}:{entry.port}"
+        self._changes: list[tuple[int, ListedWorker]] = []
+        self._held: list[
+            tuple[_GatewayConnection, Message]
+        ] = []  # Requests received while the agent is silent
+        self._notified: dict[
             str, tuple[int, str]
         ] = {}  # Last (incarnation, status) sent to the gateway, by worker
-        self._unsaid: dict[str, Listed] = {}  # Changes received while the agent is silent
+        self._changes_while_silent: dict[str, ListedWorker] = {}  # Changes received while the agent is silent
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
         """Listen at a new port; an agent that listens already moves to the new port."""
         old, old_calls = self._server, list(self.calls)
-        self._server = await self.around.loop.create_server(lambda: _Call(self), HOST, 0)
+        self._server = await self.around.loop.create_server(lambda: _GatewayConnection(self), HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         if old is not None:
             old.close()
-            self.around.later(MOVED_CLOSE_MS, lambda: [call.transport.abort() for call in old_calls])
+            self.around.later(OLD_ADDRESS_LINGER_MS, lambda: [call.transport.abort() for call in old_calls])
 
     def close(self) -> None:
         if self._server is not None:
@@ -104,44 +106,44 @@
         for call in list(self.calls):
             call.transport.abort()
 
-    def change(self, entry: Listed) -> None:
+    def change(self, entry: ListedWorker) -> None:
         """Apply a change of one worker to the list, and respond to waiting watches."""
         self.index += 1
         if entry.status == "gone":
             self.view.pop(entry.name, None)
         else:
             self.view[entry.name] = entry
-        self._changes = [*self._changes[1 - GONE_KEPT :], (self.index, entry)]
+        self._changes = [*self._changes[1 - MAX_CHANGES_KEPT :], (self.index, entry)]
         if self.silent:
-            self._unsaid[entry.name] = entry
+            self._changes_while_silent[entry.name] = entry
             return
-        self._has(entry)
-        for call in [call for call in self.calls if call.waits is not None]:
+        self._record_received(entry)
+        for call in [call for call in self.calls if call.watch_timer is not None]:
             self._answer_watch(call)
 
-    def _has(self, entry: Listed) -> None:
-        self._record(Had(self.around.now(), self.gate, entry.name, entry.life, entry.status))
+    def _record_received(self, entry: ListedWorker) -> None:
+        self._record(Had(self.around.now(), self.gate, entry.name, entry.incarnation, entry.status))
 
-    def lose_watches(self) -> None:
+    def drop_watches(self) -> None:
         """Stop responding on the connections of all open watches; the connections stay open."""
-        for call in [call for call in self.calls if call.waits is not None]:
+        for call in [call for call in self.calls if call.watch_timer is not None]:
             call.stop_waiting()
             call.lost = True
 
-    def speak(self) -> None:
+    def end_silence(self) -> None:
         """End the silence: respond to the requests received meanwhile, and to watches that have changes."""
         self.silent = False
-        unsaid, self._unsaid = self._unsaid, {}
+        unsaid, self._changes_while_silent = self._changes_while_silent, {}
         for entry in unsaid.values():
-            self._has(entry)
+            self._record_received(entry)
         held, self._held = self._held, []
         for call, message in held:
             if call in self.calls:
-                self.asked(call, message)
-        for call in [call for call in self.calls if call.waits is not None and call.since < self.index]:
+                self.handle_request(call, message)
+        for call in [call for call in self.calls if call.watch_timer is not None and call.since < self.index]:
             self._answer_watch(call)
 
-    def whole(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         """Return the whole list of workers in the form of a response."""
         return {
             "index": self.index,
@@ -149,7 +151,7 @@
             "endpoints": [self._row(entry) for entry in self.view.values()],
         }
 
-    def _row(self, entry: Listed) -> dict[str, Any]:
+    def _row(self, entry: ListedWorker) -> dict[str, Any]:
         return {
             "name": entry.name,
             "address": self.address_of(entry),
@@ -161,7 +163,7 @@
             "since_ms": entry.since_unix,
         }
 
-    def asked(self, call: _Call, message: Message) -> None:
+    def handle_request(self, call: _GatewayConnection, message: Message) -> None:
         """Handle one request for the list or for a watch; requests of a silent agent are held back."""
         if call.lost:
             return
@@ -176,58 +178,58 @@
             self._answer_whole(call)
         else:
             call.since = int(query["since"])
-            wait_ms = min(WATCH_MOST_MS, float(query.get("timeout_ms", "0")))
+            wait_ms = min(MAX_WATCH_MS, float(query.get("timeout_ms", "0")))
             if call.since < self.index:
                 self._answer_watch(call)
             else:
-                call.waits = self.around.later(wait_ms, self._answer_watch, call)
+                call.watch_timer = self.around.later(wait_ms, self._answer_watch, call)
 
-    def _answer_whole(self, call: _Call) -> None:
-        call.transport.write(answer_bytes(200, json.dumps(self.whole()).encode()))
-        self.tell([*self.view.values()], whole=True)
+    def _answer_whole(self, call: _GatewayConnection) -> None:
+        call.transport.write(answer_bytes(200, json.dumps(self.full_list()).encode()))
+        self.record_notified([*self.view.values()], whole=True)
 
-    def _answer_watch(self, call: _Call) -> None:
+    def _answer_watch(self, call: _GatewayConnection) -> None:
         call.stop_waiting()
         if self.silent:
             return
         if self._changes and call.since < self._changes[0][0] - 1:
             self._answer_whole(call)
             return
-        news = [entry for index, entry in self._changes if index > call.since]
-        body = {"index": self.index, "snapshot": False, "endpoints": [self._row(entry) for entry in news]}
+        changes = [entry for index, entry in self._changes if index > call.since]
+        body = {"index": self.index, "snapshot": False, "endpoints": [self._row(entry) for entry in changes]}
         call.transport.write(answer_bytes(200, json.dumps(body).encode()))
-        self.tell(news, whole=False)
+        self.record_notified(changes, whole=False)
 
-    def tell(self, entries: list[Listed], whole: bool) -> None:
+    def record_notified(self, entries: list[ListedWorker], whole: bool) -> None:
         """Record each change of incarnation or status that the gateway is notified of."""
         t = self.around.now()
         for entry in entries:
-            if self._told.get(entry.name) != (entry.life, entry.status):
-                self._told[entry.name] = (entry.life, entry.status)
-                self._record(Told(t, self.gate, entry.name, entry.life, entry.status))
+            if self._notified.get(entry.name) != (entry.incarnation, entry.status):
+                self._notified[entry.name] = (entry.incarnation, entry.status)
+                self._record(Told(t, self.gate, entry.name, entry.incarnation, entry.status))
         if whole:
             names = {entry.name for entry in entries}
-            for name, (life, status) in list(self._told.items()):
+            for name, (incarnation, status) in list(self._notified.items()):
                 if name not in names:
-                    del self._told[name]
+                    del self._notified[name]
                     if status != "gone":
-                        self._record(Told(t, self.gate, name, life, "gone"))
+                        self._record(Told(t, self.gate, name, incarnation, "gone"))
 
 
-class Roster:
+class DiscoveryStub:
     """Sends changes of workers to all discovery agents, with delays."""
 
-    def __init__(self, around: Surroundings, part: RosterPart, agents: list[Agent]) -> None:
+    def __init__(self, around: Surroundings, part: RosterPart, agents: list[DiscoveryAgent]) -> None:
         self._around, self._part, self.agents = around, part, agents
         self._rng = around.chance("roster")
         self._last: dict[tuple[int, str], float] = {}  # Due time of the last change, by agent and worker
 
-    def begin(self, entries: list[Listed]) -> None:
+    def set_initial_list(self, entries: list[ListedWorker]) -> None:
         """Set the list of workers that all agents have at the start."""
         for agent in self.agents:
             agent.view = {entry.name: entry for entry in entries}
 
-    def news(self, entry: Listed) -> None:
+    def publish(self, entry: ListedWorker) -> None:
         """Send a change to each agent after a random delay; changes of one worker arrive in order."""
         late = {"ready": self._part.add_s, "draining": self._part.drain_s, "gone": self._part.gone_s}
         notice_ms = self._rng.uniform(*late[entry.status]) * 1000
@@ -240,4 +242,4 @@
         """Stop all agents from responding for `for_ms`."""
         for agent in self.agents:
             agent.silent = True
-            self._around.later(for_ms, agent.speak)
+            self._around.later(for_ms, agent.end_silence)
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -18,16 +18,16 @@
 
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.records import Gate, Record
-from plumpick.rehearsal.roster import Agent
+from plumpick.rehearsal.roster import DiscoveryAgent
 from plumpick.rehearsal.scenario import Scenario
 from plumpick.rehearsal.surroundings import HOST, Surroundings, is_up
 
 ROOT = Path(__file__).resolve().parents[2]  # Import path of the program for the processes it starts
-READY_S = 20.0  # Maximum time in which a gateway must respond to /up after its start
+READY_TIMEOUT_S = 20.0  # Maximum time in which a gateway must respond to /up after its start
 PORTS, PEER_PORTS_FROM = (10_000, 20_000), 10_000  # Range of client ports, and offset of the port for peers
-PORT_TRIES = 3  # Number of starts with new ports: a free port may be taken before the gateway binds it
+MAX_START_TRIES = 3  # Number of starts with new ports: a free port may be taken before the gateway binds it
 LOG_TAIL = 2000  # Number of characters of the log that an error shows
-POLL_S, ANSWER_S = 0.02, 0.5  # Interval between requests to /up, and time limit for each
+POLL_S, UP_TIMEOUT_S = 0.02, 0.5  # Interval between requests to /up, and time limit for each
 
 
 class StartFailed(Exception):
@@ -52,7 +52,7 @@
 class Gatekeeper:
     """One gateway, across all of its processes."""
 
-    def __init__(self, supervisor: Supervisor, number: int, agent: Agent) -> None:
+    def __init__(self, supervisor: Supervisor, number: int, agent: DiscoveryAgent) -> None:
         self.supervisor, self.number, self.agent = supervisor, number, agent
         self.name = f"n{number}"
         self.port = self.peer_port = 0
@@ -60,7 +60,7 @@
         self.ready = False  # Whether the current process has responded to /up
         self.ready_t = math.inf
         self.starting = asyncio.Lock()
-        self.told_to_end = False  # Whether this supervisor sent SIGTERM or SIGKILL to the current process
+        self.end_requested = False  # Whether this supervisor sent SIGTERM or SIGKILL to the current process
         self.process: asyncio.subprocess.Process | None = None
         self.watch: asyncio.Task[Any] | None = None
         self.folder = supervisor.folder / self.name
@@ -81,7 +81,7 @@
         around: Surroundings,
         scenario: Scenario,
         folder: Path,
-        agents: list[Agent],
+        agents: list[DiscoveryAgent],
         relay: Relay,
         quotas: dict[str, dict[str, float]],
         record: Callable[[Record], None],
@@ -93,7 +93,7 @@
         self.module = "plumpick"  # Module to run: the gateway, or a variant that also records what it does
         self.environment_of: Callable[[Gatekeeper], dict[str, str]] = lambda _gate: {}
         # Additional entries of a gateway's configuration
-        self.more_of: Callable[[Gatekeeper], dict[str, Any]] = lambda _gate: {}
+        self.extra_configuration_of: Callable[[Gatekeeper], dict[str, Any]] = lambda _gate: {}
         self.gates = [Gatekeeper(self, number, agent) for number, agent in enumerate(agents)]
         self.closing = False
         self._kept: list[socket.socket] = []
@@ -103,7 +103,7 @@
         """Create and return a temporary folder for configurations and logs."""
         return Path(tempfile.mkdtemp(prefix="plumpick-"))
 
-    def drop_folder(self) -> None:
+    def delete_folder(self) -> None:
         """Delete the folder with all configurations and logs."""
         shutil.rmtree(self.folder, ignore_errors=True)
 
@@ -209,9 +209,9 @@
             },
             "peer_listen": f"{HOST}:{gate.peer_port}",
             "peers": peers,
-            "known": gate.agent.whole(),
+            "known": gate.agent.full_list(),
             "settings": self.settings_of(gate.number),
-            **self.more_of(gate),
+            **self.extra_configuration_of(gate),
         }
 
     def write(self, gate: Gatekeeper) -> Path:
@@ -227,7 +227,7 @@
 
     async def start(self, gate: Gatekeeper) -> None:
         """Start a process of the gateway and wait until it is up. Raises StartFailed."""
-        for attempt in range(PORT_TRIES):
+        for attempt in range(MAX_START_TRIES):
             if not gate.starts:
                 gate.port, gate.peer_port = self.ports()
                 self._relay.ports[gate.number] = gate.peer_port
@@ -236,28 +236,28 @@
                 gate.ready, gate.ready_t = True, self.around.now()
                 self._record(Gate(self.around.now(), gate.name, "ready", 0))
                 return
-            if gate.told_to_end:  # Ended on purpose while it started: whoever ended it starts it again.
+            if gate.end_requested:  # Ended on purpose while it started: whoever ended it starts it again.
                 self._record(Gate(self.around.now(), gate.name, "exited", -9))
                 return
             tail = self.log_tail(gate)
             if gate.starts:
                 self._record(Gate(self.around.now(), gate.name, "exited", 1))
-            if gate.starts or "address already in use" not in tail.lower() or attempt == PORT_TRIES - 1:
+            if gate.starts or "address already in use" not in tail.lower() or attempt == MAX_START_TRIES - 1:
                 raise StartFailed(f"gatekeeper {gate.name} exited during its start; end of its log:\n{tail}")
 
     async def _start_once(self, gate: Gatekeeper) -> bool:
-        gate.ready, gate.ready_t, gate.told_to_end = False, math.inf, False
+        gate.ready, gate.ready_t, gate.end_requested = False, math.inf, False
         gate.process = await self.launch(gate)
         self._record(Gate(self.around.now(), gate.name, "started", 0))
         gate.watch = self.around.loop.create_task(self._watch(gate, gate.process))
-        end = self.around.loop.time() + READY_S
+        end = self.around.loop.time() + READY_TIMEOUT_S
         while gate.running() and self.around.loop.time() < end:
-            if await is_up(gate.port, ANSWER_S):
+            if await is_up(gate.port, UP_TIMEOUT_S):
                 return True
             await asyncio.sleep(POLL_S)
         if gate.running():
             raise StartFailed(
-                f"gatekeeper {gate.name} did not respond to /up within {READY_S:.0f} s; end of its log:\n"
+                f"gatekeeper {gate.name} not up within {READY_TIMEOUT_S:.0f} s; end of its log:\n"
                 f"{self.log_tail(gate)}"
             )
         return False
@@ -303,14 +303,14 @@
         """Send SIGKILL to the gateway, if it runs."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "kill", 0))
-            gate.told_to_end = True
+            gate.end_requested = True
             gate.process.kill()  # type: ignore[union-attr]
 
     def terminate(self, gate: Gatekeeper) -> None:
         """Send SIGTERM to the gateway, if it runs, for a graceful shutdown."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "term", 0))
-            gate.told_to_end = True
+            gate.end_requested = True
             gate.process.terminate()  # type: ignore[union-attr]
 
     def reload(self, gate: Gatekeeper) -> None:
@@ -326,7 +326,7 @@
             self._record(Gate(self.around.now(), gate.name, "stop", 0))
             gate.process.send_signal(signal.SIGSTOP)  # type: ignore[union-attr]
 
-    def go_on(self, gate: Gatekeeper) -> None:
+    def resume(self, gate: Gatekeeper) -> None:
         """Resume the gateway's process with SIGCONT, if it runs."""
         if gate.running():
             self._record(Gate(self.around.now(), gate.name, "cont", 0))
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.receiver import Came, Receiver, machine_ms
-from plumpick.rehearsal.roster import Agent
+from plumpick.rehearsal.receiver import ReceivedEffect, Receiver, machine_ms
+from plumpick.rehearsal.roster import DiscoveryAgent
 from plumpick.rehearsal.scenario import FleetPart, PeerPart, Scenario
 from plumpick.rehearsal.supervisor import Gatekeeper, Supervisor, free_port
 from plumpick.rehearsal.surroundings import HOST, Surroundings
@@ -63,7 +63,7 @@
         self.receiver = Receiver(random.Random(f"{self.seed}/receiver"), self.folder / "fence", self.fenced)
         await self.receiver.start()
         names = [f"n{number}" for number in range(self.gatekeepers)]
-        agents = [Agent(self.around, name, lambda _record: None) for name in names]
+        agents = [DiscoveryAgent(self.around, name, lambda _record: None) for name in names]
         for agent in agents:
             await agent.start()
         self.relay = Relay(self.around, scenario.peers, names, lambda _record: None)
@@ -82,7 +82,7 @@
         self.supervisor.environment_of = self._environment
         self.calls = [0 for _ in agents]
         if self.management:
-            self.supervisor.more_of = self._more
+            self.supervisor.extra_configuration_of = self._more
         self._read: dict[int, int] = {}
         self.witnessed: list[list[Any]] = []
         for number in range(self.gatekeepers):
@@ -225,7 +225,7 @@
             mark.unlink(missing_ok=True)
         await asyncio.sleep(for_s)
         if process is gate.process:
-            self.supervisor.go_on(gate)
+            self.supervisor.resume(gate)
         return number if stood else None
 
     async def kill(self, number: int, back_s: float | None = 0.3) -> None:
@@ -246,7 +246,7 @@
         self.supervisor.stop(gate)
         await asyncio.sleep(for_s)
         if process is gate.process:
-            self.supervisor.go_on(gate)
+            self.supervisor.resume(gate)
 
     async def close(self) -> None:
         try:
@@ -257,7 +257,7 @@
             self.relay.close()
             for gate in self.gates:
                 gate.agent.close()
-            self.supervisor.drop_folder()
+            self.supervisor.delete_folder()
 
 
 @dataclass
@@ -280,7 +280,7 @@
         return self.overlaps + self.out_of_order + self.doubles + self.late
 
 
-def judge(witnessed: list[list[Any]], received: list[Came]) -> Judged:  # noqa: C901  (to be split by concern)
+def judge(witnessed: list[list[Any]], received: list[ReceivedEffect]) -> Judged:  # noqa: C901  (to be split by concern)
     """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
     of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
 
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from plumpick.rehearsal.licence_server import LONGEST_MS, HallKeys, LicenceServer, _Connection
+from plumpick.rehearsal.licence_server import MAX_ATTEMPT_MS, WorkerStub, ZoneKeys, _Connection
 from plumpick.rehearsal.records import Born, Died, Ran, Replied, Took, Turned, Wasted
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
 from plumpick.rehearsal.wire import Reader, request_bytes
@@ -93,13 +93,13 @@
 
     def __init__(self, cold=False, **part):
         self.around, self.records = Modelled(), []
-        self.keys = HallKeys({"seat-checkout": 15_000.0})
+        self.keys = ZoneKeys({"seat-checkout": 15_000.0})
         self.serials = itertools.count(1)
         self.part = ServerPart(**({"speed": [1.0, 1.0], "warm_s": [10.0, 10.0]} | part))
         self.server = self.make("a1", cold)
 
     def make(self, name, cold=False):
-        server = LicenceServer(
+        server = WorkerStub(
             self.around,
             name,
             "hall-a",
@@ -146,7 +146,7 @@
 def test_a_cold_server_is_slower_and_warms_up_evenly():
     house = House(cold=True)
     server = house.server
-    assert [round(server.warmth(t), 3) for t in (0, 5000, 10_000, 20_000)] == [0.25, 0.625, 1.0, 1.0]
+    assert [round(server.warm_share(t), 3) for t in (0, 5000, 10_000, 20_000)] == [0.25, 0.625, 1.0, 1.0]
     house.ask("r1")
     house.around.run(5000)
     (ran,) = house.of(Ran)
@@ -179,15 +179,15 @@
 
 
 def test_the_memory_of_keys_is_bounded_by_its_window():
-    keys = HallKeys({"seat-checkout": 100.0})
+    keys = ZoneKeys({"seat-checkout": 100.0})
     for t in range(50_000):
         keys.is_repeat(float(t), "seat-checkout", f"k{t}")
-    assert len(keys._since) <= 102 + LONGEST_MS
+    assert len(keys._since) <= 102 + MAX_ATTEMPT_MS
 
 
 def test_a_repeat_that_comes_within_the_window_and_waits_beyond_it_is_dropped():
     """The window is one for coming; seen: a simulated checkout that came again in time took effect twice."""
-    keys = HallKeys({"seat-checkout": 100.0})
+    keys = ZoneKeys({"seat-checkout": 100.0})
     assert not keys.is_repeat(0.0, "seat-checkout", "k")
     for other in range(50):
         keys.is_repeat(300.0 + other, "seat-checkout", f"other {other}")  # these come later and run before
@@ -251,13 +251,13 @@
 def test_silence_says_nothing_and_it_comes_back_cold_as_another_life():
     house = House()
     wire = house.ask("r1")
-    house.server.fall_silent()
+    house.server.become_unreachable()
     late = house.ask("r2")
     house.around.run(5000)
     assert not wire.answers and not late.answers and not wire.closed and len(house.of(Took)) == 1
     with contextlib.suppress(StopIteration):
-        house.server.come_back().send(None)
-    assert wire.closed and house.server.life == 2 and house.server.warmth(house.around.t) == 0.25
+        house.server.restart_cold().send(None)
+    assert wire.closed and house.server.incarnation == 2 and house.server.warm_share(house.around.t) == 0.25
     house.ask("r3")
     house.around.run(5000)
     assert house.of(Took)[-1].life == 2 and house.of(Replied)
--- a/tests/rehearsal/test_ways.py
+++ b/tests/rehearsal/test_ways.py
@@ -8,7 +8,7 @@
 
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.records import Passed, Told
-from plumpick.rehearsal.roster import Agent, Listed, Roster
+from plumpick.rehearsal.roster import DiscoveryAgent, DiscoveryStub, ListedWorker
 from plumpick.rehearsal.scenario import PeerPart, RosterPart
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Reader, request_bytes
@@ -24,7 +24,7 @@
 
 
 def listed(name, status="ready", life=1):
-    return Listed(name, life, 4000, "hall-a", 0, status, 0.0)
+    return ListedWorker(name, life, 4000, "hall-a", 0, status, 0.0)
 
 
 class Caller:
@@ -52,7 +52,7 @@
 def agent_scenario(play):
     async def scenario(around):
         records = []
-        agent = Agent(around, "n0", records.append)
+        agent = DiscoveryAgent(around, "n0", records.append)
         await agent.start()
         agent.view = {name: listed(name) for name in ("a1", "a2")}
         try:
@@ -106,7 +106,7 @@
         while not agent._held:
             await asyncio.sleep(0)
         assert ("a1", "draining") not in told(records)
-        agent.speak()
+        agent.end_silence()
         assert (await call.answer())["snapshot"] and ("a1", "draining") in told(records)
 
     agent_scenario(play)
@@ -139,13 +139,13 @@
 
 def test_word_of_one_server_reaches_each_agent_in_order():
     async def scenario(around):
-        agents = [Agent(around, f"n{number}", lambda record: None) for number in range(3)]
+        agents = [DiscoveryAgent(around, f"n{number}", lambda record: None) for number in range(3)]
         part = RosterPart(add_s=[0.0, 0.005], drain_s=[0.0, 0.005], gone_s=[0.0, 0.005], spread_ms=[0, 5])
-        roster, heard = Roster(around, part, agents), {number: [] for number in range(3)}
+        roster, heard = DiscoveryStub(around, part, agents), {number: [] for number in range(3)}
         for number, agent in enumerate(agents):
             agent.change = lambda entry, number=number: heard[number].append(entry.status)
         for status in ("ready", "draining", "gone") * 5:
-            roster.news(listed("a1", status))
+            roster.publish(listed("a1", status))
         while any(len(list_) < 15 for list_ in heard.values()):
             await asyncio.sleep(0.001)
         assert all(list_ == ["ready", "draining", "gone"] * 5 for list_ in heard.values())
