--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -280,7 +280,9 @@
         return self.overlaps + self.out_of_order + self.doubles + self.late
 
 
-def judge(witnessed: list[list[Any]], received: list[ReceivedEffect]) -> Judged:  # noqa: C901  (to be split by concern)
+def judge(  # noqa: C901  (to be split by concern)
+    witnessed: list[list[Any]], received: list[ReceivedEffect]
+) -> Judged:
     """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
     of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
 
