--- a/benchmarks/budgets/trial.py
+++ b/benchmarks/budgets/trial.py
@@ -17,7 +17,7 @@
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
 from plumpick.rehearsal.supervisor import free_port
-from plumpick.rehearsal.tier import Tier, TooLate
+from plumpick.rehearsal.tier import Tier, WaitTimeout
 
 TERM_S, SHARE_S = 2.0, 1.0
 PLANT_ROUNDS = 8  # a planted bug shows by chance: its trial plays its cases so often, or until it is found
@@ -114,11 +114,11 @@
     # -- what is known
 
     def spent(self, name: str) -> list[tuple[float, float]]:
-        return [(row[6], row[5]) for row in self.tier.look() if row[0] == "spent" and row[4] == name]
+        return [(row[6], row[5]) for row in self.tier.read_records() if row[0] == "spent" and row[4] == name]
 
     async def divider(self, name: str = "exports") -> int:
         lease = slot_of(name, SLOTS)
-        found = await self.tier.until(
+        found = await self.tier.wait_for(
             lambda: [] if (number := self.tier.owner(lease)) is None else [number], 10, "a divider"
         )
         return int(found[0])
@@ -146,20 +146,20 @@
             return len(back) == len(tier.budgets)
 
         try:
-            await tier.until(all_back, BACK_S, "all spent again")
-        except TooLate:
-            raise TooLate(f"{sorted(BACK.keys() - back)} not spent again within {BACK_S:.1f} s") from None
+            await tier.wait_for(all_back, BACK_S, "all spent again")
+        except WaitTimeout:
+            raise WaitTimeout(f"{sorted(BACK.keys() - back)} not spent again within {BACK_S:.1f} s") from None
         self.back_s.append((machine_ms() - begin) / 1000)
 
     def _all_at(self, lucky: int) -> None:
         """All demand at one."""
         tier = self.tier
         for number in range(tier.gatekeepers):
-            tier.want(number, tier.demand if number == lucky else dict.fromkeys(tier.demand, 0.0))
+            tier.set_demand(number, tier.demand if number == lucky else dict.fromkeys(tier.demand, 0.0))
 
     def _all_at_all(self) -> None:
         for number in range(self.tier.gatekeepers):
-            self.tier.want(number, self.tier.demand)
+            self.tier.set_demand(number, self.tier.demand)
 
     async def _another(self) -> int:
         """Not the divider."""
@@ -188,7 +188,7 @@
         tier = self.tier
         tier.relay.hook = lambda sender, _receiver, _data: 2500.0 if sender == number else 0.0
         await asyncio.sleep(self.chance.uniform(0.2, 0.5))
-        await tier.stand(number, TERM_S + SHARE_S + self.chance.uniform(0.2, 1.0))
+        await tier.suspend(number, TERM_S + SHARE_S + self.chance.uniform(0.2, 1.0))
         await asyncio.sleep(1.0)
 
     async def divider_leaves(self) -> None:
@@ -215,12 +215,12 @@
         tier, number = self.tier, await self.divider()
         gate, mark = (
             tier.gates[number],
-            Path(f"{tier.ledger(number)}.{self.chance.choice(('before-share', 'after-share'))}"),
+            Path(f"{tier.witness_file(number)}.{self.chance.choice(('before-share', 'after-share'))}"),
         )
         process = gate.process
         mark.touch()
         try:
-            await tier.until(
+            await tier.wait_for(
                 lambda: not mark.exists() or tier.owner(slot_of("exports", SLOTS)) != number,
                 3.0,
                 f"a share of n{number}",
@@ -269,7 +269,7 @@
         self._all_at(lucky)
         await asyncio.sleep(2.5)
         self._all_at_all()
-        await tier.stand(lucky, 2.5 + self.chance.uniform(0, 2))
+        await tier.suspend(lucky, 2.5 + self.chance.uniform(0, 2))
         await asyncio.sleep(0.5)
 
     async def split(self) -> None:
@@ -319,8 +319,8 @@
                 await asyncio.sleep(1.0)
                 return
             try:
-                await tier.until(
-                    lambda: any(row[0] == "spent" and row[3] == new.pid for row in tier.look())
+                await tier.wait_for(
+                    lambda: any(row[0] == "spent" and row[3] == new.pid for row in tier.read_records())
                     and machine_ms() - begin > 1000,
                     10,
                     "the next process spends",
@@ -354,9 +354,11 @@
                 {**one, "whole": one["whole"] * factor, "burst": max(1.0, one["burst"] * factor)}
                 for one in BUDGETS
             ]
-            still = asyncio.create_task(tier.stand(chance.randrange(tier.gatekeepers), chance.uniform(0, 1)))
+            still = asyncio.create_task(
+                tier.suspend(chance.randrange(tier.gatekeepers), chance.uniform(0, 1))
+            )
             begin = machine_ms()
-            await tier.change(budgets, chance)
+            await tier.change_budgets(budgets, chance)
             await still
             at = begin if raised else machine_ms() + SHARE_S * 1000 * 1.03 + 1
             for one in budgets:
@@ -378,11 +380,11 @@
             if kind == "kill":
                 work.append(asyncio.create_task(tier.kill(number, chance.uniform(0, 0.5))))
             elif kind == "stand":
-                work.append(asyncio.create_task(tier.stand(number, chance.uniform(0.1, 3.0))))
+                work.append(asyncio.create_task(tier.suspend(number, chance.uniform(0.1, 3.0))))
             elif kind == "split":
                 relay.sides = [{one for one in range(tier.gatekeepers) if chance.random() < 0.4}]
             elif kind == "demand":
-                tier.want(
+                tier.set_demand(
                     number, {name: rate * chance.choice((0, 0.2, 5)) for name, rate in tier.demand.items()}
                 )
             else:
@@ -422,7 +424,7 @@
         """A planted bug may well keep a whole from coming back; its trial goes on, for that is no finding."""
         try:
             await trial.well()
-        except TooLate as problem:
+        except WaitTimeout as problem:
             if not plant:
                 raise
             outcome.late = outcome.late or str(problem)
@@ -438,7 +440,7 @@
                 await well()
             if any(trial.over(one["name"]) for one in BUDGETS):
                 break
-    except TooLate as problem:
+    except WaitTimeout as problem:
         outcome.late = str(problem)
     finally:
         await tier.close()
--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -15,7 +15,7 @@
 from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
-from plumpick.rehearsal.tier import Judged, Tier, TooLate, judge
+from plumpick.rehearsal.tier import OwnershipReport, Tier, WaitTimeout, judge
 from plumpick.tools.call import ask
 
 TERMS_S = (1.2, 2.5)
@@ -34,7 +34,7 @@
 
     seed: int
     gatekeepers: int
-    judged: Judged
+    judged: OwnershipReport
     resumed: list[float] = field(default_factory=list)  # terms from an owner's death to the next one's lease
     stalled: str = ""
     cases: list[str] = field(default_factory=list)
@@ -74,14 +74,14 @@
         relay.sides, relay.deaf = [], []
         relay.hook = lambda _sender, _receiver, _data: 0.0
         relay.loss, relay.twice, relay.delay_ms = 0.01, 0.0, (0.3, 5.0)
-        await self.tier.taken(DUTIES, ALL_BACK_S)
+        await self.tier.wait_for_effects(DUTIES, ALL_BACK_S)
 
     async def _owner(self) -> int:
         def owner() -> list[int]:
             number = self.tier.owner(self.lease)
             return [] if number is None else [number]
 
-        return int((await self.tier.until(owner, 10, "an owner"))[0])
+        return int((await self.tier.wait_for(owner, 10, "an owner"))[0])
 
     async def owner_dies(self) -> None:
         """The vacancy's length, with nothing else wrong."""
@@ -90,11 +90,11 @@
         await asyncio.sleep(self.chance.uniform(0, self.term_s / 3))
         begin = machine_ms()
         death = asyncio.create_task(tier.kill(number, 0.3))
-        taken = await tier.until(
+        taken = await tier.wait_for(
             lambda: next(
                 (
                     row[1]
-                    for row in tier.look()
+                    for row in tier.read_records()
                     if row[0] == "held" and row[4] == self.lease and row[6] > begin
                 ),
                 None,
@@ -124,12 +124,12 @@
                 if number is not None
                 and any(
                     row[0] == "held" and row[2] == number and row[4] == self.lease and row[1] > begin
-                    for row in tier.look()
+                    for row in tier.read_records()
                 )
                 else []
             )
 
-        number = (await tier.until(renewed, 10, "a renewal"))[0]
+        number = (await tier.wait_for(renewed, 10, "a renewal"))[0]
         tier.relay.sides = [{number}]
         others = [voter for voter in tier.fleet["voters"] if voter != number]
         await asyncio.gather(*(tier.kill(voter, 0.0) for voter in others))
@@ -172,7 +172,7 @@
 
     async def _stops(self, when: str) -> None:
         await self._owner()
-        await self.tier.stands_in_an_effect(self.lease, when, self.term_s * self.chance.uniform(1.3, 2.0))
+        await self.tier.suspend_during_effect(self.lease, when, self.term_s * self.chance.uniform(1.3, 2.0))
 
     async def stops_before(self) -> None:
         """The owner stands still just before its look at the clock, for longer than its lease."""
@@ -209,7 +209,7 @@
         tier.relay.hook = hook
         for again in range(2):
             await self._call(one, "DRAIN FLEET")
-            await tier.until(lambda: tier.owner(lease) == one, 10, f"a turn for n{one}")
+            await tier.wait_for(lambda: tier.owner(lease) == one, 10, f"a turn for n{one}")
             if not again:
                 await self._call(one, "UNDRAIN")
         for receiver, data in gives:
@@ -224,7 +224,7 @@
         """The owner stops and goes on three times in two seconds."""
         number = await self._owner()
         for _ in range(3):
-            await self.tier.stand(number, self.chance.uniform(0.2, 0.6))
+            await self.tier.suspend(number, self.chance.uniform(0.2, 0.6))
             await asyncio.sleep(self.chance.uniform(0, 0.1))
 
     async def moving_split(self) -> None:
@@ -275,7 +275,7 @@
                 await tier.kill(number, 0.0)
                 await tier.kill(number, 0.0)
             elif kind == "stand":
-                work.append(asyncio.create_task(tier.stand(number, chance.uniform(0.1, 2.0) * self.term_s)))
+                work.append(asyncio.create_task(tier.suspend(number, chance.uniform(0.1, 2.0) * self.term_s)))
             elif kind == "split":
                 relay.sides = [{one for one in range(tier.gatekeepers) if chance.random() < 0.4}]
             else:
@@ -325,9 +325,9 @@
             for name in names:
                 await {**trial.cases, **trial.long}[name]()
                 await trial.well()
-            if judge(tier.look(), tier.receiver.records).broken:
+            if judge(tier.read_records(), tier.receiver.records).broken:
                 break
-    except TooLate as problem:
+    except WaitTimeout as problem:
         stalled = str(problem)
     finally:
         await tier.close()
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -14,7 +14,7 @@
 from plumpick.rehearsal.clients import Front, total_capacity
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import WorkerStub, ZoneKeys
-from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
+from plumpick.rehearsal.plants import PLANTS, FaultRelays, InjectedFault, OverCeiling
 from plumpick.rehearsal.records import Began, Ended, Lag, Mark, Recorder
 from plumpick.rehearsal.roster import DiscoveryAgent, DiscoveryStub, ListedWorker
 from plumpick.rehearsal.scenario import (
@@ -119,15 +119,15 @@
         self.relay = Relay(around, scenario.peers, gates, self.recorder)
         self.front = Front(around, scenario, self.capacity, self.recorder)
         self.quotas = self.front.quotas()
-        self.plant: Plant | None = None
-        self.stage: Stage | None = None
+        self.plant: InjectedFault | None = None
+        self.relays: FaultRelays | None = None
         if plant:
             self.plant = PLANTS[plant](around)
             self.recorder.listeners.append(self.plant)
-            self.stage = Stage(around, self.plant)
-            self.stage.targets = lambda: [server.port for server in self._ready()]
-            self.stage.port_of = self._port_of
-            self.stage.refused = self.front.refused
+            self.relays = FaultRelays(around, self.plant)
+            self.relays.targets = lambda: [server.port for server in self._ready()]
+            self.relays.port_of = self._port_of
+            self.relays.refused = self.front.refused
             if isinstance(self.plant, OverCeiling):
                 self.plant.plans = {plan.name.encode() for plan in scenario.plans if plan.ceiling}
         self.folder = supervise.make_folder()
@@ -188,9 +188,9 @@
         await asyncio.gather(*(server.start(cold=False) for server in self.servers.values()))
         for agent in self.agents:
             await agent.start()
-            if self.stage is not None and self.plant is not None and self.plant.at_servers:
+            if self.relays is not None and self.plant is not None and self.plant.at_servers:
                 for server in self.servers.values():
-                    await self.stage.before(server.port)
+                    await self.relays.relay_port_for(server.port)
                 agent.address_of = self._relayed
         self.roster.set_initial_list([self._listed(server, "ready") for server in self.servers.values()])
         await self.relay.start()
@@ -206,12 +206,12 @@
         self.around.settle()
 
     def _relayed(self, entry: ListedWorker) -> str:
-        assert self.stage is not None
-        return f"{HOST}:{self.stage.ports.get(entry.port, entry.port)}"
+        assert self.relays is not None
+        return f"{HOST}:{self.relays.ports.get(entry.port, entry.port)}"
 
     async def _entry_port(self, gate: Gatekeeper) -> int:
-        if self.stage is not None and self.plant is not None and not self.plant.at_servers:
-            return await self.stage.before(gate.port)
+        if self.relays is not None and self.plant is not None and not self.plant.at_servers:
+            return await self.relays.relay_port_for(gate.port)
         return gate.port
 
     async def play(self) -> None:
@@ -248,8 +248,8 @@
         finally:
             self.recorder.listeners.clear()
             self.recorder.close()  # Whatever ends from here on ends because of this shutdown.
-            if self.stage is not None:
-                self.stage.close()
+            if self.relays is not None:
+                self.relays.close()
             for server in self.servers.values():
                 server.stop()
             for agent in self.agents:
@@ -385,8 +385,8 @@
         self.roster.publish(self._listed(server, "draining"))
         successor = self._new_server(server.hall, self.groups[server.name])
         await successor.start(cold=True)
-        if self.stage is not None and self.plant is not None and self.plant.at_servers:
-            await self.stage.before(successor.port)
+        if self.relays is not None and self.plant is not None and self.plant.at_servers:
+            await self.relays.relay_port_for(successor.port)
         self.roster.publish(self._listed(successor, "ready"))
         late_s = max(*self.scenario.roster.drain_s) + max(*self.scenario.roster.spread_ms) / 1000
         await asyncio.sleep(late_s + linger_s)
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -17,15 +17,15 @@
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
 # Time after notice of a drain from which new work breaks the rule, as grace period and tolerance are over
-DRAIN_SURE_MS = 1150.0
-COLD_SURE_MS = 150.0  # Time after a cold start from which work is sent to the cold worker
+DRAIN_OVERDUE_MS = 1150.0
+COLD_SEND_AFTER_MS = 150.0  # Time after a cold start from which work is sent to the cold worker
 
 
-class _Far(asyncio.Protocol):
+class _TargetConnection(asyncio.Protocol):
     """The relay's connection to the target of the messages."""
 
-    def __init__(self, near: _Near) -> None:
-        self.near = near
+    def __init__(self, accepted: _AcceptedConnection) -> None:
+        self.accepted = accepted
         self.transport: Any = None
         self.reader = Reader(answers=True)
         self.waiting: list[bytes] = []
@@ -45,31 +45,31 @@
         try:
             messages = self.reader.feed(data, 0.0)
         except WireError:  # A malformed response is passed on unchanged.
-            self.near.say(data)
+            self.accepted.send_back(data)
             return
         for message in messages:
-            self.near.answered(message)
+            self.accepted.response_received(message)
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        if self.near.far is self:
-            self.near.close()
+        if self.accepted.target is self:
+            self.accepted.close()
 
 
-class _Near(asyncio.Protocol):
+class _AcceptedConnection(asyncio.Protocol):
     """A connection that the relay accepted."""
 
-    def __init__(self, stage: Stage, port: int) -> None:
-        self.stage, self.port = stage, port
+    def __init__(self, relays: FaultRelays, port: int) -> None:
+        self.relays, self.port = relays, port
         self.transport: Any = None
         self.reader = Reader(answers=False)
-        self.far: _Far | None = None
-        self.far_port = 0
+        self.target: _TargetConnection | None = None
+        self.target_port = 0
         self.request: Message | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.stage.near.add(self)
+        self.relays.accepted.add(self)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -79,35 +79,35 @@
             return
         for message in messages:
             self.request = message
-            port, raw = self.stage.plant.request(self.port, message)
+            port, raw = self.relays.plant.request(self.port, message)
             self.forward(port, raw)
 
     def forward(self, port: int, raw: bytes) -> None:
-        if self.far is None or self.far_port != port:
-            old, self.far = self.far, _Far(self)
-            self.far_port = port
+        if self.target is None or self.target_port != port:
+            old, self.target = self.target, _TargetConnection(self)
+            self.target_port = port
             if old is not None and old.transport is not None:
                 old.transport.abort()
-            far = self.far
+            target = self.target
 
             async def dial() -> None:
                 try:
-                    await self.stage.around.loop.create_connection(lambda: far, HOST, port)
+                    await self.relays.around.loop.create_connection(lambda: target, HOST, port)
                 except OSError:
-                    if self.far is far:
+                    if self.target is target:
                         # Without the relay, the client's connection would have been refused.
-                        self.stage.refused.add(self.transport.get_extra_info("peername")[1])
+                        self.relays.refused.add(self.transport.get_extra_info("peername")[1])
                         self.close()
 
-            self.stage.around.spawn(self.tasks, dial())
-        self.far.write(raw)
+            self.relays.around.spawn(self.tasks, dial())
+        self.target.write(raw)
 
-    def answered(self, message: Message) -> None:
+    def response_received(self, message: Message) -> None:
         request = self.request
-        for raw in self.stage.plant.answer(request, message) if request is not None else [message.raw]:
-            self.say(raw)
+        for raw in self.relays.plant.answer(request, message) if request is not None else [message.raw]:
+            self.send_back(raw)
 
-    def say(self, data: bytes) -> None:
+    def send_back(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -116,13 +116,13 @@
             self.transport.abort()
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        self.stage.near.discard(self)
-        far, self.far = self.far, None
-        if far is not None and far.transport is not None:
-            far.transport.abort()
+        self.relays.accepted.discard(self)
+        target, self.target = self.target, None
+        if target is not None and target.transport is not None:
+            target.transport.abort()
 
 
-class Plant:
+class InjectedFault:
     """An injected fault: `request` may redirect or change a request, `answer` may change the response.
 
     With `at_servers` the relay stands between gateways and workers, else between clients and gateways.
@@ -133,8 +133,8 @@
     rule = ""  # Name of the auditor's rule that the fault breaks
 
     def __init__(self, around: Surroundings) -> None:
-        self.around, self.stage = around, None  # type: Surroundings, Stage | None
-        self.done = 0  # Number of messages that the fault has affected
+        self.around, self.relays = around, None  # type: Surroundings, FaultRelays | None
+        self.strikes = 0  # Number of messages that the fault has affected
 
     def feed(self, record: Record) -> None:
         """Receive a record of the run."""
@@ -148,7 +148,7 @@
         return [message.raw]
 
 
-class _EveryNth(Plant):
+class _EveryNth(InjectedFault):
     """A fault that changes every n-th of the responses it applies to."""
 
     every = 10
@@ -157,20 +157,20 @@
         super().__init__(around)
         self._count = itertools.count(1)
 
-    def is_for(self, request: Message, message: Message) -> bool:
+    def applies_to(self, request: Message, message: Message) -> bool:
         return message.status == 200 and not request.start[1].startswith(b"/up")
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
-        if not self.is_for(request, message) or next(self._count) % self.every:
+        if not self.applies_to(request, message) or next(self._count) % self.every:
             return [message.raw]
-        self.done += 1
-        return self.spoil(request, message)
+        self.strikes += 1
+        return self.alter(request, message)
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         raise NotImplementedError
 
 
-class DoubleDebit(Plant):
+class DoubleDebit(InjectedFault):
     """An hours-debit request is also sent to a second worker, while the first one runs it."""
 
     name, at_servers, rule = "double-debit", True, "effects-once"
@@ -182,11 +182,11 @@
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.start[1].startswith(b"/hours-debit") and not next(self._count) % self.every:
-            assert self.stage is not None
-            others = [one for one in self.stage.targets() if one != port]
+            assert self.relays is not None
+            others = [one for one in self.relays.targets() if one != port]
             if others:
-                self.done += 1
-                self.stage.send_aside(others[self.done % len(others)], message.raw)
+                self.strikes += 1
+                self.relays.send_separately(others[self.strikes % len(others)], message.raw)
         return port, message.raw
 
 
@@ -195,7 +195,7 @@
 
     name, rule = "lost-answer", "no-request-lost"
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return []
 
 
@@ -204,7 +204,7 @@
 
     name, rule = "second-answer", "no-request-lost"
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [message.raw + message.raw]
 
 
@@ -219,11 +219,11 @@
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
         result = super().answer(request, message)
-        if self.is_for(request, message):
+        if self.applies_to(request, message):
             self._last = message.raw
         return result
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [self._last or message.raw]
 
 
@@ -233,14 +233,14 @@
     name, rule = "unsafe-refusal", "effects-once"
     every = 4
 
-    def is_for(self, request: Message, message: Message) -> bool:
+    def applies_to(self, request: Message, message: Message) -> bool:
         return message.status == 200 and request.start[1].startswith(b"/hours-debit")
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.5\r\n\r\n"]
 
 
-class _Divert(Plant):
+class _Redirect(InjectedFault):
     """A fault that redirects attempts, but only those whose redirection breaks no other rule.
 
     Attempts with an idempotency key stay, as their zone would change; of unsafe requests only the first
@@ -249,23 +249,23 @@
 
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
-        self._gates: dict[str, str] = {}
+        self._gateway_of: dict[str, str] = {}
         self._seen: set[str] = set()
 
     def feed(self, record: Record) -> None:
         if isinstance(record, Asked):
-            self._gates[record.id] = record.gate
+            self._gateway_of[record.id] = record.gate
 
-    def gate_of(self, message: Message) -> str:
+    def redirectable_from(self, message: Message) -> str:
         """Return the gateway that sent the attempt, or "" if the attempt must not be redirected."""
         name = message.headers.get(b"x-request-id", b"").decode()
         again = name in self._seen
         self._seen.add(name)
-        barred = b"idempotency-key" in message.headers or message.start[0] == b"POST" and again
-        return "" if barred else self._gates.get(name, "")
+        is_excluded = b"idempotency-key" in message.headers or message.start[0] == b"POST" and again
+        return "" if is_excluded else self._gateway_of.get(name, "")
 
 
-class SendToDrained(_Divert):
+class SendToDrained(_Redirect):
     """Some attempts go to a worker whose draining was announced to the sending gateway long before."""
 
     name, at_servers, rule = "send-to-drained", True, "drains-kept"
@@ -284,17 +284,17 @@
                 self._draining.pop((record.gate, record.server), None)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        assert self.stage is not None
-        gate, now = self.gate_of(message), self.around.now()
+        assert self.relays is not None
+        gate, now = self.redirectable_from(message), self.around.now()
         for (told, server), t in self._draining.items():
-            drained = self.stage.port_of(server)
-            if told == gate and now - t > DRAIN_SURE_MS and drained and not next(self._count) % 3:
-                self.done += 1
+            drained = self.relays.port_of(server)
+            if told == gate and now - t > DRAIN_OVERDUE_MS and drained and not next(self._count) % 3:
+                self.strikes += 1
                 return drained, message.raw
         return port, message.raw
 
 
-class ColdRush(_Divert):
+class ColdRush(_Redirect):
     """Attempts of all gateways go to one worker that has just started.
 
     Each gateway alone stays within what it may send to a cold worker.
@@ -315,17 +315,17 @@
             self._told[record.server].add(record.gate)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        assert self.stage is not None
-        gate = self.gate_of(message)
+        assert self.relays is not None
+        gate = self.redirectable_from(message)
         for server, t in self._cold.items():
-            target = self.stage.port_of(server)
-            if target and gate in self._told[server] and self.around.now() - t > COLD_SURE_MS:
-                self.done += 1
+            target = self.relays.port_of(server)
+            if target and gate in self._told[server] and self.around.now() - t > COLD_SEND_AFTER_MS:
+                self.strikes += 1
                 return target, message.raw
         return port, message.raw
 
 
-class OverCeiling(Plant):
+class OverCeiling(InjectedFault):
     """Requests of customers with a ceiling carry changing customer keys, so that no gateway sees a customer's
     total."""
 
@@ -340,13 +340,13 @@
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.headers.get(b"x-tier") not in self.plans:
             return port, message.raw
-        self.done += 1
+        self.strikes += 1
         firm = message.headers[b"x-api-key"]
         other = b"%016x" % (int(firm, 16) ^ (next(self._count) % self.names + 1) << 8)
         return port, message.raw.replace(b"X-Api-Key: " + firm, b"X-Api-Key: " + other, 1)
 
 
-PLANTS: dict[str, type[Plant]] = {
+PLANTS: dict[str, type[InjectedFault]] = {
     kind.name: kind
     for kind in (
         DoubleDebit,
@@ -361,29 +361,29 @@
 }
 
 
-class Stage:
+class FaultRelays:
     """The relays of one injected fault, one for each target port."""
 
-    def __init__(self, around: Surroundings, plant: Plant) -> None:
+    def __init__(self, around: Surroundings, plant: InjectedFault) -> None:
         self.around, self.plant = around, plant
-        plant.stage = self
-        self.near: set[_Near] = set()
+        plant.relays = self
+        self.accepted: set[_AcceptedConnection] = set()
         self.ports: dict[int, int] = {}  # Port of the relay by port of the target
         self.refused: set[int] = set()  # Local ports of clients whose target refused the connection
         self.port_of: Callable[[str], int] = lambda name: 0
         self.targets: Callable[[], list[int]] = list
         self._servers: list[asyncio.Server] = []
-        self._aside: set[asyncio.Task[Any]] = set()
+        self._separate_sends: set[asyncio.Task[Any]] = set()
 
-    async def before(self, port: int) -> int:
+    async def relay_port_for(self, port: int) -> int:
         """Return the port of the relay in front of the target port, started on first use."""
         if port not in self.ports:
-            server = await self.around.loop.create_server(lambda: _Near(self, port), HOST, 0)
+            server = await self.around.loop.create_server(lambda: _AcceptedConnection(self, port), HOST, 0)
             self._servers.append(server)
             self.ports[port] = server.sockets[0].getsockname()[1]
         return self.ports[port]
 
-    def send_aside(self, port: int, raw: bytes) -> None:
+    def send_separately(self, port: int, raw: bytes) -> None:
         """Send a message on a separate connection, and discard the response."""
 
         async def send() -> None:
@@ -399,12 +399,12 @@
             finally:
                 writer.close()
 
-        self.around.spawn(self._aside, send())
+        self.around.spawn(self._separate_sends, send())
 
     def close(self) -> None:
         for server in self._servers:
             server.close()
-        for near in list(self.near):
-            near.close()
-        for task in list(self._aside):
+        for accepted in list(self.accepted):
+            accepted.close()
+        for task in list(self._separate_sends):
             task.cancel()
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -21,12 +21,12 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, Supervisor, free_port
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LOOK_S = 0.01  # Interval at which `until` checks its condition
-CALL_PORTS = (30_000, 32_000)  # Range of the gateways' management ports
+POLL_S = 0.01  # Interval at which `wait_for` checks its condition
+MANAGEMENT_PORTS = (30_000, 32_000)  # Range of the gateways' management ports
 QUOTA = {"rate": 1.0, "burst": 2.0, "ceiling_rate": 0.0, "ceiling_burst": 0.0, "ceiling_slack": 0.0}
 
 
-class TooLate(Exception):
+class WaitTimeout(Exception):
     """A condition was not met in time; the message names it."""
 
 
@@ -82,47 +82,50 @@
         self.supervisor.environment_of = self._environment
         self.calls = [0 for _ in agents]
         if self.management:
-            self.supervisor.extra_configuration_of = self._more
+            self.supervisor.extra_configuration_of = self._extra_configuration
         self._read: dict[int, int] = {}
         self.witnessed: list[list[Any]] = []
         for number in range(self.gatekeepers):
             self._write_settings(number)
-            self.want(number, self.demand)
+            self.set_demand(number, self.demand)
         await asyncio.gather(*(self.supervisor.start(gate) for gate in self.gates))
 
     @property
     def gates(self) -> list[Gatekeeper]:
         return self.supervisor.gates
 
-    def want(self, number: int, demand: dict[str, float]) -> None:
+    def set_demand(self, number: int, demand: dict[str, float]) -> None:
         """Set the requests per second that a gateway spends of each budget."""
         path = self.folder / f"demand-{number}"
         fresh = path.with_suffix(".new")
         fresh.write_text(json.dumps(demand), encoding="utf-8")
         fresh.rename(path)
 
-    async def change(self, budgets: list[dict[str, Any]], chance: random.Random) -> None:
+    async def change_budgets(self, budgets: list[dict[str, Any]], chance: random.Random) -> None:
         """Change the limits of the budgets at one gateway after another (SIGHUP) until all have them."""
         for number in chance.sample(range(self.gatekeepers), self.gatekeepers):
-            await self.change_at(number, budgets)
+            await self.change_budgets_at(number, budgets)
             await asyncio.sleep(chance.uniform(0, 0.3))
 
-    async def change_at(self, number: int, budgets: list[dict[str, Any]]) -> None:
+    async def change_budgets_at(self, number: int, budgets: list[dict[str, Any]]) -> None:
         """Change the limits of the budgets at one gateway (SIGHUP); files written later contain them, too."""
         self.budgets = budgets
         async with self.gates[number].starting:
             self._write_settings(number)
-            await self._hang_up(self.gates[number])
+            await self._reload(self.gates[number])
 
-    async def _hang_up(self, gate: Gatekeeper) -> None:
+    async def _reload(self, gate: Gatekeeper) -> None:
         """Send SIGHUP to the gateway, if it runs, and wait until it has read its file."""
         process, begin = gate.process, machine_ms()
         if process is None or not gate.running():
             return
         self.supervisor.reload(gate)
-        await self.until(
+        await self.wait_for(
             lambda: not gate.running()
-            or any(row[0] == "figures" and row[3] == process.pid and row[1] >= begin for row in self.look()),
+            or any(
+                row[0] == "figures" and row[3] == process.pid and row[1] >= begin
+                for row in self.read_records()
+            ),
             10,
             f"new limits of budgets at {gate.name}",
         )
@@ -142,25 +145,25 @@
         return {
             **self.environment,
             "PLUMPICK_OPERATOR": str(self.folder / f"operator-{gate.number}.toml"),
-            "WITNESS_FILE": str(self.ledger(gate.number)),
+            "WITNESS_FILE": str(self.witness_file(gate.number)),
             "WITNESS_RATE": repr(rate),
             "WITNESS_PLANT": self.plant,
             **({"WITNESS_DEMAND": str(self.folder / f"demand-{gate.number}")} if self.demand else {}),
         }
 
-    def _more(self, gate: Gatekeeper) -> dict[str, Any]:
+    def _extra_configuration(self, gate: Gatekeeper) -> dict[str, Any]:
         if not gate.starts:
-            self.calls[gate.number] = free_port(first=CALL_PORTS)
+            self.calls[gate.number] = free_port(first=MANAGEMENT_PORTS)
         return {"management": f"{HOST}:{self.calls[gate.number]}"}
 
-    def ledger(self, number: int) -> Path:
+    def witness_file(self, number: int) -> Path:
         """Return the file to which the processes of a gateway write their records."""
         return self.folder / f"witness-{number}"
 
-    def look(self) -> list[list[Any]]:
+    def read_records(self) -> list[list[Any]]:
         """Return all records written up to now, as [kind, t, number, pid, ...], in the order of reading."""
         for number in range(self.gatekeepers):
-            path, begin = self.ledger(number), self._read.get(number, 0)
+            path, begin = self.witness_file(number), self._read.get(number, 0)
             if not path.exists():
                 continue
             with open(path, "rb") as file:
@@ -176,35 +179,35 @@
     def owner(self, lease: int) -> int | None:
         """Return the number of the gateway that holds the lease by the latest record, or None."""
         last = max(
-            (row for row in self.look() if row[0] in ("held", "lost") and row[4] == lease),
+            (row for row in self.read_records() if row[0] in ("held", "lost") and row[4] == lease),
             key=lambda row: row[1],
             default=None,
         )
         return None if last is None or last[0] == "lost" or last[7] < machine_ms() else last[2]
 
-    async def until(self, true: Callable[[], Any], limit_s: float, what: str) -> Any:
-        """Wait until `true` returns a true value, and return it. Raises TooLate after `limit_s` seconds."""
+    async def wait_for(self, true: Callable[[], Any], limit_s: float, what: str) -> Any:
+        """Wait until `true` returns a true value and return it. Raises WaitTimeout after `limit_s`."""
         end = machine_ms() + limit_s * 1000
         while not (value := true()):
             if machine_ms() > end:
-                raise TooLate(f"seed {self.seed}: {what}: not seen within {limit_s:g} s")
-            await asyncio.sleep(LOOK_S)
+                raise WaitTimeout(f"seed {self.seed}: {what}: not seen within {limit_s:g} s")
+            await asyncio.sleep(POLL_S)
         return value
 
-    async def taken(self, duties: list[str], limit_s: float, since: float | None = None) -> None:
+    async def wait_for_effects(self, duties: list[str], limit_s: float, since: float | None = None) -> None:
         """Wait until an effect of each of these tasks has been accepted after `since` (default: now).
 
-        Raises TooLate after `limit_s` seconds.
+        Raises WaitTimeout after `limit_s` seconds.
         """
         begin = machine_ms() if since is None else since
-        await self.until(
+        await self.wait_for(
             lambda: set(duties)
             <= {one.duty for one in self.receiver.records if one.t > begin and one.fate == "taken"},
             limit_s,
             f"effects of {duties}",
         )
 
-    async def stands_in_an_effect(self, lease: int, when: str, for_s: float) -> int | None:
+    async def suspend_during_effect(self, lease: int, when: str, for_s: float) -> int | None:
         """Let the lease's owner suspend itself while it sends an effect, and resume it after `for_s`.
 
         `when` is "before" or "after": relative to the check of the clock. Returns the owner's number, or None
@@ -213,11 +216,11 @@
         number = self.owner(lease)
         if number is None:
             return None
-        gate, mark = self.gates[number], Path(f"{self.ledger(number)}.{when}")
+        gate, mark = self.gates[number], Path(f"{self.witness_file(number)}.{when}")
         process = gate.process
         mark.touch()
         try:
-            await self.until(
+            await self.wait_for(
                 lambda: not mark.exists() or self.owner(lease) != number, 3.0, f"an effect of n{number}"
             )
         finally:
@@ -239,7 +242,7 @@
                 await asyncio.sleep(back_s)
                 await self.supervisor.start(gate)
 
-    async def stand(self, number: int, for_s: float) -> None:
+    async def suspend(self, number: int, for_s: float) -> None:
         """Suspend a gateway's process with SIGSTOP for `for_s` seconds."""
         gate = self.gates[number]
         process = gate.process
@@ -252,7 +255,7 @@
         try:
             await self.supervisor.close()
         finally:
-            self.look()
+            self.read_records()
             self.receiver.close()
             self.relay.close()
             for gate in self.gates:
@@ -261,7 +264,7 @@
 
 
 @dataclass
-class Judged:
+class OwnershipReport:
     """Broken promises, one text each, and counts of effects that the records show."""
 
     overlaps: list[str] = field(default_factory=list)  # A lease had two owners at one time
@@ -282,13 +285,13 @@
 
 def judge(  # noqa: C901  (to be split by concern)
     witnessed: list[list[Any]], received: list[ReceivedEffect]
-) -> Judged:
+) -> OwnershipReport:
     """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
     of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
 
     A lease lasts from the moment at which its holder knew of it until its expiry by the machine's clock, or
     until it was released; the death of the holder's process does not end it."""
-    result = Judged(
+    result = OwnershipReport(
         taken=sum(one.fate == "taken" for one in received),
         fenced=sum(one.fate == "fenced" for one in received),
         again=sum(one.fate == "again" for one in received),
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -34,15 +34,15 @@
 import time
 from typing import Any
 
-DEMAND_STEP_S = 0.02  # Interval at which requests are spent under $WITNESS_DEMAND
+SPEND_INTERVAL_S = 0.02  # Interval at which requests are spent under $WITNESS_DEMAND
 
 
-def true_ms() -> float:
+def machine_ms() -> float:
     """Return the machine's CLOCK_BOOTTIME in ms."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-class Ledger:
+class WitnessLog:
     """Writes the records; each line is one write to the file, so a killed process leaves no partial line."""
 
     def __init__(self, path: str, rate: float) -> None:
@@ -51,16 +51,16 @@
         self._held: dict[int, tuple[int, float]] = {}
 
     def write(self, kind: str, *parts: Any) -> None:
-        os.write(self._file, (json.dumps([kind, true_ms(), os.getpid(), *parts]) + "\n").encode())
+        os.write(self._file, (json.dumps([kind, machine_ms(), os.getpid(), *parts]) + "\n").encode())
 
-    def true(self, clock_ms: float) -> float:
+    def machine_time(self, clock_ms: float) -> float:
         """Convert a time of the process's clock to the machine's clock.
 
         All processes of a gateway must have the same rate, because a hot restart passes on times.
         """
         return clock_ms / self._rate
 
-    def look(self, member: Any) -> None:
+    def record_leases(self, member: Any) -> None:
         """Record the leases that the participant has acquired, renewed or lost since the last call."""
         held = (
             {}
@@ -75,11 +75,15 @@
             if self._held.get(lease) != (token, asked_ms):
                 self._held[lease] = token, asked_ms
                 self.write(
-                    "held", lease, token, self.true(asked_ms), self.true(asked_ms + member.terms.term_ms)
+                    "held",
+                    lease,
+                    token,
+                    self.machine_time(asked_ms),
+                    self.machine_time(asked_ms + member.terms.term_ms),
                 )
 
 
-def obey(when: str, number: signal.Signals) -> None:
+def trigger_fault(when: str, number: signal.Signals) -> None:
     """If the file $WITNESS_FILE.`when` exists, delete it and send this process the signal `number`."""
     try:
         os.unlink(f"{os.environ['WITNESS_FILE']}.{when}")
@@ -88,27 +92,27 @@
     os.kill(os.getpid(), number)
 
 
-def clients_of(begin: Any) -> Any:
+def spending_start(begin: Any) -> Any:
     """Wrap LeaseRunner.start so that the runner also spends budgets at the rates in $WITNESS_DEMAND."""
 
-    def opened(part: Any, state: Any = None) -> None:
+    def start(part: Any, state: Any = None) -> None:
         begin(part, state)
-        chance, wanted = random.Random(f"{os.getpid()}"), dict[str, float]()
+        chance, rates = random.Random(f"{os.getpid()}"), dict[str, float]()
 
         def step() -> None:
             try:
                 with open(os.environ["WITNESS_DEMAND"], encoding="utf-8") as file:
-                    wanted.update(json.load(file))
+                    rates.update(json.load(file))
             except (OSError, ValueError):
                 pass  # The file is missing or incomplete: the previous rates remain.
-            for name, rate in wanted.items():
-                for _ in range(int(rate * DEMAND_STEP_S + chance.random())):
+            for name, rate in rates.items():
+                for _ in range(int(rate * SPEND_INTERVAL_S + chance.random())):
                     part.budgets.spend([(name, 1.0)])
-            part._loop.call_later(DEMAND_STEP_S, step)
+            part._loop.call_later(SPEND_INTERVAL_S, step)
 
         part._loop.call_soon(step)
 
-    return opened
+    return start
 
 
 def main() -> int:  # noqa: C901, PLR0915  (to be split by concern)
@@ -123,7 +127,7 @@
 
     rate = float(os.environ.get("WITNESS_RATE", "1"))
     if rate != 1:
-        Platform.boottime = lambda self: true_ms() * rate  # type: ignore[method-assign]
+        Platform.boottime = lambda self: machine_ms() * rate  # type: ignore[method-assign]
     plant = os.environ.get("WITNESS_PLANT", "")
     if plant:
         where, _, name = plant.rpartition("/")
@@ -132,47 +136,47 @@
         first = 1 if os.path.exists(os.environ["WITNESS_FILE"]) else 10**6
         begin = LeaseParticipant.__init__
 
-        def begins(self: Any, *arguments: Any, **more: Any) -> None:
+        def init_with_counter(self: Any, *arguments: Any, **more: Any) -> None:
             begin(self, *arguments, **more)
             self.holder.counter = first
 
-        LeaseParticipant.__init__ = begins  # type: ignore[method-assign]
-    recorder = Ledger(os.environ["WITNESS_FILE"], rate)
+        LeaseParticipant.__init__ = init_with_counter  # type: ignore[method-assign]
+    recorder = WitnessLog(os.environ["WITNESS_FILE"], rate)
     inner = LeaseParticipant.handle
     restore = LeaseParticipant.restore
     capture = LeaseParticipant.capture
 
     def handle(self: Any, now_ms: float, events: Any = ()) -> Any:
         actions = inner(self, now_ms, events)
-        recorder.look(self)
+        recorder.record_leases(self)
         return actions
 
-    def inherited(self: Any, *arguments: Any, **more: Any) -> None:
+    def restore_and_record(self: Any, *arguments: Any, **more: Any) -> None:
         restore(self, *arguments, **more)
-        recorder.look(self)
+        recorder.record_leases(self)
 
-    def left(self: Any) -> Any:
+    def capture_and_record(self: Any) -> Any:
         state = capture(self)
-        recorder.look(self)
+        recorder.record_leases(self)
         return state
 
     LeaseParticipant.handle = handle  # type: ignore[method-assign]
-    LeaseParticipant.restore = inherited  # type: ignore[method-assign]
-    LeaseParticipant.capture = left  # type: ignore[method-assign]
+    LeaseParticipant.restore = restore_and_record  # type: ignore[method-assign]
+    LeaseParticipant.capture = capture_and_record  # type: ignore[method-assign]
     spend = ledger.BudgetLedger.try_spend
 
-    def spent(self: Any, now_ms: float, charges: Any) -> bool:
+    def try_spend_and_record(self: Any, now_ms: float, charges: Any) -> bool:
         met = bool(spend(self, now_ms, charges))
         if met:
             for name, units in charges:
-                recorder.write("spent", name, units, recorder.true(now_ms))
+                recorder.write("spent", name, units, recorder.machine_time(now_ms))
         return met
 
-    ledger.BudgetLedger.try_spend = spent  # type: ignore[method-assign]
+    ledger.BudgetLedger.try_spend = try_spend_and_record  # type: ignore[method-assign]
     accept_grant = rate_limiter.LocalRateLimiter.accept_grant
     set_limits = ledger.BudgetLedger.set_limits
 
-    def lent(self: Any, now_ms: float, grant: Any, sent_ms: Any) -> bool:
+    def accept_grant_and_record(self: Any, now_ms: float, grant: Any, sent_ms: Any) -> bool:
         taken = bool(accept_grant(self, now_ms, grant, sent_ms))
         if taken:
             recorder.write(
@@ -183,46 +187,48 @@
                 grant.amount,
                 grant.burst,
                 grant.initial_tokens,
-                recorder.true(self.granted.expires_ms),
+                recorder.machine_time(self.granted.expires_ms),
             )
         return taken
 
-    rate_limiter.LocalRateLimiter.accept_grant = lent  # type: ignore[method-assign]
+    rate_limiter.LocalRateLimiter.accept_grant = accept_grant_and_record  # type: ignore[method-assign]
 
-    def changed(self: Any, now_ms: float, budgets: Any) -> None:
+    def set_limits_and_record(self: Any, now_ms: float, budgets: Any) -> None:
         set_limits(self, now_ms, budgets)
         recorder.write("figures", [[one.name, one.limit, one.burst] for one in budgets])
 
-    ledger.BudgetLedger.set_limits = changed  # type: ignore[method-assign]
+    ledger.BudgetLedger.set_limits = set_limits_and_record  # type: ignore[method-assign]
     runner = lease_runner.LeaseRunner
     if os.environ.get("WITNESS_DEMAND"):
-        runner.start = clients_of(runner.start)  # type: ignore[method-assign]
+        runner.start = spending_start(runner.start)  # type: ignore[method-assign]
     send = fenced_effects.send
 
-    async def witnessed(receiver: Any, task: str, period: int, token: int, body: Any, may_write: Any) -> None:
-        def looks() -> bool:
-            obey("before", signal.SIGSTOP)
+    async def send_and_record(
+        receiver: Any, task: str, period: int, token: int, body: Any, may_write: Any
+    ) -> None:
+        def may_write_and_record() -> bool:
+            trigger_fault("before", signal.SIGSTOP)
             yes = bool(may_write())
             if yes:
                 recorder.write("effect", task, period, token)
-                obey("after", signal.SIGSTOP)
+                trigger_fault("after", signal.SIGSTOP)
             return yes
 
-        await send(receiver, task, period, token, body, looks)
+        await send(receiver, task, period, token, body, may_write_and_record)
 
-    fenced_effects.send = witnessed
+    fenced_effects.send = send_and_record
     send_message = runner.send_message
 
-    def sent(self: Any, now_ms: float, message: Any, is_lease_message: bool = False) -> None:
+    def send_message_or_die(self: Any, now_ms: float, message: Any, is_lease_message: bool = False) -> None:
         decoded = None if is_lease_message else codec.decode(message.data)
         share = decoded is not None and decoded.payload[:1] == bytes([budget_codec.GRANT])
         if share:
-            obey("before-share", signal.SIGKILL)
+            trigger_fault("before-share", signal.SIGKILL)
         send_message(self, now_ms, message, is_lease_message)
         if share:
-            obey("after-share", signal.SIGKILL)
+            trigger_fault("after-share", signal.SIGKILL)
 
-    runner.send_message = sent  # type: ignore[method-assign]
+    runner.send_message = send_message_or_die  # type: ignore[method-assign]
     recorder.write("life", os.environ.get("BALANCER_NAME", ""))
     return daemon.main()
 
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -50,11 +50,11 @@
         try:
             await tier.start()
             away = (await trial.divider() + 1) % 3
-            tier.want(away, {"exports": 120.0})
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "what is lent is spent")
+            tier.set_demand(away, {"exports": 120.0})
+            await tier.wait_for(lambda: len(trial.spent("exports")) > 60, 20, "what is lent is spent")
             tier.relay.sides = [{away}]
             begin = machine_ms() + 1100  # its share has ended by then
-            rows = await tier.until(
+            rows = await tier.wait_for(
                 lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "seconds cut off"
             )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
@@ -69,7 +69,7 @@
             )
             assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + budget.guaranteed_burst(3) + 1
             tier.relay.sides = []
-            await tier.until(
+            await tier.wait_for(
                 lambda: sum(units for t, units in trial.spent("exports") if t > machine_ms() - 1000) > 40,
                 20,
                 "all of it again",
@@ -100,11 +100,11 @@
         try:
             await tier.start()
             number = await trial.divider()
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "what is granted is spent")
-            await tier.change_at(number if has_allocator else (number + 1) % 3, [lower])
+            await tier.wait_for(lambda: len(trial.spent("exports")) > 60, 20, "what is granted is spent")
+            await tier.change_budgets_at(number if has_allocator else (number + 1) % 3, [lower])
             # Two rounds of messages to agree, and the term of what had been granted by the higher limit.
             begin = machine_ms() + 2 * 1000 * 1.03
-            await tier.until(lambda: machine_ms() > begin + 4000, 20, "seconds with different limits")
+            await tier.wait_for(lambda: machine_ms() > begin + 4000, 20, "seconds with different limits")
             spent = [(t, units) for t, units in trial.spent("exports") if t >= begin]
             assert not audit(spent, lower["whole"], lower["burst"])
             assert sum(units for _, units in spent) > 0.8 * lower["whole"] * 4
@@ -164,7 +164,7 @@
                 asking.append(asyncio.create_task(look(len(asking) % 3)))
                 return len(trial.spent("looks")) >= 24  # as many as the floors alone give in six seconds
 
-            await tier.until(enough, 60, "what is lent is spent")
+            await tier.wait_for(enough, 60, "what is lent is spent")
             assert not audit(trial.spent("looks"), 8.0, 6.0) and not trial.spent("none")
             await asyncio.gather(*asking)
             assert len(answered) > 24 and {status for status, *_ in answered} <= {503, 504}
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -10,7 +10,7 @@
 from benchmarks.ownership.trial import DUTIES, play
 from plumpick.policy.leases.terms import rendezvous_rank
 from plumpick.rehearsal.receiver import machine_ms
-from plumpick.rehearsal.tier import Judged, Tier, judge
+from plumpick.rehearsal.tier import OwnershipReport, Tier, judge
 from plumpick.tools.call import ask
 from plumpick.tools.duties import fetch, lines
 
@@ -51,7 +51,7 @@
     assert judge(held, []).overlaps
     assert not judge([*held, ["lost", 50.0, 0, 1, 0, 7]], []).overlaps
     assert judge([held[0], ["effect", 101.0, 0, 1, "d", 3, 7]], []).late
-    assert judge([], []) == Judged()
+    assert judge([], []) == OwnershipReport()
 
 
 def use_tier(**more):
@@ -69,11 +69,11 @@
         tier = use_tier()
         try:
             await tier.start()
-            await tier.taken(["use"], 10)
+            await tier.wait_for_effects(["use"], 10)
             dead = next(number for number in range(3) if tier.owner(one_slot()) != number)
             await tier.kill(dead, None)
             killed = time.time() * 1000
-            whole = await tier.until(
+            whole = await tier.wait_for(
                 lambda: [
                     one
                     for one in tier.receiver.records
@@ -107,7 +107,7 @@
         tier = use_tier(management=True)
         try:
             await tier.start()
-            await tier.taken(["use"], 10)
+            await tier.wait_for_effects(["use"], 10)
 
             def call(number, line):
                 return asyncio.to_thread(ask, ("127.0.0.1", tier.calls[number]), line)
@@ -118,14 +118,14 @@
             assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(lines(whole))
             assert json.dumps(whole)
             assert (await call(0, "DRAIN FLEET")).startswith("+OK")
-            await tier.until(lambda: tier.owner(4) == 0, 5, "a turn")
+            await tier.wait_for(lambda: tier.owner(4) == 0, 5, "a turn")
             assert (await call(0, "READY")).startswith("+OK drain")
             assert (await call(1, "DRAIN FLEET")).startswith("+OK")
             await asyncio.sleep(1.5)
             assert tier.owner(4) == 0 and (await call(1, "READY")) == "+OK ready"
             begin = machine_ms()
             await tier.kill(0, None)  # its turn comes free by its end
-            await tier.until(lambda: tier.owner(4) == 1, 5, "the turn of a dead one")
+            await tier.wait_for(lambda: tier.owner(4) == 1, 5, "the turn of a dead one")
             assert machine_ms() - begin > 400
             assert (await call(1, "READY")).startswith("+OK drain")
             assert (await call(1, "UNDRAIN")).startswith("+OK")
@@ -145,17 +145,17 @@
         processes = []
         try:
             await tier.start()
-            await tier.taken(["use"], 20)
+            await tier.wait_for_effects(["use"], 20)
             # It has settled: the best placed one has it, and no voter has said of a larger token, of one that
             # asked in vain at the start, when it was renewed.
             best = min(range(3), key=lambda number: rendezvous_rank(one_slot(), number))
 
             def renewed():
-                rows = [row for row in tier.look() if row[0] == "held" and row[4] == one_slot()]
+                rows = [row for row in tier.read_records() if row[0] == "held" and row[4] == one_slot()]
                 last = max(rows, key=lambda row: row[1])
                 return last[2] == best and sum(row[5] == last[5] for row in rows) > 2 and last
 
-            token = (await tier.until(renewed, 30, "it is where it stays"))[5]
+            token = (await tier.wait_for(renewed, 30, "it is where it stays"))[5]
             owner, gate = best, tier.gates[best]
             old, calls = gate.process, dict(enumerate(tier.calls))
             from plumpick.rehearsal.supervisor import free_port
@@ -163,9 +163,10 @@
             tier.calls[owner] = free_port()
             process = await tier.supervisor.launch(gate)
             processes.append(process)
-            await tier.until(
+            await tier.wait_for(
                 lambda: any(
-                    row[0] == "held" and row[3] == process.pid and row[5] == token for row in tier.look()
+                    row[0] == "held" and row[3] == process.pid and row[5] == token
+                    for row in tier.read_records()
                 ),
                 10,
                 "the next process holds it",
@@ -173,14 +174,16 @@
             old.terminate()
             await old.wait()
             begin = machine_ms()
-            await tier.taken(["use"], 20, begin)
+            await tier.wait_for_effects(["use"], 20, begin)
 
             def later():
                 return [
-                    row for row in tier.look() if row[0] == "held" and row[4] == one_slot() and row[1] > begin
+                    row
+                    for row in tier.read_records()
+                    if row[0] == "held" and row[4] == one_slot() and row[1] > begin
                 ]
 
-            rows = await tier.until(later, 20, "a renewal by the next process")
+            rows = await tier.wait_for(later, 20, "a renewal by the next process")
             assert {row[5] for row in rows if row[1] > begin} == {token}  # the same owner, not a next one
             text = (gate.folder / "log").read_text()
             assert "leases taken over" in text and "another process of this number votes" not in text
@@ -192,7 +195,7 @@
             tier.calls[owner] = free_port()
             other = await tier.supervisor.launch(gate)
             processes.append(other)
-            await tier.until(
+            await tier.wait_for(
                 lambda: "another process of this number votes" in (gate.folder / "log").read_text(),
                 10,
                 "a second process without a vote",
@@ -226,12 +229,12 @@
 
         try:
             await tier.start()
-            await tier.taken(DUTIES, 10)
+            await tier.wait_for_effects(DUTIES, 10)
             if max(rates) > 1.01:
-                await tier.until(lambda: any(logs()), 20, "a line of who holds a lease")
+                await tier.wait_for(lambda: any(logs()), 20, "a line of who holds a lease")
             else:  # as long as a line takes to come where it is due
                 begin = machine_ms()
-                await tier.until(lambda: machine_ms() - begin > 4000, 20, "four seconds")
+                await tier.wait_for(lambda: machine_ms() - begin > 4000, 20, "four seconds")
             return logs()
         finally:
             await tier.close()
@@ -251,8 +254,8 @@
         )
         try:
             await tier.start()
-            await tier.taken(DUTIES, 10)
-            log = await tier.until(
+            await tier.wait_for_effects(DUTIES, 10)
+            log = await tier.wait_for(
                 lambda: (text := (tier.gates[2].folder / "log").read_text()).count("settings of gatekeeper")
                 >= 2
                 and text,
