--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -1,4 +1,4 @@
-"""The stand-in licence server in modelled time: its processor, its ledger, its faults."""
+"""The worker stub in simulated time: its processor, its records of effects and its faults."""
 
 import contextlib
 import heapq
@@ -13,7 +13,7 @@
 from plumpick.rehearsal.wire import Reader, request_bytes
 
 
-class Handle:
+class TimerHandle:
     def __init__(self, call, arguments):
         self.call, self.arguments = call, arguments
 
@@ -21,8 +21,8 @@
         self.call = None
 
 
-class Modelled:
-    """Surroundings whose time runs only when the test says so."""
+class SimulatedSurroundings:
+    """Surroundings whose time advances only in `run`."""
 
     def __init__(self, seed=1):
         self.seed, self.t, self.queue, self.serial = seed, 0.0, [], itertools.count()
@@ -38,7 +38,7 @@
         return random.Random(f"{self.seed}/{name}")
 
     def later(self, ms, call, *arguments):
-        handle = Handle(call, arguments)
+        handle = TimerHandle(call, arguments)
         heapq.heappush(self.queue, (self.t + max(0.0, ms), next(self.serial), handle))
         return handle
 
@@ -64,8 +64,8 @@
         pass
 
 
-class Wire:
-    """The other end of a connection."""
+class ClientConnection:
+    """A client's connection to the worker stub, without a socket."""
 
     def __init__(self, server):
         self.connection, self.answers, self.closed, self.reader = _Connection(server), [], False, Reader(True)
@@ -88,17 +88,17 @@
         return self
 
 
-class House:
-    """A server in modelled time, with all that it recorded."""
+class StubHarness:
+    """A worker stub in simulated time, with all its records."""
 
     def __init__(self, cold=False, **part):
-        self.around, self.records = Modelled(), []
+        self.around, self.records = SimulatedSurroundings(), []
         self.keys = ZoneKeys({"seat-checkout": 15_000.0})
         self.serials = itertools.count(1)
         self.part = ServerPart(**({"speed": [1.0, 1.0], "warm_s": [10.0, 10.0]} | part))
-        self.server = self.make("a1", cold)
+        self.server = self.make_stub("a1", cold)
 
-    def make(self, name, cold=False):
+    def make_stub(self, name, cold=False):
         server = WorkerStub(
             self.around,
             name,
@@ -114,105 +114,107 @@
             server.start(cold).send(None)
         return server
 
-    def of(self, kind):
+    def records_of(self, kind):
         return [record for record in self.records if isinstance(record, kind)]
 
     def ask(self, name, **more):
-        return Wire(self.server).ask(name, **more)
+        return ClientConnection(self.server).ask(name, **more)
 
 
-def work_of(name, mean=88.0):
+def expected_work_ms(name, mean=88.0):
     return min(random.Random(f"1/{name}").expovariate(1 / mean), 6 * mean)
 
 
-def test_one_request_takes_its_work_and_two_on_two_cores_do_not_wait_for_each_other():
-    house = House()
-    one, two = house.ask("r1"), house.ask("r2")
-    house.around.run(5000)
+def test_two_requests_on_two_cores_each_take_only_their_own_work():
+    harness = StubHarness()
+    one, two = harness.ask("r1"), harness.ask("r2")
+    harness.around.run(5000)
     assert [answer.status for answer in one.answers + two.answers] == [200, 200]
-    ran = {record.n: record.t for record in house.of(Ran)}
-    assert ran[1] == pytest.approx(work_of("r1"), abs=1) and ran[2] == pytest.approx(work_of("r2"), abs=1)
+    ran = {record.n: record.t for record in harness.records_of(Ran)}
+    assert ran[1] == pytest.approx(expected_work_ms("r1"), abs=1) and ran[2] == pytest.approx(
+        expected_work_ms("r2"), abs=1
+    )
 
 
-def test_with_more_than_the_cores_each_gets_its_part():
-    house = House(cores=1)
+def test_requests_beyond_the_cores_share_the_processor_equally():
+    harness = StubHarness(cores=1)
     for name in ("r1", "r2", "r3"):
-        house.ask(name)
-    house.around.run(10_000)
-    last = max(record.t for record in house.of(Ran))
-    assert last == pytest.approx(sum(map(work_of, ("r1", "r2", "r3"))), abs=1)
+        harness.ask(name)
+    harness.around.run(10_000)
+    last = max(record.t for record in harness.records_of(Ran))
+    assert last == pytest.approx(sum(map(expected_work_ms, ("r1", "r2", "r3"))), abs=1)
 
 
-def test_a_cold_server_is_slower_and_warms_up_evenly():
-    house = House(cold=True)
-    server = house.server
+def test_cold_worker_is_slower_and_warms_up_linearly():
+    harness = StubHarness(cold=True)
+    server = harness.server
     assert [round(server.warm_share(t), 3) for t in (0, 5000, 10_000, 20_000)] == [0.25, 0.625, 1.0, 1.0]
-    house.ask("r1")
-    house.around.run(5000)
-    (ran,) = house.of(Ran)
-    assert ran.t > 3 * work_of("r1")
-    assert house.of(Born)[0].cold_from == 0.25
+    harness.ask("r1")
+    harness.around.run(5000)
+    (ran,) = harness.records_of(Ran)
+    assert ran.t > 3 * expected_work_ms("r1")
+    assert harness.records_of(Born)[0].cold_from == 0.25
 
 
-def test_full_house_and_draining_turn_away_and_say_that_nothing_ran():
-    house = House(cores=1, slots_per_core=1, queue_per_core=1)
-    first, second, third = (house.ask(name) for name in ("r1", "r2", "r3"))
+def test_full_or_draining_worker_rejects_requests_as_not_run():
+    harness = StubHarness(cores=1, slots_per_core=1, queue_per_core=1)
+    first, second, third = (harness.ask(name) for name in ("r1", "r2", "r3"))
     assert third.answers[0].status == 503 and third.answers[0].headers[b"x-not-run"] == b"1"
-    house.server.draining = True
-    assert house.ask("r4").answers[0].headers[b"x-not-run"] == b"1"
-    house.around.run(5000)
-    assert [record.n for record in house.of(Turned)] == [3, 4] and len(house.of(Ran)) == 2
+    harness.server.draining = True
+    assert harness.ask("r4").answers[0].headers[b"x-not-run"] == b"1"
+    harness.around.run(5000)
+    assert [record.n for record in harness.records_of(Turned)] == [3, 4] and len(harness.records_of(Ran)) == 2
     assert first.answers and second.answers
 
 
-def test_the_ledger_holds_each_effect_and_a_hall_drops_a_repeat_while_it_remembers():
-    house = House()
-    other = house.make("a2")
-    house.ask("r1", kind="seat-checkout", key="k1")
-    Wire(other).ask("r1", kind="seat-checkout", key="k1")
-    house.around.run(5000)
-    assert sorted(record.repeat for record in house.of(Ran)) == [False, True]
-    house.around.run(15_000)
-    house.ask("r2", kind="seat-checkout", key="k1")
-    house.around.run(5000)
-    assert [record.repeat for record in house.of(Ran)].count(False) == 2
+def test_zone_drops_repeat_of_a_key_within_its_window_only():
+    harness = StubHarness()
+    other = harness.make_stub("a2")
+    harness.ask("r1", kind="seat-checkout", key="k1")
+    ClientConnection(other).ask("r1", kind="seat-checkout", key="k1")
+    harness.around.run(5000)
+    assert sorted(record.repeat for record in harness.records_of(Ran)) == [False, True]
+    harness.around.run(15_000)
+    harness.ask("r2", kind="seat-checkout", key="k1")
+    harness.around.run(5000)
+    assert [record.repeat for record in harness.records_of(Ran)].count(False) == 2
 
 
-def test_the_memory_of_keys_is_bounded_by_its_window():
+def test_number_of_remembered_keys_is_bounded_by_the_window():
     keys = ZoneKeys({"seat-checkout": 100.0})
     for t in range(50_000):
         keys.is_repeat(float(t), "seat-checkout", f"k{t}")
     assert len(keys._since) <= 102 + MAX_ATTEMPT_MS
 
 
-def test_a_repeat_that_comes_within_the_window_and_waits_beyond_it_is_dropped():
-    """The window is one for coming; seen: a simulated checkout that came again in time took effect twice."""
+def test_repeat_that_arrives_within_the_window_is_dropped_even_if_it_waits_longer():
+    """Guards against a window measured at the start of the work: a repeat in time then took effect twice."""
     keys = ZoneKeys({"seat-checkout": 100.0})
     assert not keys.is_repeat(0.0, "seat-checkout", "k")
     for other in range(50):
-        keys.is_repeat(300.0 + other, "seat-checkout", f"other {other}")  # these come later and run before
+        keys.is_repeat(300.0 + other, "seat-checkout", f"other {other}")  # these arrive later and run earlier
     assert keys.is_repeat(90.0, "seat-checkout", "k")
     assert not keys.is_repeat(101.0, "seat-checkout", "k")
 
 
-def test_pushed_over_it_falls_and_stays_down_one_step_below_it_does_not():
-    house = House(cold=True)
+def test_cold_worker_crashes_only_when_sent_more_than_its_budget():
+    harness = StubHarness(cold=True)
     budget = 2.5 * 2.0 * 0.25 * 1000 + 225
     fits = int(budget // 88)
     for number in range(fits):
-        house.ask(f"r{number}")
-    assert not house.server.down
-    wire = house.ask("r99")
-    assert house.server.down and wire.closed and house.of(Died)[0].why == "fell"
+        harness.ask(f"r{number}")
+    assert not harness.server.down
+    client = harness.ask("r99")
+    assert harness.server.down and client.closed and harness.records_of(Died)[0].why == "fell"
 
 
-def test_slow_after_record_the_effect_stands_long_before_the_answer():
-    house = House()
-    house.server.faults.slow_after_record, house.server.faults.slow_ms = {"seat-checkout": 1.0}, 2000.0
-    wire = house.ask("r1", kind="seat-checkout", key="k1")
-    house.around.run(5000)
-    assert house.of(Replied)[0].t - house.of(Ran)[0].t == pytest.approx(2000, abs=1)
-    assert wire.answers[0].status == 200
+def test_slow_after_record_delays_the_response_after_the_effect():
+    harness = StubHarness()
+    harness.server.faults.slow_after_record, harness.server.faults.slow_ms = {"seat-checkout": 1.0}, 2000.0
+    client = harness.ask("r1", kind="seat-checkout", key="k1")
+    harness.around.run(5000)
+    assert harness.records_of(Replied)[0].t - harness.records_of(Ran)[0].t == pytest.approx(2000, abs=1)
+    assert client.answers[0].status == 200
 
 
 @pytest.mark.parametrize(
@@ -225,91 +227,99 @@
         ("fast_error", 0, [500], False),
     ],
 )
-def test_each_fault_leaves_its_mark(fault, ran, answers, closed):
-    house = House()
-    setattr(house.server.faults, fault, {"hours-debit": 1.0})
-    wire, well = house.ask("r1", kind="hours-debit"), house.ask("r2")
-    house.around.run(5000)
-    assert [answer.status for answer in wire.answers] == answers and wire.closed is closed
-    assert len([record for record in house.of(Ran) if record.n == 1]) == ran
-    assert [answer.status for answer in well.answers] == [200]  # the other class is well
-
-
-def test_half_speed_and_freeze():
-    slow = House()
+def test_fault_affects_only_its_request_class(fault, ran, answers, closed):
+    harness = StubHarness()
+    setattr(harness.server.faults, fault, {"hours-debit": 1.0})
+    client, well = harness.ask("r1", kind="hours-debit"), harness.ask("r2")
+    harness.around.run(5000)
+    assert [answer.status for answer in client.answers] == answers and client.closed is closed
+    assert len([record for record in harness.records_of(Ran) if record.n == 1]) == ran
+    assert [answer.status for answer in well.answers] == [200]  # the fault spares the other class
+
+
+def test_half_speed_and_freeze_prolong_the_work():
+    slow = StubHarness()
     slow.server.faults.speed = 0.5
     slow.ask("r1")
     slow.around.run(5000)
-    assert slow.of(Ran)[0].t == pytest.approx(2 * work_of("r1"), abs=1)
-    frozen = House()
+    assert slow.records_of(Ran)[0].t == pytest.approx(2 * expected_work_ms("r1"), abs=1)
+    frozen = StubHarness()
     frozen.server.faults.freeze_ms, frozen.server.faults.freeze_every_ms = 1000.0, 5000.0
     frozen.ask("r1")
     frozen.around.run(8000)
-    assert frozen.of(Ran)[0].t == pytest.approx(1000 + work_of("r1"), abs=1)
+    assert frozen.records_of(Ran)[0].t == pytest.approx(1000 + expected_work_ms("r1"), abs=1)
 
 
-def test_silence_says_nothing_and_it_comes_back_cold_as_another_life():
-    house = House()
-    wire = house.ask("r1")
-    house.server.become_unreachable()
-    late = house.ask("r2")
-    house.around.run(5000)
-    assert not wire.answers and not late.answers and not wire.closed and len(house.of(Took)) == 1
+def test_unreachable_worker_does_not_respond_and_returns_as_cold_new_incarnation():
+    harness = StubHarness()
+    client = harness.ask("r1")
+    harness.server.become_unreachable()
+    late = harness.ask("r2")
+    harness.around.run(5000)
+    assert (
+        not client.answers and not late.answers and not client.closed and len(harness.records_of(Took)) == 1
+    )
     with contextlib.suppress(StopIteration):
-        house.server.restart_cold().send(None)
-    assert wire.closed and house.server.incarnation == 2 and house.server.warm_share(house.around.t) == 0.25
-    house.ask("r3")
-    house.around.run(5000)
-    assert house.of(Took)[-1].life == 2 and house.of(Replied)
+        harness.server.restart_cold().send(None)
+    assert (
+        client.closed
+        and harness.server.incarnation == 2
+        and harness.server.warm_share(harness.around.t) == 0.25
+    )
+    harness.ask("r3")
+    harness.around.run(5000)
+    assert harness.records_of(Took)[-1].life == 2 and harness.records_of(Replied)
 
 
-def test_work_nobody_waits_for_goes_on_and_waiting_work_is_dropped():
-    house = House(cores=1, slots_per_core=1)
-    running, waiting = house.ask("r1"), house.ask("r2")
+def test_cancelled_running_attempt_completes_and_queued_one_is_dropped():
+    harness = StubHarness(cores=1, slots_per_core=1)
+    running, waiting = harness.ask("r1"), harness.ask("r2")
     running.abort()
     waiting.abort()
-    house.around.run(5000)
-    assert [record.n for record in house.of(Wasted)] == [1] and [record.n for record in house.of(Ran)] == [1]
+    harness.around.run(5000)
+    assert [record.n for record in harness.records_of(Wasted)] == [1] and [
+        record.n for record in harness.records_of(Ran)
+    ] == [1]
 
 
 def test_idle_connections_are_closed():
-    house = House(idle_s=5.0)
-    wire = Wire(house.server)
-    house.around.run(4000)
-    assert not wire.closed
-    house.around.run(3000)
-    assert wire.closed
-
-
-def test_reports_come_late_and_tell_use():
-    house = House()
-    house.ask("r0")
-    house.around.run(300)
+    harness = StubHarness(idle_s=5.0)
+    client = ClientConnection(harness.server)
+    harness.around.run(4000)
+    assert not client.closed
+    harness.around.run(3000)
+    assert client.closed
+
+
+def test_load_report_contains_utilization_and_latency():
+    harness = StubHarness()
+    harness.ask("r0")
+    harness.around.run(300)
     for number in range(20):
-        house.ask(f"r{number}")
-    house.around.run(700)
-    wire = house.ask("last")
-    house.around.run(5000)
+        harness.ask(f"r{number}")
+    harness.around.run(700)
+    client = harness.ask("last")
+    harness.around.run(5000)
     assert (
-        b'"util"' in wire.answers[0].headers[b"x-load"]
-        and b'"latency_ms"' in wire.answers[0].headers[b"x-load"]
+        b'"util"' in client.answers[0].headers[b"x-load"]
+        and b'"latency_ms"' in client.answers[0].headers[b"x-load"]
     )
 
 
-def test_the_same_request_is_the_same_work_at_each_server():
-    house = House()
-    other = house.make("a2")
-    house.ask("r1")
-    Wire(other).ask("r1")
-    house.around.run(5000)
-    first, second = house.of(Replied)
+def test_request_takes_the_same_work_at_every_worker():
+    harness = StubHarness()
+    other = harness.make_stub("a2")
+    harness.ask("r1")
+    ClientConnection(other).ask("r1")
+    harness.around.run(5000)
+    first, second = harness.records_of(Replied)
     assert first.worked_ms == second.worked_ms
 
 
-def test_what_is_no_request_is_404_or_a_close():
-    house = House()
-    wire = Wire(house.server)
-    wire.connection.data_received(request_bytes("GET", "/nothing", {"X-Request-Id": "a"}))
-    assert wire.answers[0].status == 404
-    wire.connection.data_received(b"\x00\r\n\r\n")
-    assert wire.closed and not house.of(Took)
+def test_unknown_path_gets_404_and_malformed_request_is_closed():
+    harness = StubHarness()
+    client = ClientConnection(harness.server)
+    client.connection.data_received(request_bytes("GET", "/nothing", {"X-Request-Id": "a"}))
+    assert client.answers[0].status == 404
+    client.connection.data_received(b"\x00\r\n\r\n")
+    assert client.closed and not harness.records_of(Took)
