--- a/benchmarks/soak/__init__.py
+++ b/benchmarks/soak/__init__.py
@@ -1,2 +1,2 @@
-"""A seeded soak: a tier of real gateways, clients that use their connections to the end, and a schedule of
-what operators and machines do. `python -m benchmarks.soak --help`."""
+"""A seeded soak test: several real gateways, clients that use their connections until these are closed, and
+a schedule of operators' actions and faults. See `python -m benchmarks.soak --help`."""
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.soak --seeds 1-50 [--seconds 60] [--jobs 2] [--found found]
 
-A line of JSON for each seed. A failing seed's schedule, logs and stories are kept below --found, and it plays
-again by its seed. Exit codes: 0 all held, 1 a seed is broken, 3 no broken one, but a machine too slow to tell
-for some."""
+Prints a line of JSON for each seed. The schedule, logs and histories of a failing seed are kept below
+--found; the seed plays the same schedule again. Exit codes: 0 all rules held for all seeds, 1 a rule was
+broken for some seed, 3 no rule was broken, but the machine was too slow to judge some seeds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def main() -> int:
-    """The exit code."""
+    """Run the command line and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description=__doc__)
     parser.add_argument("--seeds", type=seed_range, required=True, help="A-B, or one seed")
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
@@ -42,13 +42,13 @@
 
 
 def seed_range(text: str) -> range:
-    """The seeds of `A-B` or `A`; raises ValueError."""
+    """Return the seeds of `A-B` or `A`. Raises ValueError."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
 
 async def play_in_processes(seeds: range, seconds: float, jobs: int, found: Path) -> list[Verdict]:
-    """Each seed in a process of its own, so many at a time."""
+    """Play each seed in a separate process, at most `jobs` at a time."""
     places = asyncio.Semaphore(jobs)
 
     async def play(seed: int) -> Verdict:
@@ -68,12 +68,12 @@
 
 
 def summary_of(verdict: Verdict) -> dict[str, Any]:
-    """The line of one seed; the stories stand on its page."""
+    """Return the line of one seed, without the breaches, which its page contains."""
     return {key: value for key, value in asdict(verdict).items() if key != "unexplained"}
 
 
 def exit_code(verdicts: list[Verdict]) -> int:
-    """Of all seeds together."""
+    """Return the exit code for all seeds together."""
     if any(verdict.is_broken for verdict in verdicts):
         return EXIT_BROKEN
     return EXIT_SLOW if any(verdict.too_slow for verdict in verdicts) else EXIT_HELD
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -24,18 +24,18 @@
 from plumpick.tools.call import ask
 
 MANAGEMENT_PORTS = (30_000, 32_000)
-KILL_MARGIN_S = 0.7  # beyond the longest deadline: SIGKILL may come so long after SIGTERM
-READY_TIMEOUT_S = 6.0  # for the next process of a hot restart
+KILL_MARGIN_S = 0.7  # Time from SIGTERM to the earliest SIGKILL, in addition to the longest deadline
+READY_TIMEOUT_S = 6.0  # Maximum time until the successor of a hot restart is ready
 POLL_S = 0.05
-CATCH_UP_MS = 200.0  # a process that goes on after SIGCONT first reads what has come
-MAX_BREACHES = 100_000  # all are kept: each is looked at
+CATCH_UP_MS = 200.0  # Time that a process needs after SIGCONT to read what it received meanwhile
+MAX_BREACHES = 100_000  # Number of breaches kept, large enough for all, as each one is judged
 CROWD_HEAD = b"GET /seat-check HTTP/1.1\r\nHost: h\r\nX-Request-Id: "
 CROWD_READ_S = 2.0
 
 
 @dataclass
 class _Stop:
-    """When a process was stopped by SIGSTOP."""
+    """The period for which a process was stopped by SIGSTOP, in ms since the start of the run."""
 
     gate: str
     process: asyncio.subprocess.Process
@@ -44,7 +44,7 @@
 
 
 class SoakSupervisor(Supervisor):
-    """Knows that a gateway may have a process before the one that counts."""
+    """A supervisor for hot restarts, during which a gateway has a predecessor and a successor process."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -58,19 +58,19 @@
         return {"management": f"{HOST}:{self.management[gate.number]}"}
 
     async def launch(self, gate: Gatekeeper) -> asyncio.subprocess.Process:
-        """A process of the gateway; its pid is kept."""
+        """Start a process of the gateway, note its pid and return it."""
         process = await super().launch(gate)
         self.started_pids.append(process.pid)
         return process
 
     def stop(self, gate: Gatekeeper) -> None:
-        """SIGSTOP."""
+        """Suspend the gateway's process with SIGSTOP and record when."""
         if gate.process is not None and gate.running():
             self._stops.append(_Stop(gate.name, gate.process, self.around.now()))
         super().stop(gate)
 
     def resume(self, gate: Gatekeeper) -> None:
-        """SIGCONT to the process that was stopped: the gateway may have a next one by now."""
+        """Send SIGCONT to the process that was stopped, also if the gateway has a successor by now."""
         for stop in self._stops:
             if stop.gate == gate.name and stop.end_ms == math.inf:
                 stop.end_ms = self.around.now()
@@ -78,7 +78,7 @@
                     stop.process.send_signal(signal.SIGCONT)
 
     def was_stopped(self, gate: str, begin_ms: float, end_ms: float) -> bool:
-        """Whether the gateway's process was stopped, or was catching up, at some time between these."""
+        """Return whether the gateway's process was stopped, or catching up, at some time in the interval."""
         return any(
             stop.gate == gate and stop.begin_ms <= end_ms and begin_ms <= stop.end_ms + CATCH_UP_MS
             for stop in self._stops
@@ -86,13 +86,16 @@
 
     async def _watch(self, gate: Gatekeeper, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        if gate.process is process:  # a predecessor's end is no end of its gateway
+        if gate.process is process:  # The end of a predecessor is not the end of the gateway.
             await super()._watch(gate, process)
 
 
 class SoakFleet(Fleet):
-    """Plays a schedule. `problems` is what the auditor's rules do not cover; `killed_at_the_earliest` counts
-    processes that had not ended by then."""
+    """A fleet that plays a schedule.
+
+    `problems` holds failures that the auditor's rules do not cover; `killed_at_the_earliest` counts processes
+    that had not ended by the earliest moment of a SIGKILL.
+    """
 
     def __init__(self, around: Surroundings, schedule: Schedule) -> None:
         super().__init__(around, schedule.scenario, f"soak-{schedule.seed}", supervise=SoakSupervisor)
@@ -100,7 +103,7 @@
         self._schedule = schedule
         self.problems: list[str] = []
         self.killed_at_the_earliest = 0
-        self.crowds: list[tuple[str, float, float]] = []  # gateway, from, until (ms)
+        self.crowds: list[tuple[str, float, float]] = []  # Gateway, begin and end (ms)
         longest_ms = max(kind.deadline_ms for kind in schedule.scenario.classes)
         self._kill_after_s = longest_ms / 1000 + KILL_MARGIN_S
 
@@ -142,11 +145,11 @@
         await self._terminate(gate)
 
     async def _terminate(self, gate: Gatekeeper) -> None:
-        """SIGTERM, SIGKILL at the earliest, and a new process."""
+        """Send SIGTERM, then SIGKILL at the earliest allowed moment, and start a new process."""
         process = gate.process
         if process is None or not gate.running():
             return
-        self.mark(f"gatekeeper {gate.name} is told to end (SIGTERM)")
+        self.mark(f"gatekeeper {gate.name} gets SIGTERM")
         self.front.gateway_connections[gate.number].begin_shutdown(self._rng.uniform(*NEW_CONNECTIONS_MS))
         self.supervisor.terminate(gate)
         begin_ms = self.around.now()
@@ -157,7 +160,7 @@
         await self._start_again(gate)
 
     async def _has_ended(self, process: asyncio.subprocess.Process) -> bool:
-        """Whether a process that has got SIGTERM ends before the earliest SIGKILL."""
+        """Wait until the process ends, at most until the earliest SIGKILL; return whether it ended."""
         try:
             await asyncio.wait_for(process.wait(), self._kill_after_s)
         except TimeoutError:
@@ -178,22 +181,22 @@
         await asyncio.gather(*(end for end in ends if end is not None))
 
     async def _hot_restart(self, gate: Gatekeeper) -> asyncio.Task[None] | None:
-        """The task that ends the process before; None where no next one came up."""
+        """Start a successor; return the task that ends the predecessor, or None if no successor was ready."""
         supervisor = self.supervisor
         assert isinstance(supervisor, SoakSupervisor)
         async with gate.starting:
             old = gate.process
             if old is None or not gate.running():
                 return None
-            self.mark(f"gatekeeper {gate.name}: a next process starts")
+            self.mark(f"gatekeeper {gate.name}: a hot-restart successor starts")
             new = await supervisor.launch(gate)
             if not await self._is_ready(supervisor.management[gate.number], new):
-                self.problems.append(f"{gate.name}: the next process was not ready in {READY_TIMEOUT_S:g} s")
+                self.problems.append(f"{gate.name}: the successor was not ready within {READY_TIMEOUT_S:g} s")
                 new.kill()
                 return None
             gate.process = new
             gate.watch = self.around.loop.create_task(supervisor._watch(gate, new))
-        self.mark(f"gatekeeper {gate.name}: the next process is ready")
+        self.mark(f"gatekeeper {gate.name}: the hot-restart successor is ready")
         return self.around.loop.create_task(self._end_predecessor(gate.name, old))
 
     async def _end_predecessor(self, name: str, old: asyncio.subprocess.Process) -> None:
@@ -203,7 +206,7 @@
             self.killed_at_the_earliest += 1
             old.kill()
         elif old.returncode != 0:
-            self.problems.append(f"{name}: the process before ended with {old.returncode}")
+            self.problems.append(f"{name}: the predecessor exited with code {old.returncode}, not 0")
 
     async def _is_ready(self, port: int, process: asyncio.subprocess.Process) -> bool:
         end = self.around.loop.time() + READY_TIMEOUT_S
@@ -242,10 +245,10 @@
             await asyncio.sleep(self._rng.uniform(0.2, 1.0))
 
     def was_stopped(self, gate: str, begin_ms: float, end_ms: float) -> bool:
-        """As the supervisor knows it."""
+        """Return whether the gateway's process was stopped, or catching up, at some time in the interval."""
         assert isinstance(self.supervisor, SoakSupervisor)
         return self.supervisor.was_stopped(gate, begin_ms, end_ms)
 
     def is_in_crowd(self, gate: str, at_ms: float) -> bool:
-        """Whether a crowd was at that gateway then."""
+        """Return whether a crowd was connected to the gateway at that time."""
         return any(name == gate and begin <= at_ms <= until for name, begin, until in self.crowds)
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -1,4 +1,4 @@
-"""What a soak is judged by: the five rules, the logs, what is left over, and the operators' time."""
+"""The criteria of a soak: the auditor's five rules, the logs, and left-over processes and connections."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 @dataclass
 class Verdict:
-    """The outcome of one seed; it counts only where `too_slow` is empty."""
+    """The outcome of one seed; it counts only if `too_slow` is empty."""
 
     seed: int
     too_slow: str = ""
     problems: list[str] = field(default_factory=list)
-    turned_back_in_crowds: int = 0  # closed unread, as the pages allow
-    unanswered_while_stopped: int = 0  # in time: it was over before SIGCONT
-    killed_at_the_earliest: int = 0
+    turned_back_in_crowds: int = 0  # Number of connections closed unread in a crowd, as documented
+    unanswered_while_stopped: int = 0  # Number of requests whose deadline passed before SIGCONT
+    killed_at_the_earliest: int = 0  # Number of processes that got SIGKILL at the earliest allowed moment
     requests: int = 0
-    unexplained: list[dict[str, Any]] = field(default_factory=list)  # breaches with their stories
+    unexplained: list[dict[str, Any]] = field(default_factory=list)  # Breaches that nothing excuses
 
     @property
     def is_broken(self) -> bool:
@@ -38,7 +38,7 @@
 
 
 def judge_rules(fleet: SoakFleet, verdict: Verdict) -> None:
-    """The five rules, and what the fleet itself has noted."""
+    """Add the breaches of the auditor's rules and the problems that the fleet found to the verdict."""
     verdict.too_slow = too_slow(fleet.auditor)
     verdict.requests = fleet.auditor.chances[LOST]
     verdict.killed_at_the_earliest = fleet.killed_at_the_earliest
@@ -54,7 +54,7 @@
 
 
 def _was_turned_back_unread(fleet: SoakFleet, breach: Breach) -> bool:
-    """Whether a crowd had all connections, and this one was closed before anything of it went on."""
+    """Return whether a connection was closed during a crowd before its request was sent to a worker."""
     gates = [record.gate for record in breach.story if isinstance(record, Asked)]
     if breach.rule != LOST or not gates or any(isinstance(record, Took) for record in breach.story):
         return False
@@ -62,8 +62,8 @@
 
 
 def _was_unanswered_while_stopped(fleet: SoakFleet, breach: Breach) -> bool:
-    """Whether the client's time ended while the gateway's process was stopped: nobody could answer, or only
-    once the process went on."""
+    """Return whether the request's deadline passed while the gateway's process was stopped, so that it
+    could respond too late or not at all."""
     asked = [record for record in breach.story if isinstance(record, Asked)]
     if breach.rule != LOST or not asked or not breach.text.startswith(("no answer when", "answered")):
         return False
@@ -72,7 +72,7 @@
 
 
 def judge_logs(fleet: SoakFleet, verdict: Verdict) -> None:
-    """No traceback and no line of level ERROR."""
+    """Add tracebacks and lines of level ERROR or CRITICAL in the gateways' logs to the verdict."""
     for gate in fleet.supervisor.gates:
         text = (gate.folder / "log").read_text(encoding="utf-8", errors="replace")
         lines = [line for line in text.splitlines() if ERROR_LINE.search(line)]
@@ -80,7 +80,7 @@
 
 
 def judge_resources(fleet: SoakFleet, verdict: Verdict) -> None:
-    """After all clients have gone: no connection of theirs is left, and memory is within its limit."""
+    """Add connections left over after all clients have gone, and memory above the limit, to the verdict."""
     for gate in fleet.supervisor.gates:
         left = connections_at(gate.port)
         if left:
@@ -91,14 +91,14 @@
 
 
 def judge_processes(supervisor: SoakSupervisor, verdict: Verdict) -> None:
-    """After the end: none of the processes is left."""
+    """Add processes that are left over after the end of the run to the verdict."""
     left = [pid for pid in supervisor.started_pids if Path(f"/proc/{pid}").exists()]
     if left:
         verdict.problems.append(f"{len(left)} processes are left over")
 
 
 def connections_at(port: int) -> int:
-    """The connections at a listening port of this machine whose own side is open."""
+    """Return the number of connections at a listening port of this machine that this side has not closed."""
     count = 0
     for line in TCP_TABLE.read_text().splitlines()[1:]:
         _, local, _, state, *_ = line.split()
@@ -107,6 +107,6 @@
 
 
 def resident_mb(pid: int) -> float:
-    """The memory that a process has in use."""
+    """Return the resident memory of a process in MiB."""
     pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
     return pages * os.sysconf("SC_PAGE_SIZE") / 2**20
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -1,4 +1,4 @@
-"""One seed of the soak, from the start of its tier to the verdict."""
+"""Plays one seed of the soak, from the start of the gateways to the verdict."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from plumpick.rehearsal.supervisor import StartFailed
 from plumpick.rehearsal.surroundings import Surroundings
 
-SETTLE_S = 5.0  # after the last client has gone: a connection that is being closed has ended by then
+SETTLE_S = 5.0  # Time after the last client has gone by which connections being closed have ended
 
 
 async def play_seed(seed: int, seconds: float, found: Path) -> Verdict:
-    """Play a seed; what is needed to understand a failure is kept below `found`."""
+    """Play a seed and return its verdict; the files needed to understand a failure are kept below `found`."""
     schedule = draw_schedule(seed, seconds)
     fleet = SoakFleet(Surroundings(asyncio.get_running_loop(), seed), schedule)
     supervisor = fleet.supervisor
@@ -45,7 +45,7 @@
 
 
 def keep(schedule: Schedule, fleet: SoakFleet, verdict: Verdict, folder: Path) -> None:
-    """Schedule, logs and the stories of the broken rules, to be read in one place."""
+    """Write the schedule, the logs and the breaches of a failing seed to `folder`."""
     folder.mkdir(parents=True, exist_ok=True)
     page = {
         "seed": schedule.seed,
--- a/benchmarks/soak/schedule.py
+++ b/benchmarks/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What one seed plays: a scenario of the rehearsal kit, and the operators' actions on top of it."""
+"""The schedule of one seed: a scenario of the rehearsal kit, and operators' actions in addition."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 FIRST_ACTION_S = 3.0
 ACTION_INTERVAL_S = (2.5, 5.0)
-LAST_ACTION_S = 8.0  # before the end: each action has come to its end by then
-CROWD_RATIO = 0.3  # of the seeds
+LAST_ACTION_S = 8.0  # Time before the end of the run at which the last action begins, so that it completes
+CROWD_RATIO = 0.3  # Share of the seeds that have a crowd
 CROWD_CONNECTIONS = 1500
 SOCKETS = 1024
 HALVED_SOCKETS = 512
-REQUESTS_PER_S = 60.0  # inside the quotas
+REQUESTS_PER_S = 60.0  # Number of requests within quotas per second
 MAX_RELOAD_OFFSET_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
-    """SIGTERM, SIGKILL at the earliest moment that the pages allow, and a new process."""
+    """SIGTERM, SIGKILL at the earliest documented moment, and the start of a new process."""
 
     at_s: float
     gate: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminateTwice:
-    """As Terminate, with a second SIGTERM after the first."""
+    """Like Terminate, with a second SIGTERM `gap_s` after the first."""
 
     at_s: float
     gate: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminateAndReload:
-    """As Terminate, with SIGHUP right before it (a negative offset), with it, or right after it."""
+    """Like Terminate, with SIGHUP `offset_s` after SIGTERM; a negative offset is before it."""
 
     at_s: float
     gate: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TerminateTwo:
-    """As Terminate, at two gateways at one time."""
+    """Like Terminate, at two gateways at the same time."""
 
     at_s: float
     gate: int
@@ -69,8 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class HotRestart:
-    """A next process beside the running one, which gets SIGTERM once the next one is ready; `count` of them,
-    each begun as soon as the one before is ready."""
+    """`count` hot restarts of a gateway: the predecessor gets SIGTERM once its successor is ready.
+
+    Each restart begins as soon as the successor of the previous one is ready.
+    """
 
     at_s: float
     gate: int
@@ -79,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Crowd:
-    """Connections that begin a request and never finish it, opened anew whenever one is closed."""
+    """Connections that send the start of a request only, and are reopened whenever one is closed."""
 
     at_s: float
     gate: int
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that one seed plays."""
+    """Scenario and actions of one seed."""
 
     seed: int
     scenario: Scenario
@@ -100,7 +102,7 @@
 
 
 def draw_schedule(seed: int, seconds: float) -> Schedule:
-    """The schedule of a seed, for a soak of so many seconds."""
+    """Return the schedule of a seed for a soak of the given duration; it depends on these values only."""
     rng = random.Random(f"soak/{seed}")
     gates = rng.randint(3, 7)
     is_crowded = rng.random() < CROWD_RATIO
@@ -121,7 +123,7 @@
 
 
 def _classes() -> list[ClassPart]:
-    """The longest deadline is the longest that the pages name, for the kill comes that much after SIGTERM."""
+    """Return the request classes; the longest documented deadline, as it sets the time of SIGKILL."""
     return [
         ClassPart(
             name="seat-check", share=0.4, work_ms=60, aim_ms=750, deadline_ms=1500, worth=3, repeats="safe"
@@ -149,7 +151,7 @@
 
 
 def _draw_actions(rng: random.Random, gates: int, seconds: float) -> list[Action]:
-    """One after the other; a gateway that is still being restarted is not chosen again."""
+    """Return actions at random intervals; gateways that are still being restarted are not chosen again."""
     actions: list[Action] = []
     busy_until_s = [0.0] * gates
     at_s = FIRST_ACTION_S
@@ -179,7 +181,7 @@
 
 
 def _draw_events(rng: random.Random, gates: int, seconds: float) -> list[AnyEvent]:
-    """What machines and networks do meanwhile."""
+    """Return the faults of machines and networks during the run."""
 
     def moment() -> float:
         return rng.uniform(FIRST_ACTION_S, max(FIRST_ACTION_S, seconds - LAST_ACTION_S))
