--- a/tests/rehearsal/test_runs.py
+++ b/tests/rehearsal/test_runs.py
@@ -1,4 +1,4 @@
-"""The whole kit as a user starts it: real gatekeepers, exit codes, and nothing left behind."""
+"""The rehearsal kit as users run it: real gateways, exit codes, and no processes or files left over."""
 
 import contextlib
 import json
@@ -17,7 +17,7 @@
 from plumpick.rehearsal.plants import PLANTS
 
 ROOT = pathlib.Path(__file__).parents[2]
-PATIENCE_S = 120
+TIMEOUT_S = 120
 
 
 def plumpick(*arguments, tmp=None, **more):
@@ -27,15 +27,15 @@
         cwd=ROOT,
         text=True,
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
         env=environment,
         **more,
     )
 
 
 @contextlib.contextmanager
-def started(*arguments, tmp, **more):
-    """The tool as a process of its own; ended, should a test fail."""
+def running_command(*arguments, tmp, **more):
+    """Run the command line in the background; SIGTERM ends it if it still runs at the end of the block."""
     process = subprocess.Popen(
         [sys.executable, "-m", "plumpick.cli", *map(str, arguments)],
         cwd=ROOT,
@@ -50,13 +50,13 @@
     finally:
         if process.poll() is None:
             process.send_signal(signal.SIGTERM)
-            process.wait(PATIENCE_S)
+            process.wait(TIMEOUT_S)
         process.stdout.close()
         process.stderr.close()
 
 
-def daemons_of(tmp):
-    """Processes of gatekeepers that were started with this folder for their files."""
+def gateway_pids(tmp):
+    """Return the pids of gateways whose configuration is below this folder."""
     found = []
     for path in pathlib.Path("/proc").glob("[0-9]*/environ"):
         with contextlib.suppress(OSError):
@@ -67,7 +67,7 @@
 
 @pytest.fixture(scope="module")
 def runs(tmp_path_factory):
-    """Every plant once, and a run with none, side by side: the folders of their reports."""
+    """Run the kit once with each injected fault and once without; return report folders and processes."""
     folders = {name: tmp_path_factory.mktemp(name or "unplanted") for name in ("", *PLANTS)}
 
     def one(name):
@@ -79,7 +79,7 @@
     return {name: (folders[name], done[name]) for name in folders}
 
 
-def test_with_nothing_planted_nothing_is_found_and_every_rule_is_put_to_the_test(runs):
+def test_run_without_injected_fault_holds_every_rule(runs):
     folder, done = runs[""]
     report = json.loads((folder / "report.json").read_text())
     assert done.returncode in (0, 3), done.stdout + done.stderr
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("plant", PLANTS)
-def test_each_plant_breaks_its_rule_and_no_other(runs, plant):
+def test_injected_fault_breaks_its_rule_and_no_other(runs, plant):
     folder, done = runs[plant]
     report = json.loads((folder / "report.json").read_text())
     broken = {rule for rule, one in report["rules"].items() if one["verdict"] == "broken"}
@@ -99,7 +99,7 @@
     assert first["what"] and first["text"] and first["story"]
 
 
-def test_an_audit_of_the_history_agrees_to_the_digit(runs):
+def test_audit_of_the_history_reproduces_the_report(runs):
     for folder, done in runs.values():
         again = plumpick("audit", folder / "history.jsonl", "--json")
         report = json.loads((folder / "report.json").read_text())
@@ -107,7 +107,7 @@
         assert again.returncode == done.returncode == report["exit_code"]
 
 
-def test_a_torn_history_is_told_and_judged_in_no_part(runs, tmp_path):
+def test_truncated_history_is_reported_and_not_judged(runs, tmp_path):
     folder, _ = runs[""]
     text = (folder / "history.jsonl").read_text()
     torn = tmp_path / "torn.jsonl"
@@ -122,7 +122,7 @@
     assert plumpick("audit", tmp_path / "empty.jsonl").returncode == 2
 
 
-def test_what_is_wrong_with_the_call_is_one_line_and_exit_code_2(tmp_path):
+def test_usage_error_is_one_line_and_exit_code_2(tmp_path):
     (tmp_path / "own.toml").write_text("[fleet]\nservres = 3\n")
     for arguments, word in (
         (["clam"], "clam"),
@@ -137,52 +137,52 @@
     assert listed.returncode == 0 and all(name in listed.stdout for name in ("calm", "cold-rush"))
 
 
-def short(tmp_path, text="", seconds=2):
+def short_scenario(tmp_path, text="", seconds=2):
     path = tmp_path / "short.toml"
     path.write_text(f'title = "short"\nseconds = {seconds}\n[load]\nshare = 0.2\n{text}')
     return path
 
 
-def test_nothing_is_left_behind_after_a_run(tmp_path):
+def test_no_process_or_file_is_left_after_a_run(tmp_path):
     tmp = tmp_path / "tmp"
     tmp.mkdir()
-    done = plumpick("rehearse", short(tmp_path), "--quiet", tmp=tmp)
+    done = plumpick("rehearse", short_scenario(tmp_path), "--quiet", tmp=tmp)
     assert done.returncode in (0, 3), done.stderr
-    assert not list(tmp.iterdir()) and not daemons_of(tmp)
+    assert not list(tmp.iterdir()) and not gateway_pids(tmp)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 @pytest.mark.parametrize("running", [False, True])
-def test_interrupted_it_ends_with_130_and_nothing_is_left(tmp_path, number, running):
+def test_interrupted_run_exits_with_130_and_leaves_nothing(tmp_path, number, running):
     tmp = tmp_path / "tmp"
     tmp.mkdir()
-    with started("rehearse", short(tmp_path, seconds=600), tmp=tmp) as process:
+    with running_command("rehearse", short_scenario(tmp_path, seconds=600), tmp=tmp) as process:
         assert "short" in process.stderr.readline()  # signals are handled from here on
         if running:
             assert "tries/s" in process.stderr.readline()
         process.send_signal(number)
-        assert process.wait(PATIENCE_S) == 130
-    assert not list(tmp.iterdir()) and not daemons_of(tmp)
+        assert process.wait(TIMEOUT_S) == 130
+    assert not list(tmp.iterdir()) and not gateway_pids(tmp)
 
 
-def test_a_report_that_cannot_be_written_is_told_and_the_verdict_is_printed(tmp_path):
+def test_unwritable_report_is_an_error_and_the_verdict_is_still_printed(tmp_path):
     (tmp_path / "file").write_text("")
-    done = plumpick("rehearse", short(tmp_path), "--quiet", "--report", tmp_path / "file" / "below")
+    done = plumpick("rehearse", short_scenario(tmp_path), "--quiet", "--report", tmp_path / "file" / "below")
     assert done.returncode in (0, 3) and "no report can be written" in done.stderr
     assert "no-request-lost  held" in done.stdout
 
 
 @pytest.mark.skipif(not os.path.exists("/dev/full"), reason="no /dev/full here")
-def test_a_full_disk_is_told_and_the_verdict_is_printed(tmp_path):
+def test_full_disk_is_an_error_and_the_verdict_is_still_printed(tmp_path):
     folder = tmp_path / "report"
     folder.mkdir()
     (folder / "history.jsonl").symlink_to("/dev/full")
-    done = plumpick("rehearse", short(tmp_path), "--quiet", "--report", folder)
+    done = plumpick("rehearse", short_scenario(tmp_path), "--quiet", "--report", folder)
     assert done.returncode in (0, 3) and "No space left" in done.stderr
     assert "no-request-lost  held" in done.stdout
 
 
-def test_a_gatekeeper_that_dies_at_its_start_is_told_with_its_log(tmp_path):
+def test_gateway_that_exits_during_its_start_is_reported_with_its_log(tmp_path):
     tmp = tmp_path / "tmp"
     tmp.mkdir()
     broken = tmp_path / "broken"
@@ -193,20 +193,20 @@
         "from plumpick.cli import main; sys.exit(main(sys.argv[1:]))"
     )
     done = subprocess.run(
-        [sys.executable, "-c", script, str(broken), "rehearse", str(short(tmp_path)), "--quiet"],
+        [sys.executable, "-c", script, str(broken), "rehearse", str(short_scenario(tmp_path)), "--quiet"],
         cwd=ROOT,
         text=True,
         capture_output=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
         env={**os.environ, "PYTHONPATH": str(ROOT), "TMPDIR": str(tmp)},
     )
     assert done.returncode == 1 and "exited during its start" in done.stderr
     assert "no loop today" in done.stderr
-    assert not list(tmp.iterdir()) and not daemons_of(tmp)
+    assert not list(tmp.iterdir()) and not gateway_pids(tmp)
 
 
-def test_a_port_that_is_taken_meanwhile_is_no_hindrance(tmp_path):
-    """The first free port that is found belongs to somebody else by the time that it is used."""
+def test_gateway_starts_with_another_port_if_the_first_is_taken(tmp_path):
+    """The first free port found is taken by another process before the gateway binds it."""
     with socket.create_server(("127.0.0.1", 0)) as other:
         taken = other.getsockname()[1]
         script = (
@@ -216,32 +216,32 @@
             "from plumpick.cli import main; sys.exit(main(sys.argv[1:]))"
         )
         done = subprocess.run(
-            [sys.executable, "-c", script, str(taken), "rehearse", str(short(tmp_path)), "--quiet"],
+            [sys.executable, "-c", script, str(taken), "rehearse", str(short_scenario(tmp_path)), "--quiet"],
             cwd=ROOT,
             text=True,
             capture_output=True,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
     assert done.returncode in (0, 3) and "no-request-lost  held" in done.stdout, done.stdout + done.stderr
 
 
-def test_a_fleet_can_be_used_by_hand_with_the_line_that_it_prints(tmp_path):
+def test_fleet_command_prints_a_curl_line_that_works(tmp_path):
     tmp = tmp_path / "tmp"
     tmp.mkdir()
-    with started("fleet", "--json", tmp=tmp) as process:
+    with running_command("fleet", "--json", tmp=tmp) as process:
         about = json.loads(process.stdout.readline())
         assert [gate["name"] for gate in about["gatekeepers"]] == ["n0", "n1", "n2"]
         assert len(about["servers"]) == 12 and len(about["roster"]) == 3
-        done = subprocess.run(about["curl"], shell=True, capture_output=True, text=True, timeout=PATIENCE_S)
+        done = subprocess.run(about["curl"], shell=True, capture_output=True, text=True, timeout=TIMEOUT_S)
         assert "200 OK" in done.stdout, done.stderr
-        assert sorted(gate["pid"] for gate in about["gatekeepers"]) == sorted(daemons_of(tmp))
+        assert sorted(gate["pid"] for gate in about["gatekeepers"]) == sorted(gateway_pids(tmp))
         process.send_signal(signal.SIGINT)
-        assert process.wait(PATIENCE_S) == 130
-    assert not list(tmp.iterdir()) and not daemons_of(tmp)
+        assert process.wait(TIMEOUT_S) == 130
+    assert not list(tmp.iterdir()) and not gateway_pids(tmp)
 
 
-def test_eight_gatekeepers_and_sixty_servers_start_and_are_judged(tmp_path):
+def test_eight_gateways_with_sixty_workers_start_and_are_judged(tmp_path):
     path = tmp_path / "large.toml"
     path.write_text(
         'title = "large"\nseconds = 3\n[fleet]\ngatekeepers = 8\nservers = 60\n[load]\nrate_per_s = 60\n'
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.skipif(chromium() is None, reason="no Chromium here")
-def test_the_page_renders_offline_with_no_console_error(runs, tmp_path):
+def test_report_page_renders_offline_without_console_errors(runs, tmp_path):
     for name in ("", "double-debit"):
         folder, _ = runs[name]
         text = (folder / "report.html").read_text()
@@ -284,7 +284,7 @@
             ],
             capture_output=True,
             text=True,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         assert shot.stat().st_size > 20_000, done.stderr
         assert "CONSOLE" not in done.stderr
@@ -300,25 +300,25 @@
             ],
             capture_output=True,
             text=True,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
         )
         assert dump.stdout.count("<svg") == 6 and "no-request-lost" in dump.stdout
 
 
-def test_the_daemon_imports_none_of_the_tools():
+def test_gateway_imports_no_rehearsal_or_command_line_modules():
     script = (
         "import re, sys, plumpick.gateway.daemon\n"
         "print([name for name in sys.modules if re.match(\n"
         "    r'(plumpick\\.(rehearsal|cli)|msgspec|matplotlib|argparse|tomllib)(\\.|$)', name)])"
     )
     done = subprocess.run(
-        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=PATIENCE_S
+        [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     assert done.stdout.strip() == "[]", done.stderr
 
 
-def test_a_history_of_a_workstation_that_was_too_slow_ends_with_3_and_says_why(runs, tmp_path):
-    """Never a false verdict: not of a loop that was late all the time, nor of a stall beside a breach."""
+def test_history_of_a_too_slow_workstation_exits_with_3_and_the_reason(runs, tmp_path):
+    """The verdict does not count if the event loop was late throughout or stalled at the time of a breach."""
     folder, _ = runs[""]
     *lines, last = (folder / "history.jsonl").read_text().splitlines()
     ended = json.loads(last)
@@ -327,7 +327,7 @@
     slow.write_text("\n".join([*lines, json.dumps(["Ended", ended[1], 15.5, 80.0])]) + "\n")
     done = plumpick("audit", slow)
     assert done.returncode == 3 and "15.5 ms late" in done.stderr and "held" in done.stdout
-    # An answer held up by the stall: broken by the clock alone, so it does not count.
+    # A response delayed by the stall breaks only a time limit, so the breach does not count.
     asked = next(line for line in lines if line.startswith('["Asked"'))
     t, name, wait = json.loads(asked)[1], json.loads(asked)[2], json.loads(asked)[9]
     late = t + wait + 60
@@ -348,8 +348,8 @@
     assert done.returncode == 3 and "stalled when" in done.stderr and "no-request-lost  broken" in done.stdout
 
 
-def test_a_gatekeeper_that_is_killed_while_it_finishes_and_told_to_reload_at_its_start_is_back_once(tmp_path):
-    """Two ends wait for it then, and SIGHUP would end one that does not handle it yet: both were seen."""
+def test_gateway_killed_while_draining_and_reloaded_during_its_start_restarts_once(tmp_path):
+    """Guards against two starts by two waiters for one end, and against SIGHUP before its handler is set."""
     events = "".join(
         f'[[events]]\ndo = "{do}"\nat_s = {at}\n{more}'
         for do, at, more in (
@@ -358,6 +358,6 @@
             *(("move-roster", 0.4 + 0.05 * step, "") for step in range(1, 8)),
         )
     )
-    done = plumpick("rehearse", short(tmp_path, events, seconds=4), "--quiet")
+    done = plumpick("rehearse", short_scenario(tmp_path, events, seconds=4), "--quiet")
     assert done.returncode in (0, 3) and "no-request-lost  held" in done.stdout, done.stdout + done.stderr
     assert "could not be" not in done.stderr and "exited during its start" not in done.stderr
--- a/tests/rehearsal/test_soak.py
+++ b/tests/rehearsal/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its schedules, its judgements on planted faults, and a short play of some seeds."""
+"""The soak: its schedules, its verdicts on injected faults, and short runs of some seeds."""
 
 import asyncio
 import os
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("seed", [2, 3, 6])
 def test_short_soak_of_real_processes_holds(seed, tmp_path):
-    """Guards against requests lost, or things left over, where signals come in series and clients go on."""
+    """Guards against lost requests and left-over processes when signals come in series under load."""
     verdict = uvloop.run(play_seed(seed, SHORT_S, tmp_path))
     assert not verdict.is_broken, verdict.problems
     assert verdict.requests > 500
@@ -49,7 +49,7 @@
 
 
 def fleet_with(tmp_path, breaches=(), log="INFO up\n", **more):
-    """What the judgements read of a fleet."""
+    """Return the attributes of a fleet that the judge functions read."""
     folder = tmp_path / "n0"
     folder.mkdir(exist_ok=True)
     (folder / "log").write_text(log)
@@ -67,7 +67,7 @@
     )
 
 
-TIME_UP_MS = 1001.0  # of the request below
+TIME_UP_MS = 1001.0  # Deadline of the request in `breach`
 
 
 def breach(rule=LOST, text="the connection ended with no whole answer"):
