--- a/benchmarks/scale/load.py
+++ b/benchmarks/scale/load.py
@@ -186,14 +186,14 @@
                 firm.use,
                 firm.spread,
                 firm.first,
-                firm.honours,
+                firm.honours_retry_after,
                 _weights(rng, scenario.clients, firm.spread),
             )
-            for firm in fleet.front.firms
+            for firm in fleet.front.customers
         ],
         [(kinds[kind.name], kind.share, kind.work_ms) for kind in scenario.classes],
         [
-            Endpoint(server.name, server.hall, fleet.groups[server.name], EndpointState.READY)
+            Endpoint(server.name, server.zone, fleet.groups[server.name], EndpointState.READY)
             for server in fleet.servers.values()
         ],
         float(scenario.server.cores),
--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -174,7 +174,7 @@
         await fleet.start()
         begin = fleet.around.now() + SETTLE_S * 1000
         watch = Watch(begin, begin + seconds * 1000)
-        watch.inside = {firm.name for firm in fleet.front.firms if firm.use <= 1}
+        watch.inside = {firm.name for firm in fleet.front.customers if firm.use <= 1}
         fleet.recorder.listeners.append(watch)
 
         def look() -> None:
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -241,7 +241,7 @@
         # Local ports of connections that a fault relay accepted although nothing listens at the target
         self.refused: set[int] = set()
         self.max_connections = max(8, int(scenario.fleet.sockets * MAX_DESCRIPTOR_SHARE))
-        self.firms = self._make_customers(capacity)
+        self.customers = self._make_customers(capacity)
 
     # -- customers
 
@@ -250,7 +250,7 @@
         part, rng = self.scenario.clients, self.around.chance("firms")
         mean_work = sum(kind.share * kind.work_ms for kind in self.scenario.classes)
         target = self.scenario.load.rate_per_s or capacity * 1000 / mean_work * self.scenario.load.share
-        firms: list[Customer] = []
+        customers: list[Customer] = []
         count = len(self.gateway_connections)
         for plan in self.scenario.plans:
             inside = 0.0
@@ -275,22 +275,22 @@
                     rng.random() < part.honour,
                 )
                 customer.burst = max(2.0, customer.burst)
-                firms.append(customer)
+                customers.append(customer)
                 inside += rate * asked
         # The settings state one rate and burst per plan, so all customers of a plan get the mean.
         for plan in self.scenario.plans:
-            mine = [customer for customer in firms if customer.plan is plan]
+            mine = [customer for customer in customers if customer.plan is plan]
             rate = sum(customer.rate for customer in mine) / len(mine)
             burst = sum(customer.burst for customer in mine) / len(mine)
             for customer in mine:
                 customer.rate, customer.burst = round(rate, 4), round(burst, 4)
-        return firms
+        return customers
 
     def quotas(self) -> dict[str, dict[str, float]]:
         """Return the quota of each plan in this run: units per second, burst, ceiling, slack and prices."""
         result = {}
         for plan in self.scenario.plans:
-            customer = next(customer for customer in self.firms if customer.plan is plan)
+            customer = next(customer for customer in self.customers if customer.plan is plan)
             times = plan.ceiling
             slack = max(1.0, self.scenario.rules.ceiling_slack * customer.burst * times) if times else 0.0
             result[plan.name] = {
@@ -325,14 +325,14 @@
         customer = max(
             (
                 customer
-                for customer in self.firms
+                for customer in self.customers
                 if customer.plan.name == event.plan and not customer.hot_until
             ),
             key=lambda customer: customer.spread,
             default=None,
         )
         if customer is None:
-            customer = next(customer for customer in self.firms if customer.plan.name == event.plan)
+            customer = next(customer for customer in self.customers if customer.plan.name == event.plan)
         customer.hot_until, customer.hot_times = self.now() + event.for_s * 1000, event.times
         customer.crowd = event.crowd
         self._arrive_later(customer, extra=True)
@@ -343,7 +343,7 @@
     def start(self) -> None:
         """Start the arrivals of all customers."""
         self.stopped = False
-        for customer in self.firms:
+        for customer in self.customers:
             self._shift(customer)
             if self._rng.random() < self.scenario.clients.spiky:
                 self._later(
--- a/plumpick/rehearsal/commands.py
+++ b/plumpick/rehearsal/commands.py
@@ -206,7 +206,7 @@
             _say(
                 f"{given.scenario}, seed {seed}{f', planted: {given.plant}' if given.plant else ''}: "
                 f"{scenario.fleet.gatekeepers} gatekeepers, {scenario.fleet.servers} servers, "
-                f"{len(fleet.front.firms)} firms, {scenario.seconds:g} s"
+                f"{len(fleet.front.customers)} firms, {scenario.seconds:g} s"
             )
         await fleet.start()
         watch = asyncio.create_task(live.run())
@@ -291,7 +291,7 @@
     """A line that gets a 200 when it is pasted, as long as the fleet is up."""
     scenario, gate = one.scenario, one.supervisor.gates[0]
     kind = min(scenario.classes, key=lambda kind: kind.repeats != "safe")
-    firm = one.front.firms[0]
+    firm = one.front.customers[0]
     method, key = ("GET", "") if kind.repeats == "safe" else ("POST", "")
     if kind.repeats == "keyed":
         key = " -H \"Idempotency-Key: $(od -An -N16 -tx1 /dev/urandom | tr -d ' \\n')\""
@@ -318,12 +318,12 @@
         ],
         "roster": [f"{HOST}:{agent.port}" for agent in one.agents],
         "servers": [
-            {"name": server.name, "address": f"{HOST}:{server.port}", "hall": server.hall}
+            {"name": server.name, "address": f"{HOST}:{server.port}", "hall": server.zone}
             for server in one.servers.values()
         ],
         "firms": [
             {"name": firm.name, "plan": firm.plan.name, "spread": firm.spread, "first": firm.first}
-            for firm in one.front.firms
+            for firm in one.front.customers
         ],
         "curl": curl_of(one),
     }
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -173,7 +173,7 @@
             server.name,
             server.incarnation,
             server.port,
-            server.hall,
+            server.zone,
             self.groups[server.name],
             status,
             server.since_unix,
@@ -310,8 +310,8 @@
             case ServerFault():
                 self._fault(event)
             case HotFirm():
-                firm = self.front.add_hot_traffic(event)
-                self.mark(f"customer {firm} sends {event.times:g} times its quota in addition")
+                customer = self.front.add_hot_traffic(event)
+                self.mark(f"customer {customer} sends {event.times:g} times its quota in addition")
             case SplitPeers():
                 side = set(event.side)
                 self.relay.sides.append(side)
@@ -383,7 +383,7 @@
     async def _replace(self, server: WorkerStub, linger_s: float) -> None:
         server.draining = True  # The worker rejects new attempts from now on; discovery reports it later.
         self.roster.publish(self._listed(server, "draining"))
-        successor = self._new_server(server.hall, self.groups[server.name])
+        successor = self._new_server(server.zone, self.groups[server.name])
         await successor.start(cold=True)
         if self.relays is not None and self.plant is not None and self.plant.at_servers:
             await self.relays.relay_port_for(successor.port)
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -147,7 +147,7 @@
         self,
         around: Surroundings,
         name: str,
-        hall: str,
+        zone: str,
         part: ServerPart,
         rules: RulesPart,
         classes: list[ClassPart],
@@ -155,7 +155,7 @@
         record: Callable[[Record], None],
         serials: itertools.count[int],
     ) -> None:
-        self.around, self.name, self.hall, self.part, self.rules = around, name, hall, part, rules
+        self.around, self.name, self.zone, self.part, self.rules = around, name, zone, part, rules
         self.kinds = {kind.name: kind for kind in classes}
         self.now, self.record, self._serials, self._keys = around.now, record, serials, keys
         self.rng = around.chance(f"server {name}")
@@ -205,7 +205,7 @@
                 t,
                 self.name,
                 self.incarnation,
-                self.hall,
+                self.zone,
                 round(self.capacity, 4),
                 self.part.cold_from if cold else 1.0,
                 round(self.warm_ms, 1),
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -341,9 +341,9 @@
         if message.headers.get(b"x-tier") not in self.plans:
             return port, message.raw
         self.strikes += 1
-        firm = message.headers[b"x-api-key"]
-        other = b"%016x" % (int(firm, 16) ^ (next(self._count) % self.names + 1) << 8)
-        return port, message.raw.replace(b"X-Api-Key: " + firm, b"X-Api-Key: " + other, 1)
+        customer = message.headers[b"x-api-key"]
+        other = b"%016x" % (int(customer, 16) ^ (next(self._count) % self.names + 1) << 8)
+        return port, message.raw.replace(b"X-Api-Key: " + customer, b"X-Api-Key: " + other, 1)
 
 
 PLANTS: dict[str, type[InjectedFault]] = {
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -30,7 +30,7 @@
     name: str
     incarnation: int
     port: int
-    hall: str
+    zone: str
     group: int
     status: str  # "ready", "draining" or "gone"
     since_unix: float  # Start of the process in Unix time (ms); 0 if it started warm
@@ -133,8 +133,8 @@
     def end_silence(self) -> None:
         """End the silence: respond to the requests received meanwhile, and to watches that have changes."""
         self.silent = False
-        unsaid, self._changes_while_silent = self._changes_while_silent, {}
-        for entry in unsaid.values():
+        changes, self._changes_while_silent = self._changes_while_silent, {}
+        for entry in changes.values():
             self._record_received(entry)
         held, self._held = self._held, []
         for call, message in held:
@@ -155,7 +155,7 @@
         return {
             "name": entry.name,
             "address": self.address_of(entry),
-            "zone": entry.hall,
+            "zone": entry.zone,
             "type": "std-2c",
             "group": entry.group,
             "status": entry.status,
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -218,9 +218,9 @@
         """Replace the gateway's configuration file atomically and return its path."""
         gate.folder.mkdir(exist_ok=True)
         path = gate.folder / "config.json"
-        news = gate.folder / "config.new"
-        news.write_text(json.dumps(self.configuration(gate)), encoding="utf-8")
-        news.replace(path)
+        new_path = gate.folder / "config.new"
+        new_path.write_text(json.dumps(self.configuration(gate)), encoding="utf-8")
+        new_path.replace(path)
         return path
 
     # -- starts
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -456,7 +456,7 @@
             if self.watch is not None and self.broken is None:
                 self.broken = self.watch.over()
             for name, store in fleet.auditor.nearest().items():
-                plan = next(firm.plan.name for firm in fleet.front.firms if firm.name == name)
+                plan = next(firm.plan.name for firm in fleet.front.customers if firm.name == name)
                 if store < 0.67 * fleet.quotas[plan]["ceiling_burst"]:
                     self.marks.mark("a firm used a third of its ceiling's burst")
         except StartFailed as problem:
