--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -139,7 +139,7 @@
     def make_folder() -> Path:
         return Path("simulated")
 
-    def drop_folder(self) -> None:
+    def delete_folder(self) -> None:
         """There is none."""
 
     def ports(self) -> tuple[int, int]:
