--- a/benchmarks/scale/real.py
+++ b/benchmarks/scale/real.py
@@ -188,7 +188,7 @@
         await fleet.start()
         begin = fleet.around.now() + SETTLE_S * 1000
         watch = Watch(begin, begin + seconds * 1000)
-        watch.inside = {firm.name for firm in fleet.front.firms if firm.use <= 1}
+        watch.inside = {firm.name for firm in fleet.front.customers if firm.use <= 1}
         fleet.recorder.listeners.append(watch)
 
         def look() -> None:
@@ -218,7 +218,7 @@
     try:
         tier = Tier(of_rehearsal(fleet), seed)
     finally:
-        fleet.supervisor.drop_folder()
+        fleet.supervisor.delete_folder()
         loop.close()
     return figures_of(tier, tier.run([(SETTLE, SETTLE_S), (COUNTED, seconds)]))
 
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -1,5 +1,5 @@
-"""The whole fleet: gatekeepers, licence servers, roster, datagrams, front; and the script of what goes
-wrong."""
+"""The whole fleet of a rehearsal (gateways, worker stubs, discovery stub, datagram relay and clients) and the
+scripted faults."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from typing import Any
 
 from plumpick.rehearsal.auditor import Auditor
-from plumpick.rehearsal.clients import Front, capacity_of
+from plumpick.rehearsal.clients import Front, total_capacity
 from plumpick.rehearsal.datagrams import Relay
-from plumpick.rehearsal.licence_server import HallKeys, LicenceServer
-from plumpick.rehearsal.plants import PLANTS, OverCeiling, Plant, Stage
-from plumpick.rehearsal.records import LoopLag, Recorder, RunEnded, RunStarted, ScriptEvent
-from plumpick.rehearsal.roster import Agent, Listed, Roster
+from plumpick.rehearsal.licence_server import WorkerStub, ZoneKeys
+from plumpick.rehearsal.plants import PLANTS, FaultRelays, InjectedFault, OverCeiling
+from plumpick.rehearsal.records import RunStarted, RunEnded, LoopLag, ScriptEvent, Recorder
+from plumpick.rehearsal.roster import DiscoveryAgent, DiscoveryStub, ListedWorker
 from plumpick.rehearsal.scenario import (
     AnyEvent,
     HotFirm,
@@ -36,28 +36,31 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LAG_STEP_MS, STALL_MS = 10.0, 25.0  # the loop is looked at so often; a stall of so long is noted
-SLOW_P99_MS = 15.0  # with more than that the workstation was too slow
-SETTLE_MS = 250.0  # between the last look at open tries and the end
-GROUP_SIZE = 4
-FIRST_MS = 1000.0  # after it is ready
-NEW_CONNECTIONS_MS = (200.0, 400.0)  # for so long after SIGTERM clients open new ones, as the protocol has it
+LAG_STEP_MS, STALL_MS = 10.0, 25.0  # Interval of the lag samples, and lag from which a stall is recorded
+SLOW_P99_MS = 15.0  # Maximum 99th percentile of the event loop's lag with which a verdict counts
+SETTLE_MS = 250.0  # Time between the last response and the end of the records
+GROUP_SIZE = 4  # Number of workers in a group of a zone
+MIN_UPTIME_FOR_SIGHUP_MS = 1000.0  # Time after a gateway is ready during which it gets no SIGHUP
+NEW_CONNECTIONS_MS = (
+    200.0,
+    400.0,
+)  # Range of the time after SIGTERM during which clients open new connections
 
 
 class LagMeter:
-    """How late the stand-ins' loop comes: all their times are off by as much."""
+    """Measures the lag of the event loop that runs the stubs; recorded times are inaccurate by that lag."""
 
     def __init__(self, around: Surroundings, recorder: Recorder) -> None:
         self._around, self._recorder = around, recorder
-        self.counts = [0] * 2000  # by half a millisecond
+        self.counts = [0] * 2000  # Histogram of the lag in steps of 0.5 ms
         self.most = 0.0
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         self._due = self._around.now() + LAG_STEP_MS
-        self._timer = self._around.later(LAG_STEP_MS, self._look)
+        self._timer = self._around.later(LAG_STEP_MS, self._sample)
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         now = self._around.now()
         late = max(0.0, now - self._due)
         self.counts[min(len(self.counts) - 1, int(late * 2))] += 1
@@ -71,7 +74,7 @@
             self._timer.cancel()
 
     def quantile(self, share: float) -> float:
-        """Lag in ms that this share of the looks did not pass."""
+        """Return the lag in ms that this share of the samples did not exceed; 0 without samples."""
         total, seen = sum(self.counts), 0
         for place, count in enumerate(self.counts):
             seen += count
@@ -81,7 +84,7 @@
 
 
 class Fleet:
-    """A fleet that can be started, played with and ended. Everything it makes is gone after `close`."""
+    """A fleet that plays one scenario. `close` removes all its processes, sockets and files."""
 
     def __init__(
         self,
@@ -91,7 +94,7 @@
         plant: str = "",
         supervise: type[Supervisor] = Supervisor,
     ) -> None:
-        """`supervise` starts and ends the gatekeepers: as real processes, or as simulated ones."""
+        """Build the fleet; `supervise` starts and ends the gateways as real or as simulated processes."""
         self.around, self.scenario, self.name = around, scenario, name
         self.recorder = Recorder()
         self.auditor, self.service = Auditor(), Service()
@@ -100,31 +103,31 @@
         self._rng = around.chance("script")
         halls = scenario.fleet.halls
         windows = {kind.name: kind.window_s * 1000 for kind in scenario.classes if kind.repeats == "keyed"}
-        self._keys = {hall: HallKeys(windows) for hall in halls}
+        self._keys = {hall: ZoneKeys(windows) for hall in halls}
         self._names = itertools.count(1)
-        self.servers: dict[str, LicenceServer] = {}
+        self.servers: dict[str, WorkerStub] = {}
         self.groups: dict[str, int] = {}
         for number in range(scenario.fleet.servers):
             self._new_server(
                 scenario.hall_of(number),
                 number // (GROUP_SIZE * len(halls)) * len(halls) + number % len(halls),
             )
-        self.capacity = capacity_of(list(self.servers.values()))
+        self.capacity = total_capacity(list(self.servers.values()))
         gates = [f"n{number}" for number in range(scenario.fleet.gatekeepers)]
-        self.agents = [Agent(around, gate, self.recorder) for gate in gates]
-        self.roster = Roster(around, scenario.roster, self.agents)
+        self.agents = [DiscoveryAgent(around, gate, self.recorder) for gate in gates]
+        self.roster = DiscoveryStub(around, scenario.roster, self.agents)
         self.relay = Relay(around, scenario.peers, gates, self.recorder)
         self.front = Front(around, scenario, self.capacity, self.recorder)
         self.quotas = self.front.quotas()
-        self.plant: Plant | None = None
-        self.stage: Stage | None = None
+        self.plant: InjectedFault | None = None
+        self.relays: FaultRelays | None = None
         if plant:
             self.plant = PLANTS[plant](around)
             self.recorder.listeners.append(self.plant)
-            self.stage = Stage(around, self.plant)
-            self.stage.targets = lambda: [server.port for server in self._ready()]
-            self.stage.port_of = self._port_of
-            self.stage.refused = self.front.refused
+            self.relays = FaultRelays(around, self.plant)
+            self.relays.targets = lambda: [server.port for server in self._ready()]
+            self.relays.port_of = self._port_of
+            self.relays.refused = self.front.refused
             if isinstance(self.plant, OverCeiling):
                 self.plant.plans = {plan.name.encode() for plan in scenario.plans if plan.ceiling}
         self.folder = supervise.make_folder()
@@ -142,12 +145,12 @@
         self.tasks: set[asyncio.Task[Any]] = set()
         self.timers: list[asyncio.TimerHandle] = []
         self.marks: list[tuple[float, str]] = []
-        self.failed: list[str] = []  # what the script could not do
+        self.failed: list[str] = []  # Errors of scripted events that could not be played
         self._releasing: set[str] = set()
 
-    def _new_server(self, hall: str, group: int) -> LicenceServer:
+    def _new_server(self, hall: str, group: int) -> WorkerStub:
         name = f"lic-{next(self._names):03d}"
-        server = LicenceServer(
+        server = WorkerStub(
             self.around,
             name,
             hall,
@@ -163,14 +166,14 @@
 
     def _port_of(self, name: str) -> int:
         server = self.servers.get(name)
-        return 0 if server is None or server.down or server.silent else server.port
+        return 0 if server is None or server.down or server.is_unreachable else server.port
 
-    def _listed(self, server: LicenceServer, status: str) -> Listed:
-        return Listed(
+    def _listed(self, server: WorkerStub, status: str) -> ListedWorker:
+        return ListedWorker(
             server.name,
-            server.life,
+            server.incarnation,
             server.port,
-            server.hall,
+            server.zone,
             self.groups[server.name],
             status,
             server.since_unix,
@@ -179,17 +182,17 @@
     # -- start and end
 
     async def start(self) -> None:
-        """Start all, the gatekeepers last; raises StartFailed or OSError."""
+        """Start the stubs, then the gateways. Raises StartFailed or OSError."""
         terms = self.scenario.terms(self.around.seed, self.plant.name if self.plant else "", self.name)
         self.recorder(RunStarted(self.around.now(), terms | {"quotas": self.quotas}))
         await asyncio.gather(*(server.start(cold=False) for server in self.servers.values()))
         for agent in self.agents:
             await agent.start()
-            if self.stage is not None and self.plant is not None and self.plant.at_servers:
+            if self.relays is not None and self.plant is not None and self.plant.at_servers:
                 for server in self.servers.values():
-                    await self.stage.before(server.port)
+                    await self.relays.relay_port_for(server.port)
                 agent.address_of = self._relayed
-        self.roster.begin([self._listed(server, "ready") for server in self.servers.values()])
+        self.roster.set_initial_list([self._listed(server, "ready") for server in self.servers.values()])
         await self.relay.start()
         results = await asyncio.gather(
             *(self.supervisor.start(gate) for gate in self.supervisor.gates), return_exceptions=True
@@ -197,18 +200,18 @@
         for result in results:
             if isinstance(result, BaseException):
                 raise result
-        for gate, door in zip(self.supervisor.gates, self.front.doors, strict=True):
-            door.port = await self._door_port(gate)
-            door.up = True
+        for gate, connections in zip(self.supervisor.gates, self.front.gateway_connections, strict=True):
+            connections.port = await self._entry_port(gate)
+            connections.up = True
         self.around.settle()
 
-    def _relayed(self, entry: Listed) -> str:
-        assert self.stage is not None
-        return f"{HOST}:{self.stage.ports.get(entry.port, entry.port)}"
+    def _relayed(self, entry: ListedWorker) -> str:
+        assert self.relays is not None
+        return f"{HOST}:{self.relays.ports.get(entry.port, entry.port)}"
 
-    async def _door_port(self, gate: Gatekeeper) -> int:
-        if self.stage is not None and self.plant is not None and not self.plant.at_servers:
-            return await self.stage.before(gate.port)
+    async def _entry_port(self, gate: Gatekeeper) -> int:
+        if self.relays is not None and self.plant is not None and not self.plant.at_servers:
+            return await self.relays.relay_port_for(gate.port)
         return gate.port
 
     async def play(self) -> None:
@@ -219,7 +222,7 @@
             self.timers.append(self.around.later(event.at_s * 1000, self._begin, event))
         await asyncio.sleep(self.scenario.seconds)
         self.front.stop()
-        # What was asked last gets its time, up to the longest that a client waits for.
+        # The last requests get the longest deadline of any class to complete.
         end = self.around.loop.time() + max(kind.deadline_ms for kind in self.scenario.classes) / 1000 + 1.0
         while self.front.open > 0 and self.around.loop.time() < end:
             await asyncio.sleep(0.05)
@@ -227,13 +230,13 @@
         self.finish()
 
     def finish(self) -> None:
-        """The end of the records."""
+        """Write the record that ends the history, unless it is written already."""
         if not self.auditor.over:
             self.lag.stop()
             self.recorder(RunEnded(self.around.now(), self.lag.quantile(0.99), round(self.lag.most, 3)))
 
     async def close(self) -> None:
-        """End all processes, sockets and files, also after a start that failed half way."""
+        """End all processes and remove all sockets and files, also after a start that failed half way."""
         self.lag.stop()
         for timer in self.timers:
             timer.cancel()
@@ -244,24 +247,24 @@
             await self.supervisor.close()
         finally:
             self.recorder.listeners.clear()
-            self.recorder.close()  # what ends from here on is our doing
-            if self.stage is not None:
-                self.stage.close()
+            self.recorder.close()  # Whatever ends from here on ends because of this shutdown.
+            if self.relays is not None:
+                self.relays.close()
             for server in self.servers.values():
                 server.stop()
             for agent in self.agents:
                 agent.close()
             self.relay.close()
-            self.supervisor.drop_folder()
+            self.supervisor.delete_folder()
 
     def _gate_ended(self, gate: Gatekeeper) -> None:
-        door = self.front.doors[gate.number]
-        door.went_down(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
+        connections = self.front.gateway_connections[gate.number]
+        connections.process_ended(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
 
     # -- the script
 
     def mark(self, text: str) -> None:
-        """Note what goes wrong, for records and reports."""
+        """Record a fault or another event of the script, for the history and the reports."""
         t = self.around.now()
         self.marks.append((t, text))
         self.recorder(ScriptEvent(t, text))
@@ -287,34 +290,34 @@
                 self._spawn(self._restart(self.supervisor.gates[event.gatekeeper]))
             case PauseGatekeeper():
                 gate = self.supervisor.gates[event.gatekeeper]
-                self.mark(f"gatekeeper {gate.name} stands still (SIGSTOP)")
+                self.mark(f"gatekeeper {gate.name} is stopped (SIGSTOP)")
                 self.supervisor.stop(gate)
-                self._later(event.for_s * 1000, self._go_on, gate)
+                self._later(event.for_s * 1000, self._resume, gate)
             case MoveRoster():
                 self._spawn(self._move_roster())
             case RosterSilent():
-                self.mark("the roster falls silent")
+                self.mark("discovery stops answering")
                 self.roster.silence(event.for_s * 1000)
-                self._later(event.for_s * 1000, self.mark, "the roster speaks again")
+                self._later(event.for_s * 1000, self.mark, "discovery answers again")
             case SilentWatches():
-                self.mark("all open watches fall silent")
+                self.mark("all open discovery watches stop answering")
                 for agent in self.agents:
-                    agent.lose_watches()
+                    agent.drop_watches()
             case ReleaseServers():
                 self._release(event)
             case SilentServers():
-                self._silence(event)
+                self._cut_off(event)
             case ServerFault():
                 self._fault(event)
             case HotFirm():
-                firm = self.front.heat(event)
-                self.mark(f"firm {firm} asks for {event.times:g} times its quota")
+                customer = self.front.add_hot_traffic(event)
+                self.mark(f"customer {customer} sends {event.times:g} times its quota in addition")
             case SplitPeers():
                 side = set(event.side)
                 self.relay.sides.append(side)
-                self.mark(f"gatekeepers {sorted(side)} and the others do not hear one another")
+                self.mark(f"gatekeepers {sorted(side)} are partitioned from the others")
                 self._later(event.for_s * 1000, self.relay.sides.remove, side)
-                self._later(event.for_s * 1000, self.mark, "gatekeepers hear one another again")
+                self._later(event.for_s * 1000, self.mark, "the partition of the gatekeepers ends")
 
     async def _kill(self, gate: Gatekeeper, back_s: float) -> None:
         self.mark(f"gatekeeper {gate.name} is killed")
@@ -325,46 +328,48 @@
             await self._start_again(gate)
 
     async def _restart(self, gate: Gatekeeper) -> None:
-        self.mark(f"gatekeeper {gate.name} is told to end (SIGTERM)")
-        self.front.doors[gate.number].leaves(self._rng.uniform(*NEW_CONNECTIONS_MS))
+        self.mark(f"gatekeeper {gate.name} gets SIGTERM")
+        self.front.gateway_connections[gate.number].begin_shutdown(self._rng.uniform(*NEW_CONNECTIONS_MS))
         self.supervisor.terminate(gate)
         if gate.watch is not None:
             await gate.watch
             await self._start_again(gate)
 
     async def _start_again(self, gate: Gatekeeper) -> None:
-        """Once, whatever has ended it: it may be killed while it finishes, and then two wait for its end."""
+        """Start the gateway unless it runs: if it is killed while it drains, two callers wait for its end."""
         async with gate.starting:
             if not gate.running():
                 await self.supervisor.start(gate)
-                self.mark(f"gatekeeper {gate.name} is back")
+                self.mark(f"gatekeeper {gate.name} is up again")
 
-    def _go_on(self, gate: Gatekeeper) -> None:
-        self.supervisor.go_on(gate)
-        self.mark(f"gatekeeper {gate.name} goes on (SIGCONT)")
+    def _resume(self, gate: Gatekeeper) -> None:
+        self.supervisor.resume(gate)
+        self.mark(f"gatekeeper {gate.name} resumes (SIGCONT)")
 
     async def _move_roster(self) -> None:
-        self.mark("the roster's agents move (SIGHUP)")
+        self.mark("the discovery agents move to new addresses; gatekeepers get SIGHUP")
         for agent, gate in zip(self.agents, self.supervisor.gates, strict=True):
             await agent.start()
             self._spawn(self._reload(gate))
 
     async def _reload(self, gate: Gatekeeper) -> None:
-        """SIGHUP, but never before a gatekeeper is ready nor in its first second, as the protocol has it: it
-        would end one that has not come to handle it."""
-        while not gate.running() or self.around.now() - gate.ready_t < FIRST_MS:
+        """Send SIGHUP, but not before MIN_UPTIME_FOR_SIGHUP_MS after the gateway is ready.
+
+        SIGHUP ends a process that has not installed its handler yet.
+        """
+        while not gate.running() or self.around.now() - gate.ready_t < MIN_UPTIME_FOR_SIGHUP_MS:
             await asyncio.sleep(0.05)
         self.supervisor.reload(gate)
 
-    def _ready(self) -> list[LicenceServer]:
+    def _ready(self) -> list[WorkerStub]:
         return [
             server
             for server in self.servers.values()
-            if not (server.down or server.draining or server.silent or server.name in self._releasing)
+            if not (server.down or server.draining or server.is_unreachable or server.name in self._releasing)
         ]
 
     def _release(self, event: ReleaseServers) -> None:
-        """Servers drain one after the other; for each a cold successor under a new name begins."""
+        """Drain workers one after the other, and start a cold replacement with a new name for each."""
         chosen = self._ready()
         self._rng.shuffle(chosen)
         chosen = chosen[: max(1, round(event.share * len(chosen)))]
@@ -375,32 +380,32 @@
             self._later(place * step_ms, lambda one=server: self._spawn(self._replace(one, event.linger_s)))
         self._later(event.within_s * 1000, self.mark, "the release ends")
 
-    async def _replace(self, server: LicenceServer, linger_s: float) -> None:
-        server.draining = True  # it turns new work away from now on; the roster tells later
-        self.roster.news(self._listed(server, "draining"))
-        successor = self._new_server(server.hall, self.groups[server.name])
+    async def _replace(self, server: WorkerStub, linger_s: float) -> None:
+        server.draining = True  # The worker rejects new attempts from now on; discovery reports it later.
+        self.roster.publish(self._listed(server, "draining"))
+        successor = self._new_server(server.zone, self.groups[server.name])
         await successor.start(cold=True)
-        if self.stage is not None and self.plant is not None and self.plant.at_servers:
-            await self.stage.before(successor.port)
-        self.roster.news(self._listed(successor, "ready"))
+        if self.relays is not None and self.plant is not None and self.plant.at_servers:
+            await self.relays.relay_port_for(successor.port)
+        self.roster.publish(self._listed(successor, "ready"))
         late_s = max(*self.scenario.roster.drain_s) + max(*self.scenario.roster.spread_ms) / 1000
         await asyncio.sleep(late_s + linger_s)
         server.stop()
         self._releasing.discard(server.name)
-        self.roster.news(self._listed(server, "gone"))
+        self.roster.publish(self._listed(server, "gone"))
 
-    def _silence(self, event: SilentServers) -> None:
+    def _cut_off(self, event: SilentServers) -> None:
         for server in self._pick(event.count):
-            server.fall_silent()
-            self.mark(f"server {server.name} falls silent")
-            self._later(event.for_s * 1000, lambda one=server: self._spawn(self._unsilence(one)))
+            server.become_unreachable()
+            self.mark(f"server {server.name} becomes unreachable")
+            self._later(event.for_s * 1000, lambda one=server: self._spawn(self._restore(one)))
 
-    async def _unsilence(self, server: LicenceServer) -> None:
-        await server.come_back()
-        self.mark(f"server {server.name} is back, cold")
-        self.roster.news(self._listed(server, "ready"))
+    async def _restore(self, server: WorkerStub) -> None:
+        await server.restart_cold()
+        self.mark(f"server {server.name} is reachable again, with a cold process")
+        self.roster.publish(self._listed(server, "ready"))
 
-    def _pick(self, count: int) -> list[LicenceServer]:
+    def _pick(self, count: int) -> list[WorkerStub]:
         ready = self._ready()
         return self._rng.sample(ready, min(count, max(1, len(ready) - 1)) if count else len(ready))
 
@@ -408,7 +413,7 @@
         chosen = self._pick(event.count)
         classes = event.classes or [kind.name for kind in self.scenario.classes]
         which = event.fault.replace("-", "_")
-        self.mark(f"{len(chosen)} servers: {event.fault}")
+        self.mark(f"{len(chosen)} servers: fault {event.fault} begins")
         for server in chosen:
             faults = server.faults
             if event.fault == "half-speed":
@@ -418,9 +423,9 @@
             else:
                 setattr(faults, which, dict.fromkeys(classes, event.share))
                 faults.slow_ms = event.by_ms
-        self._later(event.for_s * 1000, self._heal, chosen, event)
+        self._later(event.for_s * 1000, self._end_fault, chosen, event)
 
-    def _heal(self, chosen: list[LicenceServer], event: ServerFault) -> None:
+    def _end_fault(self, chosen: list[WorkerStub], event: ServerFault) -> None:
         for server in chosen:
             if event.fault == "half-speed":
                 server.faults.speed = 1.0
@@ -428,29 +433,32 @@
                 server.faults.freeze_every_ms = 0.0
             else:
                 setattr(server.faults, event.fault.replace("-", "_"), {})
-        self.mark(f"{len(chosen)} servers: no more {event.fault}")
+        self.mark(f"{len(chosen)} servers: fault {event.fault} ends")
 
 
 def too_slow(auditor: Auditor) -> str:
-    """Why the workstation was too slow for the verdict to count, or nothing.
+    """Return why the workstation was too slow for the verdict to count, or an empty string.
 
-    A breach that the clock alone made counts for nothing where the stand-ins' loop stood still beside it.
+    A breach of a time limit does not count if the event loop of the stubs stalled at about the same time.
     """
     if auditor.lag_p99_ms > SLOW_P99_MS:
-        return f"the stand-ins' loop came {auditor.lag_p99_ms:.1f} ms late (p99; {SLOW_P99_MS:g} is the most)"
+        return (
+            f"the stubs' event loop ran {auditor.lag_p99_ms:.1f} ms late "
+            f"(99th percentile; the limit is {SLOW_P99_MS:g} ms)"
+        )
     for breach in auditor.breaches:
         if breach.timing and any(
             stall.t - stall.ms - 50 <= breach.t <= stall.t + 50 for stall in auditor.stalls
         ):
-            return f"the stand-ins' loop stood still when {breach.rule} was judged at {breach.t / 1000:.2f} s"
+            return f"the stubs' event loop stalled when {breach.rule} was judged at {breach.t / 1000:.2f} s"
     return ""
 
 
 def seed_of(number: int | None) -> int:
-    """The seed that was asked for, or one of the system's choice."""
+    """Return the given seed, or a random one if it is None."""
     return random.SystemRandom().randrange(1 << 31) if number is None else number
 
 
 def percent(value: float) -> str:
-    """A share as a person reads it; whole only where it is."""
+    """Format a share as a percentage, rounded down to a tenth: "100 %" is never the result of rounding."""
     return "100 %" if value >= 1 else f"{math.floor(value * 1000) / 10:.1f} %"
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -1,7 +1,7 @@
-"""Planted faults: a relay on the way between a gatekeeper and its servers or clients does what must never
-happen.
+"""Fault injection by a relay between the gateways and their workers or clients.
 
-The daemon holds no fault code, and does nothing wrong. The auditor has to find the breach all the same.
+Each fault makes the relay break one of the auditor's rules; the gateway itself contains no fault code. The
+auditor must find the breach in the records.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError
 
-DRAIN_SURE_MS = 1150.0  # after word of a drain: beyond the grace and its tolerance
-COLD_SURE_MS = 150.0
+# Time after notice of a drain from which new work breaks the rule, as grace period and tolerance are over
+DRAIN_OVERDUE_MS = 1150.0
+COLD_SEND_AFTER_MS = 150.0  # Time after a cold start from which work is sent to the cold worker
 
 
-class _Far(asyncio.Protocol):
-    """The relay's connection to where the messages really go."""
+class _TargetConnection(asyncio.Protocol):
+    """The relay's connection to the target of the messages."""
 
-    def __init__(self, near: _Near) -> None:
-        self.near = near
+    def __init__(self, accepted: _AcceptedConnection) -> None:
+        self.accepted = accepted
         self.transport: Any = None
         self.reader = Reader(answers=True)
         self.waiting: list[bytes] = []
@@ -43,32 +44,32 @@
     def data_received(self, data: bytes) -> None:
         try:
             messages = self.reader.feed(data, 0.0)
-        except WireError:  # a spoilt answer goes on as it is
-            self.near.say(data)
+        except WireError:  # A malformed response is passed on unchanged.
+            self.accepted.send_back(data)
             return
         for message in messages:
-            self.near.answered(message)
+            self.accepted.response_received(message)
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        if self.near.far is self:
-            self.near.close()
+        if self.accepted.target is self:
+            self.accepted.close()
 
 
-class _Near(asyncio.Protocol):
-    """A connection that has come to the relay."""
+class _AcceptedConnection(asyncio.Protocol):
+    """A connection that the relay accepted."""
 
-    def __init__(self, stage: Stage, port: int) -> None:
-        self.stage, self.port = stage, port
+    def __init__(self, relays: FaultRelays, port: int) -> None:
+        self.relays, self.port = relays, port
         self.transport: Any = None
         self.reader = Reader(answers=False)
-        self.far: _Far | None = None
-        self.far_port = 0
+        self.target: _TargetConnection | None = None
+        self.target_port = 0
         self.request: Message | None = None
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.stage.near.add(self)
+        self.relays.accepted.add(self)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -78,35 +79,35 @@
             return
         for message in messages:
             self.request = message
-            port, raw = self.stage.plant.request(self.port, message)
+            port, raw = self.relays.plant.request(self.port, message)
             self.forward(port, raw)
 
     def forward(self, port: int, raw: bytes) -> None:
-        if self.far is None or self.far_port != port:
-            old, self.far = self.far, _Far(self)
-            self.far_port = port
+        if self.target is None or self.target_port != port:
+            old, self.target = self.target, _TargetConnection(self)
+            self.target_port = port
             if old is not None and old.transport is not None:
                 old.transport.abort()
-            far = self.far
+            target = self.target
 
             async def dial() -> None:
                 try:
-                    await self.stage.around.loop.create_connection(lambda: far, HOST, port)
+                    await self.relays.around.loop.create_connection(lambda: target, HOST, port)
                 except OSError:
-                    if self.far is far:
-                        # Without us the client would have seen that nobody listens.
-                        self.stage.refused.add(self.transport.get_extra_info("peername")[1])
+                    if self.target is target:
+                        # Without the relay, the client's connection would have been refused.
+                        self.relays.refused.add(self.transport.get_extra_info("peername")[1])
                         self.close()
 
-            self.stage.around.spawn(self.tasks, dial())
-        self.far.write(raw)
+            self.relays.around.spawn(self.tasks, dial())
+        self.target.write(raw)
 
-    def answered(self, message: Message) -> None:
+    def response_received(self, message: Message) -> None:
         request = self.request
-        for raw in self.stage.plant.answer(request, message) if request is not None else [message.raw]:
-            self.say(raw)
+        for raw in self.relays.plant.answer(request, message) if request is not None else [message.raw]:
+            self.send_back(raw)
 
-    def say(self, data: bytes) -> None:
+    def send_back(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
@@ -115,40 +116,40 @@
             self.transport.abort()
 
     def connection_lost(self, _problem: Exception | None) -> None:
-        self.stage.near.discard(self)
-        far, self.far = self.far, None
-        if far is not None and far.transport is not None:
-            far.transport.abort()
+        self.relays.accepted.discard(self)
+        target, self.target = self.target, None
+        if target is not None and target.transport is not None:
+            target.transport.abort()
 
 
-class Plant:
-    """What goes wrong: `request` may send a message elsewhere or change it, `answer` may change what comes
-    back.
+class InjectedFault:
+    """An injected fault: `request` may redirect or change a request, `answer` may change the response.
 
-    `at_servers`: the relay stands before the servers, else before the gatekeepers. A plant hears all records.
+    With `at_servers` the relay stands between gateways and workers, else between clients and gateways.
+    A fault receives all records of the run.
     """
 
     name, at_servers = "", False
-    rule = ""  # that it breaks
+    rule = ""  # Name of the auditor's rule that the fault breaks
 
     def __init__(self, around: Surroundings) -> None:
-        self.around, self.stage = around, None  # type: Surroundings, Stage | None
-        self.done = 0  # how often it has struck
+        self.around, self.relays = around, None  # type: Surroundings, FaultRelays | None
+        self.strikes = 0  # Number of messages that the fault has affected
 
     def feed(self, record: Record) -> None:
-        """A record has come."""
+        """Receive a record of the run."""
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        """Where the message goes, and its bytes."""
+        """Return the target port and the bytes of a request that was sent to `port`."""
         return port, message.raw
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
-        """What the other side gets for this answer."""
+        """Return the messages that the sender of `request` gets in place of the response `message`."""
         return [message.raw]
 
 
-class _EveryNth(Plant):
-    """Strikes at every n-th answer that it is for."""
+class _EveryNth(InjectedFault):
+    """A fault that changes every n-th of the responses it applies to."""
 
     every = 10
 
@@ -156,21 +157,21 @@
         super().__init__(around)
         self._count = itertools.count(1)
 
-    def is_for(self, request: Message, message: Message) -> bool:
+    def applies_to(self, request: Message, message: Message) -> bool:
         return message.status == 200 and not request.start[1].startswith(b"/up")
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
-        if not self.is_for(request, message) or next(self._count) % self.every:
+        if not self.applies_to(request, message) or next(self._count) % self.every:
             return [message.raw]
-        self.done += 1
-        return self.spoil(request, message)
+        self.strikes += 1
+        return self.alter(request, message)
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         raise NotImplementedError
 
 
-class DoubleDebit(Plant):
-    """An hours-debit is sent to a second server too, while the first runs it."""
+class DoubleDebit(InjectedFault):
+    """An hours-debit request is also sent to a second worker, while the first one runs it."""
 
     name, at_servers, rule = "double-debit", True, "effects-once"
     every = 4
@@ -181,34 +182,34 @@
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.start[1].startswith(b"/hours-debit") and not next(self._count) % self.every:
-            assert self.stage is not None
-            others = [one for one in self.stage.targets() if one != port]
+            assert self.relays is not None
+            others = [one for one in self.relays.targets() if one != port]
             if others:
-                self.done += 1
-                self.stage.send_aside(others[self.done % len(others)], message.raw)
+                self.strikes += 1
+                self.relays.send_separately(others[self.strikes % len(others)], message.raw)
         return port, message.raw
 
 
 class LostAnswer(_EveryNth):
-    """An answer never reaches its client; the connection stays open."""
+    """A response never reaches its client; the connection stays open."""
 
     name, rule = "lost-answer", "no-request-lost"
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return []
 
 
 class SecondAnswer(_EveryNth):
-    """A client gets its answer twice."""
+    """A client gets its response twice."""
 
     name, rule = "second-answer", "no-request-lost"
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [message.raw + message.raw]
 
 
 class ForeignAnswer(_EveryNth):
-    """A client gets the body that was made for another."""
+    """A client gets the response to another client's request."""
 
     name, rule = "foreign-answer", "no-request-lost"
 
@@ -218,51 +219,54 @@
 
     def answer(self, request: Message, message: Message) -> list[bytes]:
         result = super().answer(request, message)
-        if self.is_for(request, message):
+        if self.applies_to(request, message):
             self._last = message.raw
         return result
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [self._last or message.raw]
 
 
 class UnsafeRefusal(_EveryNth):
-    """An hours-debit that ran is refused, as if another try were harmless."""
+    """A successful response to an hours-debit is replaced by a 503, as if a retry were safe."""
 
     name, rule = "unsafe-refusal", "effects-once"
     every = 4
 
-    def is_for(self, request: Message, message: Message) -> bool:
+    def applies_to(self, request: Message, message: Message) -> bool:
         return message.status == 200 and request.start[1].startswith(b"/hours-debit")
 
-    def spoil(self, request: Message, message: Message) -> list[bytes]:
+    def alter(self, request: Message, message: Message) -> list[bytes]:
         return [b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.5\r\n\r\n"]
 
 
-class _Divert(Plant):
-    """Sends attempts elsewhere, but only such as break no other rule by that: no keyed ones, whose hall would
-    change, and of unsafe ones the first."""
+class _Redirect(InjectedFault):
+    """A fault that redirects attempts, but only those whose redirection breaks no other rule.
+
+    Attempts with an idempotency key stay, as their zone would change; of unsafe requests only the first
+    attempt is redirected.
+    """
 
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
-        self._gates: dict[str, str] = {}
+        self._gateway_of: dict[str, str] = {}
         self._seen: set[str] = set()
 
     def feed(self, record: Record) -> None:
         if isinstance(record, RequestSent):
-            self._gates[record.id] = record.gate
+            self._gateway_of[record.id] = record.gate
 
-    def gate_of(self, message: Message) -> str:
-        """The gatekeeper that sends it, where it may be diverted, else nothing."""
+    def redirectable_from(self, message: Message) -> str:
+        """Return the gateway that sent the attempt, or "" if the attempt must not be redirected."""
         name = message.headers.get(b"x-request-id", b"").decode()
         again = name in self._seen
         self._seen.add(name)
-        barred = b"idempotency-key" in message.headers or message.start[0] == b"POST" and again
-        return "" if barred else self._gates.get(name, "")
+        is_excluded = b"idempotency-key" in message.headers or message.start[0] == b"POST" and again
+        return "" if is_excluded else self._gateway_of.get(name, "")
 
 
-class SendToDrained(_Divert):
-    """Now and then work goes to a server of which its gatekeeper was told long ago that it drains."""
+class SendToDrained(_Redirect):
+    """Some attempts go to a worker whose draining was announced to the sending gateway long before."""
 
     name, at_servers, rule = "send-to-drained", True, "drains-kept"
 
@@ -280,18 +284,21 @@
                 self._draining.pop((record.gate, record.server), None)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        assert self.stage is not None
-        gate, now = self.gate_of(message), self.around.now()
+        assert self.relays is not None
+        gate, now = self.redirectable_from(message), self.around.now()
         for (told, server), t in self._draining.items():
-            drained = self.stage.port_of(server)
-            if told == gate and now - t > DRAIN_SURE_MS and drained and not next(self._count) % 3:
-                self.done += 1
+            drained = self.relays.port_of(server)
+            if told == gate and now - t > DRAIN_OVERDUE_MS and drained and not next(self._count) % 3:
+                self.strikes += 1
                 return drained, message.raw
         return port, message.raw
 
 
-class ColdRush(_Divert):
-    """All gatekeepers' work goes to a server that has just started, no more from each than it might send."""
+class ColdRush(_Redirect):
+    """Attempts of all gateways go to one worker that has just started.
+
+    Each gateway alone stays within what it may send to a cold worker.
+    """
 
     name, at_servers, rule = "cold-rush", True, "cold-servers"
 
@@ -308,19 +315,19 @@
             self._told[record.server].add(record.gate)
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
-        assert self.stage is not None
-        gate = self.gate_of(message)
+        assert self.relays is not None
+        gate = self.redirectable_from(message)
         for server, t in self._cold.items():
-            target = self.stage.port_of(server)
-            if target and gate in self._told[server] and self.around.now() - t > COLD_SURE_MS:
-                self.done += 1
+            target = self.relays.port_of(server)
+            if target and gate in self._told[server] and self.around.now() - t > COLD_SEND_AFTER_MS:
+                self.strikes += 1
                 return target, message.raw
         return port, message.raw
 
 
-class OverCeiling(Plant):
-    """Firms under a ceiling pass for many firms, so that no gatekeeper sees what they are sent on for
-    together."""
+class OverCeiling(InjectedFault):
+    """Requests of customers with a ceiling carry changing customer keys, so that no gateway sees a customer's
+    total."""
 
     name, rule = "over-ceiling", "ceilings"
     names = 24
@@ -328,18 +335,18 @@
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
         self._count = itertools.count(1)
-        self.plans: set[bytes] = set()  # that have a ceiling
+        self.plans: set[bytes] = set()  # Names of the plans with a ceiling
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.headers.get(b"x-tier") not in self.plans:
             return port, message.raw
-        self.done += 1
-        firm = message.headers[b"x-api-key"]
-        other = b"%016x" % (int(firm, 16) ^ (next(self._count) % self.names + 1) << 8)
-        return port, message.raw.replace(b"X-Api-Key: " + firm, b"X-Api-Key: " + other, 1)
+        self.strikes += 1
+        customer = message.headers[b"x-api-key"]
+        other = b"%016x" % (int(customer, 16) ^ (next(self._count) % self.names + 1) << 8)
+        return port, message.raw.replace(b"X-Api-Key: " + customer, b"X-Api-Key: " + other, 1)
 
 
-PLANTS: dict[str, type[Plant]] = {
+PLANTS: dict[str, type[InjectedFault]] = {
     kind.name: kind
     for kind in (
         DoubleDebit,
@@ -354,30 +361,30 @@
 }
 
 
-class Stage:
-    """The relays of one plant, one for each target port."""
+class FaultRelays:
+    """The relays of one injected fault, one for each target port."""
 
-    def __init__(self, around: Surroundings, plant: Plant) -> None:
+    def __init__(self, around: Surroundings, plant: InjectedFault) -> None:
         self.around, self.plant = around, plant
-        plant.stage = self
-        self.near: set[_Near] = set()
-        self.ports: dict[int, int] = {}  # the relay's port for a target's
-        self.refused: set[int] = set()  # ports of clients whose target did not listen
+        plant.relays = self
+        self.accepted: set[_AcceptedConnection] = set()
+        self.ports: dict[int, int] = {}  # Port of the relay by port of the target
+        self.refused: set[int] = set()  # Local ports of clients whose target refused the connection
         self.port_of: Callable[[str], int] = lambda name: 0
         self.targets: Callable[[], list[int]] = list
         self._servers: list[asyncio.Server] = []
-        self._aside: set[asyncio.Task[Any]] = set()
+        self._separate_sends: set[asyncio.Task[Any]] = set()
 
-    async def before(self, port: int) -> int:
-        """The port of a relay before this one."""
+    async def relay_port_for(self, port: int) -> int:
+        """Return the port of the relay in front of the target port, started on first use."""
         if port not in self.ports:
-            server = await self.around.loop.create_server(lambda: _Near(self, port), HOST, 0)
+            server = await self.around.loop.create_server(lambda: _AcceptedConnection(self, port), HOST, 0)
             self._servers.append(server)
             self.ports[port] = server.sockets[0].getsockname()[1]
         return self.ports[port]
 
-    def send_aside(self, port: int, raw: bytes) -> None:
-        """Send a message on a connection of its own, and read what comes without telling anybody."""
+    def send_separately(self, port: int, raw: bytes) -> None:
+        """Send a message on a separate connection, and discard the response."""
 
         async def send() -> None:
             try:
@@ -388,16 +395,16 @@
             try:
                 await reader.readuntil(b"\r\n\r\n")
             except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                pass  # its server has gone
+                pass  # The target closed the connection.
             finally:
                 writer.close()
 
-        self.around.spawn(self._aside, send())
+        self.around.spawn(self._separate_sends, send())
 
     def close(self) -> None:
         for server in self._servers:
             server.close()
-        for near in list(self.near):
-            near.close()
-        for task in list(self._aside):
+        for accepted in list(self.accepted):
+            accepted.close()
+        for task in list(self._separate_sends):
             task.cancel()
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -148,7 +148,7 @@
     def make_folder() -> Path:
         return Path("simulated")
 
-    def drop_folder(self) -> None:
+    def delete_folder(self) -> None:
         """Does nothing: the simulation writes no files."""
 
     def ports(self) -> tuple[int, int]:
@@ -493,7 +493,7 @@
             if self.checker is not None and self.broken is None:
                 self.broken = self.checker.find_effect_breach()
             for name, store in fleet.auditor.nearest().items():
-                plan = next(firm.plan.name for firm in fleet.front.firms if firm.name == name)
+                plan = next(firm.plan.name for firm in fleet.front.customers if firm.name == name)
                 if store < 0.67 * fleet.quotas[plan]["ceiling_burst"]:
                     self.coverage.count_reached("a firm used a third of its ceiling's burst")
         except StartFailed as problem:
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -69,7 +69,7 @@
             )
             assert 3 * sure - 2 <= got <= 3 * sure * 1.03 + budget.guaranteed_burst(3) + 1
             tier.relay.sides = []
-            await tier.until(
+            await tier.wait_for(
                 lambda: sum(units for t, units in trial.spent("exports") if t > machine_ms() - 1000) > 40,
                 20,
                 "the whole budget is spent again",
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -9,7 +9,7 @@
 from benchmarks.ownership.trial import DUTIES, play
 from plumpick.policy.leases.terms import rendezvous_rank
 from plumpick.rehearsal.receiver import machine_ms
-from plumpick.rehearsal.tier import Judged, Tier, judge
+from plumpick.rehearsal.tier import OwnershipReport, Tier, judge
 from plumpick.tools.call import send_command
 from plumpick.tools.duties import fetch_duties, format_duties
 
@@ -50,7 +50,7 @@
     assert judge(held, []).overlaps
     assert not judge([*held, ["lost", 50.0, 0, 1, 0, 7]], []).overlaps
     assert judge([held[0], ["effect", 101.0, 0, 1, "d", 3, 7]], []).late
-    assert judge([], []) == Judged()
+    assert judge([], []) == OwnershipReport()
 
 
 def use_tier(**more):
@@ -68,7 +68,7 @@
         tier = use_tier()
         try:
             await tier.start()
-            await tier.taken(["use"], 10)
+            await tier.wait_for_effects(["use"], 10)
             dead = next(number for number in range(3) if tier.owner(one_slot()) != number)
             await tier.kill(dead, None)
             killed = time.time() * 1000
@@ -107,7 +107,7 @@
         tier = use_tier(management=True)
         try:
             await tier.start()
-            await tier.taken(["use"], 10)
+            await tier.wait_for_effects(["use"], 10)
 
             def call(number, line):
                 return asyncio.to_thread(send_command, ("127.0.0.1", tier.calls[number]), line)
@@ -151,7 +151,7 @@
             best = min(range(3), key=lambda number: rendezvous_rank(one_slot(), number))
 
             def renewed():
-                rows = [row for row in tier.look() if row[0] == "held" and row[4] == one_slot()]
+                rows = [row for row in tier.read_records() if row[0] == "held" and row[4] == one_slot()]
                 last = max(rows, key=lambda row: row[1])
                 return last[2] == best and sum(row[5] == last[5] for row in rows) > 2 and last
 
@@ -163,9 +163,10 @@
             tier.calls[owner] = free_port()
             process = await tier.supervisor.launch(gate)
             processes.append(process)
-            await tier.until(
+            await tier.wait_for(
                 lambda: any(
-                    row[0] == "held" and row[3] == process.pid and row[5] == token for row in tier.look()
+                    row[0] == "held" and row[3] == process.pid and row[5] == token
+                    for row in tier.read_records()
                 ),
                 10,
                 "the successor holds the lease",
@@ -173,11 +174,13 @@
             old.terminate()
             await old.wait()
             begin = machine_ms()
-            await tier.taken(["use"], 20, begin)
+            await tier.wait_for_effects(["use"], 20, begin)
 
             def later():
                 return [
-                    row for row in tier.look() if row[0] == "held" and row[4] == one_slot() and row[1] > begin
+                    row
+                    for row in tier.read_records()
+                    if row[0] == "held" and row[4] == one_slot() and row[1] > begin
                 ]
 
             rows = await tier.until(later, 20, "a renewal by the successor")
@@ -227,12 +230,12 @@
 
         try:
             await tier.start()
-            await tier.taken(DUTIES, 10)
+            await tier.wait_for_effects(DUTIES, 10)
             if max(rates) > 1.01:
                 await tier.until(lambda: any(logs()), 20, "a log line of a lease holder")
             else:  # 4 s: enough time for a line to be logged
                 begin = machine_ms()
-                await tier.until(lambda: machine_ms() - begin > 4000, 20, "four seconds")
+                await tier.wait_for(lambda: machine_ms() - begin > 4000, 20, "four seconds")
             return logs()
         finally:
             await tier.close()
