--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -19,7 +19,7 @@
 
 from plumpick.policy.quota.bounds import max_combined_excess, max_excess_over_hard_limit
 from plumpick.policy.settings_parser import parse_settings
-from plumpick.rehearsal.records import RequestSent, Record, AttemptReceived
+from plumpick.rehearsal.records import AttemptReceived, Record, RequestSent
 from plumpick.simulation.commands import parse_seeds
 from plumpick.simulation.faults import KINDS, Case, Fault
 from plumpick.simulation.world import Result, World
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -15,7 +15,7 @@
 from plumpick.rehearsal.datagrams import Relay
 from plumpick.rehearsal.licence_server import WorkerStub, ZoneKeys
 from plumpick.rehearsal.plants import PLANTS, FaultRelays, InjectedFault, OverCeiling
-from plumpick.rehearsal.records import RunStarted, RunEnded, LoopLag, ScriptEvent, Recorder
+from plumpick.rehearsal.records import LoopLag, Recorder, RunEnded, RunStarted, ScriptEvent
 from plumpick.rehearsal.roster import DiscoveryAgent, DiscoveryStub, ListedWorker
 from plumpick.rehearsal.scenario import (
     AnyEvent,
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -342,8 +342,8 @@
 
     def feed(self, record: Record) -> None:
         """Counts a record and adds it to the digest of the run."""
-        self.requests += type(record).__name__ == "Asked"
-        self.machine.note(line_of(record) if type(record).__name__ != "Began" else "Began")
+        self.requests += type_name(record) == "Asked"
+        self.machine.note(line_of(record) if type_name(record) != "Began" else "Began")
         if self.record is not None:
             self.record(record)
 
--- a/tests/rehearsal/test_licence_server.py
+++ b/tests/rehearsal/test_licence_server.py
@@ -9,12 +9,12 @@
 
 from plumpick.rehearsal.licence_server import MAX_ATTEMPT_MS, WorkerStub, ZoneKeys, _Connection
 from plumpick.rehearsal.records import (
-    WorkerStarted,
-    WorkerEnded,
-    AttemptExecuted,
     AttemptAnswered,
+    AttemptExecuted,
     AttemptReceived,
     AttemptRejected,
+    WorkerEnded,
+    WorkerStarted,
     WorkWasted,
 )
 from plumpick.rehearsal.scenario import RulesPart, Scenario, ServerPart
