--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -37,9 +37,9 @@
     sent: dict[int, list[int]] = defaultdict(lambda: [0, 0])
     taken: dict[int, int] = defaultdict(int)
     cpu: dict[int, float] = defaultdict(float)
-    inner = tier.carry_out
+    inner = tier.execute
 
-    def carry_out(process: Any, action: Any) -> None:
+    def execute(process: Any, action: Any) -> None:
         data = getattr(action, "data", None)
         if data is not None and hasattr(action, "receiver"):
             sent[process.number][0] += 1
@@ -47,7 +47,7 @@
             taken[action.receiver] += 1
         inner(process, action)
 
-    tier.carry_out = carry_out
+    tier.execute = execute
     plans = {}
     for process in tier.processes:
         rows = tuple(ScheduledTask(f"d{place}", "call", 60_000.0, 5000.0, 0) for place in range(number))
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -271,7 +271,7 @@
                     LOST,
                     record.t,
                     record.id,
-                    "answered 200 with a body that no worker made for this request",
+                    "the response 200 has a body that no worker made for this request",
                     request.story,
                 )
         request.answered = True
--- a/tests/gateway/cluster/test_budget_tier.py
+++ b/tests/gateway/cluster/test_budget_tier.py
@@ -50,11 +50,11 @@
         try:
             await tier.start()
             away = (await trial.divider() + 1) % 3
-            tier.want(away, {"exports": 120.0})
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "the grant is spent")
+            tier.set_demand(away, {"exports": 120.0})
+            await tier.wait_for(lambda: len(trial.spent("exports")) > 60, 20, "the grant is spent")
             tier.relay.sides = [{away}]
             begin = machine_ms() + 1100  # after the expiry of its grant
-            rows = await tier.until(
+            rows = await tier.wait_for(
                 lambda: trial.spent("exports") if machine_ms() > begin + 3000 else [], 20, "3 s while cut off"
             )
             got = sum(units for t, units in rows if begin <= t < begin + 3000)
@@ -101,11 +101,11 @@
         try:
             await tier.start()
             number = await trial.divider()
-            await tier.until(lambda: len(trial.spent("exports")) > 60, 20, "the grants are spent")
-            await tier.change_at(number if has_allocator else (number + 1) % 3, [lower])
+            await tier.wait_for(lambda: len(trial.spent("exports")) > 60, 20, "the grants are spent")
+            await tier.change_budgets_at(number if has_allocator else (number + 1) % 3, [lower])
             # Two rounds of messages to agree on the lower limits, and the term of grants by the higher limit.
             begin = machine_ms() + 2 * 1000 * 1.03
-            await tier.until(lambda: machine_ms() > begin + 4000, 20, "4 s with the lower limits")
+            await tier.wait_for(lambda: machine_ms() > begin + 4000, 20, "4 s with the lower limits")
             spent = [(t, units) for t, units in trial.spent("exports") if t >= begin]
             assert not audit(spent, lower["whole"], lower["burst"])
             assert sum(units for _, units in spent) > 0.8 * lower["whole"] * 4
@@ -165,7 +165,7 @@
                 requests.append(asyncio.create_task(send_request(len(requests) % 3)))
                 return len(trial.spent("looks")) >= 24  # units of the guaranteed limits in six seconds
 
-            await tier.until(enough, 60, "the grants are spent")
+            await tier.wait_for(enough, 60, "the grants are spent")
             assert not audit(trial.spent("looks"), 8.0, 6.0) and not trial.spent("none")
             await asyncio.gather(*requests)
             assert len(answered) > 24 and {status for status, *_ in answered} <= {503, 504}
--- a/tests/gateway/cluster/test_lease_tier.py
+++ b/tests/gateway/cluster/test_lease_tier.py
@@ -72,7 +72,7 @@
             dead = next(number for number in range(3) if tier.owner(one_slot()) != number)
             await tier.kill(dead, None)
             killed = time.time() * 1000
-            records = await tier.until(
+            records = await tier.wait_for(
                 lambda: [
                     one
                     for one in tier.receiver.records
@@ -118,14 +118,14 @@
             assert row[1] == owner and int(row[2], 16) and "use" in "\n".join(format_duties(reply))
             assert json.dumps(reply)
             assert (await call(0, "DRAIN FLEET")).startswith("+OK")
-            await tier.until(lambda: tier.owner(4) == 0, 5, "a restart permit")
+            await tier.wait_for(lambda: tier.owner(4) == 0, 5, "a restart permit")
             assert (await call(0, "READY")).startswith("+OK drain")
             assert (await call(1, "DRAIN FLEET")).startswith("+OK")
             await asyncio.sleep(1.5)
             assert tier.owner(4) == 0 and (await call(1, "READY")) == "+OK ready"
             begin = machine_ms()
             await tier.kill(0, None)  # its restart permit becomes free when the lease expires
-            await tier.until(lambda: tier.owner(4) == 1, 5, "the restart permit of a dead gateway")
+            await tier.wait_for(lambda: tier.owner(4) == 1, 5, "the restart permit of a dead gateway")
             assert machine_ms() - begin > 400
             assert (await call(1, "READY")).startswith("+OK drain")
             assert (await call(1, "UNDRAIN")).startswith("+OK")
@@ -145,7 +145,7 @@
         processes = []
         try:
             await tier.start()
-            await tier.taken(["use"], 20)
+            await tier.wait_for_effects(["use"], 20)
             # The lease is stable once its preferred holder has renewed it with the same token: no acceptor
             # has reported a larger token of a request that failed at the start.
             best = min(range(3), key=lambda number: rendezvous_rank(one_slot(), number))
@@ -155,7 +155,7 @@
                 last = max(rows, key=lambda row: row[1])
                 return last[2] == best and sum(row[5] == last[5] for row in rows) > 2 and last
 
-            token = (await tier.until(renewed, 30, "the lease is stable at its preferred holder"))[5]
+            token = (await tier.wait_for(renewed, 30, "the lease is stable at its preferred holder"))[5]
             owner, gate = best, tier.gates[best]
             old, calls = gate.process, dict(enumerate(tier.calls))
             from plumpick.rehearsal.supervisor import free_port
@@ -183,7 +183,7 @@
                     if row[0] == "held" and row[4] == one_slot() and row[1] > begin
                 ]
 
-            rows = await tier.until(later, 20, "a renewal by the successor")
+            rows = await tier.wait_for(later, 20, "a renewal by the successor")
             assert {row[5] for row in rows if row[1] > begin} == {token}  # same ownership, no new token
             text = (gate.folder / "log").read_text()
             assert "leases taken over" in text and "another process of this gateway votes" not in text
@@ -195,7 +195,7 @@
             tier.calls[owner] = free_port()
             other = await tier.supervisor.launch(gate)
             processes.append(other)
-            await tier.until(
+            await tier.wait_for(
                 lambda: "another process of this gateway votes" in (gate.folder / "log").read_text(),
                 10,
                 "a log line of the second process, which has no vote",
@@ -232,7 +232,7 @@
             await tier.start()
             await tier.wait_for_effects(DUTIES, 10)
             if max(rates) > 1.01:
-                await tier.until(lambda: any(logs()), 20, "a log line of a lease holder")
+                await tier.wait_for(lambda: any(logs()), 20, "a log line of a lease holder")
             else:  # 4 s: enough time for a line to be logged
                 begin = machine_ms()
                 await tier.wait_for(lambda: machine_ms() - begin > 4000, 20, "four seconds")
@@ -257,8 +257,8 @@
         )
         try:
             await tier.start()
-            await tier.taken(DUTIES, 10)
-            log = await tier.until(
+            await tier.wait_for_effects(DUTIES, 10)
+            log = await tier.wait_for(
                 lambda: (text := (tier.gates[2].folder / "log").read_text()).count(
                     "has other settings of duties or budgets"
                 )
