--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: one command a figure."""
+"""Benchmarks and trials. Each module is a command that prints its figures."""
--- a/benchmarks/daemon_start.py
+++ b/benchmarks/daemon_start.py
@@ -1,10 +1,10 @@
-"""What the daemon's start costs here and in another checkout, run in turn.
+"""Compares the start-up cost of the gateway daemon in this checkout and in another one, run alternately.
 
     python benchmarks/daemon_start.py OTHER [--runs 20]
 
-OTHER is a checkout of an earlier commit. Each run is `python -m plumpick` with no configuration: it imports
-all that the daemon needs and ends with exit code 2. Prints medians of seconds, CPU seconds and peak memory,
-and the ratio of this checkout's to the other's.
+OTHER is a checkout of an earlier commit. Each run is `python -m plumpick` without a configuration: it imports
+all modules that the daemon needs and exits with code 2. Prints the medians of wall-clock seconds, CPU seconds
+and peak memory, and the ratio of this checkout's figures to the other's. The first two runs are not counted.
 """
 
 from __future__ import annotations
@@ -17,12 +17,15 @@
 import time
 from pathlib import Path
 
-HERE = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent
 
 
-def start(folder: Path) -> tuple[float, float, float]:
-    """Seconds, CPU seconds and peak memory in MB of one start."""
-    began = time.perf_counter()
+def measure_start(folder: Path) -> tuple[float, float, float]:
+    """Start the daemon of a checkout once; return wall-clock seconds, CPU seconds and peak memory in MB.
+
+    Raises SystemExit if the daemon's exit code is not 2.
+    """
+    started_s = time.perf_counter()
     environment = {key: value for key, value in os.environ.items() if not key.startswith("BALANCER_")}
     process = subprocess.Popen(
         [sys.executable, "-m", "plumpick"],
@@ -34,20 +37,20 @@
     _, status, usage = os.wait4(process.pid, 0)
     process.returncode = os.waitstatus_to_exitcode(status)
     if process.returncode != 2:
-        raise SystemExit(f"{folder}: ended with {process.returncode}, where 2 is due")
-    return time.perf_counter() - began, usage.ru_utime + usage.ru_stime, usage.ru_maxrss / 1024
+        raise SystemExit(f"daemon in {folder}: expected exit code 2, got {process.returncode}")
+    return time.perf_counter() - started_s, usage.ru_utime + usage.ru_stime, usage.ru_maxrss / 1024
 
 
 def main() -> None:
-    """Print the table."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("other", type=Path)
-    flags.add_argument("--runs", type=int, default=20)
-    given = flags.parse_args()
+    """Print the medians and ratios."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("other", type=Path)
+    parser.add_argument("--runs", type=int, default=20)
+    arguments = parser.parse_args()
     rows: dict[str, list[tuple[float, float, float]]] = {"here": [], "other": []}
-    for _ in range(given.runs + 2):
-        rows["here"].append(start(HERE))
-        rows["other"].append(start(given.other))
+    for _ in range(arguments.runs + 2):
+        rows["here"].append(measure_start(ROOT))
+        rows["other"].append(measure_start(arguments.other))
     here, other = (
         [statistics.median(column) for column in zip(*rows[name][2:], strict=True)] for name in rows
     )
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -1,16 +1,18 @@
-"""What a request costs a gatekeeper: CPU, its own delay, memory; beside two relays on the same loop.
+"""Measures the cost of a request in a gateway: CPU, added latency and memory, compared with two relays.
 
     python -m benchmarks.hot_path [--seconds 2] [--runs 3] [--cases plain home ...] [--against DIR]
 
-A real gatekeeper on one core, stub workers that answer at once, closed-loop clients on others, all on
-loopback. Beside it, in the same run: `relay` passes bytes on over kept connections and reads nothing of them
-(the floor of the runtime); `proxy` parses both ways with the same parser and picks a worker at random (the
-floor of a proxy). With `--against DIR` another checkout's gatekeeper takes its turn at each case. Each figure
-is the median over runs. Columns: requests a second, CPU us a request (user and system, of the process), p50
-and p99 in ms as clients see them, peak memory in MB. `worker alone` has nothing between.
-
-Cases: clients (c1, c16, c64), quotas (plain: none; home-here, home-peer: three gatekeepers, one of them
-asked, each request asks its home), workers in the list (w100, w1000), firms (f1000, f50000).
+A real gateway process runs on one core, stub workers that answer immediately and closed-loop clients on other
+cores, all on loopback. For comparison, the same run measures `relay`, which forwards bytes over kept-alive
+connections without parsing them (minimum cost of the runtime), and `proxy`, which parses requests and
+responses with the same parser and picks a worker at random (minimum cost of a proxy); both use the same event
+loop. With `--against DIR`, the gateway of another checkout is measured alternately. Each figure is the median
+over runs. Columns: requests per second, CPU us per request (user and system time of the process), p50 and
+p99 latency in ms as the clients see it, peak memory in MB. `worker alone`: clients connect to the worker.
+
+Cases: number of clients (c1, c16, c64), quotas (plain: none; home-here, home-peer: three gateways, requests
+go to one of them, and each needs a grant from the customer's quota owner, which is that gateway or a peer),
+endpoints in the list (w100, w1000), customers (f1000, f50000).
 """
 
 from __future__ import annotations
@@ -49,17 +51,17 @@
 whole = 1_000_000
 burst = 100_000
 classes = ["seat-check"]
-"""  # more than the clients ask for: what it costs to look
+"""  # The budget exceeds the clients' demand: only the cost of checking it is measured.
 
 
 @dataclass(frozen=True)
 class Case:
-    """One row of the table."""
+    """A combination of load and settings to be measured."""
 
     name: str
     clients: int = 16
     plan: str = "free"
-    home: int = 0  # the gatekeeper that keeps the firms' stores
+    home: int = 0  # Number of the gateway that owns the customers' quota ledgers
     workers: int = 10
     firms: int = 1
 
@@ -80,14 +82,14 @@
 
 
 def pin(cores: str) -> None:
-    """Keep this process on those cores, as far as the machine has them."""
+    """Restrict this process to those of the given cores that the machine has, if any."""
     wanted = {int(core) for core in cores.split(",")} & os.sched_getaffinity(0)
     if wanted:
         os.sched_setaffinity(0, wanted)
 
 
 def ports(count: int, kind: int = socket.SOCK_STREAM) -> list[int]:
-    """Ports of the system's choice that were free just now."""
+    """Return port numbers chosen by the system; the ports are free when the function returns."""
     with ExitStack() as stack:
         probes = [stack.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
         for probe in probes:
@@ -95,11 +97,14 @@
         return [int(probe.getsockname()[1]) for probe in probes]
 
 
-# -- the processes beside the gatekeeper
+# -- worker stub, relay and proxy
+
 
+class WorkerStub(asyncio.Protocol):
+    """A worker stub that answers each request immediately.
 
-class Stub(asyncio.Protocol):
-    """A worker that answers each request at once; one request is one segment here."""
+    It counts request ends per received segment, so a request must arrive in one segment, as it does here.
+    """
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -109,20 +114,20 @@
 
 
 class Relay(asyncio.Protocol):
-    """Bytes in, bytes out, over one kept connection to a worker for each client."""
+    """Forwards the bytes of each client over one kept-alive connection to a worker, without parsing them."""
 
     def __init__(self, targets: list[int]) -> None:
         self.targets, self.other, self.waiting = targets, None, b""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        asyncio.get_running_loop().create_task(self.dial())
+        asyncio.get_running_loop().create_task(self.connect())
 
-    async def dial(self) -> None:
-        _, back = await asyncio.get_running_loop().create_connection(
-            lambda: Back(self.transport), HOST, random.choice(self.targets)
+    async def connect(self) -> None:
+        _, backend = await asyncio.get_running_loop().create_connection(
+            lambda: RelayBackend(self.transport), HOST, random.choice(self.targets)
         )
-        self.other = back.transport
+        self.other = backend.transport
         self.other.write(self.waiting)
 
     def data_received(self, data: bytes) -> None:
@@ -132,8 +137,8 @@
             self.other.write(data)
 
 
-class Back(asyncio.Protocol):
-    """The relay's side to a worker."""
+class RelayBackend(asyncio.Protocol):
+    """The relay's connection to a worker."""
 
     def __init__(self, to: Any) -> None:
         self.to = to
@@ -146,9 +151,9 @@
 
 
 class Proxy(asyncio.Protocol):
-    """Parses a request, picks a worker at random, sends it on a kept connection, parses the answer."""
+    """Parses each request, forwards it to a random worker on a kept-alive connection, parses the response."""
 
-    idle: dict[int, list[ProxyBack]] = {}
+    idle: dict[int, list[ProxyBackend]] = {}
 
     def __init__(self, targets: list[int]) -> None:
         self.targets = targets
@@ -174,20 +179,22 @@
         target = random.choice(self.targets)
         idle = self.idle.setdefault(target, [])
         if idle:
-            idle.pop().carry(self, message)
+            idle.pop().forward(self, message)
         else:
-            asyncio.get_running_loop().create_task(self.dial(target, message))
+            asyncio.get_running_loop().create_task(self.connect(target, message))
 
-    async def dial(self, target: int, message: bytes) -> None:
-        _, back = await asyncio.get_running_loop().create_connection(lambda: ProxyBack(target), HOST, target)
-        back.carry(self, message)
+    async def connect(self, target: int, message: bytes) -> None:
+        _, backend = await asyncio.get_running_loop().create_connection(
+            lambda: ProxyBackend(target), HOST, target
+        )
+        backend.forward(self, message)
 
     def answer(self, body: bytes) -> None:
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-class ProxyBack(asyncio.Protocol):
-    """The proxy's side to a worker."""
+class ProxyBackend(asyncio.Protocol):
+    """The proxy's connection to a worker."""
 
     def __init__(self, target: int) -> None:
         self.target = target
@@ -195,7 +202,7 @@
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def carry(self, front: Proxy, message: bytes) -> None:
+    def forward(self, front: Proxy, message: bytes) -> None:
         self.front, self.body = front, []
         self.parser = httptools.HttpResponseParser(self)
         self.transport.write(message)
@@ -212,7 +219,7 @@
 
 
 async def serve(make: Any, listen: list[int]) -> None:
-    """Serve until killed; tells that it is up."""
+    """Serve on the given ports until the process is killed; print `up` when all are open."""
     loop = asyncio.get_running_loop()
     for port in listen:
         await loop.create_server(make, HOST, port, backlog=512)
@@ -224,36 +231,41 @@
 
 
 class Client(asyncio.Protocol):
-    """A closed loop: the next request goes out when the last is answered."""
+    """A closed-loop client: sends the next request when the previous one has been answered."""
 
     def __init__(self, load: Load) -> None:
-        self.load, self.seen = load, b""
+        self.load, self.received = load, b""
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.began = time.perf_counter()
         self.transport.write(self.load.message())
 
     def data_received(self, data: bytes) -> None:
-        self.seen += data
-        head, split, body = self.seen.partition(b"\r\n\r\n")
+        self.received += data
+        head, split, body = self.received.partition(b"\r\n\r\n")
         if not split:
             return
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r")[0])
         if len(body) >= length:
-            self.seen = b""
-            self.load.answered(head, time.perf_counter() - self.began)
-            self.ask()
+            self.received = b""
+            self.load.on_response(head, time.perf_counter() - self.began)
+            self.send_request()
 
 
 class Load:
-    """So many clients at one port."""
+    """The clients of a case, all connected to one port, and their measured latencies."""
 
     def __init__(self, case: Case) -> None:
-        self.case, self.serial, self.took, self.wrong = case, itertools.count(), list[float](), 0
+        self.case, self.serial, self.latencies_s, self.failed_count = (
+            case,
+            itertools.count(),
+            list[float](),
+            0,
+        )
         names = (f"{number:016x}" for number in itertools.count(1))
         self.firms = itertools.cycle(
             [
@@ -271,53 +283,53 @@
             % (next(self.serial), self.case.plan.encode(), next(self.firms))
         )
 
-    def answered(self, head: bytes, took: float) -> None:
-        self.took.append(took)
-        self.wrong += not head.startswith(b"HTTP/1.1 200")
+    def on_response(self, head: bytes, latency_s: float) -> None:
+        self.latencies_s.append(latency_s)
+        self.failed_count += not head.startswith(b"HTTP/1.1 200")
 
     async def run(self, port: int, pid: int, seconds: float) -> dict[str, float]:
-        """The figures of one run."""
+        """Send requests for `seconds` after a warm-up; return the figures, with the CPU of process `pid`."""
         loop = asyncio.get_running_loop()
-        made = [
+        connections = [
             await loop.create_connection(lambda: Client(self), HOST, port) for _ in range(self.case.clients)
         ]
         await asyncio.sleep(WARM_S)
-        self.took.clear()
-        self.wrong, cpu, began = 0, cpu_of(pid), time.perf_counter()
+        self.latencies_s.clear()
+        self.failed_count, cpu, began = 0, cpu_of(pid), time.perf_counter()
         await asyncio.sleep(seconds)
-        cpu, gone = cpu_of(pid) - cpu, time.perf_counter() - began
-        took, wrong = sorted(self.took), self.wrong
-        for transport, _ in made:
+        cpu, elapsed_s = cpu_of(pid) - cpu, time.perf_counter() - began
+        latencies_s, failed_count = sorted(self.latencies_s), self.failed_count
+        for transport, _ in connections:
             transport.abort()
-        count = max(1, len(took))
+        count = max(1, len(latencies_s))
         return {
-            "rate": len(took) / gone,
+            "rate": len(latencies_s) / elapsed_s,
             "cpu_us": cpu / count * 1e6,
-            "p50": took[count // 2] * 1000,
-            "p99": took[int(count * 0.99)] * 1000,
+            "p50": latencies_s[count // 2] * 1000,
+            "p99": latencies_s[int(count * 0.99)] * 1000,
             "mb": peak_of(pid),
-            "wrong": wrong,
+            "wrong": failed_count,
         }
 
 
 def cpu_of(pid: int) -> float:
-    """CPU seconds of a process so far, user and system: from the scheduler, in ns."""
+    """Return the user and system CPU seconds of a process from the scheduler's statistics; 0 for pid 0."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9 if pid else 0.0
 
 
 def peak_of(pid: int) -> float:
-    """Peak resident memory in MB."""
+    """Return the peak resident memory of a process in MB; 0 for pid 0."""
     if not pid:
         return 0.0
     lines = Path(f"/proc/{pid}/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
 
-# -- gatekeepers
+# -- gateways
 
 
 def configuration(number: int, listen: int, peers: list[int], workers: list[int]) -> dict[str, Any]:
-    """A gatekeeper's file. Its discovery answers nothing: it starts from the known list."""
+    """Return the deploy file of a gateway. No discovery listens, so the gateway uses the list `known`."""
     settings = {
         "balancers": 3,
         "myNumber": number,
@@ -351,15 +363,15 @@
 
 
 class Processes(ExitStack):
-    """Processes that end with the block."""
+    """A context manager that kills the processes it has started when it exits."""
 
-    def start(self, cores: str, words: list[str], **more: Any) -> subprocess.Popen[str]:
-        process = subprocess.Popen(["taskset", "-c", cores, *words], text=True, **more)
+    def start(self, cores: str, command: list[str], **options: Any) -> subprocess.Popen[str]:
+        process = subprocess.Popen(["taskset", "-c", cores, *command], text=True, **options)
         self.callback(lambda: (process.kill(), process.wait()))
         return process
 
     def role(self, cores: str, role: str, listen: list[int], targets: list[int]) -> subprocess.Popen[str]:
-        """One of the roles of this file."""
+        """Start this module in a role (`stub`, `relay` or `proxy`); return once its ports are open."""
         process = self.start(
             cores,
             [sys.executable, "-m", "benchmarks.hot_path", "--role", role],
@@ -376,11 +388,14 @@
     def gatekeepers(
         self, tree: Path, folder: Path, workers: list[int], operator: str = ""
     ) -> tuple[int, int]:
-        """Three of them; the port and process of the first. `operator`: their operator's own file."""
-        more = {}
+        """Start three gateways; return the port and process id of the first when all are up.
+
+        `operator` is the text of their operator's file; empty for none.
+        """
+        options = {}
         if operator:
             (folder / "operator.toml").write_text(operator)
-            more = {"PLUMPICK_OPERATOR": str(folder / "operator.toml")}
+            options = {"PLUMPICK_OPERATOR": str(folder / "operator.toml")}
         listen, peers = ports(3), ports(3, socket.SOCK_DGRAM)
         first = 0
         for number in (2, 1, 0):
@@ -390,17 +405,17 @@
                 PEER_CORES if number else GATE_CORE,
                 [sys.executable, "-m", "plumpick"],
                 cwd=tree,
-                env={**os.environ, "BALANCER_CONFIG": str(path), **more},
+                env={**os.environ, "BALANCER_CONFIG": str(path), **options},
                 stderr=subprocess.DEVNULL,
             )
             first = process.pid
         for port in listen:
-            wait_up(port)
+            wait_until_up(port)
         return listen[0], first
 
 
-def wait_up(port: int) -> None:
-    """Until /up is answered 200, for 20 s at most."""
+def wait_until_up(port: int) -> None:
+    """Wait until the gateway at `port` answers /up with 200; raise SystemExit after 20 s."""
     end = time.monotonic() + 20
     while time.monotonic() < end:
         try:
@@ -411,11 +426,11 @@
         except OSError:
             pass
         time.sleep(0.05)
-    raise SystemExit("a gatekeeper did not come up")
+    raise SystemExit(f"gateway at {HOST}:{port} did not answer /up with 200 within 20 s")
 
 
 def measure(side: str, case: Case, tree: Path, seconds: float) -> dict[str, float]:
-    """One run of one side of one case."""
+    """Run a case once on one side (a gateway's checkout, `proxy`, `relay`, …); return its figures."""
     with Processes() as processes, tempfile.TemporaryDirectory() as folder:
         workers = ports(case.workers)
         processes.role(STUB_CORES, "stub", workers, [])
@@ -429,24 +444,26 @@
 
 
 def main() -> None:
-    """Print the table."""
-    flags = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    flags.add_argument("--seconds", type=float, default=2.0)
-    flags.add_argument("--runs", type=int, default=3)
-    flags.add_argument("--cases", nargs="*", default=[""], help="parts of names of cases")
-    flags.add_argument("--against", default="")
-    flags.add_argument("--budget", action="store_true", help="beside it the same with a budget on")
-    flags.add_argument("--role", default="", help=argparse.SUPPRESS)
-    given = flags.parse_args()
+    """Print a table row for each case and side."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seconds", type=float, default=2.0)
+    parser.add_argument("--runs", type=int, default=3)
+    parser.add_argument("--cases", nargs="*", default=[""], help="substrings of case names; default: all")
+    parser.add_argument("--against", default="")
+    parser.add_argument("--budget", action="store_true", help="measure the gateway also with a budget")
+    parser.add_argument("--role", default="", help=argparse.SUPPRESS)
+    arguments = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    if given.role:
+    if arguments.role:
         listen, targets = json.loads(sys.stdin.readline())
         makers: dict[str, Any] = {
-            "stub": Stub,
+            "stub": WorkerStub,
             "relay": lambda: Relay(targets),
             "proxy": lambda: Proxy(targets),
         }
-        uvloop.run(serve(makers[given.role], listen))
+        uvloop.run(serve(makers[arguments.role], listen))
         return
     pin(CLIENT_CORES)
     print(
@@ -454,17 +471,17 @@
         "|" + " --- |" * 9
     )
     for case in CASES:
-        if not any(part in case.name for part in given.cases):
+        if not any(part in case.name for part in arguments.cases):
             continue
-        sides = {"this": ROOT} | ({"against": Path(given.against)} if given.against else {})
-        if given.budget:
+        sides = {"this": ROOT} | ({"against": Path(arguments.against)} if arguments.against else {})
+        if arguments.budget:
             sides["budget"] = ROOT
         if case.name.startswith("plain c"):
             sides |= {"proxy": ROOT, "relay": ROOT, "worker alone": ROOT}
         rows: dict[str, list[dict[str, float]]] = {side: [] for side in sides}
-        for _ in range(given.runs):
+        for _ in range(arguments.runs):
             for side, tree in sides.items():
-                rows[side].append(measure(side, case, tree, given.seconds))
+                rows[side].append(measure(side, case, tree, arguments.seconds))
 
         def of(side: str, name: str, rows: Any = rows) -> float:
             return median(row[name] for row in rows[side])
--- a/benchmarks/many_firms.py
+++ b/benchmarks/many_firms.py
@@ -111,13 +111,13 @@
 
 def main() -> None:
     """Print the figures."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--firms", type=int, default=10_000)
-    flags.add_argument("--gateways", type=int, default=4)
-    flags.add_argument("--seconds", type=float, default=5.0)
-    given = flags.parse_args()
-    figures = play(given.firms, given.gateways, given.seconds, False)
-    figures["bytes"] = play(given.firms, given.gateways, given.seconds, True)["bytes"]
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--firms", type=int, default=10_000)
+    parser.add_argument("--gateways", type=int, default=4)
+    parser.add_argument("--seconds", type=float, default=5.0)
+    arguments = parser.parse_args()
+    figures = play(arguments.firms, arguments.gateways, arguments.seconds, False)
+    figures["bytes"] = play(arguments.firms, arguments.gateways, arguments.seconds, True)["bytes"]
     for name, value in figures.items():
         print(f"{name:32} {value:,.2f}")
 
--- a/benchmarks/module_cpu.py
+++ b/benchmarks/module_cpu.py
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 
 
-def play(given: argparse.Namespace) -> dict[str, float]:
+def play(arguments: argparse.Namespace) -> dict[str, float]:
     """One run in this process: CPU seconds inside `handle`, calls, and tries."""
     from benchmarks.gray.world import Failure, World
     from plumpick.policy.controller import Controller  # of the checkout that comes first on the path
@@ -39,7 +39,15 @@
             spent[0] += time.process_time() - began
             return actions
 
-    world = World(Timed, Failure(), given.load, given.gateways, given.servers, given.seed, given.gateways)
+    world = World(
+        Timed,
+        Failure(),
+        arguments.load,
+        arguments.gateways,
+        arguments.servers,
+        arguments.seed,
+        arguments.gateways,
+    )
     service = world.play()["service"]
     return {
         "s": spent[0],
@@ -64,26 +72,28 @@
 
 def main() -> None:
     """Print the figures."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--against", default="")
-    flags.add_argument("--runs", type=int, default=7)
-    flags.add_argument("--gateways", type=int, default=3)
-    flags.add_argument("--servers", type=int, default=9)
-    flags.add_argument("--load", type=float, default=0.6)
-    flags.add_argument("--seed", type=int, default=1)
-    flags.add_argument("--child", default="", help=argparse.SUPPRESS)
-    given = flags.parse_args()
-    if given.child:
-        sys.path.insert(0, given.child)
-        print(json.dumps(play(given)))
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--against", default="")
+    parser.add_argument("--runs", type=int, default=7)
+    parser.add_argument("--gateways", type=int, default=3)
+    parser.add_argument("--servers", type=int, default=9)
+    parser.add_argument("--load", type=float, default=0.6)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--child", default="", help=argparse.SUPPRESS)
+    arguments = parser.parse_args()
+    if arguments.child:
+        sys.path.insert(0, arguments.child)
+        print(json.dumps(play(arguments)))
         return
     words = [
         word
         for name in ("gateways", "servers", "load", "seed")
-        for word in (f"--{name}", str(getattr(given, name)))
+        for word in (f"--{name}", str(getattr(arguments, name)))
+    ]
+    sides = [str(ROOT)] + [arguments.against] * bool(arguments.against)
+    rows: list[list[dict[str, float]]] = [
+        [child(side, words) for side in sides] for _ in range(arguments.runs)
     ]
-    sides = [str(ROOT)] + [given.against] * bool(given.against)
-    rows: list[list[dict[str, float]]] = [[child(side, words) for side in sides] for _ in range(given.runs)]
     print("| module | us a try | us a call | calls a try | service |\n| --- | --- | --- | --- | --- |")
     for place, name in enumerate(["this", "against"][: len(sides)]):
         mine = [row[place] for row in rows]
@@ -92,7 +102,7 @@
             f"{median(one['s'] / one['calls'] for one in mine) * 1e6:.0f} | "
             f"{mine[0]['calls'] / mine[0]['tries']:.2f} | {mine[0]['service']:.3f} |"
         )
-    if given.against:
+    if arguments.against:
         ratios = sorted(row[0]["s"] / row[0]["tries"] / (row[1]["s"] / row[1]["tries"]) for row in rows)
         print(
             f"CPU a try, this / against, pair by pair: {ratios[0]:.3f} to {ratios[-1]:.3f}, "
--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -99,9 +99,9 @@
     """0: printed."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.ownership_size", description=__doc__)
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     rows = [play(gateways, number) for gateways in SIZES for number in DUTIES]
-    if given.json:
+    if arguments.json:
         print(json.dumps(rows))
         return 0
     for row in rows:
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -150,14 +150,14 @@
 
 def main() -> None:
     """Print the table."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--seeds", default="1-40")
-    flags.add_argument("--jobs", type=int, default=8)
-    flags.add_argument("--ways", nargs="*", default=list(WAYS), choices=list(WAYS))
-    given = flags.parse_args()
-    seeds = list(seeds_of(given.seeds))
-    with ProcessPoolExecutor(given.jobs) as pool:
-        results = list(pool.map(one, [(name, seed) for name in given.ways for seed in seeds]))
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seeds", default="1-40")
+    parser.add_argument("--jobs", type=int, default=8)
+    parser.add_argument("--ways", nargs="*", default=list(WAYS), choices=list(WAYS))
+    arguments = parser.parse_args()
+    seeds = list(seeds_of(arguments.seeds))
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        results = list(pool.map(one, [(name, seed) for name in arguments.ways for seed in seeds]))
     kinds = sorted(results[0][3])
     print(
         "| way | service | without failures | ratio | "
@@ -165,7 +165,7 @@
         + " |\n|"
         + " --- |" * (4 + len(kinds))
     )
-    for name in given.ways:
+    for name in arguments.ways:
         mine = [result for result in results if result[0] == name]
         cells = [
             f"{mean(beyond[kind] for *_, beyond in mine):.1f}, "
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -131,14 +131,14 @@
 
 def main() -> int:
     """Print the table; 1 where a bound or a rule was broken."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--seeds", default="1-200")
-    flags.add_argument("--jobs", type=int, default=8)
-    given = flags.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seeds", default="1-200")
+    parser.add_argument("--jobs", type=int, default=8)
+    arguments = parser.parse_args()
     worst: dict[tuple[str, str], tuple[float, float, float, int]] = {}
     over = count = 0
-    with ProcessPoolExecutor(given.jobs) as pool:
-        for seed, result, rows in pool.map(one, seeds_of(given.seeds)):
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        for seed, result, rows in pool.map(one, seeds_of(arguments.seeds)):
             count += 1
             if result.failed:
                 over += 1
--- a/benchmarks/rehearsal_scale.py
+++ b/benchmarks/rehearsal_scale.py
@@ -87,19 +87,19 @@
 
 def main() -> None:
     """Print the table."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--rates", type=float, nargs="*", default=[100, 250, 500, 750, 1000])
-    flags.add_argument("--gatekeepers", type=int, default=8)
-    flags.add_argument("--servers", type=int, default=60)
-    given = flags.parse_args()
-    print(f"{given.gatekeepers} gatekeepers, {given.servers} servers, {os.cpu_count()} cores\n")
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--rates", type=float, nargs="*", default=[100, 250, 500, 750, 1000])
+    parser.add_argument("--gatekeepers", type=int, default=8)
+    parser.add_argument("--servers", type=int, default=60)
+    arguments = parser.parse_args()
+    print(f"{arguments.gatekeepers} gatekeepers, {arguments.servers} servers, {os.cpu_count()} cores\n")
     print(
         "| asked, a second | first tries a second | lag p99, ms | lag most, ms | records a second | "
         "CPU s, kit and gatekeepers | served | rules | exit code |"
     )
     print("|" + " --- |" * 9)
-    for rate in given.rates:
-        print("| " + " | ".join(play(rate, given.gatekeepers, given.servers)) + " |", flush=True)
+    for rate in arguments.rates:
+        print("| " + " | ".join(play(rate, arguments.gatekeepers, arguments.servers)) + " |", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -89,25 +89,25 @@
     parser.add_argument("--seed", type=int, default=90417)
     parser.add_argument("--after", type=float, default=3.0, help="seconds that count as after (3)")
     parser.add_argument("--json", action="store_true")
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     text = SCENARIO.read_text(encoding="utf-8")
     with tempfile.TemporaryDirectory() as folder:
         calm = Path(folder, "calm.toml")
         calm.write_text(text[: text.index("[[events]]")], encoding="utf-8")
-        stood = play(SCENARIO, given.seed, Path(folder, "stood"))
+        stood = play(SCENARIO, arguments.seed, Path(folder, "stood"))
         spans = stops(stood)
         if not spans:
             print("nobody stood still in the records", file=sys.stderr)
             return 1
-        quiet = play(calm, given.seed, Path(folder, "calm"))
+        quiet = play(calm, arguments.seed, Path(folder, "calm"))
         # The same moments of the script: both count from the first request.
         first = min(one.t for one in stood if isinstance(one, Asked))
         shift = min(one.t for one in quiet if isinstance(one, Asked)) - first
-        here = rows(stood, spans, given.after * 1000)
+        here = rows(stood, spans, arguments.after * 1000)
         there = rows(
-            quiet, [(gate, begin + shift, end + shift) for gate, begin, end in spans], given.after * 1000
+            quiet, [(gate, begin + shift, end + shift) for gate, begin, end in spans], arguments.after * 1000
         )
-    if given.json:
+    if arguments.json:
         print(json.dumps({"stood": here, "calm": there}))
         return 0
     print(f"{len(spans)} stalls; each figure: with them, and at the same moments with none")
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -196,21 +196,21 @@
 
 def main() -> int:
     """Print the counts; 1 where a request was lost, turned back or run twice."""
-    flags = argparse.ArgumentParser(description=__doc__)
-    flags.add_argument("--times", type=int, default=50)
-    flags.add_argument("--clients", type=int, default=16)
-    flags.add_argument("--way", choices=("handover", "reuseport"), default="handover")
-    given = flags.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--times", type=int, default=50)
+    parser.add_argument("--clients", type=int, default=16)
+    parser.add_argument("--way", choices=("handover", "reuseport"), default="handover")
+    arguments = parser.parse_args()
 
     async def play_it(folder: Path) -> Play:
-        play = Play(folder, given.way == "handover")
-        await play.play(given.times, given.clients)
+        play = Play(folder, arguments.way == "handover")
+        await play.play(arguments.times, arguments.clients)
         return play
 
     with tempfile.TemporaryDirectory(prefix="plumpick-") as folder:
         play = asyncio.run(play_it(Path(folder)))
     print(
-        f"{given.way}, {given.times} upgrades, {given.clients} clients: "
+        f"{arguments.way}, {arguments.times} upgrades, {arguments.clients} clients: "
         + ", ".join(f"{name} {count}" for name, count in play.counts.items())
     )
     return int(any(play.counts[name] for name in ("lost", "turned back", "ran twice")))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -10,7 +10,7 @@
 @pytest.mark.parametrize("gateways, workers", [(3, 10), (20, 30), (60, 60)])
 def test_load_of_a_cold_worker_over_all_gateways_stays_within_the_limit(gateways, workers):
     tier = Tier(gateways, workers, 1, 0.6, 0.7)
-    assert tier.play() <= 1.0 and tier.looked > 100
+    assert tier.play() <= 1.0 and tier.checked_attempts > 100
 
 
 def test_check_detects_gateways_that_limit_only_their_own_part(monkeypatch):
