--- a/benchmarks/budgets/trial.py
+++ b/benchmarks/budgets/trial.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from benchmarks.budgets.plants import CASE_OF
-from benchmarks.trials import to_the_end
+from benchmarks.trials import run_trial
 from plumpick.policy.budgets import codec
 from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.scheduled_tasks import slot_of
@@ -461,5 +461,5 @@
 
 def run(arguments: tuple[Any, ...]) -> Outcome:
     """The same in a process of its own."""
-    outcome: Outcome = to_the_end(play, arguments)
+    outcome: Outcome = run_trial(play, arguments)
     return outcome
--- a/benchmarks/configuration/trial.py
+++ b/benchmarks/configuration/trial.py
@@ -21,7 +21,7 @@
 from benchmarks.configuration.plants import CASE_OF
 from benchmarks.configuration.relay import Relay, Weather
 from benchmarks.configuration.witness import mark_of
-from benchmarks.trials import to_the_end
+from benchmarks.trials import run_trial
 from plumpick.gateway.config import parse_config
 from plumpick.gateway.dynamic_config.client import config_with
 from plumpick.policy.dynamic_config.delta import settings_digest
@@ -542,5 +542,5 @@
 
 def run(arguments: tuple[Any, ...]) -> Outcome:
     """The same in a process of its own."""
-    outcome: Outcome = to_the_end(play, arguments)
+    outcome: Outcome = run_trial(play, arguments)
     return outcome
--- a/benchmarks/ownership/trial.py
+++ b/benchmarks/ownership/trial.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from benchmarks.ownership.plants import CASE_OF
-from benchmarks.trials import to_the_end
+from benchmarks.trials import run_trial
 from plumpick.policy.leases.codec import MessageKind, decode
 from plumpick.policy.scheduled_tasks import slot_of
 from plumpick.rehearsal.receiver import machine_ms
@@ -337,5 +337,5 @@
 
 def run(arguments: tuple[Any, ...]) -> Outcome:
     """The same in a process of its own."""
-    outcome: Outcome = to_the_end(play, arguments)
+    outcome: Outcome = run_trial(play, arguments)
     return outcome
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -1,4 +1,4 @@
-"""What trials by real processes have in common: their arguments, playing them side by side, and quantiles."""
+"""Shared parts of the trials with real processes: arguments, parallel execution and quantiles."""
 
 from __future__ import annotations
 
@@ -15,52 +15,62 @@
 
 
 def parser(name: str, text: str | None, plants: Iterable[str]) -> argparse.ArgumentParser:
-    """The arguments that all have."""
+    """Return a parser with the arguments that all trials have; `plants` are the names of injectable bugs."""
     flags = argparse.ArgumentParser(prog=f"python -m {name}", description=text)
     flags.add_argument("--trials", type=int, default=20)
-    flags.add_argument("--seed", type=int, default=1, help="of the first; the next have the next")
-    flags.add_argument("--gatekeepers", type=int, default=0, help="3, 5 or 7 in turn, if not named")
-    flags.add_argument("--jobs", type=int, default=4, help="trials at a time")
-    flags.add_argument("--cases", type=int, default=3, help="hard cases in a trial; 0: all")
-    flags.add_argument("--only", nargs="*", help="these cases")
-    flags.add_argument("--plant", choices=sorted(plants), help="with this bug")
-    flags.add_argument("--plants", action="store_true", help="list the bugs")
+    flags.add_argument(
+        "--seed", type=int, default=1, help="seed of the first trial; each further trial adds 1"
+    )
+    flags.add_argument("--gatekeepers", type=int, default=0, help="default: 3, 5 and 7 by turns")
+    flags.add_argument("--jobs", type=int, default=4, help="number of parallel trials")
+    flags.add_argument("--cases", type=int, default=3, help="number of fault cases in a trial; 0: all")
+    flags.add_argument("--only", nargs="*", help="play only these cases")
+    flags.add_argument("--plant", choices=sorted(plants), help="inject this bug")
+    flags.add_argument("--plants", action="store_true", help="list the injectable bugs")
     flags.add_argument("--json", action="store_true")
     return flags
 
 
-def outcomes(given: argparse.Namespace, run: Callable[[tuple[Any, ...]], Any], *more: Any) -> Iterator[Any]:
-    """What came of each, in the order of their seeds; `more` stands between the size and the cases."""
+def outcomes(
+    given: argparse.Namespace, run: Callable[[tuple[Any, ...]], Any], *extra_arguments: Any
+) -> Iterator[Any]:
+    """Run the trials in parallel; yield their results in the order of the seeds.
+
+    `run` gets one tuple: seed, number of gateways, `extra_arguments`, number of cases, names of cases.
+    """
     with ProcessPoolExecutor(given.jobs) as pool:
         yield from pool.map(
             run,
             [
                 (
-                    given.seed + place,
-                    given.gatekeepers or SIZES[place % len(SIZES)],
-                    *more,
+                    given.seed + index,
+                    given.gatekeepers or SIZES[index % len(SIZES)],
+                    *extra_arguments,
                     given.cases,
                     given.only,
                 )
-                for place in range(given.trials)
+                for index in range(given.trials)
             ],
         )
 
 
-def to_the_end(play: Callable[..., Coroutine[Any, Any, Any]], arguments: tuple[Any, ...]) -> Any:
-    """A trial in a process of its own. A port that another trial took while a gatekeeper was down says
-    nothing of the program: the trial is played again, and that is told."""
+def run_trial(play: Callable[..., Coroutine[Any, Any, Any]], arguments: tuple[Any, ...]) -> Any:
+    """Run the coroutine function `play` with `arguments` and return its result.
+
+    While a gateway is down, a parallel trial may take its port, which is not a fault of the program. A trial
+    that fails so is repeated up to twice, with a message on stderr. Other start failures raise StartFailed.
+    """
     for _ in range(2):
         try:
             return asyncio.run(play(*arguments))
         except StartFailed as problem:
             if "ddress already in use" not in str(problem):
                 raise
-            print(f"seed {arguments[0]}: played again, a port was taken", file=sys.stderr)
+            print(f"trial with seed {arguments[0]} is repeated: port already in use", file=sys.stderr)
     return asyncio.run(play(*arguments))
 
 
-def quantile(values: list[float], share: float) -> float:
-    """The value that this share does not pass."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the quantile of `values` at `fraction` (0 to 1); NaN if there are no values."""
     rows = sorted(values)
-    return rows[min(len(rows) - 1, int(share * len(rows)))] if rows else float("nan")
+    return rows[min(len(rows) - 1, int(fraction * len(rows)))] if rows else float("nan")
