--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -6,7 +6,8 @@
 and send requests without a pause. With `--way handover` the new process is the hot-restart successor of the
 old one. With `--way reuseport` each process has its own TMPDIR and therefore finds no predecessor; both
 listen at the same address until the old one exits. Lost: a connection closed before the complete response
-to a request that had been written. Turned back: a connection refused or reset before a request was written."""
+to a request that had been written. Turned back: a connection refused or reset before a request was written.
+"""
 
 from __future__ import annotations
 
