--- a/benchmarks/gray/__init__.py
+++ b/benchmarks/gray/__init__.py
@@ -1,2 +1,3 @@
-"""A study rig for gray failures: rules that decide, against modelled servers, in modelled time, from a
-seed."""
+"""Simulates gray failures: compares the policy with other load balancing rules on simulated workers.
+
+A run takes place in simulated time and is determined by its seed."""
--- a/benchmarks/gray/world.py
+++ b/benchmarks/gray/world.py
@@ -1,7 +1,7 @@
-"""The world of the study rig: servers with a failure, gateways that decide, clients that wait. No sockets.
+"""The simulated world of the gray failure runs: workers ("servers") with a failure, gateways and clients.
 
-Time is modelled, in ms; all chance comes from one seed, so that rules beside one another meet the same
-arrivals.
+There are no sockets; time is simulated, in ms. All random draws come from one seed, so that the compared
+rules get the same requests.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 from plumpick.policy.settings import DeduplicationScope, Idempotency, Plan, RequestClass, Settings
 
 TICK_MS = 4.0
-HALLS = ("hall-a", "hall-b", "hall-c")
+ZONES = ("hall-a", "hall-b", "hall-c")
 WORK_MS = {"seat-check": 88.0, "seat-checkout": 225.0, "hours-debit": 225.0}
 SHARES = {"seat-check": 0.35, "seat-checkout": 0.34, "hours-debit": 0.31}
 CLASSES = (
@@ -61,29 +61,30 @@
 
 
 class Rule(Protocol):
-    """What decides at one gateway: the decision module, or one of the rules beside it."""
+    """The interface of what decides for one gateway: the policy controller or a rule compared with it."""
 
     def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take in what happened and return what to do."""
+        """Process events at simulated time `now_ms`; return the actions to be executed."""
 
 
 @dataclass(frozen=True)
 class Failure:
-    """What goes wrong, between `FROM_MS` and `UNTIL_MS`: its kind, its share and where it is."""
+    """An injected failure, active from FROM_MS to UNTIL_MS: its kind, its location and its share."""
 
-    kind: str = "none"  # swallow, half-speed, freeze, late, unread, fast-error, liar (a gateway whose words
-    # on a hall's servers are wrong), release (a share of the servers, one by one, drains and comes back cold)
-    where: str = "everywhere"  # or server, hall, class
-    share: float = 1.0
+    # Kind of the failure: swallow, half-speed, freeze, late, unread, fast-error; liar: gateway 0 sends false
+    # outlier reports on the workers of a zone; release: a share of the workers restarts one after another.
+    kind: str = "none"
+    where: str = "everywhere"  # Location of the failure: everywhere, server, hall (a zone) or class
+    share: float = 1.0  # Probability that an attempt is swallowed; ratio of workers that a release restarts
 
-    def hits(self, server: int, hall: str, name: str) -> bool:
-        """Whether an attempt of that class at that server is where it is."""
+    def affects(self, server: int, zone: str, name: str) -> bool:
+        """Return whether the failure affects attempts of class `name` on worker `server` in `zone`."""
         if self.kind in ("liar", "release"):
             return False
         return {
             "everywhere": True,
             "server": server == 0,
-            "hall": hall == HALLS[0],
+            "hall": zone == ZONES[0],
             "class": name == "hours-debit",
         }[self.where]
 
@@ -93,33 +94,36 @@
 
 
 FROM_MS, UNTIL_MS, END_MS, DRAIN_MS = 4000.0, 14_000.0, 18_000.0, 8000.0
-DRAIN_LOOK_MS = 100.0  # how often a server that drains is looked at; and one that gets warmer
+DRAIN_CHECK_MS = 100.0  # Interval of checks of a draining worker, and of updates of one in slow start
 
 
-def lie(codec: PeerMessageCodec, data: bytes) -> bytes:
-    """A message with wrong words: a whole hall's servers fail, and there is room without end."""
-    news = codec.decode(data)
-    assert news is not None
-    words = [
-        outlier_report(f"s{number}", 0, math.inf) for number in range(0, 3 * MAX_OUTLIER_REPORTS, len(HALLS))
+def falsify_message(codec: PeerMessageCodec, data: bytes) -> bytes:
+    """Return the encoded peer message `data` with false content.
+
+    It reports all workers of a zone as outliers and a very high capacity.
+    """
+    message = codec.decode(data)
+    assert message is not None
+    reports = [
+        outlier_report(f"s{number}", 0, math.inf) for number in range(0, 3 * MAX_OUTLIER_REPORTS, len(ZONES))
     ]
-    return codec.encode(news.incarnation, 1000.0, list(news.quota_messages), words)
+    return codec.encode(message.incarnation, 1000.0, list(message.quota_messages), reports)
 
 
 class Clock:
-    """The queue of what is to come."""
+    """The simulated time in ms and the queue of scheduled calls."""
 
     def __init__(self) -> None:
         self.now, self._queue, self._serial = 0.0, [], itertools.count()
 
-    def at(self, t: float, call: Callable[..., Any], *arguments: Any) -> list[Any]:
-        """Call then; the answer can be cleared to call it off."""
+    def schedule(self, t: float, call: Callable[..., Any], *arguments: Any) -> list[Any]:
+        """Schedule a call at time `t` in ms; clearing the returned list cancels it."""
         entry = [call, arguments]
         heapq.heappush(self._queue, (max(t, self.now), next(self._serial), entry))
         return entry
 
     def run(self, until: float) -> None:
-        """Play until that time."""
+        """Run the scheduled calls up to and including time `until` in ms."""
         queue = self._queue
         while queue and queue[0][0] <= until:
             self.now, _, entry = heapq.heappop(queue)
@@ -131,7 +135,7 @@
 
 @dataclass
 class Job:
-    """An attempt at a server."""
+    """An attempt of a gateway on a worker."""
 
     gateway: Gateway
     request: int
@@ -144,16 +148,16 @@
 
 
 class Machine:
-    """One server: two cores shared out evenly, slots, a queue, a load report."""
+    """A worker: two cores shared equally by the running attempts, a queue and a load report."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.name = world, number, f"s{number}"
-        self.hall = HALLS[number % len(HALLS)]
+        self.zone = ZONES[number % len(ZONES)]
         self.rng = random.Random(f"{world.seed}/{number}")
         self.speed = self.rng.uniform(0.9, 1.1)
         self.busy: list[tuple[float, int, Job]] = []
         self.queue: list[Job] = []
-        self.attained, self.at, self.rate, self.use = 0.0, 0.0, 0.0, 0.0
+        self.attained, self.advanced_ms, self.rate, self.use = 0.0, 0.0, 0.0, 0.0
         self.timer: list[Any] = []
         self.serial = itertools.count()
         self.done_work = self.waited = 0.0
@@ -161,36 +165,36 @@
         self.service = 150.0
         self.state, self.started_ms = EndpointState.READY, 0.0
 
-    def warmth(self) -> float:
-        """The part of its speed that it has by now."""
+    def capacity_ratio(self) -> float:
+        """Return the worker's current capacity as a ratio of its full capacity, below 1 in slow start."""
         if not self.started_ms:
             return 1.0
         return min(1.0, COLD_FROM + (1 - COLD_FROM) * (self.world.clock.now - self.started_ms) / WARM_UP_MS)
 
     def drain(self, then: Callable[[], None]) -> None:
-        """Leave service, finish what is here, and come back as a new process, cold."""
+        """Drain the worker and restart it into slow start when it is idle; then call `then`."""
         self.state = EndpointState.DRAINING
-        self.world.tell_fleet()
-        self.world.clock.at(self.world.clock.now + DRAIN_LOOK_MS, self.drained, then)
+        self.world.notify_gateways()
+        self.world.clock.schedule(self.world.clock.now + DRAIN_CHECK_MS, self.check_drained, then)
 
-    def drained(self, then: Callable[[], None]) -> None:
+    def check_drained(self, then: Callable[[], None]) -> None:
         if self.busy or self.queue:
-            self.world.clock.at(self.world.clock.now + DRAIN_LOOK_MS, self.drained, then)
+            self.world.clock.schedule(self.world.clock.now + DRAIN_CHECK_MS, self.check_drained, then)
             return
         self.state, self.started_ms = EndpointState.READY, self.world.clock.now
-        self.world.tell_fleet()
+        self.world.notify_gateways()
         then()
 
-    def failing(self, name: str) -> str:
-        """The failure that an attempt of that class meets now, or nothing."""
+    def active_failure(self, name: str) -> str:
+        """Return the kind of failure that currently affects attempts of class `name` here; "" for none."""
         failure, now = self.world.failure, self.world.clock.now
-        if FROM_MS <= now < UNTIL_MS and failure.hits(self.number, self.hall, name):
+        if FROM_MS <= now < UNTIL_MS and failure.affects(self.number, self.zone, name):
             return failure.kind
         return ""
 
-    def take(self, job: Job) -> None:
-        """An attempt has come."""
-        kind = self.failing(job.name)
+    def receive(self, job: Job) -> None:
+        """Receive an attempt: run it, queue it or reject it, as far as the active failure permits."""
+        kind = self.active_failure(job.name)
         if kind == "unread" or kind == "swallow" and self.rng.random() < self.world.failure.share:
             return
         if kind == "fast-error":
@@ -210,15 +214,15 @@
         heapq.heappush(self.busy, (job.end, next(self.serial), job))
 
     def advance(self) -> None:
-        """Account for the time gone by."""
-        gone = self.world.clock.now - self.at
-        if gone <= 0:
+        """Update work done, queueing time and utilisation for the time since the last update."""
+        elapsed_ms = self.world.clock.now - self.advanced_ms
+        if elapsed_ms <= 0:
             return
-        self.attained += gone * self.rate
-        self.done_work += gone * self.rate * len(self.busy)
-        self.waited += gone * len(self.queue)
-        self.use += (min(1.0, len(self.busy) / CORES) - self.use) * min(1.0, gone / 400)
-        self.at = self.world.clock.now
+        self.attained += elapsed_ms * self.rate
+        self.done_work += elapsed_ms * self.rate * len(self.busy)
+        self.waited += elapsed_ms * len(self.queue)
+        self.use += (min(1.0, len(self.busy) / CORES) - self.use) * min(1.0, elapsed_ms / 400)
+        self.advanced_ms = self.world.clock.now
 
     def set_rate(self) -> None:
         self.timer.clear()
@@ -226,34 +230,34 @@
             self.rate = 0.0
             return
         now = self.world.clock.now
-        self.rate = min(1.0, CORES / len(self.busy)) * self.warmth()
+        self.rate = min(1.0, CORES / len(self.busy)) * self.capacity_ratio()
         wait = float("inf")
-        kind = self.failing("hours-debit" if self.world.failure.where == "class" else "seat-check")
+        kind = self.active_failure("hours-debit" if self.world.failure.where == "class" else "seat-check")
         if kind == "half-speed":
             self.rate *= 0.5
         elif kind == "freeze":
-            place = (now - FROM_MS) % 5000
-            if place < 1000:
-                self.rate, wait = 0.0, 1000 - place
+            phase_ms = (now - FROM_MS) % 5000
+            if phase_ms < 1000:
+                self.rate, wait = 0.0, 1000 - phase_ms
             else:
-                wait = 5000 - place
+                wait = 5000 - phase_ms
         if now < FROM_MS:
             wait = min(wait, FROM_MS - now)
         elif now < UNTIL_MS:
             wait = min(wait, UNTIL_MS - now)
         if self.started_ms:
-            wait = min(wait, DRAIN_LOOK_MS)  # it gets faster meanwhile
+            wait = min(wait, DRAIN_CHECK_MS)  # Its capacity grows during slow start
         if self.rate:
             wait = min(wait, max(0.0, self.busy[0][0] - self.attained) / self.rate)
-        self.timer = self.world.clock.at(now + wait + 0.05, self.step)
+        self.timer = self.world.clock.schedule(now + wait + 0.05, self.complete_jobs)
 
-    def step(self) -> None:
+    def complete_jobs(self) -> None:
         self.advance()
         while self.busy and self.busy[0][0] <= self.attained + 1e-6:
             job = heapq.heappop(self.busy)[2]
-            took = self.world.clock.now - job.sent
-            self.service += (took - self.service) * 0.1
-            late = 3000.0 if self.failing(job.name) == "late" else 0.0
+            latency_ms = self.world.clock.now - job.sent
+            self.service += (latency_ms - self.service) * 0.1
+            late = 3000.0 if self.active_failure(job.name) == "late" else 0.0
             self.answer(job, AttemptResult.OK, late)
             if self.queue:
                 self.begin(self.queue.pop(0))
@@ -263,59 +267,59 @@
         now = self.world.clock.now
         if now >= self.report_t:
             self.report, self.report_t = (self.use, self.service), now + REPORT_MS
-        way = self.rng.uniform(0.4, 3.0)
-        self.world.clock.at(now + after + way, job.gateway.ended, job, result, self.report)
+        network_ms = self.rng.uniform(0.4, 3.0)
+        self.world.clock.schedule(now + after + network_ms, job.gateway.on_response, job, result, self.report)
 
     def cancelled(self, job: Job) -> None:
-        """Its connection has ended: what waits is dropped, what runs goes on."""
+        """Remove a cancelled attempt from the queue; one that is running continues."""
         if job in self.queue:
             self.queue.remove(job)
 
 
 @dataclass
-class Try:
-    """A client's request."""
-
-    name: str
-    came: float
-    wait: float
-    answered: float = -1.0
-    result: str = ""
+class ClientRequest:
+    """A client's request and its result."""
+
+    name: str  # Name of the request class
+    arrived_ms: float
+    wait: float  # Time in ms after which the client disconnects
+    answered: float = -1.0  # Time of the result in ms; -1 while there is none
+    result: str = ""  # served, refused, failed or lost; "" while there is none
     attempts: dict[int, Job] = field(default_factory=dict)
-    sent: int = 0
-    idle: bool = False  # refused while the servers had room
+    sent: int = 0  # Number of attempts
+    wrongly_rejected: bool = False  # Whether it was rejected while the workers had free capacity
 
 
 class Gateway:
-    """One gateway: the rule that decides, and its way to servers, clients and peers."""
+    """A gateway: passes events to its rule and executes the rule's actions on workers, clients and peers."""
 
     def __init__(self, world: World, number: int, rule: Rule) -> None:
         self.world, self.number, self.rule = world, number, rule
         self.events: list[Event] = []
-        self.tries: dict[int, Try] = {}
-        self.turning = False
+        self.requests: dict[int, ClientRequest] = {}
+        self.is_tick_scheduled = False
 
-    def notice(self, event: Event) -> None:
-        """Keep an event for the next tick."""
+    def add_event(self, event: Event) -> None:
+        """Queue an event for the rule's next tick."""
         self.events.append(event)
-        if not self.turning:
-            self.turning = True
+        if not self.is_tick_scheduled:
+            self.is_tick_scheduled = True
             now = self.world.clock.now
-            self.world.clock.at((now // TICK_MS + 1) * TICK_MS, self.turn)
+            self.world.clock.schedule((now // TICK_MS + 1) * TICK_MS, self.handle_events)
 
-    def turn(self) -> None:
-        self.turning = False
+    def handle_events(self) -> None:
+        self.is_tick_scheduled = False
         events, self.events = self.events, []
         for action in self.rule.handle(self.world.clock.now, events):
-            self.carry(action)
+            self.execute(action)
 
-    def carry(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         world, clock = self.world, self.world.clock
         match action:
             case StartAttempt():
-                one = self.tries.get(action.id)
+                one = self.requests.get(action.id)
                 if one is None or one.result:
-                    self.notice(
+                    self.add_event(
                         AttemptCompleted(action.id, 0, action.endpoint, 0.0, AttemptResult.NOT_STARTED, True)
                     )
                     return
@@ -323,61 +327,61 @@
                 job = Job(self, action.id, one.sent, world.work_of(action.id, one.name), one.name, clock.now)
                 one.attempts[one.sent] = job
                 one.sent += 1
-                world.firsts += one.sent == 1
-                world.further += one.sent > 1
-                world.check(one, machine)
-                clock.at(clock.now + 1.0, machine.take, job)
-                clock.at(clock.now + action.timeout_ms, self.timed_out, job)
+                world.first_attempts += one.sent == 1
+                world.further_attempts += one.sent > 1
+                world.count_unsafe_overlap(one, machine)
+                clock.schedule(clock.now + 1.0, machine.receive, job)
+                clock.schedule(clock.now + action.timeout_ms, self.on_timeout, job)
             case RejectRequest() | FailRequest():
-                self.final(action.id, "refused" if isinstance(action, RejectRequest) else "failed")
+                self.finish_request(action.id, "refused" if isinstance(action, RejectRequest) else "failed")
             case CancelAttempt():
-                one = self.tries.get(action.id)
+                one = self.requests.get(action.id)
                 job = one.attempts.get(action.attempt) if one is not None else None
                 if job is not None:
-                    self.drop(job, AttemptResult.CANCELLED)
+                    self.abort_attempt(job, AttemptResult.CANCELLED)
             case SetTimer():
-                clock.at(clock.now + action.delay_ms, self.notice, TimerFired(action.name))
+                clock.schedule(clock.now + action.delay_ms, self.add_event, TimerFired(action.name))
             case SendPeerMessage() if world.rng.random() > 0.03:
-                if self.number == 0 and world.lies():
-                    action = SendPeerMessage(action.receiver, lie(world.codec, action.data))
+                if self.number == 0 and world.is_falsifying():
+                    action = SendPeerMessage(action.receiver, falsify_message(world.codec, action.data))
                 for other in world.gateways:
                     if other is not self and action.receiver in (other.number, -1):
-                        clock.at(
+                        clock.schedule(
                             clock.now + world.rng.uniform(1.6, 39),
-                            other.notice,
+                            other.add_event,
                             PeerMessageReceived(self.number, action.data),
                         )
 
-    def final(self, number: int, result: str) -> None:
-        one = self.tries.get(number)
+    def finish_request(self, number: int, result: str) -> None:
+        one = self.requests.get(number)
         if one is not None and not one.result:
             one.result, one.answered = result, self.world.clock.now
-            one.idle = result == "refused" and self.world.has_room()
+            one.wrongly_rejected = result == "refused" and self.world.has_room()
 
-    def drop(self, job: Job, result: AttemptResult) -> None:
+    def abort_attempt(self, job: Job, result: AttemptResult) -> None:
         if job.open:
             job.open = False
-            one = self.tries[job.request]
+            one = self.requests[job.request]
             for machine in self.world.machines:
                 machine.cancelled(job)
-            self.notice(
+            self.add_event(
                 AttemptCompleted(
                     job.request, job.number, "", self.world.clock.now - job.sent, result, bool(one.result)
                 )
             )
 
-    def timed_out(self, job: Job) -> None:
-        self.drop(job, AttemptResult.TIMEOUT)
+    def on_timeout(self, job: Job) -> None:
+        self.abort_attempt(job, AttemptResult.TIMEOUT)
 
-    def ended(self, job: Job, result: AttemptResult, report: tuple[float, float]) -> None:
-        """An answer has come."""
+    def on_response(self, job: Job, result: AttemptResult, report: tuple[float, float]) -> None:
+        """Process the response to an attempt, unless the attempt has been aborted."""
         if not job.open:
             return
         job.open = False
-        one = self.tries[job.request]
+        one = self.requests[job.request]
         if result is AttemptResult.OK:
-            self.final(job.request, "served")
-        self.notice(
+            self.finish_request(job.request, "served")
+        self.add_event(
             AttemptCompleted(
                 job.request,
                 job.number,
@@ -389,28 +393,28 @@
             )
         )
 
-    def came(self, number: int, one: Try) -> None:
-        self.tries[number] = one
+    def on_arrival(self, number: int, one: ClientRequest) -> None:
+        self.requests[number] = one
         now = self.world.clock.now
         spread, count = self.world.spread, len(self.world.gateways)
         first = (self.number - number % spread) % count
-        self.notice(
+        self.add_event(
             RequestReceived(number, f"c{number}", one.name, "plan", now + one.wait - 20, 1.0, first, spread)
         )
-        self.world.clock.at(now + one.wait, self.gone, number, one)
+        self.world.clock.schedule(now + one.wait, self.on_client_timeout, number, one)
 
-    def gone(self, number: int, one: Try) -> None:
+    def on_client_timeout(self, number: int, one: ClientRequest) -> None:
         if not one.result:
             one.result, one.answered = "lost", self.world.clock.now
-            self.notice(ClientDisconnected(number))
+            self.add_event(ClientDisconnected(number))
 
 
 class World:
-    """A run: so many gateways with a rule each, so many servers, a load and a failure."""
+    """A run: gateways with a rule each, workers, clients with a given load, and a failure."""
 
     def __init__(
         self,
-        make: Callable[[Settings, int], Rule],
+        create_rule: Callable[[Settings, int], Rule],
         failure: Failure,
         load: float,
         gateways: int,
@@ -418,11 +422,11 @@
         seed: int,
         spread: int = 1,
     ) -> None:
-        """`spread`: so many gateways keep a customer's quota together; above 1 they have to talk."""
+        """`spread` is the number of gateways that share a customer's quota; above 1, they send messages."""
         self.failure, self.seed, self.clock, self.spread = failure, seed, Clock(), spread
         self.rng = random.Random(f"{seed}/world")
         self.machines = [Machine(self, number) for number in range(servers)]
-        self.firsts = self.further = self.broken = 0
+        self.first_attempts = self.further_attempts = self.broken = 0
         self._work: dict[int, float] = {}
         plans = (Plan("plan", 1e6, 1e6),)
         self.gateways = []
@@ -430,7 +434,7 @@
             settings = Settings(
                 gateway_count=gateways,
                 gateway_number=number,
-                zone=HALLS[number % 3],
+                zone=ZONES[number % 3],
                 classes=CLASSES,
                 plans=plans,
                 slow_start_ms=WARM_UP_MS,
@@ -447,54 +451,56 @@
                 load_report_fields=("util", "latency_ms"),
             )
             self.codec = PeerMessageCodec(settings)
-            self.gateways.append(Gateway(self, number, make(settings, seed * 1000 + number)))
+            self.gateways.append(Gateway(self, number, create_rule(settings, seed * 1000 + number)))
         capacity = sum(machine.speed for machine in self.machines) * CORES
         mean = sum(SHARES[name] * WORK_MS[name] for name in SHARES)
-        self.rate = load * capacity / mean  # requests a ms
+        self.rate = load * capacity / mean  # Requests per ms
 
     def work_of(self, number: int, name: str) -> float:
-        """A request is the same work wherever it runs."""
+        """Return the work of a request in ms of a core; it is the same for each of its attempts."""
         if number not in self._work:
             draw = random.Random(f"{self.seed}/{number}").expovariate(1.0)
             self._work[number] = min(6.0, draw) * WORK_MS[name]
         return self._work[number]
 
-    def lies(self) -> bool:
-        """Whether the first gateway tells what is not so."""
+    def is_falsifying(self) -> bool:
+        """Return whether gateway 0 currently sends false messages to its peers."""
         return self.failure.kind == "liar" and FROM_MS <= self.clock.now < UNTIL_MS
 
     def has_room(self) -> bool:
-        """Whether the servers could have done more: under nine tenths of their cores are busy on average."""
+        """Return whether the workers have free capacity: less than nine tenths of all cores are busy."""
         busy = sum(min(CORES, len(machine.busy)) for machine in self.machines)
         return busy < 0.9 * CORES * len(self.machines)
 
-    def check(self, one: Try, machine: Machine) -> None:
-        """The second rule, as far as the rig can see it: an unsafe request goes out once while it may run."""
+    def count_unsafe_overlap(self, one: ClientRequest, machine: Machine) -> None:
+        """Count a violation if a non-idempotent request is retried while an earlier attempt may still run."""
         if one.name == "hours-debit" and any(job.open for job in list(one.attempts.values())[:-1]):
             self.broken += 1
 
-    def tell_fleet(self) -> None:
-        """Discovery tells every gateway the servers as they are."""
+    def notify_gateways(self) -> None:
+        """Send every gateway an endpoint update with the current state of all workers."""
         servers = tuple(
             Endpoint(
-                machine.name, machine.hall, machine.number // 3, machine.state, started_ms=machine.started_ms
+                machine.name, machine.zone, machine.number // 3, machine.state, started_ms=machine.started_ms
             )
             for machine in self.machines
         )
         for gateway in self.gateways:
-            gateway.notice(EndpointsUpdated(servers))
+            gateway.add_event(EndpointsUpdated(servers))
 
     def release(self) -> None:
-        """The next server of the release, if any is left."""
+        """Drain and restart the next worker of the release, if any is left and the failure is active."""
         if self.to_release and self.clock.now < UNTIL_MS:
             self.to_release.pop(0).drain(self.release)
 
     def play(self) -> dict[str, float]:
-        """Play it; service, wrong refusals, waiting at servers, further attempts."""
-        self.tell_fleet()
-        going = round(self.failure.share * len(self.machines)) if self.failure.kind == "release" else 0
-        self.to_release = self.machines[:going]
-        self.clock.at(FROM_MS, self.release)
+        """Play the run; return service, wrong rejections, queue length, further attempts and violations."""
+        self.notify_gateways()
+        release_count = (
+            round(self.failure.share * len(self.machines)) if self.failure.kind == "release" else 0
+        )
+        self.to_release = self.machines[:release_count]
+        self.clock.schedule(FROM_MS, self.release)
         names, weights = list(SHARES), list(SHARES.values())
         t, number, arrivals = 0.0, 0, random.Random(f"{self.seed}/arrivals")
         while True:
@@ -504,22 +510,24 @@
             number += 1
             name = arrivals.choices(names, weights)[0]
             deadline = next(kind.deadline_ms for kind in CLASSES if kind.name == name)
-            one = Try(name, t, deadline * arrivals.uniform(0.5, 1.0))
-            self.clock.at(t, arrivals.choice(self.gateways).came, number, one)
+            one = ClientRequest(name, t, deadline * arrivals.uniform(0.5, 1.0))
+            self.clock.schedule(t, arrivals.choice(self.gateways).on_arrival, number, one)
         self.clock.run(END_MS + DRAIN_MS)
-        tries = [one for gateway in self.gateways for one in gateway.tries.values() if one.came > 1000]
-        worth = {kind.name: kind.priority_weight for kind in CLASSES}
+        requests = [
+            one for gateway in self.gateways for one in gateway.requests.values() if one.arrived_ms > 1000
+        ]
+        weights_by_class = {kind.name: kind.priority_weight for kind in CLASSES}
         aims = {kind.name: kind.latency_objective_ms for kind in CLASSES}
-        offered = sum(worth[one.name] for one in tries)
+        offered = sum(weights_by_class[one.name] for one in requests)
         good = sum(
-            worth[one.name]
-            for one in tries
-            if one.result == "served" and one.answered - one.came <= aims[one.name]
+            weights_by_class[one.name]
+            for one in requests
+            if one.result == "served" and one.answered - one.arrived_ms <= aims[one.name]
         )
         return {
             "service": good / offered,
-            "wrong": sum(one.idle for one in tries) / len(tries),
+            "wrong": sum(one.wrongly_rejected for one in requests) / len(requests),
             "waiting": sum(machine.waited for machine in self.machines) / END_MS / len(self.machines),
-            "further": self.further / max(1, self.firsts),
+            "further": self.further_attempts / max(1, self.first_attempts),
             "broken": float(self.broken),
         }
--- a/benchmarks/module_cpu.py
+++ b/benchmarks/module_cpu.py
@@ -54,7 +54,7 @@
         "s": cpu_s[0],
         "calls": call_count[0],
         "service": service,
-        "tries": sum(len(gateway.tries) for gateway in world.gateways),
+        "tries": sum(len(gateway.requests) for gateway in world.gateways),
     }
 
 
