--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -32,7 +32,7 @@
 
 def _taken_over(base: Settings, other: Settings, stores: int = STORES) -> float:
     """ms of a turn in which one of them takes the other's place, to and fro; each read anew."""
-    control, now = reconfigure.filled(len(base.classes), max(ACCOUNTS, stores), WORKERS, stores)
+    control, now = reconfigure.filled_controller(len(base.classes), max(ACCOUNTS, stores), WORKERS, stores)
     times = []
     for number in range(REPEATS):
         wanted = base if number % 2 else other
