--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""What each part of plumpick costs by its size: the measured slopes behind docs/CAPACITY.md."""
+"""Measures the cost of each part of plumpick as a function of size: the slopes behind docs/CAPACITY.md."""
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m benchmarks.slopes`: measures what each part of plumpick costs by its size, at four sizes or
-more, and writes curve, points and residual to plumpick/capacity/slopes.json.
+"""`python -m benchmarks.slopes`: measures the cost of each part of plumpick at four or more sizes and writes
+the fitted curve, points and residual to plumpick/capacity/slopes.json.
 
     python -m benchmarks.slopes [--only NAME ...] [--compiled FOLDER] [--out FILE] [--list]
 
-With `--compiled FOLDER` (made by `python -m plumpick.tools.compile FOLDER`) the decisions are compiled, as
-the deploy file builds them, and only slopes of CPU are measured: counts and bytes are the same. Slopes that
-are not measured this time stay as they are in the file."""
+With `--compiled FOLDER` (made by `python -m plumpick.tools.compile FOLDER`) the policy is compiled, as the
+deploy file builds it, and only CPU slopes are measured, because counts and bytes are the same. Slopes that
+are not measured in this run remain unchanged in the file."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from plumpick.capacity.slopes import COMPILED, EITHER, FILE, FORMS, LINEAR, PLAIN, POWER, SATURATING, best_fit
 from plumpick.gateway import compiled
 
-ROUNDS, LONG_ROUNDS = 9, 5  # of a slope of CPU, whose points are their medians; of one whose rounds are long
-ROUND_S = 600.0  # none takes so long
-REFERENCE_MS = 1.04  # CPU is told as at the speed at which the reference loop takes so long
+ROUNDS, LONG_ROUNDS = 9, 5  # Number of rounds of a CPU slope, and of one with long rounds
+ROUND_S = 600.0  # Time-out of a round
+REFERENCE_MS = 1.04  # CPU ms of the reference loop at the speed to which CPU figures are normalised
 WORKERS = (10, 200, 1000, 2950, 5900)
 FIRMS = (20, 73, 218, 1000, 4000)
 CLASSES = (3, 230, 1000, 4000, 11_000)
@@ -46,9 +46,9 @@
     x: str
     unit: str
     sizes: tuple[int, ...]
-    where: str  # module of this package
-    cpu: bool = False  # depends on whether the decisions are compiled
-    forms: tuple[str, ...] = FORMS  # of the curve; that which is off least is taken
+    where: str  # Name of the module of this package that has the function `name`
+    cpu: bool = False  # Whether the figure depends on whether the policy is compiled
+    forms: tuple[str, ...] = FORMS  # Candidate forms of the curve; the one with the least residual is used
 
     is_long: bool = False
 
@@ -368,12 +368,12 @@
     )
 
 
-def one_round(task: Task) -> list[float]:
-    """A value for each size, measured in this process."""
-    from benchmarks.slopes import decisions as modelled
+def measure_round(task: Task) -> list[float]:
+    """Measure one value for each size in this process; CPU is normalised to the reference speed."""
+    from benchmarks.slopes import decisions as decisions_module
     from benchmarks.slopes import processes, versions
 
-    where = {"decisions": modelled, "processes": processes, "versions": versions}[task.where]
+    where = {"decisions": decisions_module, "processes": processes, "versions": versions}[task.where]
     point: Callable[[float], float] = getattr(where, task.name)
     if not task.is_of_cpu:
         return [float(point(size)) for size in task.sizes]
@@ -386,10 +386,10 @@
 
 
 def reference_ms() -> float:
-    """CPU of a fixed loop, which tells how fast the machine is just now.
+    """Return the CPU ms of a fixed loop, which indicates the current speed of the machine.
 
-    Danger: a machine may have several speeds. Seen: a module with nothing to do took 4.4 or 8.4 ms a second,
-    and this loop 0.61 or 1.04 ms with it, for minutes at a time and then the other."""
+    A machine may switch between several speeds: an idle policy controller took 4.4 or 8.4 ms per second, and
+    this loop 0.61 or 1.04 ms with it, for minutes at a time."""
 
     def once() -> float:
         begin, total = time.process_time_ns(), 0
@@ -402,21 +402,21 @@
     return median(once() for _ in range(5))
 
 
-def rounds_of(task: Task, folder: Path | None) -> list[list[float]]:
-    """Of CPU several rounds, each over all sizes in a process of its own."""
+def measure_rounds(task: Task, folder: Path | None) -> list[list[float]]:
+    """Measure all sizes: in several rounds with a separate process each for CPU, otherwise in one round."""
     if not task.is_of_cpu:
-        return [one_round(task)]
-    words = [sys.executable, "-m", "benchmarks.slopes", "--round", task.name]
-    words += ["--compiled", str(folder)] if folder else []
+        return [measure_round(task)]
+    command = [sys.executable, "-m", "benchmarks.slopes", "--round", task.name]
+    command += ["--compiled", str(folder)] if folder else []
     return [
-        json.loads(subprocess.run(words, check=True, stdout=subprocess.PIPE, timeout=ROUND_S).stdout)
+        json.loads(subprocess.run(command, check=True, stdout=subprocess.PIPE, timeout=ROUND_S).stdout)
         for _ in range(LONG_ROUNDS if task.is_long else ROUNDS)
     ]
 
 
 def measure(task: Task, decisions: str, folder: Path | None) -> dict[str, Any]:
-    """All points of one slope, as the file keeps it."""
-    columns = list(zip(*rounds_of(task, folder), strict=True))
+    """Measure a slope and fit its curve; return it as an entry of the slopes file."""
+    columns = list(zip(*measure_rounds(task, folder), strict=True))
     points = [[size, median(column)] for size, column in zip(task.sizes, columns, strict=True)]
     scatter = max((max(column) / min(column) for column in columns if min(column) > 0), default=1.0)
     form, a, b, off = best_fit([(float(x), float(y)) for x, y in points], task.forms)
@@ -442,51 +442,51 @@
 
 
 def write(path: Path, rows: list[dict[str, Any]]) -> None:
-    """The file, with these in place of those of the same name and decisions."""
-    kept = json.loads(path.read_text(encoding="utf-8"))["slopes"] if path.exists() else []
-    found = {(row["name"], row["decisions"]): row for row in [*kept, *rows]}
-    places = [task.name for task in TASKS]
-    order = sorted(found.values(), key=lambda row: (places.index(row["name"]), row["decisions"]))
+    """Write `rows` to the slopes file; they replace entries with the same name and decisions."""
+    existing_rows = json.loads(path.read_text(encoding="utf-8"))["slopes"] if path.exists() else []
+    row_by_key = {(row["name"], row["decisions"]): row for row in [*existing_rows, *rows]}
+    task_names = [task.name for task in TASKS]
+    order = sorted(row_by_key.values(), key=lambda row: (task_names.index(row["name"]), row["decisions"]))
     lines = ",\n".join(json.dumps(row) for row in order)
     path.write_text(f'{{"slopes": [\n{lines}\n]}}\n', encoding="utf-8")
 
 
 def main() -> int:
-    """0: measured and written; 2: a wrong call."""
-    flags = argparse.ArgumentParser(
+    """Measure and write the slopes; return 0, or 2 for invalid arguments."""
+    parser = argparse.ArgumentParser(
         prog="python -m benchmarks.slopes",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    flags.add_argument("--only", nargs="+", metavar="NAME", default=[])
-    flags.add_argument("--compiled", type=Path, metavar="FOLDER")
-    flags.add_argument("--out", type=Path, default=FILE)
-    flags.add_argument("--list", action="store_true", help="names alone")
-    flags.add_argument("--round", help=argparse.SUPPRESS)
-    given = flags.parse_args()
+    parser.add_argument("--only", nargs="+", metavar="NAME", default=[])
+    parser.add_argument("--compiled", type=Path, metavar="FOLDER")
+    parser.add_argument("--out", type=Path, default=FILE)
+    parser.add_argument("--list", action="store_true", help="print only the names of the slopes")
+    parser.add_argument("--round", help=argparse.SUPPRESS)
+    arguments = parser.parse_args()
     names = {task.name for task in TASKS}
-    if given.list:
+    if arguments.list:
         print("\n".join(task.name for task in TASKS))
         return 0
-    if unknown := sorted({*given.only, *([given.round] if given.round else [])} - names):
-        print(f"benchmarks.slopes: no such slope: {', '.join(unknown)}", file=sys.stderr)
+    if unknown := sorted({*arguments.only, *([arguments.round] if arguments.round else [])} - names):
+        print(f"benchmarks.slopes: unknown slope: {', '.join(unknown)}", file=sys.stderr)
         return 2
-    if given.compiled and "compiled (" not in (told := compiled.use_compiled_files(given.compiled)):
-        print(f"benchmarks.slopes: {told}; compile them into {given.compiled} first", file=sys.stderr)
+    if arguments.compiled and "compiled (" not in (origin := compiled.use_compiled_files(arguments.compiled)):
+        print(f"benchmarks.slopes: {origin}; compile them into {arguments.compiled} first", file=sys.stderr)
         return 2
-    if given.round:
-        print(json.dumps(one_round(next(task for task in TASKS if task.name == given.round))))
+    if arguments.round:
+        print(json.dumps(measure_round(next(task for task in TASKS if task.name == arguments.round))))
         return 0
     for task in TASKS:
-        if given.only and task.name not in given.only or given.compiled and not task.cpu:
+        if arguments.only and task.name not in arguments.only or arguments.compiled and not task.cpu:
             continue
-        decisions = EITHER if not task.cpu else COMPILED if given.compiled else PLAIN
+        decisions = EITHER if not task.cpu else COMPILED if arguments.compiled else PLAIN
         begin = time.monotonic()
-        row = measure(task, decisions, given.compiled)
-        write(given.out, [row])
-        told_points = ", ".join(f"{x:g}: {y:.4g}" for x, y in row["points"])
+        row = measure(task, decisions, arguments.compiled)
+        write(arguments.out, [row])
+        point_texts = ", ".join(f"{x:g}: {y:.4g}" for x, y in row["points"])
         print(
-            f"{task.name} ({decisions}, {task.unit}) {told_points}; {row['form']}, a {row['a']:.4g}, "
+            f"{task.name} ({decisions}, {task.unit}) {point_texts}; {row['form']}, a {row['a']:.4g}, "
             f"b {row['b']:.4g}, off {100 * row['residual']:.1f} %, "
             f"rounds apart {row['scatter']:.2f} times [{time.monotonic() - begin:.0f} s]",
             flush=True,
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -1,7 +1,7 @@
-"""Slopes of the decision module and of what reads its input: CPU, words, bytes, memory. No sockets.
+"""Slopes of the policy controller and of the parsers of its input: CPU, messages, bytes and memory.
 
-CPU is this process's own, each point the median of several rounds over all sizes, so that other work on the
-machine counts little. Memory is what the allocator holds more than before."""
+There are no sockets. CPU is the CPU time of this process; each point is the median of several rounds over all
+sizes, which limits the influence of other work on the machine. Memory is the growth of allocated memory."""
 
 from __future__ import annotations
 
@@ -41,36 +41,36 @@
 BEGIN_MS = 1000.0
 
 
-def cpu_ms(act: Callable[..., object], *given: object) -> float:
-    """CPU ms of one call."""
+def cpu_ms(act: Callable[..., object], *arguments: object) -> float:
+    """Return the CPU time in ms of one call of `act`."""
     begin = time.process_time_ns()
-    act(*given)
+    act(*arguments)
     return (time.process_time_ns() - begin) / 1e6
 
 
-def module(workers: int, own: Settings | None = None) -> Controller:
-    """One that has its list."""
-    control = Controller(own or settings(TIER), 1)
+def controller(workers: int, own_settings: Settings | None = None) -> Controller:
+    """Return a controller that has received an endpoint list with this number of workers."""
+    control = Controller(own_settings or settings(TIER), 1)
     control.handle(BEGIN_MS, [EndpointsUpdated(servers(workers))])
     return control
 
 
 def quiet_ms(control: Controller, seconds: float = 5.0) -> float:
-    """CPU ms a second of a module to which nothing happens but its own wake-ups."""
-    now, spent, wakes = control.turn.now_ms + 100.0, 0.0, 0
+    """Return the CPU ms per second of a controller that gets no events except its own timer."""
+    now, cpu_ns, timer_calls = control.turn.now_ms + 100.0, 0.0, 0
     end = now + seconds * 1000
     while now < end:
         begin = time.process_time_ns()
-        actions = control.handle(now, [TimerFired("agenda")] if wakes else [])
-        spent += time.process_time_ns() - begin
-        wakes += 1
+        actions = control.handle(now, [TimerFired("agenda")] if timer_calls else [])
+        cpu_ns += time.process_time_ns() - begin
+        timer_calls += 1
         after = [action.delay_ms for action in actions if isinstance(action, SetTimer)]
         now += max(1.0, min(after, default=100.0))
-    return spent / 1e6 / seconds
+    return cpu_ns / 1e6 / seconds
 
 
 def idle_by_workers(workers: float) -> float:
-    control = module(int(workers))
+    control = controller(int(workers))
     return median(quiet_ms(control) for _ in range(REPEATS))
 
 
@@ -79,13 +79,13 @@
 
 
 def idle_by_classes(classes: float) -> float:
-    control = module(60, settings(TIER, _classes(int(classes))))
+    control = controller(60, settings(TIER, _classes(int(classes))))
     return median(quiet_ms(control, 2.0) for _ in range(REPEATS))
 
 
-def _with_firms(count: int, spread: int = 1) -> Controller:
-    """A module that each of so many firms has asked something, which is answered."""
-    control = module(200)
+def _with_customers(count: int, spread: int = 1) -> Controller:
+    """Return a controller that has completed one request of each of `count` customers."""
+    control = controller(200)
     for number in range(count):
         now = BEGIN_MS + 1 + number * 0.01
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", now + 2000, 1.0, 0, spread)
@@ -97,39 +97,39 @@
 
 
 def idle_by_firms(firms: float) -> float:
-    control = _with_firms(int(firms))
-    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # in all less than FORGET_MS
+    control = _with_customers(int(firms))
+    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # In total less than FORGET_MS
 
 
 def changed_entry(workers: float) -> float:
-    """One entry changed, in a call of its own."""
-    control, all_servers, times = module(int(workers)), servers(int(workers)), []
+    """Return the CPU ms of a call of `handle` with one changed endpoint."""
+    control, all_servers, times = controller(int(workers)), servers(int(workers)), []
     for number in range(3 * REPEATS):
         state = EndpointState.READY if number % 2 else EndpointState.DRAINING
-        news = EndpointsUpdated((replace(all_servers[number // 2 % len(all_servers)], state=state),), False)
-        times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [news]))
+        update = EndpointsUpdated((replace(all_servers[number // 2 % len(all_servers)], state=state),), False)
+        times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [update]))
     return median(times)
 
 
 def changed_together(entries: float, workers: int = 5900) -> float:
-    """So many entries changed, in one answer of discovery."""
-    control, all_servers, times = module(workers), servers(workers), []
+    """Return the CPU ms of a call of `handle` with this number of changed endpoints in one update."""
+    control, all_servers, times = controller(workers), servers(workers), []
     for number in range(2 * REPEATS):
         state = EndpointState.READY if number % 2 else EndpointState.DRAINING
-        news = EndpointsUpdated(
+        update = EndpointsUpdated(
             tuple(replace(one, state=state) for one in all_servers[: int(entries)]), False
         )
-        times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [news]))
+        times.append(cpu_ms(control.handle, BEGIN_MS + 1 + number, [update]))
     return median(times)
 
 
 def whole_list(workers: float) -> float:
-    control, fleet = module(int(workers)), EndpointsUpdated(servers(int(workers)))
+    control, fleet = controller(int(workers)), EndpointsUpdated(servers(int(workers)))
     return median(cpu_ms(control.handle, BEGIN_MS + 1, [fleet]) for _ in range(2 * REPEATS))
 
 
 def listing(workers: int, port: int = 9000) -> dict[str, Any]:
-    """Discovery's whole list, in its form."""
+    """Return the full endpoint list in discovery's JSON form."""
     rows = [
         {
             "name": one.id,
@@ -156,7 +156,7 @@
 
 
 def configuration(classes: int, plans: int) -> dict[str, Any]:
-    """A gatekeeper's configuration in the platform's form."""
+    """Return a gateway's deploy file with these numbers of classes and plans."""
     kinds = [
         {"name": f"route-{n}", "aimMs": 750, "deadlineMs": 2000, "worth": 3, "repeat": "retryable"}
         for n in range(classes)
@@ -207,13 +207,13 @@
 
 
 def _serving_ms(load: Load) -> float:
-    """CPU ms a second for requests: calls for them and wake-ups, without what a quiet module takes."""
+    """Return the CPU ms per second for requests and timers, less that of an idle controller."""
     idle, one = idle_by_workers(load.workers), Fold(load).play()
-    return max(0.0, (one["us request"] + one["us woken"]) / 1000 - idle)
+    return max(0.0, (one["us request"] + one["us timer"]) / 1000 - idle)
 
 
 def request_by_workers(workers: float) -> float:
-    """us of a request, at 273 a second."""
+    """Return the CPU us per request at 273 requests per second."""
     load = Load(workers=int(workers), seconds=3.0)
     return _serving_ms(load) / load.rate * 1000
 
@@ -223,78 +223,89 @@
 
 
 def heard_by_set(spread: float) -> float:
-    """us of a word taken in."""
+    """Return the CPU us per received peer message."""
     load = _load_of(273.0, int(spread))
     one = Fold(replace(load, seconds=2.0)).play()
-    return one["us heard"] / one["heard"]
+    return one["us received"] / one["received"]
 
 
 def _load_of(rate: float, spread: int) -> Load:
-    kept = min(n for n in (2, 5, 10, 11, 22, 25, 50, 55) if n >= spread)
-    return Load(rate=rate, spread=spread, kept=kept, workers=500, seconds=20.0 / max(2, kept) + 1.0)
+    module_count = min(n for n in (2, 5, 10, 11, 22, 25, 50, 55) if n >= spread)
+    return Load(
+        rate=rate,
+        spread=spread,
+        module_count=module_count,
+        workers=500,
+        seconds=20.0 / max(2, module_count) + 1.0,
+    )
 
 
 def words_by_rate_3(rate: float) -> float:
-    return play(_load_of(rate, 3))["told"]
+    return play(_load_of(rate, 3))["messages sent"]
 
 
 def words_by_rate_20(rate: float) -> float:
-    return play(_load_of(rate, 20))["told"]
+    return play(_load_of(rate, 20))["messages sent"]
 
 
 def words_by_set(spread: float) -> float:
-    return play(_load_of(273.0, int(spread)))["told"]
+    return play(_load_of(273.0, int(spread)))["messages sent"]
 
 
 def bytes_by_rate_3(rate: float) -> float:
-    return play(_load_of(rate, 3))["bytes told"]
+    return play(_load_of(rate, 3))["bytes sent"]
 
 
 def bytes_by_rate_20(rate: float) -> float:
-    return play(_load_of(rate, 20))["bytes told"]
+    return play(_load_of(rate, 20))["bytes sent"]
 
 
 def bytes_by_set(spread: float) -> float:
-    return play(_load_of(273.0, int(spread)))["bytes told"]
+    return play(_load_of(273.0, int(spread)))["bytes sent"]
 
 
 def words_by_firms(homes: float) -> float:
-    """At a gatekeeper that is the home of so many, sets of 3, 273 requests a second."""
-    return play(replace(_load_of(273.0, 3), tenants=int(homes * TIER)))["told"]
+    """Return the messages per second of a gateway that is the quota owner of `homes` customers.
 
+    Sets have 3 gateways; each gateway gets 273 requests per second.
+    """
+    return play(replace(_load_of(273.0, 3), tenants=int(homes * TIER)))["messages sent"]
 
-def held_bytes(build: Callable[[], object]) -> float:
-    """What the allocator holds more for what `build` gives."""
+
+def allocated_bytes(build: Callable[[], object]) -> float:
+    """Return the growth of allocated memory in bytes that is due to the result of `build`."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = build()
+    built = build()
     gc.collect()
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    del kept
+    del built
     return float(held)
 
 
 def memory_by_workers(workers: float) -> float:
-    """The module's and the list's entries."""
-    return held_bytes(lambda: (module(int(workers)), parse_worker_list(listing(int(workers)), "list")))
+    """Return the bytes of a controller and a parsed endpoint list with this number of workers."""
+    return allocated_bytes(
+        lambda: (controller(int(workers)), parse_worker_list(listing(int(workers)), "list"))
+    )
 
 
 def memory_by_firms(firms: float) -> float:
-    """An account and, at their home, a store each."""
-    return held_bytes(lambda: _with_firms(int(firms)))
+    """Return the bytes of a controller with an account and a quota ledger for each customer."""
+    return allocated_bytes(lambda: _with_customers(int(firms)))
 
 
 def memory_by_classes(classes: float) -> float:
-    return held_bytes(lambda: module(10, settings(TIER, _classes(int(classes)))))
+    return allocated_bytes(lambda: controller(10, settings(TIER, _classes(int(classes)))))
 
 
 def memory_by_requests(requests: float) -> float:
-    """Open requests, each with one attempt out where the window lets it."""
+    """Return the bytes of a controller with open requests, each with one attempt if the limit permits it."""
 
     def build() -> Controller:
-        control = module(1000)
+        control = controller(1000)
         for number in range(int(requests)):
             arrival = RequestReceived(
                 number, f"firm-{number % 100}", "check", "usual", BEGIN_MS + 2000, 0.001, 0, 1
@@ -302,77 +313,82 @@
             control.handle(BEGIN_MS + 1, [arrival])
         return control
 
-    return held_bytes(build)
+    return allocated_bytes(build)
 
 
 def memory_by_peers(peers: float) -> float:
-    """So many others that have told a word of quotas, and were answered."""
-    teller, words = Controller(replace(settings(TIER), gateway_number=1), 2), []
-    teller.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
-    for number in range(50):  # firms whose home is 0
+    """Return the bytes of a controller that has answered a quota message of each of `peers` gateways."""
+    sending_peer, words = Controller(replace(settings(TIER), gateway_number=1), 2), []
+    sending_peer.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
+    for number in range(50):  # Customers whose quota owner is gateway 0
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
         words += [
             one.data
-            for one in teller.handle(BEGIN_MS + 1 + 100 * number, [arrival])
+            for one in sending_peer.handle(BEGIN_MS + 1 + 100 * number, [arrival])
             if isinstance(one, SendPeerMessage) and one.receiver == 0
         ]
 
     def build() -> Controller:
-        control = module(10)
+        control = controller(10)
         for number in range(int(peers)):
-            heard: Event = PeerMessageReceived(1 + number, words[number % len(words)])
-            control.handle(BEGIN_MS + 1 + number * 0.01, [heard])
+            message_event: Event = PeerMessageReceived(1 + number, words[number % len(words)])
+            control.handle(BEGIN_MS + 1 + number * 0.01, [message_event])
         return control
 
-    return held_bytes(build)
+    return allocated_bytes(build)
 
 
 SHARE_MS, DRIFT = 60_000.0, 0.01
 
 
-def _divider(gateways: int) -> BudgetAllocator:
-    """Of one budget, which all ask for more than their floor; so often as they may together."""
+def _allocator(gateways: int) -> BudgetAllocator:
+    """Return the allocator of a budget after two demand reports of each gateway.
+
+    Each gateway demands more than its floor; reports arrive at the maximum rate of the whole tier.
+    """
     budget = Budget("any", BudgetKind.RATE, 2.0 * gateways, 4.0 * gateways)
-    divider = BudgetAllocator(budget, gateways, 0.0, 1, SHARE_MS, DRIFT, 0.0)
+    allocator = BudgetAllocator(budget, gateways, 0.0, 1, SHARE_MS, DRIFT, 0.0)
     for serial in (1, 2):
         for number in range(gateways):
-            _ask(divider, gateways, number, serial)
-    return divider
+            _request_grant(allocator, gateways, number, serial)
+    return allocator
 
 
-def _ask(divider: BudgetAllocator, gateways: int, number: int, serial: int) -> object:
+def _request_grant(allocator: BudgetAllocator, gateways: int, number: int, serial: int) -> object:
     now_ms = ((serial - 1) * gateways + number) * 1000 / MAX_REPORTS_PER_S
-    demand = 1.0 + number % 5  # more than there is, in all
+    demand = 1.0 + number % 5  # In total more than the budget
     report = DemandReport(0, serial, demand, demand / 2, serial - 1, 1.0, 0)
-    return divider.request_grant(now_ms, number, 1, report)
+    return allocator.request_grant(now_ms, number, 1, report)
 
 
 def divider_asking(gateways: float) -> float:
-    """us of one asking."""
-    divider, count = _divider(int(gateways)), min(int(gateways), 100)
-    return median(cpu_ms(_ask, divider, int(gateways), number, 3) for number in range(count)) * 1000
+    """Return the CPU us of one demand report."""
+    allocator, count = _allocator(int(gateways)), min(int(gateways), 100)
+    return (
+        median(cpu_ms(_request_grant, allocator, int(gateways), number, 3) for number in range(count)) * 1000
+    )
 
 
 def memory_by_askers(gateways: float) -> float:
-    return held_bytes(lambda: _divider(int(gateways)))
+    return allocated_bytes(lambda: _allocator(int(gateways)))
 
 
-def _estate(firms: int) -> Any:
-    control = _with_firms(firms)
+def _exported_state(firms: int) -> Any:
+    control = _with_customers(firms)
     actions = control.handle(BEGIN_MS + 10_000, [ExportState()])
     return next(action.state for action in actions if hasattr(action, "state"))
 
 
 def estate_bytes(firms: float) -> float:
-    return len(json.dumps(_estate(int(firms))))
+    return len(json.dumps(_exported_state(int(firms))))
 
 
 def estate_ms(firms: float) -> float:
-    """To leave it, to write and read it as JSON, and to take it over."""
+    """Return the CPU ms to export the state of a controller, encode and decode it as JSON, and import it."""
 
-    def pass_over(control: Controller, heir: Controller) -> None:
-        left = control.handle(BEGIN_MS + 10_000, [ExportState()])
-        state = next(action.state for action in left if hasattr(action, "state"))
-        heir.handle(BEGIN_MS + 10_000, [ImportState(json.loads(json.dumps(state)))])
+    def hand_off(control: Controller, successor: Controller) -> None:
+        exported = control.handle(BEGIN_MS + 10_000, [ExportState()])
+        state = next(action.state for action in exported if hasattr(action, "state"))
+        successor.handle(BEGIN_MS + 10_000, [ImportState(json.loads(json.dumps(state)))])
 
-    return median(cpu_ms(pass_over, _with_firms(int(firms)), module(200)) for _ in range(3))
+    return median(cpu_ms(hand_off, _with_customers(int(firms)), controller(200)) for _ in range(3))
--- a/benchmarks/slopes/fold.py
+++ b/benchmarks/slopes/fold.py
@@ -1,12 +1,12 @@
-"""A whole tier, folded: a few real decision modules stand in for all of a tier of any size.
+"""Simulates a tier of any size with a few real policy controllers ("modules"), by folding it.
 
-Gatekeepers lie on a ring, a firm's set is a run of neighbours, all parts of the ring are alike. So `kept`
-modules (numbers 0 to kept - 1, each told the size of the whole tier) stand for the ring turned by any
-multiple of `kept`: what one tells a number beyond them goes to the module in the same place of the fold, from
-a number turned back by as much. Each word of quotas and life sign is so sent, coded, taken in and answered by
-real modules, and a gatekeeper takes in what its neighbours tell it. No sockets, modelled time, chance from a
-seed.
-`kept` has to divide the tier and to be no smaller than a set."""
+The gateways form a ring, a customer's set consists of neighbours, and all parts of the ring are alike.
+Therefore `module_count` modules (numbers 0 to module_count - 1, configured with the size of the whole tier)
+represent the ring rotated by any multiple of `module_count`: a message to a higher number is delivered to the
+module with the same remainder, and its sender's number is rotated back by the same offset. So real modules
+encode, send, decode and answer every quota message and heartbeat, and each gateway receives its neighbours'
+messages. There are no sockets; time is simulated, and random draws come from a seed.
+`module_count` must divide the tier's size and must not be smaller than a set."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
     ),
     RequestClass("debit", 2000, 7500, 2, Idempotency.NON_IDEMPOTENT),
 )
-ANSWER_MS, WAY_MS = 20.0, 1.0  # a worker's answer; a word's way
-QUOTA_TIMES = 2.0  # a firm's quota, in times of what it asks for: nobody is refused
-SETTLE_S = 4.0  # of modelled time before figures are taken
+ANSWER_MS, NETWORK_DELAY_MS = 20.0, 1.0  # Latency of a worker; delay of a message
+QUOTA_FACTOR = 2.0  # Ratio of a customer's quota to its demand, so that no request is rejected
+SETTLE_S = 4.0  # Simulated time before the measurement begins
 
 
 def settings(
@@ -54,7 +54,7 @@
     classes: tuple[RequestClass, ...] = CLASSES,
     plans: tuple[Plan, ...] = (Plan("usual", 8.0, 16.0),),
 ) -> Settings:
-    """Of gatekeeper 0 of a tier."""
+    """Return the settings of gateway 0 of a tier."""
     return Settings(
         gateway_count=gateways,
         gateway_number=0,
@@ -75,76 +75,93 @@
 
 
 def servers(count: int) -> tuple[Endpoint, ...]:
-    """Warm ones, in five zones."""
+    """Return `count` ready workers at full capacity, in five zones."""
     return tuple(Endpoint(f"worker-{n}", "abcde"[n % 5], n % 20, EndpointState.READY) for n in range(count))
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a play is given."""
+    """The tier and the load of a simulation."""
 
     gateways: int = 550
     workers: int = 1000
     tenants: int = 40_000
-    rate: float = 273.0  # requests a second at each gatekeeper
-    spread: int = 3  # gatekeepers of a firm's set
-    kept: int = 5
+    rate: float = 273.0  # Requests per second at each gateway
+    spread: int = 3  # Number of gateways in a customer's set
+    module_count: int = 5
     seconds: float = 10.0
     seed: int = 1
 
 
 class Fold:
-    """One play."""
+    """One simulation of a folded tier; raises ValueError if the module count does not fit tier and set."""
 
     def __init__(self, load: Load) -> None:
-        if load.gateways % load.kept or load.kept < load.spread:
-            raise ValueError(f"kept: {load.kept} does not divide {load.gateways}, or is under {load.spread}")
+        if load.gateways % load.module_count or load.module_count < load.spread:
+            raise ValueError(
+                f"module_count: must divide {load.gateways} and be at least {load.spread}, "
+                f"got {load.module_count}"
+            )
         self.load, self.rng = load, random.Random(load.seed)
-        self.firms = max(1, round(load.tenants * load.kept / load.gateways))
-        asks = load.rate * load.kept / self.firms  # of one firm a second
-        own = settings(load.gateways, plans=(Plan("usual", QUOTA_TIMES * asks, 4 * QUOTA_TIMES * asks + 4),))
-        self.modules = [Controller(replace(own, gateway_number=n), load.seed + n) for n in range(load.kept)]
+        self.customers = max(1, round(load.tenants * load.module_count / load.gateways))
+        requests_per_customer_s = (
+            load.rate * load.module_count / self.customers
+        )  # Requests per customer and second
+        own_settings = settings(
+            load.gateways,
+            plans=(
+                Plan(
+                    "usual",
+                    QUOTA_FACTOR * requests_per_customer_s,
+                    4 * QUOTA_FACTOR * requests_per_customer_s + 4,
+                ),
+            ),
+        )
+        self.modules = [
+            Controller(replace(own_settings, gateway_number=n), load.seed + n)
+            for n in range(load.module_count)
+        ]
         self.queue: list[tuple[float, int, int, Any]] = []
         self.serial = 0
         self.attempts: Counter[tuple[int, int]] = Counter()
-        self.spent: Counter[str] = Counter()  # CPU ns by what the call was for
+        self.cpu_ns: Counter[str] = Counter()  # CPU time in ns, by purpose of the call
         self.counts: Counter[str] = Counter()
-        self.on = False
+        self.is_measuring = False
 
-    def put(self, at_ms: float, place: int, event: Any) -> None:
+    def schedule(self, at_ms: float, index: int, event: Any) -> None:
         self.serial += 1
-        heapq.heappush(self.queue, (at_ms, self.serial, place, event))
+        heapq.heappush(self.queue, (at_ms, self.serial, index, event))
 
     def play(self) -> dict[str, float]:
-        """Figures of one gatekeeper a second; CPU in us."""
+        """Play the simulation; return the figures per gateway and second, with CPU time in us."""
         load = self.load
-        fleet = EndpointsUpdated(servers(load.workers))
-        for place in range(load.kept):
-            self.put(1000.0, place, fleet)
-            self.put(1000.0 + self.rng.expovariate(load.rate) * 1000, place, None)
+        endpoints = EndpointsUpdated(servers(load.workers))
+        for index in range(load.module_count):
+            self.schedule(1000.0, index, endpoints)
+            self.schedule(1000.0 + self.rng.expovariate(load.rate) * 1000, index, None)
         begin, end = 1000.0 + SETTLE_S * 1000, 1000.0 + (SETTLE_S + load.seconds) * 1000
         while self.queue[0][0] < end:
-            now, _, place, event = heapq.heappop(self.queue)
-            self.on = now >= begin
+            now, _, index, event = heapq.heappop(self.queue)
+            self.is_measuring = now >= begin
             if event is None:
-                self.put(now + self.rng.expovariate(load.rate) * 1000, place, None)
-                event = self.arrival(now, place)
-            self.turn(now, place, event)
-        per = load.kept * load.seconds
-        figures = {name: count / per for name, count in self.counts.items()}
-        return {**figures, **{f"us {name}": ns / 1000 / per for name, ns in self.spent.items()}}
-
-    def arrival(self, now: float, place: int) -> RequestReceived:
+                self.schedule(now + self.rng.expovariate(load.rate) * 1000, index, None)
+                event = self.request_event(now, index)
+            self.handle(now, index, event)
+        gateway_seconds = load.module_count * load.seconds
+        figures = {name: count / gateway_seconds for name, count in self.counts.items()}
+        return {**figures, **{f"us {name}": ns / 1000 / gateway_seconds for name, ns in self.cpu_ns.items()}}
+
+    def request_event(self, now: float, index: int) -> RequestReceived:
         load = self.load
-        firm = self.rng.randrange(self.firms)
-        first = firm % load.kept
-        # The member of the firm's set that stands in this place of the fold, if one does.
-        member = (place - first) % load.kept
+        firm = self.rng.randrange(self.customers)
+        first = firm % load.module_count
+        # Member of the customer's set that this module represents; draw again if there is none.
+        member = (index - first) % load.module_count
         while member >= load.spread:
-            firm = self.rng.randrange(self.firms)
-            first = firm % load.kept
-            member = (place - first) % load.kept
-        turned = first + member - place  # by which the ring is turned back for it
+            firm = self.rng.randrange(self.customers)
+            first = firm % load.module_count
+            member = (index - first) % load.module_count
+        ring_offset = first + member - index  # Offset by which the ring is rotated back
         kind = CLASSES[self.serial % 3]
         return RequestReceived(
             self.serial,
@@ -153,50 +170,52 @@
             "usual",
             now + kind.deadline_ms,
             1.0,
-            (first - turned) % load.gateways,
+            (first - ring_offset) % load.gateways,
             load.spread,
         )
 
-    def turn(self, now: float, place: int, event: Any) -> None:
-        load, module = self.load, self.modules[place]
+    def handle(self, now: float, index: int, event: Any) -> None:
+        load, module = self.load, self.modules[index]
         begin = time.process_time_ns()
         actions = module.handle(now, [event])
-        spent = time.process_time_ns() - begin
+        cpu_ns = time.process_time_ns() - begin
         if module.faults:
             raise module.faults[0]
-        if self.on:
-            what = {"PeerMessageReceived": "heard", "TimerFired": "woken"}.get(
+        if self.is_measuring:
+            purpose = {"PeerMessageReceived": "received", "TimerFired": "timer"}.get(
                 type(event).__name__, "request"
             )
-            self.spent[what] += spent
-            self.counts[what] += 1
+            self.cpu_ns[purpose] += cpu_ns
+            self.counts[purpose] += 1
             self.counts["arrivals"] += isinstance(event, RequestReceived)
         for action in actions:
             if isinstance(action, StartAttempt):
-                number = self.attempts[place, action.id]
-                self.attempts[place, action.id] += 1
-                self.put(
+                number = self.attempts[index, action.id]
+                self.attempts[index, action.id] += 1
+                self.schedule(
                     now + ANSWER_MS,
-                    place,
+                    index,
                     AttemptCompleted(action.id, number, action.endpoint, ANSWER_MS, AttemptResult.OK, True),
                 )
-                self.counts["sends"] += self.on
+                self.counts["attempts"] += self.is_measuring
             elif isinstance(action, SetTimer):
-                self.put(now + max(1.0, action.delay_ms), place, TimerFired(action.name))
+                self.schedule(now + max(1.0, action.delay_ms), index, TimerFired(action.name))
             elif isinstance(action, SendPeerMessage):
-                other = action.receiver % load.kept
-                turned = action.receiver - other
-                self.put(
-                    now + WAY_MS, other, PeerMessageReceived((place - turned) % load.gateways, action.data)
+                other = action.receiver % load.module_count
+                ring_offset = action.receiver - other
+                self.schedule(
+                    now + NETWORK_DELAY_MS,
+                    other,
+                    PeerMessageReceived((index - ring_offset) % load.gateways, action.data),
                 )
-                if self.on:
-                    self.counts["told"] += 1
-                    self.counts["bytes told"] += len(action.data)
+                if self.is_measuring:
+                    self.counts["messages sent"] += 1
+                    self.counts["bytes sent"] += len(action.data)
             elif isinstance(action, CancelAttempt):
-                self.put(
+                self.schedule(
                     now,
-                    place,
+                    index,
                     AttemptCompleted(action.id, action.attempt, "", 0.0, AttemptResult.CANCELLED, True),
                 )
             elif type(action).__name__ in ("RejectRequest", "FailRequest"):
-                self.counts["refused"] += self.on
+                self.counts["refused"] += self.is_measuring
--- a/benchmarks/slopes/processes.py
+++ b/benchmarks/slopes/processes.py
@@ -1,7 +1,7 @@
-"""Slopes of the real program, a process on loopback: its start, its memory, operators' calls; and of leases.
+"""Slopes measured on a real gateway process on loopback (start-up, memory, operators' calls), and of leases.
 
-Beside it a stand-in of discovery's agent, which tells a list of the size in question and leaves the watch
-open. Every process that is started here is ended here."""
+A discovery stub sends the gateway an endpoint list of the size in question and leaves the watch open. All
+processes that are started here are also stopped here."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 LEASE_SLOTS = 12
 
 
-class Agent(threading.Thread):
-    """Answers each first call with the whole list; a watch it leaves open."""
+class DiscoveryStub(threading.Thread):
+    """A discovery stub: answers each request for the list with the full list, and watches never."""
 
     def __init__(self, workers: int) -> None:
         super().__init__(daemon=True)
@@ -36,33 +36,33 @@
             len(body),
             body,
         )
-        self.plug = socket.create_server((HOST, 0))
-        self.port = self.plug.getsockname()[1]
-        self.kept: list[socket.socket] = []
+        self.listener = socket.create_server((HOST, 0))
+        self.port = self.listener.getsockname()[1]
+        self.connections: list[socket.socket] = []
 
     def run(self) -> None:
         while True:
             try:
-                one, _ = self.plug.accept()
+                one, _ = self.listener.accept()
             except OSError:
                 return
-            self.kept.append(one)
+            self.connections.append(one)
             threading.Thread(target=self.serve, args=(one,), daemon=True).start()
 
     def serve(self, one: socket.socket) -> None:
-        asked = b""
+        received = b""
         try:
             while data := one.recv(4096):
-                asked += data
-                while b"\r\n\r\n" in asked:
-                    head, _, asked = asked.partition(b"\r\n\r\n")
+                received += data
+                while b"\r\n\r\n" in received:
+                    head, _, received = received.partition(b"\r\n\r\n")
                     if b"since=" not in head:
                         one.sendall(self.answer)
         except OSError:
             return
 
-    def end(self) -> None:
-        for one in (self.plug, *self.kept):
+    def stop(self) -> None:
+        for one in (self.listener, *self.connections):
             one.close()
 
 
@@ -73,10 +73,13 @@
 
 
 class Gatekeeper:
-    """One process of the program, up."""
+    """A running gateway process and its discovery stub, with start-up time and memory.
+
+    Raises RuntimeError if the gateway exits or is not up within LIMIT_S.
+    """
 
     def __init__(self, workers: int, classes: int = 3, plans: int = 2) -> None:
-        self.agent = Agent(workers)
+        self.agent = DiscoveryStub(workers)
         self.agent.start()
         self.port, self.management = _free_port(), _free_port()
         value = configuration(classes, plans)
@@ -104,13 +107,13 @@
             self.rss_mb = int(status.partition("VmRSS:")[2].split()[0]) / 1024
             self.descriptors = len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except BaseException:
-            self.end()
+            self.stop()
             raise
 
     def _until_up(self, begin: float) -> None:
         while time.monotonic() - begin < LIMIT_S:
             if self.process.poll() is not None:
-                raise RuntimeError(f"the gatekeeper ended with {self.process.returncode}")
+                raise RuntimeError(f"gateway exited with code {self.process.returncode} before it was up")
             try:
                 ask = http.client.HTTPConnection(HOST, self.port, timeout=LIMIT_S)
                 ask.request("GET", "/up")
@@ -119,23 +122,23 @@
             except (OSError, http.client.HTTPException):
                 pass
             time.sleep(0.002)
-        raise RuntimeError(f"the gatekeeper was not up within {LIMIT_S:g} s")
+        raise RuntimeError(f"gateway did not answer /up with 200 within {LIMIT_S:g} s")
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self.process.kill()
         self.process.wait()
-        self.agent.end()
+        self.agent.stop()
         self.file.close()
 
 
 @cache
 def _started(workers: int, classes: int) -> tuple[float, float, int]:
-    """Medians of start in s, resident MB, descriptors."""
+    """Return the medians of start-up time in s, resident memory in MB and number of descriptors."""
     rows = []
     for _ in range(REPEATS):
         one = Gatekeeper(workers, classes)
         rows.append((one.start_s, one.rss_mb, one.descriptors))
-        one.end()
+        one.stop()
     start, rss, descriptors = (median(column) for column in zip(*rows, strict=True))
     return start, rss, int(descriptors)
 
@@ -161,16 +164,16 @@
 
 
 def calls_s(calls: float) -> float:
-    """So many runs of `plumpick call`, one after another."""
+    """Run `plumpick call` this many times in a row; return the total time in s."""
     one = Gatekeeper(10)
     try:
-        words = [sys.executable, "-m", "plumpick.cli", "call", f"{HOST}:{one.management}", "READY"]
+        command = [sys.executable, "-m", "plumpick.cli", "call", f"{HOST}:{one.management}", "READY"]
         begin = time.monotonic()
         for _ in range(int(calls)):
-            subprocess.run(words, cwd=ROOT, check=True, stdout=subprocess.DEVNULL, timeout=LIMIT_S)
+            subprocess.run(command, cwd=ROOT, check=True, stdout=subprocess.DEVNULL, timeout=LIMIT_S)
         return time.monotonic() - begin
     finally:
-        one.end()
+        one.stop()
 
 
 @cache
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -1,7 +1,7 @@
-"""Slopes of settings by versions from a service: what a change takes at a gatekeeper and at a service.
+"""Slopes of versioned settings: cost of a change at a gateway and at the configuration service.
 
-The plays are those of benchmarks/reconfigure.py and benchmarks/configuration/size.py. One service and its
-hollow watchers are processes on loopback; the rest needs none."""
+Uses the simulations of benchmarks/reconfigure.py and benchmarks/configuration/size.py. The service and its
+simulated watchers are processes on loopback; the other slopes need no further process."""
 
 from __future__ import annotations
 
@@ -26,37 +26,43 @@
 from plumpick.policy.settings import Idempotency, RequestClass, Settings
 
 REPEATS = 6
-WORKERS, ACCOUNTS, STORES = 5900, 218, 73  # a gatekeeper of the operators' target
+WORKERS, ACCOUNTS, STORES = 5900, 218, 73  # Sizes of a gateway in the operators' target
 PLANS, FEW_CLASSES, CROWD_CLASSES = 40, 3, 230
 
 
-def _taken_over(base: Settings, other: Settings, stores: int = STORES) -> float:
-    """ms of a turn in which one of them takes the other's place, to and fro; each read anew."""
+def _apply_ms(base: Settings, other: Settings, stores: int = STORES) -> float:
+    """Return the median CPU ms of applying a change between the two settings, in both directions.
+
+    Each change uses new copies of the classes and plans, as after parsing. Raises RuntimeError if the
+    controller does not accept a change.
+    """
     control, now = reconfigure.filled_controller(len(base.classes), max(ACCOUNTS, stores), WORKERS, stores)
     times = []
     for number in range(REPEATS):
-        wanted = base if number % 2 else other
-        fresh = replace(
-            wanted,
-            classes=tuple(replace(kind) for kind in wanted.classes),
-            plans=tuple(replace(plan) for plan in wanted.plans),
+        target = base if number % 2 else other
+        new_settings = replace(
+            target,
+            classes=tuple(replace(kind) for kind in target.classes),
+            plans=tuple(replace(plan) for plan in target.plans),
         )
-        said: list[Any] = []
-        now += 0.001  # no period comes meanwhile
+        results: list[Any] = []
+        now += 0.001  # Short enough that no periodic work becomes due
 
-        def turn(now: float = now, fresh: Settings = fresh, said: list[Any] = said) -> None:
-            said += control.handle(now, [SettingsChanged(1, fresh)])
+        def apply_change(
+            now: float = now, new_settings: Settings = new_settings, results: list[Any] = results
+        ) -> None:
+            results += control.handle(now, [SettingsChanged(1, new_settings)])
 
-        times.append(cpu_ms(turn))
-        if control.faults or [one.error for one in said if isinstance(one, CommandCompleted)] != [""]:
-            raise RuntimeError("the change was not taken over")
+        times.append(cpu_ms(apply_change))
+        if control.faults or [one.error for one in results if isinstance(one, CommandCompleted)] != [""]:
+            raise RuntimeError(f"settings change was not applied: faults {control.faults}, results {results}")
     return median(times)
 
 
 def taken_over(classes: float, stores: int = STORES) -> float:
     base = reconfigure.settings(int(classes))
     more = RequestClass("fresh", 700.0, 2000.0, 1.0, Idempotency.IDEMPOTENT)
-    return _taken_over(base, replace(base, classes=(*base.classes, more)), stores)
+    return _apply_ms(base, replace(base, classes=(*base.classes, more)), stores)
 
 
 def taken_over_by_stores(stores: float) -> float:
@@ -65,7 +71,7 @@
 
 def plans_taken_over(classes: float) -> float:
     base = reconfigure.settings(int(classes))
-    return _taken_over(base, replace(base, plans=tuple(replace(plan, burst=20.0) for plan in base.plans)))
+    return _apply_ms(base, replace(base, plans=tuple(replace(plan, burst=20.0) for plan in base.plans)))
 
 
 @cache
@@ -82,7 +88,7 @@
 
 
 def change_read(classes: float) -> float:
-    """What the daemon does with an answer, in its thread."""
+    """Return the median CPU ms that the daemon needs to parse and check a response with one class added."""
     value = wide(int(classes), PLANS, 3)
     after, config = changed(value, "one class more"), parse_config(Trial(1, 3, "", Path("."))._config(0), {})
     held = SettingsVersion(1, settings_digest(value), 0.0, value)
@@ -106,10 +112,13 @@
 
 @cache
 def _crowd(watchers: int) -> dict[str, Any]:
-    found = asyncio.run(crowd(watchers, wide(CROWD_CLASSES, PLANS, watchers), 0.0))
-    if (found["heard"], found["have_it"]) != (watchers, watchers):
-        raise RuntimeError(f"of {watchers} watchers {found['heard']} were heard, {found['have_it']} have it")
-    return found
+    result = asyncio.run(crowd(watchers, wide(CROWD_CLASSES, PLANS, watchers), 0.0))
+    if (result["heard"], result["have_it"]) != (watchers, watchers):
+        raise RuntimeError(
+            f"expected {watchers} watchers, got {result['heard']} that reported "
+            f"and {result['have_it']} that have the version"
+        )
+    return result
 
 
 def rest_calls(watchers: float) -> float:
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -1,4 +1,4 @@
-"""How slopes are measured: the folded tier, and the command."""
+"""Measurement of slopes: the folded tier and the command."""
 
 import subprocess
 import sys
@@ -14,38 +14,43 @@
 RING = {"gateways": 20, "workers": 40, "tenants": 400, "rate": 40.0, "seconds": 6.0}
 
 
-def test_a_folded_tier_tells_what_a_whole_one_tells():
-    whole = Fold(Load(**RING, kept=20)).play()
-    for kept in (4, 5, 10):
-        folded = Fold(Load(**RING, kept=kept)).play()
-        for name in ("told", "bytes told", "heard", "sends"):
-            assert folded[name] == pytest.approx(whole[name], rel=0.05), (kept, name)
+def test_folded_tier_has_same_message_rates_as_whole_tier():
+    whole = Fold(Load(**RING, module_count=20)).play()
+    for module_count in (4, 5, 10):
+        folded = Fold(Load(**RING, module_count=module_count)).play()
+        for name in ("messages sent", "bytes sent", "received", "attempts"):
+            assert folded[name] == pytest.approx(whole[name], rel=0.05), (module_count, name)
 
 
-def test_what_is_told_in_a_fold_is_taken_in_there():
-    figures = Fold(Load(**RING, kept=5)).play()
-    assert figures["told"] > 20 and figures["heard"] == pytest.approx(figures["told"], rel=0.02)
+def test_messages_sent_in_fold_are_received_in_it():
+    figures = Fold(Load(**RING, module_count=5)).play()
+    assert figures["messages sent"] > 20 and figures["received"] == pytest.approx(
+        figures["messages sent"], rel=0.02
+    )
 
 
-def test_words_that_nobody_takes_in_change_what_is_told():
-    """So that the agreement of folds is none of modules that hear nothing."""
+def test_dropped_messages_change_number_of_messages_sent():
+    """Shows that the agreement of folds depends on messages being received by the modules."""
 
-    class Deaf(Fold):
-        def put(self, at_ms, place, event):
+    class WithoutPeerMessages(Fold):
+        def schedule(self, at_ms, index, event):
             if type(event).__name__ != "PeerMessageReceived":
-                super().put(at_ms, place, event)
+                super().schedule(at_ms, index, event)
 
-    deaf, fold = Deaf(Load(**RING, kept=5)).play(), Fold(Load(**RING, kept=5)).play()
-    assert abs(deaf["told"] / fold["told"] - 1) > 0.1
+    without_messages, fold = (
+        WithoutPeerMessages(Load(**RING, module_count=5)).play(),
+        Fold(Load(**RING, module_count=5)).play(),
+    )
+    assert abs(without_messages["messages sent"] / fold["messages sent"] - 1) > 0.1
 
 
-@pytest.mark.parametrize(("kept", "spread"), [(3, 3), (4, 5), (7, 3)])
-def test_a_fold_that_is_none_is_refused(kept, spread):
-    with pytest.raises(ValueError, match="kept"):
-        Fold(Load(gateways=20, kept=kept, spread=spread))
+@pytest.mark.parametrize(("module_count", "spread"), [(3, 3), (4, 5), (7, 3)])
+def test_fold_rejects_module_count_that_does_not_fit_tier_or_set(module_count, spread):
+    with pytest.raises(ValueError, match="module_count"):
+        Fold(Load(gateways=20, module_count=module_count, spread=spread))
 
 
-def test_every_slope_of_the_file_is_one_that_the_command_measures():
+def test_every_slope_in_file_is_measured_by_command():
     tasks = {task.name: task for task in command.TASKS}
     assert len(tasks) == len(command.TASKS)
     for slope in slopes.read():
@@ -56,7 +61,7 @@
     assert {slope.name for slope in slopes.read()} == set(tasks)
 
 
-def measured(*words):
+def run_measurement(*words):
     return subprocess.run(
         [sys.executable, "-m", "benchmarks.slopes", *words],
         cwd=ROOT,
@@ -66,26 +71,26 @@
     )
 
 
-def test_a_slope_that_is_measured_stands_in_the_file_in_place_of_the_old_one(tmp_path):
+def test_measured_slope_replaces_old_one_in_file(tmp_path):
     path = tmp_path / "slopes.json"
     for _ in range(2):
-        done = measured("--only", "list_bytes", "settings_bytes", "--out", str(path))
+        done = run_measurement("--only", "list_bytes", "settings_bytes", "--out", str(path))
         assert done.returncode == 0, done.stderr
     assert [slope.name for slope in slopes.read(path)] == ["list_bytes", "settings_bytes"]
 
 
-def test_a_slope_of_cpu_is_measured_in_processes_of_its_own(tmp_path):
+def test_cpu_slope_is_measured_in_separate_processes(tmp_path):
     path = tmp_path / "slopes.json"
-    assert measured("--only", "settings_parse_by_plans", "--out", str(path)).returncode == 0
+    assert run_measurement("--only", "settings_parse_by_plans", "--out", str(path)).returncode == 0
     (slope,) = slopes.read(path)
     assert slope.scatter > 1 and all(y > 0 for _, y in slope.points)
 
 
 @pytest.mark.parametrize("words", [("--only", "nothing"), ("--compiled", "/nowhere"), ("--round", "nothing")])
-def test_a_wrong_call_ends_with_2_and_one_line(words, tmp_path):
-    done = measured(*words, "--out", str(tmp_path / "slopes.json"))
+def test_invalid_arguments_exit_with_2_and_one_line(words, tmp_path):
+    done = run_measurement(*words, "--out", str(tmp_path / "slopes.json"))
     assert done.returncode == 2 and done.stderr.count("\n") == 1 and not list(tmp_path.iterdir())
 
 
-def test_the_reference_loop_takes_time():
+def test_reference_loop_takes_cpu_time():
     assert command.reference_ms() > 0
