--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -16,40 +16,42 @@
 
 def parser(name: str, text: str | None, plants: Iterable[str]) -> argparse.ArgumentParser:
     """Return a parser with the arguments that all trials have; `plants` are the names of injectable bugs."""
-    flags = argparse.ArgumentParser(prog=f"python -m {name}", description=text)
-    flags.add_argument("--trials", type=int, default=20)
-    flags.add_argument(
+    argument_parser = argparse.ArgumentParser(prog=f"python -m {name}", description=text)
+    argument_parser.add_argument("--trials", type=int, default=20)
+    argument_parser.add_argument(
         "--seed", type=int, default=1, help="seed of the first trial; each further trial adds 1"
     )
-    flags.add_argument("--gatekeepers", type=int, default=0, help="default: 3, 5 and 7 by turns")
-    flags.add_argument("--jobs", type=int, default=4, help="number of parallel trials")
-    flags.add_argument("--cases", type=int, default=3, help="number of fault cases in a trial; 0: all")
-    flags.add_argument("--only", nargs="*", help="play only these cases")
-    flags.add_argument("--plant", choices=sorted(plants), help="inject this bug")
-    flags.add_argument("--plants", action="store_true", help="list the injectable bugs")
-    flags.add_argument("--json", action="store_true")
-    return flags
+    argument_parser.add_argument("--gatekeepers", type=int, default=0, help="default: 3, 5 and 7 by turns")
+    argument_parser.add_argument("--jobs", type=int, default=4, help="number of parallel trials")
+    argument_parser.add_argument(
+        "--cases", type=int, default=3, help="number of fault cases in a trial; 0: all"
+    )
+    argument_parser.add_argument("--only", nargs="*", help="play only these cases")
+    argument_parser.add_argument("--plant", choices=sorted(plants), help="inject this bug")
+    argument_parser.add_argument("--plants", action="store_true", help="list the injectable bugs")
+    argument_parser.add_argument("--json", action="store_true")
+    return argument_parser
 
 
 def outcomes(
-    given: argparse.Namespace, run: Callable[[tuple[Any, ...]], Any], *extra_arguments: Any
+    arguments: argparse.Namespace, run: Callable[[tuple[Any, ...]], Any], *extra_arguments: Any
 ) -> Iterator[Any]:
     """Run the trials in parallel; yield their results in the order of the seeds.
 
     `run` gets one tuple: seed, number of gateways, `extra_arguments`, number of cases, names of cases.
     """
-    with ProcessPoolExecutor(given.jobs) as pool:
+    with ProcessPoolExecutor(arguments.jobs) as pool:
         yield from pool.map(
             run,
             [
                 (
-                    given.seed + index,
-                    given.gatekeepers or SIZES[index % len(SIZES)],
+                    arguments.seed + index,
+                    arguments.gatekeepers or SIZES[index % len(SIZES)],
                     *extra_arguments,
-                    given.cases,
-                    given.only,
+                    arguments.cases,
+                    arguments.only,
                 )
-                for index in range(given.trials)
+                for index in range(arguments.trials)
             ],
         )
 
