--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -15,15 +15,15 @@
 
 
 def test_folded_tier_sends_and_receives_as_many_messages_as_the_whole_tier():
-    whole_tier = Fold(Load(**RING, kept=20)).play()
-    for kept in (4, 5, 10):
-        folded = Fold(Load(**RING, kept=kept)).play()
+    whole_tier = Fold(Load(**RING, module_count=20)).play()
+    for module_count in (4, 5, 10):
+        folded = Fold(Load(**RING, module_count=module_count)).play()
         for name in ("told", "bytes told", "heard", "sends"):
-            assert folded[name] == pytest.approx(whole_tier[name], rel=0.05), (kept, name)
+            assert folded[name] == pytest.approx(whole_tier[name], rel=0.05), (module_count, name)
 
 
 def test_messages_sent_in_a_folded_tier_are_received_in_it():
-    figures = Fold(Load(**RING, kept=5)).play()
+    figures = Fold(Load(**RING, module_count=5)).play()
     assert figures["told"] > 20 and figures["heard"] == pytest.approx(figures["told"], rel=0.02)
 
 
@@ -32,19 +32,19 @@
     delivered."""
 
     class FoldWithoutDelivery(Fold):
-        def put(self, at_ms, place, event):
+        def schedule(self, at_ms, index, event):
             if type(event).__name__ != "PeerMessageReceived":
-                super().put(at_ms, place, event)
+                super().schedule(at_ms, index, event)
 
-    undelivered = FoldWithoutDelivery(Load(**RING, kept=5)).play()
-    delivered = Fold(Load(**RING, kept=5)).play()
+    undelivered = FoldWithoutDelivery(Load(**RING, module_count=5)).play()
+    delivered = Fold(Load(**RING, module_count=5)).play()
     assert abs(undelivered["told"] / delivered["told"] - 1) > 0.1
 
 
 @pytest.mark.parametrize(("kept", "spread"), [(3, 3), (4, 5), (7, 3)])
-def test_invalid_number_of_simulated_gateways_is_rejected(kept, spread):
+def test_invalid_number_of_simulated_gateways_is_rejected(module_count, spread):
     with pytest.raises(ValueError, match="kept"):
-        Fold(Load(gateways=20, kept=kept, spread=spread))
+        Fold(Load(gateways=20, module_count=module_count, spread=spread))
 
 
 def test_slopes_file_contains_exactly_the_slopes_of_the_command():
