--- a/tests/compatibility/test_compatibility.py
+++ b/tests/compatibility/test_compatibility.py
@@ -1,4 +1,4 @@
-"""A part of the comparison with the recorded program, within a minute; oracle.py plays all of it."""
+"""Compares a sample of the recorded results with this program, in under a minute; oracle.py compares all."""
 
 import json
 
@@ -16,31 +16,31 @@
 
 from plumpick.policy import controller, load_balancing
 
-SOME_HISTORIES, SOME_FLEETS = range(0, 200, 5), range(0, 60, 6)
-SOME_CONFIG = range(0, 60, 6)
+HISTORY_SEEDS_OF_TEST, FLEET_SEEDS_OF_TEST = range(0, 200, 5), range(0, 60, 6)
+CONFIG_SEEDS_OF_TEST = range(0, 60, 6)
 
 
-def test_the_decisions_of_recorded_histories_are_the_same():
+def test_controller_decisions_equal_the_recorded_histories():
     before = oracle.recorded("histories")
-    for seed in SOME_HISTORIES:
+    for seed in HISTORY_SEEDS_OF_TEST:
         digest, checkpoints = before[str(seed)]
         assert histories.digest_of(seed) == (digest, checkpoints), f"seed {seed}"
 
 
-def test_simulated_fleets_take_the_same_steps_and_send_the_same_bytes():
+def test_simulated_fleets_take_the_recorded_steps_and_send_the_recorded_bytes():
     before = oracle.recorded("fleets")
-    for seed in SOME_FLEETS:
+    for seed in FLEET_SEEDS_OF_TEST:
         assert fleets.digest_of(seed) == before[str(seed)], f"seed {seed}"
 
 
-def test_a_state_that_an_earlier_program_left_is_gone_on_from_as_before():
+def test_import_of_recorded_snapshots_gives_the_recorded_histories():
     saved = oracle.recorded("snapshots")
     assert len(saved["states"]) >= 8
     assert snapshots.digests(saved) == saved["digests"]
 
 
 @pytest.mark.parametrize("name", ["settings", "lists", "operator", "exits", "replies"])
-def test_operators_read_the_same_words(name):
+def test_messages_to_operators_equal_the_recorded_texts(name):
     read = {
         "settings": edges.settings_errors,
         "lists": edges.list_errors,
@@ -52,55 +52,56 @@
     assert not list(oracle.differences(oracle.recorded("edges")[name], now))
 
 
-def test_decisions_on_versions_of_the_settings_and_on_watches_of_discovery_are_the_same():
+def test_settings_version_and_discovery_decisions_equal_the_recorded_ones():
     before = oracle.recorded("config_decisions")
-    for seed in SOME_CONFIG:
+    for seed in CONFIG_SEEDS_OF_TEST:
         assert not list(oracle.differences(before[str(seed)], config_histories.digests_of(seed))), seed
 
 
-def test_versions_of_the_settings_and_discovery_have_the_same_bytes_lines_and_exit_codes():
+def test_settings_version_and_discovery_bytes_logs_and_exit_codes_equal_the_recorded_ones():
     now = json.loads(json.dumps(config_wire.replies()))
     assert not list(oracle.differences(oracle.recorded("config_replies"), now))
 
 
-def test_a_version_that_an_earlier_program_left_is_taken_up_as_before():
+def test_import_of_a_recorded_settings_version_has_the_recorded_result():
     left = oracle.recorded("config_state")
-    now = json.loads(json.dumps(config_wire.inherited(left["state"])))
+    now = json.loads(json.dumps(config_wire.imported_versions(left["state"])))
     assert left["taken_up"]["versions"].count(left["state"]["version"]) >= 1
     assert not list(oracle.differences(left["taken_up"], now))
 
 
 @pytest.mark.parametrize("part", ["SUBSCRIBER_CONSTANT", "STORE_CONSTANT", "WATCH_CONSTANT"])
-def test_a_change_of_one_constant_of_settings_or_discovery_is_found(monkeypatch, part):
+def test_changed_constant_of_settings_versions_or_discovery_changes_the_digests(monkeypatch, part):
     module, name = getattr(dynamic_config, part)
     value = getattr(module, name)
     monkeypatch.setattr(module, name, value + 1 if isinstance(value, int) else value * 1.2)
     before = oracle.recorded("config_decisions")
     assert any(
-        list(oracle.differences(before[str(seed)], config_histories.digests_of(seed))) for seed in SOME_CONFIG
+        list(oracle.differences(before[str(seed)], config_histories.digests_of(seed)))
+        for seed in CONFIG_SEEDS_OF_TEST
     )
 
 
-def test_a_change_of_one_constant_is_found(monkeypatch):
+def test_changed_constant_of_load_balancing_changes_the_digests(monkeypatch):
     monkeypatch.setattr(load_balancing, "FAILURE_WEIGHT", load_balancing.FAILURE_WEIGHT * 1.01)
-    assert any(is_changed(seed) for seed in SOME_HISTORIES)
+    assert any(history_differs(seed) for seed in HISTORY_SEEDS_OF_TEST)
 
 
-def test_a_change_of_the_order_of_draws_is_found(monkeypatch):
-    def later(self, settings, seed, made=controller.Controller.__init__):
+def test_additional_random_draw_changes_the_digests(monkeypatch):
+    def init_with_extra_draw(self, settings, seed, made=controller.Controller.__init__):
         made(self, settings, seed)
         self.state.rng.random()
 
-    monkeypatch.setattr(controller.Controller, "__init__", later)
-    assert any(is_changed(seed) for seed in SOME_HISTORIES)
+    monkeypatch.setattr(controller.Controller, "__init__", init_with_extra_draw)
+    assert any(history_differs(seed) for seed in HISTORY_SEEDS_OF_TEST)
 
 
-def is_changed(seed):
-    """Whether a seed's history is another one now."""
+def history_differs(seed):
+    """Whether the digest of a seed's history differs from the recorded one."""
     return histories.digest_of(seed)[0] != oracle.recorded("histories")[str(seed)][0]
 
 
-def test_differences_are_named():
+def test_differences_gives_the_path_of_each_changed_value():
     before, now = {"a": {"b": 1, "c": 2}}, {"a": {"b": 3, "d": 2}}
     assert list(oracle.differences(before, now)) == [
         "/a/b: 1 is now 3",
