--- a/tests/compatibility/config_histories.py
+++ b/tests/compatibility/config_histories.py
@@ -1,6 +1,6 @@
-"""Seeded histories of the decisions on versions of the settings and on the watch of discovery.
+"""Seeded histories of decisions on settings versions and on the discovery watch, without clock and sockets.
 
-No clock and no sockets; a digest with checkpoints stands for each seed.
+Each seed gives a digest with checkpoints.
 """
 
 import copy
@@ -13,11 +13,11 @@
 
 STEPS, CHECKPOINT_STEPS = 160, 80
 DELTA_PAIRS = 12
-WRONG = (None, "x", -1, 0, 2**60, 1.5, float("nan"), float("inf"), [], {}, True, "0" * 64)
+WRONG_VALUES = (None, "x", -1, 0, 2**60, 1.5, float("nan"), float("inf"), [], {}, True, "0" * 64)
 
 
 class Digest:
-    """Rows in their order, and marks by which a first difference is placed."""
+    """Digest of a sequence of rows, with checkpoints that show where two sequences begin to differ."""
 
     def __init__(self):
         self.hash, self.rows, self.checkpoints = hashlib.sha256(), 0, []
@@ -32,8 +32,8 @@
         return [self.hash.hexdigest()[:16], self.checkpoints]
 
 
-def published(mark, classes=3):
-    """Settings as they are published; `mark` makes them differ."""
+def published_settings(mark, classes=3):
+    """Returns settings in the published form; each `mark` gives different settings."""
     value = words.published_part(copy.deepcopy(settings()))
     row = value["classes"][0]
     value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
@@ -46,17 +46,17 @@
     return {"version": version, "digest": words.digest(value), "in_force_ms": at_ms, "settings": value}
 
 
-def by_changes(base, news):
+def delta_document(base, newer):
     return {
-        **{key: value for key, value in news.items() if key != "settings"},
+        **{key: value for key, value in newer.items() if key != "settings"},
         "base": base["version"],
         "base_digest": base["digest"],
-        "changes": words.difference(base["settings"], news["settings"]),
+        "changes": words.difference(base["settings"], newer["settings"]),
     }
 
 
-def mutated(rng, value):
-    """Settings with a few things else: figures, rows gone, new, moved, twice or without names."""
+def changed_copy(rng, value):
+    """Returns a copy of settings with some values changed and rows removed, added, moved or unnamed."""
     value = copy.deepcopy(value)
     for _ in range(rng.randint(1, 4)):
         rows = value[rng.choice(("classes", "packages"))]
@@ -81,8 +81,8 @@
     return value
 
 
-def spoilt(rng, value):
-    """One part of it of a wrong kind, or gone."""
+def malformed_copy(rng, value):
+    """Returns a copy of the value with one random part removed or replaced by a wrong value."""
     value = copy.deepcopy(value)
     inner, key = value, rng.choice(sorted(value))
     while isinstance(inner[key], dict | list) and inner[key] and rng.random() < 0.6:
@@ -91,80 +91,94 @@
     if rng.random() < 0.3:
         del inner[key]
     else:
-        inner[key] = rng.choice(WRONG)
+        inner[key] = rng.choice(WRONG_VALUES)
     return value
 
 
 # -- decisions
 
 
-def drawn_answer(rng, known, request, now):
-    """A version by its settings or changes: good, of another base, torn, under a number in use or hostile."""
-    news, other = rng.choice(known), rng.choice(known)
+def random_response(rng, known, request, now):
+    """Returns a random response: settings or a delta, valid, malformed or with a wrong base or number."""
+    newer, other = rng.choice(known), rng.choice(known)
     what = rng.randrange(9)
     if what < 3:
-        return news
+        return newer
     if what < 5:
-        return by_changes(other, news)
+        return delta_document(other, newer)
     if what == 5:
-        return {**by_changes(other, news), "base": request[4] or 1, "base_digest": request[5] or "0" * 64}
+        return {
+            **delta_document(other, newer),
+            "base": request[4] or 1,
+            "base_digest": request[5] or "0" * 64,
+        }
     if what == 6:
-        return {**news, "settings": published(99)}
+        return {**newer, "settings": published_settings(99)}
     if what == 7:
-        return document(news["version"], published(50), now)
-    return spoilt(rng, by_changes(other, news) if rng.random() < 0.5 else news)
+        return document(newer["version"], published_settings(50), now)
+    return malformed_copy(rng, delta_document(other, newer) if rng.random() < 0.5 else newer)
 
 
 def subscriber_digest(seed):
-    """One gatekeeper: answers late, doubled, torn, of other bases and hostile ones, failures, restarts."""
+    """Digest of a subscriber: late, repeated and malformed responses, failed calls and restarts."""
     rng, rows = random.Random(f"config/{seed}"), Digest()
     count = rng.choice((1, 3, 40, 550))
     now = 1000.0 + rng.random() * 5000
-    known = [document(1, published(1))]
+    known = [document(1, published_settings(1))]
     for version in range(2, 13):
-        value = mutated(rng, known[-1]["settings"]) if rng.random() < 0.5 else published(version)
+        value = (
+            changed_copy(rng, known[-1]["settings"]) if rng.random() < 0.5 else published_settings(version)
+        )
         at_ms = max(0.0, now + rng.uniform(-9000, 30_000))
         known.append(document(version + rng.randrange(2), value, at_ms))
-    known.append(document(40, published(40), now + 86_400_000.0 * 2))
+    known.append(document(40, published_settings(40), now + 86_400_000.0 * 2))
     number, addresses = rng.randrange(count), rng.randint(1, 4)
 
-    def begin():
+    def new_subscriber():
         return words.new_subscriber(number, count, addresses, random.Random(seed), now)
 
-    side = begin()
+    config_subscriber = new_subscriber()
     for _ in range(STEPS):
-        request = words.next_request(side, now)
+        request = words.next_request(config_subscriber, now)
         rows.add("request", words.plain(request))
         now += rng.choice((0.0, 1.0, 30.0, 700.0, 2500.0))
         problem = rng.choice(("", "", "", "settings.classes: \x00 is\nmissing" + "!" * 300))
         what = rng.randrange(15)
         if what < 2:
             took_ms = rng.choice((0.5, 900.0, 1100.0, 2000.0))
-            rows.add("quiet", words.quiet_answer(side, now, request, took_ms))
+            rows.add("quiet", words.on_unchanged_response(config_subscriber, now, request, took_ms))
         elif what == 2:
-            rows.add("failed", words.failed_call(side, "the connection failed"))
+            rows.add("failed", words.failed_call(config_subscriber, "the connection failed"))
         elif what < 12:
-            value = drawn_answer(rng, known, words.plain(request), now)
-            rows.add("answer", words.parsed(value), words.received(side, now, value, problem))
+            value = random_response(rng, known, words.plain(request), now)
+            rows.add("answer", words.parsed(value), words.on_response(config_subscriber, now, value, problem))
         elif what == 12:
-            rows.add("inherited", words.inherited(side, rng.choice(known), problem))
+            rows.add("inherited", words.inherited(config_subscriber, rng.choice(known), problem))
         elif rng.random() < 0.1:
-            side = begin()
-        refuses = "the window is full" if rng.random() < 0.2 else ""
-        rows.add("activated", words.activate(side, now, refuses), words.state(side, now))
+            config_subscriber = new_subscriber()
+        activation_error = "the window is full" if rng.random() < 0.2 else ""
+        rows.add(
+            "activated",
+            words.activate(config_subscriber, now, activation_error),
+            words.state(config_subscriber, now),
+        )
     return rows.result()
 
 
 def store_digest(seed):
-    """Two services and what status tells of both: publishers that cross, gatekeepers with every version."""
+    """Digest of two configuration services: concurrent publishers, subscribers of any version, and status."""
     rng, rows = random.Random(f"store/{seed}"), Digest()
     stores = [words.new_store(), words.new_store()]
-    known, now = [document(1, published(1))], 1000.0
+    known, now = [document(1, published_settings(1))], 1000.0
     for _ in range(STEPS):
         now += rng.choice((0.0, 5.0, 400.0, 7000.0))
         store, what = rng.choice(stores), rng.randrange(12)
         if what < 2:
-            value = mutated(rng, rng.choice(known)["settings"]) if rng.random() < 0.7 else published(now)
+            value = (
+                changed_copy(rng, rng.choice(known)["settings"])
+                if rng.random() < 0.7
+                else published_settings(now)
+            )
             version = known[-1]["version"] + rng.choice((1, 1, 1, 2, 0, -1))
             one = document(version, value, now + rng.uniform(-3000, 9000))
             known.append(one)
@@ -173,9 +187,9 @@
         elif what == 2:
             rows.add("again", words.publish(store, now, rng.choice(known)))
         elif what == 3:
-            rows.add("spoilt", words.publish(store, now, spoilt(rng, rng.choice(known))))
+            rows.add("spoilt", words.publish(store, now, malformed_copy(rng, rng.choice(known))))
         elif what == 4:
-            one = by_changes(rng.choice(known), rng.choice(known))
+            one = delta_document(rng.choice(known), rng.choice(known))
             rows.add("by changes", words.publish(store, now, one))
         elif what < 8:
             has, staged = rng.choice(known), rng.choice((0, 0, known[-1]["version"]))
@@ -200,25 +214,25 @@
 
 
 def delta_digest(seed):
-    """Digests, differences and what applying them gives, hostile ones too."""
+    """Digest of settings digests, deltas and the results of applying valid and malformed deltas."""
     rng, rows = random.Random(f"delta/{seed}"), Digest()
-    before = published(1, 12)
+    before = published_settings(1, 12)
     for _ in range(DELTA_PAIRS):
-        after = mutated(rng, before)
+        after = changed_copy(rng, before)
         changes = words.difference(before, after)
         rows.add(words.digest(before), words.digest(after), changes)
         if isinstance(changes, dict):
             rows.add(words.applied(before, changes))
             for _ in range(4):
-                rows.add(words.applied(before, spoilt(rng, changes)))
-            rows.add(words.applied(published(7, 3), changes))
+                rows.add(words.applied(before, malformed_copy(rng, changes)))
+            rows.add(words.applied(published_settings(7, 3), changes))
         before = after
     rows.add(words.digest({"limits": float("nan")}), words.difference({}, {"a": [float("inf")]}))
     return rows.result()
 
 
 def watch_digest(seed):
-    """The watch of discovery: one of an agent or of a shared service, with every end of a call."""
+    """Digest of a discovery watch of an agent or of a shared service, with every outcome of a call."""
     rng, rows = random.Random(f"watch/{seed}"), Digest()
     sharers = rng.choice((0, 0, 1, 3, 40, 200))
     number = rng.randrange(max(1, sharers))
@@ -235,12 +249,12 @@
         elif what < 7:
             rows.add(words.watch_failed(watch, rng.choice(("", "no answer in time")), rng.random() < 0.5))
         elif rng.random() < 0.2:
-            words.watch_afresh(watch)
+            words.reset_watch(watch)
     return rows.result()
 
 
 def digests_of(seed):
-    """All decisions of a seed."""
+    """Returns the digests of all decisions of a seed, by name."""
     return {
         "subscriber": subscriber_digest(seed),
         "store": store_digest(seed),
--- a/tests/compatibility/dynamic_config.py
+++ b/tests/compatibility/dynamic_config.py
@@ -1,7 +1,7 @@
-"""Versions of the settings and the watch of discovery as plain values, under names that no rename reaches.
+"""Adapter of settings versions and the discovery watch to plain values, independent of names in the code.
 
-Every name of the program that config_histories.py and config_wire.py use stands in this file. Errors are
-their texts, "" is none, and the fields of records go by their order.
+All names of the program that config_histories.py and config_wire.py use are imported here. An error is given
+as its text, no error as "", and the fields of a record are given in the order of their definition.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 from plumpick.tools.configuration import SettingsFileError, load_settings, next_version
 from plumpick.tools.configuration_service import VersionService
 
-# Constants whose change has to be found.
+# Module and name of the constants that test_compatibility.py changes to check that the digests then differ.
 SUBSCRIBER_CONSTANT = (subscriber, "MIN_WATCH_INTERVAL_MS")
 STORE_CONSTANT = (rollout_report, "UNREACHABLE_AFTER_MS")
 WATCH_CONSTANT = (endpoint_watch, "ROUNDS_AFTER_QUEUE_TIMEOUT")
@@ -36,7 +36,7 @@
 
 
 def plain(value):
-    """A record as the values of its fields."""
+    """Converts dataclass objects, also inside lists, to lists of field values, and enums to their values."""
     if dataclasses.is_dataclass(value):
         return [plain(getattr(value, field.name)) for field in dataclasses.fields(value)]
     if isinstance(value, tuple | list):
@@ -72,27 +72,27 @@
     return delta.shared_settings(settings)
 
 
-# -- one gatekeeper
+# -- subscriber of one gateway
 
 
 def new_subscriber(number, gateways, addresses, rng, now):
     return subscriber.ConfigSubscriber(number, gateways, addresses, rng, now)
 
 
-def next_request(side, now):
-    return side.next_request(now)
+def next_request(config_subscriber, now):
+    return config_subscriber.next_request(now)
 
 
-def quiet_answer(side, now, request, took_ms):
+def on_unchanged_response(config_subscriber, now, request, took_ms):
     try:
-        side.on_unchanged(now, request, took_ms)
+        config_subscriber.on_unchanged(now, request, took_ms)
     except DynamicConfigError as wrong:
         return str(wrong)
     return ""
 
 
-def failed_call(side, problem):
-    side.on_call_failed()
+def failed_call(config_subscriber, problem):
+    config_subscriber.on_call_failed()
     return problem
 
 
@@ -103,62 +103,62 @@
         return f"error {problem}"
 
 
-def received(side, now, value, problem):
-    """An answer comes; `problem` is what the gatekeeper finds wrong with its settings."""
+def on_response(config_subscriber, now, value, problem):
+    """Stages the version of a response, or rejects it if `problem` is not empty; returns the error text."""
     try:
         update = updates.parse_update(value)
-        side.require_wanted(update)
-        version = updates.resolve_update(update, side.newest)
+        config_subscriber.require_wanted(update)
+        version = updates.resolve_update(update, config_subscriber.newest)
     except InvalidUpdateError as wrong:
-        side.on_invalid_update()
+        config_subscriber.on_invalid_update()
         return str(wrong)
     except DynamicConfigError as wrong:
         return str(wrong)
     try:
         if problem:
-            side.reject(now, version, problem)
+            config_subscriber.reject(now, version, problem)
         else:
-            side.stage(now, version)
+            config_subscriber.stage(now, version)
     except DynamicConfigError as wrong:
         return str(wrong)
     return ""
 
 
-def activate(side, now, problem):
-    """What is due, if anything, comes into force, or is refused for that."""
-    version = side.due_version(now)
+def activate(config_subscriber, now, problem):
+    """Activates the staged version if its time has come, or reports `problem`; returns its number or None."""
+    version = config_subscriber.due_version(now)
     if version is None:
         return None
-    end_activation(side, version, problem)
+    end_activation(config_subscriber, version, problem)
     return version.number
 
 
-def end_activation(side, version, problem):
+def end_activation(config_subscriber, version, problem):
     if problem:
-        side.on_activation_failed(version, problem)
+        config_subscriber.on_activation_failed(version, problem)
     else:
-        side.on_activated(version)
+        config_subscriber.on_activated(version)
 
 
-def inherited(side, value, problem):
-    """What the process before left."""
+def inherited(config_subscriber, value, problem):
+    """Activates the version of the hot-restart predecessor if it is newer; returns whether it is."""
     version = updates.resolve_update(updates.parse_update(value), updates.OWN_FILE)
-    is_newer = side.is_newer_than_active(version)
+    is_newer = config_subscriber.is_newer_than_active(version)
     if is_newer:
-        end_activation(side, version, problem)
+        end_activation(config_subscriber, version, problem)
     return is_newer
 
 
-def state(side, now):
+def state(config_subscriber, now):
     return [
-        plain(side.active),
-        plain(side.staged),
-        [[version, plain(row)] for version, row in side.rejected.items()],
-        side.newest.number,
-        side.address_index,
-        side.consecutive_failures,
-        side.last_response_ms,
-        side.status_line(now),
+        plain(config_subscriber.active),
+        plain(config_subscriber.staged),
+        [[version, plain(row)] for version, row in config_subscriber.rejected.items()],
+        config_subscriber.newest.number,
+        config_subscriber.address_index,
+        config_subscriber.consecutive_failures,
+        config_subscriber.last_response_ms,
+        config_subscriber.status_line(now),
     ]
 
 
@@ -166,7 +166,7 @@
     return subscriber.worst_notification_ms(silent)
 
 
-# -- the service
+# -- configuration service
 
 
 def new_store():
@@ -203,11 +203,11 @@
     return VersionService(now)
 
 
-# -- the daemon's side and the operators' tool
+# -- configuration client of the gateway and operators' tool
 
 
 def new_client(addresses, taken, wrong):
-    """A client whose gatekeeper takes over what comes, unless its first class is worth `wrong`."""
+    """Returns a client that appends accepted priority weights to `taken` and rejects the weight `wrong`."""
 
     def reconfigure(config):
         if config.settings.classes[0].priority_weight == wrong:
@@ -238,7 +238,7 @@
 
 
 def checked_settings(settings, peers):
-    """What is wrong with published settings for a gatekeeper with these peers."""
+    """Returns whether published settings are usable for a gateway with these peers, and the error text."""
     more = {"peers": peers, "peer_listen": peers[0]} if peers else {}
     own = parse_config(config(name="n0", **more), {})
     try:
@@ -249,7 +249,7 @@
 
 
 def file_settings(path):
-    """The settings of a file for the operators' tool, or what is wrong."""
+    """Returns the settings that the operators' tool loads from a file, or "error" with the error text."""
     try:
         return load_settings(path)
     except SettingsFileError as problem:
@@ -284,7 +284,7 @@
     return problem
 
 
-def watch_afresh(watch):
+def reset_watch(watch):
     watch.reset()
 
 
--- a/tests/compatibility/edges.py
+++ b/tests/compatibility/edges.py
@@ -1,4 +1,4 @@
-"""What operators see of malformed files and of their calls: messages, exit codes and replies."""
+"""Messages, exit codes and replies that operators get for malformed files and for management calls."""
 
 import copy
 import json
@@ -18,24 +18,24 @@
 from plumpick.gateway.operator_config import operator_from
 
 ROOT = Path(__file__).resolve().parents[2]
-WRONG = (None, "x", -1, 0, 1e400, [], {}, True, ["x"], "1:2")
-PATIENCE_S = 30.0
+WRONG_VALUES = (None, "x", -1, 0, 1e400, [], {}, True, ["x"], "1:2")
+TIMEOUT_S = 30.0
 OPERATOR = (ROOT / "tests/compatibility/operator.toml").read_text(encoding="utf-8")
 
 
-def places(value, path=()):
-    """The path of every key and row of a nested value."""
+def nested_paths(value, path=()):
+    """Yields the path of every dictionary key and list index of a nested value."""
     rows = value.items() if isinstance(value, dict) else enumerate(value)
     for key, part in rows:
         yield (*path, key)
         if isinstance(part, dict | list):
-            yield from places(part, (*path, key))
+            yield from nested_paths(part, (*path, key))
 
 
-def spoilt(value):
-    """Every copy of the value with one part missing or of a wrong kind, and what was done to it."""
-    for path in list(places(value)):
-        for wrong in ("missing", *WRONG):
+def malformed_copies(value):
+    """Yields a description and a copy of the value for each part removed or replaced by a wrong value."""
+    for path in list(nested_paths(value)):
+        for wrong in ("missing", *WRONG_VALUES):
             other = copy.deepcopy(value)
             inner = other
             for key in path[:-1]:
@@ -47,8 +47,8 @@
             yield f"{'.'.join(map(str, path))} {wrong!r}", other
 
 
-def said(read, value, errors):
-    """What is wrong, word for word, or `read` where nothing is."""
+def error_text(read, value, errors):
+    """Returns the text of the error that `read(value)` raises, or "read" if it raises none of `errors`."""
     try:
         read(value)
     except errors as problem:
@@ -57,28 +57,28 @@
 
 
 def base_config():
-    """A configuration with every table."""
+    """Returns a valid configuration that has every table."""
     value = config(known=(entry("w1", 1234), entry("w2", 1235)))
     value["management"] = "127.0.0.1:9000"
     return value
 
 
 def settings_errors():
-    """The message for every way to spoil a configuration."""
+    """Returns the error text for every malformed copy of a configuration, by its description."""
     rows = {}
-    for what, value in spoilt(base_config()):
-        rows[what] = said(lambda value: parse_config(value, {}), value, (ValueError, ConfigError))
+    for what, value in malformed_copies(base_config()):
+        rows[what] = error_text(lambda value: parse_config(value, {}), value, (ValueError, ConfigError))
     return rows
 
 
 def list_errors():
-    """The message for every way to spoil a list of discovery, read whole and with bad entries skipped."""
+    """Returns error texts of malformed endpoint lists, parsed strictly and with invalid entries skipped."""
     rows = {}
-    for what, value in spoilt(listing(entry("w1", 1234), entry("w2", 1235))):
+    for what, value in malformed_copies(listing(entry("w1", 1234), entry("w2", 1235))):
         skipped = []
-        rows[f"whole {what}"] = said(lambda value: parse_worker_list(value, "list"), value, ValueError)
+        rows[f"whole {what}"] = error_text(lambda value: parse_worker_list(value, "list"), value, ValueError)
         rows[f"skipping {what}"] = [
-            said(
+            error_text(
                 lambda value, into=skipped: parse_worker_list(value, "list", into.append), value, ValueError
             ),
             [str(problem) for problem in skipped],
@@ -87,10 +87,10 @@
 
 
 def operator_errors():
-    """The message for every way to spoil the operator's file."""
+    """Returns the error text for every malformed copy of the operator's file, by its description."""
     rows = {}
-    for what, value in spoilt(tomllib.loads(OPERATOR)):
-        rows[what] = said(lambda value: operator_from(value, 3), value, (ValueError, ConfigError))
+    for what, value in malformed_copies(tomllib.loads(OPERATOR)):
+        rows[what] = error_text(lambda value: operator_from(value, 3), value, (ValueError, ConfigError))
     return rows
 
 
@@ -98,14 +98,14 @@
 
 
 def free_port():
-    """A port that is free now."""
-    with socket.socket() as plug:
-        plug.bind(("127.0.0.1", 0))
-        return plug.getsockname()[1]
+    """Returns a TCP port of the loopback interface that is currently unused."""
+    with socket.socket() as connection:
+        connection.bind(("127.0.0.1", 0))
+        return connection.getsockname()[1]
 
 
 def start(folder, text=None, **environment):
-    """The gateway as a process; `text` is its configuration."""
+    """Starts the gateway as a process; `text` is the content of its configuration file, None for no file."""
     if text is not None:
         path = Path(folder, "config.json")
         path.write_text(text, encoding="utf-8")
@@ -122,7 +122,7 @@
 
 
 def exits():
-    """Exit code and output of starts that cannot succeed."""
+    """Returns the exit code and output of gateway starts with unusable files, by the name of the case."""
     good = json.dumps(base_config())
     bad = json.dumps({**base_config(), "settings": {}})
     rows = {}
@@ -144,7 +144,7 @@
                 Path(folder, "config.json").write_bytes(b"\xff\xfe{")
                 more, text = {"BALANCER_CONFIG": f"{folder}/config.json"}, None
             process = start(folder, text, **more)
-            output, _ = process.communicate(timeout=PATIENCE_S)
+            output, _ = process.communicate(timeout=TIMEOUT_S)
             rows[name] = [process.returncode, output.replace(folder, "FOLDER")]
     return rows
 
@@ -157,26 +157,26 @@
 
 
 def call(port, line):
-    """The reply to one line."""
-    with socket.create_connection(("127.0.0.1", port), PATIENCE_S) as plug:
-        plug.sendall(line.encode() + b"\n")
-        plug.shutdown(socket.SHUT_WR)
-        return plug.makefile("rb").read().decode()
+    """Sends one line to the management port; returns the whole reply."""
+    with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as connection:
+        connection.sendall(line.encode() + b"\n")
+        connection.shutdown(socket.SHUT_WR)
+        return connection.makefile("rb").read().decode()
 
 
 def ready(port, process):
-    """Wait until the gateway answers; no time is judged."""
-    end = time.monotonic() + PATIENCE_S
+    """Waits until the management port replies; raises AssertionError on exit or after TIMEOUT_S."""
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end and process.poll() is None:
         try:
             return call(port, "READY")
         except OSError:
             time.sleep(0.05)
-    raise AssertionError("the gateway did not come up")
+    raise AssertionError(f"gateway exited or did not reply on port {port} within {TIMEOUT_S} s")
 
 
 def replies(operator=None):
-    """The replies of a gateway to a fixed list of calls."""
+    """Returns the replies of a started gateway to CALLS; `operator` is the content of its operator's file."""
     listen, management = free_port(), free_port()
     value = config(known=(entry("w1", 1),), listen=f"127.0.0.1:{listen}")
     value["management"] = f"127.0.0.1:{management}"
@@ -189,19 +189,19 @@
         process = start(folder, json.dumps(value), **more)
         try:
             ready(management, process)
-            return [[line[:40], steady(call(management, line))] for line in CALLS]
+            return [[line[:40], normalized(call(management, line))] for line in CALLS]
         finally:
             process.terminate()
-            process.communicate(timeout=PATIENCE_S)
+            process.communicate(timeout=TIMEOUT_S)
 
 
-def steady(reply):
-    """A reply without what differs from run to run: times, numbers of incarnations and tokens."""
+def normalized(reply):
+    """Replaces the numbers in a JSON reply by "N": times, incarnations and tokens differ from run to run."""
     return re.sub(r"-?\d+(\.\d+)?", "N", reply) if reply.startswith("+OK {") else reply
 
 
-def all_of_them():
-    """Everything in this file, by name."""
+def all_outputs():
+    """Returns the results of all cases of this file, by name."""
     return {
         "settings": settings_errors(),
         "lists": list_errors(),
--- a/tests/compatibility/fleets.py
+++ b/tests/compatibility/fleets.py
@@ -1,6 +1,6 @@
-"""Simulated fleets: every step's time and process, every record and every datagram of a seed, without names.
+"""Digests of simulated fleets: the time and process of every step, every record and every datagram of a seed.
 
-What a step calls is left out, since that is the name of a function.
+The name of the function that a step calls is left out, so that a rename does not change the digest.
 """
 
 from contextlib import contextmanager
@@ -10,12 +10,12 @@
 from plumpick.simulation.faults import case_of
 from plumpick.simulation.world import play
 
-SECONDS = 6.0
+SECONDS = 6.0  # Simulated time of one run
 
 
 @contextmanager
-def without_names():
-    """Steps are told by their time and process alone."""
+def without_callback_names():
+    """Context in which the simulation records steps by time and process only, without the callback's name."""
     before, loop.what_is = loop.what_is, lambda _handle: ""
     try:
         yield
@@ -24,8 +24,8 @@
 
 
 def digest_of(seed):
-    """The identity of one seed's run; some seeds have scheduled tasks and fleet-wide budgets."""
+    """Returns digest and counts of a seed's run; some seeds have scheduled tasks and fleet-wide budgets."""
     case = replace(case_of(seed, SECONDS), duties=(0, 2, 4)[seed % 3], budgets=(0, 3)[seed % 2])
-    with without_names():
+    with without_callback_names():
         result = play(case)
     return f"{result.digest} {result.steps} {result.requests} {result.owners} {result.spent:.6f}"
--- a/tests/compatibility/histories.py
+++ b/tests/compatibility/histories.py
@@ -1,7 +1,7 @@
-"""Seeded histories of the decision module: several gateways, faults of every kind and hostile events.
+"""Seeded histories of the policy controller: several gateways, injected faults and malformed events.
 
-A history depends on its seed and on what the module answers, and on no name of the program. Its digest is
-that of all events and actions; checkpoints tell where two histories part.
+A history depends only on its seed and on the controllers' actions, not on names in the code. Its digest
+covers all events and actions; checkpoints show where two histories begin to differ.
 """
 
 import hashlib
@@ -14,16 +14,16 @@
 from compatibility import vocabulary as words
 
 START_MS, END_MS, TICK_MS = 1000.0, 5000.0, 4.0
-CHECKPOINT_TURNS = 150
-LATENCY_MS = (1.0, 40.0)
-ENDPOINTS = (2, 14)
+CHECKPOINT_TURNS = 150  # Number of controller calls between two checkpoints
+LATENCY_MS = (1.0, 40.0)  # Range of the delay of peer messages
+ENDPOINTS = (2, 14)  # Range of the initial number of endpoints
 EFFECTS = ("retryable", "dedup", "fragile")
 SCOPES = ("all", "zone", "cell")
 ZONES = ("a", "b", "c")
 
 
-def drawn_settings(rng, gateways):
-    """Settings within what the protocol allows, in the form of the wire."""
+def random_settings(rng, gateways):
+    """Returns random valid settings in the JSON form of the configuration file."""
     classes = []
     for place in range(rng.randint(1, 4)):
         deadline = rng.choice((300.0, 900.0, 2500.0, 7500.0))
@@ -85,7 +85,7 @@
 
 
 def changed_settings(rng, value):
-    """Other settings for the same gateway: figures, a name more or less, or none that may change."""
+    """Returns a copy of the settings with one random change, possibly one that the controller must reject."""
     value = json.loads(json.dumps(value))
     what = rng.randrange(6)
     if what == 0:
@@ -107,7 +107,7 @@
 
 
 class Request:
-    """A client's request at one gateway."""
+    """A client's request at one gateway, with its attempts in progress."""
 
     def __init__(self, gateway, due_ms):
         self.gateway, self.due_ms = gateway, due_ms
@@ -115,17 +115,17 @@
 
 
 class History:
-    """One seed, played."""
+    """A simulated history of one seed: controllers, endpoints, requests and the queue of future events."""
 
     def __init__(self, seed, end_ms=END_MS):
         self.rng = random.Random(f"compatibility/{seed}")
         rng = self.rng
         self.now, self.end_ms = START_MS, end_ms
         self.count = rng.choice((1, 2, 3, 3, 5, 12))
-        self.value = drawn_settings(rng, self.count)
+        self.value = random_settings(rng, self.count)
         self.seed = seed
         self.modules = [self.new_module(number) for number in range(self.count)]
-        self.former = {}  # modules that have exported their state
+        self.former = {}
         self.endpoints = [self.new_endpoint(place) for place in range(rng.randint(*ENDPOINTS))]
         self.requests, self.serial = {}, itertools.count(1)
         self.queue, self.order = [], itertools.count()
@@ -159,7 +159,7 @@
             started,
         ]
 
-    def listed(self, complete=True, failed=False, some=None):
+    def endpoints_event(self, complete=True, failed=False, some=None):
         rows = self.endpoints if some is None else some
         endpoints = tuple(
             words.make("endpoint", name, zone, cell, words.STATES[state], weight, started)
@@ -173,18 +173,18 @@
         heapq.heappush(self.queue, (max(self.now, ms), next(self.order), gateway, event))
 
     def play(self):
-        """Play to the end; the digest and the checkpoints."""
+        """Runs the history to `end_ms`; returns its digest and checkpoints."""
         for number in range(self.count):
-            self.at(self.now + number, number, self.listed())
+            self.at(self.now + number, number, self.endpoints_event())
         next_request = self.now
         while self.now < self.end_ms:
             self.now += TICK_MS * self.rng.choice((1, 1, 1, 2, 3))
             if self.rng.random() < 0.002:
-                self.now += 700.0  # the process stood still
+                self.now += 700.0  # stall of all processes
             while next_request <= self.now:
                 next_request += self.rng.expovariate(self.rate)
                 self.arrive()
-            self.disturb()
+            self.inject_random_events()
             due = {}
             while self.queue and self.queue[0][0] <= self.now:
                 _, _, gateway, event = heapq.heappop(self.queue)
@@ -197,15 +197,15 @@
         module = self.modules[gateway]
         actions = module.handle(self.now, events)
         row = [self.now, gateway, words.plain(events), words.plain(actions), len(module.faults)]
-        row.append(words.silent_peers(module))
+        row.append(words.unresponsive_owners(module))
         self.digest.update(json.dumps(row).encode())
         self.turns += 1
         if self.turns % CHECKPOINT_TURNS == 0:
             self.checkpoints.append(self.digest.hexdigest()[:8])
         for action in actions:
-            self.carry(gateway, words.plain(action))
+            self.execute(gateway, words.plain(action))
 
-    # -- what clients, workers, peers and operators do
+    # -- events of clients, workers, peers and operators
 
     def arrive(self, again=None):
         rng, number = self.rng, next(self.serial)
@@ -231,14 +231,14 @@
         if rng.random() < 0.05:
             self.at(self.now + rng.uniform(1, 300), gateway, words.make("client-left", number))
 
-    def disturb(self):
+    def inject_random_events(self):
         rng = self.rng
         if rng.random() < 0.02:
             self.change_endpoints()
         if rng.random() < 0.01:
             self.command()
         if rng.random() < 0.02:
-            self.at(self.now, rng.randrange(self.count), self.hostile())
+            self.at(self.now, rng.randrange(self.count), self.malformed_event())
         if rng.random() < 0.003:
             self.replace_process()
         if rng.random() < 0.006:
@@ -263,10 +263,12 @@
         for number in range(self.count):
             late = rng.uniform(0, 300)
             if what == 4:
-                self.at(self.now + late, number, self.listed(failed=True, some=()))
+                self.at(self.now + late, number, self.endpoints_event(failed=True, some=()))
             else:
                 complete = rng.random() < 0.5
-                self.at(self.now + late, number, self.listed(complete, some=None if complete else [row]))
+                self.at(
+                    self.now + late, number, self.endpoints_event(complete, some=None if complete else [row])
+                )
 
     def command(self):
         rng = self.rng
@@ -274,7 +276,7 @@
         name = rng.choice([row[0] for row in self.endpoints] + ["nobody"])
         self.at(self.now, rng.randrange(self.count), words.make("order", next(self.serial), call, name))
 
-    def hostile(self):
+    def malformed_event(self):
         rng = self.rng
         known = max(1, next(self.serial) - rng.randrange(1, 9))
         return rng.choice(
@@ -304,16 +306,16 @@
         )
 
     def replace_process(self):
-        """Another process of a gateway takes over; sometimes it dies and the one before goes on."""
+        """Requests a state export of one gateway; the export is followed by a hot restart or its failure."""
         number = self.rng.randrange(self.count)
         self.at(self.now, number, words.make("export"))
 
-    def carry(self, gateway, action):
+    def execute(self, gateway, action):
         tag, *values = action
         if tag == "send":
             self.send(gateway, values)
         elif tag in ("refuse", "fail"):
-            self.final(values[0], tag)
+            self.close_request(values[0], tag)
         elif tag == "cancel":
             request = self.requests.get(values[0])
             if request is not None and values[1] in request.open:
@@ -321,13 +323,13 @@
         elif tag == "set-timer":
             self.at(self.now + values[0], gateway, words.make("timer-fired", values[1]))
         elif tag == "tell":
-            self.tell(gateway, values[0], bytes.fromhex(values[1][1]))
+            self.deliver_message(gateway, values[0], bytes.fromhex(values[1][1]))
         elif tag == "watch":
-            self.at(self.now + self.rng.uniform(1, 200), gateway, self.listed())
+            self.at(self.now + self.rng.uniform(1, 200), gateway, self.endpoints_event())
         elif tag == "exported":
-            self.take_over(gateway, values[0])
+            self.replace_module(gateway, values[0])
 
-    def take_over(self, number, state):
+    def replace_module(self, number, state):
         rng = self.rng
         state = {key: value for key, value in self.unfolded(state).items()}
         state = json.loads(json.dumps(state))
@@ -336,22 +338,22 @@
             self.at(self.now + rng.uniform(10, 200), number, words.make("resume"))
             return
         self.modules[number] = self.new_module(number)
-        self.at(self.now, number, self.listed())
+        self.at(self.now, number, self.endpoints_event())
         self.at(self.now, number, words.make("import", state))
         self.at(self.now + 1, number, words.make("timer-fired", "agenda"))
         for key, request in list(self.requests.items()):
             if request.gateway == number:
-                self.final(key, "moved")
+                self.close_request(key, "moved")
 
     def unfolded(self, value):
-        """A plain value as it was before."""
+        """Converts the result of `plain` for nested dictionaries and lists back to dictionaries and lists."""
         if isinstance(value, list) and value and value[0] == "map":
             return {self.unfolded(key): self.unfolded(part) for key, part in value[1:]}
         if isinstance(value, list):
             return [self.unfolded(part) for part in value]
         return value
 
-    def tell(self, sender, receiver, data):
+    def deliver_message(self, sender, receiver, data):
         rng = self.rng
         is_split = self.split_ms <= self.now < self.split_ms + 900 and (sender < 2) != (receiver < 2)
         if not 0 <= receiver < self.count or receiver == sender or is_split or rng.random() < self.loss:
@@ -394,16 +396,16 @@
         name = request.open[attempt]
         load = self.rng.choice(((), (), (self.rng.random(), took)))
         served = result == "ok"
-        final = served or request.ended
+        is_final = served or request.ended
         event = words.make(
-            "completed", number, attempt, name, took, words.RESULTS[result], final, 0.0, 0, load
+            "completed", number, attempt, name, took, words.RESULTS[result], is_final, 0.0, 0, load
         )
         if result != "cancelled" or attempt in request.open:
             self.at(self.now + took, request.gateway, event)
         if served:
             request.ended = True
 
-    def final(self, number, how):
+    def close_request(self, number, how):
         request = self.requests.get(number)
         if request is None:
             return
@@ -413,5 +415,5 @@
 
 
 def digest_of(seed, end_ms=END_MS):
-    """The identity of one history, and its checkpoints."""
+    """Returns the digest and the checkpoints of one seed's history."""
     return History(seed, end_ms).play()
--- a/tests/compatibility/oracle.py
+++ b/tests/compatibility/oracle.py
@@ -1,8 +1,8 @@
-"""Does the program do what the recorded one did? `python tests/compatibility/oracle.py [check | record]`
+"""Compares the program with recorded results: `python tests/compatibility/oracle.py [check | record]`
 
-The recorded files hold digests and words of a landed program, under tags that no rename reaches; `check`
-plays everything again and names the first differences. A refactoring has to leave all of it equal. Record
-anew only with a change that is meant to change what the program does, and say so in the commit.
+The files in `recorded/` hold digests and texts of an earlier version, under tags that do not depend on names
+in the code. `check` runs all cases again and prints the first differences. A refactoring must give none. Use
+`record` only with an intended change of behaviour, and say so in the commit message.
 """
 
 import gzip
@@ -19,40 +19,40 @@
 
 FOLDER = Path(__file__).with_name("recorded")
 HISTORY_SEEDS, FLEET_SEEDS, SNAPSHOT_SEEDS, CONFIG_SEEDS = range(200), range(60), range(12), range(60)
-SHOWN = 10  # differences that are printed
+MAX_PRINTED_DIFFERENCES = 10
 
 
 def recorded(name):
-    """What was recorded under that name."""
+    """Returns the value of the recorded file `name`.json.gz."""
     return json.loads(gzip.decompress((FOLDER / f"{name}.json.gz").read_bytes()))
 
 
-def keep(name, value):
-    """Write it down; the same value gives the same bytes."""
+def write_recorded(name, value):
+    """Writes a value to the recorded file `name`.json.gz; equal values give equal bytes."""
     FOLDER.mkdir(exist_ok=True)
     data = json.dumps(value, indent=0, sort_keys=True).encode()
     (FOLDER / f"{name}.json.gz").write_bytes(gzip.compress(data, mtime=0))
 
 
-def played(pool, call, seeds):
-    """What a call gives for each seed, by the seed's text."""
+def results_by_seed(pool, call, seeds):
+    """Runs `call` for each seed in the pool; returns the results by the seed as a string."""
     return {str(seed): result for seed, result in zip(seeds, pool.map(call, seeds), strict=True)}
 
 
 def current(jobs=None):
-    """Everything, as the program does it now."""
+    """Returns the results of all cases for this program, by the names of the recorded files."""
     with ProcessPoolExecutor(jobs) as pool:
         return {
-            "fleets": played(pool, fleets.digest_of, FLEET_SEEDS),
-            "histories": played(pool, histories.digest_of, HISTORY_SEEDS),
-            "edges": edges.all_of_them(),
-            "config_decisions": played(pool, config_histories.digests_of, CONFIG_SEEDS),
+            "fleets": results_by_seed(pool, fleets.digest_of, FLEET_SEEDS),
+            "histories": results_by_seed(pool, histories.digest_of, HISTORY_SEEDS),
+            "edges": edges.all_outputs(),
+            "config_decisions": results_by_seed(pool, config_histories.digests_of, CONFIG_SEEDS),
             "config_replies": config_wire.replies(),
         }
 
 
 def differences(before, now, path=""):
-    """Where two values part, a line each."""
+    """Yields one line for each path at which two JSON values differ."""
     if type(before) is type(now) is dict:
         for key in sorted({*before, *now}):
             if key not in before or key not in now:
@@ -64,35 +64,35 @@
 
 
 def check(jobs=None):
-    """The differences between the recorded program and this one."""
+    """Returns the differences between the recorded results and those of this program, one line each."""
     found = []
     for name, value in current(jobs).items():
         found += differences(recorded(name), json.loads(json.dumps(value)), name)
     saved = recorded("snapshots")
     found += differences(saved["digests"], snapshots.digests(saved), "snapshots")
     left = recorded("config_state")
-    taken_up = json.loads(json.dumps(config_wire.inherited(left["state"])))
+    taken_up = json.loads(json.dumps(config_wire.imported_versions(left["state"])))
     found += differences(left["taken_up"], taken_up, "config_state")
     return found
 
 
 def record():
-    """Record this program."""
+    """Overwrites all recorded files with the results of this program."""
     for name, value in current().items():
-        keep(name, value)
-    keep("snapshots", snapshots.recorded(SNAPSHOT_SEEDS))
-    keep("config_state", config_wire.left_behind())
+        write_recorded(name, value)
+    write_recorded("snapshots", snapshots.recorded(SNAPSHOT_SEEDS))
+    write_recorded("config_state", config_wire.exported_state())
 
 
 def main():
-    """0 where all is equal, 1 where it is not."""
+    """Runs `check` or `record`; returns the exit code: 1 if `check` found differences, otherwise 0."""
     if sys.argv[1:] == ["record"]:
         record()
         return 0
     found = check()
-    for line in found[:SHOWN]:
+    for line in found[:MAX_PRINTED_DIFFERENCES]:
         print(line)
-    print(f"{len(found)} differences from the recorded program")
+    print(f"{len(found)} differences from the recorded results")
     return 1 if found else 0
 
 
--- a/tests/compatibility/vocabulary.py
+++ b/tests/compatibility/vocabulary.py
@@ -1,7 +1,7 @@
-"""Events, actions and settings as plain values under short tags that no rename reaches.
+"""Converts events, actions and settings to plain values under short tags, independent of names in the code.
 
-Every name of the program that the histories use stands in this file, so that a rename touches it and leaves
-the recorded files alone. Fields go by their order.
+All names of the program that histories.py uses are imported here, so that a rename changes this file and no
+recorded one. Fields are written in the order of their definition.
 """
 
 import dataclasses
@@ -84,22 +84,22 @@
 
 
 def make(tag, *values):
-    """A record by its tag; its fields by their order."""
+    """Returns an object of the type with this tag; `values` are its fields in order."""
     return TAGS[tag](*values)
 
 
 def controller(settings, seed):
-    """The decision module."""
+    """Returns a new policy controller with these settings and this random seed."""
     return Controller(settings, seed)
 
 
-def silent_peers(module):
-    """The quota owners that do not answer."""
+def unresponsive_owners(module):
+    """Returns the sorted numbers of the quota owners that the controller regards as unresponsive."""
     return sorted(module.unresponsive_owners())
 
 
 def plain(value):
-    """Any value as JSON's, the same for the same value and no other."""
+    """Converts a value to JSON types; equal values give equal results, unknown types give ["other"]."""
     if isinstance(value, bool) or value is None or isinstance(value, str):
         return value
     if isinstance(value, int):
