--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,7 +16,7 @@
     issue: int
 
 
-def parsed(text):
+def parse_entries(text):
     """Parses lines `TEST | COMMAND AND SEED | SEEN | ISSUE`; raises ValueError for a malformed line."""
     rows = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -33,4 +33,4 @@
 
 def entries():
     """Returns the entries of KNOWN-RED.txt, none if the file does not exist."""
-    return parsed(FILE.read_text()) if FILE.exists() else []
+    return parse_entries(FILE.read_text()) if FILE.exists() else []
--- a/tests/test_glossary.py
+++ b/tests/test_glossary.py
@@ -31,12 +31,12 @@
     return {part for cell in cells for term in re.findall(r"`([^`]+)`", cell) for part in term.split(".")}
 
 
-def test_every_code_term_of_the_glossary_exists_in_the_code():
+def test_every_code_term_of_the_glossary_is_defined_in_the_code():
     terms, names = code_terms((ROOT / "docs/GLOSSARY.md").read_text()), names_in_the_code()
     assert len(terms) > 90
     assert not sorted(terms - names)
 
 
-def test_a_term_that_the_code_lacks_is_found():
+def test_glossary_term_missing_from_the_code_is_found():
     text = "| word | `NoSuchTerm` | |\n## From the code to the operators' words\n"
     assert code_terms(text) - names_in_the_code() == {"NoSuchTerm"}
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -3,12 +3,12 @@
 import ast
 
 import pytest
-from known_red import ROOT, entries, parsed
+from known_red import ROOT, entries, parse_entries
 
-LINE = "tests/test_known_red.py::test_lines_are_read_strictly | make test, seed 3 | a cause | 41\n"
+LINE = "tests/test_known_red.py::test_malformed_line_raises_value_error | make test, seed 3 | a cause | 41\n"
 
 
-def test_each_entry_names_a_test_that_exists():
+def test_each_entry_names_an_existing_test():
     for entry in entries():
         assert exists(entry.test), entry.test
 
@@ -24,8 +24,8 @@
     }
 
 
-def test_lines_are_read_strictly():
-    assert parsed(LINE + "\n") == [(LINE.split(" | ")[0], "make test, seed 3", "a cause", 41)]
+def test_malformed_line_raises_value_error():
+    assert parse_entries(LINE + "\n") == [(LINE.split(" | ")[0], "make test, seed 3", "a cause", 41)]
     for bad in (
         "tests/x.py::test_y | 41\n",
         "tests/x.py::test_y | cause | 41\n",
@@ -35,33 +35,33 @@
         "a::b |  | cause | 41\n",
     ):
         with pytest.raises(ValueError, match="KNOWN-RED"):
-            parsed(bad)
+            parse_entries(bad)
 
 
-def test_a_test_that_does_not_exist_is_found_out():
-    assert exists("tests/test_known_red.py::test_lines_are_read_strictly")
+def test_exists_is_false_for_a_missing_test_or_file():
+    assert exists("tests/test_known_red.py::test_malformed_line_raises_value_error")
     for name in ("tests/test_known_red.py::test_nothing", "tests/no.py::test_x", "plumpick/cli.py::main"):
         assert not exists(name)
 
 
-def test_what_stands_there_is_passed_over_and_told(pytester_like):
+def test_listed_test_is_deselected_and_printed(run_pytest_in_project):
     """Only the listed tests are deselected, and their entries are printed."""
-    passed_over, told = pytester_like(
+    deselected, output = run_pytest_in_project(
         "def test_red():\n    assert False\n\ndef test_green():\n    pass\n", "test_red"
     )
-    assert passed_over == 1 and "KNOWN RED, not run" in told and "1 passed" in told
-    assert "make x, seed 1: because (issue 41)" in told
+    assert deselected == 1 and "KNOWN RED, not run" in output and "1 passed" in output
+    assert "make x, seed 1: because (issue 41)" in output
 
 
-def test_option_runs_just_what_stands_there(pytester_like):
-    passed_over, told = pytester_like(
+def test_known_red_option_runs_only_listed_tests(run_pytest_in_project):
+    deselected, output = run_pytest_in_project(
         "def test_red():\n    pass\n\ndef test_green():\n    assert False\n", "test_red", "--known-red"
     )
-    assert passed_over == 1 and "KNOWN RED, run" in told and "1 passed" in told
+    assert deselected == 1 and "KNOWN RED, run" in output and "1 passed" in output
 
 
 @pytest.fixture
-def pytester_like(tmp_path):
+def run_pytest_in_project(tmp_path):
     """Function that runs pytest with this project's conftest on a temporary project, in another process.
 
     It returns the number of deselected tests and the output.
--- a/tests/test_repository.py
+++ b/tests/test_repository.py
@@ -9,14 +9,14 @@
 ROOT = pathlib.Path(__file__).parent.parent
 
 
-def test_lines_are_short():
+def test_lines_have_at_most_110_characters():
     for path in [
         path for folder in ("plumpick", "tests", "benchmarks") for path in (ROOT / folder).rglob("*.py")
     ]:
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
-def test_the_module_needs_the_standard_library_only():
+def test_policy_imports_only_the_standard_library():
     paths = list(ROOT.glob("plumpick/policy/**/*.py"))
     assert len(paths) > 30
     for path in paths:
@@ -34,7 +34,7 @@
     assert len(pins) == 2 and all(re.fullmatch(r"[a-z]+==[\d.]+", pin) for pin in pins)
 
 
-def test_the_daemons_files_are_what_the_deploy_file_says_and_need_no_tool():
+def test_deployed_files_match_the_deploy_file_and_import_no_tools():
     node = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["node"]
     assert sorted(node) == [
         "plumpick/__init__.py",
@@ -70,7 +70,7 @@
     }
 
 
-def test_the_page_of_crossings_names_tests_that_exist():
+def test_crossings_page_names_existing_tests():
     text = (ROOT / "docs/design/crossings.md").read_text()
     named = set(re.findall(r"::(test_\w+)", text))
     defined = {
@@ -81,20 +81,20 @@
     assert len(named) > 40 and not named - defined
 
 
-def test_the_core_knows_no_front_and_no_front_the_core_or_another():
-    door = "plumpick.gateway.listeners.interface"
+def test_gateway_core_and_listeners_import_only_the_listener_interface():
+    interface = "plumpick.gateway.listeners.interface"
     core = imports_of(ROOT / "plumpick/gateway/gateway.py")
-    assert {name for name in core if name.startswith("plumpick.gateway.listeners")} == {door}
+    assert {name for name in core if name.startswith("plumpick.gateway.listeners")} == {interface}
     listeners = list((ROOT / "plumpick/gateway/listeners").glob("*/*.py"))
     assert len(listeners) >= 4
     for path in listeners:
         own = f"plumpick.gateway.listeners.{path.parent.name}."
         others = {
-            name for name in imports_of(path) if not name.startswith("plumpick.policy") and name != door
+            name for name in imports_of(path) if not name.startswith("plumpick.policy") and name != interface
         }
         assert {name for name in others if not name.startswith(own)} <= {"plumpick.gateway.clock"}, path
     upstream = list((ROOT / "plumpick/gateway/upstream").glob("*.py"))
     assert len(upstream) >= 3
     for path in upstream:
         known = {name for name in imports_of(path) if name.startswith("plumpick.gateway.listeners")}
-        assert known <= {door}, path
+        assert known <= {interface}, path
--- a/tests/test_structure.py
+++ b/tests/test_structure.py
@@ -11,9 +11,9 @@
 
 # Tolerated exceptions until the code is split: modules and functions above the limits, and import cycles.
 # An entry is removed as soon as it is no longer needed.
-LARGE_MODULES: set[str] = set()
-LARGE_FUNCTIONS: set[str] = set()
-CIRCLES = {
+TOLERATED_LARGE_MODULES: set[str] = set()
+TOLERATED_LARGE_FUNCTIONS: set[str] = set()
+TOLERATED_IMPORT_CYCLES = {
     ("plumpick.simulation.loop", "plumpick.simulation.network"),
     (
         "plumpick.capacity.model",
@@ -62,7 +62,7 @@
     return str(path.relative_to(ROOT))
 
 
-def core_files():
+def policy_and_gateway_files():
     """Returns the files of the policy package and of the gateway."""
     paths = python_files(*POLICY, *GATEWAY)
     assert len(paths) > 60
@@ -81,7 +81,7 @@
     return names
 
 
-def test_decisions_import_no_io_no_clock_and_nothing_of_the_daemon():
+def test_policy_imports_no_io_no_clock_and_no_gateway_module():
     for path in python_files(*POLICY):
         names = imported(ast.parse(path.read_text()))
         assert not {name.partition(".")[0] for name in names} & NO_IO, path
@@ -89,23 +89,23 @@
         assert all(name == "plumpick.policy" or name.startswith("plumpick.policy.") for name in own), path
 
 
-def test_modules_have_one_job():
+def test_modules_do_not_exceed_the_line_limit():
     large = set()
-    for path in core_files():
+    for path in policy_and_gateway_files():
         lines = path.read_text().splitlines()
         if sum(bool(line.strip()) for line in lines) > MAX_MODULE_LINES:
             large.add(name_of(path))
-    assert large <= LARGE_MODULES, large - LARGE_MODULES
+    assert large <= TOLERATED_LARGE_MODULES, large - TOLERATED_LARGE_MODULES
 
 
-def test_functions_are_short():
+def test_functions_do_not_exceed_the_line_limit():
     large = set()
-    for path in core_files():
+    for path in policy_and_gateway_files():
         for node in ast.walk(ast.parse(path.read_text())):
             is_function = isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
             if is_function and node.end_lineno - node.lineno + 1 > MAX_FUNCTION_LINES:
                 large.add(f"{name_of(path)}:{node.name}")
-    assert large <= LARGE_FUNCTIONS, large - LARGE_FUNCTIONS
+    assert large <= TOLERATED_LARGE_FUNCTIONS, large - TOLERATED_LARGE_FUNCTIONS
 
 
 def import_graph():
@@ -120,7 +120,7 @@
     return graph
 
 
-def circles_of(graph):
+def import_cycles(graph):
     """Returns the import cycles of a graph as sorted tuples of the modules that reach one another."""
     reach = {}
     for start in graph:
@@ -137,11 +137,11 @@
     }
 
 
-def test_no_modules_import_one_another_in_a_circle():
+def test_import_cycles_equal_the_tolerated_ones():
     # The imports of a package are those of its __init__.py, without those of its modules.
-    assert circles_of(import_graph()) == CIRCLES
+    assert import_cycles(import_graph()) == TOLERATED_IMPORT_CYCLES
 
 
-def test_a_circle_is_found():
+def test_import_cycle_is_found():
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}
-    assert circles_of(graph) == {("a", "b", "c")}
+    assert import_cycles(graph) == {("a", "b", "c")}
