--- a/tests/scale/test_brief.py
+++ b/tests/scale/test_brief.py
@@ -1,4 +1,4 @@
-"""The bounds of `--brief` hold, and each of them breaks where what it guards against is planted."""
+"""A run with `--brief` violates no bound, and each bound is violated when its fault is injected."""
 
 import itertools
 from dataclasses import replace
@@ -13,8 +13,8 @@
 from plumpick.rehearsal.scenario import RosterPart
 
 
-class Planted:
-    """A module with something wrong; what it does not change it does as the module."""
+class FaultyController:
+    """Base of controllers with an injected fault; whatever is not overridden is left to a Controller."""
 
     def __init__(self, settings, seed):
         self.settings, self.inner = settings, Controller(settings, seed)
@@ -26,20 +26,20 @@
         return self.inner.handle(now, events)
 
 
-class TellsNothing(Planted):
+class SendsNoPeerMessages(FaultyController):
     def handle(self, now, events):
         return [
             action for action in self.inner.handle(now, events) if not isinstance(action, SendPeerMessage)
         ]
 
 
-class TellsTwice(Planted):
+class SendsPeerMessagesTwice(FaultyController):
     def handle(self, now, events):
         actions = self.inner.handle(now, events)
         return actions + [action for action in actions if isinstance(action, SendPeerMessage)]
 
 
-class TellsLong(Planted):
+class SendsLongPeerMessages(FaultyController):
     def handle(self, now, events):
         return [
             replace(action, data=action.data + bytes(257)) if isinstance(action, SendPeerMessage) else action
@@ -47,8 +47,8 @@
         ]
 
 
-class CrowdsTheCold(Planted):
-    """All goes to the worker that began last."""
+class SendsAllToNewestEndpoint(FaultyController):
+    """Sends all attempts to the endpoint that started last."""
 
     def handle(self, now, events):
         actions = self.inner.handle(now, events)
@@ -65,7 +65,7 @@
         ]
 
 
-class SendsTwice(Planted):
+class StartsAttemptsTwice(FaultyController):
     def handle(self, now, events):
         return [
             action
@@ -74,45 +74,45 @@
         ]
 
 
-class RefusesSome(Planted):
+class RejectsEveryThirdRequest(FaultyController):
     def handle(self, now, events):
-        refused = [event for event in events if isinstance(event, RequestReceived) and event.id % 3 == 0]
-        return [RejectRequest(event.id) for event in refused] + self.inner.handle(
-            now, [event for event in events if event not in refused]
+        rejected = [event for event in events if isinstance(event, RequestReceived) and event.id % 3 == 0]
+        return [RejectRequest(event.id) for event in rejected] + self.inner.handle(
+            now, [event for event in events if event not in rejected]
         )
 
 
-class RefusesAll(Planted):
+class RejectsAllRequests(FaultyController):
     def handle(self, now, events):
-        refused = [event for event in events if isinstance(event, RequestReceived)]
-        return [RejectRequest(event.id) for event in refused] + self.inner.handle(
-            now, [event for event in events if event not in refused]
+        rejected = [event for event in events if isinstance(event, RequestReceived)]
+        return [RejectRequest(event.id) for event in rejected] + self.inner.handle(
+            now, [event for event in events if event not in rejected]
         )
 
 
-class KnowsNoQuota(Planted):
+class HasNoQuota(FaultyController):
     def __init__(self, settings, seed):
         plans = tuple(replace(plan, rate_per_s=0.0, hard_limit_per_s=0.0) for plan in settings.plans)
         super().__init__(replace(settings, plans=plans), seed)
 
 
-class HearsNoChange(Planted):
+class IgnoresEndpointChanges(FaultyController):
     def handle(self, now, events):
         return self.inner.handle(
             now, [event for event in events if not isinstance(event, EndpointsUpdated) or event.is_snapshot]
         )
 
 
-LIVES = itertools.count()
+CONTROLLERS_CREATED = itertools.count()
 
 
-class PlaysDice(Planted):
+class HasDifferentSeedEachTime(FaultyController):
     def __init__(self, settings, seed):
-        super().__init__(settings, seed + next(LIVES))
+        super().__init__(settings, seed + next(CONTROLLERS_CREATED))
 
 
-class LooksAround(Planted):
-    """Each call looks at every worker, and at every class, several times more."""
+class ReadsEndpointsAndClassesRepeatedly(FaultyController):
+    """Reads every endpoint and every request class 20 more times in each call."""
 
     def handle(self, now, events):
         actions = self.inner.handle(now, events)
@@ -124,60 +124,63 @@
         return actions
 
 
-def broken(rows):
+def violated_bounds(rows):
     return {row.about for row in rows if not row.held}
 
 
 @pytest.mark.parametrize("seed", [1, 23])
-def test_brief_holds(capsys, seed):
+def test_brief_run_violates_no_bound(capsys, seed):
     code = main(["--brief", "--seed", str(seed)])
     out = capsys.readouterr().out
     assert code == 0, out
     assert f"seed {seed}\n" in out and ", 0 broken, " in out
 
 
-TIER_PLANTS = [
-    (TellsNothing, "words_per_try"),
-    (TellsTwice, "words_per_try"),
-    (TellsNothing, "word_bytes"),
-    (TellsLong, "word_bytes_most"),
-    (TellsLong, "word_bytes"),
-    (TellsTwice, "crowded_part"),
-    (CrowdsTheCold, "cold_sum"),
-    (RefusesAll, "cold_sends"),
-    (SendsTwice, "attempts_per_served"),
-    (RefusesSome, "served_inside_part"),
-    (KnowsNoQuota, "beyond_part"),
-    (HearsNoChange, "lacking"),
+TIER_FAULTS = [
+    (SendsNoPeerMessages, "words_per_try"),
+    (SendsPeerMessagesTwice, "words_per_try"),
+    (SendsNoPeerMessages, "word_bytes"),
+    (SendsLongPeerMessages, "word_bytes_most"),
+    (SendsLongPeerMessages, "word_bytes"),
+    (SendsPeerMessagesTwice, "crowded_part"),
+    (SendsAllToNewestEndpoint, "cold_sum"),
+    (RejectsAllRequests, "cold_sends"),
+    (StartsAttemptsTwice, "attempts_per_served"),
+    (RejectsEveryThirdRequest, "served_inside_part"),
+    (HasNoQuota, "beyond_part"),
+    (IgnoresEndpointChanges, "lacking"),
 ]
 
 
-@pytest.mark.parametrize("plant, bound", TIER_PLANTS)
-def test_a_bound_on_a_tier_breaks_where_its_fault_is_planted(plant, bound):
+@pytest.mark.parametrize("plant, bound", TIER_FAULTS)
+def test_fault_injected_in_the_controller_violates_its_bound(plant, bound):
     rows, _ = brief.of_size(brief.SMALL, 1, plant)
-    assert f"3 x 10: {bound}" in broken(rows), [row for row in rows if bound in row.about]
+    assert f"3 x 10: {bound}" in violated_bounds(rows), [row for row in rows if bound in row.about]
 
 
-def test_the_bound_on_who_is_told_breaks_where_lists_come_late(monkeypatch):
+def test_late_endpoint_lists_violate_the_notification_bounds(monkeypatch):
     monkeypatch.setattr(load, "RosterPart", lambda: RosterPart(add_s=[7.0, 8.0]))
     rows, _ = brief.of_size(brief.SMALL, 1)
-    assert {"3 x 10: told_ms", "3 x 10: lacking"} <= broken(rows)
+    assert {"3 x 10: told_ms", "3 x 10: lacking"} <= violated_bounds(rows)
 
 
-def test_every_bound_on_a_tier_has_a_plant():
+def test_every_bound_on_a_tier_has_an_injected_fault():
     assert {name for bands in brief.BANDS.values() for name in bands} == {
         "told_ms",
-        *(bound for _, bound in TIER_PLANTS),
+        *(bound for _, bound in TIER_FAULTS),
     }
 
 
-def test_a_run_that_is_not_of_its_seed_alone_is_found():
-    assert not broken(brief.same(1))
-    assert broken(brief.same(1, PlaysDice))
+def test_run_that_does_not_repeat_for_its_seed_is_found():
+    assert not violated_bounds(brief.same(1))
+    assert violated_bounds(brief.same(1, HasDifferentSeedEachTime))
 
 
-def test_bounds_on_work_break_where_it_grows_or_is_not_there():
+def test_more_work_or_no_work_violates_every_work_bound():
     rows = brief.of_work(1)
-    assert not broken(rows)
-    more, none = broken(brief.of_work(1, LooksAround)), broken(brief.of_work(1, RefusesAll))
+    assert not violated_bounds(rows)
+    more, none = (
+        violated_bounds(brief.of_work(1, ReadsEndpointsAndClassesRepeatedly)),
+        violated_bounds(brief.of_work(1, RejectsAllRequests)),
+    )
     assert {row.about for row in rows} == more | none, {row.about for row in rows} - more - none
--- a/tests/scale/test_commands.py
+++ b/tests/scale/test_commands.py
@@ -1,4 +1,4 @@
-"""`python -m benchmarks.scale`: bad calls, and what one small run writes."""
+"""`python -m benchmarks.scale`: errors of invalid arguments, and the result files of small runs."""
 
 import json
 import math
@@ -31,7 +31,7 @@
         ("--firms many", "--firms"),
     ],
 )
-def test_a_bad_call_is_one_line_that_names_the_flag(capsys, words, says):
+def test_invalid_arguments_give_one_line_that_names_the_flag(capsys, words, says):
     with pytest.raises(SystemExit) as ended:
         main(words.split())
     text = capsys.readouterr()
@@ -39,7 +39,7 @@
     assert text.err.count("\n") == 1 and not text.out
 
 
-def test_one_point_is_played_and_written(capsys, tmp_path):
+def test_run_of_one_point_writes_its_result(capsys, tmp_path):
     assert (
         main(
             [
@@ -72,7 +72,7 @@
     assert result["services"].startswith("no mechanism")
 
 
-def test_what_an_earlier_result_has_played_is_not_played_again(capsys, tmp_path):
+def test_resume_repeats_only_points_that_were_cut_short(capsys, tmp_path):
     words = [
         "--axes",
         "",
@@ -101,7 +101,7 @@
     first = json.loads(file.read_text())
     assert main([*words, str(tmp_path / "b"), "--resume", str(file)]) == 0
     assert json.loads((tmp_path / "b/result.json").read_text())["points"] == first["points"]
-    first["points"][0]["cut"] = True  # what was cut short is played again
+    first["points"][0]["cut"] = True  # points that were cut short are run again
     first["points"][0]["figures"]["cold_sum"] = 9.0
     file.write_text(json.dumps(first))
     assert main([*words, str(tmp_path / "b"), "--resume", str(file)]) == 0
@@ -114,7 +114,7 @@
         assert says in capsys.readouterr().err
 
 
-def test_runs_that_come_too_late_or_fail_have_rows_that_say_so():
+def test_rows_of_late_and_failed_runs_state_the_cause():
     work, told = Work(1, -math.inf), []
     work.add("late", faults.play, "calm", 1)
     work.run(lambda key, row: told.append((key, row)))
@@ -125,7 +125,7 @@
     assert work.done["fails"]["failed"].startswith("KeyError")
 
 
-def test_the_chart_is_drawn(tmp_path):
+def test_chart_is_written_as_png(tmp_path):
     rows = [
         {"axis": "rate", "value": value, "ratios": {"cold_sum": 0.2 * value, "told_ms": 0.0}}
         for value in (70, 273)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow tiers: what is played of a large one, what is counted, and that faults are what they say."""
+"""Hollow tiers: which part of a large tier is simulated, what is counted, and the effects of faults."""
 
 import math
 
@@ -17,7 +17,7 @@
 SMALL = Point(3, 10, 100, 3, 70.0, 3)
 
 
-def test_of_a_large_tier_all_firms_of_those_counted_are_played():
+def test_sampled_tier_simulates_all_customers_of_the_measured_gateways():
     point = Point(200, 200, 4000, 3, 10.0, 5)
     part, load = part_of(point), of_point(point, 1)
     tier = Tier(load, 1, part.played, part.judged)
@@ -30,7 +30,7 @@
     assert part_of(SMALL).judged == (0, 1, 2) and part_of(SMALL).how(3) == "all"
 
 
-def test_a_part_of_a_tier_shows_what_the_whole_one_does():
+def test_sample_of_a_tier_has_the_figures_of_a_whole_tier():
     whole, one = (
         play(point, 1, settle_s=2.0, counted_s=4.0, changing_s=1.0)["figures"]
         for point in (Point(22, 100, 2200, 3, 40.0, 3), Point(40, 182, 4000, 3, 40.0, 3))
@@ -40,14 +40,14 @@
         assert one[name] == pytest.approx(whole[name], rel=0.15), name
 
 
-def test_workers_that_others_send_to_are_not_counted():
+def test_workers_used_by_gateways_outside_the_sample_are_not_counted():
     point = Point(100, 300, 100, 3, 10.0, 3)
     tier = Tier(of_point(point, 1), 1, range(30), range(30))
     near = tier.near(range(30))
     assert 0 < len(near) < 300 * 0.3 and tier.near(range(100)) == sorted(tier.list)
 
 
-def test_the_load_of_a_point_is_its_rate():
+def test_customers_request_rates_add_up_to_the_rate_of_the_point():
     point = Point(40, 200, 4000, 230, 70.0, 20)
     load = of_point(point, 3)
     assert sum(firm.asked_per_s for firm in load.firms) == pytest.approx(40 * 70.0)
@@ -55,7 +55,7 @@
     assert load.settings_of(7).gateway_number == 7 and len(load.settings_of(7).classes) == 230
 
 
-def test_points_that_cannot_be_played_name_their_flag():
+def test_error_of_an_invalid_point_names_its_flag():
     for point, flag in (
         (Point(workers=0), "--workers"),
         (Point(rate=-1.0), "--rate"),
@@ -70,7 +70,7 @@
     assert [point.spread for point in of_axis("gatekeepers", Point())] == [3, 20, 20, 20]
 
 
-def test_where_a_limit_is_first_passed():
+def test_passed_at_gives_the_first_value_above_a_limit():
     def row(axis, value, words):
         return {"axis": axis, "value": value, "figures": {"words_come_per_s": words}}
 
@@ -85,7 +85,7 @@
     ) == {"words_come_per_s": {"rate": 273}}
 
 
-def test_a_run_ends_by_the_wall_clock_and_by_what_is_open(monkeypatch):
+def test_run_ends_at_the_time_limit_and_at_too_many_open_requests(monkeypatch):
     load = of_point(Point(3, 10, 100, 3, 1000.0, 3), 1)
     assert Tier(load, 1).run([(SETTLE, 60.0), (COUNTED, 1.0)], until=0.0)[SETTLE] < 60.0
     monkeypatch.setattr("benchmarks.scale.tier.OPEN_MOST", 3)
@@ -93,25 +93,25 @@
         Tier(load, 1).run([(SETTLE, 60.0)])
 
 
-def test_a_fault_does_what_it_says():
+def test_each_fault_has_its_stated_effect():
     point = Point(10, 20, 100, 3, 5.0, 3)
 
     def tier(name):
         one = Tier(of_point(point, 1), 1)
         faults.FAULTS[name].script(one)
-        one.run([(SETTLE, faults.SETTLE_S + 1.0 + faults.FOR_MS / 2000)])  # half way
+        one.run([(SETTLE, faults.SETTLE_S + 1.0 + faults.FOR_MS / 2000)])  # half of the fault's duration
         return one
 
     calm, zone, regions = tier("calm"), tier("zone"), tier("regions")
     assert not calm.gone and all(gate.life == 1 for gate in calm.gates.values())
     assert len(zone.gone) == 4 and sum(gate.down for gate in zone.gates.values()) == 2
-    zone.run([(COUNTED, 10.0)])  # goes on from what is on its agenda
+    zone.run([(COUNTED, 10.0)])  # continues with the events that are still queued
     assert not zone.gone and not any(gate.down for gate in zone.gates.values())
     assert sum(server.started_ms > BEGIN_MS for server in zone.list.values()) == 4
     assert regions.apart(0, 3) and not regions.apart(0, 1) and not regions.apart(3, 4)
     tenths = tier("tenths")
     tenths.run([(COUNTED, 15.0)])
-    assert all(gate.life == 3 for gate in tenths.gates.values())  # began, ended, began
+    assert all(gate.life == 3 for gate in tenths.gates.values())  # started, stopped, started again
     killed = tier("kill")
     killed.run([(COUNTED, 14.0)])
     assert sorted(gate.life for gate in killed.gates.values()) == [1] * 9 + [3]
@@ -121,7 +121,7 @@
     assert sum(gate.still_ms > 0 for gate in still.gates.values()) == 1
 
 
-def test_words_are_lost_late_apart_and_crowded_out():
+def test_peer_messages_beyond_the_inbox_rate_are_dropped():
     tier = Tier(of_point(SMALL, 1), 1)
     tier.run([(SETTLE, 1.0), (COUNTED, 1.0)])
     count = tier.counts
@@ -131,12 +131,12 @@
     tier.queue.clear()
     before = [gate.inbox.clear() for gate in tier.gates.values()]
     data = b"x"
-    for _ in range(100):  # an inbox takes 60 in a second
+    for _ in range(100):  # an inbox accepts 60 messages a second
         tier.hear(1, tier.gates[0], data)
     assert len(before) == 3 and (tier.counts["taken"], tier.counts["crowded"]) == (60, 40)
 
 
-def test_list_entries_are_told_to_all_and_gone_ones_are_not_sent_to():
+def test_endpoint_changes_reach_all_gateways_and_gone_endpoints_are_removed():
     tier = Tier(of_point(SMALL, 1), 1)
     one: Endpoint = tier.list["w0"]
     tier.at(
@@ -150,7 +150,7 @@
     assert all("w0" not in gate.control.state.endpoints.tracked for gate in tier.gates.values())
 
 
-def test_the_last_of_all_is_told_within_what_watching_states_where_nothing_is_silent(monkeypatch):
+def test_notification_is_within_the_stated_worst_time_without_silent_servers(monkeypatch):
     for shared in (False, True):
         row = told.play(40, shared, 1)
         assert not row["missed"] and row["calls_per_s"] > 10
@@ -159,7 +159,7 @@
         monkeypatch.undo()
 
 
-def test_the_counts_of_a_real_tier():
+def test_watch_computes_figures_from_records_of_its_interval():
     watch = Watch(1000.0, 2000.0)
     watch.inside = {"f"}
 
@@ -185,10 +185,12 @@
     assert [figures[f"words_{name}_per_s"] for name in ("told", "come", "taken")] == [3, 2, 1]
     assert watch.told_ms == 7.5
     assert figures["word_bytes"] == 40 and figures["words_per_try"] == 1.5
-    assert figures["served_inside_part"] == 1 and figures["added_p50_ms"] == 20  # 60 ms, 40 of them at work
+    assert (
+        figures["served_inside_part"] == 1 and figures["added_p50_ms"] == 20
+    )  # 60 ms in total, 40 ms of work
 
 
-def test_scenarios_of_real_tiers_and_quantiles():
+def test_scenarios_have_their_size_and_quantiles_are_right():
     for size in (3, 10, 40):
         assert scenario_of(size, 100.0).fleet.gatekeepers == size
     for name in REAL_FAULTS:
