--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -39,7 +39,7 @@
     sent: dict[int, list[int]] = defaultdict(lambda: [0, 0])
     received: dict[int, int] = defaultdict(int)
     cpu: dict[int, float] = defaultdict(float)
-    original_carry_out = tier.carry_out
+    original_execute = tier.execute
 
     def execute(process: Any, action: Any) -> None:
         data = getattr(action, "data", None)
@@ -47,7 +47,7 @@
             sent[process.number][0] += 1
             sent[process.number][1] += len(data)
             received[action.receiver] += 1
-        original_carry_out(process, action)
+        original_execute(process, action)
 
     tier.execute = execute
     plans = {}
--- a/tests/compatibility/config_wire.py
+++ b/tests/compatibility/config_wire.py
@@ -90,7 +90,7 @@
             task = asyncio.create_task(client.run())
             version = 1
             for hostile in (*MALFORMED_RESPONSES, *UNUSABLE_VERSIONS):
-                target, writer = await fake.called()
+                target, writer = await fake.next_call()
                 targets.append(target)
                 if callable(hostile):
                     writer.write(http(hostile(version + 1)))
@@ -314,7 +314,7 @@
                 else:
                     await asyncio.sleep(0.02)
                     writer.close()
-            targets.append((await fake.called())[0])  # sent only after the last response has been read
+            targets.append((await fake.next_call())[0])  # sent only after the last response has been read
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
     return {"targets": targets, "told": lists, "lines": lines}
