--- a/plumpick/gateway/attempt_runner.py
+++ b/plumpick/gateway/attempt_runner.py
@@ -50,7 +50,7 @@
                 # Forwarded parts of a body are not retained, so it can be sent by one attempt only.
                 self._post_not_started(action, number, False)
                 return
-        if request.sink.has_disconnected():  # the disconnect has not been read yet
+        if request.sink.has_disconnected():  # the client's disconnect has not been read yet
             requests.on_disconnect(request)
             request.sink.abort()
             self._post_not_started(action, number, True)
--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -107,7 +107,7 @@
     def spend(self, charges: list[tuple[str, float]]) -> bool:
         """Spend the units of each (budget, units) pair; returns whether all budgets had enough units."""
         ledger = self.ledger
-        if ledger is None:  # clients may connect before `start`
+        if ledger is None:  # without a ledger nothing is spent: clients may connect before `start`
             return False
         is_spent = ledger.try_spend(self._clock(), charges)
         due_ms = ledger.next_timer_ms()
--- a/plumpick/gateway/cluster/fenced_effects.py
+++ b/plumpick/gateway/cluster/fenced_effects.py
@@ -95,7 +95,7 @@
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(*receiver.address, limit=READ_BYTES)
-    except OSError as problem:  # a TimeoutError is one
+    except OSError as problem:  # includes TimeoutError, a subclass of OSError
         raise ReceiverError(f"cannot connect to the receiver: {problem or 'timed out'}") from problem
     try:
         if not may_write():
--- a/plumpick/gateway/cluster/task_runs.py
+++ b/plumpick/gateway/cluster/task_runs.py
@@ -38,7 +38,7 @@
         self._may_act = may_act
         self._collect_usage = collect_usage
         self._on_end = on_end
-        self._runs: dict[str, asyncio.Task[None]] = {}  # by the scheduled task's name
+        self._runs: dict[str, asyncio.Task[None]] = {}  # running asyncio tasks by the scheduled task's name
 
     def start(self, action: StartRun) -> None:
         """Start a run of a scheduled task."""
@@ -83,7 +83,7 @@
             )
         except EffectError as problem:
             return problem
-        except Exception as problem:  # other runs and the leases must not be affected
+        except Exception as problem:  # a failed run must not affect other runs or the leases
             log.exception("duties: %s, period %d: the run raised an exception", name, start.period)
             return EffectError(f"{type(problem).__name__}: {problem}")
         return None
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -44,8 +44,9 @@
             if one.task.kind == USE
         }
         self._names_by_tag = {_tag(name): name for name in self._counters}
-        self._collections: dict[str, tuple[int, UsageCollection]] = {}  # (period, collection) by task name
-        self.forward: Callable[[list[Any]], None] | None = None  # sends counts to the hot-restart successor
+        self._collections: dict[str, tuple[int, UsageCollection]] = {}  # period and collection by task name
+        # Sends a row of counts to the hot-restart successor, if there is one.
+        self.forward: Callable[[list[Any]], None] | None = None
 
     # -- counting
 
--- a/plumpick/gateway/config.py
+++ b/plumpick/gateway/config.py
@@ -15,7 +15,7 @@
 from plumpick.policy.settings import Settings
 from plumpick.policy.settings_parser import JsonObject, SettingsError, parse_settings
 
-Address = tuple[str, int]  # host, port
+Address = tuple[str, int]  # host and port
 # Values for keys that the file does not contain.
 DEFAULT_SOCKETS = 1024.0
 DEFAULT_MEMORY_MB = 192.0
--- a/plumpick/gateway/discovery.py
+++ b/plumpick/gateway/discovery.py
@@ -54,7 +54,7 @@
         while True:
             try:
                 await self._call_in_turn()
-            except Exception:  # without the watch, no change of the list would be noticed
+            except Exception:  # the watch has to go on: without it no change of the list would be noticed
                 log.exception("discovery: the watch failed; restarting it")
             self._watch.reset()
             await asyncio.sleep(FAULT_BACKOFF_S)
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -150,7 +150,7 @@
             while True:
                 try:
                     await self._call_once()
-                except Exception:  # without further calls, no new version would be received
+                except Exception:  # the calls have to go on: without them no new version would be received
                     log.exception("configuration: the call to a service failed; retrying")
                     self.subscriber.on_call_failed()
                     self._connection.abort()
--- a/plumpick/gateway/event_turn.py
+++ b/plumpick/gateway/event_turn.py
@@ -46,7 +46,7 @@
 
     def run(self) -> None:
         """Pass the queued events to the policy now and execute the actions that it returns."""
-        if not self._events:  # already handled: an operator's command runs the turn at once
+        if not self._events:  # the events were handled earlier: an operator's command runs the turn at once
             return
         events = self._events
         self._events = []
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -89,7 +89,8 @@
         self.settings = config.settings
         self.clock = platform.clock()
         self.timers = Timers(loop, self.clock)
-        self.controller: Any = controller or Controller(config.settings, config.seed)  # replaced in tests
+        # The policy's controller, which tests replace.
+        self.controller: Any = controller or Controller(config.settings, config.seed)
         self.connection_pool = ConnectionPool(
             loop,
             self.clock,
@@ -102,10 +103,13 @@
             was_transport_reset=platform.was_reset,
         )
         self.peers = Peers(config, self.on_peer_message, platform.create_datagram_socket)
-        self.sweeps: list[Callable[[float], None]] = []  # further callbacks, called every SWEEP_INTERVAL_MS
+        # Callbacks besides the listeners' sweeps, called every SWEEP_INTERVAL_MS.
+        self.sweeps: list[Callable[[float], None]] = []
         self.sibling: SiblingProcess | None = None  # the other process of this gateway during a hot restart
-        self.participant: ClusterParticipant | None = None  # None unless cluster tasks are configured
-        self.settings_source: SettingsSource | None = None  # None unless a settings service is configured
+        # This process's part in cluster tasks; None if none are configured.
+        self.participant: ClusterParticipant | None = None
+        # Client of the settings service; None if none is configured.
+        self.settings_source: SettingsSource | None = None
         self._listeners: list[Listener] = []
         self._quota_health = QuotaHealth(config.settings.gateway_count, config.settings.gateway_number)
         self._init_lifecycle()
@@ -127,7 +131,8 @@
         self.is_draining = False  # whether each response closes its connection; derived from the fields below
         self.is_serving = False
         self.is_shutting_down = False
-        self.is_closing_connections = False  # late phase of a shutdown, which leaves no connection open
+        # Whether a shutdown is in its late phase, which leaves no connection open.
+        self.is_closing_connections = False
         self.has_handed_over = False  # whether the sibling process now accepts the clients
         self.admission_state = AdmissionState.OPEN
 
--- a/plumpick/gateway/hot_restart/message.py
+++ b/plumpick/gateway/hot_restart/message.py
@@ -22,17 +22,17 @@
 class MessageKind:
     """The kinds of messages, as sent on the wire. The comments give the value of a message of each kind."""
 
-    HELLO = "hello"  # name of the successor's gateway
-    OFFER = "offer"  # {"descriptors": count}; descriptors of the listening and the datagram socket
-    TAKE_OVER = "take"  # None; request of the successor for the state
-    STATE = "state"  # exported state, or None
-    SERVING = "serving"  # None; the successor accepts clients and can receive their connections
-    CLIENT_CONNECTION = "client"  # {"descriptors": 1}; descriptor of a client's connection
-    DESCRIPTOR_COUNT = "held"  # number of descriptors that the predecessor still holds
-    PEER_MESSAGE = "heard"  # [sender's number, datagram in hex], received by the other process
-    OWN_MESSAGE = "said"  # datagram in hex that the policy sent to its own gateway's number
-    OPERATOR_COMMAND = "ordered"  # [name, argument]
-    USAGE_ROW = "counted"  # [plan, outcome, units] of a request, for the successor's usage counts
+    HELLO = "hello"  # value: name of the successor's gateway
+    OFFER = "offer"  # value: {"descriptors": count}; carries the listening and the datagram socket
+    TAKE_OVER = "take"  # value: None; the successor requests the state
+    STATE = "state"  # value: exported state, or None
+    SERVING = "serving"  # value: None; the successor accepts clients and can receive their connections
+    CLIENT_CONNECTION = "client"  # value: {"descriptors": 1}; carries the descriptor of a client's connection
+    DESCRIPTOR_COUNT = "held"  # value: number of descriptors that the predecessor still holds
+    PEER_MESSAGE = "heard"  # value: [sender's number, datagram in hex] that the other process received
+    OWN_MESSAGE = "said"  # value: datagram in hex that the policy sent to its own gateway's number
+    OPERATOR_COMMAND = "ordered"  # value: [name, argument] of an operator's command
+    USAGE_ROW = "counted"  # value: [plan, outcome, units] of a request, for the successor's usage counts
 
 
 class MessageFormatError(ValueError):
--- a/plumpick/gateway/hot_restart/sibling.py
+++ b/plumpick/gateway/hot_restart/sibling.py
@@ -22,10 +22,11 @@
         self.name = name
         self.number = number
         self.gateway = gateway
-        self.listener = listener  # an HttpListener
-        self.participant: Any = None  # ClusterParticipant, or None
+        self.listener = listener  # HttpListener that owns the clients' connections
+        self.participant: Any = None  # the ClusterParticipant of this process, or None
         self.settings_source: Any = None  # client of the configuration service, or None
-        self.listen_socket: socket.socket | None = None  # listening socket; the server has a duplicate
+        # Socket that listens for clients; the server has a duplicate of it.
+        self.listen_socket: socket.socket | None = None
         self.server: Any = None  # asyncio server that accepts clients, or None
 
     async def listen(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/plumpick/gateway/http_client.py
+++ b/plumpick/gateway/http_client.py
@@ -78,7 +78,8 @@
     def on_message_complete(self) -> None:
         """Parser callback: the body is complete."""
         self.is_complete = True
-        self.keeps_alive = self._parser.should_keep_alive()  # only valid during this callback
+        # The parser's answer is valid only during this callback.
+        self.keeps_alive = self._parser.should_keep_alive()
 
 
 class HttpConnection:
--- a/plumpick/gateway/listeners/admin.py
+++ b/plumpick/gateway/listeners/admin.py
@@ -17,8 +17,8 @@
 # Maximum number of connections during EVICTION_DELAY_MS, so that connections that arrive together are all
 # read before some are closed.
 HARD_MAX_CONNECTIONS = 40
-MAX_LINE_BYTES = 512  # including the line ending
-COMMAND_TIMEOUT_MS = 5000.0  # time limit for receiving a complete line
+MAX_LINE_BYTES = 512  # maximum length of a command line, including the line ending
+COMMAND_TIMEOUT_MS = 5000.0  # time limit for receiving a complete command line
 EVICTION_DELAY_MS = 5.0  # time from exceeding MAX_CONNECTIONS to closing the excess connections
 LISTEN_BACKLOG = 512
 
@@ -43,7 +43,8 @@
     """Collects the bytes of one command line from any number of reads."""
 
     def __init__(self) -> None:
-        self.buffered = b""  # bounded: at most MAX_LINE_BYTES + 1 bytes of each read are added
+        # Received part of the line; at most MAX_LINE_BYTES + 1 bytes of each read are added.
+        self.buffered = b""
 
     def feed(self, data: bytes, ended: bool = False) -> bytes | None:
         """Add bytes and return the complete line without its line ending, or None if it is incomplete. With
@@ -128,7 +129,7 @@
                 return
             text = self._listener.gateway.execute_command(*parse_command(line))
             is_rejected = False
-        except ValueError as problem:  # a CommandError, or an error of the gateway that rejects the command
+        except ValueError as problem:  # a CommandError, or the gateway's rejection of the command
             text = str(problem)
             is_rejected = True
         self.is_done = True
@@ -154,7 +155,7 @@
 
     def __init__(self, gateway: OperatorGateway) -> None:
         self.gateway = gateway
-        self.connections: dict[AdminConnection, None] = {}  # in order of arrival
+        self.connections: dict[AdminConnection, None] = {}  # open connections in order of arrival
         self._is_eviction_due = False
 
     def create_connection(self) -> AdminConnection:
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -105,7 +105,7 @@
         self.current = parsed
         try:
             self.open_request = self.listener.submit(self, parsed)
-        except BadRequestError as problem:  # the rest of the body is not worth reading
+        except BadRequestError as problem:  # the rest of a rejected request's body is not read
             self.is_unreadable = True
             self.request_started = False
             self.reject(problem.status)
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -13,7 +13,8 @@
 
 # Limits on client connections, as shares of the process's descriptor limit.
 MAX_CONNECTIONS_RATIO = 0.38  # maximum number of connections (soft limit)
-HARD_MAX_CONNECTIONS_RATIO = 0.46  # maximum number including excess ones that are not evicted yet
+# Maximum number of connections, including excess ones that are not evicted yet.
+HARD_MAX_CONNECTIONS_RATIO = 0.46
 MAX_LONG_IDLE_RATIO = 0.02  # maximum number of idle connections that may stay longer than MIN_IDLE_MS
 # Number of open connections above which idle ones are closed after CROWDED_IDLE_MS. It is below the maximum,
 # as connections with an open request take at most a third of the descriptors.
@@ -22,17 +23,18 @@
 # Time limit for receiving a head, and after it for a body, which is extended by the bytes received. Clients
 # may take 2 s for a head, and must get an error or a close within 3 s.
 REQUEST_TIMEOUT_MS = 2500.0
-SHUTDOWN_REQUEST_TIMEOUT_MS = 500.0  # replaces REQUEST_TIMEOUT_MS during a shutdown
+# Time limit for a request during a shutdown, in place of REQUEST_TIMEOUT_MS.
+SHUTDOWN_REQUEST_TIMEOUT_MS = 500.0
 MIN_IDLE_MS = 2000.0  # time for which an idle connection stays open unless connections are crowded
-CROWDED_IDLE_MS = 250.0  # replaces MIN_IDLE_MS while connections are crowded (CROWDED_RATIO)
+CROWDED_IDLE_MS = 250.0  # idle time while connections are crowded (CROWDED_RATIO), in place of MIN_IDLE_MS
 MAX_IDLE_MS = 60_000.0  # time for which up to MAX_LONG_IDLE_RATIO of idle connections may stay open
 NEW_CONNECTION_MS = 100.0  # time within which a genuine client starts to send its first request
 STOPPED_SENDING_MS = 400.0  # time without bytes of a started request after which its client has stopped
 LINGER_MS = 1000.0  # time without input for which a half-closed connection is still read
 MAX_LINGER_MS = 5000.0  # total time for which a half-closed connection is still read
-SHUTDOWN_LINGER_MS = 200.0  # replaces LINGER_MS during a shutdown
+SHUTDOWN_LINGER_MS = 200.0  # time without input during a shutdown, in place of LINGER_MS
 UNREAD_RESPONSE_TIMEOUT_MS = 10_000.0  # time without progress in writing after which a response is dropped
-SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0  # replaces UNREAD_RESPONSE_TIMEOUT_MS during a shutdown
+SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0  # time during a shutdown, in place of UNREAD_RESPONSE_TIMEOUT_MS
 
 
 class AdmittedConnection:
@@ -79,11 +81,12 @@
         self.max_long_idle = 0
         self.crowded_connections = 0
         self.set_descriptor_limit(sockets)
-        self.connections: dict[AdmittedConnection, None] = {}  # in order of arrival
-        self._awaiting_request: dict[AdmittedConnection, float] = {}  # start of the time limit
-        self._idle: dict[AdmittedConnection, float] = {}  # time of the latest response
-        self._closing: dict[AdmittedConnection, float] = {}  # start, or time of the latest progress
-        self._last_sweep_ms = now  # below 0 until the first sweep
+        self.connections: dict[AdmittedConnection, None] = {}  # all open connections in order of arrival
+        self._awaiting_request: dict[AdmittedConnection, float] = {}  # start of the time limit by connection
+        self._idle: dict[AdmittedConnection, float] = {}  # time of the latest response by connection
+        # Start of closing, or time of the latest progress, by connection.
+        self._closing: dict[AdmittedConnection, float] = {}
+        self._last_sweep_ms = now  # time of the last sweep; below 0 until the first sweep
         self._next_eviction_ms = -1.0
 
     def set_descriptor_limit(self, sockets: int) -> None:
--- a/plumpick/gateway/listeners/http/connection_state.py
+++ b/plumpick/gateway/listeners/http/connection_state.py
@@ -66,15 +66,16 @@
         self.listener = listener
         self.gateway = listener.gateway
         self.transport: asyncio.Transport | None = None
-        self.open_request: Any = None  # the gateway's handle of the request without a response
-        self.incoming: ParsedRequest | None = None  # request being read
+        self.open_request: Any = None  # the gateway's handle of the request that has no response yet
+        self.incoming: ParsedRequest | None = None  # request that is being read
         self.current: ParsedRequest | None = None  # open request, or the latest one
         self.pipelined: list[ParsedRequest] = []  # requests read, or rejected, behind the open one
         self.is_closing = False  # whether further input is discarded
         self.is_unreadable = False  # whether further input cannot be parsed, after a malformed request
         self.is_paused = False  # whether reading pauses after a bad request
         self.is_reading_suspended = False  # whether reading is suspended for an open request or its body
-        self.is_inherited = False  # whether it was transferred by the predecessor of a hot restart
+        # Whether the connection was transferred by the predecessor of a hot restart.
+        self.is_inherited = False
 
     def has_disconnected(self) -> bool:
         """Whether the client has disconnected. While reading is suspended or paused, or after a stall of this
--- a/plumpick/gateway/listeners/http/listener.py
+++ b/plumpick/gateway/listeners/http/listener.py
@@ -89,7 +89,7 @@
         target = origin_form(parsed.url)
         head = self.validator.validate(method, target, headers, bool(parsed.body) or not parsed.is_complete)
         if not parsed.is_complete:
-            source: Any = connection  # it also is a PausableSource
+            source: Any = connection  # the connection also implements PausableSource
             parsed.stream = self.gateway.create_request_stream(source, parsed.body_length)
         body = bytes(parsed.body) if parsed.is_complete else b""
         content_type = headers.get(b"content-type")
--- a/plumpick/gateway/listeners/http/parsed_request.py
+++ b/plumpick/gateway/listeners/http/parsed_request.py
@@ -57,7 +57,7 @@
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
         self.head_bytes = 0  # total length of the names and values of all headers and trailers
-        self.raw_bytes = 0  # total length of the reads that contained parts of it
+        self.raw_bytes = 0  # total length of the reads that contained parts of the request
         self.error_status = 0  # HTTP status that rejects the request; 0 if no error was found
         self.in_head = True
         self.is_complete = False
--- a/plumpick/gateway/listeners/http/request_reader.py
+++ b/plumpick/gateway/listeners/http/request_reader.py
@@ -119,8 +119,10 @@
         name = name.lower()
         if name in KNOWN_HEADERS:
             if name in incoming.headers:
-                incoming.error_status = incoming.error_status or 400  # a repeated header is ambiguous
-            incoming.headers[name] = value.strip(b" \t")  # RFC 9110, 5.5
+                # A repeated header makes the request ambiguous.
+                incoming.error_status = incoming.error_status or 400
+            # Surrounding whitespace is not part of the value (RFC 9110, 5.5).
+            incoming.headers[name] = value.strip(b" \t")
 
     def on_headers_complete(self) -> None:
         """Parser callback: the head is complete. Check how the body is delimited, and start to stream it if
@@ -149,12 +151,12 @@
         headers = incoming.headers
         length = headers.get(b"content-length", b"0")
         if b"content-length" in headers and b"transfer-encoding" in headers:
-            incoming.error_status = 400  # the two contradict each other on the end of the request
+            incoming.error_status = 400  # the two headers contradict each other on the end of the request
         elif not length.isdigit():
             incoming.error_status = 400
         elif len(length) > MAX_CONTENT_LENGTH_DIGITS or int(length) > MAX_BODY_BYTES:
             incoming.error_status = 413
-        elif len(incoming.url) + incoming.head_bytes > MAX_HEAD_BYTES:  # a whole head received in one read
+        elif len(incoming.url) + incoming.head_bytes > MAX_HEAD_BYTES:  # too long head that came in one read
             incoming.error_status = 431
 
     def _send_continue(self, incoming: ParsedRequest) -> None:
@@ -187,7 +189,8 @@
             return
         incoming.is_complete = True
         incoming.received_ms = self.gateway.clock.now()
-        incoming.keep_alive = self.parser.should_keep_alive()  # only valid during this callback
+        # The parser's answer is valid only during this callback.
+        incoming.keep_alive = self.parser.should_keep_alive()
         if incoming.stream is None:
             self.pipelined.append(incoming)
         elif self.open_request is not None and incoming is self.current:
--- a/plumpick/gateway/listeners/http/response_writer.py
+++ b/plumpick/gateway/listeners/http/response_writer.py
@@ -28,7 +28,7 @@
 
     def __init__(self, listener: ConnectionOwner) -> None:
         super().__init__(listener)
-        self.response_source: Any = None  # PausableSource of the response being streamed
+        self.response_source: Any = None  # source (PausableSource) of the response being streamed
         self.is_chunked = False  # whether the streamed response uses chunked encoding
 
     # -- implemented by ClientConnection
--- a/plumpick/gateway/operator_commands.py
+++ b/plumpick/gateway/operator_commands.py
@@ -50,7 +50,8 @@
     def __init__(self, context: CommandContext, turn: EventTurn) -> None:
         self._context = context
         self._turn = turn
-        self._errors: dict[int, str] = {}  # the policy's replies ("" = done) by command id, read at once
+        # The policy's replies by command id, read at once; empty if the command succeeded.
+        self._errors: dict[int, str] = {}
 
     def execute(self, name: str, argument: str) -> str:
         """Execute an operator's command and return the text of the reply. Raises CommandRejectedError, and
--- a/plumpick/gateway/operator_config.py
+++ b/plumpick/gateway/operator_config.py
@@ -42,7 +42,7 @@
 MAX_CATCH_UP_PERIODS = 7  # maximum number of missed periods that are run later
 
 # Values of a budget's key `counts`: what a request is charged.
-REQUESTS = "requests"  # one per request
+REQUESTS = "requests"  # one unit for each request
 UNITS = "units"  # the units that the request states
 # Bounds of the time for which the allocator grants a part of a budget.
 MIN_GRANT_TERM_S = 0.2
@@ -100,7 +100,7 @@
 
     terms: LeaseTerms
     scheduled_tasks: tuple[ScheduledTaskSettings, ...]
-    budgets: tuple[BudgetSettings, ...] = ()  # sorted by name
+    budgets: tuple[BudgetSettings, ...] = ()  # budgets of the fleet, sorted by name
     grant_term_ms: float = 2000.0  # time for which the allocator grants a part of a budget
 
 
@@ -245,7 +245,7 @@
             table.milliseconds("longest_term_s", 0.0, 600, 0.0),
             _identity(tasks, budgets, grant_term_ms),
         )
-    except LeaseTermsError as problem:  # its text begins with the key
+    except LeaseTermsError as problem:  # the text of a LeaseTermsError begins with the key
         raise OperatorConfigError(f"fleet.{problem}") from problem
     return FleetSettings(terms, tasks, budgets, grant_term_ms)
 
@@ -363,7 +363,7 @@
         addresses = tuple(
             parse_address(row, f"configuration.addresses[{index}]") for index, row in enumerate(rows)
         )
-    except SettingsError as problem:  # its text begins with the path
+    except SettingsError as problem:  # the text of a SettingsError begins with the path
         raise OperatorConfigError(str(problem)) from problem
     for index, address in enumerate(addresses):
         if address in addresses[:index]:
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -34,8 +34,10 @@
 
     def __init__(self, clock: Clock, timers: Timers, turn: EventTurn, streams: BodyStreams) -> None:
         self.open: dict[int, OpenRequest] = {}
-        self.attempts: dict[tuple[int, int], Attempt] = {}  # by request id and number of the attempt
-        self.participant: ClusterParticipant | None = None  # counts the outcomes of requests if present
+        # Attempts in flight by request id and number of the attempt.
+        self.attempts: dict[tuple[int, int], Attempt] = {}
+        # Counter of the requests' outcomes, if usage is reported.
+        self.participant: ClusterParticipant | None = None
         self.shutdown_deadline_ms = math.inf  # upper bound on all deadlines during a shutdown
         self.late_deadline_ms = math.inf  # upper bound on new deadlines while late requests are bounded
         self._clock = clock
--- a/plumpick/gateway/shutdown.py
+++ b/plumpick/gateway/shutdown.py
@@ -22,7 +22,8 @@
 # grace period.
 ANSWER_MARGIN_S = 0.5
 ANSWER_MARGIN_RATIO = 0.25
-CLOSING_WINDOW_S = 1.0  # maximum duration of the phase, before all is answered, that closes connections
+# Maximum duration of the phase that closes connections before all requests are answered.
+CLOSING_WINDOW_S = 1.0
 MIN_SERVING_S = 0.45  # minimum time after SIGTERM in which connections are kept open
 EXIT_MARGIN_S = 0.1  # time before SIGKILL at which the process exits unless bodies are still being streamed
 
--- a/plumpick/gateway/stall_detector.py
+++ b/plumpick/gateway/stall_detector.py
@@ -9,9 +9,11 @@
 
 # After a stall the event loop accepts waiting connections over several iterations and reads each of them one
 # iteration later. These bounds tell for how long bytes read may date from the stall.
-BACKLOG_READ_MS = 20.0  # minimum time after the stall
-QUIET_ITERATIONS = 3  # number of consecutive loop iterations without a new connection that end the backlog
-MAX_BACKLOG_MS = 1000.0  # maximum time after the stall: under steady traffic connections never cease
+BACKLOG_READ_MS = 20.0  # minimum time after a stall for which its backlog lasts
+# Number of consecutive loop iterations without a new connection that end a stall's backlog.
+QUIET_ITERATIONS = 3
+# Maximum time for which a stall's backlog lasts: under steady traffic connections never cease.
+MAX_BACKLOG_MS = 1000.0
 
 
 class StallDetector:
@@ -22,8 +24,8 @@
         self._listeners = listeners
         self._call_soon = call_soon
         self._last_stall_ms = 0.0  # duration of the latest stall
-        self._backlog_until_ms = 0.0  # earliest end of its backlog
-        self._backlog_ends_ms = 0.0  # latest end of its backlog
+        self._backlog_until_ms = 0.0  # earliest end of the latest stall's backlog
+        self._backlog_ends_ms = 0.0  # latest end of the latest stall's backlog
         self._quiet_iterations_left = 0
         self._accepted = 0  # connections accepted up to the previous loop iteration
 
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -249,7 +249,8 @@
         status = self.parser.get_status_code()
         if status < 200:
             return
-        if attempt.is_head and not self.is_response_complete:  # no body follows, but the parser expects one
+        # Response to HEAD: no body follows, but the parser expects one.
+        if attempt.is_head and not self.is_response_complete:
             self.is_response_complete = True
             self.status = status
             self.may_reuse = False
@@ -304,7 +305,8 @@
     def on_message_complete(self) -> None:
         """Parser callback: a final or interim response is complete."""
         if self.parser.get_status_code() < 200:
-            self._reset_response()  # head_bytes is kept: one limit applies to all heads together
+            # Head_bytes is kept: one limit applies to the heads of interim and final response together.
+            self._reset_response()
         elif not self.has_excess:
             self.is_response_complete = True
             self.status = self.parser.get_status_code()  # excess bytes would change it later
@@ -363,7 +365,7 @@
             attempt.end(AttemptResult.OK, body, self.content_type, load_report)
         elif status in (503, 504) and self.is_marked_not_executed:
             attempt.end(AttemptResult.REJECTED_BY_WORKER, load_report=load_report)
-        else:  # including a 503 or 504 without X-Not-Run: the request may have been executed
+        else:  # error response, also 503 or 504 without X-Not-Run: the request may have been executed
             attempt.end(AttemptResult.ERROR, load_report=load_report)
 
     def _fail(self, result: AttemptResult) -> None:
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -24,7 +24,7 @@
 
 # Share of the workers' idle timeout after which the gateway closes an idle connection, well before they do.
 IDLE_TIMEOUT_RATIO = 0.6
-MAX_CONNECTIONS_PER_WORKER = 128  # including idle ones
+MAX_CONNECTIONS_PER_WORKER = 128  # maximum number of connections to one worker, including idle ones
 MAX_IDLE_PER_WORKER = 24
 SWEEP_INTERVAL_MS = 1000.0  # interval at which idle connections are checked
 # Time between a response and the reuse of its connection. Excess bytes that follow a response some
@@ -147,7 +147,8 @@
         """Stop sending to a worker. Attempts in flight may still get their response."""
         for connection in list(worker.idle):
             connection.abort()
-        for attempt in list(worker.connecting):  # no byte of these requests was written
+        # No byte of the requests that wait for a connection was written.
+        for attempt in list(worker.connecting):
             attempt.end(AttemptResult.NOT_STARTED)
 
     def is_in_service(self, worker: Worker) -> bool:
--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -38,7 +38,7 @@
     time or the client would have too little time left for a retry elsewhere."""
     objective_ms = now_ms + request_class.latency_objective_ms
     last_ms = received.deadline_ms
-    if not request_class.late_priority_weight > 0:  # a late answer is worth nothing
+    if not request_class.late_priority_weight > 0:  # an answer after the latency objective has no value
         last_ms = min(received.deadline_ms, objective_ms)
     earliest_ms = now_ms + MAX_EXPECTED_RATIO * (last_ms - now_ms)
     latest_start_ms = now_ms + MAX_QUEUED_RATIO * (received.deadline_ms - now_ms)
--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -152,10 +152,9 @@
     def _check_attempt(self, attempt: Attempt, overdue_after_ms: float) -> float:
         """Write off a part of the attempt if it is overdue; returns the time of its next check."""
         now_ms, tick_ms = self.turn.now_ms, self.state.settings.tick_ms
-        at_ms = (
-            attempt.next_check_ms or attempt.started_ms + overdue_after_ms
-        )  # the usual latency may have risen since
-        if self.turn.is_stalled:  # the wait includes this process's own stall: start counting anew
+        # The usual latency may have risen since the check was scheduled; the attempt is then not overdue yet.
+        at_ms = attempt.next_check_ms or attempt.started_ms + overdue_after_ms
+        if self.turn.is_stalled:  # the attempt's wait includes a stall of this process: start counting anew
             at_ms = now_ms + (attempt.overdue_after_ms or tick_ms)
             attempt.next_check_ms = attempt.overdue_after_ms and at_ms
         if now_ms < at_ms:
--- a/plumpick/policy/budgets/budget.py
+++ b/plumpick/policy/budgets/budget.py
@@ -22,8 +22,8 @@
 class BudgetKind(IntEnum):
     """The quantity that a budget limits."""
 
-    RATE = 1  # units a second
-    CONCURRENCY = 2  # units in use at once
+    RATE = 1  # limit in units per second
+    CONCURRENCY = 2  # limit in units that are in use at the same time
 
 
 @dataclass(frozen=True, slots=True)
--- a/plumpick/policy/budgets/codec.py
+++ b/plumpick/policy/budgets/codec.py
@@ -31,12 +31,13 @@
 LIMITS_QUERY = 0x24
 LIMITS = 0x25
 
-# Budget, request id, demand, granted, last grant id, largest request, fingerprint.
+# Fields of a demand report: budget, request id, demand, granted, last grant id, largest request, fingerprint.
 _REPORT_ROW = struct.Struct(">HIfdIfI")
-_GRANT_HEADER = struct.Struct(">BI16s")  # kind, incarnation of the receiver, fencing token
-_GRANT_ROW = struct.Struct(">HIdddI")  # budget, request id, amount, burst, initial tokens, fingerprint
-_HINT = struct.Struct(">BHH")  # kind, slot, gateway
-_LIMITS = struct.Struct(">BHdd")  # kind, budget, limit, burst
+_GRANT_HEADER = struct.Struct(">BI16s")  # header of grants: kind, incarnation of the receiver, fencing token
+# Fields of a grant: budget, request id, amount, burst, initial tokens, fingerprint.
+_GRANT_ROW = struct.Struct(">HIdddI")
+_HINT = struct.Struct(">BHH")  # allocator hint: kind, slot, gateway
+_LIMITS = struct.Struct(">BHdd")  # message about limits: kind, budget, limit, burst
 _TOKEN_BYTES = 16
 _MAX_FLOAT32 = 3e38
 
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -103,7 +103,8 @@
         """Charge a request to budgets, given as pairs of name and units. Return whether all of them have
         enough units; if not, nothing is spent. `now_ms` must be read at the moment of spending, from a clock
         that keeps running while the process is stalled."""
-        if len(charges) == 1:  # the most frequent case, in which the bucket is read only once
+        # Charge to a single budget: the most frequent case, which reads the bucket only once.
+        if len(charges) == 1:
             ((name, units),) = charges
             budget = self.budgets[name]
             has_enough = budget.limiter.try_spend(now_ms, units)
@@ -148,7 +149,8 @@
     def _record_outcome(self, now_ms: float, budget: LocalBudget, has_enough: bool) -> None:
         if not has_enough:
             budget.rejected += 1
-            self._schedule.report_early(now_ms)  # the allocator may be able to grant more by now
+            # Ask for a new grant: the allocator may be able to grant more by now.
+            self._schedule.report_early(now_ms)
         if budget.limiter.has_excess_demand(now_ms):
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
                 self._schedule.on_demand_began(now_ms)
@@ -280,8 +282,8 @@
         if now_ms < self._schedule.next_ms:
             return
         self._schedule.begin_reports(now_ms)
-        reports: dict[int, list[DemandReport]] = {}  # by receiver
-        targets: dict[int, int] = {}  # receiver of the reports, by slot
+        reports: dict[int, list[DemandReport]] = {}  # demand reports to send, by receiving gateway
+        targets: dict[int, int] = {}  # receiver of the demand reports, by slot
         for name in list(self._with_excess_demand):
             budget = self.budgets[name]
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
--- a/plumpick/policy/class_statistics.py
+++ b/plumpick/policy/class_statistics.py
@@ -8,7 +8,7 @@
 from plumpick.policy.settings import RequestClass
 
 INITIAL_LATENCY_MS = 200.0  # usual latency assumed before the first answer
-GAIN = 0.05  # smoothing factor of a new answer
+GAIN = 0.05  # weight of a new answer in the smoothed statistics
 MIN_TIMELY_RATIO = 0.9  # fraction of timely answers below which the floor of the concurrency limit stays down
 # Expected latency as a multiple of the usual one; with the mean itself, half of the answers would be late
 EXPECTED_LATENCY_RATIO = 2.5
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -246,7 +246,8 @@
         entry = timers.pop_due(now_ms)
         while entry is not None:
             _, _, kind, key = entry
-            if kind is TimerKind.PERIOD:  # set the next one first, so that no exception below can prevent it
+            # Set the next period's timer first: no exception below can then prevent it.
+            if kind is TimerKind.PERIOD:
                 timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
             self.turn.run_isolated(self.on_timer, kind, key)
             entry = timers.pop_due(now_ms)
--- a/plumpick/policy/draining.py
+++ b/plumpick/policy/draining.py
@@ -30,11 +30,11 @@
 class AdmissionState(IntEnum):
     """How the gateway treats clients' connections. Each state adds its rule to those of the states before."""
 
-    OPEN = 0  # Connections are kept.
+    OPEN = 0  # clients' connections are kept open
     REDIRECTING = 1  # `/up` directs clients elsewhere, and a response closes its connection.
-    CLOSING_IDLE = 2  # Idle connections close.
+    CLOSING_IDLE = 2  # idle connections of clients are closed
     BOUNDING_LATE_REQUESTS = 3  # Late requests are answered within LATE_REQUEST_TIME_MS.
-    CLOSING_UNREAD = 4  # Connections close on which no request was received whole.
+    CLOSING_UNREAD = 4  # connections on which no complete request was received are closed
 
 
 STAGES = (
--- a/plumpick/policy/dynamic_config/subscriber.py
+++ b/plumpick/policy/dynamic_config/subscriber.py
@@ -76,7 +76,7 @@
     since_digest: str  # digest of the base for a delta; "" to request a snapshot
     active_number: int
     active_digest: str
-    staged_number: int  # 0 if none
+    staged_number: int  # number of the staged version; 0 if none
     rejected_number: int  # highest rejected number; the service sends only newer versions; 0 if none
     rejection_reason: str
 
@@ -112,7 +112,7 @@
         self._rng = rng
         self.active = OWN_FILE
         self.staged: SettingsVersion | None = None
-        self.rejected: dict[int, RejectedVersion] = {}  # by number
+        self.rejected: dict[int, RejectedVersion] = {}  # rejected versions by number
         self.address_index = gateway_number % address_count
         self.consecutive_failures = 0
         self.last_response_ms = now_ms  # time of the last valid response; start time before the first one
--- a/plumpick/policy/dynamic_config/updates.py
+++ b/plumpick/policy/dynamic_config/updates.py
@@ -23,7 +23,7 @@
 
     number: int
     digest: str
-    activates_at_ms: float  # Unix ms
+    activates_at_ms: float  # activation time in Unix ms
     settings: SettingsJson
 
 
@@ -37,7 +37,7 @@
 
     number: int
     digest: str
-    activates_at_ms: float  # Unix ms
+    activates_at_ms: float  # activation time in Unix ms
     settings: SettingsJson | None  # settings of a snapshot; None for a delta
     changes: Any = None
     base_number: int = 0
--- a/plumpick/policy/dynamic_config/version_store.py
+++ b/plumpick/policy/dynamic_config/version_store.py
@@ -28,8 +28,8 @@
     number: int
     active_version: int
     active_digest: str
-    staged_version: int  # 0 if none
-    rejected_version: int  # highest version number it rejected; 0 if none
+    staged_version: int  # number of the staged version; 0 if none
+    rejected_version: int  # highest version number that the gateway rejected; 0 if none
     rejection_reason: str
     last_call_ms: float
 
@@ -59,9 +59,10 @@
     """Published versions and subscribers of one service. All times are Unix ms."""
 
     def __init__(self) -> None:
-        self.versions: dict[int, StoredVersion] = {}  # by number
-        self.subscribers: dict[str, SubscriberStatus] = {}  # by name, in order of the last call
-        self._responses: dict[tuple[int, str], bytes] = {}  # cache by base; cleared by each new version
+        self.versions: dict[int, StoredVersion] = {}  # published versions by number
+        self.subscribers: dict[str, SubscriberStatus] = {}  # subscribers by name, in order of the last call
+        # Cached responses by base; cleared by each new version.
+        self._responses: dict[tuple[int, str], bytes] = {}
 
     @property
     def newest(self) -> SettingsVersion | None:
--- a/plumpick/policy/endpoint_state.py
+++ b/plumpick/policy/endpoint_state.py
@@ -20,14 +20,16 @@
 
     endpoint: Endpoint
     in_flight: int = 0  # Number of this gateway's attempts in flight
-    latency_ratio: float = 1.0  # Latency of its attempts, relative to the usual latency of their class
+    # Latency of this gateway's attempts, relative to the usual latency of their class.
+    latency_ratio: float = 1.0
     completed: dict[str, float] = field(default_factory=dict)  # Decaying count of completed attempts by class
     failed: dict[str, float] = field(default_factory=dict)  # Decaying count of failed attempts by class
     observed_ms: float = 0.0  # Time at which an attempt last completed
     foreign_load: float = 0.0  # Number of other gateways' attempts in flight, by the last load report
     load_report_ms: float = -math.inf  # Time of the last load report
     slow_start_sent_ms: list[float] = field(default_factory=list)  # Start times of attempts during slow start
-    peer_report_ms: dict[int, float] = field(default_factory=dict)  # Time of the last counted report by peer
+    # Time of the last counted outlier report by peer.
+    peer_report_ms: dict[int, float] = field(default_factory=dict)
     failure_reporters: dict[int, float] = field(
         default_factory=dict
     )  # Time of the last failure by reporting gateway
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -111,7 +111,7 @@
     result: AttemptResult
     is_final: bool
     actual_units: float = 0.0  # Quota units that the request really consumed
-    quota_used_percent: int = 0  # Used part of the quota in percent, plus 1; 0 if unknown
+    quota_used_percent: int = 0  # Used part of the customer's quota in percent, plus 1; 0 if unknown
     load_report: tuple[float, ...] = ()  # Values in the order of Settings.load_report_fields
 
 
--- a/plumpick/policy/fuzzy_controller.py
+++ b/plumpick/policy/fuzzy_controller.py
@@ -53,14 +53,15 @@
         change = 0.0 if self.last_error is None else error - self.last_error
         self.last_error = error
         if error >= 0 and change >= 0:
-            return  # the output cannot be negative, so the share does not change
+            return  # output cannot be negative for these inputs, so the share does not change
         output = self.infer(round(ERROR_GAIN_PER_S * error, 2), round(CHANGE_GAIN_PER_S * change, 2))
         move = SHARE_PER_OUTPUT * output
         if move < 0 or error < 0:
             self.share = min(1.0, max(MIN_SHARE, self.share - move))
 
     @staticmethod
-    @functools.cache  # a pure function of few distinct arguments, and the most expensive step under load
+    # Cached: a pure function of few distinct arguments, and the most expensive step under load.
+    @functools.cache
     def infer(error: float, change: float) -> float:
         """The controller's output in [-1, 1]: diagonal rule table, max-min inference, centre of gravity."""
         strengths = [0.0] * len(SET_CENTRES)
--- a/plumpick/policy/leases/acceptor.py
+++ b/plumpick/policy/leases/acceptor.py
@@ -17,7 +17,7 @@
 
 RECENT_GRANT_MS = 1000.0  # time after a first grant in which its holder may not have a quorum yet
 
-Owner = tuple[int, int]  # gateway's number, incarnation
+Owner = tuple[int, int]  # number and incarnation of the gateway that holds a grant
 
 
 @dataclass(slots=True)
@@ -44,7 +44,8 @@
         self.startup_wait_until_ms = now_ms + terms.startup_wait_ms
         self.grants: dict[int, Grant] = {}
         self.highest_tokens: dict[int, int] = {}  # largest token granted in this incarnation, by lease
-        self.releases: dict[int, tuple[Owner, int]] = {}  # last release's owner and serial, by lease
+        # Owner and serial number of the last release, by lease.
+        self.releases: dict[int, tuple[Owner, int]] = {}
 
     def on_request(
         self, now_ms: float, lease: int, owner: Owner, counter: int, serial: int
--- a/plumpick/policy/leases/codec.py
+++ b/plumpick/policy/leases/codec.py
@@ -15,9 +15,10 @@
 MAGIC = 0xD5
 MAX_MESSAGE_BYTES = 256
 NO_HOLDER = 0xFFFF  # value in place of a gateway's number
-_HEADER = struct.Struct(">BBHIIII")  # magic, kind, digest, incarnation, serial, clock, to_incarnation
-_REQUEST = struct.Struct(">HHI")  # lease, upper and lower part of the counter
-_VOTE = struct.Struct(">HBHIH")  # lease, vote with flag, upper and lower part of the counter, holder
+_HEADER = struct.Struct(">BBHIIII")  # header: magic, kind, digest, incarnation, serial, clock, to_incarnation
+_REQUEST = struct.Struct(">HHI")  # row of a request: lease, upper and lower part of the counter
+# Row of a response: lease, vote with flag, upper and lower part of the counter, holder.
+_VOTE = struct.Struct(">HBHIH")
 MAX_PAYLOAD_BYTES = MAX_MESSAGE_BYTES - _HEADER.size
 _VOTE_MASK = 0x7F
 _FLAG_SHIFT = 7
@@ -27,12 +28,12 @@
 class MessageKind(IntEnum):
     """Kind of a message; the values are sent on the wire."""
 
-    REQUEST = 1  # to acceptors: request to grant or renew leases
-    RELEASE = 2  # to acceptors: release of leases
-    RESPONSE = 3  # from an acceptor: votes on the leases of a request
-    NOMINATE = 4  # from an acceptor: invitation to request free slots
-    HEARTBEAT = 5  # to acceptors: the sender is up; serial 1 if it is shutting down
-    PAYLOAD = 6  # to any gateway: data of a scheduled task or a budget
+    REQUEST = 1  # sent to acceptors: request to grant or renew leases
+    RELEASE = 2  # sent to acceptors: release of leases
+    RESPONSE = 3  # sent by an acceptor: votes on the leases of a request
+    NOMINATE = 4  # sent by an acceptor: invitation to request free slots
+    HEARTBEAT = 5  # sent to acceptors: the sender is up; serial 1 if it is shutting down
+    PAYLOAD = 6  # sent to any gateway: data of a scheduled task or a budget
 
 
 class Vote(IntEnum):
@@ -67,7 +68,8 @@
     serial: int  # serial number of a request; a response repeats that of the request
     clock_ms: int
     to_incarnation: int = 0  # incarnation of the receiver of a response
-    requested: tuple[tuple[int, int], ...] = ()  # leases and counters; counter 0 in RELEASE and NOMINATE
+    # Leases with counters; the counter is 0 in RELEASE and NOMINATE.
+    requested: tuple[tuple[int, int], ...] = ()
     votes: tuple[LeaseVote, ...] = ()
     payload: bytes = b""
 
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -58,8 +58,8 @@
 
     serial: int
     requested_ms: float
-    counters: dict[int, int]  # counters of the leases that are not decided yet, by lease
-    is_acquisition: bool  # whether it acquires leases; otherwise it renews them
+    counters: dict[int, int]  # counters of the requested leases that are not decided yet, by lease
+    is_acquisition: bool  # whether the request acquires leases; otherwise it renews them
     retries: int = 0
     grants: dict[int, set[int]] = field(default_factory=dict)  # acceptors that granted the lease, by lease
     denials: dict[int, dict[int, Vote]] = field(default_factory=dict)  # votes by lease and acceptor
@@ -82,7 +82,7 @@
         self.counter = counter  # maximum over the counters of all tokens granted or seen so far
         self.serial = 0
         self.held: dict[int, HeldLease] = {}
-        self.pending: dict[int, LeaseRequest] = {}  # by lease
+        self.pending: dict[int, LeaseRequest] = {}  # pending request of each requested lease
         self.changes: list[LeaseChange] = []
         self.to_send: list[LeaseRequest] = []  # requests to send to the acceptors that have not granted them
         self.to_release: dict[int, None] = {}  # leases to release at all acceptors
@@ -204,7 +204,8 @@
         if lease not in request.counters or acceptor in request.grants.get(lease, ()):
             return
         if vote.vote is Vote.GRANTED:
-            request.denials.get(lease, {}).pop(acceptor, None)  # the grant replaces an earlier denial
+            # The acceptor's grant replaces its earlier denial.
+            request.denials.get(lease, {}).pop(acceptor, None)
             request.grants.setdefault(lease, set()).add(acceptor)
             request.preferred_others[lease] = request.preferred_others.get(lease, 0) + vote.flag
         else:
@@ -254,7 +255,8 @@
 
     def _complete_acquisition(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
         end_ms = request.requested_ms + self._terms.term_ms
-        if now_ms >= end_ms - self._terms.guard_ms:  # no time is left to begin work under the lease
+        # Too little of the term is left to begin work under the lease.
+        if now_ms >= end_ms - self._terms.guard_ms:
             self.to_release[lease] = None
             return
         token = fencing_token(counter, self.gateway, self.incarnation)
@@ -277,7 +279,7 @@
         if not request.is_acquisition:
             self._record_loss(lease, LossReason.GRANTED_TO_OTHER)
             return
-        if len(denials) < len(self._terms.acceptors):  # an acceptor has granted it or may still do so
+        if len(denials) < len(self._terms.acceptors):  # an acceptor has granted the lease or may still do so
             self.to_release[lease] = None
         if Vote.HELD_BY_OTHER in votes:
             reason = DenialReason.HELD_BY_OTHER
--- a/plumpick/policy/leases/nomination.py
+++ b/plumpick/policy/leases/nomination.py
@@ -67,7 +67,7 @@
         self._expiry_spread_ms = 2 * terms.drift_ratio * terms.term_ms + NETWORK_DELAY_MS
         self._stale_after_ms = MISSED_HEARTBEATS * heartbeat_interval_ms(gateways)
         self._present: dict[int, GatewayPresence] = {}
-        self._progress: dict[int, NominationProgress] = {}  # by slot
+        self._progress: dict[int, NominationProgress] = {}  # progress of the nominations by free slot
 
     def on_heartbeat(self, now_ms: float, gateway: int, incarnation: int, shutting_down: bool) -> None:
         """Record a heartbeat of a gateway."""
--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -100,7 +100,7 @@
         if self.closed:
             return []
         self.holder.expire(now_ms)
-        self._flush(now_ms)  # losses of expired leases come before all effects of the events
+        self._flush(now_ms)  # report losses of expired leases before all effects of the events
         for event in events:
             self._on_event(now_ms, event)
         self._on_timer(now_ms)
--- a/plumpick/policy/leases/rate_limit.py
+++ b/plumpick/policy/leases/rate_limit.py
@@ -18,7 +18,8 @@
     """Rate limits for messages to peers, with one token bucket for each peer."""
 
     def __init__(self) -> None:
-        self._buckets: dict[int, tuple[float, float]] = {}  # tokens and time of their count, by peer
+        # Tokens, and the time at which they were counted, by peer.
+        self._buckets: dict[int, tuple[float, float]] = {}
 
     def allow(self, now_ms: float, receiver: int, is_lease_message: bool = True) -> bool:
         """Return whether one more message may be sent to a peer now; if so, it is counted as sent."""
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -114,7 +114,8 @@
     def _record_latency(
         self, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
-        if latency_ratio > SLOW_LATENCY_RATIO:  # undo the failure counted while the attempt was in flight
+        # Undo the failure that was counted while the slow attempt was in flight.
+        if latency_ratio > SLOW_LATENCY_RATIO:
             tracked.failed[class_name] = max(0.0, tracked.failed.get(class_name, 0.0) - weight)
         # The ratio is relative to the mean of all endpoints, so a slowdown of all of them affects none.
         change = min(MAX_LATENCY_RATIO, latency_ratio) - tracked.latency_ratio
@@ -124,7 +125,7 @@
         """Keep an outcome observed by this gateway, to be reported to other gateways."""
         if latency_ratio == FAILED:
             tracked.failure_reporters[THIS_GATEWAY] = now_ms
-        if class_name in self.class_index:  # the class may have been dropped from the settings
+        if class_name in self.class_index:  # no report on a class that was dropped from the settings
             report = outlier_report(tracked.endpoint.id, self.class_index[class_name], latency_ratio)
             self.reports = [*self.reports[1 - MAX_OUTLIER_REPORTS :], (now_ms, report)]
 
--- a/plumpick/policy/overdue_attempts.py
+++ b/plumpick/policy/overdue_attempts.py
@@ -20,7 +20,7 @@
 RETENTION_RATIO = 0.95  # factor applied to the previous counts for each recorded attempt
 PRIOR_INTERVALS = 3.0  # weight, in intervals, of the wider view's rate as prior of the narrower view
 
-View = tuple[str, ...]  # (class), (class, zone) or (class, zone, endpoint id)
+View = tuple[str, ...]  # key of a view: (class), (class, zone) or (class, zone, endpoint id)
 
 
 @dataclass(slots=True, eq=False)
--- a/plumpick/policy/peer_messages.py
+++ b/plumpick/policy/peer_messages.py
@@ -36,9 +36,11 @@
 MAX_NUMBER = 0xFFFF
 TAG_LOW_BITS = 32
 _TAG_LOW_MASK = 0xFFFFFFFF
-_HEAD = "<BIHHB"  # version, digest of names, incarnation, capacity, number of quota messages
-_QUOTA_MESSAGE = "<BIHHHH"  # kind and set size, tag (low, high), serial, units, demand; then class and plan
-_OUTLIER_REPORT = "<I"  # endpoint tag; then class and grade
+# Header of a datagram: version, digest of names, incarnation, capacity, number of quota messages.
+_HEAD = "<BIHHB"
+# Quota message: kind and set size, tag (low, high), serial, units, demand; then class and plan.
+_QUOTA_MESSAGE = "<BIHHHH"
+_OUTLIER_REPORT = "<I"  # outlier report: endpoint tag; then class and grade
 _KIND_SHIFT = 4
 _SET_SIZE_MASK = 15
 _GRADES = 16  # number of grades of an outlier report
@@ -52,14 +54,14 @@
 class QuotaMessageKind(IntEnum):
     """Kind of a quota message, between a requesting gateway and a quota owner."""
 
-    GRANT_REQUEST = 1  # to the owner: request to spend units
-    GRANT = 2  # from the owner: the units are granted
-    QUEUED = 3  # from the owner: the request waits for units
-    SPENT = 4  # to the owner: units were spent without a grant
-    RETURNED = 5  # to the owner: units were not used, or a request is no longer in flight
-    RETRY_GRANT_REQUEST = 6  # to the owner: a GRANT_REQUEST for a client's retry
-    DENIED = 7  # from the owner: the units cannot be granted in time
-    LATE = 8  # to the owner: a SPENT repeated, as the owner was unreachable when it was sent
+    GRANT_REQUEST = 1  # sent to the owner: request to spend units
+    GRANT = 2  # sent by the owner: the units are granted
+    QUEUED = 3  # sent by the owner: the request waits for units
+    SPENT = 4  # sent to the owner: units were spent without a grant
+    RETURNED = 5  # sent to the owner: units were not used, or a request is no longer in flight
+    RETRY_GRANT_REQUEST = 6  # sent to the owner: a GRANT_REQUEST for a client's retry
+    DENIED = 7  # sent by the owner: the units cannot be granted in time
+    LATE = 8  # sent to the owner: a SPENT repeated, as the owner was unreachable when it was first sent
 
 
 _KINDS = frozenset(int(kind) for kind in QuotaMessageKind)
--- a/plumpick/policy/quota/bounds.py
+++ b/plumpick/policy/quota/bounds.py
@@ -118,7 +118,7 @@
         )
     if not plan.rate_per_s:
         return 0.0
-    # See the members of Situation for the derivation of each term
+    # Each term is derived at the members of Situation.
     ungranted = count * (
         LOCAL_BURST_RATIO * plan.burst + settings.max_units
     ) + plan.rate_per_s * max_forwarding_delay_s(settings)
--- a/plumpick/policy/quota/context.py
+++ b/plumpick/policy/quota/context.py
@@ -12,7 +12,7 @@
 MS_PER_S = 1000
 ANY_INCARNATION = -1
 
-# Arguments: current time in ms, sending gateway, incarnation of the sender, message
+# Arguments of a handler: current time in ms, sending gateway, incarnation of the sender, message
 MessageHandler = Callable[[float, int, int, QuotaMessage], None]
 
 
--- a/plumpick/policy/quota/hard_limits.py
+++ b/plumpick/policy/quota/hard_limits.py
@@ -8,9 +8,11 @@
 
 # Sum of all parts as a fraction of the hard limit; below 1 since units are forwarded after they are charged
 USED_RATIO = 0.96
-# Fraction for the quota owner; exceeds the quota if the hard limit is at least 1.7 times the quota
+# Fraction of the hard limit for the quota owner; exceeds the quota if the hard limit is at least 1.7 times
+# the quota
 OWNER_RATIO = 0.7 * USED_RATIO
-SET_RATIO = 0.3 * USED_RATIO  # fraction divided over the set, for units spent without a grant
+# Fraction of the hard limit divided over the set, for units spent without a grant.
+SET_RATIO = 0.3 * USED_RATIO
 
 
 def set_part(burst: float, set_size: int, place: int) -> float:
--- a/plumpick/policy/quota/liveness.py
+++ b/plumpick/policy/quota/liveness.py
@@ -33,7 +33,8 @@
 
     def __init__(self) -> None:
         self.unreachable_after_ms = UNREACHABLE_AFTER_HEARTBEATS * MIN_HEARTBEAT_MS
-        self.last_received_ms: dict[int, float] = {}  # by gateway, since the start of this incarnation
+        # Time of the last message by gateway, since the start of this incarnation.
+        self.last_received_ms: dict[int, float] = {}
         self.unresponsive_owners: set[int] = set()
 
     def reconfigure(self, settings: Settings) -> None:
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -47,7 +47,7 @@
         self.messenger = messenger
         self.liveness = liveness
         self.timers = timers
-        self.ledgers: dict[int, QuotaLedger] = {}  # by ledger_key
+        self.ledgers: dict[int, QuotaLedger] = {}  # ledgers of customers by ledger_key
         # Ledgers of plans removed from the settings, by ledger key with plan index 0, and by name of the plan
         self.detached: dict[tuple[int, str], QuotaLedger] = {}
         self.unvisited_ledgers: list[int] = []
@@ -100,9 +100,10 @@
         self._record_requester(now_ms, ledger, key[0], message)
         if key in ledger.settled:
             if key in ledger.spent:
-                # Its units were spent without a grant: the requester will return this late grant
+                # The request's units were spent without a grant: the requester will return this late grant
                 ledger.returned.add(key)
-            self._reply(now_ms, QuotaMessageKind.GRANT, key, message, ledger)  # the first reply was lost
+            # The first grant reply was lost.
+            self._reply(now_ms, QuotaMessageKind.GRANT, key, message, ledger)
         elif not is_queued:
             ledger.demand_units += message.units
             is_first = message.kind is QuotaMessageKind.GRANT_REQUEST
@@ -159,7 +160,7 @@
         """Handle a RETURNED message: release the request's slot or credit its unused units, once only."""
         had_slot = ledger.slots.pop(key, None) is not None
         is_settled = key in ledger.settled and not plan.max_in_flight
-        # A request granted twice is returned twice, but credited once
+        # A request that was granted twice is returned twice, but credited once
         if not had_slot and is_settled and key not in ledger.returned:
             ledger.returned.add(key)
             ledger.units = min(plan.burst, ledger.units + message.units)
--- a/plumpick/policy/quota/reconfiguration.py
+++ b/plumpick/policy/quota/reconfiguration.py
@@ -51,7 +51,8 @@
             is_kept = ledger.plan.name in plans and class_name in classes
             (kept if is_kept else dropped).append(pending)
         ledger.queue = kept
-        if not quota.context.has_successor:  # a hot-restart successor answers them otherwise
+        # With a hot-restart successor, the successor answers the dropped requests.
+        if not quota.context.has_successor:
             for pending in dropped:
                 quota.owner.deny(now_ms, pending, ledger)
 
--- a/plumpick/policy/quota/records.py
+++ b/plumpick/policy/quota/records.py
@@ -8,8 +8,9 @@
 from plumpick.policy.peer_messages import QuotaMessage
 from plumpick.policy.settings import Plan
 
-GrantKey = tuple[int, int, int]  # requesting gateway, its incarnation, serial number
-AccountKey = tuple[str, str, int, int]  # customer, plan, size and first gateway of its set
+GrantKey = tuple[int, int, int]  # key of a grant request: requesting gateway, its incarnation, serial number
+# Key of an account: customer, plan, size and first gateway of the customer's set.
+AccountKey = tuple[str, str, int, int]
 
 ACCOUNT_SNAPSHOT_FIELDS = (
     "customer_tag",
@@ -42,15 +43,15 @@
     customer_tag: int
     gateway_set_size: int
     owner: int  # number of the gateway that keeps the customer's ledger
-    updated_ms: float  # time of the last refill
+    updated_ms: float  # time of the last refill of the buckets
     local_units: float = 0.0  # units in the local bucket; negative after units spent without a grant
     hard_limit_units: float = 0.0  # units left in this gateway's part of the hard limit
     hard_limit_ratio: float = 0.0  # this gateway's part as a fraction of the hard limit
     demand_units: float = 0.0  # units requested at this gateway, exponentially decayed sum
     set_demand_per_s: float = 0.0  # demand at the whole set, from the owner's last reply; 0 if outdated
-    set_demand_ms: float = -math.inf  # time of that reply
+    set_demand_ms: float = -math.inf  # time of the owner's reply that set_demand_per_s is from
     last_set_demand_per_s: float = 0.0  # demand at the whole set, from the owner's last reply, never reset
-    last_set_demand_ms: float = -math.inf  # time of that reply
+    last_set_demand_ms: float = -math.inf  # time of the owner's reply that last_set_demand_per_s is from
     requests_in_flight: int = 0  # number of admitted requests that have not ended
 
 
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -25,7 +25,7 @@
 # Capacity of all local buckets together as a fraction of the burst; kept low, as the owner may grant it again
 LOCAL_BURST_RATIO = 0.03
 DEMAND_MAX_AGE_MS = 2 * DEMAND_MEMORY_MS  # age after which the set's demand reported by the owner is ignored
-UNCONFIRMED_DEMAND_MAX_AGE_MS = 30_000.0  # maximum age of that demand when it limits unconfirmed spend
+UNCONFIRMED_DEMAND_MAX_AGE_MS = 30_000.0  # maximum age of the set's demand when it limits unconfirmed spend
 
 INITIAL_ROUND_TRIP_MS = 60.0
 ROUND_TRIP_GAIN = 0.05  # weight of a new measurement in the average round trip
@@ -37,7 +37,7 @@
 CUSTOMER_RATE_RATIO = 2.0  # multiple of its quota that a customer may request even beyond that fraction
 
 UNCONFIRMED_MAX_AGE_MS = 10_000.0  # age up to which unconfirmed spend is reported to an owner that is back
-MAX_UNCONFIRMED = 256  # maximum number of such messages for each owner
+MAX_UNCONFIRMED = 256  # maximum number of unconfirmed spends kept for each owner
 USED_MEMORY_MS = 5000.0  # time for which a used grant is remembered to recognize a duplicate grant
 MAX_SERIAL = 0xFFFF
 IDLE_MS = 8000.0  # time without requests after which an account may be evicted
@@ -69,7 +69,7 @@
         self.serial = 0
         self.accounts: dict[AccountKey, CustomerAccount] = {}
         self.unvisited_accounts: list[AccountKey] = []
-        self.pending: dict[int, Request] = {}  # by serial number
+        self.pending: dict[int, Request] = {}  # requests that wait for a grant, by serial number
         self.used_ms: dict[int, float] = {}  # end times of requests that used their units, by serial number
         # Units spent while an owner was unresponsive, by owner: time of the spend, and LATE message
         self.unconfirmed: dict[int, list[tuple[float, QuotaMessage]]] = {}
@@ -88,7 +88,8 @@
         elapsed_s = 0.0 if self.context.has_successor else (now_ms - account.updated_ms) / MS_PER_S
         account.updated_ms = now_ms
         account.demand_units *= math.exp(-elapsed_s * MS_PER_S / DEMAND_MEMORY_MS)
-        if account.plan is not plan or plan.name not in self.context.plan_index:  # the settings have changed
+        # The plan was changed or removed by new settings.
+        if account.plan is not plan or plan.name not in self.context.plan_index:
             elapsed_s, plan = self.change_plan(now_ms, account, received.first_gateway, elapsed_s)
         self._fill(now_ms, account, plan, elapsed_s)
         return account
@@ -109,7 +110,8 @@
             self.liveness.is_unreachable(now_ms, account.owner)
         )
         if is_unreachable or now_ms - account.set_demand_ms > DEMAND_MAX_AGE_MS:
-            account.set_demand_per_s = 0.0  # unknown: the bucket refills by the even part
+            # Demand of the set is unknown: the bucket refills by the even part.
+            account.set_demand_per_s = 0.0
         own_demand_per_s = account.demand_units * MS_PER_S / DEMAND_MEMORY_MS
         if account.set_demand_per_s:
             part = min(1.0, own_demand_per_s / account.set_demand_per_s)
@@ -145,7 +147,7 @@
             return elapsed_s, plan
         account.plan = plan
         account.hard_limit_ratio = self.hard_limit_ratio(account, first_gateway)
-        if not before.hard_limit_per_s:  # a new hard limit begins empty
+        if not before.hard_limit_per_s:  # the part of a new hard limit begins empty
             account.hard_limit_units = 0.0
         since_change_s = (now_ms - self.context.plans_changed_ms) / MS_PER_S
         return max(0.0, min(elapsed_s, since_change_s)), plan
@@ -179,7 +181,7 @@
         lacks units. Returns whether the request may proceed now."""
         account, plan, units = request.account, request.plan, request.received.units
         if not (plan.rate_per_s or plan.max_in_flight or plan.hard_limit_per_s):
-            return True  # the plan has no limits
+            return True  # a plan without limits needs no grant
         is_local = plan.rate_per_s and not plan.max_in_flight and units <= account.local_units
         if is_local and self.spend_local(now_ms, request):
             return True
@@ -238,7 +240,7 @@
         owner unresponsive and spend without a grant while the local bucket is not negative. Returns whether
         the request may proceed."""
         if request.owner_has_replied:
-            return False  # queued at the owner
+            return False  # the owner has replied that the request is queued
         account = self.account_of(now_ms, request.received, request.plan)
         may_ask_again = request.grant_requests < GRANT_ATTEMPTS and now_ms < self._last_grant_wait_ms(request)
         if may_ask_again and account.owner not in self.liveness.unresponsive_owners:
@@ -334,7 +336,8 @@
         elif not request.units_charged:
             is_granted = message.kind is QuotaMessageKind.GRANT
             request.units_charged = request.received.units * is_granted
-            if not request.units_charged:  # queued: the owner drops it when its target wait has passed
+            # The owner drops the queued request when its target wait has passed.
+            if not request.units_charged:
                 expires_ms = request.grant_requested_ms + target_wait_ms(request.request_class)
                 self.timers.schedule(expires_ms, TimerKind.GRANT_EXPIRY, request.received.id)
             self.on_reply(request, is_granted)
--- a/plumpick/policy/request_state.py
+++ b/plumpick/policy/request_state.py
@@ -17,8 +17,9 @@
     endpoint: TrackedEndpoint
     class_name: str
     started_ms: float
-    latency_objective_ms: float = 0.0  # latency objective of its class when the request arrived
-    overdue_after_ms: float = 0.0  # time in flight after which it became overdue; 0 if it is not overdue
+    latency_objective_ms: float = 0.0  # latency objective of the request's class when the request arrived
+    # Time in flight after which the attempt became overdue; 0 if it is not overdue.
+    overdue_after_ms: float = 0.0
     written_off: float = 0.0  # fraction of the attempt that the concurrency limit does not count
     answer_probability: float = 1.0  # probability of an answer, as estimated at the last check
     next_check_ms: float = 0.0  # time of the next check of an overdue attempt
@@ -49,7 +50,9 @@
     units_charged: float = 0.0
     is_within_quota: bool = True
     awaits_quota: bool = True
-    is_queued: bool = False  # whether it waits for its first attempt
-    is_streaming: bool = False  # whether its response has started
-    is_body_released: bool = False  # whether its body is no longer retained, which rules out further attempts
-    next_warming_sample_ms: float = 0.0  # earliest time of its next draw for an endpoint in slow start
+    is_queued: bool = False  # whether the request waits for its first attempt
+    is_streaming: bool = False  # whether the request's response has started
+    # Whether the request's body is no longer retained, which rules out further attempts.
+    is_body_released: bool = False
+    # Earliest time of the request's next draw for an endpoint in slow start.
+    next_warming_sample_ms: float = 0.0
--- a/plumpick/policy/settings.py
+++ b/plumpick/policy/settings.py
@@ -16,9 +16,9 @@
 class Idempotency(Enum):
     """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # Repeated executions do no harm.
+    IDEMPOTENT = "safe"  # Repeated executions of the request do no harm.
     KEYED = "keyed"  # Workers of a group drop duplicates by idempotency key, within a time window.
-    NON_IDEMPOTENT = "unsafe"  # A second execution does harm and must be prevented.
+    NON_IDEMPOTENT = "unsafe"  # A second execution of the request does harm and must be prevented.
 
 
 class DeduplicationScope(Enum):
@@ -106,7 +106,7 @@
     slow_start_ms: float  # Time that a started worker takes to reach its full capacity
     slow_start_initial_ratio: float  # Ratio of its full capacity that a worker has when it starts
     overload_multiple: float  # Load, as a multiple of its current capacity, at which a warming worker fails
-    overload_window_ms: float  # Time over which that load is measured
+    overload_window_ms: float  # Time over which the load of a warming worker is measured
     max_attempts: int
     tick_ms: float = 1.0
     max_units: float = 1.0
