--- a/plumpick/gateway/cluster/budget_spending.py
+++ b/plumpick/gateway/cluster/budget_spending.py
@@ -95,7 +95,7 @@
         log.info("duties: limits of budgets changed: %s", figures[:MAX_LOGGED_CHARACTERS])
         return True
 
-    # -- requests
+    # -- charging of requests
 
     def admit(self, request: RequestReceived) -> bool:
         """Charge a request to all budgets that match it; returns whether all of them had enough units."""
@@ -166,7 +166,7 @@
         held = None if self._participant is None else self._participant.holder.held.get(slot)
         return -math.inf if held is None else held.requested_ms + self._settings.terms.term_ms
 
-    # -- timers
+    # -- timer of the ledger
 
     def on_timer(self, now_ms: float) -> None:
         """Send the reports and grants that are due, and log the ledger's warnings."""
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -102,7 +102,7 @@
         tasks = tuple(one.task for one in self._settings.scheduled_tasks)
         return TaskScheduler(tasks, self._settings.terms.slots, self._chance)
 
-    # -- start and end
+    # -- start and end of the participation
 
     def start(self, state: dict[str, Any] | None = None) -> None:
         """Join the fleet, with the state of the hot-restart predecessor if one is given."""
@@ -201,7 +201,7 @@
         if self.budgets.reconfigure(settings):
             self._step()
 
-    # -- events
+    # -- events for the participant
 
     def on_datagram(self, sender: int, data: bytes) -> None:
         """Handle a datagram of the lease protocol from the gateway with the number `sender`."""
@@ -227,7 +227,7 @@
             events.append(LargerTokenSeen(start.slot, error.token))
         self._step(events)
 
-    # -- a step
+    # -- execution of a step
 
     def _step(self, events: list[Event] | None = None) -> None:
         """Pass the time and the events to the participant and the scheduler, and execute their actions."""
@@ -293,7 +293,7 @@
         self._due_ms = self.budgets.timer_ms = due_ms
         self._loop.call_soon(self._step)
 
-    # -- actions
+    # -- execution of the participant's actions
 
     def _carry_out(self, now_ms: float, action: Action) -> None:
         match action:
@@ -366,10 +366,10 @@
             return False
         return self._system.boottime() < participant.holder.usable_until_ms(slot)
 
-    # -- operators
+    # -- status for operators
 
     def tasks_status(self, argument: str) -> tuple[bool, str]:
-        """The reply to DUTIES [PAGE]: whether the command is rejected, and one line."""
+        """The reply to DUTIES [PAGE]: whether the command is rejected, and the line to answer."""
         if self.participant is None or self.participant.closed:
             return True, "another process of this gateway has the duties"
         now_ms = self._system.boottime()
@@ -377,7 +377,7 @@
         return False, status.tasks_reply(self._config.name, self.participant, self._scheduler, now_ms, page)
 
     def budgets_status(self, argument: str) -> tuple[bool, str]:
-        """The reply to BUDGETS [PAGE]: whether the command is rejected, and one line."""
+        """The reply to BUDGETS [PAGE]: whether the command is rejected, and the line to answer."""
         ledger = self.budgets.ledger
         if ledger is None:
             return True, "no budgets are configured for this gateway"
--- a/plumpick/gateway/cluster/usage_collector.py
+++ b/plumpick/gateway/cluster/usage_collector.py
@@ -48,7 +48,7 @@
         # Sends a row of counts to the hot-restart successor, if there is one.
         self.forward: Callable[[list[Any]], None] | None = None
 
-    # -- counting
+    # -- counting of requests
 
     def count(self, plan: str, outcome: int, units: float) -> None:
         """Count a request with its final outcome, one of OUTCOMES, or forward it to the successor."""
@@ -77,7 +77,7 @@
             if name in self._counters:
                 self._counters[name].restore(rows)
 
-    # -- polls
+    # -- polls of other gateways
 
     def on_payload(self, now_ms: float, payload: DeliverPayload) -> None:
         """Answer a poll, or add a report to its collection; any other payload is dropped."""
@@ -100,7 +100,7 @@
         usage = self._counters[name].usage(self._system.unix_ms(), period)
         return usage_report.encode_report(_tag(name), period, usage)
 
-    # -- collection
+    # -- collection of the fleet's usage
 
     async def collect(self, start: StartRun) -> dict[str, Any]:
         """Poll all gateways for their usage in the run's period; returns the effect's body: usage by plan,
--- a/plumpick/gateway/dynamic_config/client.py
+++ b/plumpick/gateway/dynamic_config/client.py
@@ -142,7 +142,7 @@
         # Set when the first response has been received and the version in it, if any, is staged or active.
         self.has_response = asyncio.Event()
 
-    # -- calls
+    # -- calls to the services
 
     async def run(self) -> None:
         """Call the services until cancelled; after an unexpected exception the calls continue."""
@@ -244,7 +244,7 @@
             response.feed(data)
         return self._connection.finish(response, (200, 204))
 
-    # -- versions
+    # -- received versions
 
     async def _on_update(self, body: bytes) -> None:
         """Parse a response body and stage its version; raises DynamicConfigError if the response is invalid.
@@ -311,7 +311,7 @@
             self.subscriber.on_activated(version)
             log.info("configuration: version %d %s is active", version.number, version.digest[:12])
 
-    # -- hot restart
+    # -- state for a hot restart
 
     def export_state(self) -> dict[str, Any] | None:
         """The active version for the hot-restart successor; None if it is longer than MAX_STATE_BYTES or if
@@ -345,7 +345,7 @@
             self._activate(version, prepared.config)
             self._schedule_activation()
 
-    # -- for operators
+    # -- status for operators
 
     def status_line(self) -> str:
         """The reply to the operators' command CONFIGURATION: the active, staged and rejected versions."""
--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -151,7 +151,7 @@
             StateExported: self._state_transfer.on_exported,
         }
 
-    # -- events
+    # -- events for the policy
 
     def post_event(self, event: Event) -> None:
         """Queue an event for the policy, which handles it at the end of this event loop iteration."""
@@ -182,7 +182,7 @@
         self.participant = participant
         self.requests.participant = participant
 
-    # -- operators
+    # -- operators' commands
 
     def execute_command(self, name: str, argument: str) -> str:
         """Execute an operator's command synchronously and return the text of the reply.
@@ -249,7 +249,7 @@
         self.is_ready = self.is_serving and not self.admission_state and is_accepting_clients
         self.is_draining = self.is_closing_connections or self.has_handed_over or bool(self.admission_state)
 
-    # -- listeners
+    # -- calls from listeners
 
     def add_listener(self, listener: Listener) -> None:
         """Add a listener that accepts requests for this gateway."""
@@ -280,7 +280,7 @@
         """Close the request of a client that has disconnected; does nothing after the final response."""
         self.requests.on_disconnect(request)
 
-    # -- other actions
+    # -- actions of the policy without a module of their own
 
     def _set_timer(self, action: SetTimer) -> None:
         event = TimerFired(action.name)
@@ -298,7 +298,7 @@
     def _ignore(self, _action: Action) -> None:
         """Ignore an action: discovery is always watched, and workers may not be probed."""
 
-    # -- housekeeping
+    # -- sweeps and descriptor limits
 
     def _sweep(self) -> None:
         now = self.clock.now()
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -56,7 +56,7 @@
         self._reserve = _open_reserve()
         self.is_stopping = False
 
-    # -- the socket
+    # -- socket on which the predecessor listens
 
     def open(self, path: Path) -> None:
         """Listen for a successor at this path; a failure is logged."""
@@ -147,7 +147,7 @@
             os.close(self._reserve)
             self._reserve = None
 
-    # -- the successor
+    # -- connection to the successor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
         for descriptor in descriptors:  # a successor has no reason to send descriptors
--- a/plumpick/gateway/hot_restart/successor.py
+++ b/plumpick/gateway/hot_restart/successor.py
@@ -103,7 +103,7 @@
         if self._channel is not None:
             self._channel.close()
 
-    # -- the predecessor
+    # -- messages of the predecessor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
         if kind == MessageKind.OFFER and not self._offer.done():
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -49,7 +49,7 @@
         self.open_request = None
         self.listener.on_disconnected(self, request)
 
-    # -- requests in order
+    # -- serving of pipelined requests in order
 
     def serve_next(self) -> None:
         """Serve pipelined requests until one is open, the connection closes or reading is paused.
@@ -147,7 +147,7 @@
             self.is_reading_suspended = True  # the transport is still paused; pipelined requests come first
             self.serve_next()
 
-    # -- flow control
+    # -- flow control of reading
 
     def update_reading(self) -> None:
         """Suspend reading while requests wait behind an open one, otherwise resume it."""
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -167,7 +167,7 @@
         is still in transit."""
         return now - self._awaiting_request.get(connection, -math.inf) <= NEW_CONNECTION_MS
 
-    # -- limits
+    # -- limits on the number of connections
 
     def capacity(self, spare_descriptors: int) -> int:
         """Return how many connections may stay open if `spare_descriptors` further ones are unused."""
@@ -208,7 +208,7 @@
             else:
                 connection.close_if_idle()
 
-    # -- the sweep
+    # -- sweep of connections that have timed out
 
     def sweep_delay_ms(self, now: float) -> float:
         """Return by how much the next sweep is overdue; above STALL_THRESHOLD_MS that is a stall."""
--- a/plumpick/gateway/listeners/http/response_writer.py
+++ b/plumpick/gateway/listeners/http/response_writer.py
@@ -41,7 +41,7 @@
         """Suspend reading while requests wait behind an open one, otherwise resume it."""
         raise NotImplementedError
 
-    # -- a buffered response
+    # -- writing of a buffered response
 
     def respond(
         self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_ms: float = 0.0
@@ -104,7 +104,7 @@
             self.listener.on_response_sent(self)
             self.update_reading()
 
-    # -- a streamed response
+    # -- writing of a streamed response
 
     def start_response(self, length: int, content_type: bytes, source: Any, high_water_bytes: int) -> None:
         """Write the head of a response with status 200, whose body follows in calls of `write_chunk`.
--- a/plumpick/gateway/management.py
+++ b/plumpick/gateway/management.py
@@ -53,7 +53,7 @@
         self._server: Any = None
         self._path: Path | None = None
 
-    # -- start
+    # -- start of the management plane
 
     async def open(self) -> None:
         """Start the admin listener and connect to the hot-restart predecessor, if a process of this gateway
@@ -119,11 +119,11 @@
     def _log_no_policy_state() -> None:
         log.warning("handover: the predecessor sent no policy state; starting without it")
 
-    # -- the other process
+    # -- changes of the other process of a hot restart
 
     def _on_handover_change(self, handed_over: bool) -> None:
-        """Called when the successor has taken over; with `handed_over` False when it has exited before that,
-        whereupon this process accepts clients again."""
+        """Handle a handover to the successor or, with `handed_over` False, the exit of a successor that had
+        taken over: this process then accepts clients again."""
         if not handed_over:
             task = self._loop.create_task(self._listen_again())
             task.add_done_callback(lambda done: done.exception() and log.error("%s", done.exception()))
@@ -152,7 +152,7 @@
         """The predecessor has exited: this process may use all configured descriptors."""
         self._gateway.set_descriptor_limit(self._config.sockets)
 
-    # -- end
+    # -- end of the management plane
 
     async def finish(self, until_s: float) -> None:
         """Serve until `until_s` of the event loop's clock, or until a successor has taken over and no work is
--- a/plumpick/gateway/process.py
+++ b/plumpick/gateway/process.py
@@ -82,7 +82,7 @@
         self._server: Any = None
         self._listen_socket: socket.socket | None = None
 
-    # -- start
+    # -- start of the process
 
     async def start(self) -> None:
         """Open the sockets, wait for the first endpoint list and settings version, and start serving. Raises
@@ -150,7 +150,7 @@
         ):
             log.warning("configuration: no service has answered; starting with the settings of the file")
 
-    # -- end
+    # -- shutdown of the process
 
     async def shut_down(self) -> None:
         """Shut down gracefully after SIGTERM: keep accepting for the grace period, complete the accepted
--- a/plumpick/gateway/request_table.py
+++ b/plumpick/gateway/request_table.py
@@ -160,7 +160,7 @@
             if attempt is not None:
                 attempt.end(AttemptResult.CANCELLED)
 
-    # -- deadlines
+    # -- deadlines of requests
 
     def _set_deadline(self, request: OpenRequest, deadline_ms: float) -> None:
         """Set the time by which the request gets its final response, also for its attempts in flight."""
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -318,7 +318,7 @@
         would be taken for its response, or for a reset during its execution."""
         return self.pool.has_no_unread_input(self.transport)
 
-    # -- attempts
+    # -- attempts on the connection
 
     def send(self, attempt: Attempt) -> None:
         """Write the request of the attempt; a streamed body is forwarded while it is received."""
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -99,7 +99,7 @@
         """Return how many more connections may be opened."""
         return self._max_connections - self._connection_count
 
-    # -- discovery
+    # -- endpoint lists of discovery
 
     def update(self, workers: WorkerList) -> list[WorkerEntry]:
         """Apply a full or incremental endpoint list. When a worker has left service or restarted, its idle
@@ -155,7 +155,7 @@
         """Whether this incarnation of a worker may get new attempts."""
         return self._workers.get(worker.entry.server.id) is worker
 
-    # -- attempts
+    # -- start of attempts
 
     def _may_send(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether the attempt's request may still be written. Since the policy chose the worker, establishing
@@ -261,7 +261,7 @@
         is_local_cause = is_up or isinstance(problem, OSError) and problem.errno in LOCAL_SHORTAGES
         attempt.end(AttemptResult.NOT_STARTED if is_local_cause else AttemptResult.CONNECT_FAILED)
 
-    # -- connections
+    # -- release and close of connections
 
     def release(self, connection: WorkerConnection) -> None:
         """Return a connection to the pool after a complete response, or close it if it is not needed."""
--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -139,5 +139,6 @@
 
 
 def is_busy(limit: ConcurrencyLimit, limit_attempts: float) -> bool:
-    """Whether so many attempts are in flight that requests beyond their quotas may not start."""
+    """Whether the mean number of attempts in flight has reached MAX_OVER_QUOTA_LOAD_RATIO of the limit, so
+    that requests beyond their quotas may not start."""
     return limit.mean_in_flight >= MAX_OVER_QUOTA_LOAD_RATIO * limit_attempts
--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -42,7 +42,7 @@
         self.on_final = on_final
         self.on_exhausted = on_exhausted
 
-    # -- start
+    # -- start of attempts
 
     def start(self, request: Request) -> bool:
         """Start one more attempt of a request; returns False if no endpoint may get it or the request has
@@ -184,7 +184,7 @@
         has_room = state.limit.available() + attempt.written_off >= 1
         return has_room and self.retry(request, attempt.answer_probability)
 
-    # -- end
+    # -- end of attempts
 
     def on_completed(self, event: AttemptCompleted) -> None:
         """Handle the end of an attempt: record its outcome, and complete, retry or end its request."""
--- a/plumpick/policy/budgets/allocator_directory.py
+++ b/plumpick/policy/budgets/allocator_directory.py
@@ -11,7 +11,7 @@
 from plumpick.policy.budgets.messages import AllocatorHint
 from plumpick.policy.leases.terms import LeaseTerms
 
-MAX_UNANSWERED_REPORTS = 2  # number of unanswered reports after which an acceptor is asked for the allocator
+MAX_UNANSWERED_REPORTS = 2  # unanswered reports to an allocator after which it is presumed down
 
 
 class AllocatorDirectory:
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -97,7 +97,7 @@
         self.warnings = self._limits.warnings  # lines that the caller writes to the log and removes
         self._rejections_logged_ms: dict[str, float] = {}
 
-    # -- spending
+    # -- spending of units
 
     def try_spend(self, now_ms: float, charges: list[tuple[str, float]]) -> bool:
         """Charge a request to budgets, given as pairs of name and units. Return whether all of them have
@@ -158,7 +158,7 @@
             budget.first_excess_demand_ms = min(budget.first_excess_demand_ms, now_ms)
             self._with_excess_demand[budget.configured.name] = None
 
-    # -- leases
+    # -- leases of slots
 
     def on_lease_acquired(self, now_ms: float, slot: int, fencing_token: int) -> None:
         """Start allocating the budgets of a slot, whose lease this gateway has acquired under
@@ -180,7 +180,7 @@
         """Slots whose leases must not be released yet, because grants made under them are outstanding."""
         return self._allocations.slots_with_grants(now_ms)
 
-    # -- messages
+    # -- messages of other gateways
 
     def on_message(
         self,
@@ -274,7 +274,7 @@
             if holder is not None and holder != sender:
                 self.outbox.append((sender, encode_allocator_hint(AllocatorHint(slot, holder))))
 
-    # -- time
+    # -- timer for demand reports and grants
 
     def on_timer(self, now_ms: float) -> None:
         """Drop the records of expired grants, and send demand reports if they are due."""
@@ -322,7 +322,7 @@
         )
         budget.rejected = 0
 
-    # -- operators
+    # -- status for operators
 
     def status(self, now_ms: float) -> list[BudgetStatus]:
         """Status of all budgets, sorted by name."""
@@ -346,7 +346,7 @@
             None if allocator is None else allocator.granted_amount(now_ms),
         )
 
-    # -- hot restart
+    # -- state for a hot restart
 
     def export_state(self, now_ms: float) -> dict[str, Any]:
         """Return the state for the next process of a hot restart. Afterwards this ledger neither spends nor
--- a/plumpick/policy/budgets/rate_limiter.py
+++ b/plumpick/policy/budgets/rate_limiter.py
@@ -52,7 +52,7 @@
         self._largest_in_window = 0.0
         self.largest_request = 0.0  # maximum units that one request took, 0 without recent demand
 
-    # -- spending
+    # -- spending of units
 
     def available(self, now_ms: float) -> float:
         """Number of units that may be spent now."""
@@ -78,7 +78,7 @@
         self._window_units += units
         self._largest_in_window = max(self._largest_in_window, units)
 
-    # -- demand
+    # -- measured demand
 
     def excess_demand(self, now_ms: float) -> float:
         """Demand beyond the guaranteed limit, in units per second, at least 0."""
@@ -112,7 +112,7 @@
             self.largest_request = self._largest_in_window
         self._largest_in_window = 0.0
 
-    # -- grants
+    # -- grants of the allocator
 
     def granted_amount(self, now_ms: float) -> float:
         """Rate of the current grant in units per second; 0 without one."""
@@ -140,7 +140,7 @@
         )
         return True
 
-    # -- the guaranteed limit
+    # -- guaranteed limit
 
     def set_limits(self, now_ms: float, budget: Budget) -> None:
         """Apply new limits: to the guaranteed part immediately, to grants from the next grant on."""
@@ -165,7 +165,7 @@
             now_ms, self.guaranteed.rate_per_s, self.guaranteed.capacity, self.guaranteed.tokens
         )
 
-    # -- hot restart
+    # -- state for a hot restart
 
     def export_state(self, now_ms: float) -> list[float]:
         """Return the state for the next process of a hot restart, and leave nothing to spend in this
--- a/plumpick/policy/concurrency_limit.py
+++ b/plumpick/policy/concurrency_limit.py
@@ -100,7 +100,7 @@
 
     def update_limit(self, ready_endpoints: float) -> None:
         """Set the limit to the measured capacity, bounded by its floor and a multiple of the recent peak."""
-        own_endpoints = ready_endpoints / self.gateway_count  # this gateway's part: all gateways send to them
+        own_endpoints = ready_endpoints / self.gateway_count  # this gateway's part of the ready endpoints
         # With few answers of its own, this gateway relies on the capacity that others report.
         missing = max(0.0, self.fleet_capacity - self.capacity)
         capacity = self.capacity + missing * MIN_SAMPLES / (MIN_SAMPLES + self.completed)
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -121,7 +121,7 @@
             turn.actions.append(SetTimer(PERIOD_MS, TIMER_NAME))
         return turn.actions
 
-    # -- events
+    # -- processing of events
 
     def on_event(self, event: Event, leaving: list[TrackedEndpoint]) -> None:
         """Process one event. Endpoints that the event takes out of service are appended to `leaving`."""
@@ -239,7 +239,7 @@
     def _on_quota_denied(self, request: Request) -> None:
         self.lifecycle.on_quota_denied(request)
 
-    # -- timers
+    # -- processing of timers
 
     def _fire_timers(self) -> None:
         timers, now_ms = self.state.timers, self.turn.now_ms
--- a/plumpick/policy/draining.py
+++ b/plumpick/policy/draining.py
@@ -8,7 +8,7 @@
    again on a new connection, to another gateway.
 3. Requests that arrive late, from clients that write slowly, are answered before draining ends instead of
    within their own deadline.
-4. Connections close on which no request was received whole.
+4. Connections on which no complete request was received are closed.
 
 Requests in progress are finished."""
 
--- a/plumpick/policy/dynamic_config/subscriber.py
+++ b/plumpick/policy/dynamic_config/subscriber.py
@@ -126,7 +126,7 @@
         """The staged version, or the active one if none is staged; the base for a delta."""
         return self.staged or self.active
 
-    # -- requests
+    # -- calls to a service
 
     def next_request(self, now_ms: float) -> ConfigWatchRequest:
         """The next call to a service; draws jitter for its delay after a failure."""
@@ -162,7 +162,7 @@
         until_slot_ms = (self._slot_start_ratio * backoff_ms - now_ms) % backoff_ms
         return until_slot_ms + self._rng.random() * self._slot_ratio * backoff_ms
 
-    # -- responses
+    # -- responses of a service
 
     def on_unchanged(self, now_ms: float, request: ConfigWatchRequest, elapsed_ms: float) -> None:
         """Record a response without a newer version. Raises EarlyResponseError if the service answered long
@@ -197,7 +197,7 @@
         self._may_watch = True
         self._had_update = False
 
-    # -- updates
+    # -- updates received in responses
 
     def assess(self, update: VersionUpdate) -> Assessment:
         """Check the number, digest and base of an update against the versions at this gateway."""
@@ -262,7 +262,7 @@
         while len(self.rejected) > MAX_REJECTED_VERSIONS:
             del self.rejected[min(self.rejected)]
 
-    # -- activation
+    # -- activation of versions
 
     def due_version(self, now_ms: float) -> SettingsVersion | None:
         """The staged version if its activation time has come; otherwise None."""
@@ -291,7 +291,7 @@
         hot-restart predecessor."""
         return version.number > self.active.number and version.number not in self.rejected
 
-    # -- for operators
+    # -- status for operators
 
     def status_line(self, now_ms: float) -> str:
         """Status line for operators: active, staged and rejected versions, and the time since the last
--- a/plumpick/policy/endpoint_table.py
+++ b/plumpick/policy/endpoint_table.py
@@ -78,7 +78,7 @@
     def _enable(self, now_ms: float, name: str) -> None:
         was_disabled = name in self.disabled
         self.disabled.enable(now_ms, name, self.tracked)
-        if was_disabled and name in self.tracked:  # It counts as restarted: its measured state is discarded.
+        if was_disabled and name in self.tracked:  # it counts as restarted: discard what was measured
             old = self.tracked[name]
             self.tracked[name] = TrackedEndpoint(old.endpoint, ring_position=old.ring_position)
             self.by_tag = endpoints_by_tag(self.tracked)
--- a/plumpick/policy/endpoint_watch.py
+++ b/plumpick/policy/endpoint_watch.py
@@ -27,7 +27,7 @@
 import random
 from dataclasses import dataclass
 
-NOTIFICATION_DEADLINE_MS = 6000.0  # Maximum time to learn of a change, as promised to operators
+NOTIFICATION_DEADLINE_MS = 6000.0  # Maximum time until a gateway knows of a change, as promised to operators
 LOOP_DELAY_MARGIN_MS = 200.0  # Part of the deadline reserved for delays of a busy event loop
 RESPONSE_TIMEOUT_MS = 1000.0  # Time-out of a connect, and of a snapshot from an agent
 
@@ -49,8 +49,8 @@
 # Maximum length of the first round at a new address, which has to be in use 4 s after SIGHUP: 1700 + 2000 ms.
 INITIAL_ROUND_MS = 1700.0
 # Number of rounds among which the next call is drawn, after a call that timed out in the service's queue, and
-# after more than MANY_QUEUE_TIMEOUTS of them. So many are no outage: the service is overloaded and works on
-# calls that their gateways have given up.
+# after more than MANY_QUEUE_TIMEOUTS of them. More of them mean that the service is not down but overloaded,
+# and works on calls that their gateways have given up.
 ROUNDS_AFTER_QUEUE_TIMEOUT = 2
 ROUNDS_AFTER_MANY_QUEUE_TIMEOUTS = 8
 MANY_QUEUE_TIMEOUTS = 5
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request was received whole, or only its head if its body is streamed.
+    """A client's request was received completely, or only its head if its body is streamed.
 
     The module must end it before its deadline in exactly one way: by a RejectRequest, by a FailRequest, or by
     an attempt whose response goes to the client."""
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -89,7 +89,7 @@
         # Leases that must not be released before they expire, because budgets were granted under them.
         self.pinned: frozenset[int] = frozenset()
 
-    # -- held leases
+    # -- leases held by this process
 
     def usable_until_ms(self, lease: int) -> float:
         """Time until which work under a lease may begin; -inf if this process does not hold the lease."""
@@ -110,7 +110,7 @@
         if request is not None:
             request.counters.pop(lease, None)
 
-    # -- requests
+    # -- requests for leases
 
     def next_counter(self, least: int = 0) -> int:
         """Return a new counter, at least `least` and larger than those of all tokens that this incarnation
@@ -166,7 +166,7 @@
             if acceptor not in request.grants.get(lease, ())
         }
 
-    # -- responses
+    # -- responses of acceptors
 
     def on_response(self, now_ms: float, acceptor: int, message: Message) -> LeaseRequest | None:
         """Count the votes in an acceptor's response. Return the request that it answers; None if that is no
@@ -292,7 +292,7 @@
             reason = DenialReason.STALE_COUNTER
         self.changes.append(LeaseDenied(lease, reason))
 
-    # -- release
+    # -- release of leases
 
     def release(self, lease: int) -> None:
         """Drop a held or requested lease, and queue its release at the acceptors."""
@@ -329,7 +329,7 @@
             self._drop_pending(lease)
             self.acquire(now_ms, [lease])
 
-    # -- time
+    # -- timers of requests and renewals
 
     def on_timer(self, now_ms: float) -> None:
         """Time out requests, resend requests and renew leases that are due. Must be called after `expire`."""
--- a/plumpick/policy/leases/participant.py
+++ b/plumpick/policy/leases/participant.py
@@ -92,7 +92,7 @@
             self.acceptor = Acceptor(self.terms, now_ms)
             self._nominator = Nominator(self.terms, self._gateways, now_ms)
 
-    # -- events
+    # -- processing of events
 
     def handle(self, now_ms: float, events: Iterable[Event] = ()) -> list[Action]:
         """Handle events and timers. Return the actions to perform, in order; none after `capture`."""
@@ -142,7 +142,7 @@
         )
         self._actions.append(WriteLog(text))
 
-    # -- messages
+    # -- received messages
 
     def _on_message(self, now_ms: float, sender: int, message: Message) -> None:
         match message.kind:
@@ -212,7 +212,7 @@
             text = f"duties: the clocks of gatekeeper {sender} and this one are within the agreed drift again"
             self._actions.append(WriteLog(text, is_warning=False))
 
-    # -- timers
+    # -- processing of timers
 
     def _on_timer(self, now_ms: float) -> None:
         self.holder.on_timer(now_ms)
@@ -249,7 +249,7 @@
             times.append(self._nominator.next_due_ms())
         return min(times)
 
-    # -- messages out
+    # -- sent messages
 
     def _flush(self, now_ms: float) -> None:
         """Turn the changes and messages queued by the lease holder into actions. Repeats while there are any,
@@ -323,7 +323,7 @@
         else:
             self._actions.append(SendMessage(receiver, encode(message)))
 
-    # -- hot restart
+    # -- state for a hot restart
 
     def capture(self) -> dict[str, Any]:
         """Return the state for the next process of a hot restart. Afterwards this participant holds no lease,
--- a/plumpick/policy/quota/manager.py
+++ b/plumpick/policy/quota/manager.py
@@ -97,6 +97,6 @@
             self.owner.on_message(now_ms, (sender, incarnation, message.serial), message)
 
     def forget(self, now_ms: float, open_requests: Iterable[Request]) -> None:
-        """Visit a part of the accounts and ledgers, and evict those that a new one would equal."""
+        """Visit a part of the accounts and ledgers, and evict those that hold no more than a new one."""
         self.requester.forget(now_ms, open_requests)
         self.owner.forget(now_ms)
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -1,7 +1,7 @@
 """The quota owner: the gateway that keeps a customer's ledger and grants units to requesting gateways, by
 priority.
 
-Requests that cannot be granted in time are denied at once, so that they do not wait in vain. The parts of
+Requests that cannot be granted in time are denied at once instead of waiting until they expire. The parts of
 unreachable members of the gateway set are withheld, since these gateways may be spending them."""
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self.unvisited_ledgers: list[int] = []
         self.unvisited_detached: list[tuple[int, str]] = []
 
-    # -- messages
+    # -- messages of requesting gateways
 
     def on_message(self, now_ms: float, key: GrantKey, message: QuotaMessage) -> None:
         """Handle a message of a requesting gateway: a grant request, units spent without a grant, or units
@@ -166,7 +166,7 @@
             ledger.units = min(plan.burst, ledger.units + message.units)
         self.serve(now_ms, ledger_key(message))
 
-    # -- granting
+    # -- granting of units
 
     def serve(self, now_ms: float, name: int) -> None:
         """Grant a ledger's units to waiting requests, in order of priority and, for equal priority, newest
@@ -309,7 +309,7 @@
         reply = message._replace(kind=kind, demand_per_s=demand_per_s)
         self.messenger.send(now_ms, key[0], reply, key[1])
 
-    # -- housekeeping
+    # -- eviction of ledgers
 
     def forget(self, now_ms: float) -> None:
         """Visit a part of the ledgers, and evict those that are idle and full."""
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -74,7 +74,7 @@
         # Units spent while an owner was unresponsive, by owner: time of the spend, and LATE message
         self.unconfirmed: dict[int, list[tuple[float, QuotaMessage]]] = {}
 
-    # -- accounts
+    # -- accounts of customers
 
     def account_of(self, now_ms: float, received: RequestReceived, plan: Plan) -> CustomerAccount:
         """The account of a request's customer, with its buckets refilled up to `now_ms`; created if missing.
@@ -174,7 +174,7 @@
         is_limit_full = account.hard_limit_units + filled_limit >= burst
         return is_limit_full or plan.name not in self.context.plan_index
 
-    # -- spending
+    # -- spending of units
 
     def request_units(self, now_ms: float, request: Request) -> bool:
         """Charge a request's units to the local bucket, or send a grant request to the owner if the bucket
@@ -313,7 +313,7 @@
         while now_ms - next(iter(self.used_ms.values())) > USED_MEMORY_MS:
             del self.used_ms[next(iter(self.used_ms))]
 
-    # -- replies
+    # -- replies of quota owners
 
     def on_owner_reply(self, now_ms: float, sender: int, message: QuotaMessage) -> None:
         """Handle a reply of an owner that has granted, queued or denied a request."""
--- a/plumpick/policy/quota/snapshot.py
+++ b/plumpick/policy/quota/snapshot.py
@@ -102,7 +102,7 @@
     }
 
 
-# -- import
+# -- import of quota state
 
 
 @dataclass(slots=True)
--- a/plumpick/policy/request_lifecycle.py
+++ b/plumpick/policy/request_lifecycle.py
@@ -28,7 +28,7 @@
         # Check of the tier-wide budgets; None if there are none
         self.is_within_budgets: Callable[[RequestReceived], bool] | None = None
 
-    # -- admission
+    # -- admission of requests
 
     def on_received(self, received: RequestReceived) -> None:
         """Process a client's request: reject it at once, or admit it to wait for its quota and for room under
@@ -99,7 +99,7 @@
         if self.state.quota.requester.on_grant_timeout(self.turn.now_ms, request):
             self.state.queue.append(request)
 
-    # -- release
+    # -- release of queued requests
 
     def release(self) -> None:
         """Start first attempts for queued requests, as far as the concurrency limit allows (admission.py)."""
@@ -122,7 +122,7 @@
         self.turn.run_isolated(self.attempts.start, request)
         return request.is_queued
 
-    # -- end
+    # -- end of requests
 
     def reject_or_fail(self, request: Request) -> None:
         """End a request without a worker's answer: reject it if a client retry cannot execute it twice, else
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -144,7 +144,7 @@
         self._running: dict[str, TaskState] = {}  # Tasks with a run in progress, by name
         self._actions: list[Action] = []
 
-    # -- leases
+    # -- slots that are acquired, lost or yielded
 
     def on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
         """Record that this process now owns a slot, under a new fencing token; its tasks may run."""
@@ -211,7 +211,7 @@
         state = self.tasks.get(name)
         return state if state is not None and state.running_period == period else None
 
-    # -- time
+    # -- runs that are due
 
     def handle(self, now_ms: float, unix_ms: float) -> list[Action]:
         """Return the actions to carry out now.
