--- a/plumpick/gateway/clock.py
+++ b/plumpick/gateway/clock.py
@@ -28,7 +28,8 @@
     __slots__ = ("callback",)
 
     def __init__(self, callback: Callable[[], None]) -> None:
-        self.callback: Callable[[], None] | None = callback  # None once cancelled or fired
+        # The callback; None once the timer is cancelled or has fired.
+        self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
         """Prevent the callback from being called; does nothing if it has been called."""
@@ -67,7 +68,7 @@
 
     def _fire(self) -> None:
         self._handle = None
-        self._armed_ms = -math.inf  # prevents arming while the due callbacks run
+        self._armed_ms = -math.inf  # prevents arming of the timer while the due callbacks run
         now = self._clock.now()
         heap = self._heap
         try:
--- a/plumpick/gateway/cluster/lease_runner.py
+++ b/plumpick/gateway/cluster/lease_runner.py
@@ -234,7 +234,7 @@
         participant = self.participant
         if participant is None or participant.closed:
             return
-        # A step is running: one of its actions led to an operator's command or the end of a run.
+        # A step is already running if one of its actions led to an operator's command or the end of a run.
         if self._is_stepping:
             self._loop.call_soon(self._step, events)
             return
--- a/plumpick/gateway/hot_restart/predecessor.py
+++ b/plumpick/gateway/hot_restart/predecessor.py
@@ -150,7 +150,7 @@
     # -- connection to the successor
 
     def _on_message(self, kind: str, value: Any, descriptors: list[int]) -> None:
-        for descriptor in descriptors:  # a successor has no reason to send descriptors
+        for descriptor in descriptors:  # descriptors are not expected from a successor
             os.close(descriptor)
         channel = self._channel
         if channel is None:
--- a/plumpick/gateway/listeners/http/connection_admission.py
+++ b/plumpick/gateway/listeners/http/connection_admission.py
@@ -32,9 +32,9 @@
 STOPPED_SENDING_MS = 400.0  # time without bytes of a started request after which its client has stopped
 LINGER_MS = 1000.0  # time without input for which a half-closed connection is still read
 MAX_LINGER_MS = 5000.0  # total time for which a half-closed connection is still read
-SHUTDOWN_LINGER_MS = 200.0  # time without input during a shutdown, in place of LINGER_MS
+SHUTDOWN_LINGER_MS = 200.0  # limit on time without input during a shutdown, in place of LINGER_MS
 UNREAD_RESPONSE_TIMEOUT_MS = 10_000.0  # time without progress in writing after which a response is dropped
-SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0  # time during a shutdown, in place of UNREAD_RESPONSE_TIMEOUT_MS
+SHUTDOWN_UNREAD_RESPONSE_TIMEOUT_MS = 1000.0  # limit on time without progress in a shutdown
 
 
 class AdmittedConnection:
--- a/plumpick/gateway/listeners/http/parsed_request.py
+++ b/plumpick/gateway/listeners/http/parsed_request.py
@@ -11,7 +11,7 @@
 MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a larger body is streamed
 # Maximum size on the wire of a message with a buffered body: a chunk of one byte takes six bytes there.
 MAX_RAW_MESSAGE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
-MAX_BODY_BYTES = 1 << 40  # maximum Content-Length
+MAX_BODY_BYTES = 1 << 40  # maximum Content-Length of a request
 MAX_CONTENT_LENGTH_DIGITS = 15
 MAX_PIPELINED_REQUESTS = 16  # maximum number queued behind an open request; one more closes the connection
 
--- a/plumpick/gateway/shutdown.py
+++ b/plumpick/gateway/shutdown.py
@@ -103,7 +103,7 @@
             accepted.append(listening.accept()[0])
         except (BlockingIOError, ConnectionAbortedError):
             return accepted
-        except OSError as problem:  # for example, no descriptor is free
+        except OSError as problem:  # accepting failed, for example because no descriptor is free
             log.warning(
                 "cannot accept the rest of the listener's backlog, its clients are reset: %s", problem
             )
--- a/plumpick/gateway/upstream/connection.py
+++ b/plumpick/gateway/upstream/connection.py
@@ -235,7 +235,7 @@
             not value.isdigit()
             or len(value) > MAX_LENGTH_DIGITS
             or int(value) > MAX_RESPONSE_BYTES
-            or self.content_length >= 0  # repeated header
+            or self.content_length >= 0  # the header is repeated
         )
         self.content_length = -1 if self.is_invalid else int(value)
 
@@ -249,7 +249,7 @@
         status = self.parser.get_status_code()
         if status < 200:
             return
-        # Response to HEAD: no body follows, but the parser expects one.
+        # After the head of a response to HEAD no body follows, but the parser expects one.
         if attempt.is_head and not self.is_response_complete:
             self.is_response_complete = True
             self.status = status
@@ -305,7 +305,7 @@
     def on_message_complete(self) -> None:
         """Parser callback: a final or interim response is complete."""
         if self.parser.get_status_code() < 200:
-            # Head_bytes is kept: one limit applies to the heads of interim and final response together.
+            # `head_bytes` is kept: one limit applies to the heads of interim and final response together.
             self._reset_response()
         elif not self.has_excess:
             self.is_response_complete = True
@@ -361,7 +361,7 @@
             if sink is not None:
                 sink.finish_response()
             elif attempt.is_head:
-                body = b"%d" % max(0, self.content_length)  # Content-Length in the response to HEAD
+                body = b"%d" % max(0, self.content_length)  # value of Content-Length for the response to HEAD
             attempt.end(AttemptResult.OK, body, self.content_type, load_report)
         elif status in (503, 504) and self.is_marked_not_executed:
             attempt.end(AttemptResult.REJECTED_BY_WORKER, load_report=load_report)
--- a/plumpick/gateway/upstream/streaming_body.py
+++ b/plumpick/gateway/upstream/streaming_body.py
@@ -10,7 +10,7 @@
 
 from plumpick.gateway.listeners.interface import PausableSource
 
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # larger bodies are streamed
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # size above which a body is streamed
 MIN_HIGH_WATER_BYTES = 16 * 1024
 MAX_HIGH_WATER_BYTES = 256 * 1024
 
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -103,7 +103,7 @@
         """Charge a request to budgets, given as pairs of name and units. Return whether all of them have
         enough units; if not, nothing is spent. `now_ms` must be read at the moment of spending, from a clock
         that keeps running while the process is stalled."""
-        # Charge to a single budget: the most frequent case, which reads the bucket only once.
+        # A charge to a single budget is the most frequent case; it reads the bucket only once.
         if len(charges) == 1:
             ((name, units),) = charges
             budget = self.budgets[name]
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -160,9 +160,9 @@
 class CommandKind(Enum):
     """The kinds of operators' commands."""
 
-    DISABLE = "disable"  # Send no more attempts to the named worker.
+    DISABLE = "disable"  # Send no more attempts to the worker that the command names.
     ENABLE = "enable"  # Use a disabled worker again.
-    DRAIN = "drain"  # Direct clients to other gateways.
+    DRAIN = "drain"  # Direct this gateway's clients to other gateways.
     UNDRAIN = "undrain"  # Admit clients again after DRAIN.
 
 
--- a/plumpick/policy/leases/codec.py
+++ b/plumpick/policy/leases/codec.py
@@ -14,7 +14,7 @@
 
 MAGIC = 0xD5
 MAX_MESSAGE_BYTES = 256
-NO_HOLDER = 0xFFFF  # value in place of a gateway's number
+NO_HOLDER = 0xFFFF  # value in place of a gateway's number if no gateway holds the lease
 _HEADER = struct.Struct(">BBHIIII")  # header: magic, kind, digest, incarnation, serial, clock, to_incarnation
 _REQUEST = struct.Struct(">HHI")  # row of a request: lease, upper and lower part of the counter
 # Row of a response: lease, vote with flag, upper and lower part of the counter, holder.
--- a/plumpick/policy/leases/lease_holder.py
+++ b/plumpick/policy/leases/lease_holder.py
@@ -255,7 +255,7 @@
 
     def _complete_acquisition(self, now_ms: float, request: LeaseRequest, lease: int, counter: int) -> None:
         end_ms = request.requested_ms + self._terms.term_ms
-        # Too little of the term is left to begin work under the lease.
+        # The lease is released if too little of its term is left to begin work under it.
         if now_ms >= end_ms - self._terms.guard_ms:
             self.to_release[lease] = None
             return
--- a/plumpick/policy/leases/release_retransmission.py
+++ b/plumpick/policy/leases/release_retransmission.py
@@ -21,7 +21,7 @@
     due_ms: float
     serial: int
     leases: tuple[int, ...]
-    sent: int  # number of transmissions so far
+    sent: int  # number of transmissions of the release so far
 
 
 class ReleaseRetransmission:
--- a/plumpick/policy/outlier_detection.py
+++ b/plumpick/policy/outlier_detection.py
@@ -114,7 +114,7 @@
     def _record_latency(
         self, tracked: TrackedEndpoint, class_name: str, latency_ratio: float, weight: float
     ) -> None:
-        # Undo the failure that was counted while the slow attempt was in flight.
+        # An attempt this slow was already counted as a failure while it was in flight: undo that.
         if latency_ratio > SLOW_LATENCY_RATIO:
             tracked.failed[class_name] = max(0.0, tracked.failed.get(class_name, 0.0) - weight)
         # The ratio is relative to the mean of all endpoints, so a slowdown of all of them affects none.
--- a/plumpick/policy/quota/reconfiguration.py
+++ b/plumpick/policy/quota/reconfiguration.py
@@ -51,7 +51,7 @@
             is_kept = ledger.plan.name in plans and class_name in classes
             (kept if is_kept else dropped).append(pending)
         ledger.queue = kept
-        # With a hot-restart successor, the successor answers the dropped requests.
+        # If this process has a hot-restart successor, the successor answers the dropped requests.
         if not quota.context.has_successor:
             for pending in dropped:
                 quota.owner.deny(now_ms, pending, ledger)
--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -88,7 +88,7 @@
         elapsed_s = 0.0 if self.context.has_successor else (now_ms - account.updated_ms) / MS_PER_S
         account.updated_ms = now_ms
         account.demand_units *= math.exp(-elapsed_s * MS_PER_S / DEMAND_MEMORY_MS)
-        # The plan was changed or removed by new settings.
+        # If new settings have changed or removed the account's plan, the account has to follow.
         if account.plan is not plan or plan.name not in self.context.plan_index:
             elapsed_s, plan = self.change_plan(now_ms, account, received.first_gateway, elapsed_s)
         self._fill(now_ms, account, plan, elapsed_s)
@@ -336,7 +336,7 @@
         elif not request.units_charged:
             is_granted = message.kind is QuotaMessageKind.GRANT
             request.units_charged = request.received.units * is_granted
-            # The owner drops the queued request when its target wait has passed.
+            # A request that the owner has queued is dropped there when its target wait has passed.
             if not request.units_charged:
                 expires_ms = request.grant_requested_ms + target_wait_ms(request.request_class)
                 self.timers.schedule(expires_ms, TimerKind.GRANT_EXPIRY, request.received.id)
--- a/plumpick/policy/request_state.py
+++ b/plumpick/policy/request_state.py
@@ -38,11 +38,12 @@
     objective_ms: float  # clock time by which an answer meets the latency objective
     priority: float  # priority weight of the class times priority factor of the plan
     attempt_count: int = 0
-    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)  # endpoints by attempt number
+    # Endpoints of the attempts in flight by attempt number.
+    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)
     tried_endpoints: list[TrackedEndpoint] = field(default_factory=list)
     unproven_attempts: int = 0  # number of attempts that a worker may have executed
     first_endpoint: Endpoint | None = None  # endpoint of the first unproven attempt, as listed at its start
-    first_attempt_ms: float = 0.0  # start of the first unproven attempt
+    first_attempt_ms: float = 0.0  # start time of the first unproven attempt
     grant_serial: int = 0  # serial number in messages exchanged with the quota owner; 0 without any
     grant_requests: int = 0  # number of grant requests sent
     grant_requested_ms: float = 0.0
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -92,8 +92,8 @@
     task: ScheduledTask
     slot: int
     last_done_period: int = -1  # Last period that was run or skipped; -1 if unknown, as for a new owner
-    failures: int = 0  # Number of consecutive failures
-    not_before_ms: float = 0.0  # Time before which no run may start
+    failures: int = 0  # Number of consecutive failures of the task
+    not_before_ms: float = 0.0  # Time before which no run of the task may start
     running_period: int | None = None  # Period of the current run; None if none is running
     started_ms: float = 0.0  # Start time of the current or last run
     last_run: LastRun | None = None
--- a/plumpick/policy/timers.py
+++ b/plumpick/policy/timers.py
@@ -40,7 +40,7 @@
 # Number of queue entries above the maximum for open requests that triggers a search for void entries
 _MAX_VOID_ENTRIES = 256
 
-Entry = tuple[float, int, TimerKind, int]  # time in ms, serial number, kind, key
+Entry = tuple[float, int, TimerKind, int]  # entry of the queue: time in ms, serial number, kind, key
 
 
 class TimerQueue:
--- a/plumpick/policy/usage_report.py
+++ b/plumpick/policy/usage_report.py
@@ -179,8 +179,8 @@
 class _GatewayReport:
     """The polls of one gateway, and the parts of its report received so far."""
 
-    attempts: int = 0  # Number of polls
-    next_ms: float = 0.0  # Time of the next poll
+    attempts: int = 0  # Number of polls of the gateway so far
+    next_ms: float = 0.0  # Time of the next poll of the gateway
     counted_from_ms: int = -1
     parts: dict[int, dict[int, UsageRow]] = field(default_factory=dict)  # Received rows by part number
     part_count: int = 0  # Number of parts of the whole report; 0 before the first has been received
