--- a/plumpick/policy/quota/requester.py
+++ b/plumpick/policy/quota/requester.py
@@ -69,7 +69,7 @@
         self.serial = 0
         self.accounts: dict[AccountKey, CustomerAccount] = {}
         self.unvisited_accounts: list[AccountKey] = []
-        self.pending: dict[int, Request] = {}  # requests that wait for a grant, by serial number
+        self.pending: dict[int, Request] = {}  # open requests that the owner was sent a message about
         self.used_ms: dict[int, float] = {}  # end times of requests that used their units, by serial number
         # Units spent while an owner was unresponsive, by owner: time of the spend, and LATE message
         self.unconfirmed: dict[int, list[tuple[float, QuotaMessage]]] = {}
