--- a/plumpick/gateway/gateway.py
+++ b/plumpick/gateway/gateway.py
@@ -89,7 +89,8 @@
         self.settings = config.settings
         self.clock = platform.clock()
         self.timers = Timers(loop, self.clock)
-        self.controller: Any = controller or Controller(config.settings, config.seed)  # replaced in tests
+        # The policy's controller, which tests replace.
+        self.controller: Any = controller or Controller(config.settings, config.seed)
         self.connection_pool = ConnectionPool(
             loop,
             self.clock,
@@ -102,10 +103,13 @@
             was_transport_reset=platform.was_reset,
         )
         self.peers = Peers(config, self.on_peer_message, platform.create_datagram_socket)
-        self.sweeps: list[Callable[[float], None]] = []  # further callbacks, called every SWEEP_INTERVAL_MS
+        # Callbacks besides the listeners' sweeps, called every SWEEP_INTERVAL_MS.
+        self.sweeps: list[Callable[[float], None]] = []
         self.sibling: SiblingProcess | None = None  # the other process of this gateway during a hot restart
-        self.participant: ClusterParticipant | None = None  # None unless cluster tasks are configured
-        self.settings_source: SettingsSource | None = None  # None unless a settings service is configured
+        # This process's part in cluster tasks; None if none are configured.
+        self.participant: ClusterParticipant | None = None
+        # Client of the settings service; None if none is configured.
+        self.settings_source: SettingsSource | None = None
         self._listeners: list[Listener] = []
         self._quota_health = QuotaHealth(config.settings.gateway_count, config.settings.gateway_number)
         self._init_lifecycle()
@@ -127,7 +131,8 @@
         self.is_draining = False  # whether each response closes its connection; derived from the fields below
         self.is_serving = False
         self.is_shutting_down = False
-        self.is_closing_connections = False  # late phase of a shutdown, which leaves no connection open
+        # Whether a shutdown is in its late phase, which leaves no connection open.
+        self.is_closing_connections = False
         self.has_handed_over = False  # whether the sibling process now accepts the clients
         self.admission_state = AdmissionState.OPEN
 
@@ -146,7 +151,7 @@
             StateExported: self._state_transfer.on_exported,
         }
 
-    # -- events
+    # -- events for the policy
 
     def post_event(self, event: Event) -> None:
         """Queue an event for the policy, which handles it at the end of this event loop iteration."""
@@ -177,7 +182,7 @@
         self.participant = participant
         self.requests.participant = participant
 
-    # -- operators
+    # -- operators' commands
 
     def execute_command(self, name: str, argument: str) -> str:
         """Execute an operator's command synchronously and return the text of the reply.
@@ -244,7 +249,7 @@
         self.is_ready = self.is_serving and not self.admission_state and is_accepting_clients
         self.is_draining = self.is_closing_connections or self.has_handed_over or bool(self.admission_state)
 
-    # -- listeners
+    # -- calls from listeners
 
     def add_listener(self, listener: Listener) -> None:
         """Add a listener that accepts requests for this gateway."""
@@ -275,7 +280,7 @@
         """Close the request of a client that has disconnected; does nothing after the final response."""
         self.requests.on_disconnect(request)
 
-    # -- other actions
+    # -- actions of the policy without a module of their own
 
     def _set_timer(self, action: SetTimer) -> None:
         event = TimerFired(action.name)
@@ -293,7 +298,7 @@
     def _ignore(self, _action: Action) -> None:
         """Ignore an action: discovery is always watched, and workers may not be probed."""
 
-    # -- housekeeping
+    # -- sweeps and descriptor limits
 
     def _sweep(self) -> None:
         now = self.clock.now()
--- a/plumpick/gateway/listeners/http/connection.py
+++ b/plumpick/gateway/listeners/http/connection.py
@@ -49,7 +49,7 @@
         self.open_request = None
         self.listener.on_disconnected(self, request)
 
-    # -- requests in order
+    # -- serving of pipelined requests in order
 
     def serve_next(self) -> None:
         """Serve pipelined requests until one is open, the connection closes or reading is paused.
@@ -105,7 +105,7 @@
         self.current = parsed
         try:
             self.open_request = self.listener.submit(self, parsed)
-        except BadRequestError as problem:  # the rest of the body is not worth reading
+        except BadRequestError as problem:  # the rest of a rejected request's body is not read
             self.is_unreadable = True
             self.request_started = False
             self.reject(problem.status)
@@ -147,7 +147,7 @@
             self.is_reading_suspended = True  # the transport is still paused; pipelined requests come first
             self.serve_next()
 
-    # -- flow control
+    # -- flow control of reading
 
     def update_reading(self) -> None:
         """Suspend reading while requests wait behind an open one, otherwise resume it."""
--- a/plumpick/gateway/upstream/connection_pool.py
+++ b/plumpick/gateway/upstream/connection_pool.py
@@ -24,7 +24,7 @@
 
 # Share of the workers' idle timeout after which the gateway closes an idle connection, well before they do.
 IDLE_TIMEOUT_RATIO = 0.6
-MAX_CONNECTIONS_PER_WORKER = 128  # including idle ones
+MAX_CONNECTIONS_PER_WORKER = 128  # maximum number of connections to one worker, including idle ones
 MAX_IDLE_PER_WORKER = 24
 SWEEP_INTERVAL_MS = 1000.0  # interval at which idle connections are checked
 # Time between a response and the reuse of its connection. Excess bytes that follow a response some
@@ -99,7 +99,7 @@
         """Return how many more connections may be opened."""
         return self._max_connections - self._connection_count
 
-    # -- discovery
+    # -- endpoint lists of discovery
 
     def update(self, workers: WorkerList) -> list[WorkerEntry]:
         """Apply a full or incremental endpoint list. When a worker has left service or restarted, its idle
@@ -147,14 +147,15 @@
         """Stop sending to a worker. Attempts in flight may still get their response."""
         for connection in list(worker.idle):
             connection.abort()
-        for attempt in list(worker.connecting):  # no byte of these requests was written
+        # No byte of the requests that wait for a connection was written.
+        for attempt in list(worker.connecting):
             attempt.end(AttemptResult.NOT_STARTED)
 
     def is_in_service(self, worker: Worker) -> bool:
         """Whether this incarnation of a worker may get new attempts."""
         return self._workers.get(worker.entry.server.id) is worker
 
-    # -- attempts
+    # -- start of attempts
 
     def _may_send(self, worker: Worker, attempt: Attempt) -> bool:
         """Whether the attempt's request may still be written. Since the policy chose the worker, establishing
@@ -260,7 +261,7 @@
         is_local_cause = is_up or isinstance(problem, OSError) and problem.errno in LOCAL_SHORTAGES
         attempt.end(AttemptResult.NOT_STARTED if is_local_cause else AttemptResult.CONNECT_FAILED)
 
-    # -- connections
+    # -- release and close of connections
 
     def release(self, connection: WorkerConnection) -> None:
         """Return a connection to the pool after a complete response, or close it if it is not needed."""
--- a/plumpick/policy/admission.py
+++ b/plumpick/policy/admission.py
@@ -38,7 +38,7 @@
     time or the client would have too little time left for a retry elsewhere."""
     objective_ms = now_ms + request_class.latency_objective_ms
     last_ms = received.deadline_ms
-    if not request_class.late_priority_weight > 0:  # a late answer is worth nothing
+    if not request_class.late_priority_weight > 0:  # an answer after the latency objective has no value
         last_ms = min(received.deadline_ms, objective_ms)
     earliest_ms = now_ms + MAX_EXPECTED_RATIO * (last_ms - now_ms)
     latest_start_ms = now_ms + MAX_QUEUED_RATIO * (received.deadline_ms - now_ms)
@@ -139,5 +139,6 @@
 
 
 def is_busy(limit: ConcurrencyLimit, limit_attempts: float) -> bool:
-    """Whether so many attempts are in flight that requests beyond their quotas may not start."""
+    """Whether the mean number of attempts in flight has reached MAX_OVER_QUOTA_LOAD_RATIO of the limit, so
+    that requests beyond their quotas may not start."""
     return limit.mean_in_flight >= MAX_OVER_QUOTA_LOAD_RATIO * limit_attempts
--- a/plumpick/policy/attempt_lifecycle.py
+++ b/plumpick/policy/attempt_lifecycle.py
@@ -42,7 +42,7 @@
         self.on_final = on_final
         self.on_exhausted = on_exhausted
 
-    # -- start
+    # -- start of attempts
 
     def start(self, request: Request) -> bool:
         """Start one more attempt of a request; returns False if no endpoint may get it or the request has
@@ -152,10 +152,9 @@
     def _check_attempt(self, attempt: Attempt, overdue_after_ms: float) -> float:
         """Write off a part of the attempt if it is overdue; returns the time of its next check."""
         now_ms, tick_ms = self.turn.now_ms, self.state.settings.tick_ms
-        at_ms = (
-            attempt.next_check_ms or attempt.started_ms + overdue_after_ms
-        )  # the usual latency may have risen since
-        if self.turn.is_stalled:  # the wait includes this process's own stall: start counting anew
+        # The usual latency may have risen since the check was scheduled; the attempt is then not overdue yet.
+        at_ms = attempt.next_check_ms or attempt.started_ms + overdue_after_ms
+        if self.turn.is_stalled:  # the attempt's wait includes a stall of this process: start counting anew
             at_ms = now_ms + (attempt.overdue_after_ms or tick_ms)
             attempt.next_check_ms = attempt.overdue_after_ms and at_ms
         if now_ms < at_ms:
@@ -185,7 +184,7 @@
         has_room = state.limit.available() + attempt.written_off >= 1
         return has_room and self.retry(request, attempt.answer_probability)
 
-    # -- end
+    # -- end of attempts
 
     def on_completed(self, event: AttemptCompleted) -> None:
         """Handle the end of an attempt: record its outcome, and complete, retry or end its request."""
--- a/plumpick/policy/budgets/ledger.py
+++ b/plumpick/policy/budgets/ledger.py
@@ -97,13 +97,14 @@
         self.warnings = self._limits.warnings  # lines that the caller writes to the log and removes
         self._rejections_logged_ms: dict[str, float] = {}
 
-    # -- spending
+    # -- spending of units
 
     def try_spend(self, now_ms: float, charges: list[tuple[str, float]]) -> bool:
         """Charge a request to budgets, given as pairs of name and units. Return whether all of them have
         enough units; if not, nothing is spent. `now_ms` must be read at the moment of spending, from a clock
         that keeps running while the process is stalled."""
-        if len(charges) == 1:  # the most frequent case, in which the bucket is read only once
+        # A charge to a single budget is the most frequent case; it reads the bucket only once.
+        if len(charges) == 1:
             ((name, units),) = charges
             budget = self.budgets[name]
             has_enough = budget.limiter.try_spend(now_ms, units)
@@ -148,7 +149,8 @@
     def _record_outcome(self, now_ms: float, budget: LocalBudget, has_enough: bool) -> None:
         if not has_enough:
             budget.rejected += 1
-            self._schedule.report_early(now_ms)  # the allocator may be able to grant more by now
+            # Ask for a new grant: the allocator may be able to grant more by now.
+            self._schedule.report_early(now_ms)
         if budget.limiter.has_excess_demand(now_ms):
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
                 self._schedule.on_demand_began(now_ms)
@@ -156,7 +158,7 @@
             budget.first_excess_demand_ms = min(budget.first_excess_demand_ms, now_ms)
             self._with_excess_demand[budget.configured.name] = None
 
-    # -- leases
+    # -- leases of slots
 
     def on_lease_acquired(self, now_ms: float, slot: int, fencing_token: int) -> None:
         """Start allocating the budgets of a slot, whose lease this gateway has acquired under
@@ -178,7 +180,7 @@
         """Slots whose leases must not be released yet, because grants made under them are outstanding."""
         return self._allocations.slots_with_grants(now_ms)
 
-    # -- messages
+    # -- messages of other gateways
 
     def on_message(
         self,
@@ -272,7 +274,7 @@
             if holder is not None and holder != sender:
                 self.outbox.append((sender, encode_allocator_hint(AllocatorHint(slot, holder))))
 
-    # -- time
+    # -- timer for demand reports and grants
 
     def on_timer(self, now_ms: float) -> None:
         """Drop the records of expired grants, and send demand reports if they are due."""
@@ -280,8 +282,8 @@
         if now_ms < self._schedule.next_ms:
             return
         self._schedule.begin_reports(now_ms)
-        reports: dict[int, list[DemandReport]] = {}  # by receiver
-        targets: dict[int, int] = {}  # receiver of the reports, by slot
+        reports: dict[int, list[DemandReport]] = {}  # demand reports to send, by receiving gateway
+        targets: dict[int, int] = {}  # receiver of the demand reports, by slot
         for name in list(self._with_excess_demand):
             budget = self.budgets[name]
             if now_ms - budget.excess_demand_ms > DEMAND_MEMORY_TERMS * self.grant_term_ms:
@@ -320,7 +322,7 @@
         )
         budget.rejected = 0
 
-    # -- operators
+    # -- status for operators
 
     def status(self, now_ms: float) -> list[BudgetStatus]:
         """Status of all budgets, sorted by name."""
@@ -344,7 +346,7 @@
             None if allocator is None else allocator.granted_amount(now_ms),
         )
 
-    # -- hot restart
+    # -- state for a hot restart
 
     def export_state(self, now_ms: float) -> dict[str, Any]:
         """Return the state for the next process of a hot restart. Afterwards this ledger neither spends nor
--- a/plumpick/policy/controller.py
+++ b/plumpick/policy/controller.py
@@ -121,7 +121,7 @@
             turn.actions.append(SetTimer(PERIOD_MS, TIMER_NAME))
         return turn.actions
 
-    # -- events
+    # -- processing of events
 
     def on_event(self, event: Event, leaving: list[TrackedEndpoint]) -> None:
         """Process one event. Endpoints that the event takes out of service are appended to `leaving`."""
@@ -239,14 +239,15 @@
     def _on_quota_denied(self, request: Request) -> None:
         self.lifecycle.on_quota_denied(request)
 
-    # -- timers
+    # -- processing of timers
 
     def _fire_timers(self) -> None:
         timers, now_ms = self.state.timers, self.turn.now_ms
         entry = timers.pop_due(now_ms)
         while entry is not None:
             _, _, kind, key = entry
-            if kind is TimerKind.PERIOD:  # set the next one first, so that no exception below can prevent it
+            # Set the next period's timer first: no exception below can then prevent it.
+            if kind is TimerKind.PERIOD:
                 timers.schedule(now_ms + PERIOD_MS, TimerKind.PERIOD)
             self.turn.run_isolated(self.on_timer, kind, key)
             entry = timers.pop_due(now_ms)
--- a/plumpick/policy/events.py
+++ b/plumpick/policy/events.py
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request was received whole, or only its head if its body is streamed.
+    """A client's request was received completely, or only its head if its body is streamed.
 
     The module must end it before its deadline in exactly one way: by a RejectRequest, by a FailRequest, or by
     an attempt whose response goes to the client."""
@@ -111,7 +111,7 @@
     result: AttemptResult
     is_final: bool
     actual_units: float = 0.0  # Quota units that the request really consumed
-    quota_used_percent: int = 0  # Used part of the quota in percent, plus 1; 0 if unknown
+    quota_used_percent: int = 0  # Used part of the customer's quota in percent, plus 1; 0 if unknown
     load_report: tuple[float, ...] = ()  # Values in the order of Settings.load_report_fields
 
 
@@ -160,9 +160,9 @@
 class CommandKind(Enum):
     """The kinds of operators' commands."""
 
-    DISABLE = "disable"  # Send no more attempts to the named worker.
+    DISABLE = "disable"  # Send no more attempts to the worker that the command names.
     ENABLE = "enable"  # Use a disabled worker again.
-    DRAIN = "drain"  # Direct clients to other gateways.
+    DRAIN = "drain"  # Direct this gateway's clients to other gateways.
     UNDRAIN = "undrain"  # Admit clients again after DRAIN.
 
 
--- a/plumpick/policy/quota/owner.py
+++ b/plumpick/policy/quota/owner.py
@@ -1,7 +1,7 @@
 """The quota owner: the gateway that keeps a customer's ledger and grants units to requesting gateways, by
 priority.
 
-Requests that cannot be granted in time are denied at once, so that they do not wait in vain. The parts of
+Requests that cannot be granted in time are denied at once instead of waiting until they expire. The parts of
 unreachable members of the gateway set are withheld, since these gateways may be spending them."""
 
 from __future__ import annotations
@@ -47,13 +47,13 @@
         self.messenger = messenger
         self.liveness = liveness
         self.timers = timers
-        self.ledgers: dict[int, QuotaLedger] = {}  # by ledger_key
+        self.ledgers: dict[int, QuotaLedger] = {}  # ledgers of customers by ledger_key
         # Ledgers of plans removed from the settings, by ledger key with plan index 0, and by name of the plan
         self.detached: dict[tuple[int, str], QuotaLedger] = {}
         self.unvisited_ledgers: list[int] = []
         self.unvisited_detached: list[tuple[int, str]] = []
 
-    # -- messages
+    # -- messages of requesting gateways
 
     def on_message(self, now_ms: float, key: GrantKey, message: QuotaMessage) -> None:
         """Handle a message of a requesting gateway: a grant request, units spent without a grant, or units
@@ -100,9 +100,10 @@
         self._record_requester(now_ms, ledger, key[0], message)
         if key in ledger.settled:
             if key in ledger.spent:
-                # Its units were spent without a grant: the requester will return this late grant
+                # The request's units were spent without a grant: the requester will return this late grant
                 ledger.returned.add(key)
-            self._reply(now_ms, QuotaMessageKind.GRANT, key, message, ledger)  # the first reply was lost
+            # The first grant reply was lost.
+            self._reply(now_ms, QuotaMessageKind.GRANT, key, message, ledger)
         elif not is_queued:
             ledger.demand_units += message.units
             is_first = message.kind is QuotaMessageKind.GRANT_REQUEST
@@ -159,13 +160,13 @@
         """Handle a RETURNED message: release the request's slot or credit its unused units, once only."""
         had_slot = ledger.slots.pop(key, None) is not None
         is_settled = key in ledger.settled and not plan.max_in_flight
-        # A request granted twice is returned twice, but credited once
+        # A request that was granted twice is returned twice, but credited once
         if not had_slot and is_settled and key not in ledger.returned:
             ledger.returned.add(key)
             ledger.units = min(plan.burst, ledger.units + message.units)
         self.serve(now_ms, ledger_key(message))
 
-    # -- granting
+    # -- granting of units
 
     def serve(self, now_ms: float, name: int) -> None:
         """Grant a ledger's units to waiting requests, in order of priority and, for equal priority, newest
@@ -308,7 +309,7 @@
         reply = message._replace(kind=kind, demand_per_s=demand_per_s)
         self.messenger.send(now_ms, key[0], reply, key[1])
 
-    # -- housekeeping
+    # -- eviction of ledgers
 
     def forget(self, now_ms: float) -> None:
         """Visit a part of the ledgers, and evict those that are idle and full."""
--- a/plumpick/policy/request_state.py
+++ b/plumpick/policy/request_state.py
@@ -17,8 +17,9 @@
     endpoint: TrackedEndpoint
     class_name: str
     started_ms: float
-    latency_objective_ms: float = 0.0  # latency objective of its class when the request arrived
-    overdue_after_ms: float = 0.0  # time in flight after which it became overdue; 0 if it is not overdue
+    latency_objective_ms: float = 0.0  # latency objective of the request's class when the request arrived
+    # Time in flight after which the attempt became overdue; 0 if it is not overdue.
+    overdue_after_ms: float = 0.0
     written_off: float = 0.0  # fraction of the attempt that the concurrency limit does not count
     answer_probability: float = 1.0  # probability of an answer, as estimated at the last check
     next_check_ms: float = 0.0  # time of the next check of an overdue attempt
@@ -37,11 +38,12 @@
     objective_ms: float  # clock time by which an answer meets the latency objective
     priority: float  # priority weight of the class times priority factor of the plan
     attempt_count: int = 0
-    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)  # endpoints by attempt number
+    # Endpoints of the attempts in flight by attempt number.
+    in_flight: dict[int, TrackedEndpoint] = field(default_factory=dict)
     tried_endpoints: list[TrackedEndpoint] = field(default_factory=list)
     unproven_attempts: int = 0  # number of attempts that a worker may have executed
     first_endpoint: Endpoint | None = None  # endpoint of the first unproven attempt, as listed at its start
-    first_attempt_ms: float = 0.0  # start of the first unproven attempt
+    first_attempt_ms: float = 0.0  # start time of the first unproven attempt
     grant_serial: int = 0  # serial number in messages exchanged with the quota owner; 0 without any
     grant_requests: int = 0  # number of grant requests sent
     grant_requested_ms: float = 0.0
@@ -49,7 +51,9 @@
     units_charged: float = 0.0
     is_within_quota: bool = True
     awaits_quota: bool = True
-    is_queued: bool = False  # whether it waits for its first attempt
-    is_streaming: bool = False  # whether its response has started
-    is_body_released: bool = False  # whether its body is no longer retained, which rules out further attempts
-    next_warming_sample_ms: float = 0.0  # earliest time of its next draw for an endpoint in slow start
+    is_queued: bool = False  # whether the request waits for its first attempt
+    is_streaming: bool = False  # whether the request's response has started
+    # Whether the request's body is no longer retained, which rules out further attempts.
+    is_body_released: bool = False
+    # Earliest time of the request's next draw for an endpoint in slow start.
+    next_warming_sample_ms: float = 0.0
--- a/plumpick/policy/scheduled_tasks.py
+++ b/plumpick/policy/scheduled_tasks.py
@@ -92,8 +92,8 @@
     task: ScheduledTask
     slot: int
     last_done_period: int = -1  # Last period that was run or skipped; -1 if unknown, as for a new owner
-    failures: int = 0  # Number of consecutive failures
-    not_before_ms: float = 0.0  # Time before which no run may start
+    failures: int = 0  # Number of consecutive failures of the task
+    not_before_ms: float = 0.0  # Time before which no run of the task may start
     running_period: int | None = None  # Period of the current run; None if none is running
     started_ms: float = 0.0  # Start time of the current or last run
     last_run: LastRun | None = None
@@ -144,7 +144,7 @@
         self._running: dict[str, TaskState] = {}  # Tasks with a run in progress, by name
         self._actions: list[Action] = []
 
-    # -- leases
+    # -- slots that are acquired, lost or yielded
 
     def on_slot_acquired(self, now_ms: float, slot: int, token: int) -> None:
         """Record that this process now owns a slot, under a new fencing token; its tasks may run."""
@@ -211,7 +211,7 @@
         state = self.tasks.get(name)
         return state if state is not None and state.running_period == period else None
 
-    # -- time
+    # -- runs that are due
 
     def handle(self, now_ms: float, unix_ms: float) -> list[Action]:
         """Return the actions to carry out now.
