--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -63,7 +63,7 @@
     # Maximum time between the end of a connection and the later record that its gateway was killed.
     "killed_early": 250.0,
 }
-DATAGRAM_BYTES = 256  # maximum size of a datagram
+DATAGRAM_BYTES = 256  # maximum size of a datagram between gateways
 KEEP_MS = 20_000.0  # time after which an ended request is removed; no further records of it can come
 
 MAX_BREACHES_PER_RULE = 200  # maximum number of breaches stored per rule; further ones are only counted
@@ -78,8 +78,8 @@
     t: float
     what: str  # name of the request, customer, worker or gateway concerned
     text: str
-    timing: bool  # whether a late record could have caused it, as it depends on the clock
-    story: list[Record] = field(default_factory=list)  # all related records, in order
+    timing: bool  # whether a late record may have caused the breach, as its rule depends on the clock
+    story: list[Record] = field(default_factory=list)  # records related to the breach, in order
 
     def as_dict(self) -> dict[str, Any]:
         """Return the breach as in report.json: times in ms, related records as lines of the history."""
@@ -113,7 +113,7 @@
     refused: bool = False
     effects: int = 0
     came_late: bool = False  # whether a repeat arrived after the deduplication window of its zone
-    sent_on: bool = False  # whether a worker has received an attempt
+    sent_on: bool = False  # whether a worker has received an attempt of the request
 
 
 @dataclass(slots=True)
@@ -129,9 +129,9 @@
     born: WorkerStarted
     # Attempts in the window: time, work in ms, whether the sending gateway knew of the worker's start.
     sent: deque[tuple[float, float, bool]] = field(default_factory=deque)
-    work: float = 0.0  # total work of `sent`, in ms
+    work: float = 0.0  # total work of the attempts in `sent`, in ms
     broken: bool = False
-    peak: float = 0.0  # highest share of the budget that was sent
+    peak: float = 0.0  # highest share of the cold worker's budget that was sent to it
     story: deque[Record] = field(default_factory=lambda: deque(maxlen=400))
 
 
@@ -141,8 +141,8 @@
     def __init__(self) -> None:
         self.most_breaches = MAX_BREACHES_PER_RULE
         self.breaches: list[Breach] = []
-        self.counts = dict.fromkeys(RULES, 0)  # number of breaches
-        self.chances = dict.fromkeys(RULES, 0)  # number of situations in which the rule could be broken
+        self.counts = dict.fromkeys(RULES, 0)  # number of breaches by rule
+        self.chances = dict.fromkeys(RULES, 0)  # number of situations in which each rule could be broken
         self.seen = 0
         self._terms: dict[str, Any] = {}
         self._kinds: dict[str, dict[str, Any]] = {}
@@ -155,7 +155,7 @@
         self._workers: dict[str, _WorkerProcess] = {}
         self._ceiling_buckets: dict[str, _Bucket] = {}
         self._killed_t: dict[str, float] = {}  # time at which a gateway that is down was killed
-        self._recent_kills: dict[str, deque[float]] = {}  # times of the last kills of each gateway
+        self._recent_kills: dict[str, deque[float]] = {}  # times of the latest kills of each gateway
         self._exited_t: dict[str, float] = {}  # time at which a gateway that is down ended in any way
         # Broken connections, audited when it is known whether their gateway was killed.
         self._broken_connections: list[tuple[float, _Request, RequestAbandoned]] = []
@@ -204,7 +204,7 @@
         if self.counts[rule] <= self.most_breaches:
             self.breaches.append(Breach(rule, t, what, text, timing, story))
 
-    # -- the run
+    # -- start and end of the run
 
     def _on_run_started(self, record: RunStarted) -> None:
         self._terms = record.terms
@@ -230,14 +230,14 @@
 
     def _on_request_sent(self, record: RequestSent) -> None:
         request = self._requests.get(record.id)
-        if request is not None:  # the client sent it again on a new connection
+        if request is not None:  # the client resent the request on a new connection
             request.story.append(record)
             return
         self._remove_ended_requests(record.t)
         self._requests[record.id] = _Request(record, [record])
         self.chances[LOST] += 1
         if self._exited_t.get(record.gate, record.t) < record.t:
-            self.chances[LOST] -= 1  # no process runs that could accept it
+            self.chances[LOST] -= 1  # no gateway process runs that could accept the request
 
     def _finish(self, request: _Request, t: float) -> None:
         if request.ended_t is None:
@@ -308,7 +308,7 @@
     def _on_request_abandoned(self, record: RequestAbandoned) -> None:
         request = self._requests.get(record.id)
         if request is None:
-            return  # it was never sent, so no gateway accepted it
+            return  # the request was never sent, so no gateway accepted it
         request.story.append(record)
         if record.why == "overdue":
             self._audit_abandoned(request, record, record.t)
@@ -327,7 +327,7 @@
 
     def _audit_abandoned(self, request: _Request, record: RequestAbandoned, until_t: float) -> None:
         if self._exited_t.get(request.asked.gate, request.asked.t) < request.asked.t:
-            return  # its gateway had ended and never accepted it
+            return  # the gateway had ended and never accepted the request
         down = self._killed_t.get(request.asked.gate)
         # Requests open at a killed gateway are not breaches: their clients retry them.
         if down is not None and down <= until_t and (record.why == "broken" or down >= request.asked.t):
@@ -436,7 +436,7 @@
             return
         request.story.append(record)
         if record.repeat or self._kinds[request.asked.kind]["repeats"] == "safe":
-            return  # a dropped repeat has no effect
+            return  # an attempt dropped as a repeat has no effect
         request.effects += 1
         if request.effects > 1:
             self._breach(
@@ -445,7 +445,7 @@
                 request.asked.id,
                 f"took effect {request.effects} times",
                 request.story,
-                timing=request.came_late,  # a consequence of a breach that depends on the clock
+                timing=request.came_late,  # the late arrival is itself a breach that depends on the clock
             )
 
     def _on_attempt_answered(self, record: AttemptAnswered) -> None:
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -167,7 +167,8 @@
         self.front, self.number, self.name = front, number, f"n{number}"
         self.port = 0
         self.up = False
-        self.is_shutting_down = False  # If so, only connections that are already open are used
+        # Whether the gateway shuts down; only open connections to it are used then
+        self.is_shutting_down = False
         self.idle: list[_ClientConnection] = []
         self.count = 0
         self._polling = False
@@ -249,7 +250,7 @@
         self.max_connections = max(8, int(scenario.fleet.sockets * MAX_DESCRIPTOR_SHARE))
         self.customers = self._make_customers(capacity)
 
-    # -- customers
+    # -- customers and their quotas
 
     def _make_customers(self, capacity: float) -> list[Customer]:
         """Return enough customers to make the scenario's load, counting requests within their quotas only."""
@@ -344,7 +345,7 @@
         self._arrive_later(customer, extra=True)
         return customer.name
 
-    # -- arrivals
+    # -- arrivals of operations
 
     def start(self) -> None:
         """Start the arrivals of all customers."""
@@ -408,7 +409,7 @@
         self._send_try(op)
         self._arrive_later(customer, extra)
 
-    # -- tries
+    # -- tries of operations
 
     def _choose_gateway(self, op: Operation) -> GatewayConnections:
         customer = op.customer
--- a/plumpick/rehearsal/commands.py
+++ b/plumpick/rehearsal/commands.py
@@ -23,8 +23,8 @@
 from plumpick.rehearsal.supervisor import StartFailed
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LIVE_S = 1.0  # interval between progress lines on a terminal
-CLEAR = "\r\x1b[K"  # moves the cursor to the start of the line and clears the line
+LIVE_S = 1.0  # interval between progress lines on a terminal, in seconds
+CLEAR = "\r\x1b[K"  # terminal codes that move the cursor to the start of the line and clear the line
 FILES = ("report.json", "history.jsonl", "report.html")
 
 
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -42,12 +42,15 @@
         self.ports = [0] * len(names)  # datagram ports of the gateways, set by the supervisor
         self._sockets: dict[tuple[int, int], _RelaySocket] = {}
         self._inbox: list[deque[float]] = [deque() for _ in names]
-        self.sides: list[set[int]] = []  # sets of gateways that are cut off from all others
-        self.deaf: list[tuple[set[int], set[int]]] = []  # (senders, receivers) that are cut one way
+        self.sides: list[set[int]] = []  # sets of gateways whose datagrams to and from all others are dropped
+        # sets of senders and receivers; datagrams from one to the other are dropped
+        self.deaf: list[tuple[set[int], set[int]]] = []
         # Fault injection for a datagram (sender, receiver, data): additional delay in ms, None to lose it.
         self.hook: Callable[[int, int, bytes], float | None] = lambda _sender, _receiver, _data: 0.0
-        self.loss, self.twice = part.loss, 0.0  # shares of datagrams that are lost, delivered twice
-        self.delay_ms = tuple(part.delay_ms)  # drawn per datagram, so that datagrams are reordered
+        # probabilities that a datagram is lost, and that it is delivered twice
+        self.loss, self.twice = part.loss, 0.0
+        # range of the delay, drawn for each datagram, so that datagrams may be reordered
+        self.delay_ms = tuple(part.delay_ms)
 
     async def start(self) -> None:
         for sender in range(len(self._names)):
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -179,7 +179,7 @@
             server.since_unix,
         )
 
-    # -- start and end
+    # -- start and end of the fleet
 
     async def start(self) -> None:
         """Start the stubs, then the gateways. Raises StartFailed or OSError."""
@@ -247,7 +247,7 @@
             await self.supervisor.close()
         finally:
             self.recorder.listeners.clear()
-            self.recorder.close()  # Whatever ends from here on ends because of this shutdown.
+            self.recorder.close()  # Processes that end from here on end because of this shutdown.
             if self.relays is not None:
                 self.relays.close()
             for server in self.servers.values():
@@ -261,7 +261,7 @@
         connections = self.front.gateway_connections[gate.number]
         connections.process_ended(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
 
-    # -- the script
+    # -- events of the script
 
     def mark(self, text: str) -> None:
         """Record a fault or another event of the script, for the history and the reports."""
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -278,7 +278,7 @@
                     connection.transport.close()
         self.around.later(1000.0, self._sweep, incarnation)
 
-    # -- attempts
+    # -- attempts received by the worker
 
     def receive(self, connection: _Connection, message: Message) -> None:
         """Handle a complete request: reject it, apply a fault to it, or put it into a slot or the queue."""
@@ -347,7 +347,7 @@
         if self.part.drops_cancelled and job.began_t < 0 and job in self._queue:
             self._queue.remove(job)
 
-    # -- the processor
+    # -- the model of the processor
 
     def _begin(self, job: _Job) -> None:
         job.began_t, job.end = self._at, self._attained + job.work / self.speed
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -39,7 +39,7 @@
         self.marks: list[tuple[float, str]] = []  # events of the script: time in s, text
         # Served requests by class: time of the response in s, time since the first try in ms.
         self.waits: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.asked: dict[str, RequestSent] = {}  # by request id
+        self.asked: dict[str, RequestSent] = {}  # each try that was sent, by request id
         self.first_t: dict[int, float] = {}  # time of the first try of each operation, in ms
         # Number of attempts by worker and second.
         self.per_server: defaultdict[str, defaultdict[int, int]] = defaultdict(lambda: defaultdict(int))
--- a/plumpick/rehearsal/receiver.py
+++ b/plumpick/rehearsal/receiver.py
@@ -84,7 +84,7 @@
         self.late_ms = 500.0
         self.records: list[ReceivedEffect] = []
         self.callers: set[_GatewayConnection] = set()
-        self.effect_accepted = asyncio.Event()  # Set at each accepted effect
+        self.effect_accepted = asyncio.Event()  # Event that is set at each accepted effect
         self.port = 0
         self._server: Any = None
 
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -84,11 +84,12 @@
         self._changes: list[tuple[int, ListedWorker]] = []
         self._held: list[
             tuple[_GatewayConnection, Message]
-        ] = []  # Requests received while the agent is silent
+        ] = []  # Requests received while the agent is unreachable
         self._notified: dict[
             str, tuple[int, str]
         ] = {}  # Last (incarnation, status) sent to the gateway, by worker
-        self._changes_while_silent: dict[str, ListedWorker] = {}  # Changes received while the agent is silent
+        # Changes received while the agent is unreachable
+        self._changes_while_silent: dict[str, ListedWorker] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
--- a/plumpick/rehearsal/scenario.py
+++ b/plumpick/rehearsal/scenario.py
@@ -148,10 +148,10 @@
 class PricesPart(Part):
     """Prices subtracted from the service score, each multiplied by its measured share or rate."""
 
-    waste: NotNegative = 0.05  # work wasted
-    late_fail: NotNegative = 0.03  # worth that failed after its target time
-    peer: NotNegative = 0.02  # datagram bytes between gateways
-    cross_hall: NotNegative = 0.01  # attempts sent to a worker in another zone
+    waste: NotNegative = 0.05  # price of wasted work
+    late_fail: NotNegative = 0.03  # price of worth that failed after its target time
+    peer: NotNegative = 0.02  # price of datagram bytes between gateways
+    cross_hall: NotNegative = 0.01  # price of attempts sent to a worker in another zone
 
 
 class Event(Part, tag_field="do"):
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -52,7 +52,7 @@
     worth: float
     plan: str
     kind: str
-    inside: bool  # whether a single gateway that sees all first tries would admit it
+    inside: bool  # whether a single gateway that sees all first tries would admit the operation
     served: bool = False
     ended_t: float = 0.0
 
@@ -243,7 +243,7 @@
         self._took = {n: name for n, name in self._took.items() if name in self._tries}
         self._useful = {n: worked for n, worked in self._useful.items() if n in self._took}
 
-    # -- figures
+    # -- figures of the service
 
     def worst_window(self) -> tuple[float, int]:
         """Return the lowest service share of any 10 consecutive seconds and the first of these seconds."""
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -127,7 +127,7 @@
             return port, port + PEER_PORTS_FROM
         raise OSError("found no free pair of ports for a gateway in 100 tries")
 
-    # -- configurations
+    # -- configurations of the gateways
 
     def settings_of(self, number: int) -> dict[str, Any]:
         """Return the settings of one gateway, in the form that the platform provides them."""
@@ -223,7 +223,7 @@
         new_path.replace(path)
         return path
 
-    # -- starts
+    # -- start of gateway processes
 
     async def start(self, gate: Gatekeeper) -> None:
         """Start a process of the gateway and wait until it is up. Raises StartFailed."""
@@ -236,7 +236,8 @@
                 gate.ready, gate.ready_t = True, self.around.now()
                 self._record(GatewayEvent(self.around.now(), gate.name, "ready", 0))
                 return
-            if gate.end_requested:  # Ended on purpose while it started: whoever ended it starts it again.
+            # The process was ended on purpose during its start; whoever ended it starts a new one.
+            if gate.end_requested:
                 self._record(GatewayEvent(self.around.now(), gate.name, "exited", -9))
                 return
             tail = self.log_tail(gate)
@@ -297,7 +298,7 @@
         except OSError:
             return ""
 
-    # -- ends
+    # -- signals to gateway processes, and their end
 
     def kill(self, gate: Gatekeeper) -> None:
         """Send SIGKILL to the gateway, if it runs."""
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -267,12 +267,12 @@
 class OwnershipReport:
     """Broken promises, one text each, and counts of effects that the records show."""
 
-    overlaps: list[str] = field(default_factory=list)  # A lease had two owners at one time
+    overlaps: list[str] = field(default_factory=list)  # Breaches: a lease had two owners at one time
     out_of_order: list[str] = field(
         default_factory=list
-    )  # An effect was admitted after one with a larger token
-    doubles: list[str] = field(default_factory=list)  # An effect of one period was accepted twice
-    late: list[str] = field(default_factory=list)  # An effect was begun after its lease had ended
+    )  # Breaches: an effect was admitted after one with a larger token
+    doubles: list[str] = field(default_factory=list)  # Breaches: an effect of one period was accepted twice
+    late: list[str] = field(default_factory=list)  # Breaches: an effect was begun after its lease had ended
     taken: int = 0
     fenced: int = 0
     again: int = 0
@@ -296,8 +296,9 @@
         fenced=sum(one.fate == "fenced" for one in received),
         again=sum(one.fate == "again" for one in received),
     )
-    spans: dict[tuple[int, int], list[float]] = {}  # [begin, end] by lease and token
-    ends: dict[int, tuple[float, float]] = {}  # (begin, end) by token, of any lease
+    # [begin, end] of each ownership, by lease and fencing token
+    spans: dict[tuple[int, int], list[float]] = {}
+    ends: dict[int, tuple[float, float]] = {}  # (begin, end) of each ownership of any lease, by fencing token
     order = sorted(witnessed, key=lambda row: row[1])
     for kind, t, _number, _pid, *parts in order:
         if kind == "held":
--- a/plumpick/rehearsal/wire.py
+++ b/plumpick/rehearsal/wire.py
@@ -23,7 +23,7 @@
     headers: dict[bytes, bytes]
     body: bytes
     raw: bytes
-    first_t: float  # time at which its first byte arrived, as given to Reader.feed
+    first_t: float  # time at which the first byte of the message arrived, as given to Reader.feed
 
     @property
     def status(self) -> int:
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -23,7 +23,7 @@
 from plumpick.simulation.exploration.search import copy_with, message_name
 
 TERM_MS, DRIFT = 1000.0, 0.01
-WAIT_TERM_FRACTION = 0.52  # fraction of a term by which the move "wait" advances time
+WAIT_TERM_FRACTION = 0.52  # fraction of a lease term by which the move "wait" advances time
 LEASE, DUTY = 0, "duty"
 
 
@@ -147,7 +147,7 @@
     def _clock(self, contender: bool) -> float:
         return self.now * (1 - DRIFT if contender else 1 + DRIFT)
 
-    # -- moves
+    # -- moves of the lease model
 
     def moves(self) -> Iterator[str]:  # noqa: C901  (to be split by concern)
         for number, holder in enumerate(self.holders):
@@ -274,7 +274,7 @@
                     self._send("answer", number, position, serial, owner[1], int(vote.vote), vote.counter)
             self._replace_acceptor(position, acceptor)
 
-    # -- invariants
+    # -- invariants of the lease model
 
     def _check_invariants(self) -> None:
         holders = 0
--- a/plumpick/simulation/exploration/search.py
+++ b/plumpick/simulation/exploration/search.py
@@ -35,7 +35,7 @@
 class SearchResult:
     """Result of a search."""
 
-    states: int = 0  # number of distinct states
+    states: int = 0  # number of distinct states that were found
     depth: int = 0  # number of moves up to which all histories were explored
     seconds: float = 0.0
     violation: str = ""  # description of the violated invariant; empty if none
--- a/plumpick/simulation/exploration/shares.py
+++ b/plumpick/simulation/exploration/shares.py
@@ -21,7 +21,7 @@
 from plumpick.simulation.exploration.search import copy_with, message_name
 
 TERM_MS, DRIFT = 1000.0, 0.01
-WAIT_TERM_FRACTION = 0.52  # fraction of a term by which the move "wait" advances time
+WAIT_TERM_FRACTION = 0.52  # fraction of a grant's term by which the move "wait" advances time
 LIMIT_UNITS = 2  # concurrency limit shared by the two holders
 BUDGET = Budget("units", BudgetKind.CONCURRENCY, LIMIT_UNITS, guaranteed_ratio=0.0)
 
@@ -49,7 +49,8 @@
         self.incarnations = [1, 2]
         self.divider = divider(BUDGET, 2, -10 * TERM_MS, 1, TERM_MS, DRIFT)
         self.in_flight: list[tuple[Any, ...]] = []
-        self.units_in_use: list[tuple[float, int, int]] = []  # end, holder, incarnation
+        # units in use: end of use, holder, holder's incarnation
+        self.units_in_use: list[tuple[float, int, int]] = []
         self._violation = ""
 
     def fork(self) -> Shares:
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -176,7 +176,7 @@
         self._tasks: dict[asyncio.Task[Any], None] = {}
         machine.processes.append(self)
 
-    # -- asyncio event loop
+    # -- methods of an asyncio event loop
 
     def time(self) -> float:
         """Returns the time of this process's clock in seconds: the machine's time plus the clock skew."""
@@ -282,7 +282,7 @@
     async def shutdown_asyncgens(self) -> None:
         """Does nothing: the loop does not track asynchronous generators."""
 
-    # -- the network
+    # -- connections and datagrams of the process
 
     async def create_server(
         self,
@@ -318,7 +318,7 @@
     def remove_reader(self, fd: Any) -> bool:
         return fd.remove_reader()
 
-    # -- descriptors, signals, stalls and exit
+    # -- file descriptors, signals, stalls and exit of the process
 
     def acquire_descriptors(self, count: int = 1) -> bool:
         """Allocates file descriptors; returns False, allocating none, if the limit would be exceeded."""
--- a/plumpick/simulation/marks.py
+++ b/plumpick/simulation/marks.py
@@ -72,9 +72,10 @@
 @dataclass
 class _RequestState:
     asked: RequestSent
-    attempts: dict[int, str] = field(default_factory=dict)  # attempts in progress: attempt number -> worker
-    attempts_sent: int = 0  # number of attempts that reached a worker
-    was_rejected: bool = False  # whether a worker rejected an attempt
+    # worker of each attempt in progress, by attempt number
+    attempts: dict[int, str] = field(default_factory=dict)
+    attempts_sent: int = 0  # number of attempts of the request that reached a worker
+    was_rejected: bool = False  # whether a worker rejected an attempt of the request
     is_finished: bool = False  # whether the request was answered or its client left
 
 
@@ -87,14 +88,15 @@
         self._kinds: dict[str, str] = {}
         self._requests: dict[str, _RequestState] = {}
         self._latest_by_operation: dict[int, str] = {}
-        self._attempts: dict[int, tuple[str, str]] = {}  # attempt -> request, worker
+        # request id and worker of each attempt, by attempt number
+        self._attempts: dict[int, tuple[str, str]] = {}
         self._open_requests: Counter[str] = Counter()  # number of unanswered requests by gateway
         self._down: set[str] = set()
         self._terminating: set[str] = set()
         self._lost_messages: deque[DatagramHandled] = deque()
         self._draining: dict[tuple[str, str], float] = {}
         self._warming: set[str] = set()
-        self._retries: dict[str, str] = {}  # request -> its retry through another gateway
+        self._retries: dict[str, str] = {}  # id of the retry through another gateway, by request id
         self._by_type = {
             RunStarted: self._began,
             RequestSent: self._asked,
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -91,14 +91,15 @@
         self.last_arrival = 0.0
         self.high, self.low = HIGH_WATER_BYTES, LOW_WATER_BYTES
         self.paused = self.reading_paused = False
-        self.closing = self.closed = False  # closing requested; descriptor released
+        # whether closing was requested; whether the descriptor was released
+        self.closing = self.closed = False
         self.eof_requested = self.eof_sent = self.eof_seen = False
         self.reset = False
         # Segments blocked by a partition, as the calls that would receive them.
         self.blocked: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.sent = 0  # number of bytes written
+        self.sent = 0  # number of bytes written at this end of the connection
 
-    # -- asyncio transport
+    # -- methods of an asyncio transport
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         if name == "socket":
@@ -184,7 +185,7 @@
             self.reset or None in self.receive_queue or arrived and (self.peer.eof_sent or self.peer.closed)
         )
 
-    # -- sending
+    # -- sending at this end of the connection
 
     def _pump(self) -> None:
         while self.write_buffer and self.in_flight < WINDOW_BYTES:
@@ -220,14 +221,14 @@
         if self.protocol is not None:
             self.protocol.connection_lost(problem)
 
-    # -- receiving
+    # -- receiving at this end of the connection
 
     def arrive(self, data: bytes | None) -> None:
         """Receives a segment, or None at the end of the stream. Runs in the process of this end."""
         if self.arrivals:
             self.arrivals.popleft()
         if self.closed:
-            if data is not None:  # data for a closed end is answered with a reset
+            if data is not None:  # data that arrives at a closed end is answered with a reset
                 self.network.send_reset(self)
             return
         self.receive_queue.append(data)
@@ -241,7 +242,8 @@
         self.reset, self.closing = True, True
         self.write_buffer.clear()
         self.receive_queue.clear()
-        if self.protocol is None:  # not accepted yet: the listener reports the reset after accepting
+        # the connection is not accepted yet: the listener reports the reset after accepting
+        if self.protocol is None:
             return
         self._close_now(ConnectionResetError(errno.ECONNRESET, "connection reset"))
 
@@ -444,7 +446,7 @@
         if not process.dead:
             self.machine.push_timer(round(when, 6), asyncio.TimerHandle(when, call, arguments, process))
 
-    # -- connections
+    # -- connections of the network
 
     def listen(
         self, process: Process, factory: Callable[[], Any], host: Any, port: int, backlog: int
@@ -585,7 +587,7 @@
     def _put_in_flight(self, end: ConnectionEnd, call: Callable[..., None], *arguments: Any) -> None:
         peer = end.peer
         if any(cut.blocks((end.process.name, end.name), (peer.process.name, peer.name)) for cut in self.cuts):
-            end.blocked.append((call, arguments))  # resent when the partition heals
+            end.blocked.append((call, arguments))  # the segment is resent when the partition heals
             return
         when, conditions = self.arrival_time(end.label), self.conditions_for(end.label)
         if conditions.loss_probability and self.rng.random() < conditions.loss_probability:
@@ -623,7 +625,7 @@
                 end.closed = True
                 self.send_reset(end)
 
-    # -- datagrams
+    # -- datagrams of the network
 
     def datagram_endpoint(
         self, process: Process, factory: Callable[[], Any], address: tuple[str, int]
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -39,7 +39,7 @@
 from plumpick.simulation.network import Cut, LinkConditions, Network, VirtualDatagramSocket
 
 START_S = (0.2, 0.7)  # range of the time that a gateway process takes to start
-LINGER_S = 12.0  # time for which workers keep serving when they drain while discovery watches are silent
+LINGER_S = 12.0  # time for which draining workers keep serving while discovery watches send no events
 END_MARGIN_S = 40.0  # time beyond the case's seconds after which an unfinished run counts as hung
 DID_NOT_END = "did-not-end"
 
@@ -142,7 +142,8 @@
 
     machine: Machine
     case: Case
-    checker: FleetChecker | None = None  # None without scheduled tasks and budgets
+    # checker of scheduled tasks and budgets; None if the case has neither
+    checker: FleetChecker | None = None
 
     @staticmethod
     def make_folder() -> Path:
@@ -173,7 +174,7 @@
         process = Process(self.machine, gate.name, skew, config.sockets)
         process.signals[signal.SIGHUP] = (
             lambda: None
-        )  # ignored until the gateway installs its handler, as in main
+        )  # a signal is ignored until the gateway installs its handler, as in main
         system = SimulatedPlatform(process, lambda: self.read(gate), self.checker)
         fleet = self.checker.settings if self.checker is not None else None
 
@@ -202,7 +203,7 @@
     seed: int
     digest: str
     steps: int
-    seconds: float  # virtual
+    seconds: float  # virtual duration of the run in seconds
     requests: int
     service: float
     marks: dict[str, int]
@@ -214,7 +215,7 @@
     problems: list[str] = field(default_factory=list)
     owners: int = 0  # number of fencing tokens under which leases were held
     effects: int = 0  # number of effects of scheduled tasks that the receiver got
-    spent: float = 0.0  # units of all budgets
+    spent: float = 0.0  # units spent from all budgets
     turned_back: int = 0  # number of requests rejected by budgets
     excused: int = 0  # number of breaches not counted because a fault disturbed timing or hid an event
 
@@ -259,7 +260,8 @@
             )
         elif fault.kind == "hot-firm":
             events.append(script.HotFirm(at_s=at, for_s=fault.for_s, plan=one["plan"], times=one["times"]))
-        elif fault.kind == "silent-watches":  # workers drain just after, and keep serving meanwhile
+        # workers drain after the watches stop, and keep serving meanwhile
+        elif fault.kind == "silent-watches":
             events.append(script.SilentWatches(at_s=at))
             events.append(
                 script.ReleaseServers(
@@ -478,7 +480,7 @@
         """
         self.network.conditions, self.network.client_conditions = LinkConditions(), LinkConditions()
 
-    # -- the run
+    # -- start and end of the run
 
     async def _main(self) -> None:
         fleet = self.fleet
