--- a/benchmarks/gray/world.py
+++ b/benchmarks/gray/world.py
@@ -246,7 +246,7 @@
         elif now < UNTIL_MS:
             wait = min(wait, UNTIL_MS - now)
         if self.started_ms:
-            wait = min(wait, DRAIN_CHECK_MS)  # Its capacity grows during slow start
+            wait = min(wait, DRAIN_CHECK_MS)  # The worker's capacity grows during slow start
         if self.rate:
             wait = min(wait, max(0.0, self.busy[0][0] - self.attained) / self.rate)
         self.timer = self.world.clock.schedule(now + wait + 0.05, self.complete_jobs)
@@ -282,12 +282,12 @@
 
     name: str  # Name of the request class
     arrived_ms: float
-    wait: float  # Time in ms after which the client disconnects
-    answered: float = -1.0  # Time of the result in ms; -1 while there is none
-    result: str = ""  # served, refused, failed or lost; "" while there is none
+    wait: float  # Time in ms after the request's arrival at which the client disconnects
+    answered: float = -1.0  # Time of the request's result in ms; -1 before it has one
+    result: str = ""  # Result of the request: served, refused, failed or lost; "" before it has one
     attempts: dict[int, Job] = field(default_factory=dict)
-    sent: int = 0  # Number of attempts
-    wrongly_rejected: bool = False  # Whether it was rejected while the workers had free capacity
+    sent: int = 0  # Number of attempts of the request
+    wrongly_rejected: bool = False  # Whether the request was rejected while the workers had free capacity
 
 
 class Gateway:
@@ -454,7 +454,7 @@
             self.gateways.append(Gateway(self, number, create_rule(settings, seed * 1000 + number)))
         capacity = sum(machine.speed for machine in self.machines) * CORES
         mean = sum(SHARES[name] * WORK_MS[name] for name in SHARES)
-        self.rate = load * capacity / mean  # Requests per ms
+        self.rate = load * capacity / mean  # Request rate of the load, in requests per ms
 
     def work_of(self, number: int, name: str) -> float:
         """Return the work of a request in ms of a core; it is the same for each of its attempts."""
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -227,7 +227,7 @@
     await asyncio.Event().wait()
 
 
-# -- clients
+# -- clients of the measured processes
 
 
 class Client(asyncio.Protocol):
@@ -325,7 +325,7 @@
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
 
-# -- gateways
+# -- gateways under measurement
 
 
 def configuration(number: int, listen: int, peers: list[int], workers: list[int]) -> dict[str, Any]:
--- a/benchmarks/module_cpu.py
+++ b/benchmarks/module_cpu.py
@@ -25,11 +25,11 @@
 def play(arguments: argparse.Namespace) -> dict[str, float]:
     """Play one run in this process; return CPU seconds inside `handle`, calls, service and tries."""
     from benchmarks.gray.world import Failure, World
-    from plumpick.policy.controller import Controller  # From the first checkout on sys.path
+    from plumpick.policy.controller import Controller  # Controller of the first checkout on sys.path
 
     cpu_s, call_count = [0.0], [0]
 
-    class TimedController:  # Not a subclass, which a compiled module forbids
+    class TimedController:  # TimedController is no subclass of Controller, as a compiled class forbids that
         def __init__(self, settings: Any, seed: int) -> None:
             self.controller_handle = Controller(settings, seed).handle
 
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -38,7 +38,7 @@
 from plumpick.policy.request_state import Request
 from plumpick.simulation.commands import parse_seeds
 
-Changes = list[tuple[Any, str, Any]]  # Patches: object, attribute, replacement
+Changes = list[tuple[Any, str, Any]]  # Patches of the policy: object, attribute, replacement
 
 
 def even_split() -> Changes:
--- a/benchmarks/reconfigure.py
+++ b/benchmarks/reconfigure.py
@@ -131,7 +131,7 @@
                         ),
                     )
                 ]
-            now += 0.001  # Short enough that no periodic work becomes due
+            now += 0.001  # A step of 0.001 ms, so that no periodic work becomes due
             began = time.perf_counter()
             actions = control.handle(now, events)
             durations_ms.append((time.perf_counter() - began) * 1000)
--- a/benchmarks/simulation/plants.py
+++ b/benchmarks/simulation/plants.py
@@ -35,7 +35,8 @@
 from plumpick.simulation.faults import generate_case
 from plumpick.simulation.world import play
 
-Replacements = list[tuple[Any, str, Any]]  # module or class, attribute name, replacement
+# replacement by a planted bug: module or class, attribute name, new value
+Replacements = list[tuple[Any, str, Any]]
 
 
 def anywhere() -> Replacements:
@@ -112,7 +113,7 @@
             stall_detector,
             "BACKLOG_READ_MS",
             -500.0,
-        ),  # was one constant with MAX_BACKLOG_MS in earlier versions
+        ),  # BACKLOG_READ_MS and MAX_BACKLOG_MS were one constant in earlier versions
     ]
 
 
@@ -181,7 +182,7 @@
         original(self, now, is_shutting_down)
 
     def close_if_idle(self: ClientConnection) -> None:
-        if self.is_idle():  # without checking for unread input
+        if self.is_idle():  # the correct function also checks for unread input
             self.close_gracefully()
 
     return [(ConnectionAdmission, "sweep", sweep), (ClientConnection, "close_if_idle", close_if_idle)]
@@ -248,7 +249,7 @@
 
 
 def trusts_its_watch() -> Replacements:
-    """Bug: a discovery watch that has fallen silent is trusted for 60 s."""
+    """Bug: a discovery watch that sends no events any more is trusted for 60 s."""
     return [(endpoint_watch, "AGENT_WATCH_TIMEOUT_MS", 60_000.0)]
 
 
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -25,8 +25,8 @@
 from plumpick.capacity.slopes import COMPILED, EITHER, FILE, FORMS, LINEAR, PLAIN, POWER, SATURATING, best_fit
 from plumpick.gateway import compiled
 
-ROUNDS, LONG_ROUNDS = 9, 5  # Number of rounds of a CPU slope, and of one with long rounds
-ROUND_S = 600.0  # Time-out of a round
+ROUNDS, LONG_ROUNDS = 9, 5  # Number of rounds in which a CPU slope is measured, and one with long rounds
+ROUND_S = 600.0  # Timeout of a measurement round
 REFERENCE_MS = 1.04  # CPU ms of the reference loop at the speed to which CPU figures are normalised
 WORKERS = (10, 200, 1000, 2950, 5900)
 FIRMS = (20, 73, 218, 1000, 4000)
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -98,7 +98,7 @@
 
 def idle_by_firms(firms: float) -> float:
     control = _with_customers(int(firms))
-    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # In total less than FORGET_MS
+    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # All rounds take less than FORGET_MS
 
 
 def changed_entry(workers: float) -> float:
@@ -356,7 +356,7 @@
 
 def _request_grant(allocator: BudgetAllocator, gateways: int, number: int, serial: int) -> object:
     now_ms = ((serial - 1) * gateways + number) * 1000 / MAX_REPORTS_PER_S
-    demand = 1.0 + number % 5  # In total more than the budget
+    demand = 1.0 + number % 5  # The demands of all gateways exceed the budget
     report = DemandReport(0, serial, demand, demand / 2, serial - 1, 1.0, 0)
     return allocator.request_grant(now_ms, number, 1, report)
 
--- a/benchmarks/slopes/versions.py
+++ b/benchmarks/slopes/versions.py
@@ -46,7 +46,7 @@
             plans=tuple(replace(plan) for plan in target.plans),
         )
         results: list[Any] = []
-        now += 0.001  # Short enough that no periodic work becomes due
+        now += 0.001  # A step of 0.001 ms, so that no periodic work becomes due
 
         def apply_change(
             now: float = now, new_settings: Settings = new_settings, results: list[Any] = results
--- a/benchmarks/soak/fleet.py
+++ b/benchmarks/soak/fleet.py
@@ -28,7 +28,7 @@
 READY_TIMEOUT_S = 6.0  # Maximum time until the successor of a hot restart is ready
 POLL_S = 0.05
 CATCH_UP_MS = 200.0  # Time that a process needs after SIGCONT to read what it received meanwhile
-MAX_BREACHES = 100_000  # Number of breaches kept, large enough for all, as each one is judged
+MAX_BREACHES = 100_000  # Maximum number of breaches kept; it keeps all, because each one is judged
 CROWD_HEAD = b"GET /seat-check HTTP/1.1\r\nHost: h\r\nX-Request-Id: "
 CROWD_READ_S = 2.0
 
@@ -103,7 +103,8 @@
         self._schedule = schedule
         self.problems: list[str] = []
         self.killed_at_the_earliest = 0
-        self.crowds: list[tuple[str, float, float]] = []  # Gateway, begin and end (ms)
+        # Gateway of each crowd, with the crowd's begin and end in ms
+        self.crowds: list[tuple[str, float, float]] = []
         longest_ms = max(kind.deadline_ms for kind in schedule.scenario.classes)
         self._kill_after_s = longest_ms / 1000 + KILL_MARGIN_S
 
@@ -134,7 +135,7 @@
             case Crowd():
                 await self._crowd(gate, action)
 
-    # -- SIGTERM
+    # -- shutdown by SIGTERM
 
     async def _terminate_and_reload(self, gate: Gatekeeper, offset_s: float) -> None:
         if offset_s <= 0:
@@ -219,7 +220,7 @@
             await asyncio.sleep(POLL_S)
         return False
 
-    # -- a crowd
+    # -- crowds of connections
 
     async def _crowd(self, gate: Gatekeeper, action: Crowd) -> None:
         self.mark(f"gatekeeper {gate.name}: a crowd of {action.connections} connections")
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -30,7 +30,7 @@
     unanswered_while_stopped: int = 0  # Number of requests whose deadline passed before SIGCONT
     killed_at_the_earliest: int = 0  # Number of processes that got SIGKILL at the earliest allowed moment
     requests: int = 0
-    unexplained: list[dict[str, Any]] = field(default_factory=list)  # Breaches that nothing excuses
+    unexplained: list[dict[str, Any]] = field(default_factory=list)  # Breaches of rules that nothing excuses
 
     @property
     def is_broken(self) -> bool:
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -26,7 +26,7 @@
 from plumpick.tools.call import send_command
 
 HOST, ROOT = "127.0.0.1", Path(__file__).resolve().parent.parent
-PAUSE_S, START_TIMEOUT_S = 0.3, 10.0  # Pause between upgrades; maximum time until READY
+PAUSE_S, START_TIMEOUT_S = 0.3, 10.0  # Pause between upgrades; maximum time until a new process reports READY
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EvaluatedRow:
-    """One evaluated row."""
+    """A row of the capacity table with its value and limit for one form, and the slopes that it uses."""
 
     row: Row
     value: float
@@ -56,8 +56,8 @@
     mechanism: str
     slopes: tuple[str, ...]
     outside: tuple[str, ...]  # slopes used outside their measured range, each with size and range
-    max_residual: float  # largest residual of the slopes used
-    is_combined: bool = False  # whether slopes of separate measurements were combined
+    max_residual: float  # largest residual of the slopes used by the row
+    is_combined: bool = False  # whether the row combines slopes of separate measurements
 
     @property
     def ratio(self) -> float | None:
@@ -81,7 +81,7 @@
 
 @cache
 def _publish_s() -> float:
-    """The default of `publish --in-force-in` in seconds; cached, because building the parser is slow."""
+    """The default of `configuration publish --in-force-in` in s; cached, because building the parser is slow."""
     given = parser().parse_args(["configuration", "publish", "any", "--to", "any"])
     return float(given.in_force_in)
 
@@ -139,7 +139,8 @@
         "shared_watch_ms": endpoint_watch.SHARED_WATCH_TIMEOUT_MS,
         "shared_round_ms": endpoint_watch.MAX_ROUND_MS,
         "shared_worst_s": endpoint_watch.worst_notification_ms(True) / 1000,
-        "ending_s": shutdown_times([math.inf])[2],  # with request classes that have long deadlines
+        # seconds from SIGTERM to exit if request deadlines are long
+        "ending_s": shutdown_times([math.inf])[2],
         # 1 if a change of request classes or plans, as the form counts them, requires a restart.
         "restarts_a_version": float(any(needs_restart(tier, other) for other in others)),
         "version_in_force_s": max(subscriber.worst_notification_ms(1) / 1000, _publish_s()),
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -64,8 +64,8 @@
     "versions' service": "plumpick/tools/configuration_service.py, VersionService",
     "kept versions": "plumpick/policy/dynamic_config/version_store.py, VersionStore",
     "publishing": "plumpick/tools/configuration.py, publish and status",
-    "services": NONE,  # several pools of workers, with routes to them
-    "calls to all": NONE,  # one operator's command that reaches all gateways
+    "services": NONE,  # capability that is missing: several pools of workers, with routes to them
+    "calls to all": NONE,  # capability that is missing: one operator's command that reaches all gateways
 }
 
 
@@ -92,7 +92,7 @@
 GATEWAYS_PER_MACHINE = "gatekeepers / machines"  # number of gateways of the version service on one machine
 
 ROWS = (
-    # A serving gateway.
+    # Rows of a serving gateway.
     Row(
         "gatekeeper",
         "CPU",
@@ -297,7 +297,7 @@
         "",
         "process",
     ),
-    # The owner of a customer's quota.
+    # Rows of the owner of a customer's quota.
     Row("home of a firm", "state", "stores of firms at their home", "entries", OWNED_PER_GATEWAY, "", "home"),
     Row(
         "home of a firm",
@@ -326,7 +326,7 @@
         "",
         "home lost",
     ),
-    # Leases.
+    # Rows of leases.
     Row(
         "voter",
         "messages",
@@ -428,7 +428,7 @@
         "",
         "gathering",
     ),
-    # Budgets.
+    # Rows of fleet-wide budgets.
     Row(
         "divider of a budget",
         "messages",
@@ -511,7 +511,7 @@
         "share_most_s",
         "share",
     ),
-    # Discovery.
+    # Rows of discovery.
     Row(
         "discovery's agent",
         "messages",
@@ -578,7 +578,7 @@
         "told_s",
         "watching",
     ),
-    # Configuration.
+    # Rows of changes to the configuration.
     Row(
         "configuration",
         "bytes",
@@ -725,7 +725,7 @@
         "",
         "process",
     ),
-    # One version service with all gateways; several services share them.
+    # Rows of one version service that serves all gateways; several services share them.
     Row(
         "service of versions",
         "messages",
@@ -808,7 +808,7 @@
         "told_s",
         "versions' service",
     ),
-    # Operators.
+    # Rows of operators' commands.
     Row(
         "operator's tools",
         "reach",
@@ -828,7 +828,7 @@
         "services_most",
         "publishing",
     ),
-    # The dedicated machines, each with a version service.
+    # Rows of the dedicated machines, each with a version service.
     Row(
         "each machine",
         "state",
@@ -901,7 +901,7 @@
         "connections_most",
         "versions' service",
     ),
-    # Events.
+    # Rows of events.
     Row("one worker", "delay", "its entry taken in", "ms", "changed_entry(workers)", "added_ms", "list"),
     Row(
         "one worker",
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -445,7 +445,8 @@
                 request.asked.id,
                 f"took effect {request.effects} times",
                 request.story,
-                timing=request.came_late,  # the late arrival is itself a breach that depends on the clock
+                # a repeat that came too late is itself a breach that depends on the clock
+                timing=request.came_late,
             )
 
     def _on_attempt_answered(self, record: AttemptAnswered) -> None:
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -312,7 +312,7 @@
         return result
 
     def _shift(self, customer: Customer) -> None:
-        """Redistribute the customer's traffic, so that another of its gateways is the busiest; repeats."""
+        """Redraw the weights of the customer's gateways, and schedule the next redraw."""
         skew = self._rng.uniform(*self.scenario.clients.skew)
         weights = [1 / (rank + 1) ** skew for rank in range(customer.spread)]
         self._rng.shuffle(weights)
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -134,7 +134,7 @@
             call.lost = True
 
     def end_silence(self) -> None:
-        """End the silence: respond to the requests received meanwhile, and to watches that have changes."""
+        """Make the agent reachable: respond to the requests received meanwhile, and to watches with changes."""
         self.silent = False
         changes, self._changes_while_silent = self._changes_while_silent, {}
         for entry in changes.values():
@@ -167,7 +167,7 @@
         }
 
     def handle_request(self, call: _GatewayConnection, message: Message) -> None:
-        """Handle one request for the list or for a watch; requests of a silent agent are held back."""
+        """Handle one request for the list or for a watch; an unreachable agent holds it back."""
         if call.lost:
             return
         if self.silent:
@@ -242,7 +242,7 @@
             self._around.later(due - self._around.now(), agent.change, entry)
 
     def silence(self, for_ms: float) -> None:
-        """Stop all agents from responding for `for_ms`."""
+        """Make all agents unreachable for `for_ms`: they hold back their responses."""
         for agent in self.agents:
             agent.silent = True
             self._around.later(for_ms, agent.end_silence)
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -265,7 +265,7 @@
 
 @dataclass
 class OwnershipReport:
-    """Broken promises, one text each, and counts of effects that the records show."""
+    """Breaches of lease ownership, one text each, and counts of effects that the records show."""
 
     overlaps: list[str] = field(default_factory=list)  # Breaches: a lease had two owners at one time
     out_of_order: list[str] = field(
@@ -286,7 +286,7 @@
 def judge(  # noqa: C901  (to be split by concern)
     witnessed: list[list[Any]], received: list[ReceivedEffect]
 ) -> OwnershipReport:
-    """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
+    """Check the invariants of leases: at most one owner per lease at a time, effects admitted in the order
     of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
 
     A lease lasts from the moment at which its holder knew of it until its expiry by the machine's clock, or
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -251,7 +251,7 @@
 
 
 class Host:
-    """Hosts the simulated gateways, each with a Controller of its own that shares no state with the others.
+    """Hosts the simulated gateways, each with a separate Controller that shares no state with the others.
 
     `input_lines`: lines of the protocol; `output`: stream for replies; `warnings`: stream for one line on
     each unknown message."""
--- a/plumpick/tools/call.py
+++ b/plumpick/tools/call.py
@@ -8,7 +8,7 @@
 import sys
 from typing import Any
 
-TIMEOUT_S = 5.0  # timeout of the connect, and of each read of the reply
+TIMEOUT_S = 5.0  # timeout in seconds of the connect, and of each read of the reply
 MAX_REPLY_BYTES = 4096  # maximum length of a reply in bytes
 
 
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -66,7 +66,7 @@
         raise CompilationError("Python's C headers (Python.h) not found")
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
-        tools = Path(scratch, "tools")  # separate folder, from which the daemon cannot import
+        tools = Path(scratch, "tools")  # folder apart from the daemon's import path
         _run(
             [
                 sys.executable,
@@ -100,17 +100,17 @@
             PYTHONPATH=str(tools),
             MYPYC_OPT_LEVEL=str(optimize),
         )
-        shutil.rmtree(build / "build", ignore_errors=True)  # copies made by setuptools
+        shutil.rmtree(build / "build", ignore_errors=True)  # copies of the sources that setuptools made
         for path in build.rglob("*.so"):
             target = result / path.relative_to(build)
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copy(path, target)
         if len(list(result.rglob("*.so"))) != len(COMPILED_FILES) + 1:
             raise CompilationError(f"mypyc did not produce the expected {len(COMPILED_FILES) + 1} modules")
-        for old in folder.iterdir():  # results of other sources, which are no longer used
+        for old in folder.iterdir():  # compiled results of other sources, which are no longer used
             if old.is_dir() and not old.name.startswith("tmp"):
                 shutil.rmtree(old, ignore_errors=True)
-        os.rename(result, target_folder)  # atomic, so that no incomplete result is ever loaded
+        os.rename(result, target_folder)  # the rename is atomic, so no incomplete result is ever loaded
     return target_folder
 
 
--- a/plumpick/tools/traced.py
+++ b/plumpick/tools/traced.py
@@ -192,7 +192,8 @@
             started_ms = record.now()
             try:
                 connection = await super().create_connection(factory, host, port)
-            except BaseException as problem:  # also a cancellation; it is recorded and raised again
+            # the exception may be a cancellation; it is recorded and raised again
+            except BaseException as problem:
                 record.write("dial", host, type(problem).__name__, round(record.now() - started_ms, 1))
                 raise
             record.write("dial", host, "up", round(record.now() - started_ms, 1))
