--- a/benchmarks/cold_workers.py
+++ b/benchmarks/cold_workers.py
@@ -215,7 +215,7 @@
 
 
 def main() -> None:
-    """Print the highest ratio for each tier size and load."""
+    """Print the highest ratio of attempts sent to attempts allowed, for each tier size and load."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     seeds = parser.parse_args().seeds
--- a/benchmarks/daemon_start.py
+++ b/benchmarks/daemon_start.py
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Print the medians and ratios."""
+    """Print the median start-up costs of both checkouts, and their ratios."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("other", type=Path)
     parser.add_argument("--runs", type=int, default=20)
--- a/benchmarks/hot_path.py
+++ b/benchmarks/hot_path.py
@@ -444,7 +444,7 @@
 
 
 def main() -> None:
-    """Print a table row for each case and side."""
+    """Print a table with the cost of a request for each case and each measured side."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/many_firms.py
+++ b/benchmarks/many_firms.py
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    """Print the figures; bytes come from a second, traced run."""
+    """Print the cost of the customers; bytes come from a second run, traced by tracemalloc."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--firms", type=int, default=10_000)
     parser.add_argument("--gateways", type=int, default=4)
--- a/benchmarks/module_cpu.py
+++ b/benchmarks/module_cpu.py
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Print the figures of this checkout, and of the other one if given."""
+    """Print the controller's CPU time in this checkout, and in the other one if given."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--against", default="")
     parser.add_argument("--runs", type=int, default=7)
--- a/benchmarks/ownership_size.py
+++ b/benchmarks/ownership_size.py
@@ -98,7 +98,7 @@
 
 
 def main() -> int:
-    """Print the rows; return exit code 0."""
+    """Print the cost of leases for each tier size; return exit code 0."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.ownership_size", description=__doc__)
     parser.add_argument("--json", action="store_true")
     arguments = parser.parse_args()
--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -158,7 +158,7 @@
 
 
 def main() -> None:
-    """Print a table row for each design."""
+    """Print a table with a row for each quota design."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-40")
     parser.add_argument("--jobs", type=int, default=8)
--- a/benchmarks/quota_windows.py
+++ b/benchmarks/quota_windows.py
@@ -137,7 +137,7 @@
 
 
 def main() -> int:
-    """Print the table; return 1 if a bound was exceeded or a rule broken, otherwise 0."""
+    """Print the excesses and their bounds; return 1 if a bound was exceeded or a rule broken, otherwise 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-200")
     parser.add_argument("--jobs", type=int, default=8)
--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Print the table; exit code 1 if any run was judged wrongly."""
+    """Print a table of the auditor's verdicts; exit with code 1 if any run was judged wrongly."""
     given = argparse.ArgumentParser(description=__doc__)
     given.add_argument("--seeds", type=int, default=20)
     given.add_argument("--jobs", type=int, default=4)
--- a/benchmarks/rehearsal_scale.py
+++ b/benchmarks/rehearsal_scale.py
@@ -87,7 +87,7 @@
 
 
 def main() -> None:
-    """Print a table row for each rate."""
+    """Print a table with a row for each request rate."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rates", type=float, nargs="*", default=[100, 250, 500, 750, 1000])
     parser.add_argument("--gatekeepers", type=int, default=8)
--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -26,7 +26,7 @@
 
 
 def main() -> int:
-    """Run the command line and return the exit code."""
+    """Play the seeds named on the command line, print their verdicts and return the exit code."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.soak", description=__doc__)
     parser.add_argument("--seeds", type=seed_range, required=True, help="A-B, or one seed")
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
@@ -42,7 +42,7 @@
 
 
 def seed_range(text: str) -> range:
-    """Return the seeds of `A-B` or `A`. Raises ValueError."""
+    """Parse `A-B` or `A` into a range of seeds. Raises ValueError if it is malformed."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
 
@@ -68,12 +68,12 @@
 
 
 def summary_of(verdict: Verdict) -> dict[str, Any]:
-    """Return the line of one seed, without the breaches, which its page contains."""
+    """Return the verdict of one seed as printed: without its unexcused breaches, which --found keeps."""
     return {key: value for key, value in asdict(verdict).items() if key != "unexplained"}
 
 
 def exit_code(verdicts: list[Verdict]) -> int:
-    """Return the exit code for all seeds together."""
+    """Return the exit code of the command for the verdicts of all seeds."""
     if any(verdict.is_broken for verdict in verdicts):
         return EXIT_BROKEN
     return EXIT_SLOW if any(verdict.too_slow for verdict in verdicts) else EXIT_HELD
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -90,7 +90,7 @@
 
 
 def main() -> int:
-    """Print the counts; return 1 if the history has no stall."""
+    """Print the counts of requests with and without stalls; return 1 if the history has no stall."""
     parser = argparse.ArgumentParser(prog="python -m benchmarks.stalls", description=__doc__)
     parser.add_argument("--seed", type=int, default=90417)
     parser.add_argument("--after", type=float, default=3.0, help="seconds counted after a stall (default: 3)")
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -205,7 +205,7 @@
 
 
 def main() -> int:
-    """Print the counts; return 1 if a request was lost, turned back or executed twice, otherwise 0."""
+    """Print the outcomes of requests; return 1 if one was lost, turned back or executed twice, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--times", type=int, default=50)
     parser.add_argument("--clients", type=int, default=16)
--- a/plumpick/capacity/model.py
+++ b/plumpick/capacity/model.py
@@ -81,7 +81,7 @@
 
 @cache
 def _publish_s() -> float:
-    """The default of `configuration publish --in-force-in` in s; cached, because building the parser is slow."""
+    """The default of `publish --in-force-in` in seconds; cached, because building the parser is slow."""
     given = parser().parse_args(["configuration", "publish", "any", "--to", "any"])
     return float(given.in_force_in)
 
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -36,7 +36,8 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LAG_STEP_MS, STALL_MS = 10.0, 25.0  # Interval of the lag samples, and lag from which a stall is recorded
+# Interval of samples of the event loop's lag, and lag from which a stall is recorded
+LAG_STEP_MS, STALL_MS = 10.0, 25.0
 SLOW_P99_MS = 15.0  # Maximum 99th percentile of the event loop's lag with which a verdict counts
 SETTLE_MS = 250.0  # Time between the last response and the end of the records
 GROUP_SIZE = 4  # Number of workers in a group of a zone
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -169,7 +169,7 @@
         self.now, self.record, self._serials, self._keys = around.now, record, serials, keys
         self.rng = around.chance(f"server {name}")
         self.speed = self.rng.uniform(*part.speed)
-        self.capacity = part.cores * self.speed  # Capacity when warm, in ms of work per ms
+        self.capacity = part.cores * self.speed  # Capacity of the warm worker, in ms of work per ms
         self.warm_ms = self.rng.uniform(*part.warm_s) * 1000
         self.faults = Faults()
         self.incarnation, self.port, self.since_unix = 0, 0, 0.0
@@ -192,7 +192,8 @@
         self._use, self._service_ms = 0.0, sum(kind.work_ms * kind.share for kind in self.kinds.values())
         self._report, self._shown = "", deque[tuple[float, str]]()
         self._next_report_t = 0.0
-        self._sent: deque[tuple[float, float]] = deque()  # Time and work (ms) of each attempt sent while cold
+        # Time and work (ms) of each attempt sent to the cold worker
+        self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
 
     # -- start and end of the process
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -134,7 +134,7 @@
             call.lost = True
 
     def end_silence(self) -> None:
-        """Make the agent reachable: respond to the requests received meanwhile, and to watches with changes."""
+        """Make the agent reachable: respond to the requests held back, and to watches with changes."""
         self.silent = False
         changes, self._changes_while_silent = self._changes_while_silent, {}
         for entry in changes.values():
--- a/plumpick/rehearsal/scenario.py
+++ b/plumpick/rehearsal/scenario.py
@@ -48,15 +48,20 @@
     """Machine and load reports of a worker stub."""
 
     cores: Annotated[int, Meta(ge=1)] = 2
-    speed: Range = field(default_factory=lambda: [0.9, 1.1])  # factor of the work done per unit of time
-    slots_per_core: Annotated[int, Meta(ge=1)] = 4  # maximum number of concurrent attempts per core
-    queue_per_core: Annotated[int, Meta(ge=0)] = 20  # maximum number of queued attempts per core
-    connections: Annotated[int, Meta(ge=1)] = 1000  # maximum number of open connections
-    idle_s: Positive = 30.0  # time after which an idle connection is closed
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25  # share of the capacity at the start
-    warm_s: Range = field(default_factory=lambda: [9.0, 15.0])  # time to warm up to full capacity
-    report_ms: Range = field(default_factory=lambda: [130.0, 510.0])  # interval between load reports
-    report_late_ms: Range = field(default_factory=lambda: [46.0, 210.0])  # delay of a load report
+    # factor of the work that a worker does per unit of time
+    speed: Range = field(default_factory=lambda: [0.9, 1.1])
+    # maximum number of concurrent attempts per core of a worker
+    slots_per_core: Annotated[int, Meta(ge=1)] = 4
+    queue_per_core: Annotated[int, Meta(ge=0)] = 20  # maximum number of queued attempts per core of a worker
+    connections: Annotated[int, Meta(ge=1)] = 1000  # maximum number of open connections to a worker
+    idle_s: Positive = 30.0  # time after which a worker closes an idle connection
+    # share of its capacity that a worker has at its start
+    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.25
+    # time in which a worker warms up to full capacity
+    warm_s: Range = field(default_factory=lambda: [9.0, 15.0])
+    # interval between load reports of a worker
+    report_ms: Range = field(default_factory=lambda: [130.0, 510.0])
+    report_late_ms: Range = field(default_factory=lambda: [46.0, 210.0])  # delay of a worker's load report
     drops_cancelled: bool = True  # whether a queued attempt is dropped when its connection ends
     error_share: Share = 0.0  # share of the attempts that are answered with an error
 
@@ -65,7 +70,7 @@
     """Load within the quotas, as a share of the workers' capacity or as a rate."""
 
     share: Annotated[float, Meta(gt=0, le=3)] = 0.5  # load within the quotas / capacity of all workers
-    rate_per_s: NotNegative = 0.0  # requests within the quotas; replaces `share` if above 0
+    rate_per_s: NotNegative = 0.0  # rate of requests within the quotas; replaces `share` if above 0
 
 
 class ClassPart(Part):
@@ -99,22 +104,25 @@
     retries: Annotated[int, Meta(ge=0, le=10)] = 3  # maximum number of retries per operation
     patience: Range = field(default_factory=lambda: [0.5, 1.0])  # client timeout / deadline of the class
     honour: Share = 0.7  # share of the clients that wait as long as `Retry-After` says
-    backoff_ms: Range = field(default_factory=lambda: [40.0, 300.0])  # time before a retry, times 2 ** try
+    # time before a retry, to be multiplied by 2 ** try
+    backoff_ms: Range = field(default_factory=lambda: [40.0, 300.0])
     # Number of gateways to which a customer sends requests.
     spread: Annotated[list[Annotated[int, Meta(ge=1)]], Meta(min_length=2, max_length=2)] = field(
         default_factory=lambda: [2, 4]
     )
-    usual_use: Range = field(default_factory=lambda: [0.15, 0.5])  # usual request rate / quota rate
+    # usual request rate of a customer / its quota rate
+    usual_use: Range = field(default_factory=lambda: [0.15, 0.5])
     full: Share = 0.15  # share of the customers that use nearly all of their quota
     heavy: Share = 0.08  # share of the customers that always request `heavy_times` their quota
     heavy_times: Range = field(default_factory=lambda: [1.6, 4.5])
     spiky: Share = 0.15  # share of the customers that have spikes of `spike_times` their quota
     spike_times: Range = field(default_factory=lambda: [2.0, 7.5])
-    spike_s: Range = field(default_factory=lambda: [0.8, 4.0])  # duration of a spike
-    spike_every_s: Range = field(default_factory=lambda: [10.0, 25.0])  # time between spikes
+    spike_s: Range = field(default_factory=lambda: [0.8, 4.0])  # duration of a customer's spike
+    spike_every_s: Range = field(default_factory=lambda: [10.0, 25.0])  # time between spikes of a customer
     # Time until the busiest gateway of a customer changes.
     shift_s: Range = field(default_factory=lambda: [13.0, 23.0])
-    skew: Range = field(default_factory=lambda: [0.3, 1.5])  # unevenness over the gateways; 0: even
+    # unevenness of a customer's traffic over its gateways; 0: even
+    skew: Range = field(default_factory=lambda: [0.3, 1.5])
     notice_s: Range = field(default_factory=lambda: [0.93, 3.1])  # time until clients avoid a dead gateway
     impatient: Share = 0.0  # share of the tries that the client cancels early
 
@@ -123,17 +131,18 @@
     """Datagrams between gateways."""
 
     delay_ms: Range = field(default_factory=lambda: [1.6, 39.0])
-    loss: Share = 0.03  # share of lost datagrams
+    loss: Share = 0.03  # share of datagrams between gateways that are lost
     inbox_per_s: Positive = 60.0  # maximum number of datagrams per second delivered to a gateway
 
 
 class RosterPart(Part):
-    """Delay between a change of a worker and its notification by discovery, by kind of change."""
+    """Range of delay between a change of a worker and its notification by discovery, by kind of change."""
 
     add_s: Range = field(default_factory=lambda: [0.2, 1.2])
     drain_s: Range = field(default_factory=lambda: [0.3, 1.5])
     gone_s: Range = field(default_factory=lambda: [1.2, 4.0])
-    spread_ms: Range = field(default_factory=lambda: [40.0, 360.0])  # additional delay per gateway
+    # additional delay of a notification, per gateway
+    spread_ms: Range = field(default_factory=lambda: [40.0, 360.0])
 
 
 class RulesPart(Part):
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -37,7 +37,7 @@
     t: float
 
     def take(self, t: float, rate: float, burst: float, units: float) -> bool:
-        """Refill the bucket for the elapsed time, take the units, and return whether it held enough."""
+        """Refill the bucket for the elapsed time; take the units and return True if it holds enough."""
         self.level = min(burst, self.level + (t - self.t) / 1000 * rate)
         self.t = t
         if self.level < units:
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -25,8 +25,9 @@
 ROOT = Path(__file__).resolve().parents[2]  # Import path of the program for the processes it starts
 READY_TIMEOUT_S = 20.0  # Maximum time in which a gateway must respond to /up after its start
 PORTS, PEER_PORTS_FROM = (10_000, 20_000), 10_000  # Range of client ports, and offset of the port for peers
-MAX_START_TRIES = 3  # Number of starts with new ports: a free port may be taken before the gateway binds it
-LOG_TAIL = 2000  # Number of characters of the log that an error shows
+# Maximum number of starts, each with new ports: a free port may be taken before the gateway binds it
+MAX_START_TRIES = 3
+LOG_TAIL = 2000  # Number of characters of a gateway's log that an error shows
 POLL_S, UP_TIMEOUT_S = 0.02, 0.5  # Interval between requests to /up, and time limit for each
 
 
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -357,8 +357,8 @@
 
 
 def main() -> int:
-    """Serve standard input. Returns the exit code: 0 at the end of the input, 1 after a fault of the decision
-    module, 2 after a malformed message."""
+    """Serve the simulator's batches on standard input. Returns the exit code: 0 at the end of the input, 1
+    after an exception of the decision module, 2 after a malformed message."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -35,10 +35,10 @@
 class LinkConditions:
     """Current conditions of network links: delays, and probabilities of faults per segment or datagram."""
 
-    delay_ms: tuple[float, float] = (0.05, 0.4)  # range of the link delay
+    delay_ms: tuple[float, float] = (0.05, 0.4)  # range of the delay of segments and datagrams on a link
     split_probability: float = 0.0  # probability that a write is split into two or three segments
     loss_probability: float = 0.0  # probability that a segment is lost and retransmitted
-    retransmit_ms: tuple[float, float] = (200.0, 450.0)  # range of the retransmission delay
+    retransmit_ms: tuple[float, float] = (200.0, 450.0)  # range of a lost segment's retransmission delay
     reset_probability: float = 0.0  # probability that the connection is reset in the middle of a segment
     datagram_loss_probability: float = 0.0  # probability that a datagram is lost
     datagram_duplicate_probability: float = 0.0  # probability that a datagram is duplicated
--- a/plumpick/tools/bounds.py
+++ b/plumpick/tools/bounds.py
@@ -90,7 +90,7 @@
 
 
 def bounds(arguments: argparse.Namespace) -> int:
-    """Run the command; returns the exit code."""
+    """Run `plumpick bounds`; returns its exit code."""
     try:
         settings = load_settings(arguments.config)
         rows = compute_bounds(
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -64,7 +64,7 @@
 
 
 def budgets(arguments: argparse.Namespace) -> int:
-    """Run the command; returns EXIT_OK, EXIT_REJECTED or EXIT_UNREACHABLE."""
+    """Run `plumpick budgets`; returns EXIT_OK, EXIT_REJECTED or EXIT_UNREACHABLE."""
     answers = []
     for address in arguments.address:
         try:
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -216,7 +216,7 @@
 
 
 def configuration(args: argparse.Namespace) -> int:
-    """Run the sub-command `args.step`; returns the exit code."""
+    """Run the sub-command `args.step` of `plumpick configuration`; returns its exit code."""
     try:
         if args.step == "serve":
             return serve(address_of(args.listen))
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -145,7 +145,7 @@
 
 
 def counts(arguments: argparse.Namespace) -> int:
-    """Run the command; returns the exit code."""
+    """Run `plumpick counts`; returns its exit code."""
     files = sorted(Path(arguments.folder).glob("*.log"))
     if not files or arguments.span <= 0:
         problem = "the folder contains no *.log file" if not files else "--span: expected more than 0 ms"
--- a/plumpick/tools/duties.py
+++ b/plumpick/tools/duties.py
@@ -46,7 +46,7 @@
 
 
 def duties(arguments: argparse.Namespace) -> int:
-    """Run the command. Returns exit code 0, 1 if the gateway answers with an error, 2 if it does not
+    """Run `plumpick duties`. Returns exit code 0, 1 if the gateway answers with an error, 2 if it does not
     answer."""
     try:
         reply = fetch_duties(address_of(arguments.address))
