--- a/benchmarks/cold_workers.py
+++ b/benchmarks/cold_workers.py
@@ -71,9 +71,7 @@
             f"s{n}": Endpoint(f"s{n}", self.zones[n % 3], 0, EndpointState.READY) for n in range(workers)
         }
         self.gateways = [self.gateway(n) for n in range(gateways)]
-        self.weights = [
-            rng.lognormvariate(0, 0.8) for _ in self.gateways
-        ]  # Ratios of the traffic per gateway
+        self.weights = [rng.lognormvariate(0, 0.8) for _ in self.gateways]  # Relative traffic of each gateway
         self.per_ms = load * CORES / WORK_MS * workers
         self.end_ms = BEGIN_MS + SETTLE_MS + REPLACED_WITHIN_MS + AFTER_MS
         self.busy: dict[str, float] = defaultdict(float)
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """A slope to be measured."""
+    """A slope to be measured: its function, sizes and candidate curves."""
 
     name: str
     what: str
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -320,7 +320,7 @@
     """Return the bytes of a controller that has answered a quota message of each of `peers` gateways."""
     sending_peer, words = Controller(replace(settings(TIER), gateway_number=1), 2), []
     sending_peer.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
-    for number in range(50):  # Customers whose quota owner is gateway 0
+    for number in range(50):  # These customers have gateway 0 as quota owner
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
         words += [
             one.data
--- a/benchmarks/slopes/fold.py
+++ b/benchmarks/slopes/fold.py
@@ -46,7 +46,7 @@
 )
 ANSWER_MS, NETWORK_DELAY_MS = 20.0, 1.0  # Latency of a worker; delay of a message
 QUOTA_FACTOR = 2.0  # Ratio of a customer's quota to its demand, so that no request is rejected
-SETTLE_S = 4.0  # Simulated time before the measurement begins
+SETTLE_S = 4.0  # Simulated time that passes before the measurement begins
 
 
 def settings(
@@ -106,7 +106,7 @@
         self.customers = max(1, round(load.tenants * load.module_count / load.gateways))
         requests_per_customer_s = (
             load.rate * load.module_count / self.customers
-        )  # Requests per customer and second
+        )  # Requests per second of each customer
         own_settings = settings(
             load.gateways,
             plans=(
--- a/benchmarks/soak/judge.py
+++ b/benchmarks/soak/judge.py
@@ -26,11 +26,14 @@
     seed: int
     too_slow: str = ""
     problems: list[str] = field(default_factory=list)
-    turned_back_in_crowds: int = 0  # Number of connections closed unread in a crowd, as documented
-    unanswered_while_stopped: int = 0  # Number of requests whose deadline passed before SIGCONT
+    # Number of connections that gateways closed unread during a crowd, as documented
+    turned_back_in_crowds: int = 0
+    # Number of requests whose deadline passed while their gateway was stopped
+    unanswered_while_stopped: int = 0
     killed_at_the_earliest: int = 0  # Number of processes that got SIGKILL at the earliest allowed moment
     requests: int = 0
-    unexplained: list[dict[str, Any]] = field(default_factory=list)  # Breaches of rules that nothing excuses
+    # Breaches of the auditor's rules that no documented behaviour excuses
+    unexplained: list[dict[str, Any]] = field(default_factory=list)
 
     @property
     def is_broken(self) -> bool:
--- a/benchmarks/soak/schedule.py
+++ b/benchmarks/soak/schedule.py
@@ -28,7 +28,7 @@
 CROWD_CONNECTIONS = 1500
 SOCKETS = 1024
 HALVED_SOCKETS = 512
-REQUESTS_PER_S = 60.0  # Number of requests within quotas per second
+REQUESTS_PER_S = 60.0  # Number of requests per second that clients send within their quotas
 MAX_RELOAD_OFFSET_S = 0.2
 
 
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -200,7 +200,8 @@
             self.watches_ended.cancel()
             for one in servers:
                 one.close()
-            await asyncio.sleep(PAUSE_S)  # The servers' connection handlers notice closed connections
+            # During this pause the servers' connection handlers notice closed connections
+            await asyncio.sleep(PAUSE_S)
         self.counts["ran twice"] = sum(count > 1 for count in self.executions.values())
 
 
--- a/plumpick/capacity/rows.py
+++ b/plumpick/capacity/rows.py
@@ -326,7 +326,7 @@
         "",
         "home lost",
     ),
-    # Rows of leases.
+    # Rows of leases and their holders.
     Row(
         "voter",
         "messages",
@@ -511,7 +511,7 @@
         "share_most_s",
         "share",
     ),
-    # Rows of discovery.
+    # Rows of discovery and endpoint lists.
     Row(
         "discovery's agent",
         "messages",
@@ -901,7 +901,7 @@
         "connections_most",
         "versions' service",
     ),
-    # Rows of events.
+    # Rows of single events, such as an added worker.
     Row("one worker", "delay", "its entry taken in", "ms", "changed_entry(workers)", "added_ms", "list"),
     Row(
         "one worker",
--- a/plumpick/capacity/slopes.py
+++ b/plumpick/capacity/slopes.py
@@ -139,7 +139,7 @@
         return max(x for x, _ in self.points)
 
     def covers(self, x: float) -> bool:
-        """Whether x is within the measured range."""
+        """Whether x is within the range of sizes at which the slope was measured."""
         return self.min_x <= x <= self.max_x
 
     def check(self) -> None:
--- a/plumpick/cli.py
+++ b/plumpick/cli.py
@@ -18,7 +18,7 @@
     """An argument parser that reports errors in one line, without the usage, and exits with EXIT_USAGE."""
 
     def error(self, message: str) -> None:  # type: ignore[override]
-        """Print the message and exit with EXIT_USAGE."""
+        """Print the message on an invalid argument and exit with EXIT_USAGE."""
         print(f"{self.prog}: {message}", file=sys.stderr)
         raise SystemExit(EXIT_USAGE)
 
--- a/plumpick/rehearsal/auditor.py
+++ b/plumpick/rehearsal/auditor.py
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Breach:
-    """One breach of a rule."""
+    """One breach of one of the auditor's rules."""
 
     rule: str
     t: float
@@ -553,7 +553,7 @@
                 list(store.story),
             )
 
-    # -- gateway processes and datagrams
+    # -- checks of gateway processes and datagrams
 
     def _on_gateway_event(self, record: GatewayEvent) -> None:
         if record.what == "started":
--- a/plumpick/rehearsal/clients.py
+++ b/plumpick/rehearsal/clients.py
@@ -31,7 +31,7 @@
 )
 # Time after sending within which a closed connection means that the gateway closed it before the request came
 CLOSE_RACE_MS = 100.0
-UP_TIMEOUT_S = 1.0  # Time limit for a response to /up
+UP_TIMEOUT_S = 1.0  # Time limit for a gateway's response to /up
 POLL_MS = 50.0  # Interval at which the front checks whether a gateway that was down is up again
 IDLE_CLOSE_MS = 1500.0  # Idle time after which a client closes a connection
 MAX_DESCRIPTOR_SHARE = 0.3  # Maximum share of a gateway's file descriptors that clients use for connections
@@ -43,20 +43,20 @@
 
     name: str
     plan: PlanPart
-    rate: float  # Quota, in units per second
-    burst: float  # Burst of the quota, in units
+    rate: float  # Quota of the customer, in units per second
+    burst: float  # Burst of the customer's quota, in units
     spread: int  # Number of gateways that the customer sends to
-    first: int  # Number of the first of these gateways
-    use: float  # Request rate as a multiple of the quota
+    first: int  # Index of the first gateway that the customer sends to
+    use: float  # Request rate of the customer as a multiple of its quota
     honours_retry_after: bool  # Whether the customer waits as long as Retry-After says
     weights: list[float] = field(default_factory=list)  # Weights of the customer's gateways, in their order
     spike: tuple[float, float] = (
         0.0,
         1.0,
     )  # Factor on `use` during a spike, and the time at which the spike ends
-    hot_until: float = 0.0  # Time until which additional requests are sent; 0 if none are
-    hot_times: float = 0.0  # Rate of the additional requests as a multiple of the quota
-    crowd: float = 0.0  # Share of the requests that go to the gateway with the highest weight only
+    hot_until: float = 0.0  # Time until which the customer sends additional requests; 0 if it sends none
+    hot_times: float = 0.0  # Rate of the additional requests as a multiple of the customer's quota
+    crowd: float = 0.0  # Share of the customer's requests that go only to its gateway with the highest weight
 
 
 @dataclass(slots=True)
@@ -515,7 +515,7 @@
     def _unreachable(self, request_id: str, op: Operation) -> None:
         self.ended_without_response(request_id, op, "unreachable")
 
-    # -- how tries end
+    # -- responses, and tries that end without one
 
     def answered(
         self, request_id: str, op: Operation, status: int, source: int, owner: str, retry_ms: float
--- a/plumpick/rehearsal/datagrams.py
+++ b/plumpick/rehearsal/datagrams.py
@@ -27,7 +27,7 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        if address[1] == self.relay.ports[self.sender]:  # ignores datagrams of other processes
+        if address[1] == self.relay.ports[self.sender]:  # the relay ignores datagrams of other processes
             self.relay.carry(self, data)
 
 
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -52,12 +52,12 @@
     reset_before: dict[str, float] = field(default_factory=dict)
     reset_after: dict[str, float] = field(default_factory=dict)
     slow_after_record: dict[str, float] = field(default_factory=dict)
-    slow_ms: float = 0.0  # Delay of the response under `slow_after_record`
+    slow_ms: float = 0.0  # Delay of the response under the fault `slow_after_record`
     spoilt: dict[str, float] = field(default_factory=dict)
     unmeasured_reset: dict[str, float] = field(default_factory=dict)
-    speed: float = 1.0  # Factor on the worker's speed
-    freeze_ms: float = 0.0  # Duration of each freeze
-    freeze_every_ms: float = 0.0  # Period of the freezes; 0 if there are none
+    speed: float = 1.0  # Factor on the worker's speed while the fault is active
+    freeze_ms: float = 0.0  # Duration of each freeze of the worker
+    freeze_every_ms: float = 0.0  # Period of the worker's freezes; 0 without freezes
 
     def is_drawn(self, which: str, kind: str, rng: random.Random) -> bool:
         """Draw whether the fault `which` strikes an attempt of the request class `kind`."""
@@ -83,7 +83,7 @@
             return True
         self._since.pop((kind, key), None)
         self._since[kind, key] = t
-        while self._since:  # The entries are ordered by time.
+        while self._since:  # The entries of idempotency keys are ordered by time.
             (oldest_kind, oldest_key), when = next(iter(self._since.items()))
             if t - when <= max(self._windows.values()) + MAX_ATTEMPT_MS:
                 break
@@ -196,7 +196,7 @@
         self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
 
-    # -- start and end of the process
+    # -- start and end of the worker process
 
     async def start(self, cold: bool) -> None:
         """Start a new incarnation that listens at a free port, or at the port of the previous incarnation."""
--- a/plumpick/rehearsal/page.py
+++ b/plumpick/rehearsal/page.py
@@ -43,9 +43,11 @@
         self.first_t: dict[int, float] = {}  # time of the first try of each operation, in ms
         # Number of attempts by worker and second.
         self.per_server: defaultdict[str, defaultdict[int, int]] = defaultdict(lambda: defaultdict(int))
-        self.used: defaultdict[str, float] = defaultdict(float)  # units sent to workers, by customer
-        self.wanted: defaultdict[str, float] = defaultdict(float)  # units of first tries, by customer
-        self.plans: dict[str, str] = {}  # plan of each customer
+        # units of requests that reached workers, by customer
+        self.used: defaultdict[str, float] = defaultdict(float)
+        # units of first tries of operations, by customer
+        self.wanted: defaultdict[str, float] = defaultdict(float)
+        self.plans: dict[str, str] = {}  # name of each customer's plan
         self._sent: set[str] = set()
         self.end_s = 0.0
 
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -56,7 +56,7 @@
 
 
 class _AcceptedConnection(asyncio.Protocol):
-    """A connection that the relay accepted."""
+    """A connection from a gateway or client that the relay accepted."""
 
     def __init__(self, relays: FaultRelays, port: int) -> None:
         self.relays, self.port = relays, port
@@ -335,7 +335,7 @@
     def __init__(self, around: Surroundings) -> None:
         super().__init__(around)
         self._count = itertools.count(1)
-        self.plans: set[bytes] = set()  # Names of the plans with a ceiling
+        self.plans: set[bytes] = set()  # Names of the plans whose customers have a ceiling
 
     def request(self, port: int, message: Message) -> tuple[int, bytes]:
         if message.headers.get(b"x-tier") not in self.plans:
@@ -395,7 +395,7 @@
             try:
                 await reader.readuntil(b"\r\n\r\n")
             except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError):
-                pass  # The target closed the connection.
+                pass  # The response is discarded, so an early end of the connection does not matter.
             finally:
                 writer.close()
 
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -335,7 +335,7 @@
     """
 
     def __init__(self) -> None:
-        self.listeners: list[Any] = []  # objects with a method feed(record)
+        self.listeners: list[Any] = []  # receivers of each record: objects with a method feed(record)
         self.problem: str = ""  # why the history is incomplete, empty if it is complete
         self._file: TextIO | None = None
         self._over = False
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -20,20 +20,20 @@
 
 OLD_ADDRESS_LINGER_MS = 1500.0  # Time after a move for which connections to the old address stay open
 MAX_CHANGES_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
-MAX_WATCH_MS = 60_000.0  # Maximum duration of a watch
+MAX_WATCH_MS = 60_000.0  # Maximum duration of a discovery watch
 
 
 @dataclass(frozen=True, slots=True)
 class ListedWorker:
-    """A worker as discovery lists it."""
+    """A worker's entry in the endpoint list of discovery."""
 
     name: str
     incarnation: int
     port: int
     zone: str
     group: int
-    status: str  # "ready", "draining" or "gone"
-    since_unix: float  # Start of the process in Unix time (ms); 0 if it started warm
+    status: str  # Status of the worker: "ready", "draining" or "gone"
+    since_unix: float  # Start of the worker process in Unix time (ms); 0 if it started warm
 
 
 class _GatewayConnection(asyncio.Protocol):
@@ -79,7 +79,8 @@
         self.index = 1
         self.silent = False
         self.port = 0
-        self.calls: dict[_GatewayConnection, None] = {}  # Open connections in the order of their arrival
+        # Open connections to the agent, in the order of their arrival
+        self.calls: dict[_GatewayConnection, None] = {}
         self.address_of: Callable[[ListedWorker], str] = lambda entry: f"{HOST}:{entry.port}"
         self._changes: list[tuple[int, ListedWorker]] = []
         self._held: list[
--- a/plumpick/rehearsal/scenario.py
+++ b/plumpick/rehearsal/scenario.py
@@ -99,10 +99,11 @@
 
 
 class ClientPart(Part):
-    """Customers and their clients."""
+    """Behaviour of customers and their clients: use of quotas, spikes, time limits and retries."""
 
     retries: Annotated[int, Meta(ge=0, le=10)] = 3  # maximum number of retries per operation
-    patience: Range = field(default_factory=lambda: [0.5, 1.0])  # client timeout / deadline of the class
+    # client timeout / deadline of the request class
+    patience: Range = field(default_factory=lambda: [0.5, 1.0])
     honour: Share = 0.7  # share of the clients that wait as long as `Retry-After` says
     # time before a retry, to be multiplied by 2 ** try
     backoff_ms: Range = field(default_factory=lambda: [40.0, 300.0])
@@ -123,12 +124,13 @@
     shift_s: Range = field(default_factory=lambda: [13.0, 23.0])
     # unevenness of a customer's traffic over its gateways; 0: even
     skew: Range = field(default_factory=lambda: [0.3, 1.5])
-    notice_s: Range = field(default_factory=lambda: [0.93, 3.1])  # time until clients avoid a dead gateway
+    # time until clients avoid a gateway that has died
+    notice_s: Range = field(default_factory=lambda: [0.93, 3.1])
     impatient: Share = 0.0  # share of the tries that the client cancels early
 
 
 class PeerPart(Part):
-    """Datagrams between gateways."""
+    """Delay, loss and maximum rate of the datagrams between gateways."""
 
     delay_ms: Range = field(default_factory=lambda: [1.6, 39.0])
     loss: Share = 0.03  # share of datagrams between gateways that are lost
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -27,7 +27,7 @@
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
 WINDOW_S = 10
-FULL_MESSAGE = 256  # bytes of the largest datagram between gateways
+FULL_MESSAGE = 256  # maximum size in bytes of a datagram between gateways
 KEEP_MS = 60_000.0  # time after which the operations and tries of clients are removed
 
 
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -51,7 +51,7 @@
 
 
 class Gatekeeper:
-    """One gateway, across all of its processes."""
+    """A gateway of the rehearsal, with its ports and its current process; kept across restarts."""
 
     def __init__(self, supervisor: Supervisor, number: int, agent: DiscoveryAgent) -> None:
         self.supervisor, self.number, self.agent = supervisor, number, agent
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -194,7 +194,7 @@
     return values
 
 
-# ---- batches ------------------------------------------------------------------------------------
+# ---- batches of messages ------------------------------------------------------------------------
 
 
 def _event(name: str, values: list[Any]) -> Event:
--- a/plumpick/simulation/commands.py
+++ b/plumpick/simulation/commands.py
@@ -25,7 +25,7 @@
 from plumpick.simulation.world import Result, World, play
 
 MIN_SEEDS_FOR_FULL_COVERAGE = 300  # number of seeds from which an unreached coverage point fails the run
-PROGRESS_INTERVAL_S = 5.0  # time between progress messages, in seconds
+PROGRESS_INTERVAL_S = 5.0  # time between progress messages of the command, in seconds
 
 
 def _log_to_stderr(text: str) -> None:
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -325,7 +325,7 @@
     "deliver answer 0 1 3 1 0 2",
 )
 INITIAL_HISTORIES: dict[str, tuple[str, ...]] = {
-    "nothing": (),  # no contender has requested the lease
+    "nothing": (),  # initial state: no contender has requested the lease
     "held": HELD,  # contender 0 holds the lease, granted by acceptors 0 and 1
     "given": (*HELD, "give 0"),  # contender 0 has released the lease; its release messages are in flight
     "renewed-late": RENEWED_LATE,  # contender 0 has requested a renewal; the responses are delayed
--- a/plumpick/simulation/exploration/search.py
+++ b/plumpick/simulation/exploration/search.py
@@ -33,13 +33,13 @@
 
 @dataclass
 class SearchResult:
-    """Result of a search."""
+    """Result of a search for a history that violates an invariant."""
 
     states: int = 0  # number of distinct states that were found
     depth: int = 0  # number of moves up to which all histories were explored
     seconds: float = 0.0
     violation: str = ""  # description of the violated invariant; empty if none
-    history: list[str] = field(default_factory=list)  # moves that lead to the violation
+    history: list[str] = field(default_factory=list)  # moves that lead to the violation of the invariant
 
 
 def explore(
--- a/plumpick/simulation/faults.py
+++ b/plumpick/simulation/faults.py
@@ -58,7 +58,7 @@
     gatekeepers: int = GATES
     servers: int = SERVERS
     load: float = 0.15  # share of the workers' capacity used by requests within their quotas
-    skew_ms: tuple[float, ...] = ()  # clock skew of each gateway
+    skew_ms: tuple[float, ...] = ()  # clock skew of each gateway, in ms
     impatient: float = 0.0  # share of attempts whose client closes the connection early
     duties: int = 0  # number of scheduled tasks; if not 0, the usage record task is added
     budgets: int = 0  # number of fleet budgets, 0 to 3
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -53,7 +53,7 @@
         self.network: Network = None  # type: ignore[assignment]  # set by Network.__init__
         self.processes: list[Process] = []
         self.stopped = False
-        self.problems: list[str] = []  # unhandled exceptions of processes
+        self.problems: list[str] = []  # descriptions of unhandled exceptions in processes
         self._ready: deque[events.Handle] = deque()
         self._timers: list[tuple[float, int, events.TimerHandle]] = []
         self._serial = 0
--- a/plumpick/simulation/network.py
+++ b/plumpick/simulation/network.py
@@ -422,8 +422,8 @@
         self.client_conditions = LinkConditions()
         self.label_of: Callable[[int], str] = lambda _port: ""
         self.cuts: list[Cut] = []
-        self.refusing: set[str] = set()  # labels whose new connections are refused
-        self.mute: set[str] = set()  # labels whose new connections are never established
+        self.refusing: set[str] = set()  # labels of destinations that refuse new connections
+        self.mute: set[str] = set()  # labels of destinations to which new connections are never established
         self.listeners: dict[tuple[str, int], Listener] = {}
         self.datagram_sockets: dict[tuple[str, int], VirtualDatagramSocket] = {}
         self.ends: dict[int, ConnectionEnd] = {}
--- a/plumpick/simulation/world.py
+++ b/plumpick/simulation/world.py
@@ -198,7 +198,7 @@
 
 @dataclass
 class Result:
-    """The result of a simulated run."""
+    """Result of the simulated run of one case: the broken rule, if any, and counts."""
 
     seed: int
     digest: str
--- a/plumpick/tools/compile.py
+++ b/plumpick/tools/compile.py
@@ -25,7 +25,7 @@
     source_digest,
 )
 
-COMMAND_TIMEOUT_S = 600.0  # timeout of each external command
+COMMAND_TIMEOUT_S = 600.0  # timeout of each external command, in seconds
 
 
 class CompilationError(Exception):
@@ -66,7 +66,7 @@
         raise CompilationError("Python's C headers (Python.h) not found")
     folder.mkdir(parents=True, exist_ok=True)
     with tempfile.TemporaryDirectory(dir=folder) as scratch:
-        tools = Path(scratch, "tools")  # folder apart from the daemon's import path
+        tools = Path(scratch, "tools")  # build tools go to a folder from which the daemon cannot import
         _run(
             [
                 sys.executable,
--- a/plumpick/tools/configuration.py
+++ b/plumpick/tools/configuration.py
@@ -71,7 +71,8 @@
     try:
         parse_settings({**value, "myNumber": 0} if isinstance(value, dict) else value, "settings")
         settings_digest(value)
-    except (ValueError, TypeError) as problem:  # SettingsError, DeltaError, or wrong types of values
+    # the settings are invalid: SettingsError, DeltaError, or wrong types of values
+    except (ValueError, TypeError) as problem:
         raise SettingsFileError(f"{path}: {problem}") from problem
     return shared_settings(value)
 
--- a/plumpick/tools/configuration_service.py
+++ b/plumpick/tools/configuration_service.py
@@ -49,7 +49,7 @@
 
 
 def unix_ms() -> float:
-    """The Unix time in ms."""
+    """The current Unix time in ms."""
     return time.time() * 1000
 
 
@@ -106,7 +106,7 @@
             while await self._serve_request(reader, writer):
                 pass
         except (OSError, httptools.HttpParserError, TimeoutError, asyncio.CancelledError):
-            pass  # the client disconnected, was idle, or sent no valid HTTP
+            pass  # the client disconnected, was idle or sent no valid HTTP, or the service stops
         finally:
             self._writers.discard(writer)
             writer.transport.abort()
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -46,8 +46,9 @@
     """The totals of all gateways within one span of time."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    workers: Counter[str] = field(default_factory=Counter)  # number of attempts by worker
-    beliefs: list[dict[str, Any]] = field(default_factory=list)  # values of the records of the kind `belief`
+    workers: Counter[str] = field(default_factory=Counter)  # number of attempts in the slice, by worker
+    # values of the slice's records of the kind `belief`
+    beliefs: list[dict[str, Any]] = field(default_factory=list)
 
     def mean_belief(self, name: str) -> float:
         """The mean of a value over all records of the kind `belief` in this span; 0 if none has the value."""
