--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -49,7 +49,8 @@
         key = received.customer, plan.name, received.gateway_set_size, received.first_gateway
         is_known = key in self.accounts
         account = original_account_of(self, now_ms, received, plan)
-        account.set_demand_per_s = 0.0  # No demand of other gateways is known, so the part stays equal
+        # The demand of other gateways stays unknown, so each gateway's part stays equal
+        account.set_demand_per_s = 0.0
         if not is_known:
             account.local_units = plan.burst / account.gateway_set_size
         return account
@@ -116,7 +117,7 @@
         units, ms = last.get((settings.gateway_number, name), (0.0, math.inf))
         if (
             name not in self.ledgers and ms <= now_ms
-        ):  # A later time comes from an earlier run of this process
+        ):  # A settlement later than now is from an earlier run in this process
             units = min(plan.burst, units + plan.rate_per_s * (now_ms - ms) / 1000)
             self.ledgers[name] = QuotaLedger(plan, units, now_ms, withheld_units=plan.burst)
         on_message(self, now_ms, key, message)
--- a/benchmarks/soak/play.py
+++ b/benchmarks/soak/play.py
@@ -13,7 +13,7 @@
 from plumpick.rehearsal.supervisor import StartFailed
 from plumpick.rehearsal.surroundings import Surroundings
 
-SETTLE_S = 5.0  # Time after the last client has gone by which connections being closed have ended
+SETTLE_S = 5.0  # Time after the end of the last client in which connections finish closing
 
 
 async def play_seed(seed: int, seconds: float, found: Path) -> Verdict:
--- a/plumpick/rehearsal/commands.py
+++ b/plumpick/rehearsal/commands.py
@@ -244,7 +244,7 @@
     try:
         (folder / FILES[0]).write_text(json.dumps(report, indent=1) + "\n", encoding="utf-8")
         if fleet.recorder.problem:
-            return  # the plots are drawn from the history, which is incomplete
+            return  # without a complete history there are no plots, which are drawn from it
         from plumpick.rehearsal.page import page_of  # imported only here because matplotlib is slow to import
 
         (folder / FILES[2]).write_text(page_of(folder / FILES[1], report), encoding="utf-8")
@@ -339,7 +339,7 @@
 
 async def _fleet(scenario: Scenario, given: argparse.Namespace, seed: int) -> int:
     one = Fleet(Surroundings(asyncio.get_running_loop(), seed), scenario, given.scenario)
-    one.recorder.listeners.clear()  # no audit takes place, so no records are kept
+    one.recorder.listeners.clear()  # the command `fleet` audits nothing, so no records are kept
     try:
         await one.start()
         about = description_of(one)
--- a/plumpick/rehearsal/plants.py
+++ b/plumpick/rehearsal/plants.py
@@ -18,7 +18,7 @@
 
 # Time after notice of a drain from which new work breaks the rule, as grace period and tolerance are over
 DRAIN_OVERDUE_MS = 1150.0
-COLD_SEND_AFTER_MS = 150.0  # Time after a cold start from which work is sent to the cold worker
+COLD_SEND_AFTER_MS = 150.0  # Time after a worker's cold start from which the fault sends work to it
 
 
 class _TargetConnection(asyncio.Protocol):
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -94,7 +94,7 @@
     life: int
     hall: str
     capacity: float
-    cold_from: float  # share of the capacity that is available at the start; 1: starts warm
+    cold_from: float  # share of its capacity that the worker has at its start; 1: it starts warm
     warm_ms: float
 
 
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -18,7 +18,8 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
 
-OLD_ADDRESS_LINGER_MS = 1500.0  # Time after a move for which connections to the old address stay open
+# Time after a move of an agent for which connections to its old address stay open
+OLD_ADDRESS_LINGER_MS = 1500.0
 MAX_CHANGES_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
 MAX_WATCH_MS = 60_000.0  # Maximum duration of a discovery watch
 
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -81,7 +81,8 @@
         self._halls: dict[str, str] = {}
         self._ops: dict[int, _Operation] = {}
         self._tries: dict[str, tuple[RequestSent, int]] = {}
-        self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
+        # whether each try that was sent to a worker was within its customer's quota
+        self._inside: dict[str, bool] = {}
         self._first: dict[str, _Bucket] = {}
         self._sent: dict[str, _Bucket] = {}
         self._server_hall: dict[str, str] = {}
--- a/plumpick/rehearsal/witness.py
+++ b/plumpick/rehearsal/witness.py
@@ -104,7 +104,7 @@
                 with open(os.environ["WITNESS_DEMAND"], encoding="utf-8") as file:
                     rates.update(json.load(file))
             except (OSError, ValueError):
-                pass  # The file is missing or incomplete: the previous rates remain.
+                pass  # The file of rates is missing or incomplete: the previous rates remain.
             for name, rate in rates.items():
                 for _ in range(int(rate * SPEND_INTERVAL_S + chance.random())):
                     part.budgets.spend([(name, 1.0)])
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -375,5 +375,5 @@
         try:
             coro.close()  # type: ignore[union-attr]
         except (RuntimeError, ValueError):
-            continue  # the coroutine awaits in a `finally` block and cannot be closed
+            continue  # a coroutine that awaits in a `finally` block cannot be closed
     process._tasks.clear()
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -13,7 +13,7 @@
 from plumpick.tools.call import address_of, fetch_pages
 
 EXIT_OK = 0
-EXIT_REJECTED = 1  # a gateway answered that it has no budgets
+EXIT_REJECTED = 1  # exit code after a gateway answered that it has no budgets
 EXIT_UNREACHABLE = 2
 
 HEADER = (
