--- a/benchmarks/quota_ways.py
+++ b/benchmarks/quota_ways.py
@@ -38,7 +38,7 @@
 from plumpick.policy.request_state import Request
 from plumpick.simulation.commands import parse_seeds
 
-Changes = list[tuple[Any, str, Any]]  # Patches: object, attribute, replacement
+Changes = list[tuple[Any, str, Any]]  # Patches of the policy: object, attribute, replacement
 
 
 def even_split() -> Changes:
@@ -49,7 +49,8 @@
         key = received.customer, plan.name, received.gateway_set_size, received.first_gateway
         is_known = key in self.accounts
         account = original_account_of(self, now_ms, received, plan)
-        account.set_demand_per_s = 0.0  # No demand of other gateways is known, so the part stays equal
+        # The demand of other gateways stays unknown, so each gateway's part stays equal
+        account.set_demand_per_s = 0.0
         if not is_known:
             account.local_units = plan.burst / account.gateway_set_size
         return account
@@ -116,7 +117,7 @@
         units, ms = last.get((settings.gateway_number, name), (0.0, math.inf))
         if (
             name not in self.ledgers and ms <= now_ms
-        ):  # A later time comes from an earlier run of this process
+        ):  # A settlement later than now is from an earlier run in this process
             units = min(plan.burst, units + plan.rate_per_s * (now_ms - ms) / 1000)
             self.ledgers[name] = QuotaLedger(plan, units, now_ms, withheld_units=plan.burst)
         on_message(self, now_ms, key, message)
@@ -158,7 +159,7 @@
 
 
 def main() -> None:
-    """Print a table row for each design."""
+    """Print a table with a row for each quota design."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="1-40")
     parser.add_argument("--jobs", type=int, default=8)
--- a/benchmarks/slopes/decisions.py
+++ b/benchmarks/slopes/decisions.py
@@ -98,7 +98,7 @@
 
 def idle_by_firms(firms: float) -> float:
     control = _with_customers(int(firms))
-    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # In total less than FORGET_MS
+    return median(quiet_ms(control, 1.0) for _ in range(REPEATS))  # All rounds take less than FORGET_MS
 
 
 def changed_entry(workers: float) -> float:
@@ -320,7 +320,7 @@
     """Return the bytes of a controller that has answered a quota message of each of `peers` gateways."""
     sending_peer, words = Controller(replace(settings(TIER), gateway_number=1), 2), []
     sending_peer.handle(BEGIN_MS, [EndpointsUpdated(servers(10))])
-    for number in range(50):  # Customers whose quota owner is gateway 0
+    for number in range(50):  # These customers have gateway 0 as quota owner
         arrival = RequestReceived(number, f"firm-{number}", "check", "usual", BEGIN_MS + 2000, 1.0, 0, 2)
         words += [
             one.data
@@ -356,7 +356,7 @@
 
 def _request_grant(allocator: BudgetAllocator, gateways: int, number: int, serial: int) -> object:
     now_ms = ((serial - 1) * gateways + number) * 1000 / MAX_REPORTS_PER_S
-    demand = 1.0 + number % 5  # In total more than the budget
+    demand = 1.0 + number % 5  # The demands of all gateways exceed the budget
     report = DemandReport(0, serial, demand, demand / 2, serial - 1, 1.0, 0)
     return allocator.request_grant(now_ms, number, 1, report)
 
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -26,7 +26,7 @@
 from plumpick.tools.call import send_command
 
 HOST, ROOT = "127.0.0.1", Path(__file__).resolve().parent.parent
-PAUSE_S, START_TIMEOUT_S = 0.3, 10.0  # Pause between upgrades; maximum time until READY
+PAUSE_S, START_TIMEOUT_S = 0.3, 10.0  # Pause between upgrades; maximum time until a new process reports READY
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
@@ -200,12 +200,13 @@
             self.watches_ended.cancel()
             for one in servers:
                 one.close()
-            await asyncio.sleep(PAUSE_S)  # The servers' connection handlers notice closed connections
+            # During this pause the servers' connection handlers notice closed connections
+            await asyncio.sleep(PAUSE_S)
         self.counts["ran twice"] = sum(count > 1 for count in self.executions.values())
 
 
 def main() -> int:
-    """Print the counts; return 1 if a request was lost, turned back or executed twice, otherwise 0."""
+    """Print the outcomes of requests; return 1 if one was lost, turned back or executed twice, else 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--times", type=int, default=50)
     parser.add_argument("--clients", type=int, default=16)
--- a/plumpick/rehearsal/fleet.py
+++ b/plumpick/rehearsal/fleet.py
@@ -36,7 +36,8 @@
 from plumpick.rehearsal.supervisor import Gatekeeper, StartFailed, Supervisor
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 
-LAG_STEP_MS, STALL_MS = 10.0, 25.0  # Interval of the lag samples, and lag from which a stall is recorded
+# Interval of samples of the event loop's lag, and lag from which a stall is recorded
+LAG_STEP_MS, STALL_MS = 10.0, 25.0
 SLOW_P99_MS = 15.0  # Maximum 99th percentile of the event loop's lag with which a verdict counts
 SETTLE_MS = 250.0  # Time between the last response and the end of the records
 GROUP_SIZE = 4  # Number of workers in a group of a zone
@@ -179,7 +180,7 @@
             server.since_unix,
         )
 
-    # -- start and end
+    # -- start and end of the fleet
 
     async def start(self) -> None:
         """Start the stubs, then the gateways. Raises StartFailed or OSError."""
@@ -247,7 +248,7 @@
             await self.supervisor.close()
         finally:
             self.recorder.listeners.clear()
-            self.recorder.close()  # Whatever ends from here on ends because of this shutdown.
+            self.recorder.close()  # Processes that end from here on end because of this shutdown.
             if self.relays is not None:
                 self.relays.close()
             for server in self.servers.values():
@@ -261,7 +262,7 @@
         connections = self.front.gateway_connections[gate.number]
         connections.process_ended(self._rng.uniform(*self.scenario.clients.notice_s) * 1000)
 
-    # -- the script
+    # -- events of the script
 
     def mark(self, text: str) -> None:
         """Record a fault or another event of the script, for the history and the reports."""
--- a/plumpick/rehearsal/licence_server.py
+++ b/plumpick/rehearsal/licence_server.py
@@ -52,12 +52,12 @@
     reset_before: dict[str, float] = field(default_factory=dict)
     reset_after: dict[str, float] = field(default_factory=dict)
     slow_after_record: dict[str, float] = field(default_factory=dict)
-    slow_ms: float = 0.0  # Delay of the response under `slow_after_record`
+    slow_ms: float = 0.0  # Delay of the response under the fault `slow_after_record`
     spoilt: dict[str, float] = field(default_factory=dict)
     unmeasured_reset: dict[str, float] = field(default_factory=dict)
-    speed: float = 1.0  # Factor on the worker's speed
-    freeze_ms: float = 0.0  # Duration of each freeze
-    freeze_every_ms: float = 0.0  # Period of the freezes; 0 if there are none
+    speed: float = 1.0  # Factor on the worker's speed while the fault is active
+    freeze_ms: float = 0.0  # Duration of each freeze of the worker
+    freeze_every_ms: float = 0.0  # Period of the worker's freezes; 0 without freezes
 
     def is_drawn(self, which: str, kind: str, rng: random.Random) -> bool:
         """Draw whether the fault `which` strikes an attempt of the request class `kind`."""
@@ -83,7 +83,7 @@
             return True
         self._since.pop((kind, key), None)
         self._since[kind, key] = t
-        while self._since:  # The entries are ordered by time.
+        while self._since:  # The entries of idempotency keys are ordered by time.
             (oldest_kind, oldest_key), when = next(iter(self._since.items()))
             if t - when <= max(self._windows.values()) + MAX_ATTEMPT_MS:
                 break
@@ -169,7 +169,7 @@
         self.now, self.record, self._serials, self._keys = around.now, record, serials, keys
         self.rng = around.chance(f"server {name}")
         self.speed = self.rng.uniform(*part.speed)
-        self.capacity = part.cores * self.speed  # Capacity when warm, in ms of work per ms
+        self.capacity = part.cores * self.speed  # Capacity of the warm worker, in ms of work per ms
         self.warm_ms = self.rng.uniform(*part.warm_s) * 1000
         self.faults = Faults()
         self.incarnation, self.port, self.since_unix = 0, 0, 0.0
@@ -192,10 +192,11 @@
         self._use, self._service_ms = 0.0, sum(kind.work_ms * kind.share for kind in self.kinds.values())
         self._report, self._shown = "", deque[tuple[float, str]]()
         self._next_report_t = 0.0
-        self._sent: deque[tuple[float, float]] = deque()  # Time and work (ms) of each attempt sent while cold
+        # Time and work (ms) of each attempt sent to the cold worker
+        self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
 
-    # -- start and end of the process
+    # -- start and end of the worker process
 
     async def start(self, cold: bool) -> None:
         """Start a new incarnation that listens at a free port, or at the port of the previous incarnation."""
@@ -278,7 +279,7 @@
                     connection.transport.close()
         self.around.later(1000.0, self._sweep, incarnation)
 
-    # -- attempts
+    # -- attempts received by the worker
 
     def receive(self, connection: _Connection, message: Message) -> None:
         """Handle a complete request: reject it, apply a fault to it, or put it into a slot or the queue."""
@@ -347,7 +348,7 @@
         if self.part.drops_cancelled and job.began_t < 0 and job in self._queue:
             self._queue.remove(job)
 
-    # -- the processor
+    # -- the model of the processor
 
     def _begin(self, job: _Job) -> None:
         job.began_t, job.end = self._at, self._attained + job.work / self.speed
--- a/plumpick/rehearsal/records.py
+++ b/plumpick/rehearsal/records.py
@@ -94,7 +94,7 @@
     life: int
     hall: str
     capacity: float
-    cold_from: float  # share of the capacity that is available at the start; 1: starts warm
+    cold_from: float  # share of its capacity that the worker has at its start; 1: it starts warm
     warm_ms: float
 
 
@@ -335,7 +335,7 @@
     """
 
     def __init__(self) -> None:
-        self.listeners: list[Any] = []  # objects with a method feed(record)
+        self.listeners: list[Any] = []  # receivers of each record: objects with a method feed(record)
         self.problem: str = ""  # why the history is incomplete, empty if it is complete
         self._file: TextIO | None = None
         self._over = False
--- a/plumpick/rehearsal/roster.py
+++ b/plumpick/rehearsal/roster.py
@@ -18,22 +18,23 @@
 from plumpick.rehearsal.surroundings import HOST, Surroundings
 from plumpick.rehearsal.wire import Message, Reader, WireError, answer_bytes
 
-OLD_ADDRESS_LINGER_MS = 1500.0  # Time after a move for which connections to the old address stay open
+# Time after a move of an agent for which connections to its old address stay open
+OLD_ADDRESS_LINGER_MS = 1500.0
 MAX_CHANGES_KEPT = 4096  # Maximum number of changes kept; a watch from an earlier index gets the whole list
-MAX_WATCH_MS = 60_000.0  # Maximum duration of a watch
+MAX_WATCH_MS = 60_000.0  # Maximum duration of a discovery watch
 
 
 @dataclass(frozen=True, slots=True)
 class ListedWorker:
-    """A worker as discovery lists it."""
+    """A worker's entry in the endpoint list of discovery."""
 
     name: str
     incarnation: int
     port: int
     zone: str
     group: int
-    status: str  # "ready", "draining" or "gone"
-    since_unix: float  # Start of the process in Unix time (ms); 0 if it started warm
+    status: str  # Status of the worker: "ready", "draining" or "gone"
+    since_unix: float  # Start of the worker process in Unix time (ms); 0 if it started warm
 
 
 class _GatewayConnection(asyncio.Protocol):
@@ -79,16 +80,18 @@
         self.index = 1
         self.silent = False
         self.port = 0
-        self.calls: dict[_GatewayConnection, None] = {}  # Open connections in the order of their arrival
+        # Open connections to the agent, in the order of their arrival
+        self.calls: dict[_GatewayConnection, None] = {}
         self.address_of: Callable[[ListedWorker], str] = lambda entry: f"{HOST}:{entry.port}"
         self._changes: list[tuple[int, ListedWorker]] = []
         self._held: list[
             tuple[_GatewayConnection, Message]
-        ] = []  # Requests received while the agent is silent
+        ] = []  # Requests received while the agent is unreachable
         self._notified: dict[
             str, tuple[int, str]
         ] = {}  # Last (incarnation, status) sent to the gateway, by worker
-        self._changes_while_silent: dict[str, ListedWorker] = {}  # Changes received while the agent is silent
+        # Changes received while the agent is unreachable
+        self._changes_while_silent: dict[str, ListedWorker] = {}
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -133,7 +136,7 @@
             call.lost = True
 
     def end_silence(self) -> None:
-        """End the silence: respond to the requests received meanwhile, and to watches that have changes."""
+        """Make the agent reachable: respond to the requests held back, and to watches with changes."""
         self.silent = False
         changes, self._changes_while_silent = self._changes_while_silent, {}
         for entry in changes.values():
@@ -166,7 +169,7 @@
         }
 
     def handle_request(self, call: _GatewayConnection, message: Message) -> None:
-        """Handle one request for the list or for a watch; requests of a silent agent are held back."""
+        """Handle one request for the list or for a watch; an unreachable agent holds it back."""
         if call.lost:
             return
         if self.silent:
@@ -241,7 +244,7 @@
             self._around.later(due - self._around.now(), agent.change, entry)
 
     def silence(self, for_ms: float) -> None:
-        """Stop all agents from responding for `for_ms`."""
+        """Make all agents unreachable for `for_ms`: they hold back their responses."""
         for agent in self.agents:
             agent.silent = True
             self._around.later(for_ms, agent.end_silence)
--- a/plumpick/rehearsal/service.py
+++ b/plumpick/rehearsal/service.py
@@ -27,7 +27,7 @@
 
 WHOLE, WORST_WINDOW, WORST_PLAN = 0.65, 0.20, 0.15
 WINDOW_S = 10
-FULL_MESSAGE = 256  # bytes of the largest datagram between gateways
+FULL_MESSAGE = 256  # maximum size in bytes of a datagram between gateways
 KEEP_MS = 60_000.0  # time after which the operations and tries of clients are removed
 
 
@@ -37,7 +37,7 @@
     t: float
 
     def take(self, t: float, rate: float, burst: float, units: float) -> bool:
-        """Refill for the elapsed time and take the units; returns whether there were enough of them."""
+        """Refill the bucket for the elapsed time; take the units and return True if it holds enough."""
         self.level = min(burst, self.level + (t - self.t) / 1000 * rate)
         self.t = t
         if self.level < units:
@@ -52,7 +52,7 @@
     worth: float
     plan: str
     kind: str
-    inside: bool  # whether a single gateway that sees all first tries would admit it
+    inside: bool  # whether a single gateway that sees all first tries would admit the operation
     served: bool = False
     ended_t: float = 0.0
 
@@ -81,7 +81,8 @@
         self._halls: dict[str, str] = {}
         self._ops: dict[int, _Operation] = {}
         self._tries: dict[str, tuple[RequestSent, int]] = {}
-        self._inside: dict[str, bool] = {}  # whether each try sent to a worker was within its quota
+        # whether each try that was sent to a worker was within its customer's quota
+        self._inside: dict[str, bool] = {}
         self._first: dict[str, _Bucket] = {}
         self._sent: dict[str, _Bucket] = {}
         self._server_hall: dict[str, str] = {}
@@ -243,7 +244,7 @@
         self._took = {n: name for n, name in self._took.items() if name in self._tries}
         self._useful = {n: worked for n, worked in self._useful.items() if n in self._took}
 
-    # -- figures
+    # -- figures of the service
 
     def worst_window(self) -> tuple[float, int]:
         """Return the lowest service share of any 10 consecutive seconds and the first of these seconds."""
--- a/plumpick/rehearsal/supervisor.py
+++ b/plumpick/rehearsal/supervisor.py
@@ -25,8 +25,9 @@
 ROOT = Path(__file__).resolve().parents[2]  # Import path of the program for the processes it starts
 READY_TIMEOUT_S = 20.0  # Maximum time in which a gateway must respond to /up after its start
 PORTS, PEER_PORTS_FROM = (10_000, 20_000), 10_000  # Range of client ports, and offset of the port for peers
-MAX_START_TRIES = 3  # Number of starts with new ports: a free port may be taken before the gateway binds it
-LOG_TAIL = 2000  # Number of characters of the log that an error shows
+# Maximum number of starts, each with new ports: a free port may be taken before the gateway binds it
+MAX_START_TRIES = 3
+LOG_TAIL = 2000  # Number of characters of a gateway's log that an error shows
 POLL_S, UP_TIMEOUT_S = 0.02, 0.5  # Interval between requests to /up, and time limit for each
 
 
@@ -50,7 +51,7 @@
 
 
 class Gatekeeper:
-    """One gateway, across all of its processes."""
+    """A gateway of the rehearsal, with its ports and its current process; kept across restarts."""
 
     def __init__(self, supervisor: Supervisor, number: int, agent: DiscoveryAgent) -> None:
         self.supervisor, self.number, self.agent = supervisor, number, agent
@@ -127,7 +128,7 @@
             return port, port + PEER_PORTS_FROM
         raise OSError("found no free pair of ports for a gateway in 100 tries")
 
-    # -- configurations
+    # -- configurations of the gateways
 
     def settings_of(self, number: int) -> dict[str, Any]:
         """Return the settings of one gateway, in the form that the platform provides them."""
@@ -223,7 +224,7 @@
         new_path.replace(path)
         return path
 
-    # -- starts
+    # -- start of gateway processes
 
     async def start(self, gate: Gatekeeper) -> None:
         """Start a process of the gateway and wait until it is up. Raises StartFailed."""
@@ -236,7 +237,8 @@
                 gate.ready, gate.ready_t = True, self.around.now()
                 self._record(GatewayEvent(self.around.now(), gate.name, "ready", 0))
                 return
-            if gate.end_requested:  # Ended on purpose while it started: whoever ended it starts it again.
+            # The process was ended on purpose during its start; whoever ended it starts a new one.
+            if gate.end_requested:
                 self._record(GatewayEvent(self.around.now(), gate.name, "exited", -9))
                 return
             tail = self.log_tail(gate)
@@ -297,7 +299,7 @@
         except OSError:
             return ""
 
-    # -- ends
+    # -- signals to gateway processes, and their end
 
     def kill(self, gate: Gatekeeper) -> None:
         """Send SIGKILL to the gateway, if it runs."""
--- a/plumpick/rehearsal/tier.py
+++ b/plumpick/rehearsal/tier.py
@@ -265,14 +265,14 @@
 
 @dataclass
 class OwnershipReport:
-    """Broken promises, one text each, and counts of effects that the records show."""
+    """Breaches of lease ownership, one text each, and counts of effects that the records show."""
 
-    overlaps: list[str] = field(default_factory=list)  # A lease had two owners at one time
+    overlaps: list[str] = field(default_factory=list)  # Breaches: a lease had two owners at one time
     out_of_order: list[str] = field(
         default_factory=list
-    )  # An effect was admitted after one with a larger token
-    doubles: list[str] = field(default_factory=list)  # An effect of one period was accepted twice
-    late: list[str] = field(default_factory=list)  # An effect was begun after its lease had ended
+    )  # Breaches: an effect was admitted after one with a larger token
+    doubles: list[str] = field(default_factory=list)  # Breaches: an effect of one period was accepted twice
+    late: list[str] = field(default_factory=list)  # Breaches: an effect was begun after its lease had ended
     taken: int = 0
     fenced: int = 0
     again: int = 0
@@ -286,7 +286,7 @@
 def judge(  # noqa: C901  (to be split by concern)
     witnessed: list[list[Any]], received: list[ReceivedEffect]
 ) -> OwnershipReport:
-    """Check the promises of ownership: at most one owner per lease at a time, effects admitted in the order
+    """Check the invariants of leases: at most one owner per lease at a time, effects admitted in the order
     of their fencing tokens, each effect accepted once, and no effect begun after the end of its lease.
 
     A lease lasts from the moment at which its holder knew of it until its expiry by the machine's clock, or
@@ -296,8 +296,9 @@
         fenced=sum(one.fate == "fenced" for one in received),
         again=sum(one.fate == "again" for one in received),
     )
-    spans: dict[tuple[int, int], list[float]] = {}  # [begin, end] by lease and token
-    ends: dict[int, tuple[float, float]] = {}  # (begin, end) by token, of any lease
+    # [begin, end] of each ownership, by lease and fencing token
+    spans: dict[tuple[int, int], list[float]] = {}
+    ends: dict[int, tuple[float, float]] = {}  # (begin, end) of each ownership of any lease, by fencing token
     order = sorted(witnessed, key=lambda row: row[1])
     for kind, t, _number, _pid, *parts in order:
         if kind == "held":
--- a/plumpick/simhost.py
+++ b/plumpick/simhost.py
@@ -194,7 +194,7 @@
     return values
 
 
-# ---- batches ------------------------------------------------------------------------------------
+# ---- batches of messages ------------------------------------------------------------------------
 
 
 def _event(name: str, values: list[Any]) -> Event:
@@ -251,7 +251,7 @@
 
 
 class Host:
-    """Hosts the simulated gateways, each with a Controller of its own that shares no state with the others.
+    """Hosts the simulated gateways, each with a separate Controller that shares no state with the others.
 
     `input_lines`: lines of the protocol; `output`: stream for replies; `warnings`: stream for one line on
     each unknown message."""
@@ -357,8 +357,8 @@
 
 
 def main() -> int:
-    """Serve standard input. Returns the exit code: 0 at the end of the input, 1 after a fault of the decision
-    module, 2 after a malformed message."""
+    """Serve the simulator's batches on standard input. Returns the exit code: 0 at the end of the input, 1
+    after an exception of the decision module, 2 after a malformed message."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
--- a/plumpick/simulation/exploration/leases.py
+++ b/plumpick/simulation/exploration/leases.py
@@ -23,7 +23,7 @@
 from plumpick.simulation.exploration.search import copy_with, message_name
 
 TERM_MS, DRIFT = 1000.0, 0.01
-WAIT_TERM_FRACTION = 0.52  # fraction of a term by which the move "wait" advances time
+WAIT_TERM_FRACTION = 0.52  # fraction of a lease term by which the move "wait" advances time
 LEASE, DUTY = 0, "duty"
 
 
@@ -147,7 +147,7 @@
     def _clock(self, contender: bool) -> float:
         return self.now * (1 - DRIFT if contender else 1 + DRIFT)
 
-    # -- moves
+    # -- moves of the lease model
 
     def moves(self) -> Iterator[str]:  # noqa: C901  (to be split by concern)
         for number, holder in enumerate(self.holders):
@@ -274,7 +274,7 @@
                     self._send("answer", number, position, serial, owner[1], int(vote.vote), vote.counter)
             self._replace_acceptor(position, acceptor)
 
-    # -- invariants
+    # -- invariants of the lease model
 
     def _check_invariants(self) -> None:
         holders = 0
@@ -325,7 +325,7 @@
     "deliver answer 0 1 3 1 0 2",
 )
 INITIAL_HISTORIES: dict[str, tuple[str, ...]] = {
-    "nothing": (),  # no contender has requested the lease
+    "nothing": (),  # initial state: no contender has requested the lease
     "held": HELD,  # contender 0 holds the lease, granted by acceptors 0 and 1
     "given": (*HELD, "give 0"),  # contender 0 has released the lease; its release messages are in flight
     "renewed-late": RENEWED_LATE,  # contender 0 has requested a renewal; the responses are delayed
--- a/plumpick/simulation/loop.py
+++ b/plumpick/simulation/loop.py
@@ -53,7 +53,7 @@
         self.network: Network = None  # type: ignore[assignment]  # set by Network.__init__
         self.processes: list[Process] = []
         self.stopped = False
-        self.problems: list[str] = []  # unhandled exceptions of processes
+        self.problems: list[str] = []  # descriptions of unhandled exceptions in processes
         self._ready: deque[events.Handle] = deque()
         self._timers: list[tuple[float, int, events.TimerHandle]] = []
         self._serial = 0
@@ -176,7 +176,7 @@
         self._tasks: dict[asyncio.Task[Any], None] = {}
         machine.processes.append(self)
 
-    # -- asyncio event loop
+    # -- methods of an asyncio event loop
 
     def time(self) -> float:
         """Returns the time of this process's clock in seconds: the machine's time plus the clock skew."""
@@ -282,7 +282,7 @@
     async def shutdown_asyncgens(self) -> None:
         """Does nothing: the loop does not track asynchronous generators."""
 
-    # -- the network
+    # -- connections and datagrams of the process
 
     async def create_server(
         self,
@@ -318,7 +318,7 @@
     def remove_reader(self, fd: Any) -> bool:
         return fd.remove_reader()
 
-    # -- descriptors, signals, stalls and exit
+    # -- file descriptors, signals, stalls and exit of the process
 
     def acquire_descriptors(self, count: int = 1) -> bool:
         """Allocates file descriptors; returns False, allocating none, if the limit would be exceeded."""
@@ -375,5 +375,5 @@
         try:
             coro.close()  # type: ignore[union-attr]
         except (RuntimeError, ValueError):
-            continue  # the coroutine awaits in a `finally` block and cannot be closed
+            continue  # a coroutine that awaits in a `finally` block cannot be closed
     process._tasks.clear()
--- a/plumpick/tools/budgets.py
+++ b/plumpick/tools/budgets.py
@@ -13,7 +13,7 @@
 from plumpick.tools.call import address_of, fetch_pages
 
 EXIT_OK = 0
-EXIT_REJECTED = 1  # a gateway answered that it has no budgets
+EXIT_REJECTED = 1  # exit code after a gateway answered that it has no budgets
 EXIT_UNREACHABLE = 2
 
 HEADER = (
@@ -64,7 +64,7 @@
 
 
 def budgets(arguments: argparse.Namespace) -> int:
-    """Run the command; returns EXIT_OK, EXIT_REJECTED or EXIT_UNREACHABLE."""
+    """Run `plumpick budgets`; returns EXIT_OK, EXIT_REJECTED or EXIT_UNREACHABLE."""
     answers = []
     for address in arguments.address:
         try:
--- a/plumpick/tools/counts.py
+++ b/plumpick/tools/counts.py
@@ -46,8 +46,9 @@
     """The totals of all gateways within one span of time."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    workers: Counter[str] = field(default_factory=Counter)  # number of attempts by worker
-    beliefs: list[dict[str, Any]] = field(default_factory=list)  # values of the records of the kind `belief`
+    workers: Counter[str] = field(default_factory=Counter)  # number of attempts in the slice, by worker
+    # values of the slice's records of the kind `belief`
+    beliefs: list[dict[str, Any]] = field(default_factory=list)
 
     def mean_belief(self, name: str) -> float:
         """The mean of a value over all records of the kind `belief` in this span; 0 if none has the value."""
@@ -145,7 +146,7 @@
 
 
 def counts(arguments: argparse.Namespace) -> int:
-    """Run the command; returns the exit code."""
+    """Run `plumpick counts`; returns its exit code."""
     files = sorted(Path(arguments.folder).glob("*.log"))
     if not files or arguments.span <= 0:
         problem = "the folder contains no *.log file" if not files else "--span: expected more than 0 ms"
