--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -363,7 +363,7 @@
             client = await Client().open(port)
             while True:
                 counts["sent"] += 1
-                response = await client.send(request()).answer()
+                response = await client.send(request()).read_response()
                 # 503: the customer's quota is exceeded.
                 counts["answered" if response and response[0] in (200, 503) else "lost"] += 1
                 if response is None or response[1].get("connection") == "close":
@@ -383,7 +383,7 @@
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(8)]
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         for _ in range(2):
             old = gateway.processes[-1]
             before = counts["answered"]
@@ -395,7 +395,7 @@
                 await asyncio.sleep(0.01)
         counts["stop"] = 1
         await asyncio.gather(*clients)
-        assert (await idle.send(UP).answer())[0] == 200  # its connection was transferred twice
+        assert (await idle.send(UP).read_response())[0] == 200  # its connection was transferred twice
         serving.cancel()
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
 
@@ -407,14 +407,14 @@
         assert (await say(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
         assert (await say(gateway.management[0], b"DRAIN\n")).startswith("+OK")
         await gateway.start()
-        assert (await (await Client().open(gateway.port)).send(UP).answer())[0] == 503
+        assert (await (await Client().open(gateway.port)).send(UP).read_response())[0] == 503
         assert (await say(gateway.management[0], b"UNDRAIN\n")).startswith("+OK")  # sent to the predecessor
-        while (await (await Client().open(gateway.port)).send(UP).answer())[0] == 503:
+        while (await (await Client().open(gateway.port)).send(UP).read_response())[0] == 503:
             await asyncio.sleep(0.01)
         assert (await say(gateway.management[1], b"ENABLE w9\n")).startswith("-ERR")
         assert (await say(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -426,7 +426,7 @@
         new.kill()
         await new.wait()
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         assert (await say(gateway.management[0], b"READY\n")).startswith("+OK")
         serving.cancel()
 
@@ -439,7 +439,7 @@
         gateway.processes[0].kill()
         await gateway.processes[0].wait()
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -460,7 +460,7 @@
 
     async def scenario(gateway):
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -475,7 +475,7 @@
         monkeypatch.setenv("TMPDIR", str(tmp_path / "none"))
         await gateway.start()
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         serving.cancel()
         gateway.processes[-1].kill()
         log = (await gateway.processes[-1].stderr.read()).decode()
@@ -506,10 +506,10 @@
         assert await old.wait() == 0 and accepted > 3
         assert (await reading).count(b" w1: done") >= accepted
         client = await Client().open(gateway.port)
-        assert (await client.send(request(deadline=300)).answer())[0] in (503, 504)
+        assert (await client.send(request(deadline=300)).read_response())[0] in (503, 504)
         assert (await say(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -532,7 +532,7 @@
         assert await first.wait() == 0
         client = await Client().open(gateway.port)
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await client.send(request()).answer())[0] == 200
+        assert (await client.send(request()).read_response())[0] == 200
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -549,11 +549,11 @@
     async def scenario(gateway):
         older = await Client().open(gateway.port)
         older.send(owned_request("00000000000000a1"))
-        _, first = await gateway.worker.asked()
+        _, first = await gateway.worker.next_request()
         await gateway.start()
         newer = await Client().open(gateway.port)
         newer.send(owned_request("00000000000000a2"))
-        message, second = await gateway.worker.asked()
+        message, second = await gateway.worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000a2"
         for process in gateway.processes:
             process.send_signal(signal.SIGTERM)
@@ -561,7 +561,7 @@
             pass
         second.write(answer(body=b"newer"))
         first.write(answer(body=b"older"))
-        assert (await older.answer())[2] == b"older" and (await newer.answer())[2] == b"newer"
+        assert (await older.read_response())[2] == b"older" and (await newer.read_response())[2] == b"newer"
         assert [await process.wait() for process in gateway.processes] == [0, 0]
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -582,17 +582,17 @@
     async def scenario(gateway):
         older = await Client().open(gateway.port)
         older.send(owned_request("00000000000000b1", "/book", "same"))
-        _, first = await gateway.worker.asked()
+        _, first = await gateway.worker.next_request()
         await gateway.start()
         retry = await Client().open(gateway.port)
         retry.send(owned_request("00000000000000b2", "/book", "same"))
-        message, second = await gateway.worker.asked()
+        message, second = await gateway.worker.next_request()
         assert message.headers["idempotency-key"] == "same"
         gateway.processes[0].send_signal(signal.SIGTERM)
         second.write(answer(body=b"retry"))
         assert (await retry.read_response())[2] == b"retry"
         first.write(answer(body=b"first"))
-        assert (await older.answer())[2] == b"first" and await gateway.processes[0].wait() == 0
+        assert (await older.read_response())[2] == b"first" and await gateway.processes[0].wait() == 0
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
 
@@ -607,7 +607,7 @@
         log = asyncio.create_task(old.stderr.read())
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         new = await gateway.start()
         counts = dict(sent=0, answered=0, lost=0, refused=0, stop=0)
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(16)]
@@ -621,7 +621,7 @@
         counts["stop"] = 1
         await asyncio.gather(*clients)
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP).read_response())[0] == 200
         serving.cancel()
         old_log = (await log).decode()
         assert old_log.count("handed over to the next process") == 1
@@ -642,9 +642,9 @@
 
 async def check_readiness(client, port):
     """Send a readiness check, which must be answered; reconnect if the answer closes the connection."""
-    answer = await client.send(UP).answer()
-    assert answer is not None and answer[0] == 200
-    if answer[1].get("connection") == "close":
+    response = await client.send(UP).read_response()
+    assert response is not None and response[0] == 200
+    if response[1].get("connection") == "close":
         client.close()
         await client.open(port)
 
