--- a/tests/compatibility/config_wire.py
+++ b/tests/compatibility/config_wire.py
@@ -15,7 +15,7 @@
 
 from compatibility import dynamic_config as words
 from compatibility.config_histories import delta_document, document, malformed_copy, published_settings
-from support.fakes import HOST, FakeDiscovery, entry, listing, reset, told
+from support.fakes import HOST, FakeDiscovery, entry, json_response, listing, reset
 
 TIMEOUT_S = 60.0
 
@@ -287,10 +287,10 @@
     b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\n{",
     b"HTTP/1.1 200 X\r\n\r\n" + json.dumps(listing(entry("w9", 5009), index=500)).encode(),
     b"HTTP/1.1 200 X\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}",
-    told(listing(entry("w1", 5001), {"name": 7}, index=1085)),
-    told(listing(entry("w1", 5001, "draining"), index=3)),
-    told(listing(entry("w2", 5002), index=1105, snapshot=False)),
-    told(listing(index=1115, snapshot=False)),
+    json_response(listing(entry("w1", 5001), {"name": 7}, index=1085)),
+    json_response(listing(entry("w1", 5001, "draining"), index=3)),
+    json_response(listing(entry("w2", 5002), index=1105, snapshot=False)),
+    json_response(listing(index=1115, snapshot=False)),
     http(b" " * (8 * 1024 * 1024 + 1)),
 )
 
@@ -305,7 +305,7 @@
             for place, hostile in enumerate(DISCOVERY_ANSWERS):
                 target, writer = await fake.next_call()
                 targets.append(target)
-                writer.write(told(listing(entry("w1", 5001), index=1000 + 10 * place)))
+                writer.write(json_response(listing(entry("w1", 5001), index=1000 + 10 * place)))
                 target, writer = await fake.next_call()
                 targets.append(target)
                 writer.write(hostile)
--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -6,7 +6,7 @@
 import pytest
 from support.config_processes import Machine
 from support.dynamic_config import published
-from support.fakes import Client, FakeWorker, answer, request, run
+from support.fakes import Client, FakeWorker, http_response, request, run
 
 
 def homed(path):
@@ -23,7 +23,7 @@
     if answered.done():
         came.cancel()
         return answered.result()[0]
-    came.result()[1].write(answer())
+    came.result()[1].write(http_response())
     return (await answered)[0]
 
 
@@ -45,7 +45,7 @@
             _, writer = await worker.next_request()
             await machine.put(3, published(3, classes=3))  # its class goes while it is out
             await machine.has(process, 3)
-            writer.write(answer(body=b"late"))
+            writer.write(http_response(body=b"late"))
             status, _, body = await client.read_response()
             assert (status, body) == (200, b"late")
             assert await asks(client, worker, "/c7") == 404 and await asks(client, worker, "/c2") == 200
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -16,13 +16,13 @@
     Client,
     FakeDiscovery,
     FakeWorker,
-    answer,
     config,
     entry,
+    http_response,
+    json_response,
     listing,
     request,
     run,
-    told,
 )
 from support.management import say
 from support.processes import ROOT, UP, free_port, start, until_up
@@ -304,7 +304,7 @@
         process = await start(path, module)
         self.processes.append(process)
         _, writer = await await_while_running(process, self.fake.called())
-        writer.write(told(listing(entry("w1", self.worker.port))))
+        writer.write(json_response(listing(entry("w1", self.worker.port))))
         while True:
             try:
                 if (await say(self.management[-1], b"READY\n")).startswith("+OK"):
@@ -353,7 +353,7 @@
     while True:
         message, writer = await worker.next_request()
         if message is not None:
-            writer.write(answer(body=message.headers["x-request-id"].encode()))
+            writer.write(http_response(body=message.headers["x-request-id"].encode()))
 
 
 async def send_requests(port, count, counts):
@@ -559,8 +559,8 @@
             process.send_signal(signal.SIGTERM)
         while (await command_or_empty(gateway.management[1], b"READY\n")).startswith(b"+OK"):
             pass
-        second.write(answer(body=b"newer"))
-        first.write(answer(body=b"older"))
+        second.write(http_response(body=b"newer"))
+        first.write(http_response(body=b"older"))
         assert (await older.read_response())[2] == b"older" and (await newer.read_response())[2] == b"newer"
         assert [await process.wait() for process in gateway.processes] == [0, 0]
 
@@ -589,9 +589,9 @@
         message, second = await gateway.worker.next_request()
         assert message.headers["idempotency-key"] == "same"
         gateway.processes[0].send_signal(signal.SIGTERM)
-        second.write(answer(body=b"retry"))
+        second.write(http_response(body=b"retry"))
         assert (await retry.read_response())[2] == b"retry"
-        first.write(answer(body=b"first"))
+        first.write(http_response(body=b"first"))
         assert (await older.read_response())[2] == b"first" and await gateway.processes[0].wait() == 0
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
--- a/tests/gateway/listeners/http/test_connection_closing.py
+++ b/tests/gateway/listeners/http/test_connection_closing.py
@@ -10,11 +10,11 @@
     HOST,
     ControllerStub,
     FakeWorker,
-    Plug,
     RunningGateway,
-    answer,
+    SocketClient,
+    assert_next_requests,
     entry,
-    next_is,
+    http_response,
     request,
     run,
 )
@@ -38,7 +38,7 @@
     """Have the client send a request and the worker answer it."""
     client.send(request(extra=extra))
     _, writer = await worker.next_request()
-    writer.write(answer())
+    writer.write(http_response())
 
 
 def test_response_is_delivered_when_connection_closes_over_unread_bytes():
@@ -47,13 +47,13 @@
 
     async def scenario(worker, gate, client):
         client.close()
-        plug = Plug(gate.port)
+        plug = SocketClient(gate.port)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.next_request()
         connection = busy_connection(gate)
         connection.transport.pause_reading()  # as if the event loop had not polled the connection yet
         plug.send(b"GET /lo")
-        writer.write(answer())
+        writer.write(http_response())
         assert b"200 OK" in await plug.receive() and await plug.receive() == b""
         plug.close()
 
@@ -68,10 +68,10 @@
 
     async def scenario(worker, gate, client):
         client.close()
-        plug = Plug(gate.port)
+        plug = SocketClient(gate.port)
         plug.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         connection = busy_connection(gate)
         assert b"200 OK" in await plug.receive()
         has_no_unread_input = gate.listener.has_no_unread_input
@@ -87,7 +87,7 @@
         gate.listener.has_no_unread_input = has_no_unread_input
         assert connection.is_closing and await plug.receive() == b""
         plug.close()
-        await next_is(worker, gate)
+        await assert_next_requests(worker, gate)
         assert not gate.gateway.requests.open
 
     run_with_worker(scenario)
@@ -107,7 +107,7 @@
             each_client.close()
         while gate.listener.admission:
             await asyncio.sleep(0)
-        await next_is(worker, gate)
+        await assert_next_requests(worker, gate)
 
     run_with_worker(scenario)
 
@@ -117,13 +117,13 @@
 
     async def scenario(worker, gate, client):
         client.close()
-        plug = Plug(gate.port, room=4096)
+        plug = SocketClient(gate.port, receive_buffer_bytes=4096)
         plug.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.next_request()
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
-        writer.write(answer(body=body))
+        writer.write(http_response(body=body))
         while not connection.is_closing:
             await asyncio.sleep(0)
         for _ in range(3):  # the client does not read for 4.5 s
@@ -185,13 +185,13 @@
             server = await loop.create_server(gate.listener.create_connection, sock=listening)
             plugs, address = [], listening.getsockname()
             for number in range(8):  # the event loop does not run meanwhile
-                plug = Plug(address[1])
+                plug = SocketClient(address[1])
                 plug.send(request(f"{number:016x}"))
                 plugs.append(plug)
             await close_listener(loop, server, listening, gate.listener)
             for _ in plugs:
                 _, writer = await worker.next_request()
-                writer.write(answer())
+                writer.write(http_response())
             for plug in plugs:
                 assert b"200 OK" in await plug.receive()
                 plug.close()
@@ -206,7 +206,7 @@
 
     async def scenario(worker, gate, client):
         client.close()
-        plug, transferred = Plug(gate.port, room=4096), []
+        plug, transferred = SocketClient(gate.port, receive_buffer_bytes=4096), []
 
         def send_descriptor(descriptor):
             transferred.append(descriptor)
@@ -217,7 +217,7 @@
         connection = busy_connection(gate)
         shrink_send_buffer(connection)
         body = bytes(range(250)) * 240
-        writer.write(answer(body=body))
+        writer.write(http_response(body=body))
         while connection.open_request is not None:
             await asyncio.sleep(0)
         assert connection.unwritten_bytes()
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -4,7 +4,7 @@
 import socket
 
 import pytest
-from support.fakes import HOST, FakeDiscovery, answer, entry, listing, reset, run, told
+from support.fakes import HOST, FakeDiscovery, entry, http_response, json_response, listing, reset, run
 
 from plumpick.gateway.discovery import DiscoveryClient
 
@@ -30,11 +30,11 @@
     async def scenario(fake, lists, discovery):
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts" and not discovery.has_snapshot.is_set()
-        writer.write(told(listing(entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(entry("w1", 5001), index=41)))
         assert (await lists.get()).complete and discovery.has_snapshot.is_set()
         target, writer = await fake.next_call()
         assert target == WATCH.format(41)
-        writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
+        writer.write(json_response(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
         news = await lists.get()
         assert not news.complete and news.entries[0].server.state.value == "gone"
         assert (await fake.next_call())[0] == WATCH.format(43)
@@ -45,12 +45,12 @@
 def test_a_watch_without_changes_continues_and_notifies_nobody():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(index=41)))
+        writer.write(json_response(listing(index=41)))
         await lists.get()
         for _ in range(2):
             target, writer = await fake.next_call()
             assert target == WATCH.format(41)
-            writer.write(told(listing(index=41, snapshot=False)))
+            writer.write(json_response(listing(index=41, snapshot=False)))
         await fake.next_call()
         assert lists.empty()
 
@@ -60,20 +60,20 @@
 @pytest.mark.parametrize(
     "reply",
     [
-        answer(500),
-        answer(body=b"no json"),
-        answer(body=b"[" * 100_000),
-        answer(body=b"3"),
+        http_response(500),
+        http_response(body=b"no json"),
+        http_response(body=b"[" * 100_000),
+        http_response(body=b"3"),
         b"noise\r\n\r\n",
-        answer(body=b'{"index":42,"endpoints":3}'),
-        told(listing(index=40, snapshot=False)),
+        http_response(body=b'{"index":42,"endpoints":3}'),
+        json_response(listing(index=40, snapshot=False)),
         None,
     ],
 )
 def test_after_a_malformed_answer_or_an_end_a_snapshot_is_requested(reply):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(index=41)))
+        writer.write(json_response(listing(index=41)))
         await lists.get()
         _, writer = await fake.next_call()
         if reply is None:
@@ -82,7 +82,7 @@
             writer.write(reply)
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts"
-        writer.write(told(listing(entry("w1", 5001), index=44)))
+        writer.write(json_response(listing(entry("w1", 5001), index=44)))
         assert (await lists.get()).index == 44
 
     watched(scenario)
@@ -92,7 +92,7 @@
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
         odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
-        writer.write(told(listing(*odd, entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(*odd, entry("w1", 5001), index=41)))
         news = await lists.get()
         assert [one.server.id for one in news.entries] == ["w1"] and news.complete
         assert (await fake.next_call())[0] == WATCH.format(41)
@@ -105,7 +105,7 @@
 
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(index=41)))
+        writer.write(json_response(listing(index=41)))
         await lists.get()
         assert (await fake.next_call())[0] == WATCH.format(41)
         async with FakeDiscovery() as silent, FakeDiscovery() as new:
@@ -114,7 +114,7 @@
             discovery.change_address((HOST, new.port))
             target, writer = await new.next_call()
             assert target == "/discovery/hosts"
-            writer.write(told(listing(entry("w9", 5009), index=3)))
+            writer.write(json_response(listing(entry("w9", 5009), index=3)))
             assert (await lists.get()).index == 3
             assert (await new.next_call())[0] == WATCH.format(3)
             assert fake.calls.empty() and silent.calls.empty()
@@ -134,10 +134,10 @@
 
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
-        news = told(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
+        news = json_response(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
         writer.write(news[:-30])
         await has_read(discovery)
         async with FakeDiscovery() as silent:
@@ -155,7 +155,7 @@
 def test_a_change_to_a_dead_address_and_back_loses_nothing():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
         with socket.create_server((HOST, 0)) as probe:
@@ -166,7 +166,7 @@
             discovery.change_address((HOST, silent.port))
             await silent.next_call()
             discovery.change_address((HOST, fake.port))
-            writer.write(told(listing(entry("w1", 5001, "gone"), index=42, snapshot=False)))
+            writer.write(json_response(listing(entry("w1", 5001, "gone"), index=42, snapshot=False)))
             assert (await lists.get()).index == 42
             assert (await fake.next_call())[0] == WATCH.format(42)
             assert len(discovery._tasks) == 1 and silent.calls.empty()
@@ -177,18 +177,18 @@
 def test_the_old_address_is_ignored_once_the_new_one_sent_its_snapshot():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
         async with FakeDiscovery() as new:
             discovery.change_address((HOST, new.port))
             _, other = await new.next_call()
-            other.write(told(listing(entry("w9", 5009), index=3)))
+            other.write(json_response(listing(entry("w9", 5009), index=3)))
             assert (await lists.get()).index == 3
-            writer.write(told(listing(entry("w1", 5001), index=45)))  # whole, and late
+            writer.write(json_response(listing(entry("w1", 5001), index=45)))  # whole, and late
             for index in (4, 5):
                 _, other = await new.next_call()
-                other.write(told(listing(entry("w9", 5009, "gone"), index=index, snapshot=False)))
+                other.write(json_response(listing(entry("w9", 5009, "gone"), index=index, snapshot=False)))
                 assert (await lists.get()).index == index
             assert lists.empty() and len(discovery._tasks) == 1
 
@@ -199,7 +199,7 @@
 def test_a_list_with_no_length_ends_with_its_connection_and_never_with_a_reset(is_reset):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
-        body = told(listing(entry("w1", 5001), index=41)).partition(b"\r\n\r\n")[2]
+        body = json_response(listing(entry("w1", 5001), index=41)).partition(b"\r\n\r\n")[2]
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
         if is_reset:
             await writer.drain()
@@ -219,13 +219,13 @@
 def test_a_watch_that_is_reset_right_after_its_answer_is_reopened_at_once():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
-        writer.write(told(listing(entry("w1", 5001), index=41)))
+        writer.write(json_response(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
         reset(writer)
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts"
-        writer.write(told(listing(entry("w1", 5001, "draining"), index=42)))
+        writer.write(json_response(listing(entry("w1", 5001, "draining"), index=42)))
         assert (await lists.get()).entries[0].server.state.value == "draining"
 
     watched(scenario)
@@ -237,10 +237,10 @@
     async def scenario(fake, lists, discovery):
         discovery._on_update = lambda _news: 1 / 0
         _, writer = await fake.next_call()
-        writer.write(told(listing(index=41)))
+        writer.write(json_response(listing(index=41)))
         _, writer = await fake.next_call()
         discovery._on_update = lists.put_nowait
-        writer.write(told(listing(index=42)))
+        writer.write(json_response(listing(index=42)))
         assert (await lists.get()).index == 42
 
     watched(scenario)
@@ -256,7 +256,7 @@
         async def answer_all():
             while True:
                 _, writer = await fake.next_call()
-                writer.write(told(listing(index=7)))
+                writer.write(json_response(listing(index=7)))
 
         answering = asyncio.get_running_loop().create_task(answer_all())
         assert (await lists.get()).index == 7
@@ -292,6 +292,6 @@
 
     async def serve_once(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(told(listing(index=9)))
+        writer.write(json_response(listing(index=9)))
 
     run(scenario())
--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -13,9 +13,9 @@
     ControllerStub,
     FakeWorker,
     RunningGateway,
-    answer,
     config,
     entry,
+    http_response,
     listing,
     request,
     run,
@@ -67,7 +67,9 @@
         assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
         assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
         assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "10000"
-        writer.write(answer(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n'))
+        writer.write(
+            http_response(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n')
+        )
         status, _, body = await client.read_response()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
         came = await gate.controller.next_event(RequestReceived)
@@ -87,7 +89,7 @@
         for number in range(5):
             client.send(request(f"{number:016x}"))
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200
         assert worker.connections == 1
 
@@ -98,7 +100,7 @@
     async def scenario(worker, gate, client):
         client.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[1]["connection"] == "close" and await client.wait_for_end()
 
     one_worker(scenario)
@@ -107,13 +109,13 @@
 @pytest.mark.parametrize(
     "reply, result",
     [
-        (answer(500), AttemptResult.ERROR),
-        (answer(503), AttemptResult.ERROR),
-        (answer(504), AttemptResult.ERROR),
-        (answer(429), AttemptResult.ERROR),
-        (answer(503, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
-        (answer(504, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
-        (answer(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
+        (http_response(500), AttemptResult.ERROR),
+        (http_response(503), AttemptResult.ERROR),
+        (http_response(504), AttemptResult.ERROR),
+        (http_response(429), AttemptResult.ERROR),
+        (http_response(503, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
+        (http_response(504, extra="X-Not-Run: 1\r\n"), AttemptResult.REJECTED_BY_WORKER),
+        (http_response(500, extra="X-Not-Run: 1\r\n"), AttemptResult.ERROR),
         (b"what is this\r\n\r\n", AttemptResult.ERROR),
         (None, AttemptResult.RESET),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", AttemptResult.RESET),
@@ -228,11 +230,11 @@
         status, headers, _ = await client.read_response()
         assert status == 503 and headers["retry-after"] == "0.250"
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CANCELLED
-        writer.write(answer(body=b"late"))
+        writer.write(http_response(body=b"late"))
         assert (await worker.next_request())[0] is None
         client.send(request("0000000000000002"))
         _, writer = await worker.next_request()
-        writer.write(answer(body=b"second"))
+        writer.write(http_response(body=b"second"))
         assert (await client.read_response())[2] == b"second"
 
     one_worker(scenario)
@@ -246,14 +248,14 @@
         gate.controller.next_actions = [StartAttempt(came.id, "w1", 9000.0)]
         gate.gateway.post_event(TimerFired("hedge"))
         _, second = await worker.next_request()
-        second.write(answer(body=b"second"))
+        second.write(http_response(body=b"second"))
         assert (await client.read_response())[2] == b"second"
-        first.write(answer(body=b"first"))
+        first.write(http_response(body=b"first"))
         outcomes = [await gate.controller.next_event(AttemptCompleted) for _ in range(2)]
         assert [(done.attempt, done.is_final) for done in outcomes] == [(1, True), (0, True)]
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer(body=b"third"))
+        writer.write(http_response(body=b"third"))
         assert (await client.read_response())[2] == b"third"
 
     one_worker(scenario)
@@ -367,13 +369,13 @@
         (connection,) = workers._workers["w1"].idle
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # as if the loop had not come to it
-        writer.write(answer(body=b"twice"))
+        writer.write(http_response(body=b"twice"))
         while connection.has_no_unread_input():
             await asyncio.sleep(0)
         client.send(request())
         ended, again = await worker.next_request(), await worker.next_request()
         _, other = ended if ended[0] is not None else again
-        other.write(answer(body=b"own"))
+        other.write(http_response(body=b"own"))
         assert (await client.read_response())[2] == b"own" and worker.connections == 2
 
     one_worker(scenario)
@@ -399,17 +401,17 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer(body=b"first"))
+        writer.write(http_response(body=b"first"))
         assert (await client.read_response())[2] == b"first"
         (connection,) = gate.gateway.connection_pool._workers["w1"].idle
         connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
         client.send(request())
         message, other = await worker.next_request()
         assert other is not writer  # on another connection
-        writer.write(answer(body=b"twice"))
+        writer.write(http_response(body=b"twice"))
         while not connection.is_closed:
             await asyncio.sleep(0)
-        other.write(answer(body=b"own"))
+        other.write(http_response(body=b"own"))
         assert (await client.read_response())[2] == b"own"
 
     one_worker(scenario)
@@ -422,7 +424,7 @@
             one.send(request())
         writers = [(await worker.next_request())[1] for _ in clients]
         for writer in writers:
-            writer.write(answer())
+            writer.write(http_response())
         for one in clients:
             assert (await one.read_response())[0] == 200
         workers = gate.gateway.connection_pool
@@ -444,7 +446,9 @@
         client.send(request())
         _, writer = await worker.next_request()
         load = 'X-Load: {"util":0.5,"latency_ms":7}\r\n'
-        writer.write(answer(extra=load) + answer(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n'))
+        writer.write(
+            http_response(extra=load) + http_response(500, b"", 'X-Load: {"util":9,"latency_ms":9}\r\n')
+        )
         assert (await client.read_response())[::2] == (200, b"done")
         outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
@@ -479,7 +483,7 @@
 async def exchange(worker, client):
     client.send(request())
     _, writer = await worker.next_request()
-    writer.write(answer())
+    writer.write(http_response())
     assert (await client.read_response())[0] == 200
     return writer
 
@@ -501,7 +505,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer() + answer(body=b"twice"))
+        writer.write(http_response() + http_response(body=b"twice"))
         assert (await client.read_response())[2] == b"done"
         assert (await worker.next_request())[0] is None
         await exchange(worker, client)
@@ -514,7 +518,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + answer(body=b"real"))
+        writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + http_response(body=b"real"))
         assert (await client.read_response())[::2] == (200, b"real")
 
     one_worker(scenario)
@@ -617,7 +621,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer(extra=f"X-Load: {text}\r\n"))
+        writer.write(http_response(extra=f"X-Load: {text}\r\n"))
         assert (await client.read_response())[0] == 200
         assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
 
@@ -656,7 +660,7 @@
         other.send(request())
         _, writer = await worker.next_request()
         assert (await client.send(data).read_response())[0] == status and await client.wait_for_end()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await other.read_response())[0] == 200
         assert len(gate.gateway.requests.open) == 0 and worker.requests.empty()
 
@@ -672,7 +676,7 @@
         for number in (b"1", b"2", b"3"):
             asked, writer = await worker.next_request()
             assert asked.url == b"/look/" + number and worker.requests.empty()
-            writer.write(answer(body=number))
+            writer.write(http_response(body=number))
             assert (await client.read_response())[::2] == (200, number)
 
     one_worker(scenario)
@@ -682,7 +686,7 @@
     async def scenario(worker, gate, client):
         client.send(request() + b"noise\r\n\r\n" + request())
         _, writer = await worker.next_request()
-        writer.write(answer(body=b"first"))
+        writer.write(http_response(body=b"first"))
         assert (await client.read_response())[::2] == (200, b"first")
         assert (await client.read_response())[0] == 400 and await client.wait_for_end()
         assert worker.requests.empty()
@@ -703,7 +707,7 @@
                 asked, writer = await worker.next_request()
                 while asked is None:
                     asked, writer = await worker.next_request()
-                writer.write(answer(body=asked.url))
+                writer.write(http_response(body=asked.url))
                 assert (await client.read_response())[0] == 200
             client.close()
 
@@ -718,7 +722,7 @@
             await asyncio.sleep(0)
         asked, writer = await worker.next_request()
         assert asked.body == b"piece"
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
@@ -732,7 +736,7 @@
         client.send(request("00000000000000aa"))
         _, writer = await worker.next_request()
         assert (await other.send(request("00000000000000aa", "/debit", body=b"x")).read_response())[0] == 409
-        writer.write(answer(body=b"first"))
+        writer.write(http_response(body=b"first"))
         assert (await client.read_response())[2] == b"first"
         assert (await other.send(request("00000000000000aa")).read_response())[0] == 409
         assert worker.requests.empty()
@@ -770,7 +774,7 @@
         assert (await client.send(data).read_response())[0] == status
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
 
@@ -799,7 +803,7 @@
         client.send(request(path="/none") * 2 + request())
         assert [(await client.read_response())[0] for _ in range(2)] == [404, 404]
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         client.send(request(path="/none") * 300)
         (one,) = gate.listener.admission.connections
@@ -852,7 +856,7 @@
         client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
         asked, writer = await worker.next_request()
         assert asked.body == b"x" and "idempotency-key" not in asked.headers
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
         assert (await client.read_response())[0] == 431
@@ -882,7 +886,7 @@
         idle = await gate.client()
         other = idle.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         await other.read_response()
         silent = [await gate.client() for _ in range(2)]
         refused = (await gate.client()).send(b"noise\r\n\r\n")
@@ -903,7 +907,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         (one,) = gate.listener.admission.connections
         one.transport.pause_reading()  # as if the loop had not come to it
@@ -913,7 +917,7 @@
         one.close_if_idle()
         one.transport.resume_reading()
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
@@ -954,7 +958,7 @@
         for one in (first, second):
             one.send(request())
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             await one.read_response()
         advance_time(gate, 1900)
         assert len(gate.listener.admission) == 2
@@ -976,7 +980,7 @@
         for one in (client, other):
             one.send(request())
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             await one.read_response()
         advance_time(gate, 300)
         assert await client.wait_for_end()
@@ -994,7 +998,7 @@
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         await client.read_response()
         gc.collect()
         gc.disable()
@@ -1104,7 +1108,7 @@
             client = await Client().open(gate.port)
             client.send(request())
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[::2] == (200, b"done")
 
     run(scenario())
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -8,9 +8,9 @@
     Client,
     FakeWorker,
     RunningGateway,
-    answer,
     config,
     entry,
+    http_response,
     listing,
     request,
     run,
@@ -162,13 +162,13 @@
         client.send(request())
         _, writer = await worker.next_request()
         assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200  # what is out may finish
         assert (await client.send(request(deadline=100)).read_response())[0] in (503, 504)
         assert (await say(port, b"ENABLE w1\n")).startswith("+OK")
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     with_office(scenario)
@@ -183,7 +183,7 @@
         _, writer = await worker.next_request()
         assert (await say(port, b"DRAIN\n")).startswith("+OK")
         assert (await (await gate.client()).send(UP).read_response())[0] == 503
-        writer.write(answer())
+        writer.write(http_response())
         told = await kept.read_response()
         assert told[0] == 200 and told[1]["connection"] == "close" and await kept.wait_for_end()
         assert await idle.wait_for_end()  # in half a second
@@ -198,7 +198,7 @@
         assert (await again.send(UP).read_response())[0] == 200
         again.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert "connection" not in (await again.read_response())[1]
 
     with_office(scenario)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -12,13 +12,13 @@
     Client,
     FakeDiscovery,
     FakeWorker,
-    answer,
     config,
     entry,
+    http_response,
+    json_response,
     listing,
     request,
     run,
-    told,
 )
 from support.processes import UP, free_port, start, tell_list, until_up
 
@@ -58,16 +58,16 @@
         late = await Client().open(port)
         late.send(request())
         _, late_writer = await worker.next_request()
-        late_writer.write(answer(body=b"late"))
+        late_writer.write(http_response(body=b"late"))
         status, headers, body = await late.read_response()
         assert (status, body) == (200, b"late") and "connection" not in headers
         late.send(request())  # on a connection that it has
         _, late_writer = await worker.next_request()
-        late_writer.write(answer(body=b"again"))
+        late_writer.write(http_response(body=b"again"))
         assert (await late.read_response())[2] == b"again"
         assert await late.wait_for_end() and await idle.wait_for_end()  # by now nothing comes any more
         assert process.returncode is None
-        writer.write(answer(body=b"taken"))
+        writer.write(http_response(body=b"taken"))
         assert (await kept.read_response())[2] == b"taken" and await kept.wait_for_end()
         assert await process.wait() == 0
 
@@ -88,13 +88,13 @@
                 process.send_signal(signal.SIGHUP)
                 target, writer = await new.next_call()
                 assert target == "/discovery/hosts"
-            writer.write(told(listing(entry("w2", other.port), index=7)))
+            writer.write(json_response(listing(entry("w2", other.port), index=7)))
             assert (await third.next_call())[0].startswith("/discovery/hosts?since=7")
             client = await Client().open(port)
             client.send(request())
             _, writer = await other.next_request()
             process.send_signal(signal.SIGTERM)
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200
             assert await process.wait() == 0
         assert worker.requests.empty()
@@ -109,7 +109,7 @@
         client = await Client().open(port)
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
         assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
@@ -204,7 +204,7 @@
             client = await Client().open(port)
             client.send(request())
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200 and other.calls.empty()
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
@@ -224,7 +224,7 @@
                 client = await Client().open(port)
                 client.send(request())
                 _, writer = await worker.next_request()
-                writer.write(answer())
+                writer.write(http_response())
                 assert (await client.read_response())[0] == 200
             finally:
                 process.kill()
@@ -252,7 +252,7 @@
                     assert await one.read_response()
                 async with FakeDiscovery(discovery) as fake:
                     _, writer = await fake.next_call()
-                    writer.write(told(listing(entry("w2", other.port), index=9)))
+                    writer.write(json_response(listing(entry("w2", other.port), index=9)))
                     assert (await fake.next_call())[0].startswith("/discovery/hosts?since=9")
                     message = None
                     while message is None:  # at the very limit a new client is dropped, and comes again
@@ -297,7 +297,7 @@
                 message, writer = await worker.next_request()
                 if message is not None:
                     seen.append(message.headers["x-request-id"])
-                    asyncio.get_running_loop().call_later(0.02, writer.write, answer())
+                    asyncio.get_running_loop().call_later(0.02, writer.write, http_response())
 
         serving = asyncio.create_task(serve())
         kept = [await Client().open(port) for _ in range(KEPT_CONNECTIONS)]
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -12,9 +12,9 @@
     Client,
     FakeWorker,
     RunningGateway,
-    answer,
     config,
     entry,
+    http_response,
     read_message,
     request,
     run,
@@ -94,7 +94,7 @@
         assert asked.url == b"/look" and put(gate, drop("look")) == ""
         other = (await gate.client()).send(request("00000000000000a2"))
         assert (await other.read_response())[0] == 404
-        writer.write(answer(body=b"kept"))
+        writer.write(http_response(body=b"kept"))
         status, headers, body = await client.read_response()
         assert (status, body) == (200, b"kept") and "connection" not in headers
         client.send(request("00000000000000a3"))  # on the same connection, which stays
@@ -102,7 +102,7 @@
         client.send(request("00000000000000a4", "/debit", body=b"x"))
         asked, writer = await worker.next_request()
         assert asked.url == b"/debit"
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200 and not gate.gateway.requests.open
 
     one_worker(scenario)
@@ -115,12 +115,12 @@
         client.send(request("00000000000000b1"))
         _, first = await worker.next_request()
         assert put(gate, figures("look", repeat="fragile")) == ""
-        first.write(answer(500))
+        first.write(http_response(500))
         message, again = await worker.next_request()
         while message is None:
             message, again = await worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000b1"
-        again.write(answer(body=b"second"))
+        again.write(http_response(body=b"second"))
         assert (await client.read_response())[2] == b"second"
         client.send(request("00000000000000b2"))
         assert (await client.read_response())[0] == 405  # from now on it is no GET
@@ -140,7 +140,7 @@
         client.send(data[30:])
         asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
@@ -151,11 +151,11 @@
         client.send(request("00000000000000d1") + request("00000000000000d2", "/fresh"))
         _, writer = await worker.next_request()
         assert put(gate, add(FRESH)) == ""
-        writer.write(answer(body=b"one"))
+        writer.write(http_response(body=b"one"))
         assert (await client.read_response())[2] == b"one"
         asked, writer = await worker.next_request()
         assert asked.url == b"/fresh"  # it was not read before the first had its answer
-        writer.write(answer(body=b"two"))
+        writer.write(http_response(body=b"two"))
         assert (await client.read_response())[2] == b"two"
 
     one_worker(scenario)
@@ -177,7 +177,7 @@
         )
         client.send(gold.replace(b"e1", b"e2"))
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         client.send(request("00000000000000e3"))
         assert (await client.read_response())[0] == 400
@@ -264,7 +264,7 @@
         assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a2"))
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
@@ -294,7 +294,7 @@
         assert "planted" in caplog.text
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         assert put(gate, add(FRESH)) == ""
 
@@ -316,7 +316,7 @@
         assert gate.gateway.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
-        writer.write(answer(extra='X-Load: {"inflight":3}\r\n'))
+        writer.write(http_response(extra='X-Load: {"inflight":3}\r\n'))
         assert (await client.read_response())[0] == 200
         while not gate.gateway.controller.state.endpoints.tracked["w1"].load_report_ms > 0:
             await asyncio.sleep(0)
@@ -348,7 +348,7 @@
                 while True:
                     asked, writer = await worker.next_request()
                     if asked is not None:
-                        writer.write(answer(body=asked.headers["x-request-id"].encode()))
+                        writer.write(http_response(body=asked.headers["x-request-id"].encode()))
 
             async def ask(number):
                 client, count = await Client().open(gate.port), 0
@@ -393,11 +393,11 @@
         assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
         (open_request,) = gate.gateway.requests.open.values()
         assert open_request.deadline_ms <= gate.gateway.clock.now() + 5000.0
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         client.send(request("00000000000000a2", "/fresh"))
         _, writer = await worker.next_request()
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         gate.gateway.start_closing_connections()
         assert put(gate, lambda _: None) == "" and not gate.gateway.is_ready
@@ -416,13 +416,13 @@
         _, writer = await worker.next_request()
         assert put(gate, short) == ""
         assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
         assert max(gate.gateway.request_lifetimes_ms()) == 400.0
         client.send(request("00000000000000a2", deadline=2500))
         _, writer = await worker.next_request()
         assert max(gate.gateway.request_lifetimes_ms()) <= 400.0
-        writer.write(answer())
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
@@ -466,7 +466,7 @@
             assert put(one, drop("look")) == ""
             client = (await two.client()).send(request("00000000000000a1"))
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200
             assert isinstance(one.gateway.controller, Controller)
 
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -10,14 +10,14 @@
     Client,
     ControllerStub,
     FakeWorker,
-    Plug,
     RunningGateway,
-    answer,
+    SocketClient,
     entry,
+    http_response,
+    json_response,
     listing,
     request,
     run,
-    told,
 )
 from support.processes import UP, free_port, until_up
 from support.shutdown import run_served_gateway
@@ -126,7 +126,7 @@
     original, plugs = shutdown.close_listener, []
 
     async def connect_then_close(loop, server, listening, front):
-        plugs.append(Plug(listening.getsockname()[1]))
+        plugs.append(SocketClient(listening.getsockname()[1]))
         plugs[0].send(request())
         await original(loop, server, listening, front)
 
@@ -137,7 +137,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         message, writer = await worker.next_request()
         assert message is not None
-        writer.write(answer())
+        writer.write(http_response())
         assert b"200 OK" in await plugs[0].receive()
         plugs[0].close()
 
@@ -156,7 +156,7 @@
         client = await Client().open(port)
         for _ in range(3):
             assert (await client.send(UP).read_response())[0] == 503
-        writer.write(told(listing(entry("w1", worker.port))))
+        writer.write(json_response(listing(entry("w1", worker.port))))
         await until_up(port)
         assert (await client.send(UP).read_response())[0] == 200
 
--- a/tests/gateway/test_streams.py
+++ b/tests/gateway/test_streams.py
@@ -67,7 +67,7 @@
             writer.write_eof()
         message = Message(httptools.HttpResponseParser)
         message.parser.feed_data(first)
-        while not message.whole:
+        while not message.is_complete:
             data = await client.reader.read(2**18)
             assert data
             message.parser.feed_data(data)
--- a/tests/gateway/test_swallowing.py
+++ b/tests/gateway/test_swallowing.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from support.fakes import FakeWorker, RunningGateway, answer, entry, request, run
+from support.fakes import FakeWorker, RunningGateway, entry, http_response, request, run
 
 # Number of concurrent debit attempts that the concurrency limit allows at its minimum, for two workers at one
 # of three gateways.
@@ -34,7 +34,7 @@
             for _ in range(5):  # answered requests, from which the concurrency limit is computed
                 first_client.send(request().replace(b"spread=2", b"spread=1"))
                 _, writer = await received.get()
-                writer.write(answer())
+                writer.write(http_response())
                 assert (await first_client.read_response())[0] == 200
             window = gate.gateway.controller.state.limit
             # Set the limit to its minimum, as after a time of little traffic.
--- a/tests/gateway/upstream/test_late_connections.py
+++ b/tests/gateway/upstream/test_late_connections.py
@@ -7,13 +7,13 @@
 import pytest
 from support.fakes import (
     ControllerStub,
+    DelayedConnects,
     FakeWorker,
-    HeldDials,
-    Plug,
     RunningGateway,
-    answer,
+    SocketClient,
+    assert_next_requests,
     entry,
-    next_is,
+    http_response,
     request,
     run,
     settings,
@@ -34,14 +34,14 @@
 
 def run_with_held_connections(scenario, controller=None, **more):
     """Run a scenario with one worker, w1, one gateway and one client. Connections to the worker are
-    established only once the scenario sets `dials.go`."""
+    established only once the scenario sets `dials.allowed`."""
 
     async def run_scenario():
         async with (
             FakeWorker() as worker,
             RunningGateway(controller or ControllerStub(), known=[entry("w1", worker.port)], **more) as gate,
         ):
-            await scenario(worker, gate, await gate.client(), HeldDials(gate))
+            await scenario(worker, gate, await gate.client(), DelayedConnects(gate))
 
     run(run_scenario())
 
@@ -56,15 +56,15 @@
         received = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [StartAttempt(received.id, "w1", 9000.0, start_within_ms=400.0)]
         gate.gateway.post_event(TimerFired("retry"))
-        await dials.opened.wait()
+        await dials.started.wait()
         clock = gate.gateway.clock
         gate.gateway.connection_pool._clock = type(
             "Later", (), {"now": staticmethod(lambda: clock.now() + 401.0)}
         )
-        dials.go.set()
+        dials.allowed.set()
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         gate.gateway.connection_pool._clock, gate.controller.worker = clock, "w1"
-        await next_is(worker, gate)
+        await assert_next_requests(worker, gate)
 
     run_with_held_connections(scenario, ControllerStub(worker=None))
 
@@ -78,7 +78,7 @@
             client = await gate.client()
             client.send(request())
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200  # the connection to the worker is idle now
             gate.controller.worker = None
             client.send(request(path="/book", key="k1", body=b"x"))
@@ -90,7 +90,7 @@
             await gate.controller.next_event(AttemptCompleted)
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
             gate.controller.worker = "w1"
-            await next_is(worker, gate)
+            await assert_next_requests(worker, gate)
 
     run(scenario())
 
@@ -101,13 +101,13 @@
 
     async def scenario(worker, gate, client, dials):
         client.send(request())
-        await dials.opened.wait()
+        await dials.started.wait()
         received = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [RejectRequest(received.id, 250.0)]
         gate.gateway.post_event(TimerFired("reject"))
         assert (await client.read_response())[0] == 503
-        dials.go.set()
-        await next_is(worker, gate)
+        dials.allowed.set()
+        await assert_next_requests(worker, gate)
         assert not gate.gateway.requests.attempts
 
     run_with_held_connections(scenario, settings=NO_CANCELLATION)
@@ -116,11 +116,11 @@
 def test_uncancellable_attempt_is_not_sent_after_its_client_has_disconnected():
     async def scenario(worker, gate, client, dials):
         client.send(request())
-        await dials.opened.wait()
+        await dials.started.wait()
         client.close()
         await gate.controller.next_event(ClientDisconnected)
-        dials.go.set()
-        await next_is(worker, gate)
+        dials.allowed.set()
+        await assert_next_requests(worker, gate)
 
     run_with_held_connections(scenario, settings=NO_CANCELLATION)
 
@@ -133,16 +133,16 @@
                 client = await gate.client()
                 client.send(request())
                 _, writer = await worker.next_request()
-                dials = HeldDials(gate)
+                dials = DelayedConnects(gate)
                 received = await gate.controller.next_event(RequestReceived)
                 gate.controller.next_actions = [StartAttempt(received.id, "w2", 9000.0)]
                 gate.gateway.post_event(TimerFired("hedge"))
-                await dials.opened.wait()
-                writer.write(answer(body=b"first"))
+                await dials.started.wait()
+                writer.write(http_response(body=b"first"))
                 assert (await client.read_response())[2] == b"first"
-                dials.go.set()
+                dials.allowed.set()
                 gate.controller.worker = "w2"
-                await next_is(other, gate)
+                await assert_next_requests(other, gate)
 
     run(scenario())
 
@@ -173,8 +173,8 @@
             _, writer = await worker.next_request()
             connection = await disconnect_unread(gate, client)
             assert connection.is_reading_suspended and connection.open_request is not None
-            writer.write(answer())
-            await next_is(worker, gate)
+            writer.write(http_response())
+            await assert_next_requests(worker, gate)
             assert not gate.gateway.requests.open
 
     run(scenario())
@@ -205,7 +205,7 @@
             _, writer = await worker.next_request()
             await disconnect_unread(gate, client)
             writer.transport.abort()  # resets the attempt, after which the policy retries
-            await next_is(worker, gate)
+            await assert_next_requests(worker, gate)
 
     run(scenario())
 
@@ -218,7 +218,7 @@
             FakeWorker() as worker,
             RunningGateway(ControllerStub(worker=None), known=[entry("w1", worker.port)]) as gate,
         ):
-            plug = Plug(gate.port)
+            plug = SocketClient(gate.port)
             plug.send(request())
             received = await gate.controller.next_event(RequestReceived)
             (connection,) = gate.listener.admission.connections
@@ -231,7 +231,7 @@
             gate.gateway._turn.run()
             assert not gate.gateway.requests.attempts and not gate.gateway.requests.open
             gate.controller.worker = "w1"
-            await next_is(worker, gate)
+            await assert_next_requests(worker, gate)
 
     run(scenario())
 
@@ -253,9 +253,9 @@
 
     async def scenario(worker, gate, client, dials):
         client.send(request(path="/book", key="k1", body=b"x", deadline=5000))
-        await dials.opened.wait()
+        await dials.started.wait()
         advance_pool_clock(gate, 1900.0)
-        dials.go.set()
+        dials.allowed.set()
         message, _ = await worker.next_request()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
@@ -273,7 +273,7 @@
             client = await gate.client()
             client.send(request(deadline=5000))
             _, writer = await worker.next_request()
-            writer.write(answer())
+            writer.write(http_response())
             assert (await client.read_response())[0] == 200
             advance_pool_clock(gate, 1900.0)
             client.send(request(deadline=5000))
@@ -286,9 +286,9 @@
 def test_attempt_during_a_shutdown_states_the_time_left_until_the_shutdown_deadline():
     async def scenario(worker, gate, client, dials):
         client.send(request(deadline=9000))
-        await dials.opened.wait()
+        await dials.started.wait()
         gate.gateway.shut_down_within(2000.0)
-        dials.go.set()
+        dials.allowed.set()
         message, _ = await worker.next_request()
         assert 0 < int(message.headers["x-deadline-ms"]) <= 2000
 
@@ -301,13 +301,13 @@
         received = await gate.controller.next_event(RequestReceived)
         gate.controller.next_actions = [StartAttempt(received.id, "w1", 4900.0)]
         gate.gateway.post_event(TimerFired("send"))
-        await dials.opened.wait()
+        await dials.started.wait()
         clock = gate.gateway.connection_pool._clock
         advance_pool_clock(gate, 4901.0)
-        dials.go.set()
+        dials.allowed.set()
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         gate.gateway.connection_pool._clock, gate.controller.worker = clock, "w1"
-        await next_is(worker, gate)
+        await assert_next_requests(worker, gate)
 
     run_with_held_connections(scenario, ControllerStub(worker=None))
 
@@ -317,12 +317,12 @@
         body = b"x" * 70_000
         data = request(path="/debit", body=body, deadline=5000)
         client.send(data[:-1])
-        await dials.opened.wait()
+        await dials.started.wait()
         client.send(data[-1:])  # the body is complete before the connection is established
         while next(iter(gate.gateway.requests.open.values())).deadline_timer is None:
             await asyncio.sleep(0)
         advance_pool_clock(gate, 1900.0)
-        dials.go.set()
+        dials.allowed.set()
         message, _ = await worker.next_request()
         assert message.body == body and 0 < int(message.headers["x-deadline-ms"]) <= 3100
 
--- a/tests/gateway/upstream/test_own_shortage.py
+++ b/tests/gateway/upstream/test_own_shortage.py
@@ -8,11 +8,11 @@
 from support.fakes import (
     HOST,
     ControllerStub,
+    DelayedConnects,
     FakeWorker,
-    HeldDials,
     RunningGateway,
-    answer,
     entry,
+    http_response,
     listing,
     request,
     run,
@@ -39,7 +39,7 @@
     while True:
         message, writer = await worker.next_request()
         if message is not None:
-            asyncio.get_running_loop().call_later(ANSWER_DELAY_S, writer.write, answer())
+            asyncio.get_running_loop().call_later(ANSWER_DELAY_S, writer.write, http_response())
 
 
 def locally_owned_request():
@@ -109,8 +109,8 @@
         raise OSError(getattr(errno, error_name), "injected by the test")
 
     async def scenario(worker, gate, client):
-        dials = HeldDials(gate)
-        dials.go.set()
+        dials = DelayedConnects(gate)
+        dials.allowed.set()
         gate.gateway.connection_pool._loop.create_connection = staticmethod(refuse)
         client.send(request())
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
@@ -132,12 +132,12 @@
 def test_attempt_for_a_worker_that_has_left_service_does_not_count_as_its_failure(worker_state):
     async def scenario(worker, gate, client):
         if worker_state == "drained":
-            dials = HeldDials(gate)
+            dials = DelayedConnects(gate)
             client.send(request())
-            await dials.opened.wait()
+            await dials.started.wait()
             update = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
             gate.gateway.on_worker_list(parse_worker_list(update, "list"))
-            dials.go.set()
+            dials.allowed.set()
         else:
             gate.controller.worker = None
             client.send(request())
--- a/tests/gateway/upstream/test_what_may_have_run.py
+++ b/tests/gateway/upstream/test_what_may_have_run.py
@@ -3,7 +3,16 @@
 import asyncio
 
 import pytest
-from support.fakes import ControllerStub, FakeWorker, RunningGateway, answer, entry, request, reset, run
+from support.fakes import (
+    ControllerStub,
+    FakeWorker,
+    RunningGateway,
+    entry,
+    http_response,
+    request,
+    reset,
+    run,
+)
 from support.raw_client import read_response
 
 from plumpick.gateway.platform import Platform
@@ -22,10 +31,18 @@
 # For each case: the bytes that the worker sends, how it then ends the connection (None: it stays open), and
 # the result of the attempt.
 BROKEN_RESPONSES = {
-    "503 not run, whole": (answer(503, extra=NOT_RUN), None, AttemptResult.REJECTED_BY_WORKER),
-    "503 not run, cut in its body, reset": (answer(503, extra=NOT_RUN)[:-2], "reset", AttemptResult.RESET),
-    "503 not run, cut in its body, closed": (answer(503, extra=NOT_RUN)[:-2], "close", AttemptResult.RESET),
-    "503 not run, cut in its head": (answer(503, extra=NOT_RUN)[:30], "reset", AttemptResult.RESET),
+    "503 not run, whole": (http_response(503, extra=NOT_RUN), None, AttemptResult.REJECTED_BY_WORKER),
+    "503 not run, cut in its body, reset": (
+        http_response(503, extra=NOT_RUN)[:-2],
+        "reset",
+        AttemptResult.RESET,
+    ),
+    "503 not run, cut in its body, closed": (
+        http_response(503, extra=NOT_RUN)[:-2],
+        "close",
+        AttemptResult.RESET,
+    ),
+    "503 not run, cut in its head": (http_response(503, extra=NOT_RUN)[:30], "reset", AttemptResult.RESET),
     "nothing, reset": (b"", "reset", AttemptResult.RESET),
     "nothing, closed": (b"", "close", AttemptResult.RESET),
     "half a line, closed": (b"HTTP/1.", "close", AttemptResult.RESET),
@@ -36,7 +53,7 @@
         "close",
         AttemptResult.RESET,
     ),
-    "with length, a part, closed": (answer(body=b"whole")[:-2], "close", AttemptResult.RESET),
+    "with length, a part, closed": (http_response(body=b"whole")[:-2], "close", AttemptResult.RESET),
 }
 
 
@@ -162,12 +179,12 @@
                     reset(writer) if end == "reset" else writer.close()
                 if attempt_count == 2:
                     _, writer = await received.get()
-                    writer.write(answer(body=b"again"))
+                    writer.write(http_response(body=b"again"))
                 status, _, body = await client.read_response()
                 assert (status, body) == ((200, b"again") if attempt_count == 2 else (502, b""))
                 client.send(locally_owned_request("/look"))  # the workers get no other request in between
                 name, writer = await received.get()
-                writer.write(answer(body=b"next"))
+                writer.write(http_response(body=b"next"))
                 assert (await client.read_response())[2] == b"next"
                 for task in tasks:
                     task.cancel()
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -18,15 +18,16 @@
 from plumpick.policy.events import AttemptCompleted, RequestReceived
 
 HOST = "127.0.0.1"
-PATIENCE_S = 30.0  # time limit of one scenario, which only a scenario that hangs exceeds
+SCENARIO_TIMEOUT_S = 30.0  # time limit of one scenario, which only a hung scenario exceeds
 
 
 def run(scenario):
     """Run a scenario on a new event loop of the kind that the gateway uses."""
-    uvloop.run(asyncio.wait_for(scenario, PATIENCE_S))
+    uvloop.run(asyncio.wait_for(scenario, SCENARIO_TIMEOUT_S))
 
 
 def settings(**limits):
+    """The policy settings of a gateway; `limits` replaces or adds keys of its limits."""
     return {
         "balancers": 3,
         "myNumber": 0,
@@ -60,6 +61,7 @@
 
 
 def entry(name, port, status="ready", since_ms=0):
+    """One endpoint of an endpoint list, in the JSON form of discovery."""
     return {
         "name": name,
         "address": f"{HOST}:{port}",
@@ -73,6 +75,7 @@
 
 
 def listing(*entries, index=1, snapshot=True):
+    """An endpoint list in the JSON form of discovery: a snapshot of all endpoints, or a delta."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
@@ -131,16 +134,16 @@
     def __init__(self, controller=None, **more):
         self.controller = controller
         self.gateway = Gateway(parse_config(config(**more), {}), asyncio.get_running_loop(), controller)
-        config_here = self.gateway.config
+        gateway_config = self.gateway.config
         self.listener = HttpListener(
             self.gateway,
-            config_here.settings,
-            config_here.sockets,
+            gateway_config.settings,
+            gateway_config.sockets,
             Platform().has_peer_closed,
             Platform().has_no_unread_input,
         )
         self.gateway.add_listener(self.listener)
-        self.gateway.on_worker_list(config_here.known)
+        self.gateway.on_worker_list(gateway_config.known)
         self.server = None
 
     async def __aenter__(self):
@@ -179,7 +182,7 @@
 
     def __init__(self, parser_kind):
         self.parser = parser_kind(self)
-        self.headers, self.body, self.url, self.whole = {}, b"", b"", False
+        self.headers, self.body, self.url, self.is_complete = {}, b"", b"", False
 
     def on_url(self, url):
         self.url += url
@@ -191,14 +194,14 @@
         self.body += part
 
     def on_message_complete(self):
-        self.whole = True
+        self.is_complete = True
 
 
 async def read_message(reader, parser_kind):
-    """Read the next message; None at the end of the connection. Reads single bytes, so that no byte of the
-    following message is consumed."""
+    """Read the next HTTP message and return it, or None at the end of the connection. Reads single bytes, so
+    that no byte of the following message is consumed."""
     message = Message(parser_kind)
-    while not message.whole:
+    while not message.is_complete:
         data = await reader.read(1)
         if not data:
             return None
@@ -223,6 +226,7 @@
         return message and (message.parser.get_status_code(), message.headers, message.body)
 
     async def wait_for_end(self):
+        """Wait for the end of the connection; whether it ended by a reset or without further data."""
         try:
             return await self.reader.read() == b""
         except ConnectionError:
@@ -233,7 +237,7 @@
 
 
 class FakeWorker:
-    """A fake worker; `next_request()` returns the next request and the writer for its response."""
+    """A fake worker, whose requests the test answers itself. `connections`: number of accepted connections."""
 
     def __init__(self):
         self.requests, self.connections, self.port = asyncio.Queue(), 0, 0
@@ -260,17 +264,19 @@
         await self.requests.put((None, reader, writer))  # the connection has ended
 
     async def next_request(self):
+        """The next request and the writer for its response; None and the writer when a connection ends."""
         message, _, writer = await self.requests.get()
         return message, writer
 
 
-def answer(status=200, body=b"done", extra=""):
+def http_response(status=200, body=b"done", extra=""):
+    """The bytes of an HTTP response; `extra`: further header lines, each with its line end."""
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra}\r\n".encode() + body
 
 
 class FakeDiscovery:
     """A fake discovery service that passes each call to the test, which writes the response itself. `port`:
-    the port to listen at, 0 for a free one."""
+    number of the port to listen on, 0 for a free port."""
 
     def __init__(self, port=0):
         self.calls, self.port = asyncio.Queue(), port
@@ -291,30 +297,33 @@
             pass
 
     async def next_call(self):
+        """The target of the next call and the writer for its response."""
         return await self.calls.get()
 
 
-def told(value):
-    return answer(body=json.dumps(value).encode())
+def json_response(value):
+    """The bytes of an HTTP response whose body is the value as JSON."""
+    return http_response(body=json.dumps(value).encode())
 
 
 def reset(writer):
-    """Reset the connection after the bytes that the system has already received for sending."""
-    with socket.socket(fileno=os.dup(writer.transport.get_extra_info("socket").fileno())) as plug:
-        plug.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+    """Reset the connection behind the bytes that the operating system has already accepted for sending."""
+    with socket.socket(fileno=os.dup(writer.transport.get_extra_info("socket").fileno())) as connection:
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.close()
 
 
-class HeldDials:
-    """Delays connections to workers until `go` is set; `opened` is set when a connection is attempted."""
+class DelayedConnects:
+    """Delays the gateway's connections to workers until `allowed` is set. `started`: set when the gateway
+    starts to connect."""
 
     def __init__(self, gate):
         loop = asyncio.get_running_loop()
-        self.opened, self.go = asyncio.Event(), asyncio.Event()
+        self.started, self.allowed = asyncio.Event(), asyncio.Event()
 
-        async def slow(factory, host, port):
-            self.opened.set()
-            await self.go.wait()
+        async def delayed_connect(factory, host, port):
+            self.started.set()
+            await self.allowed.wait()
             return await loop.create_connection(factory, host, port)
 
         gate.gateway.connection_pool._loop = type(
@@ -322,13 +331,13 @@
             (),
             {
                 "create_task": staticmethod(loop.create_task),
-                "create_connection": staticmethod(slow),
+                "create_connection": staticmethod(delayed_connect),
                 "call_soon": staticmethod(loop.call_soon),
             },
         )
 
 
-async def next_is(worker, gate):
+async def assert_next_requests(worker, gate):
     """Assert that the worker receives the requests of a new client next, so that nothing was sent before
     them. Five requests are sent because the worker may read an earlier one on another connection a little
     later."""
@@ -337,30 +346,31 @@
         name = f"{0xFF00 + number:016x}"
         client.send(request(name))
         message, writer = await worker.next_request()
-        while message is None:  # the end of a connection that nothing was written to
+        while message is None:  # the end of a connection without a request
             message, writer = await worker.next_request()
-        assert message.headers["x-request-id"] == name, "something else went out before"
-        writer.write(answer())
+        assert message.headers["x-request-id"] == name, "the worker received another request first"
+        writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
 
-class Plug:
+class SocketClient:
     """A client on a plain socket, which distinguishes a normal end from a reset and sends without the event
-    loop. `room`: size of its receive buffer in bytes, for a client that reads slowly."""
+    loop. `receive_buffer_bytes`: size of the receive buffer, for a client that reads slowly; 0 for the
+    default size."""
 
-    def __init__(self, port, room=0):
-        self.plug = socket.socket()
-        if room:
-            self.plug.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
-        self.plug.connect((HOST, port))
+    def __init__(self, port, receive_buffer_bytes=0):
+        self.connection = socket.socket()
+        if receive_buffer_bytes:
+            self.connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
+        self.connection.connect((HOST, port))
 
     def send(self, data):
-        self.plug.sendall(data)
+        self.connection.sendall(data)
 
     async def receive(self, size=65536):
         """The next bytes received; empty at a normal end. Raises ConnectionResetError."""
-        self.plug.setblocking(False)
-        return await asyncio.get_running_loop().sock_recv(self.plug, size)
+        self.connection.setblocking(False)
+        return await asyncio.get_running_loop().sock_recv(self.connection, size)
 
     def close(self):
-        self.plug.close()
+        self.connection.close()
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -10,8 +10,8 @@
 from support.fakes import (
     HOST,
     Client,
+    json_response,
     listing,
-    told,
 )
 
 ROOT = pathlib.Path(__file__).parents[2]
@@ -48,15 +48,15 @@
             await asyncio.sleep(0)
             continue
         try:
-            told = await client.send(UP).read_response()
+            response = await client.send(UP).read_response()
         except ConnectionError:
             continue
         client.close()
-        if told and told[0] == 200:
+        if response and response[0] == 200:
             return
 
 
 async def tell_list(fake, *entries):
     """Answer the first call of discovery with the complete list, and leave the following watch open."""
     _, writer = await fake.next_call()
-    writer.write(told(listing(*entries)))
+    writer.write(json_response(listing(*entries)))
--- a/tests/support/raw_client.py
+++ b/tests/support/raw_client.py
@@ -35,11 +35,11 @@
     whether it is complete."""
     message = Message(httptools.HttpResponseParser)
     try:
-        while not message.whole:
+        while not message.is_complete:
             data = await reader.read(2**18)
             if not data:
                 break
             message.parser.feed_data(data)
     except ConnectionError:
         pass
-    return message.parser.get_status_code(), message.headers, message.body, message.whole
+    return message.parser.get_status_code(), message.headers, message.body, message.is_complete
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from support.fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, request, run
+from support.fakes import HOST, Client, FakeDiscovery, FakeWorker, config, entry, http_response, request, run
 from support.processes import free_port, start, tell_list, until_up
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE, main
@@ -83,7 +83,7 @@
                 client = await Client().open(port)
                 client.send(request())
                 _, writer = await worker.next_request()
-                writer.write(answer())
+                writer.write(http_response())
                 assert (await client.read_response())[0] == 200
                 client.close()
                 process.terminate()
