--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -303,7 +303,7 @@
         )
         process = await start(path, module)
         self.processes.append(process)
-        _, writer = await await_while_running(process, self.fake.called())
+        _, writer = await await_while_running(process, self.fake.next_call())
         writer.write(json_response(listing(entry("w1", self.worker.port))))
         while True:
             try:
