--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -237,7 +237,7 @@
 
 
 class FakeWorker:
-    """A fake worker, whose requests the test answers itself. `connections`: number of accepted connections."""
+    """A fake worker whose requests the test answers. `connections`: number of connections accepted."""
 
     def __init__(self):
         self.requests, self.connections, self.port = asyncio.Queue(), 0, 0
