--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -1,4 +1,4 @@
-"""The gatekeeper against small fakes: requests, attempts and their outcomes. The module is scripted."""
+"""The gateway with fake clients and workers: requests, attempts and their outcomes. A stub replaces the policy."""
 
 import asyncio
 import gc
@@ -44,36 +44,36 @@
 
 
 def one_worker(scenario, **controller):
-    """Run a scenario with one worker, w1, one gatekeeper and one client."""
+    """Run a scenario with one worker, w1, one gateway with a controller stub, and one client."""
 
-    async def whole():
+    async def run_scenario():
         async with (
             FakeWorker() as worker,
             RunningGateway(ControllerStub(**controller), known=[entry("w1", worker.port)]) as gate,
         ):
             await scenario(worker, gate, await gate.client())
 
-    run(whole())
+    run(run_scenario())
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged():
+def test_request_and_response_are_forwarded_unchanged():
     async def scenario(worker, gate, client):
-        now = gate.gateway.clock.now()  # held, so that what is left is all that the client gave
+        now = gate.gateway.clock.now()  # stopped, so that the deadline is forwarded as the client set it
         gate.gateway.clock = gate.gateway.connection_pool._clock = type(
-            "Held", (), {"now": staticmethod(lambda: now)}
+            "StoppedClock", (), {"now": staticmethod(lambda: now)}
         )
         client.send(request("00000000000000ab", "/book/7?x=%20y", key="k1", body=b"\x00\r\nbody"))
-        asked, writer = await worker.next_request()
-        assert (asked.parser.get_method(), asked.url) == (b"POST", b"/book/7?x=%20y")
-        assert asked.body == b"\x00\r\nbody" and asked.headers["x-request-id"] == "00000000000000ab"
-        assert asked.headers["idempotency-key"] == "k1" and asked.headers["x-deadline-ms"] == "10000"
+        message, writer = await worker.next_request()
+        assert (message.parser.get_method(), message.url) == (b"POST", b"/book/7?x=%20y")
+        assert message.body == b"\x00\r\nbody" and message.headers["x-request-id"] == "00000000000000ab"
+        assert message.headers["idempotency-key"] == "k1" and message.headers["x-deadline-ms"] == "10000"
         writer.write(
             http_response(body=b"\x01\r\n\r\nanswer", extra='X-Load: {"util":0.5,"latency_ms":7}\r\n')
         )
         status, _, body = await client.read_response()
         assert (status, body) == (200, b"\x01\r\n\r\nanswer")
-        came = await gate.controller.next_event(RequestReceived)
-        assert (came.class_name, came.plan_name, came.gateway_set_size) == ("book", "basic", 2)
+        received = await gate.controller.next_event(RequestReceived)
+        assert (received.class_name, received.plan_name, received.gateway_set_size) == ("book", "basic", 2)
         outcome = await gate.controller.next_event(AttemptCompleted)
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
         assert not gate.gateway.requests.open and not gate.gateway.requests.attempts
@@ -81,8 +81,8 @@
     one_worker(scenario)
 
 
-def test_connections_are_kept_and_used_again(monkeypatch):
-    """Seen on the first calm day: keep-alive was asked of the parser too late, and none was kept."""
+def test_worker_connection_is_reused(monkeypatch):
+    """Guards against asking the HTTP parser for keep-alive too late, so that no connection was kept."""
     monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.REUSE_DELAY_MS", 0.0)
 
     async def scenario(worker, gate, client):
@@ -96,7 +96,7 @@
     one_worker(scenario)
 
 
-def test_a_clients_connection_close_is_kept():
+def test_connection_close_of_client_is_honoured():
     async def scenario(worker, gate, client):
         client.send(request(extra="Connection: close\r\n"))
         _, writer = await worker.next_request()
@@ -121,7 +121,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", AttemptResult.RESET),
     ],
 )
-def test_outcomes_follow_the_protocol_and_none_is_passed_on_as_it_is(reply, result):
+def test_failed_attempt_has_documented_result_and_its_response_is_not_forwarded(reply, result):
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -136,7 +136,7 @@
     one_worker(scenario)
 
 
-def test_a_refused_connection_could_not_connect():
+def test_refused_connection_is_reported_as_connect_failed():
     async def scenario():
         async with FakeWorker() as worker:
             port = worker.port
@@ -148,19 +148,20 @@
     run(scenario())
 
 
-def test_a_large_request_that_was_never_whole_at_the_worker_could_not_connect():
-    """What the worker closes on while a part of it is still here has not run."""
+def test_close_before_request_was_fully_sent_is_reported_as_connect_failed():
+    """A worker that closes the connection while the gateway still holds a part of the request cannot have
+    run it."""
 
     async def scenario():
         started = asyncio.Event()
 
-        async def deaf(reader, writer):
+        async def accept_without_reading(reader, writer):
             writer.transport.pause_reading()
             started.writer = writer
             started.set()
 
         loop = asyncio.get_running_loop()
-        server = await asyncio.start_server(deaf, HOST, 0, limit=1)
+        server = await asyncio.start_server(accept_without_reading, HOST, 0, limit=1)
         async with RunningGateway(
             ControllerStub(), known=[entry("w1", server.sockets[0].getsockname()[1])]
         ) as gate:
@@ -172,7 +173,7 @@
             (attempt,) = gate.gateway.requests.attempts.values()
             while attempt.connection is None:
                 await asyncio.sleep(0)
-            attempt.connection.pause_writing()  # as the transport tells it while bytes are left
+            attempt.connection.pause_writing()  # the transport calls this while it holds unsent bytes
             loop.call_soon(started.writer.transport.abort)
             assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.CONNECT_FAILED
         server.close()
@@ -180,7 +181,7 @@
     run(scenario())
 
 
-def test_an_attempt_for_a_worker_that_is_not_known_is_not_started():
+def test_attempt_at_unknown_worker_is_not_started():
     async def scenario(worker, gate, client):
         assert (await client.send(request()).read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
@@ -188,7 +189,7 @@
     one_worker(scenario, worker="w9")
 
 
-def test_a_silent_worker_times_out_and_its_connection_ends():
+def test_unresponsive_worker_times_out_and_its_connection_is_closed():
     async def scenario(worker, gate, client):
         client.send(request())
         assert (await worker.next_request())[0] is not None
@@ -199,18 +200,21 @@
     one_worker(scenario, timeout_ms=30.0)
 
 
-def test_a_connection_that_never_comes_up_is_given_up(monkeypatch):
+def test_connect_attempt_times_out(monkeypatch):
     async def scenario():
         loop = asyncio.get_running_loop()
         async with RunningGateway(ControllerStub(), known=[entry("w1", 9)]) as gate:
 
-            async def never(*_):
+            async def connect_forever(*_):
                 await loop.create_future()
 
             gate.gateway.connection_pool._loop = type(
                 "Loop",
                 (),
-                {"create_task": staticmethod(loop.create_task), "create_connection": staticmethod(never)},
+                {
+                    "create_task": staticmethod(loop.create_task),
+                    "create_connection": staticmethod(connect_forever),
+                },
             )
             client = await gate.client()
             assert (await client.send(request()).read_response())[0] == 502
@@ -220,12 +224,12 @@
     run(scenario())
 
 
-def test_a_cancelled_attempt_closes_its_connection_and_a_late_answer_is_dropped():
+def test_cancelled_attempt_closes_its_connection_and_late_response_is_dropped():
     async def scenario(worker, gate, client):
         client.send(request("0000000000000001"))
         _, writer = await worker.next_request()
-        came = await gate.controller.next_event(RequestReceived)
-        gate.controller.next_actions = [RejectRequest(came.id, 250.0), CancelAttempt(came.id, 0)]
+        received = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [RejectRequest(received.id, 250.0), CancelAttempt(received.id, 0)]
         gate.gateway.post_event(TimerFired("now"))
         status, headers, _ = await client.read_response()
         assert status == 503 and headers["retry-after"] == "0.250"
@@ -240,12 +244,12 @@
     one_worker(scenario)
 
 
-def test_of_two_copies_the_first_answer_counts():
+def test_first_response_of_two_attempts_is_forwarded():
     async def scenario(worker, gate, client):
         client.send(request())
         _, first = await worker.next_request()
-        came = await gate.controller.next_event(RequestReceived)
-        gate.controller.next_actions = [StartAttempt(came.id, "w1", 9000.0)]
+        received = await gate.controller.next_event(RequestReceived)
+        gate.controller.next_actions = [StartAttempt(received.id, "w1", 9000.0)]
         gate.gateway.post_event(TimerFired("hedge"))
         _, second = await worker.next_request()
         second.write(http_response(body=b"second"))
@@ -261,7 +265,7 @@
     one_worker(scenario)
 
 
-def test_a_send_for_a_request_that_has_ended_is_moot():
+def test_attempt_for_finished_request_is_not_started():
     async def scenario(worker, gate, client):
         gate.controller.next_actions = [StartAttempt(77, "w1", 100.0)]
         gate.gateway.post_event(TimerFired("late"))
@@ -272,36 +276,39 @@
     one_worker(scenario)
 
 
-def test_a_client_that_leaves_is_told_to_the_module():
+def test_client_disconnect_is_reported_to_policy():
     async def scenario(worker, gate, client):
         client.send(request())
         await worker.next_request()
-        came = await gate.controller.next_event(RequestReceived)
+        received = await gate.controller.next_event(RequestReceived)
         client.close()
         assert (
             await gate.controller.next_event(ClientDisconnected)
-        ).id == came.id and not gate.gateway.requests.open
+        ).id == received.id and not gate.gateway.requests.open
 
     one_worker(scenario)
 
 
-def test_the_last_guard_answers_before_the_deadline():
+def test_request_without_decision_gets_504_before_its_deadline():
     async def scenario(worker, gate, client):
         status, _, _ = await client.send(request(deadline=60)).read_response()
         assert status == 504
-        came = await gate.controller.next_event(RequestReceived)
-        assert (await gate.controller.next_event(ClientDisconnected)).id == came.id
+        received = await gate.controller.next_event(RequestReceived)
+        assert (await gate.controller.next_event(ClientDisconnected)).id == received.id
 
     one_worker(scenario, worker=None)
 
 
-def test_wake_ups_due_within_one_tick_take_one_turn_and_are_never_early():
-    """Seen in a profile of a calm day: timers fired 1723 times in 3686 turns of the module."""
+def test_timers_within_one_tick_share_a_wake_up_and_never_fire_early():
+    """Guards against a separate policy turn for each timer: a profile under normal load showed 1723 timers
+    firing in 3686 turns."""
 
     async def scenario(worker, gate, client):
         gateway, times = gate.gateway, []
-        gateway.clock = type("Still", (), {"now": staticmethod(lambda: 4_000_000.0)})
-        gateway.timers = type("Kept", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))})
+        gateway.clock = type("StoppedClock", (), {"now": staticmethod(lambda: 4_000_000.0)})
+        gateway.timers = type(
+            "RecordedTimers", (), {"call_at": staticmethod(lambda at_ms, call: times.append(at_ms))}
+        )
         for after_ms in (0.0, 0.5, 4.0, 4.5):
             gateway._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
@@ -309,7 +316,7 @@
     one_worker(scenario)
 
 
-def test_the_guard_answers_though_the_module_fails():
+def test_request_gets_504_when_policy_raises():
     async def scenario(worker, gate, client):
         gate.controller.handle = lambda now, events: 1 / 0
         assert (await client.send(request(deadline=60)).read_response())[0] == 504
@@ -321,7 +328,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\ndone",
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndone\r\n0\r\n\r\n",
@@ -335,7 +342,7 @@
     ids=[
         "two lengths",
         "length and chunks",
-        "below nothing",
+        "negative length",
         "3 GB",
         "chunks",
         "1xx",
@@ -343,15 +350,15 @@
         "upgrade",
     ],
 )
-def test_a_spoilt_answer_is_a_failed_attempt_and_its_connection_ends(spoilt):
+def test_malformed_response_fails_attempt_and_closes_connection(malformed):
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
-        writer.write(spoilt)
+        writer.write(malformed)
         outcome = asyncio.ensure_future(gate.controller.next_event(AttemptCompleted))
-        while not outcome.done():  # an answer of 1xx without end goes on coming
-            if spoilt.startswith(b"HTTP/1.1 10") and not writer.is_closing():
-                writer.write(spoilt)
+        while not outcome.done():  # interim responses (1xx) are sent without end
+            if malformed.startswith(b"HTTP/1.1 10") and not writer.is_closing():
+                writer.write(malformed)
             await asyncio.sleep(0)
         assert outcome.result().result is AttemptResult.ERROR
         assert (await client.read_response())[0] == 502
@@ -360,15 +367,15 @@
     one_worker(scenario)
 
 
-def test_what_waits_on_a_kept_connection_is_not_taken_for_the_next_answer():
-    """The second copy is there, and the loop has not read it, when the next request goes out."""
+def test_unread_data_on_idle_connection_is_not_taken_for_next_response():
+    """The duplicate response has arrived, but the event loop has not read it when the next request is sent."""
 
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         workers = gate.gateway.connection_pool
         (connection,) = workers._workers["w1"].idle
         connection.idle_since_ms -= REUSE_DELAY_MS
-        connection.transport.pause_reading()  # as if the loop had not come to it
+        connection.transport.pause_reading()  # simulates an event loop that has not read it yet
         writer.write(http_response(body=b"twice"))
         while connection.has_no_unread_input():
             await asyncio.sleep(0)
@@ -381,8 +388,9 @@
     one_worker(scenario)
 
 
-def test_a_connection_rests_before_it_is_used_again():
-    """What a worker sends right behind its answer may come a moment later."""
+def test_connection_is_not_reused_before_reuse_delay():
+    """A worker's unsolicited data behind a response may arrive some milliseconds later, so that a connection
+    is reused only after a delay."""
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
@@ -395,8 +403,9 @@
     one_worker(scenario)
 
 
-def test_a_second_answer_some_milliseconds_behind_the_first_is_not_the_answer_to_the_next_request():
-    """It passed for it where the connection was used again after 2 ms; nothing in HTTP ties the two."""
+def test_delayed_duplicate_response_is_not_taken_for_next_response():
+    """HTTP/1.1 does not tie a response to its request: with a reuse delay of 2 ms, a worker's duplicate response
+    was taken for the response to the next request on the connection."""
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -404,7 +413,7 @@
         writer.write(http_response(body=b"first"))
         assert (await client.read_response())[2] == b"first"
         (connection,) = gate.gateway.connection_pool._workers["w1"].idle
-        connection.idle_since_ms = gate.gateway.clock.now() - 10.0  # so long ago
+        connection.idle_since_ms = gate.gateway.clock.now() - 10.0
         client.send(request())
         message, other = await worker.next_request()
         assert other is not writer  # on another connection
@@ -417,7 +426,7 @@
     one_worker(scenario)
 
 
-def test_where_many_rest_the_one_that_has_rested_longest_serves_and_connections_stay_few():
+def test_longest_idle_connection_is_reused_early_when_many_are_idle():
     async def scenario(worker, gate, client):
         clients = [client] + [await gate.client() for _ in range(MAX_RESTING_CONNECTIONS - 1)]
         for one in clients:
@@ -435,13 +444,13 @@
         assert workers._reusable_connection(mine, now) is oldest
         oldest.idle_since_ms = now - MIN_REUSE_DELAY_MS / 2
         mine.idle[:] = [oldest] * MAX_RESTING_CONNECTIONS
-        assert workers._reusable_connection(mine, now) is None  # right behind an answer none is used again
+        assert workers._reusable_connection(mine, now) is None  # below the minimum reuse delay
         mine.idle[:] = []
 
     one_worker(scenario)
 
 
-def test_what_comes_behind_a_good_answer_changes_nothing_of_it():
+def test_data_after_response_does_not_change_its_outcome():
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -457,16 +466,16 @@
     one_worker(scenario)
 
 
-def test_a_new_worker_at_the_address_of_an_old_one_takes_its_place():
-    """Else what is sent under the old name comes to the new process, on connections of the old one."""
+def test_new_worker_at_known_address_replaces_old_worker():
+    """Otherwise a request for the old worker would reach the new process at the same address."""
 
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         await gate.controller.next_event(EndpointsUpdated)
-        news = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
-        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
-        fleet = await gate.controller.next_event(EndpointsUpdated)
-        assert [(one.id, one.state) for one in fleet.endpoints] == [
+        delta = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
+        gate.gateway.on_worker_list(parse_worker_list(delta, "list"))
+        update = await gate.controller.next_event(EndpointsUpdated)
+        assert [(one.id, one.state) for one in update.endpoints] == [
             ("w2", EndpointState.READY),
             ("w1", EndpointState.GONE),
         ]
@@ -488,7 +497,7 @@
     return writer
 
 
-def test_an_idle_connection_that_ends_is_dropped_at_once():
+def test_idle_connection_closed_by_worker_is_dropped():
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
         writer.close()
@@ -501,7 +510,7 @@
     one_worker(scenario)
 
 
-def test_what_comes_unasked_ends_the_connection():
+def test_unsolicited_response_closes_connection():
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -514,7 +523,7 @@
     one_worker(scenario)
 
 
-def test_an_interim_answer_is_not_the_answer():
+def test_interim_response_is_skipped():
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -528,32 +537,32 @@
 def test_listed_drain_or_restart_closes_idle_connections(change):
     async def scenario(worker, gate, client):
         await exchange(worker, client)
-        news = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
-        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
+        delta = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
+        gate.gateway.on_worker_list(parse_worker_list(delta, "list"))
         assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
 
 
-def test_a_worker_absent_from_a_whole_list_gets_nothing_more():
+def test_worker_absent_from_snapshot_receives_no_more_requests():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.next_request())[0] is None
         assert (await client.send(request()).read_response())[0] == 502
-        fleets = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
-        assert fleets[1] == EndpointsUpdated((), is_snapshot=True)
+        updates = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
+        assert updates[1] == EndpointsUpdated((), is_snapshot=True)
 
     one_worker(scenario)
 
 
-def test_an_attempt_that_waits_for_a_connection_is_not_written_after_word_of_a_drain():
+def test_attempt_waiting_for_connection_is_not_started_once_worker_drains():
     async def scenario(worker, gate, client):
-        loop, opened, go = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
+        loop, started, allowed = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
 
-        async def slow(factory, host, port):
-            opened.set()
-            await go.wait()
+        async def delayed_connect(factory, host, port):
+            started.set()
+            await allowed.wait()
             return await loop.create_connection(factory, host, port)
 
         gate.gateway.connection_pool._loop = type(
@@ -561,15 +570,15 @@
             (),
             {
                 "create_task": staticmethod(loop.create_task),
-                "create_connection": staticmethod(slow),
+                "create_connection": staticmethod(delayed_connect),
                 "call_soon": staticmethod(loop.call_soon),
             },
         )
         client.send(request())
-        await opened.wait()
-        news = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
-        gate.gateway.on_worker_list(parse_worker_list(news, "list"))
-        go.set()
+        await started.wait()
+        delta = listing(entry("w1", worker.port, "draining"), index=2, snapshot=False)
+        gate.gateway.on_worker_list(parse_worker_list(delta, "list"))
+        allowed.set()
         assert (await client.read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
@@ -577,7 +586,7 @@
     one_worker(scenario)
 
 
-def test_the_connections_to_one_worker_are_capped(monkeypatch):
+def test_connections_per_worker_are_limited(monkeypatch):
     monkeypatch.setattr("plumpick.gateway.upstream.connection_pool.MAX_CONNECTIONS_PER_WORKER", 1)
 
     async def scenario(worker, gate, client):
@@ -591,13 +600,13 @@
     one_worker(scenario)
 
 
-def test_connections_are_closed_well_before_the_worker_would():
+def test_idle_connection_is_closed_before_idle_timeout_of_worker():
     async def scenario(worker, gate, client):
         await exchange(worker, client)
         workers = gate.gateway.connection_pool
         now = workers._clock.now()
         workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
-        workers._sweep()  # of 30 s the worker allows, 18 s less a sweep are used
+        workers._sweep()  # the gateway uses 18 s of the worker's 30 s, less one sweep interval
         assert (await worker.next_request())[0] is None
 
     one_worker(scenario)
@@ -617,7 +626,7 @@
         '{"util":1e999,"latency_ms":1}',
     ],
 )
-def test_a_load_report_that_cannot_be_read_is_none(text):
+def test_malformed_load_report_is_ignored(text):
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -628,32 +637,35 @@
     one_worker(scenario)
 
 
-# ---- what clients send --------------------------------------------------------------------------
+# ---- requests of clients ------------------------------------------------------------------------
 
 
-BAD = {
+MALFORMED_REQUESTS = {
     "noise": (b"\x00\x01\x02 what\r\n\r\n", 400),
     "no id": (request().replace(b"X-Request-Id", b"X-Other"), 400),
     "two ids": (request(extra="X-Request-Id: 00000000000000ff\r\n"), 400),
     "deadline": (request(deadline="soon"), 400),
-    "deadline below nothing": (request(deadline=-5), 400),
+    "negative deadline": (request(deadline=-5), 400),
     "units": (request().replace(b"units=1", b"units=x"), 400),
     "units not a number": (request().replace(b"units=1", b"units=nan"), 400),
     "spread": (request().replace(b"spread=2", b"spread=9"), 400),
     "first": (request().replace(b"first=0", b"first=-1"), 400),
-    "keyed without a key": (request(path="/book", body=b"x"), 400),
-    "length below nothing": (request(body=b"x").replace(b"Length: 1", b"Length: -1"), 400),
+    "missing idempotency key": (request(path="/book", body=b"x"), 400),
+    "negative length": (request(body=b"x").replace(b"Length: 1", b"Length: -1"), 400),
     "length and chunks": (request(body=b"x", extra="Transfer-Encoding: chunked\r\n"), 400),
-    "length beyond all": (request(body=b"x").replace(b"Length: 1", b"Length: 9999999999999999"), 413),
-    "large body of no class": (request(path="/none", body=b"x").replace(b"Length: 1", b"Length: 65537"), 404),
+    "length above limit": (request(body=b"x").replace(b"Length: 1", b"Length: 9999999999999999"), 413),
+    "large body of unknown class": (
+        request(path="/none", body=b"x").replace(b"Length: 1", b"Length: 65537"),
+        404,
+    ),
     "large head": (request(extra="X-Filler: " + "x" * 40_000 + "\r\n"), 431),
     "head without end": (b"GET /look HTTP/1.1\r\nX-Filler: " + b"x" * 40_000, 431),
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_what_cannot_be_taken_gets_an_error_and_harms_no_other_connection(name):
-    data, status = BAD[name]
+@pytest.mark.parametrize("name", MALFORMED_REQUESTS)
+def test_malformed_request_gets_error_without_affecting_other_connections(name):
+    data, status = MALFORMED_REQUESTS[name]
 
     async def scenario(worker, gate, client):
         other = await gate.client()
@@ -667,22 +679,23 @@
     one_worker(scenario)
 
 
-def test_requests_that_come_behind_an_open_one_are_answered_in_their_order():
-    """They came in one piece; the second and third were answered 400 behind the first's answer."""
+def test_pipelined_requests_are_answered_in_order():
+    """Guards against a 400 for pipelined requests: requests received in one piece were rejected behind the first
+    response."""
 
     async def scenario(worker, gate, client):
         client.send(request(path="/look/1") + request(path="/look/2"))
         client.send(request(path="/look/3"))
         for number in (b"1", b"2", b"3"):
-            asked, writer = await worker.next_request()
-            assert asked.url == b"/look/" + number and worker.requests.empty()
+            message, writer = await worker.next_request()
+            assert message.url == b"/look/" + number and worker.requests.empty()
             writer.write(http_response(body=number))
             assert (await client.read_response())[::2] == (200, number)
 
     one_worker(scenario)
 
 
-def test_what_is_bad_behind_an_open_request_gets_its_error_after_the_answer():
+def test_error_for_pipelined_malformed_request_follows_response_of_open_request():
     async def scenario(worker, gate, client):
         client.send(request() + b"noise\r\n\r\n" + request())
         _, writer = await worker.next_request()
@@ -694,7 +707,7 @@
     one_worker(scenario)
 
 
-def test_requests_cut_anywhere_are_the_same_requests():
+def test_requests_split_at_any_byte_are_parsed():
     async def scenario(worker, gate, _client):
         for cut in range(0, len(request(path="/debit/1", body=b"one") + request(path="/look/2")), 3):
             data = request(path="/debit/1", body=b"one") + request(path="/look/2")
@@ -704,32 +717,33 @@
             await asyncio.sleep(0)
             client.send(data[cut:])
             for _ in range(2):
-                asked, writer = await worker.next_request()
-                while asked is None:
-                    asked, writer = await worker.next_request()
-                writer.write(http_response(body=asked.url))
+                message, writer = await worker.next_request()
+                while message is None:
+                    message, writer = await worker.next_request()
+                writer.write(http_response(body=message.url))
                 assert (await client.read_response())[0] == 200
             client.close()
 
     one_worker(scenario)
 
 
-def test_a_request_in_pieces_is_taken_whole():
+def test_request_received_byte_by_byte_is_parsed():
     async def scenario(worker, gate, client):
         for byte in request(path="/debit", body=b"piece"):
             client.send(bytes([byte]))
             await client.writer.drain()
             await asyncio.sleep(0)
-        asked, writer = await worker.next_request()
-        assert asked.body == b"piece"
+        message, writer = await worker.next_request()
+        assert message.body == b"piece"
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
     one_worker(scenario)
 
 
-def test_the_id_of_a_request_that_is_open_or_has_just_ended_is_turned_away():
-    """Seen with bad clients: such a request went on to a worker as a second copy of another's."""
+def test_id_of_open_or_recent_request_is_rejected():
+    """Guards against a request that reuses another request's id and is sent to a worker as an attempt of the
+    other."""
 
     async def scenario(worker, gate, client):
         other = await gate.client()
@@ -747,28 +761,28 @@
     one_worker(scenario)
 
 
-RUDE = {
+INVALID_REQUESTS = {
     "class": (request(path="/looks"), 404),
     "plan": (request().replace(b"basic", b"golden"), 400),
     "customer beyond 2^33": (request().replace(b"00000000b4d65521", b"10990c1ab00459d1"), 400),
-    "customer in other digits": (request().replace(b"00000000b4d65521", b"00000000b4d6552g"), 400),
+    "customer not hexadecimal": (request().replace(b"00000000b4d65521", b"00000000b4d6552g"), 400),
     "id": (request().replace(b"X-Request-Id: ", b"X-Request-Id: \x80"), 400),
-    "GET for what may not be repeated": (request(path="/debit"), 405),
-    "POST for what is safe": (request(body=b"x"), 405),
+    "GET for fragile class": (request(path="/debit"), 405),
+    "POST for retryable class": (request(body=b"x"), 405),
     "GET with a body": (request(extra="Content-Length: 1\r\n") + b"x", 400),
-    "key for what has none": (request(path="/debit", key="k", body=b"x"), 400),
-    "key": (request(path="/book", key="a b", body=b"x"), 400),
-    "units in other digits": (request().replace(b"units=1", b"units=1_0"), 400),
-    "units beyond the most": (request().replace(b"units=1", b"units=1e12"), 400),
+    "key for class without keys": (request(path="/debit", key="k", body=b"x"), 400),
+    "malformed key": (request(path="/book", key="a b", body=b"x"), 400),
+    "units with underscore": (request().replace(b"units=1", b"units=1_0"), 400),
+    "units above limit": (request().replace(b"units=1", b"units=1e12"), 400),
     "units twice": (request().replace(b"units=1", b"units=1,units=1"), 400),
-    "half a set": (request().replace(b"spread=2", b"spread=2.5"), 400),
-    "no set": (request().replace(b"spread=2,", b""), 400),
+    "fractional spread": (request().replace(b"spread=2", b"spread=2.5"), 400),
+    "no spread": (request().replace(b"spread=2,", b""), 400),
 }
 
 
-@pytest.mark.parametrize("name", RUDE)
-def test_what_has_another_form_is_turned_away_before_the_module_and_the_connection_may_stay(name):
-    data, status = RUDE[name]
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_invalid_request_is_rejected_before_policy_and_connection_stays_open(name):
+    data, status = INVALID_REQUESTS[name]
 
     async def scenario(worker, gate, client):
         assert (await client.send(data).read_response())[0] == status
@@ -782,7 +796,7 @@
 
 
 def test_each_rejected_request_doubles_the_delay_before_the_next_read():
-    """Each request that is turned away doubles the pause before the next is read; each error goes at once."""
+    """The error response itself is sent without delay, and the delay is at most 1000 ms."""
 
     async def scenario(worker, gate, client):
         gate.gateway.timers = timers = Timers(asyncio.get_running_loop(), gate.gateway.clock)
@@ -798,7 +812,7 @@
     one_worker(scenario)
 
 
-def test_bad_requests_behind_each_other_get_their_errors_in_order_and_no_more_than_a_few_wait():
+def test_pipelined_invalid_requests_get_errors_in_order_and_their_number_is_limited():
     async def scenario(worker, gate, client):
         client.send(request(path="/none") * 2 + request())
         assert [(await client.read_response())[0] for _ in range(2)] == [404, 404]
@@ -814,14 +828,14 @@
     one_worker(scenario)
 
 
-async def taken(gate, count):
-    """Wait until so many connections are known."""
+async def wait_for_connections(gate, count):
+    """Wait until the gateway has accepted at least `count` connections of clients."""
     while len(gate.listener.admission) < count:
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize(
-    "said, status",
+    "sent, status",
     [
         (b"", None),
         (b"\r\n\r\n\r\n", None),
@@ -829,33 +843,34 @@
         (request(body=b"half")[:-2], 408),
     ],
 )
-def test_client_without_complete_request_is_answered_or_closed_in_time(said, status):
-    """Within 3 s, sweep and all; it was 11 s for half a request, and for ever for silence."""
+def test_client_without_complete_request_is_answered_or_closed_in_time(sent, status):
+    """The limit is 3 s including the sweep interval. Guards against connections held for 11 s by half a
+    request, or without limit by a client that sends nothing."""
 
     async def scenario(worker, gate, client):
-        client.send(said)
-        while said.strip() and not any(one.incoming for one in gate.listener.admission.connections):
+        client.send(sent)
+        while sent.strip() and not any(one.incoming for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
-        await taken(gate, 1)
+        await wait_for_connections(gate, 1)
         advance_time(gate, 2000)
         (one,) = gate.listener.admission.connections
         assert not one.is_closing
         advance_time(gate, 3000 - SWEEP_INTERVAL_MS)
         try:
-            told = await client.read_response()
-        except ConnectionResetError:  # blank lines that were not read yet
-            told = None
-        assert (told and told[0]) == status and await client.wait_for_end()
+            response = await client.read_response()
+        except ConnectionResetError:  # the gateway closed before it read the blank lines
+            response = None
+        assert (response and response[0]) == status and await client.wait_for_end()
 
     one_worker(scenario)
 
 
-def test_trailers_and_chunk_extensions_are_bounded_and_say_nothing():
+def test_trailers_and_chunk_extensions_are_limited_and_ignored():
     async def scenario(worker, gate, client):
         head = request(path="/debit", extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST")
         client.send(head + b"1\r\nx\r\n0\r\nX-Tier: other\r\nIdempotency-Key: k\r\n\r\n")
-        asked, writer = await worker.next_request()
-        assert asked.body == b"x" and "idempotency-key" not in asked.headers
+        message, writer = await worker.next_request()
+        assert message.body == b"x" and "idempotency-key" not in message.headers
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
         client.send(head + b"0\r\n" + b"X-Tier: other\r\n" * 2000)
@@ -867,7 +882,7 @@
     one_worker(scenario)
 
 
-def test_an_error_reaches_a_client_that_sends_a_large_body_to_its_end():
+def test_error_reaches_client_that_goes_on_sending_large_body():
     async def scenario(worker, gate, client):
         client.send(request(path="/none", body=b"x").replace(b"Length: 1", b"Length: 60000000"))
         for _ in range(64):
@@ -878,7 +893,7 @@
     one_worker(scenario)
 
 
-def test_over_the_limit_the_refused_go_first_then_the_silent_then_the_idle_and_none_that_asked():
+def test_eviction_order_is_rejected_then_unused_then_idle_and_never_open_requests():
     async def scenario(worker, gate, client):
         admission = gate.listener.admission
         client.send(request())
@@ -888,21 +903,22 @@
         _, writer = await worker.next_request()
         writer.write(http_response())
         await other.read_response()
-        silent = [await gate.client() for _ in range(2)]
-        refused = (await gate.client()).send(b"noise\r\n\r\n")
-        assert (await refused.read_response())[0] == 400
-        for most, gone in ((4, refused), (3, silent[0]), (2, silent[1]), (1, idle), (0, None)):
-            admission.max_connections = most
+        unused = [await gate.client() for _ in range(2)]
+        rejected = (await gate.client()).send(b"noise\r\n\r\n")
+        assert (await rejected.read_response())[0] == 400
+        for limit, evicted in ((4, rejected), (3, unused[0]), (2, unused[1]), (1, idle), (0, None)):
+            admission.max_connections = limit
             admission.evict_excess(gate.gateway.clock.now() + 1000.0)
-            if gone is not None:
-                assert await gone.wait_for_end() and len(admission) == most
+            if evicted is not None:
+                assert await evicted.wait_for_end() and len(admission) == limit
         assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
     one_worker(scenario)
 
 
-def test_an_idle_connection_with_a_request_unread_on_it_is_not_closed():
-    """Seen in a rehearsal beside other work: four requests were lost with connections closed as idle."""
+def test_idle_connection_with_unread_request_is_not_closed():
+    """Guards against closing a connection as idle while a request waits unread on it: under CPU load, four
+    requests were lost in this way."""
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -910,7 +926,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
         (one,) = gate.listener.admission.connections
-        one.transport.pause_reading()  # as if the loop had not come to it
+        one.transport.pause_reading()  # simulates an event loop that has not read the request yet
         client.send(request())
         while Platform().has_no_unread_input(one.transport):
             await asyncio.sleep(0)
@@ -923,22 +939,23 @@
     one_worker(scenario)
 
 
-def test_hundreds_that_connect_at_once_do_not_keep_others_out():
+def test_simultaneous_connections_do_not_keep_new_client_out():
     async def scenario(worker, gate, client):
         admission = gate.listener.admission
-        await taken(gate, 1)
+        await wait_for_connections(gate, 1)
         crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
-        while True:  # at the very limit a new one is dropped, and comes again
-            asked = asyncio.ensure_future(worker.next_request())
-            gone = asyncio.ensure_future(late.wait_for_end())
-            await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
-            if asked.done():
+        while True:  # at the hard limit a new connection is closed, and the client connects again
+            received = asyncio.ensure_future(worker.next_request())
+            closed = asyncio.ensure_future(late.wait_for_end())
+            await asyncio.wait((received, closed), return_when=asyncio.FIRST_COMPLETED)
+            if received.done():
                 break
-            asked.cancel()
+            received.cancel()
             late = (await gate.client()).send(request())
-        gone.cancel()
-        # What comes at a stroke may take what no worker's connection needs; it goes once all are read.
+        closed.cancel()
+        # Simultaneous connections may use the descriptors that worker connections do not need, until all
+        # have been read.
         assert len(admission) <= admission.hard_max_connections + gate.gateway.spare_descriptors()
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
@@ -949,8 +966,9 @@
     one_worker(scenario)
 
 
-def test_idle_connections_beyond_those_kept_are_closed_after_a_while_the_longest_idle_first():
-    """Seen with clients that ask once and stay: they held all connections that clients may hold."""
+def test_longest_idle_connection_above_limit_is_closed_first():
+    """Guards against clients that send one request and stay connected: they used up the connection limit of
+    clients."""
 
     async def scenario(worker, gate, client):
         gate.listener.admission.max_long_idle = 1
@@ -971,8 +989,9 @@
     one_worker(scenario)
 
 
-def test_in_a_crowd_idle_connections_go_sooner():
-    """Seen: 128 that asked once came within 2 s and held all the connections that clients may hold."""
+def test_idle_connections_are_closed_sooner_when_crowded():
+    """Guards against many clients that send one request and stay connected: 128 of them within 2 s used up
+    the connection limit of clients."""
 
     async def scenario(worker, gate, client):
         gate.listener.admission.crowded_connections = 1
@@ -984,7 +1003,7 @@
             await one.read_response()
         advance_time(gate, 300)
         assert await client.wait_for_end()
-        client.close()  # it has heard our end; until then what it still sends is read and dropped
+        client.close()  # until the client closes too, the gateway reads and drops its data
         while len(gate.listener.admission) > 1:
             await asyncio.sleep(0)
         advance_time(gate, 300)
@@ -994,7 +1013,7 @@
     one_worker(scenario)
 
 
-def test_a_connection_that_has_ended_leaves_no_cycle_behind():
+def test_closed_connection_leaves_no_cycle():
     async def scenario(worker, gate, client):
         client.send(request())
         _, writer = await worker.next_request()
@@ -1013,25 +1032,25 @@
     one_worker(scenario)
 
 
-def test_what_comes_before_a_planned_end_is_answered_by_then():
+def test_request_during_shutdown_is_answered_before_planned_end():
     async def scenario(worker, gate, client):
         gate.gateway.shut_down_within(150.0)
-        began = gate.gateway.clock.now()
+        started_ms = gate.gateway.clock.now()
         client.send(request(deadline=10_000))
-        came = await gate.controller.next_event(RequestReceived)
-        assert came.deadline_ms < began + 150.0
+        received = await gate.controller.next_event(RequestReceived)
+        assert received.deadline_ms < started_ms + 150.0
         assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
     one_worker(scenario, worker=None)
 
 
-def test_readiness_is_told_only_when_ready():
+def test_readiness_check_succeeds_only_when_ready():
     async def scenario(worker, gate, client):
-        up = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+        readiness_check = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
         gate.gateway.is_ready = False
-        assert (await client.send(up).read_response())[0] == 503
+        assert (await client.send(readiness_check).read_response())[0] == 503
         gate.gateway.is_ready = True
-        assert (await client.send(up).read_response())[0] == 200
+        assert (await client.send(readiness_check).read_response())[0] == 200
 
     one_worker(scenario)
 
@@ -1051,12 +1070,12 @@
         ({"discovery": "h:70000"}, "discovery"),
     ],
 )
-def test_a_malformed_configuration_is_named(change, name):
+def test_malformed_configuration_error_names_key(change, name):
     value = config()
     value.update(change)
-    with pytest.raises(ValueError, match="config") as told:
+    with pytest.raises(ValueError, match="config") as error:
         parse_config(json.loads(json.dumps(value)), {})
-    assert name in str(told.value)
+    assert name in str(error.value)
 
 
 @pytest.mark.parametrize(
@@ -1071,27 +1090,27 @@
         (lambda value: value["classes"][2].pop("name"), "classes[2].name"),
     ],
 )
-def test_settings_that_cannot_be_served_are_named_by_their_key(change, key):
+def test_invalid_settings_error_names_key(change, key):
     value = config()
     change(value["settings"])
-    with pytest.raises(ValueError) as told:
+    with pytest.raises(ValueError) as error:
         parse_config(json.loads(json.dumps(value)), {})
-    assert key in str(told.value) and "\n" not in str(told.value)
+    assert key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_environment_stands_in_for_what_the_file_lacks():
+def test_environment_replaces_keys_missing_from_configuration():
     value = config()
     del value["name"], value["listen"], value["discovery"]
-    made = parse_config(
+    parsed = parse_config(
         value, {"BALANCER_NAME": "n7", "BALANCER_LISTEN": f"{HOST}:5", "BALANCER_DISCOVERY": f"{HOST}:6"}
     )
-    assert (made.name, made.listen, made.discovery) == ("n7", (HOST, 5), (HOST, 6))
+    assert (parsed.name, parsed.listen, parsed.discovery) == ("n7", (HOST, 5), (HOST, 6))
 
 
-def test_a_list_in_discoverys_form():
-    news = parse_worker_list(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
-    server = news.entries[0].server
-    assert (news.index, news.complete, news.entries[0].address) == (41, False, (HOST, 5000))
+def test_endpoint_list_is_parsed():
+    update = parse_worker_list(listing(entry("w1", 5000, "draining", 77), index=41, snapshot=False), "list")
+    server = update.entries[0].server
+    assert (update.index, update.complete, update.entries[0].address) == (41, False, (HOST, 5000))
     assert (server.id, server.zone, server.state, server.started_ms) == (
         "w1",
         "a",
@@ -1100,8 +1119,9 @@
     )
 
 
-def test_the_module_serves_a_request_from_end_to_end():
-    """The one scenario with the real module: arrival, quota, choice of worker, answer."""
+def test_policy_serves_request_end_to_end():
+    """The one scenario of this file with the real policy controller: request, quota, choice of worker and
+    response."""
 
     async def scenario():
         async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -87,7 +87,7 @@
     run(whole())
 
 
-def test_a_request_in_flight_is_answered_under_its_class_though_that_is_dropped():
+def test_open_request_is_answered_after_its_class_is_removed():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
         asked, writer = await worker.next_request()
@@ -108,7 +108,7 @@
     one_worker(scenario)
 
 
-def test_a_failed_attempt_after_the_change_is_judged_as_its_request_came():
+def test_open_request_is_retried_by_settings_of_its_arrival():
     """What may run twice when it came is tried again, and what may not is not."""
 
     async def scenario(worker, gate, client):
@@ -128,7 +128,7 @@
     one_worker(scenario)
 
 
-def test_a_request_right_behind_a_change_is_read_by_the_new_settings():
+def test_request_received_across_reconfiguration_uses_new_settings():
     """Half of it came before."""
 
     async def scenario(worker, gate, client):
@@ -146,7 +146,7 @@
     one_worker(scenario)
 
 
-def test_requests_in_one_write_on_both_sides_of_a_change_have_an_answer_each_in_order():
+def test_pipelined_requests_across_reconfiguration_are_answered_in_order():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000d1") + request("00000000000000d2", "/fresh"))
         _, writer = await worker.next_request()
@@ -161,7 +161,7 @@
     one_worker(scenario)
 
 
-def test_a_plan_that_appears_is_served_and_one_that_goes_is_refused():
+def test_added_plan_is_served_and_removed_plan_is_rejected():
     async def scenario(worker, gate, client):
         gold = request("00000000000000e1").replace(b"X-Tier: basic", b"X-Tier: gold")
         client.send(gold)
@@ -185,7 +185,7 @@
     one_worker(scenario)
 
 
-def test_a_body_that_goes_on_while_it_comes_goes_on_over_a_change():
+def test_streamed_bodies_continue_across_reconfiguration():
     async def scenario():
         async with RawWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             client, size = await gate.client(), 4 * MAX_BUFFERED_BODY_BYTES
@@ -270,7 +270,7 @@
     one_worker(scenario)
 
 
-def test_what_is_no_setting_of_the_module_cannot_change_either():
+def test_reconfiguration_rejects_changed_socket_limit():
     async def scenario(_worker, gate, _client):
         own = copy.copy(gate.gateway.config)
         object.__setattr__(own, "sockets", 7)
@@ -301,7 +301,7 @@
     one_worker(scenario)
 
 
-def test_the_ways_to_workers_go_by_the_new_figures():
+def test_worker_connections_use_new_settings():
     def change(value):
         value["report"]["fields"] = ["inflight"]
         value["limits"].update(dialTimeoutMs=77.0, connIdleMs=5000.0)
@@ -325,7 +325,7 @@
     one_worker(scenario)
 
 
-def test_fifty_changes_under_load_and_every_request_has_its_answer():
+def test_every_request_is_answered_during_fifty_reconfigurations():
     """Each changes classes and plans; connections are kept, and none is closed."""
 
     def ample(value):  # so that no quota refuses
@@ -385,7 +385,7 @@
     run(scenario())
 
 
-def test_a_change_after_we_were_told_to_end_is_harmless():
+def test_reconfiguration_during_shutdown_keeps_serving():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
@@ -405,7 +405,7 @@
     one_worker(scenario)
 
 
-def test_what_sigterm_leaves_time_for_goes_by_the_classes_in_force_and_what_is_open():
+def test_request_lifetimes_follow_current_classes_and_open_requests():
     def short(value):
         for row in value["classes"]:
             row.update(aimMs=200.0, deadlineMs=400.0)
@@ -428,7 +428,7 @@
     one_worker(scenario)
 
 
-def test_sigterm_asks_the_gatekeeper_for_its_deadlines(monkeypatch):
+def test_sigterm_uses_request_lifetimes_of_gateway(monkeypatch):
     """Not the configuration that it began with."""
     asked = []
 
