--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -1,4 +1,5 @@
-"""The gateway with fake clients and workers: requests, attempts and their outcomes. A stub replaces the policy."""
+"""The gateway with fake clients and workers: requests, attempts and their outcomes. A stub replaces the
+policy controller."""
 
 import asyncio
 import gc
@@ -368,7 +369,7 @@
 
 
 def test_unread_data_on_idle_connection_is_not_taken_for_next_response():
-    """The duplicate response has arrived, but the event loop has not read it when the next request is sent."""
+    """A duplicate response has arrived but is still unread when the next request is sent."""
 
     async def scenario(worker, gate, client):
         writer = await exchange(worker, client)
@@ -404,8 +405,8 @@
 
 
 def test_delayed_duplicate_response_is_not_taken_for_next_response():
-    """HTTP/1.1 does not tie a response to its request: with a reuse delay of 2 ms, a worker's duplicate response
-    was taken for the response to the next request on the connection."""
+    """HTTP/1.1 does not tie a response to its request: with a reuse delay of 2 ms, a worker's duplicate
+    response was taken for the response to the next request on the connection."""
 
     async def scenario(worker, gate, client):
         client.send(request())
@@ -680,8 +681,8 @@
 
 
 def test_pipelined_requests_are_answered_in_order():
-    """Guards against a 400 for pipelined requests: requests received in one piece were rejected behind the first
-    response."""
+    """Guards against a 400 for pipelined requests: requests received in one piece were rejected behind the
+    first response."""
 
     async def scenario(worker, gate, client):
         client.send(request(path="/look/1") + request(path="/look/2"))
