--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -1,5 +1,5 @@
-"""Other settings in service, over loopback sockets: what is open goes on, what comes is read by the new ones,
-no connection closes, and bad settings change nothing."""
+"""Reconfiguration of a serving gateway over loopback sockets: open requests continue, new requests follow the
+new settings, no connection closes, and invalid settings change nothing."""
 
 import asyncio
 import copy
@@ -29,46 +29,47 @@
 from plumpick.gateway.upstream.streaming_body import MAX_BUFFERED_BODY_BYTES
 from plumpick.policy.controller import Controller
 
-FRESH = {"name": "fresh", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"}
+NEW_CLASS = {"name": "fresh", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"}
 
 
-def given(gate, change):
-    """The configuration of a gatekeeper, of which `change` has changed the settings."""
-    own = gate.gateway.config
+def reconfigured(gate, change):
+    """The configuration of a running gateway with settings that `change` has modified."""
+    current = gate.gateway.config
     value = config(known=[], settings=settings())
     change(value["settings"])
-    news = parse_config(value, {})
-    return type(own)(
-        **{name: getattr(own, name) for name in own.__dataclass_fields__}
+    parsed = parse_config(value, {})
+    return type(current)(
+        **{name: getattr(current, name) for name in current.__dataclass_fields__}
         | {
-            "settings": news.settings,
-            "worker_idle_timeout_ms": news.worker_idle_timeout_ms,
-            "connect_timeout_ms": news.connect_timeout_ms,
+            "settings": parsed.settings,
+            "worker_idle_timeout_ms": parsed.worker_idle_timeout_ms,
+            "connect_timeout_ms": parsed.connect_timeout_ms,
         }
     )
 
 
-def put(gate, change):
-    """Take the changed settings into service; why they are rejected, or nothing."""
+def reconfigure(gate, change):
+    """Reconfigure the gateway with settings that `change` has modified; return the reason of a rejection,
+    else an empty string."""
     try:
-        gate.gateway.reconfigure(given(gate, change))
+        gate.gateway.reconfigure(reconfigured(gate, change))
     except SettingsRejectedError as rejection:
         return str(rejection)
     return ""
 
 
-def drop(name):
+def remove_class(name):
     def change(value):
         value["classes"] = [row for row in value["classes"] if row["name"] != name]
 
     return change
 
 
-def add(row):
+def add_class(row):
     return lambda value: value["classes"].insert(0, row)
 
 
-def figures(name, **more):
+def update_class(name, **more):
     def change(value):
         for row in value["classes"]:
             if row["name"] == name:
@@ -78,30 +79,30 @@
 
 
 def one_worker(scenario):
-    """One worker, one gatekeeper with its module, one client."""
+    """Run a scenario with one worker, w1, one gateway with its policy controller, and one client."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeWorker() as worker, RunningGateway(known=[entry("w1", worker.port)]) as gate:
             await scenario(worker, gate, await gate.client())
 
-    run(whole())
+    run(run_scenario())
 
 
 def test_open_request_is_answered_after_its_class_is_removed():
     async def scenario(worker, gate, client):
         client.send(request("00000000000000a1"))
-        asked, writer = await worker.next_request()
-        assert asked.url == b"/look" and put(gate, drop("look")) == ""
+        message, writer = await worker.next_request()
+        assert message.url == b"/look" and reconfigure(gate, remove_class("look")) == ""
         other = (await gate.client()).send(request("00000000000000a2"))
         assert (await other.read_response())[0] == 404
         writer.write(http_response(body=b"kept"))
         status, headers, body = await client.read_response()
         assert (status, body) == (200, b"kept") and "connection" not in headers
-        client.send(request("00000000000000a3"))  # on the same connection, which stays
+        client.send(request("00000000000000a3"))  # on the same connection, which stays open
         assert (await client.read_response())[0] == 404
         client.send(request("00000000000000a4", "/debit", body=b"x"))
-        asked, writer = await worker.next_request()
-        assert asked.url == b"/debit"
+        message, writer = await worker.next_request()
+        assert message.url == b"/debit"
         writer.write(http_response())
         assert (await client.read_response())[0] == 200 and not gate.gateway.requests.open
 
@@ -109,37 +110,37 @@
 
 
 def test_open_request_is_retried_by_settings_of_its_arrival():
-    """What may run twice when it came is tried again, and what may not is not."""
+    """A request of a retryable class is retried although its class becomes fragile while it is open."""
 
     async def scenario(worker, gate, client):
         client.send(request("00000000000000b1"))
         _, first = await worker.next_request()
-        assert put(gate, figures("look", repeat="fragile")) == ""
+        assert reconfigure(gate, update_class("look", repeat="fragile")) == ""
         first.write(http_response(500))
-        message, again = await worker.next_request()
+        message, second = await worker.next_request()
         while message is None:
-            message, again = await worker.next_request()
+            message, second = await worker.next_request()
         assert message.headers["x-request-id"] == "00000000000000b1"
-        again.write(http_response(body=b"second"))
+        second.write(http_response(body=b"second"))
         assert (await client.read_response())[2] == b"second"
         client.send(request("00000000000000b2"))
-        assert (await client.read_response())[0] == 405  # from now on it is no GET
+        assert (await client.read_response())[0] == 405  # a fragile class does not allow GET
 
     one_worker(scenario)
 
 
 def test_request_received_across_reconfiguration_uses_new_settings():
-    """Half of it came before."""
+    """A part of the request is received before the reconfiguration, and the rest after it."""
 
     async def scenario(worker, gate, client):
         data = request("00000000000000c1", "/fresh")
         client.send(data[:30])
         while not any(one.request_started for one in gate.listener.admission.connections):
             await asyncio.sleep(0)
-        assert put(gate, add(FRESH)) == ""
+        assert reconfigure(gate, add_class(NEW_CLASS)) == ""
         client.send(data[30:])
-        asked, writer = await worker.next_request()
-        assert asked.url == b"/fresh"
+        message, writer = await worker.next_request()
+        assert message.url == b"/fresh"
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
@@ -150,11 +151,11 @@
     async def scenario(worker, gate, client):
         client.send(request("00000000000000d1") + request("00000000000000d2", "/fresh"))
         _, writer = await worker.next_request()
-        assert put(gate, add(FRESH)) == ""
+        assert reconfigure(gate, add_class(NEW_CLASS)) == ""
         writer.write(http_response(body=b"one"))
         assert (await client.read_response())[2] == b"one"
-        asked, writer = await worker.next_request()
-        assert asked.url == b"/fresh"  # it was not read before the first had its answer
+        message, writer = await worker.next_request()
+        assert message.url == b"/fresh"  # parsed only after the first response, so by the new settings
         writer.write(http_response(body=b"two"))
         assert (await client.read_response())[2] == b"two"
 
@@ -167,7 +168,7 @@
         client.send(gold)
         assert (await client.read_response())[0] == 400
         assert (
-            put(
+            reconfigure(
                 gate,
                 lambda value: value.update(
                     packages=[{"name": "gold", "perSecond": 50.0, "storeSize": 100.0}]
@@ -195,17 +196,17 @@
             client.send(head + b"a" * (size // 2))
             reader, writer = await worker.accepted.get()
             assert "POST /debit" in await read_head(reader)
-            assert put(gate, drop("debit")) == ""
-            assert put(gate, lambda _: None) == ""
-            assert put(gate, drop("debit")) == ""
+            assert reconfigure(gate, remove_class("debit")) == ""
+            assert reconfigure(gate, lambda _: None) == ""
+            assert reconfigure(gate, remove_class("debit")) == ""
             client.send(b"b" * (size - size // 2))
             body = await reader.readexactly(size)
             assert body == b"a" * (size // 2) + b"b" * (size - size // 2)
-            # And the answer, which is large as well.
+            # The response is streamed across a reconfiguration too.
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size + b"c" * (size // 2))
             while not client.reader._buffer:
                 await asyncio.sleep(0)
-            assert put(gate, add(FRESH)) == ""
+            assert reconfigure(gate, add_class(NEW_CLASS)) == ""
             writer.write(b"d" * (size - size // 2))
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(size) == b"c" * (size // 2) + b"d" * (size - size // 2)
@@ -215,27 +216,30 @@
     run(scenario())
 
 
-BAD = {
-    "another place": (lambda value: value.update(myNumber=1), "settings.myNumber"),
+REJECTED_CHANGES = {
+    "another gateway number": (lambda value: value.update(myNumber=1), "settings.myNumber"),
     "another zone": (lambda value: value.update(locality="b"), "settings.locality"),
-    "another tier": (lambda value: value.update(balancers=4), "settings.balancers"),
-    "no words": (lambda value: value["limits"].update(mayTell=False), "settings.limits.mayTell"),
-    "no time to dial": (
+    "another number of gateways": (lambda value: value.update(balancers=4), "settings.balancers"),
+    "no peer messages": (lambda value: value["limits"].update(mayTell=False), "settings.limits.mayTell"),
+    "zero connect timeout": (
         lambda value: value["limits"].update(dialTimeoutMs=0),
         "settings.limits.dialTimeoutMs",
     ),
-    "no idle time": (lambda value: value["limits"].update(connIdleMs=-1), "settings.limits.connIdleMs"),
+    "negative idle timeout": (
+        lambda value: value["limits"].update(connIdleMs=-1),
+        "settings.limits.connIdleMs",
+    ),
 }
 
 
-@pytest.mark.parametrize("name", BAD)
+@pytest.mark.parametrize("name", REJECTED_CHANGES)
 def test_bad_settings_change_nothing(name):
-    spoil, key = BAD[name]
+    invalidate, key = REJECTED_CHANGES[name]
 
     def change(value):
-        add(FRESH)(value)
+        add_class(NEW_CLASS)(value)
         value["report"]["fields"] = []
-        spoil(value)
+        invalidate(value)
 
     async def scenario(worker, gate, client):
         gateway = gate.gateway
@@ -248,8 +252,8 @@
             gateway.connection_pool._idle_timeout_ms,
             gateway.connection_pool._connect_timeout_ms,
         )
-        wrong = put(gate, change)
-        assert wrong.startswith(key) and "\n" not in wrong
+        rejection = reconfigure(gate, change)
+        assert rejection.startswith(key) and "\n" not in rejection
         after = (
             gateway.config,
             gateway.settings,
@@ -272,31 +276,31 @@
 
 def test_reconfiguration_rejects_changed_socket_limit():
     async def scenario(_worker, gate, _client):
-        own = copy.copy(gate.gateway.config)
-        object.__setattr__(own, "sockets", 7)
+        changed = copy.copy(gate.gateway.config)
+        object.__setattr__(changed, "sockets", 7)
         with pytest.raises(SettingsRejectedError, match="^sockets"):
-            gate.gateway.reconfigure(own)
+            gate.gateway.reconfigure(changed)
         assert gate.gateway.config.sockets == 256
 
     one_worker(scenario)
 
 
 def test_failed_reconfiguration_of_the_policy_changes_nothing_elsewhere(monkeypatch, caplog):
-    def fails(*_, **_callbacks):
-        raise RuntimeError("planted")
+    def fail(*_, **_callbacks):
+        raise RuntimeError("injected fault")
 
     async def scenario(worker, gate, client):
-        before, forms = gate.gateway.config, gate.listener.validator
-        with monkeypatch.context() as planted:
-            planted.setattr("plumpick.policy.reconfiguration.apply", fails)
-            assert "failed" in put(gate, add(FRESH))
-        assert gate.gateway.config is before and gate.listener.validator is forms
-        assert "planted" in caplog.text
+        before, validator = gate.gateway.config, gate.listener.validator
+        with monkeypatch.context() as patches:
+            patches.setattr("plumpick.policy.reconfiguration.apply", fail)
+            assert "failed" in reconfigure(gate, add_class(NEW_CLASS))
+        assert gate.gateway.config is before and gate.listener.validator is validator
+        assert "injected fault" in caplog.text
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
-        assert put(gate, add(FRESH)) == ""
+        assert reconfigure(gate, add_class(NEW_CLASS)) == ""
 
     one_worker(scenario)
 
@@ -308,11 +312,11 @@
         value["tickMs"] = 8.0
 
     async def scenario(worker, gate, client):
-        workers = gate.gateway.connection_pool
-        assert workers.parse_load_report(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
-        assert put(gate, change) == ""
-        assert workers.parse_load_report(b'{"inflight":3}') == (3.0,)
-        assert workers._connect_timeout_ms == 77.0 and workers._idle_timeout_ms == 3000.0
+        pool = gate.gateway.connection_pool
+        assert pool.parse_load_report(b'{"util":0.5,"latency_ms":7}') == (0.5, 7.0)
+        assert reconfigure(gate, change) == ""
+        assert pool.parse_load_report(b'{"inflight":3}') == (3.0,)
+        assert pool._connect_timeout_ms == 77.0 and pool._idle_timeout_ms == 3000.0
         assert gate.gateway.settings.tick_ms == 8.0
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
@@ -326,61 +330,67 @@
 
 
 def test_every_request_is_answered_during_fifty_reconfigurations():
-    """Each changes classes and plans; connections are kept, and none is closed."""
+    """Each reconfiguration changes classes or plans; no client connection is closed."""
 
-    def ample(value):  # so that no quota refuses
+    def with_ample_quota(value):  # so that no request is rejected for its quota
         value["packages"][0].update(perSecond=1e4, storeSize=1e4)
         return value
 
     def changed(step):
         new = {"name": f"p{step}", "perSecond": 1.0, "storeSize": 2.0}
-        what = (add(FRESH), drop("debit"), lambda value: value["packages"].insert(0, new))[step % 3]
-        return lambda value: what(ample(value))
+        changes = (
+            add_class(NEW_CLASS),
+            remove_class("debit"),
+            lambda value: value["packages"].insert(0, new),
+        )
+        return lambda value: changes[step % 3](with_ample_quota(value))
 
     async def scenario():
         async with (
             FakeWorker() as worker,
-            RunningGateway(known=[entry("w1", worker.port)], settings=ample(settings())) as gate,
+            RunningGateway(known=[entry("w1", worker.port)], settings=with_ample_quota(settings())) as gate,
         ):
-            over, told = asyncio.Event(), {}
+            over, names_by_status = asyncio.Event(), {}
 
-            async def work():
+            async def answer_requests():
                 while True:
-                    asked, writer = await worker.next_request()
-                    if asked is not None:
-                        writer.write(http_response(body=asked.headers["x-request-id"].encode()))
+                    message, writer = await worker.next_request()
+                    if message is not None:
+                        writer.write(http_response(body=message.headers["x-request-id"].encode()))
 
-            async def ask(number):
+            async def send_requests(number):
                 client, count = await Client().open(gate.port), 0
                 while not over.is_set():
                     name, count = f"{number:08x}{count:08x}", count + 1
-                    path = "/look" if count % 10 else "/fresh"  # a 404 slows its connection down
+                    path = (
+                        "/look" if count % 10 else "/fresh"
+                    )  # a 404 delays the next request of its connection
                     client.send(request(name, path))
-                    got = await client.read_response()
-                    assert got is not None, "a connection was closed"
-                    status, headers, body = got
+                    response = await client.read_response()
+                    assert response is not None, "the gateway closed a client connection"
+                    status, headers, body = response
                     assert status in (200, 404) and "connection" not in headers, status
                     assert status != 200 or body == name.encode()
-                    told.setdefault(status, []).append(name)
-                    assert status == 200 or path == "/fresh"  # the other is always there
+                    names_by_status.setdefault(status, []).append(name)
+                    assert status == 200 or path == "/fresh"  # the class of /look is never removed
                 client.close()
                 return count
 
-            working = asyncio.create_task(work())
-            asking = [asyncio.create_task(ask(number)) for number in range(8)]
+            worker_task = asyncio.create_task(answer_requests())
+            client_tasks = [asyncio.create_task(send_requests(number)) for number in range(8)]
             for step in range(50):
-                seen = sum(map(len, told.values()))
-                while sum(map(len, told.values())) < seen + 12:
+                seen = sum(map(len, names_by_status.values()))
+                while sum(map(len, names_by_status.values())) < seen + 12:
                     await asyncio.sleep(0.001)
-                    assert not any(one.done() for one in asking)
-                assert put(gate, changed(step)) == ""
+                    assert not any(one.done() for one in client_tasks)
+                assert reconfigure(gate, changed(step)) == ""
                 assert not gate.gateway.controller.faults
             over.set()
-            asked = sum(await asyncio.gather(*asking))
-            working.cancel()
-            names = [name for names in told.values() for name in names]
-            assert len(names) == asked == len(set(names)) and not gate.gateway.requests.open
-            assert len(told[200]) > 500 and len(told[404]) > 10
+            sent = sum(await asyncio.gather(*client_tasks))
+            worker_task.cancel()
+            names = [name for names in names_by_status.values() for name in names]
+            assert len(names) == sent == len(set(names)) and not gate.gateway.requests.open
+            assert len(names_by_status[200]) > 500 and len(names_by_status[404]) > 10
 
     run(scenario())
 
@@ -390,7 +400,7 @@
         client.send(request("00000000000000a1"))
         _, writer = await worker.next_request()
         gate.gateway.shut_down_within(5000.0)
-        assert put(gate, drop("look")) == "" and put(gate, add(FRESH)) == ""
+        assert reconfigure(gate, remove_class("look")) == "" and reconfigure(gate, add_class(NEW_CLASS)) == ""
         (open_request,) = gate.gateway.requests.open.values()
         assert open_request.deadline_ms <= gate.gateway.clock.now() + 5000.0
         writer.write(http_response())
@@ -400,13 +410,13 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
         gate.gateway.start_closing_connections()
-        assert put(gate, lambda _: None) == "" and not gate.gateway.is_ready
+        assert reconfigure(gate, lambda _: None) == "" and not gate.gateway.is_ready
 
     one_worker(scenario)
 
 
 def test_request_lifetimes_follow_current_classes_and_open_requests():
-    def short(value):
+    def shorten_deadlines(value):
         for row in value["classes"]:
             row.update(aimMs=200.0, deadlineMs=400.0)
 
@@ -414,8 +424,8 @@
         assert max(gate.gateway.request_lifetimes_ms()) == 2e4
         client.send(request("00000000000000a1", deadline=2500))
         _, writer = await worker.next_request()
-        assert put(gate, short) == ""
-        assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # it came under an older class
+        assert reconfigure(gate, shorten_deadlines) == ""
+        assert 1000 < max(gate.gateway.request_lifetimes_ms()) <= 2500  # the open request keeps its deadline
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
         assert max(gate.gateway.request_lifetimes_ms()) == 400.0
@@ -429,12 +439,14 @@
 
 
 def test_sigterm_uses_request_lifetimes_of_gateway(monkeypatch):
-    """Not the configuration that it began with."""
-    asked = []
+    """Guards against shutdown times that follow the deadlines of the start configuration."""
+    lifetimes_s = []
 
     async def scenario(port, fake, worker, task):
         monkeypatch.setattr(
-            process, "shutdown_times", lambda deadlines_s: asked.append(list(deadlines_s)) or (0.05, 0.1, 0.3)
+            process,
+            "shutdown_times",
+            lambda deadlines_s: lifetimes_s.append(list(deadlines_s)) or (0.05, 0.1, 0.3),
         )
         monkeypatch.setattr("plumpick.gateway.gateway.Gateway.request_lifetimes_ms", lambda _self: [1234.0])
         monkeypatch.setattr(process, "FIRST_LIST_TIMEOUT_S", 0.01)
@@ -451,11 +463,11 @@
         await task
 
     run_served_gateway(scenario, monkeypatch)
-    assert asked == [[1.234]]
+    assert lifetimes_s == [[1.234]]
 
 
 def test_reconfiguration_does_not_affect_another_gateway():
-    """Two gatekeepers in one process, of which one changes."""
+    """Two gateways run in one process; one of them is reconfigured."""
 
     async def scenario():
         async with (
@@ -463,7 +475,7 @@
             RunningGateway(known=[entry("w1", worker.port)]) as one,
             RunningGateway(known=[entry("w1", worker.port)]) as two,
         ):
-            assert put(one, drop("look")) == ""
+            assert reconfigure(one, remove_class("look")) == ""
             client = (await two.client()).send(request("00000000000000a1"))
             _, writer = await worker.next_request()
             writer.write(http_response())
