--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -44,7 +44,7 @@
 )
 
 
-def one_worker(scenario, **controller):
+def run_with_one_worker(scenario, **controller):
     """Run a scenario with one worker, w1, one gateway with a controller stub, and one client."""
 
     async def run_scenario():
@@ -79,7 +79,7 @@
         assert outcome.result is AttemptResult.OK and outcome.is_final and outcome.load_report == (0.5, 7.0)
         assert not gate.gateway.requests.open and not gate.gateway.requests.attempts
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_worker_connection_is_reused(monkeypatch):
@@ -94,7 +94,7 @@
             assert (await client.read_response())[0] == 200
         assert worker.connections == 1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_connection_close_of_client_is_honoured():
@@ -104,7 +104,7 @@
         writer.write(http_response())
         assert (await client.read_response())[1]["connection"] == "close" and await client.wait_for_end()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
         assert (status, body) == (502, b"")  # the response of the controller stub to a failed attempt
         assert (await gate.controller.next_event(AttemptCompleted)).result is result
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_refused_connection_is_reported_as_connect_failed():
@@ -187,7 +187,7 @@
         assert (await client.send(request()).read_response())[0] == 502
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
 
-    one_worker(scenario, worker="w9")
+    run_with_one_worker(scenario, worker="w9")
 
 
 def test_unresponsive_worker_times_out_and_its_connection_is_closed():
@@ -198,7 +198,7 @@
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.TIMEOUT
         assert (await worker.next_request())[0] is None  # the end of the connection
 
-    one_worker(scenario, timeout_ms=30.0)
+    run_with_one_worker(scenario, timeout_ms=30.0)
 
 
 def test_connect_attempt_times_out(monkeypatch):
@@ -242,7 +242,7 @@
         writer.write(http_response(body=b"second"))
         assert (await client.read_response())[2] == b"second"
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_first_response_of_two_attempts_is_forwarded():
@@ -263,7 +263,7 @@
         writer.write(http_response(body=b"third"))
         assert (await client.read_response())[2] == b"third"
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_attempt_for_finished_request_is_not_started():
@@ -274,7 +274,7 @@
             await gate.controller.next_event(AttemptCompleted)
         ).result is AttemptResult.NOT_STARTED and worker.connections == 0
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_client_disconnect_is_reported_to_policy():
@@ -287,7 +287,7 @@
             await gate.controller.next_event(ClientDisconnected)
         ).id == received.id and not gate.gateway.requests.open
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_without_decision_gets_504_before_its_deadline():
@@ -297,7 +297,7 @@
         received = await gate.controller.next_event(RequestReceived)
         assert (await gate.controller.next_event(ClientDisconnected)).id == received.id
 
-    one_worker(scenario, worker=None)
+    run_with_one_worker(scenario, worker=None)
 
 
 def test_timers_within_one_tick_share_a_wake_up_and_never_fire_early():
@@ -314,7 +314,7 @@
             gateway._set_timer(SetTimer(after_ms, "agenda"))
         assert times == [4_000_000.0, 4_000_004.0, 4_000_004.0, 4_000_008.0]
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_gets_504_when_policy_raises():
@@ -322,7 +322,7 @@
         gate.controller.handle = lambda now, events: 1 / 0
         assert (await client.send(request(deadline=60)).read_response())[0] == 504
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 # ---- connections to workers ---------------------------------------------------------------------
@@ -345,8 +345,8 @@
         "length and chunks",
         "negative length",
         "3 GB",
-        "chunks",
-        "1xx",
+        "malformed chunk",
+        "endless 1xx",
         "large 1xx",
         "upgrade",
     ],
@@ -365,16 +365,16 @@
         assert (await client.read_response())[0] == 502
         assert (await worker.next_request())[0] is None
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_unread_data_on_idle_connection_is_not_taken_for_next_response():
     """A duplicate response has arrived but is still unread when the next request is sent."""
 
     async def scenario(worker, gate, client):
-        writer = await exchange(worker, client)
-        workers = gate.gateway.connection_pool
-        (connection,) = workers._workers["w1"].idle
+        writer = await exchange_one_request(worker, client)
+        pool = gate.gateway.connection_pool
+        (connection,) = pool._workers["w1"].idle
         connection.idle_since_ms -= REUSE_DELAY_MS
         connection.transport.pause_reading()  # simulates an event loop that has not read it yet
         writer.write(http_response(body=b"twice"))
@@ -386,7 +386,7 @@
         other.write(http_response(body=b"own"))
         assert (await client.read_response())[2] == b"own" and worker.connections == 2
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_connection_is_not_reused_before_reuse_delay():
@@ -394,14 +394,14 @@
     is reused only after a delay."""
 
     async def scenario(worker, gate, client):
-        await exchange(worker, client)
-        workers = gate.gateway.connection_pool
-        (connection,) = workers._workers["w1"].idle
+        await exchange_one_request(worker, client)
+        pool = gate.gateway.connection_pool
+        (connection,) = pool._workers["w1"].idle
         since = connection.idle_since_ms
-        assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS - 0.1) is None
-        assert workers._reusable_connection(connection.worker, since + REUSE_DELAY_MS + 0.1) is connection
+        assert pool._reusable_connection(connection.worker, since + REUSE_DELAY_MS - 0.1) is None
+        assert pool._reusable_connection(connection.worker, since + REUSE_DELAY_MS + 0.1) is connection
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_delayed_duplicate_response_is_not_taken_for_next_response():
@@ -424,7 +424,7 @@
         other.write(http_response(body=b"own"))
         assert (await client.read_response())[2] == b"own"
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_longest_idle_connection_is_reused_early_when_many_are_idle():
@@ -437,18 +437,18 @@
             writer.write(http_response())
         for one in clients:
             assert (await one.read_response())[0] == 200
-        workers = gate.gateway.connection_pool
-        mine, now = workers._workers["w1"], gate.gateway.clock.now()
-        for place, one in enumerate(mine.idle):
+        pool = gate.gateway.connection_pool
+        pooled_worker, now = pool._workers["w1"], gate.gateway.clock.now()
+        for place, one in enumerate(pooled_worker.idle):
             one.idle_since_ms = now - 10.0 + place
-        oldest = mine.idle[0]
-        assert workers._reusable_connection(mine, now) is oldest
+        oldest = pooled_worker.idle[0]
+        assert pool._reusable_connection(pooled_worker, now) is oldest
         oldest.idle_since_ms = now - MIN_REUSE_DELAY_MS / 2
-        mine.idle[:] = [oldest] * MAX_RESTING_CONNECTIONS
-        assert workers._reusable_connection(mine, now) is None  # below the minimum reuse delay
-        mine.idle[:] = []
+        pooled_worker.idle[:] = [oldest] * MAX_RESTING_CONNECTIONS
+        assert pool._reusable_connection(pooled_worker, now) is None  # below the minimum reuse delay
+        pooled_worker.idle[:] = []
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_data_after_response_does_not_change_its_outcome():
@@ -464,14 +464,14 @@
         assert outcome.result is AttemptResult.OK and outcome.load_report == (0.5, 7.0)
         assert (await worker.next_request())[0] is None
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_new_worker_at_known_address_replaces_old_worker():
     """Otherwise a request for the old worker would reach the new process at the same address."""
 
     async def scenario(worker, gate, client):
-        await exchange(worker, client)
+        await exchange_one_request(worker, client)
         await gate.controller.next_event(EndpointsUpdated)
         delta = listing(entry("w2", worker.port, since_ms=5000), index=2, snapshot=False)
         gate.gateway.on_worker_list(parse_worker_list(delta, "list"))
@@ -487,10 +487,12 @@
             0
         ] == 502  # the controller stub still chooses w1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
-async def exchange(worker, client):
+async def exchange_one_request(worker, client):
+    """Send a request of the client and the worker's response to it; return the writer of the worker's
+    connection."""
     client.send(request())
     _, writer = await worker.next_request()
     writer.write(http_response())
@@ -500,15 +502,15 @@
 
 def test_idle_connection_closed_by_worker_is_dropped():
     async def scenario(worker, gate, client):
-        writer = await exchange(worker, client)
+        writer = await exchange_one_request(worker, client)
         writer.close()
         assert (await worker.next_request())[0] is None
         while gate.gateway.connection_pool._connection_count:
             await asyncio.sleep(0)
-        await exchange(worker, client)
+        await exchange_one_request(worker, client)
         assert worker.connections == 2
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_unsolicited_response_closes_connection():
@@ -518,10 +520,10 @@
         writer.write(http_response() + http_response(body=b"twice"))
         assert (await client.read_response())[2] == b"done"
         assert (await worker.next_request())[0] is None
-        await exchange(worker, client)
+        await exchange_one_request(worker, client)
         assert worker.connections == 2
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_interim_response_is_skipped():
@@ -531,30 +533,30 @@
         writer.write(b"HTTP/1.1 103 Early Hints\r\nX-Not-Run: 1\r\n\r\n" + http_response(body=b"real"))
         assert (await client.read_response())[::2] == (200, b"real")
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 @pytest.mark.parametrize("change", [{"status": "draining"}, {"status": "gone"}, {"since_ms": 1000}])
 def test_listed_drain_or_restart_closes_idle_connections(change):
     async def scenario(worker, gate, client):
-        await exchange(worker, client)
+        await exchange_one_request(worker, client)
         delta = listing(entry("w1", worker.port, **change), index=2, snapshot=False)
         gate.gateway.on_worker_list(parse_worker_list(delta, "list"))
         assert (await worker.next_request())[0] is None
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_worker_absent_from_snapshot_receives_no_more_requests():
     async def scenario(worker, gate, client):
-        await exchange(worker, client)
+        await exchange_one_request(worker, client)
         gate.gateway.on_worker_list(parse_worker_list(listing(index=2), "list"))
         assert (await worker.next_request())[0] is None
         assert (await client.send(request()).read_response())[0] == 502
         updates = [await gate.controller.next_event(EndpointsUpdated) for _ in range(2)]
         assert updates[1] == EndpointsUpdated((), is_snapshot=True)
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_attempt_waiting_for_connection_is_not_started_once_worker_drains():
@@ -584,7 +586,7 @@
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.requests.empty() and gate.gateway.connection_pool._connection_count == 0
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_connections_per_worker_are_limited(monkeypatch):
@@ -598,19 +600,19 @@
         assert (await gate.controller.next_event(AttemptCompleted)).result is AttemptResult.NOT_STARTED
         assert worker.connections == 1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_idle_connection_is_closed_before_idle_timeout_of_worker():
     async def scenario(worker, gate, client):
-        await exchange(worker, client)
-        workers = gate.gateway.connection_pool
-        now = workers._clock.now()
-        workers._clock = type("Later", (), {"now": staticmethod(lambda: now + 17_500)})
-        workers._sweep()  # the gateway uses 18 s of the worker's 30 s, less one sweep interval
+        await exchange_one_request(worker, client)
+        pool = gate.gateway.connection_pool
+        now = pool._clock.now()
+        pool._clock = type("AdvancedClock", (), {"now": staticmethod(lambda: now + 17_500)})
+        pool._sweep()  # the gateway uses 18 s of the worker's 30 s, less one sweep interval
         assert (await worker.next_request())[0] is None
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 @pytest.mark.parametrize(
@@ -635,22 +637,22 @@
         assert (await client.read_response())[0] == 200
         assert (await gate.controller.next_event(AttemptCompleted)).load_report == ()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 # ---- requests of clients ------------------------------------------------------------------------
 
 
 MALFORMED_REQUESTS = {
-    "noise": (b"\x00\x01\x02 what\r\n\r\n", 400),
+    "binary data": (b"\x00\x01\x02 what\r\n\r\n", 400),
     "no id": (request().replace(b"X-Request-Id", b"X-Other"), 400),
     "two ids": (request(extra="X-Request-Id: 00000000000000ff\r\n"), 400),
-    "deadline": (request(deadline="soon"), 400),
+    "deadline not a number": (request(deadline="soon"), 400),
     "negative deadline": (request(deadline=-5), 400),
-    "units": (request().replace(b"units=1", b"units=x"), 400),
-    "units not a number": (request().replace(b"units=1", b"units=nan"), 400),
-    "spread": (request().replace(b"spread=2", b"spread=9"), 400),
-    "first": (request().replace(b"first=0", b"first=-1"), 400),
+    "units not numeric": (request().replace(b"units=1", b"units=x"), 400),
+    "units NaN": (request().replace(b"units=1", b"units=nan"), 400),
+    "spread above limit": (request().replace(b"spread=2", b"spread=9"), 400),
+    "negative first": (request().replace(b"first=0", b"first=-1"), 400),
     "missing idempotency key": (request(path="/book", body=b"x"), 400),
     "negative length": (request(body=b"x").replace(b"Length: 1", b"Length: -1"), 400),
     "length and chunks": (request(body=b"x", extra="Transfer-Encoding: chunked\r\n"), 400),
@@ -677,7 +679,7 @@
         assert (await other.read_response())[0] == 200
         assert len(gate.gateway.requests.open) == 0 and worker.requests.empty()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order():
@@ -693,7 +695,7 @@
             writer.write(http_response(body=number))
             assert (await client.read_response())[::2] == (200, number)
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_error_for_pipelined_malformed_request_follows_response_of_open_request():
@@ -705,10 +707,10 @@
         assert (await client.read_response())[0] == 400 and await client.wait_for_end()
         assert worker.requests.empty()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
-def test_requests_split_at_any_byte_are_parsed():
+def test_requests_split_at_various_positions_are_parsed():
     async def scenario(worker, gate, _client):
         for cut in range(0, len(request(path="/debit/1", body=b"one") + request(path="/look/2")), 3):
             data = request(path="/debit/1", body=b"one") + request(path="/look/2")
@@ -725,7 +727,7 @@
                 assert (await client.read_response())[0] == 200
             client.close()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_received_byte_by_byte_is_parsed():
@@ -739,7 +741,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_id_of_open_or_recent_request_is_rejected():
@@ -759,15 +761,15 @@
         gate.gateway.requests._ids.expire()
         assert gate.gateway.requests._ids.is_empty()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 INVALID_REQUESTS = {
-    "class": (request(path="/looks"), 404),
-    "plan": (request().replace(b"basic", b"golden"), 400),
+    "unknown class": (request(path="/looks"), 404),
+    "unknown plan": (request().replace(b"basic", b"golden"), 400),
     "customer beyond 2^33": (request().replace(b"00000000b4d65521", b"10990c1ab00459d1"), 400),
     "customer not hexadecimal": (request().replace(b"00000000b4d65521", b"00000000b4d6552g"), 400),
-    "id": (request().replace(b"X-Request-Id: ", b"X-Request-Id: \x80"), 400),
+    "non-ASCII id": (request().replace(b"X-Request-Id: ", b"X-Request-Id: \x80"), 400),
     "GET for fragile class": (request(path="/debit"), 405),
     "POST for retryable class": (request(body=b"x"), 405),
     "GET with a body": (request(extra="Content-Length: 1\r\n") + b"x", 400),
@@ -793,7 +795,7 @@
         assert (await client.read_response())[0] == 200
         assert len([event for event in gate.controller.events if isinstance(event, RequestReceived)]) == 1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_each_rejected_request_doubles_the_delay_before_the_next_read():
@@ -810,7 +812,7 @@
             assert (await client.send(request(path="/none")).read_response())[0] == 404
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_pipelined_invalid_requests_get_errors_in_order_and_their_number_is_limited():
@@ -826,7 +828,7 @@
             await asyncio.sleep(0)
         assert len(one.pipelined) <= MAX_PIPELINED_REQUESTS + 1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 async def wait_for_connections(gate, count):
@@ -863,7 +865,7 @@
             response = None
         assert (response and response[0]) == status and await client.wait_for_end()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_trailers_and_chunk_extensions_are_limited_and_ignored():
@@ -880,7 +882,7 @@
         client.send(head + (b"1;" + b"x" * 9000 + b"\r\nx\r\n") * 70)
         assert (await client.read_response())[0] == 413
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_error_reaches_client_that_goes_on_sending_large_body():
@@ -891,7 +893,7 @@
             await client.writer.drain()
         assert (await client.read_response())[0] == 404 and await client.wait_for_end()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_eviction_order_is_rejected_then_unused_then_idle_and_never_open_requests():
@@ -914,7 +916,7 @@
                 assert await evicted.wait_for_end() and len(admission) == limit
         assert len(admission) == 1 and len(gate.gateway.requests.open) == 1
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_idle_connection_with_unread_request_is_not_closed():
@@ -937,14 +939,14 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_simultaneous_connections_do_not_keep_new_client_out():
     async def scenario(worker, gate, client):
         admission = gate.listener.admission
         await wait_for_connections(gate, 1)
-        crowd = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
+        simultaneous_clients = [await gate.client() for _ in range(admission.hard_max_connections + 20)]
         late = (await gate.client()).send(request())
         while True:  # at the hard limit a new connection is closed, and the client connects again
             received = asyncio.ensure_future(worker.next_request())
@@ -961,10 +963,10 @@
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
         assert len(gate.gateway.requests.open) == 1
-        for one in crowd:
+        for one in simultaneous_clients:
             one.close()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_longest_idle_connection_above_limit_is_closed_first():
@@ -987,7 +989,7 @@
         advance_time(gate, 61_000)
         assert await second.wait_for_end()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_idle_connections_are_closed_sooner_when_crowded():
@@ -1011,7 +1013,7 @@
         other.send(request())
         assert (await worker.next_request())[0] is not None
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_closed_connection_leaves_no_cycle():
@@ -1030,7 +1032,7 @@
         finally:
             gc.enable()
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_during_shutdown_is_answered_before_planned_end():
@@ -1042,7 +1044,7 @@
         assert received.deadline_ms < started_ms + 150.0
         assert (await client.read_response())[0] == 504 and not gate.gateway.requests.open
 
-    one_worker(scenario, worker=None)
+    run_with_one_worker(scenario, worker=None)
 
 
 def test_readiness_check_succeeds_only_when_ready():
@@ -1053,7 +1055,7 @@
         gate.gateway.is_ready = True
         assert (await client.send(readiness_check).read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 # ---- configuration ------------------------------------------------------------------------------
--- a/tests/gateway/test_platform.py
+++ b/tests/gateway/test_platform.py
@@ -1,4 +1,4 @@
-"""Peers and the clock against small fakes."""
+"""Datagrams between gateways on loopback sockets, timers and the clock."""
 
 import asyncio
 import socket
@@ -16,34 +16,34 @@
 def test_peers_receive_datagrams_of_peers_only():
     async def scenario():
         loop = asyncio.get_running_loop()
-        plugs = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
-        for plug in plugs:
-            plug.bind((HOST, 0))
-            plug.setblocking(False)
-        addresses = [f"{HOST}:{plug.getsockname()[1]}" for plug in plugs]
-        own, peer, stranger = plugs
-        own.close()  # the gatekeeper takes this address
-        addresses[2] = f"{HOST}:1"
-        heard = asyncio.Queue()
+        sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
+        for datagram_socket in sockets:
+            datagram_socket.bind((HOST, 0))
+            datagram_socket.setblocking(False)
+        addresses = [f"{HOST}:{datagram_socket.getsockname()[1]}" for datagram_socket in sockets]
+        own, peer, unknown_sender = sockets
+        own.close()  # the gateway under test binds this address
+        addresses[2] = f"{HOST}:1"  # so that the third socket is not bound to the address of a peer
+        received = asyncio.Queue()
         peers = Peers(
             parse_config(config(peer_listen=addresses[0], peers=addresses), {}),
-            lambda number, data: heard.put_nowait((number, data)),
+            lambda number, data: received.put_nowait((number, data)),
             Platform().create_datagram_socket,
         )
         peers.open(loop)
-        there = (HOST, int(addresses[0].rpartition(":")[2]))
-        stranger.sendto(b"stranger", there)
-        peer.sendto(bytes(257), there)
-        peer.sendto(b"hello", there)
-        assert await heard.get() == (1, b"hello") and heard.empty()
-        peers.send(1, bytes(257))  # too long: not sent
+        gateway_address = (HOST, int(addresses[0].rpartition(":")[2]))
+        unknown_sender.sendto(b"stranger", gateway_address)
+        peer.sendto(bytes(257), gateway_address)
+        peer.sendto(b"hello", gateway_address)
+        assert await received.get() == (1, b"hello") and received.empty()
+        peers.send(1, bytes(257))  # above the maximum length of a datagram, so not sent
         peers.send(9, b"nobody")
-        peers.send(-1, b"all")  # no such address in this configuration
+        peers.send(-1, b"all")  # this configuration has no gateway with the number 9 or -1
         peers.send(1, b"back")
         assert await loop.sock_recv(peer, 300) == b"back"
         peers.close()
         peer.close()
-        stranger.close()
+        unknown_sender.close()
 
     run(scenario())
 
@@ -72,7 +72,7 @@
     run(scenario())
 
 
-def test_a_timer_that_fails_does_not_stop_the_others():
+def test_failing_timer_does_not_stop_other_timers():
     async def scenario():
         loop, clock = asyncio.get_running_loop(), Clock()
         loop.set_exception_handler(lambda *_: None)
@@ -87,5 +87,5 @@
 def test_clock_returns_unix_time_and_never_goes_back(monkeypatch):
     clock = Clock()
     first = clock.now()
-    monkeypatch.setattr("time.time", lambda: 5.0)  # somebody sets the machine's clock back
+    monkeypatch.setattr("time.time", lambda: 5.0)  # the machine's clock is set back
     assert clock.now() >= first > 1.6e12
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -78,7 +78,7 @@
     return change
 
 
-def one_worker(scenario):
+def run_with_one_worker(scenario):
     """Run a scenario with one worker, w1, one gateway with its policy controller, and one client."""
 
     async def run_scenario():
@@ -106,7 +106,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200 and not gate.gateway.requests.open
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_open_request_is_retried_by_settings_of_its_arrival():
@@ -126,7 +126,7 @@
         client.send(request("00000000000000b2"))
         assert (await client.read_response())[0] == 405  # a fragile class does not allow GET
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_received_across_reconfiguration_uses_new_settings():
@@ -144,7 +144,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_pipelined_requests_across_reconfiguration_are_answered_in_order():
@@ -159,7 +159,7 @@
         writer.write(http_response(body=b"two"))
         assert (await client.read_response())[2] == b"two"
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_added_plan_is_served_and_removed_plan_is_rejected():
@@ -183,7 +183,7 @@
         client.send(request("00000000000000e3"))
         assert (await client.read_response())[0] == 400
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_streamed_bodies_continue_across_reconfiguration():
@@ -271,7 +271,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_reconfiguration_rejects_changed_socket_limit():
@@ -282,7 +282,7 @@
             gate.gateway.reconfigure(changed)
         assert gate.gateway.config.sockets == 256
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_failed_reconfiguration_of_the_policy_changes_nothing_elsewhere(monkeypatch, caplog):
@@ -302,7 +302,7 @@
         assert (await client.read_response())[0] == 200
         assert reconfigure(gate, add_class(NEW_CLASS)) == ""
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_worker_connections_use_new_settings():
@@ -326,7 +326,7 @@
             await asyncio.sleep(0)
         assert gate.gateway.controller.state.endpoints.tracked["w1"].foreign_load >= 2
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_every_request_is_answered_during_fifty_reconfigurations():
@@ -412,7 +412,7 @@
         gate.gateway.start_closing_connections()
         assert reconfigure(gate, lambda _: None) == "" and not gate.gateway.is_ready
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_request_lifetimes_follow_current_classes_and_open_requests():
@@ -435,7 +435,7 @@
         writer.write(http_response())
         assert (await client.read_response())[0] == 200
 
-    one_worker(scenario)
+    run_with_one_worker(scenario)
 
 
 def test_sigterm_uses_request_lifetimes_of_gateway(monkeypatch):
