--- a/tests/gateway/test_gatekeeper.py
+++ b/tests/gateway/test_gatekeeper.py
@@ -799,18 +799,18 @@
 
 
 def test_each_rejected_request_doubles_the_delay_before_the_next_read():
-    """The error response itself is sent without delay, and the delay is at most 1000 ms."""
+    """The error response itself is sent without delay. The delay before the next read is at most 1000 ms."""
 
     async def scenario(worker, gate, client):
         gate.gateway.timers = timers = Timers(asyncio.get_running_loop(), gate.gateway.clock)
-        waits, at = [], timers.call_at
+        delays_ms, call_at = [], timers.call_at
         timers.call_at = lambda at_ms, call: (
-            waits.append(round(at_ms - gate.gateway.clock.now())),
-            at(0.0, call),
+            delays_ms.append(round(at_ms - gate.gateway.clock.now())),
+            call_at(0.0, call),
         )
         for _ in range(7):
             assert (await client.send(request(path="/none")).read_response())[0] == 404
-        assert waits == [50, 100, 200, 400, 800, 1000, 1000]
+        assert delays_ms == [50, 100, 200, 400, 800, 1000, 1000]
 
     run_with_one_worker(scenario)
 
@@ -957,8 +957,8 @@
             received.cancel()
             late = (await gate.client()).send(request())
         closed.cancel()
-        # Simultaneous connections may use the descriptors that worker connections do not need, until all
-        # have been read.
+        # Simultaneous connections may exceed the hard limit by the descriptors that worker connections do not
+        # need, until the gateway has read from all of them.
         assert len(admission) <= admission.hard_max_connections + gate.gateway.spare_descriptors()
         while len(admission) > admission.hard_max_connections:
             await asyncio.sleep(0)
--- a/tests/gateway/test_settings_in_service.py
+++ b/tests/gateway/test_settings_in_service.py
@@ -32,7 +32,7 @@
 NEW_CLASS = {"name": "fresh", "aimMs": 5e3, "deadlineMs": 2e4, "worth": 1.0, "repeat": "retryable"}
 
 
-def reconfigured(gate, change):
+def changed_config(gate, change):
     """The configuration of a running gateway with settings that `change` has modified."""
     current = gate.gateway.config
     value = config(known=[], settings=settings())
@@ -52,13 +52,15 @@
     """Reconfigure the gateway with settings that `change` has modified; return the reason of a rejection,
     else an empty string."""
     try:
-        gate.gateway.reconfigure(reconfigured(gate, change))
+        gate.gateway.reconfigure(changed_config(gate, change))
     except SettingsRejectedError as rejection:
         return str(rejection)
     return ""
 
 
 def remove_class(name):
+    """A change of the settings that removes a request class."""
+
     def change(value):
         value["classes"] = [row for row in value["classes"] if row["name"] != name]
 
@@ -66,10 +68,13 @@
 
 
 def add_class(row):
+    """A change of the settings that inserts a request class before the others."""
     return lambda value: value["classes"].insert(0, row)
 
 
 def update_class(name, **more):
+    """A change of the settings that replaces or adds keys of a request class."""
+
     def change(value):
         for row in value["classes"]:
             if row["name"] == name:
@@ -233,7 +238,7 @@
 
 
 @pytest.mark.parametrize("name", REJECTED_CHANGES)
-def test_bad_settings_change_nothing(name):
+def test_invalid_settings_change_nothing(name):
     invalidate, key = REJECTED_CHANGES[name]
 
     def change(value):
@@ -362,9 +367,8 @@
                 client, count = await Client().open(gate.port), 0
                 while not over.is_set():
                     name, count = f"{number:08x}{count:08x}", count + 1
-                    path = (
-                        "/look" if count % 10 else "/fresh"
-                    )  # a 404 delays the next request of its connection
+                    # Only each tenth request may get a 404, which delays the next request of its connection.
+                    path = "/look" if count % 10 else "/fresh"
                     client.send(request(name, path))
                     response = await client.read_response()
                     assert response is not None, "the gateway closed a client connection"
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -156,6 +156,7 @@
         self.server.close()
 
     async def client(self):
+        """A new client that is connected to the gateway."""
         return await Client().open(self.port)
 
 
@@ -307,7 +308,7 @@
 
 
 def reset(writer):
-    """Reset the connection behind the bytes that the operating system has already accepted for sending."""
+    """Close the connection with a reset instead of a normal end, once the writer's buffer is empty."""
     with socket.socket(fileno=os.dup(writer.transport.get_extra_info("socket").fileno())) as connection:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.close()
@@ -339,8 +340,8 @@
 
 async def assert_next_requests(worker, gate):
     """Assert that the worker receives the requests of a new client next, so that nothing was sent before
-    them. Five requests are sent because the worker may read an earlier one on another connection a little
-    later."""
+    them. Five requests are sent because the worker may read an earlier request, on another connection, a
+    little later."""
     client = await gate.client()
     for number in range(5):
         name = f"{0xFF00 + number:016x}"
