--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -4,7 +4,7 @@
 import signal
 
 import pytest
-from support.config_processes import Machine
+from support.config_processes import ServiceAndGateway
 from support.dynamic_config import published
 from support.fakes import Client, FakeWorker, answer, request, run
 
@@ -30,21 +30,21 @@
 @pytest.mark.parametrize("by", ["whole", "delta"])
 def test_a_published_class_is_served_and_a_removed_one_is_not_without_a_restart(tmp_path, by):
     async def scenario():
-        async with FakeWorker() as worker, Machine(tmp_path) as machine:
+        async with FakeWorker() as worker, ServiceAndGateway(tmp_path) as machine:
             if by == "delta":
-                await machine.put(1, published(1, classes=2))
-            process, _ = await machine.start(worker.port)
+                await machine.publish(1, published(1, classes=2))
+            process, _ = await machine.start_gateway(worker.port)
             client = await Client().open(machine.port)
             name = "/c0" if by == "delta" else "/look"
             assert await asks(client, worker, name) == 200
             assert await asks(client, worker, "/c7") == 404
-            await machine.put(2, published(2, classes=8))
-            await machine.has(process, 2)
+            await machine.publish(2, published(2, classes=8))
+            await machine.wait_until_activated(process, 2)
             assert await asks(client, worker, "/c7") == 200  # on the same connection
             client.send(homed("/c7"))
             _, writer = await worker.next_request()
-            await machine.put(3, published(3, classes=3))  # its class goes while it is out
-            await machine.has(process, 3)
+            await machine.publish(3, published(3, classes=3))  # its class goes while it is out
+            await machine.wait_until_activated(process, 3)
             writer.write(answer(body=b"late"))
             status, _, body = await client.read_response()
             assert (status, body) == (200, b"late")
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -7,7 +7,7 @@
 import sys
 
 import pytest
-from support.config_processes import Machine, on_a_machine, says
+from support.config_processes import ServiceAndGateway, send_when_listening, with_service_and_gateway
 from support.dynamic_config import document, published
 from support.fakes import HOST
 
@@ -19,88 +19,90 @@
 
 def test_a_start_has_the_services_version_and_operators_see_active_staged_and_rejected(tmp_path):
     async def scenario(machine):
-        await machine.put(3, published(3))
-        process, calls = await machine.start()
-        assert machine.put_in_force(process.pid) == [3]  # before its first client
+        await machine.publish(3, published(3))
+        process, calls = await machine.start_gateway()
+        assert machine.activated_versions(process.pid) == [3]  # before its first client
         its = document(3, published(3))["digest"][:12]
-        assert (await says(calls)).startswith(f"+OK version 3 {its} in force; service heard")
-        await machine.put(4, published(4), 60_000.0)
-        while "4 " not in await says(calls):
+        assert (await send_when_listening(calls)).startswith(f"+OK version 3 {its} in force; service heard")
+        await machine.publish(4, published(4), 60_000.0)
+        while "4 " not in await send_when_listening(calls):
             pass
-        assert "staged, in force in" in await says(calls)
-        await machine.put(5, {**published(5), "limits": {}})
-        while "refused" not in await says(calls):
+        assert "staged, in force in" in await send_when_listening(calls)
+        await machine.publish(5, {**published(5), "limits": {}})
+        while "refused" not in await send_when_listening(calls):
             pass
-        assert "settings.limits.maxAttempts is missing" in await says(calls)
-        assert (await says(calls, "CONFIGURATION now")).startswith("-ERR")
+        assert "settings.limits.maxAttempts is missing" in await send_when_listening(calls)
+        assert (await send_when_listening(calls, "CONFIGURATION now")).startswith("-ERR")
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_a_start_goes_on_without_a_service_and_uses_it_once_it_answers(tmp_path):
     async def scenario(machine):
         machine.service.close()
-        process, calls = await machine.start()
-        assert "version 0 (own file) in force" in await says(calls)
+        process, calls = await machine.start_gateway()
+        assert "version 0 (own file) in force" in await send_when_listening(calls)
         fresh = VersionService()
         await fresh.open(HOST, machine.service.port)
         machine.service = fresh
-        await machine.put(7, published(7))
-        await machine.has(process, 7)
+        await machine.publish(7, published(7))
+        await machine.wait_until_activated(process, 7)
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_after_a_stall_the_newest_version_is_active_and_never_an_older_one(tmp_path):
     async def scenario(machine):
-        await machine.put(1, published(1))
-        process, _ = await machine.start()
-        await machine.put(2, published(2), 100.0)
+        await machine.publish(1, published(1))
+        process, _ = await machine.start_gateway()
+        await machine.publish(2, published(2), 100.0)
         process.send_signal(signal.SIGSTOP)
         for version in (3, 4):
-            await machine.put(version, published(version), 100.0)
+            await machine.publish(version, published(version), 100.0)
         await asyncio.sleep(0.2)  # their times go by
         process.send_signal(signal.SIGCONT)
-        await machine.has(process, 4)
-        had = machine.put_in_force(process.pid)
+        await machine.wait_until_activated(process, 4)
+        had = machine.activated_versions(process.pid)
         assert had == sorted(had) and set(had) <= {1, 2, 3, 4}
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_a_process_after_a_kill_starts_with_the_newest_version(tmp_path):
     async def scenario(machine):
-        await machine.put(1, published(1))
-        process, _ = await machine.start()
+        await machine.publish(1, published(1))
+        process, _ = await machine.start_gateway()
         process.kill()
         await process.wait()
-        await machine.put(2, published(2))
-        again, _ = await machine.start()
-        assert machine.put_in_force(again.pid) == [2]
+        await machine.publish(2, published(2))
+        again, _ = await machine.start_gateway()
+        assert machine.activated_versions(again.pid) == [2]
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_a_hot_restart_hands_over_the_active_version_though_the_service_is_dead(tmp_path):
     async def scenario(machine):
-        await machine.put(5, published(5))
-        process, calls = await machine.start()
-        assert machine.put_in_force(process.pid) == [5]
+        await machine.publish(5, published(5))
+        process, calls = await machine.start_gateway()
+        assert machine.activated_versions(process.pid) == [5]
         machine.service.close()
-        again, calls_again = await machine.start()
-        await machine.has(again, 5)
-        assert "version 5 " in await says(calls_again) and "version 5 " in await says(calls)
+        again, calls_again = await machine.start_gateway()
+        await machine.wait_until_activated(again, 5)
+        assert "version 5 " in await send_when_listening(
+            calls_again
+        ) and "version 5 " in await send_when_listening(calls)
         process.terminate()
         await process.wait()
         assert await is_up(machine.port, 5.0)
         fresh = VersionService()
         await fresh.open(HOST, machine.service.port)
         machine.service = fresh
-        await machine.put(6, published(6))
-        await machine.has(again, 6)
-        assert machine.put_in_force(again.pid) == [5, 6]
+        await machine.publish(6, published(6))
+        await machine.wait_until_activated(again, 6)
+        assert machine.activated_versions(again.pid) == [5, 6]
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_without_a_configuration_table_nothing_of_it_is_imported_or_called(tmp_path):
@@ -119,29 +121,29 @@
 
     async def scenario(machine):
         (machine.folder / "operator.toml").write_text("")
-        process, calls = await machine.start()
-        assert (await says(calls)).startswith("-ERR no settings service is configured")
-        assert machine.put_in_force(process.pid) == [] and machine.service.calls == 0
+        process, calls = await machine.start_gateway()
+        assert (await send_when_listening(calls)).startswith("-ERR no settings service is configured")
+        assert machine.activated_versions(process.pid) == [] and machine.service.calls == 0
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_gateways_without_the_table_are_reported_and_serve_by_their_file(tmp_path):
     """Two of three numbers: one asks, one runs without [configuration], one is not there at all."""
 
     async def scenario(machine):
-        await machine.put(3, published(3))
+        await machine.publish(3, published(3))
         (machine.folder / "new").mkdir()
-        with_it = Machine(machine.folder / "new")
+        with_it = ServiceAndGateway(machine.folder / "new")
         async with with_it:
             with_it.service.close()
             (with_it.folder / "operator.toml").write_text(
                 f'[configuration]\naddresses = ["{HOST}:{machine.service.port}"]\n'
             )
             (machine.folder / "operator.toml").write_text("")
-            new, _ = await with_it.start()
-            old, _ = await machine.start()
-            await with_it.has(new, 3)
+            new, _ = await with_it.start_gateway()
+            old, _ = await machine.start_gateway()
+            await with_it.wait_until_activated(new, 3)
             while machine.service.store.subscribers["n0"].active_version != 3:
                 await asyncio.sleep(0.01)
             store = machine.service.store
@@ -152,9 +154,9 @@
                 not report.is_complete
                 and "2 never called a service, gatekeeper numbers: 1, 2" in report.lines
             )
-            assert machine.put_in_force(old.pid) == [] and await is_up(machine.port, 5.0)
+            assert machine.activated_versions(old.pid) == [] and await is_up(machine.port, 5.0)
 
-    on_a_machine(tmp_path, scenario)
+    with_service_and_gateway(tmp_path, scenario)
 
 
 def test_the_checker_of_trials_reports_each_broken_invariant():
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -24,8 +24,8 @@
     run,
     told,
 )
-from support.management import say
-from support.processes import ROOT, UP, free_port, start, until_up
+from support.management import send_admin_command
+from support.processes import ROOT, UP_REQUEST, free_port, start_program, wait_until_ready
 from support.snapshots import export_snapshot
 from support.traffic import settings
 
@@ -301,13 +301,13 @@
                 )
             )
         )
-        process = await start(path, module)
+        process = await start_program(path, module)
         self.processes.append(process)
         _, writer = await await_while_running(process, self.fake.called())
         writer.write(told(listing(entry("w1", self.worker.port))))
         while True:
             try:
-                if (await say(self.management[-1], b"READY\n")).startswith("+OK"):
+                if (await send_admin_command(self.management[-1], b"READY\n")).startswith("+OK"):
                     return process
             except ConnectionError:
                 await asyncio.sleep(0.01)
@@ -337,7 +337,7 @@
             gateway = RestartedGateway(tmp_path, fake, worker)
             try:
                 await gateway.start("support.faulty_gateway" if fault else "plumpick")
-                await until_up(gateway.port)
+                await wait_until_ready(gateway.port)
                 await scenario(gateway)
             finally:
                 for process in gateway.processes:
@@ -383,19 +383,19 @@
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(8)]
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP_REQUEST).answer())[0] == 200
         for _ in range(2):
             old = gateway.processes[-1]
             before = counts["answered"]
             await gateway.start()
-            assert (await say(gateway.management[-2], b"READY\n")).startswith("-ERR")
+            assert (await send_admin_command(gateway.management[-2], b"READY\n")).startswith("-ERR")
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
             while counts["answered"] < before + 50:
                 await asyncio.sleep(0.01)
         counts["stop"] = 1
         await asyncio.gather(*clients)
-        assert (await idle.send(UP).answer())[0] == 200  # its connection was transferred twice
+        assert (await idle.send(UP_REQUEST).answer())[0] == 200  # its connection was transferred twice
         serving.cancel()
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
 
@@ -404,15 +404,17 @@
 
 def test_operators_commands_survive_a_hot_restart_and_apply_to_both_processes(tmp_path, monkeypatch):
     async def scenario(gateway):
-        assert (await say(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
-        assert (await say(gateway.management[0], b"DRAIN\n")).startswith("+OK")
+        assert (await send_admin_command(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(gateway.management[0], b"DRAIN\n")).startswith("+OK")
         await gateway.start()
-        assert (await (await Client().open(gateway.port)).send(UP).answer())[0] == 503
-        assert (await say(gateway.management[0], b"UNDRAIN\n")).startswith("+OK")  # sent to the predecessor
-        while (await (await Client().open(gateway.port)).send(UP).answer())[0] == 503:
+        assert (await (await Client().open(gateway.port)).send(UP_REQUEST).answer())[0] == 503
+        assert (await send_admin_command(gateway.management[0], b"UNDRAIN\n")).startswith(
+            "+OK"
+        )  # sent to the predecessor
+        while (await (await Client().open(gateway.port)).send(UP_REQUEST).answer())[0] == 503:
             await asyncio.sleep(0.01)
-        assert (await say(gateway.management[1], b"ENABLE w9\n")).startswith("-ERR")
-        assert (await say(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(gateway.management[1], b"ENABLE w9\n")).startswith("-ERR")
+        assert (await send_admin_command(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
         serving.cancel()
@@ -427,7 +429,7 @@
         await new.wait()
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
-        assert (await say(gateway.management[0], b"READY\n")).startswith("+OK")
+        assert (await send_admin_command(gateway.management[0], b"READY\n")).startswith("+OK")
         serving.cancel()
 
     run_with_first_process(tmp_path, monkeypatch, scenario)
@@ -496,18 +498,18 @@
         accepted = 0
         while not starting.done():
             command = (b"DISABLE w1\n", b"ENABLE w1\n")[accepted % 2]
-            if (await say(gateway.management[0], command)).startswith("+OK"):
+            if (await send_admin_command(gateway.management[0], command)).startswith("+OK"):
                 accepted += 1
             if accepted == 3:
                 old.send_signal(signal.SIGHUP)
         if command.startswith(b"ENABLE"):
-            assert (await say(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
+            assert (await send_admin_command(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0 and accepted > 3
         assert (await reading).count(b" w1: done") >= accepted
         client = await Client().open(gateway.port)
         assert (await client.send(request(deadline=300)).answer())[0] in (503, 504)
-        assert (await say(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         assert (await (await Client().open(gateway.port)).send(request()).answer())[0] == 200
         serving.cancel()
@@ -527,7 +529,9 @@
         while b"listening for a next process again" not in log:
             log += await first.stderr.read(4096)
         await gateway.start()
-        assert (await say(gateway.management[0], b"READY\n")).startswith("-ERR handed over to the successor")
+        assert (await send_admin_command(gateway.management[0], b"READY\n")).startswith(
+            "-ERR handed over to the successor"
+        )
         first.send_signal(signal.SIGTERM)
         assert await first.wait() == 0
         client = await Client().open(gateway.port)
@@ -570,7 +574,7 @@
 async def command_or_empty(port, line):
     """The reply to an operator's command; empty if the process no longer listens."""
     try:
-        return (await say(port, line)).encode()
+        return (await send_admin_command(port, line)).encode()
     except ConnectionError:
         return b""
 
@@ -607,13 +611,16 @@
         log = asyncio.create_task(old.stderr.read())
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP_REQUEST).answer())[0] == 200
         new = await gateway.start()
         counts = dict(sent=0, answered=0, lost=0, refused=0, stop=0)
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(16)]
         while counts["answered"] < 50:
             await asyncio.sleep(0.01)
-        assert await say(gateway.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
+        assert (
+            await send_admin_command(gateway.management[0], b"READY\n")
+            == "-ERR handed over to the successor process\n"
+        )
         old.kill()
         await old.wait()
         while counts["answered"] < 100:
@@ -621,7 +628,7 @@
         counts["stop"] = 1
         await asyncio.gather(*clients)
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
-        assert (await idle.send(UP).answer())[0] == 200
+        assert (await idle.send(UP_REQUEST).answer())[0] == 200
         serving.cancel()
         old_log = (await log).decode()
         assert old_log.count("handed over to the next process") == 1
@@ -642,7 +649,7 @@
 
 async def check_readiness(client, port):
     """Send a readiness check, which must be answered; reconnect if the answer closes the connection."""
-    answer = await client.send(UP).answer()
+    answer = await client.send(UP_REQUEST).answer()
     assert answer is not None and answer[0] == 200
     if answer[1].get("connection") == "close":
         client.close()
@@ -669,7 +676,10 @@
                 await check_readiness(client, gateway.port)
             rounds += 1
         await starting
-        assert await say(gateway.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
+        assert (
+            await send_admin_command(gateway.management[0], b"READY\n")
+            == "-ERR handed over to the successor process\n"
+        )
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         for client in clients:
@@ -699,7 +709,7 @@
                 await asyncio.sleep(0.01)
         begin = counts["answered"]
         while counts["answered"] < begin + 50 or not (
-            await say(gateway.management[0], b"READY\n")
+            await send_admin_command(gateway.management[0], b"READY\n")
         ).startswith("+OK"):
             await asyncio.sleep(0.01)
         counts["stop"] = 1
@@ -707,7 +717,10 @@
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
         assert descriptors_of(old) <= open_before + 8
         new = await gateway.start()
-        assert await say(gateway.management[0], b"READY\n") == "-ERR handed over to the successor process\n"
+        assert (
+            await send_admin_command(gateway.management[0], b"READY\n")
+            == "-ERR handed over to the successor process\n"
+        )
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0 and new.returncode is None
         assert "Traceback" not in (await old.stderr.read()).decode()
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -15,7 +15,7 @@
     request,
     run,
 )
-from support.management import say
+from support.management import send_admin_command
 
 from plumpick.cli import main
 from plumpick.gateway.config import parse_config, parse_worker_list
@@ -29,7 +29,7 @@
 )
 from plumpick.policy.controller import Controller
 
-UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 def with_office(scenario, **more):
@@ -109,13 +109,13 @@
 
 def test_each_call_is_answered_and_the_connection_closed():
     async def scenario(port, gate, _worker):
-        assert (await say(port, b"READY\n")).startswith("+OK")
-        assert (await say(port, b"DISABLE w1\r\n")).startswith("+OK")
-        assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
-        assert (await say(port, b"ENABLE w1", end=True)).startswith("+OK")
-        assert (await say(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.gateway.is_ready
+        assert (await send_admin_command(port, b"READY\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"DISABLE w1\r\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"DISABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"ENABLE w1", end=True)).startswith("+OK")
+        assert (await send_admin_command(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.gateway.is_ready
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
-            assert (await say(port, wrong)).startswith("-ERR"), wrong
+            assert (await send_admin_command(port, wrong)).startswith("-ERR"), wrong
 
     with_office(scenario)
 
@@ -123,10 +123,10 @@
 def test_ready_is_an_error_before_start_and_during_shutdown():
     async def scenario(port, gate, _worker):
         gate.gateway.is_serving = False
-        assert (await say(port, b"READY\n")).startswith("-ERR")
+        assert (await send_admin_command(port, b"READY\n")).startswith("-ERR")
         gate.gateway.start_serving()
         gate.gateway.shut_down_within(2000.0)
-        assert (await say(port, b"READY\n")).startswith("-ERR")
+        assert (await send_admin_command(port, b"READY\n")).startswith("-ERR")
 
     with_office(scenario)
 
@@ -136,7 +136,7 @@
         silent = [await asyncio.open_connection(HOST, port) for _ in range(200)]
         for _, writer in silent[::2]:
             writer.write(b"DISA")
-        assert (await say(port, b"READY\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"READY\n")).startswith("+OK")
         assert len(gate.operators.connections) <= HARD_MAX_CONNECTIONS
         for _, writer in silent:
             writer.transport.abort()
@@ -161,11 +161,11 @@
         client = await gate.client()
         client.send(request())
         _, writer = await worker.next_request()
-        assert (await say(port, b"DISABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"DISABLE w1\n")).startswith("+OK")
         writer.write(answer())
         assert (await client.read_response())[0] == 200  # what is out may finish
         assert (await client.send(request(deadline=100)).read_response())[0] in (503, 504)
-        assert (await say(port, b"ENABLE w1\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"ENABLE w1\n")).startswith("+OK")
         client.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
@@ -177,12 +177,12 @@
 def test_drained_it_says_no_serves_what_comes_and_closes_behind_each_answer():
     async def scenario(port, gate, worker):
         idle, kept, slow = await gate.client(), await gate.client(), await gate.client()
-        await idle.send(UP).read_response()
+        await idle.send(UP_REQUEST).read_response()
         slow.send(request()[:-1])
         kept.send(request())
         _, writer = await worker.next_request()
-        assert (await say(port, b"DRAIN\n")).startswith("+OK")
-        assert (await (await gate.client()).send(UP).read_response())[0] == 503
+        assert (await send_admin_command(port, b"DRAIN\n")).startswith("+OK")
+        assert (await (await gate.client()).send(UP_REQUEST).read_response())[0] == 503
         writer.write(answer())
         told = await kept.read_response()
         assert told[0] == 200 and told[1]["connection"] == "close" and await kept.wait_for_end()
@@ -193,9 +193,9 @@
         ) and await slow.wait_for_end()  # its own time is nearly over
         while gate.gateway.has_unfinished_work():
             await asyncio.sleep(0.01)
-        assert (await say(port, b"UNDRAIN\n")).startswith("+OK")
+        assert (await send_admin_command(port, b"UNDRAIN\n")).startswith("+OK")
         again = await gate.client()
-        assert (await again.send(UP).read_response())[0] == 200
+        assert (await again.send(UP_REQUEST).read_response())[0] == 200
         again.send(request())
         _, writer = await worker.next_request()
         writer.write(answer())
@@ -210,7 +210,7 @@
     async def scenario(port, gate, worker):
         slow = await gate.client()
         slow.send(request(deadline=10_000)[:-1])
-        await say(port, b"DRAIN\n")
+        await send_admin_command(port, b"DRAIN\n")
         while gate.gateway.admission_state < 3:
             await asyncio.sleep(0.01)
         slow.send(b"\n")
@@ -224,9 +224,9 @@
 
 def test_shutdown_during_a_drain_wins_over_undrain():
     async def scenario(port, gate, _worker):
-        await say(port, b"DRAIN\n")
+        await send_admin_command(port, b"DRAIN\n")
         gate.gateway.shut_down_within(2000.0)
-        await say(port, b"UNDRAIN\n")
+        await send_admin_command(port, b"UNDRAIN\n")
         assert not gate.gateway.is_ready  # it ends all the same
 
     with_office(scenario)
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -20,7 +20,7 @@
     run,
     told,
 )
-from support.processes import UP, free_port, start, tell_list, until_up
+from support.processes import UP_REQUEST, free_port, send_endpoint_list, start_program, wait_until_ready
 
 from plumpick.gateway.config import parse_config
 
@@ -33,10 +33,10 @@
             port = free_port()
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(fake.port, port, **(settings or {}))))
-            process = await start(path, **more)
+            process = await start_program(path, **more)
             try:
-                await tell_list(fake, entry("w1", worker.port))
-                await until_up(port)
+                await send_endpoint_list(fake, entry("w1", worker.port))
+                await wait_until_ready(port)
                 await scenario(process, port, worker, fake, path)
             finally:
                 if process.returncode is None:
@@ -49,11 +49,11 @@
 def test_sigterm_finishes_what_was_taken_serves_what_comes_and_exits_0(tmp_path):
     async def scenario(process, port, worker, _fake, _path):
         kept, idle = await Client().open(port), await Client().open(port)
-        await idle.send(UP).read_response()
+        await idle.send(UP_REQUEST).read_response()
         kept.send(request())
         _, writer = await worker.next_request()
         process.send_signal(signal.SIGTERM)
-        while (await (await Client().open(port)).send(UP).read_response())[0] != 503:
+        while (await (await Client().open(port)).send(UP_REQUEST).read_response())[0] != 503:
             pass  # it has not had the signal yet
         late = await Client().open(port)
         late.send(request())
@@ -124,13 +124,13 @@
         await worker.next_request()
         process.kill()
         await process.wait()
-        again = await start(path)
+        again = await start_program(path)
         try:
             while (await fake.next_call())[0] != "/discovery/hosts":
                 pass  # the first one's watch
             # The call of the second is the last one taken; it gives up silence and calls once more.
-            await tell_list(fake, entry("w1", worker.port))
-            await until_up(port)
+            await send_endpoint_list(fake, entry("w1", worker.port))
+            await wait_until_ready(port)
         finally:
             again.kill()
             await again.wait()
@@ -147,7 +147,7 @@
         path = tmp_path / "config.json"
         if text is not None:
             path.write_text(text)
-        process = await start(path)
+        process = await start_program(path)
         _, said = await process.communicate()
         assert process.returncode == 2 and said.count(b"\n") == 1 and name.encode() in said
 
@@ -218,9 +218,9 @@
             port = free_port()
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(fake.port, port, known=[entry("w1", worker.port)])))
-            process = await start(path)
+            process = await start_program(path)
             try:
-                await until_up(port)
+                await wait_until_ready(port)
                 client = await Client().open(port)
                 client.send(request())
                 _, writer = await worker.next_request()
@@ -242,12 +242,12 @@
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(discovery, port, known=[entry("w1", worker.port)])))
             limit = resource.RLIMIT_NOFILE, (256, 256)
-            process = await start(path, preexec_fn=lambda: resource.setrlimit(*limit))
+            process = await start_program(path, preexec_fn=lambda: resource.setrlimit(*limit))
             crowd = []
             try:
-                await until_up(port)
+                await wait_until_ready(port)
                 for _ in range(400):  # each has asked once, and rests
-                    crowd.append((await Client().open(port)).send(UP))
+                    crowd.append((await Client().open(port)).send(UP_REQUEST))
                 for one in crowd[:100]:
                     assert await one.read_response()
                 async with FakeDiscovery(discovery) as fake:
--- a/tests/gateway/test_shutdown.py
+++ b/tests/gateway/test_shutdown.py
@@ -19,7 +19,7 @@
     run,
     told,
 )
-from support.processes import UP, free_port, until_up
+from support.processes import UP_REQUEST, free_port, wait_until_ready
 from support.shutdown import run_served_gateway
 
 from plumpick.gateway import management, process, shutdown
@@ -133,7 +133,7 @@
     monkeypatch.setattr(management, "close_listener", connect_then_close)
 
     async def scenario(port, fake, worker, _task):
-        await until_up(port)
+        await wait_until_ready(port)
         os.kill(os.getpid(), signal.SIGTERM)
         message, writer = await worker.next_request()
         assert message is not None
@@ -155,9 +155,9 @@
         _, writer = await fake.next_call()
         client = await Client().open(port)
         for _ in range(3):
-            assert (await client.send(UP).read_response())[0] == 503
+            assert (await client.send(UP_REQUEST).read_response())[0] == 503
         writer.write(told(listing(entry("w1", worker.port))))
-        await until_up(port)
-        assert (await client.send(UP).read_response())[0] == 200
+        await wait_until_ready(port)
+        assert (await client.send(UP_REQUEST).read_response())[0] == 200
 
     run_served_gateway(scenario, monkeypatch, known=listing())
--- a/tests/support/config_processes.py
+++ b/tests/support/config_processes.py
@@ -10,13 +10,13 @@
 
 from support.dynamic_config import document
 from support.fakes import HOST, config, entry, run
-from support.processes import ROOT, free_port, until_up
+from support.processes import ROOT, free_port, wait_until_ready
 
 from plumpick.tools.call import send_command
 from plumpick.tools.configuration_service import VersionService
 
 
-class Machine:
+class ServiceAndGateway:
     """A configuration service in the test process, and a gateway with one process at a time, or two during a
     hot restart."""
 
@@ -38,11 +38,11 @@
                 process.kill()
                 await process.wait()
 
-    async def put(self, version, value, later_ms=0.0):
+    async def publish(self, version, value, later_ms=0.0):
         told = document(version, value, self.service.now_ms() + later_ms)
         assert self.service._publish(json.dumps(told).encode())[0] == 200
 
-    async def start(self, worker=9):
+    async def start_gateway(self, worker=9):
         """Start a gateway process with a worker at the port `worker`, and wait until it is ready. Returns the
         process and its management port."""
         calls = free_port()
@@ -64,21 +64,21 @@
             },
         )
         self.processes.append(process)
-        await until_up(self.port)
+        await wait_until_ready(self.port)
         return process, calls
 
-    def put_in_force(self, pid):
+    def activated_versions(self, pid):
         """The versions that the process activated, in order."""
         path = self.folder / "witness"
         rows = [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
         return [row[3] for row in rows if row[0] == "force" and row[2] == pid]
 
-    async def has(self, process, version):
-        while self.put_in_force(process.pid)[-1:] != [version]:
+    async def wait_until_activated(self, process, version):
+        while self.activated_versions(process.pid)[-1:] != [version]:
             await asyncio.sleep(0.01)
 
 
-async def says(calls, line="CONFIGURATION"):
+async def send_when_listening(calls, line="CONFIGURATION"):
     while True:
         try:
             return await asyncio.to_thread(send_command, (HOST, calls), line)
@@ -86,9 +86,9 @@
             await asyncio.sleep(0.01)
 
 
-def on_a_machine(tmp_path, scenario):
+def with_service_and_gateway(tmp_path, scenario):
     async def whole():
-        async with Machine(tmp_path) as machine:
+        async with ServiceAndGateway(tmp_path) as machine:
             await scenario(machine)
 
     run(whole())
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -5,7 +5,7 @@
 from support.fakes import HOST
 
 
-async def say(port, data, end=False):
+async def send_admin_command(port, data, end=False):
     """Send `data` on a new connection and return the complete reply; empty if the connection is reset. `end`:
     whether to close the sending side afterwards."""
     reader, writer = await asyncio.open_connection(HOST, port)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -17,7 +17,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 def free_port():
@@ -25,7 +25,7 @@
         return probe.getsockname()[1]
 
 
-async def start(path, module="plumpick", **more):
+async def start_program(path, module="plumpick", **more):
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable).replace("-m plumpick", f"-m {module}")
     return await asyncio.create_subprocess_exec(
@@ -39,7 +39,7 @@
     )
 
 
-async def until_up(port):
+async def wait_until_ready(port):
     """Wait until GET /up is answered with 200."""
     while True:
         try:
@@ -48,7 +48,7 @@
             await asyncio.sleep(0)
             continue
         try:
-            told = await client.send(UP).read_response()
+            told = await client.send(UP_REQUEST).read_response()
         except ConnectionError:
             continue
         client.close()
@@ -56,7 +56,7 @@
             return
 
 
-async def tell_list(fake, *entries):
+async def send_endpoint_list(fake, *entries):
     """Answer the first call of discovery with the complete list, and leave the following watch open."""
     _, writer = await fake.next_call()
     writer.write(told(listing(*entries)))
--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.fakes import HOST, Client, FakeDiscovery, FakeWorker, answer, config, entry, request, run
-from support.processes import free_port, start, tell_list, until_up
+from support.processes import free_port, send_endpoint_list, start_program, wait_until_ready
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE, main
 from plumpick.tools.counts import CountsError, aggregate, parse_records, summarize
@@ -76,10 +76,10 @@
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port, path = free_port(), tmp_path / "config.json"
             path.write_text(json.dumps(config(fake.port, port)))
-            process = await start(path, "plumpick.tools.traced")
+            process = await start_program(path, "plumpick.tools.traced")
             try:
-                await tell_list(fake, entry("w1", worker.port))
-                await until_up(port)
+                await send_endpoint_list(fake, entry("w1", worker.port))
+                await wait_until_ready(port)
                 client = await Client().open(port)
                 client.send(request())
                 _, writer = await worker.next_request()
