--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -1,54 +1,60 @@
-"""From publishing to serving: a real gatekeeper, a service and a worker, and no restart between."""
+"""Activation of published settings in a running gateway process with a configuration service and a worker."""
 
 import asyncio
 import signal
 
 import pytest
 from support.config_processes import ServiceAndGateway
-from support.dynamic_config import published
+from support.dynamic_config import published_settings
 from support.fakes import Client, FakeWorker, answer, request, run
 
 
-def homed(path):
-    """Of a customer whose home is this gatekeeper: it asks no peer."""
+def request_owned_here(path):
+    """Returns a request of a customer whose quota owner is this gateway, so that no peer is asked."""
     return request(path=path).replace(b"spread=2", b"spread=1")
 
 
-async def asks(client, worker, path):
-    """The status of a request; a worker answers it, if it gets it."""
-    client.send(homed(path))
-    answered = asyncio.ensure_future(client.read_response())
-    came = asyncio.ensure_future(worker.next_request())
-    await asyncio.wait((answered, came), return_when=asyncio.FIRST_COMPLETED)
-    if answered.done():
-        came.cancel()
-        return answered.result()[0]
-    came.result()[1].write(answer())
-    return (await answered)[0]
+async def send_and_answer(client, worker, path):
+    """Send a request for `path`, and answer it with 200 if it reaches the worker. Returns the status that the
+    client receives."""
+    client.send(request_owned_here(path))
+    response = asyncio.ensure_future(client.read_response())
+    forwarded = asyncio.ensure_future(worker.next_request())
+    await asyncio.wait((response, forwarded), return_when=asyncio.FIRST_COMPLETED)
+    if response.done():
+        forwarded.cancel()
+        return response.result()[0]
+    forwarded.result()[1].write(answer())
+    return (await response)[0]
 
 
-@pytest.mark.parametrize("by", ["whole", "delta"])
-def test_a_published_class_is_served_and_a_removed_one_is_not_without_a_restart(tmp_path, by):
+@pytest.mark.parametrize("update", ["whole", "delta"])
+def test_added_class_is_served_and_removed_class_is_rejected_without_a_restart(tmp_path, update):
     async def scenario():
-        async with FakeWorker() as worker, ServiceAndGateway(tmp_path) as machine:
-            if by == "delta":
-                await machine.publish(1, published(1, classes=2))
-            process, _ = await machine.start_gateway(worker.port)
-            client = await Client().open(machine.port)
-            name = "/c0" if by == "delta" else "/look"
-            assert await asks(client, worker, name) == 200
-            assert await asks(client, worker, "/c7") == 404
-            await machine.publish(2, published(2, classes=8))
-            await machine.wait_until_activated(process, 2)
-            assert await asks(client, worker, "/c7") == 200  # on the same connection
-            client.send(homed("/c7"))
+        async with FakeWorker() as worker, ServiceAndGateway(tmp_path) as setup:
+            if update == "delta":
+                await setup.publish(1, published_settings(1, classes=2))
+            process, _ = await setup.start_gateway(worker.port)
+            client = await Client().open(setup.port)
+            path = "/c0" if update == "delta" else "/look"
+            assert await send_and_answer(client, worker, path) == 200
+            assert await send_and_answer(client, worker, "/c7") == 404
+            await setup.publish(2, published_settings(2, classes=8))
+            await setup.wait_until_activated(process, 2)
+            assert await send_and_answer(client, worker, "/c7") == 200  # on the same connection
+            client.send(request_owned_here("/c7"))
             _, writer = await worker.next_request()
-            await machine.publish(3, published(3, classes=3))  # its class goes while it is out
-            await machine.wait_until_activated(process, 3)
+            await setup.publish(
+                3, published_settings(3, classes=3)
+            )  # removes the class of the request in progress
+            await setup.wait_until_activated(process, 3)
             writer.write(answer(body=b"late"))
             status, _, body = await client.read_response()
             assert (status, body) == (200, b"late")
-            assert await asks(client, worker, "/c7") == 404 and await asks(client, worker, "/c2") == 200
+            assert (
+                await send_and_answer(client, worker, "/c7") == 404
+                and await send_and_answer(client, worker, "/c2") == 200
+            )
             assert process.returncode is None
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
--- a/tests/gateway/dynamic_config/test_config_table.py
+++ b/tests/gateway/dynamic_config/test_config_table.py
@@ -1,4 +1,4 @@
-"""The operator's table [configuration]."""
+"""The table [configuration] of the operator's file: checks of its keys and its parsed values."""
 
 import pytest
 
@@ -19,11 +19,11 @@
         ({"addresses": ["127.0.0.1:1"], "silent": 9}, "configuration.silent: no such key"),
     ],
 )
-def test_each_key_of_the_table_is_checked_by_name(table, key):
+def test_invalid_configuration_table_is_rejected_with_the_name_of_the_key(table, key):
     with pytest.raises(ConfigError, match=key):
         parse_operator_config({"configuration": table}, 3)
 
 
-def test_the_table_needs_no_fleet():
-    got = parse_operator_config({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
-    assert got.fleet is None and got.configuration.silent_ms == 9000.0
+def test_configuration_table_is_accepted_without_a_fleet_table():
+    parsed = parse_operator_config({"configuration": {"addresses": ["127.0.0.1:1"], "silent_s": 9}}, 3)
+    assert parsed.fleet is None and parsed.configuration.silent_ms == 9000.0
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -11,7 +11,7 @@
 WATCH = "/discovery/hosts?since={}&timeout_ms=2000"
 
 
-def watched(scenario):
+def with_discovery_client(scenario):
     """Run a scenario with a fake discovery, and a queue of what the gatekeeper is told."""
 
     async def whole():
@@ -35,11 +35,11 @@
         target, writer = await fake.next_call()
         assert target == WATCH.format(41)
         writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
-        news = await lists.get()
-        assert not news.complete and news.entries[0].server.state.value == "gone"
+        update = await lists.get()
+        assert not update.complete and update.entries[0].server.state.value == "gone"
         assert (await fake.next_call())[0] == WATCH.format(43)
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_watch_without_changes_continues_and_notifies_nobody():
@@ -54,7 +54,7 @@
         await fake.next_call()
         assert lists.empty()
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
         writer.write(told(listing(entry("w1", 5001), index=44)))
         assert (await lists.get()).index == 44
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_malformed_entry_is_left_out_of_the_list():
@@ -93,11 +93,11 @@
         _, writer = await fake.next_call()
         odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
         writer.write(told(listing(*odd, entry("w1", 5001), index=41)))
-        news = await lists.get()
-        assert [one.server.id for one in news.entries] == ["w1"] and news.complete
+        update = await lists.get()
+        assert [one.server.id for one in update.entries] == ["w1"] and update.complete
         assert (await fake.next_call())[0] == WATCH.format(41)
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_new_address_begins_with_a_snapshot():
@@ -119,10 +119,10 @@
             assert (await new.next_call())[0] == WATCH.format(3)
             assert fake.calls.empty() and silent.calls.empty()
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
-async def has_read(discovery):
+async def wait_for_partial_response(discovery):
     """A part of an answer has come and waits for the rest."""
     while not discovery._current._connection._reader._buffer:
         await asyncio.sleep(0)
@@ -137,19 +137,19 @@
         writer.write(told(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
-        news = told(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
-        writer.write(news[:-30])
-        await has_read(discovery)
+        update = told(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
+        writer.write(update[:-30])
+        await wait_for_partial_response(discovery)
         async with FakeDiscovery() as silent:
             discovery.change_address((HOST, silent.port))
             await silent.next_call()
-            writer.write(news[-30:])
+            writer.write(update[-30:])
             assert (await lists.get()).entries[0].server.state.value == "draining"
             assert (await fake.next_call())[0] == WATCH.format(
                 42
             )  # it is listened to until the new one tells
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_change_to_a_dead_address_and_back_loses_nothing():
@@ -171,7 +171,7 @@
             assert (await fake.next_call())[0] == WATCH.format(42)
             assert len(discovery._tasks) == 1 and silent.calls.empty()
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_the_old_address_is_ignored_once_the_new_one_sent_its_snapshot():
@@ -192,7 +192,7 @@
                 assert (await lists.get()).index == index
             assert lists.empty() and len(discovery._tasks) == 1
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
@@ -213,7 +213,7 @@
         target, writer = await fake.next_call()
         assert target == ("/discovery/hosts" if is_reset else WATCH.format(41)) and lists.empty()
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_watch_that_is_reset_right_after_its_answer_is_reopened_at_once():
@@ -228,7 +228,7 @@
         writer.write(told(listing(entry("w1", 5001, "draining"), index=42)))
         assert (await lists.get()).entries[0].server.state.value == "draining"
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_fault_of_our_own_does_not_end_the_watch(monkeypatch):
@@ -243,7 +243,7 @@
         writer.write(told(listing(index=42)))
         assert (await lists.get()).index == 42
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_a_silent_discovery_is_asked_again(monkeypatch):
@@ -262,7 +262,7 @@
         assert (await lists.get()).index == 7
         answering.cancel()
 
-    watched(scenario)
+    with_discovery_client(scenario)
 
 
 def test_refused_connections_are_retried():
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -32,7 +32,7 @@
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
-def with_office(scenario, **more):
+def with_admin_listener(scenario, **more):
     """A gatekeeper with one worker, w1, and its management port."""
 
     async def whole():
@@ -117,7 +117,7 @@
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
             assert (await send_admin_command(port, wrong)).startswith("-ERR"), wrong
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_ready_is_an_error_before_start_and_during_shutdown():
@@ -128,7 +128,7 @@
         gate.gateway.shut_down_within(2000.0)
         assert (await send_admin_command(port, b"READY\n")).startswith("-ERR")
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_beside_callers_that_say_nothing_or_half_a_line_a_call_is_answered():
@@ -141,7 +141,7 @@
         for _, writer in silent:
             writer.transport.abort()
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_a_caller_that_says_nothing_is_closed_in_time():
@@ -153,7 +153,7 @@
         assert await Client().open(port) and not await reader.read()
         writer.close()
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_a_banned_worker_is_sent_nothing_more_once_the_answer_is_there():
@@ -171,7 +171,7 @@
         writer.write(answer())
         assert (await client.read_response())[0] == 200
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_drained_it_says_no_serves_what_comes_and_closes_behind_each_answer():
@@ -201,7 +201,7 @@
         writer.write(answer())
         assert "connection" not in (await again.read_response())[1]
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_what_comes_late_in_a_drain_is_answered_before_its_end():
@@ -219,7 +219,7 @@
         told = await slow.read_response()  # within 2 s, not 10
         assert told[0] in (502, 503, 504)
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_shutdown_during_a_drain_wins_over_undrain():
@@ -229,7 +229,7 @@
         await send_admin_command(port, b"UNDRAIN\n")
         assert not gate.gateway.is_ready  # it ends all the same
 
-    with_office(scenario)
+    with_admin_listener(scenario)
 
 
 def test_operators_send_commands_from_the_command_line(capsys):
@@ -242,6 +242,6 @@
 
         assert await asyncio.to_thread(calls) == [0, 0, 1, 1]
 
-    with_office(scenario)
+    with_admin_listener(scenario)
     assert capsys.readouterr().out.splitlines()[:2] == ["+OK ready", "+OK DISABLE w1"]
     assert main(["call", "nowhere", "READY"]) == main(["call", f"{HOST}:1", "READY"]) == 2
--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -1,4 +1,5 @@
-"""Budgets in the operator's file: what is rejected, by which key, and the defaults."""
+"""Budgets in the operator's file: checks of their keys, the default of share_s, and the digest of their
+terms."""
 
 import tomllib
 
@@ -21,7 +22,7 @@
         ("whole = 5\nburst = 5\n[[fleet.budget]]\nname = 'x'\nwhole = 1\nburst = 1", "budget[1].name"),
     ],
 )
-def test_unusable_budget_is_named_by_its_key(text, key):
+def test_invalid_budget_is_rejected_with_the_name_of_the_key(text, key):
     document = f"[fleet]\nvoters = [0]\n[[fleet.budget]]\nname = 'x'\n{text}\n"
     with pytest.raises(ConfigError) as problem:
         parse_operator_config(tomllib.loads(document), 3)
@@ -32,21 +33,24 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 480, 481, 550, 900])
-def test_file_without_share_s_is_read_at_any_size_of_the_fleet(gateways):
-    """From 481 gateways on the default must not pass the key's own bound."""
+def test_default_share_s_is_valid_for_any_number_of_gateways(gateways):
+    """From 481 gateways on, the default of an eighth of a second for each gateway is cut to 60 s, the maximum
+    of share_s."""
     for text in ("", BUDGET):
-        got = parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
-        assert got.grant_term_ms == min(60.0, max(2.0, gateways / 8)) * 1000
-        assert got.grant_term_ms >= 2000 * gateways / 30
+        fleet = parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
+        assert fleet.grant_term_ms == min(60.0, max(2.0, gateways / 8)) * 1000
+        assert fleet.grant_term_ms >= 2000 * gateways / 30
 
 
-def test_share_s_too_short_for_the_fleet_is_rejected_where_there_are_budgets():
+def test_share_s_too_short_for_the_number_of_gateways_is_rejected_if_there_are_budgets():
     own = "[fleet]\nvoters = [0]\nshare_s = 36\n"
     assert parse_operator_config(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
     with pytest.raises(ConfigError, match="fleet.share_s: 36 s is too short for 550 gatekeepers"):
         parse_operator_config(tomllib.loads(own + BUDGET), 550)
     with pytest.raises(ConfigError, match="fleet.share_s: 60 s is too short for 901 gatekeepers"):
-        parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)  # whatever its length
+        parse_operator_config(
+            tomllib.loads(own.replace("36", "60") + BUDGET), 901
+        )  # no permitted value suffices for 901 gateways
     with pytest.raises(
         ConfigError, match="fleet.share_s: expected a number of seconds from 0.2 to 60, got 61"
     ):
@@ -59,4 +63,6 @@
 
     one = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
     assert len({digest(""), digest(one), digest(one + "floor = 0.2\n")}) == 3
-    assert digest(one) == digest(one.replace("whole = 5", "whole = 6"))  # the lower holds
+    assert digest(one) == digest(
+        one.replace("whole = 5", "whole = 6")
+    )  # gateways may differ in it: the lower one is used
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -25,7 +25,7 @@
 from plumpick.gateway.config import parse_config
 
 
-def with_program(tmp_path, scenario, settings=None, **more):
+def with_gateway_process(tmp_path, scenario, settings=None, **more):
     """`settings` go into the configuration, `more` to the start of the process."""
 
     async def whole():
@@ -71,7 +71,7 @@
         assert (await kept.read_response())[2] == b"taken" and await kept.wait_for_end()
         assert await process.wait() == 0
 
-    with_program(tmp_path, scenario)
+    with_gateway_process(tmp_path, scenario)
 
 
 def test_sighup_moves_the_watch_and_keeps_what_it_has_if_the_file_is_malformed(tmp_path):
@@ -99,7 +99,7 @@
             assert await process.wait() == 0
         assert worker.requests.empty()
 
-    with_program(tmp_path, scenario)
+    with_gateway_process(tmp_path, scenario)
 
 
 def test_no_thread_of_the_kernel_polls_on_its_account(tmp_path):
@@ -114,7 +114,7 @@
         tasks = pathlib.Path(f"/proc/{process.pid}/task")
         assert not [name for name in tasks.glob("*/comm") if name.read_text().startswith("iou-")]
 
-    with_program(tmp_path, scenario)
+    with_gateway_process(tmp_path, scenario)
 
 
 def test_after_a_kill_it_starts_from_nothing_at_the_same_address(tmp_path):
@@ -135,7 +135,7 @@
             again.kill()
             await again.wait()
 
-    with_program(tmp_path, scenario)
+    with_gateway_process(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -148,24 +148,24 @@
         if text is not None:
             path.write_text(text)
         process = await start_program(path)
-        _, said = await process.communicate()
-        assert process.returncode == 2 and said.count(b"\n") == 1 and name.encode() in said
+        _, expected_text = await process.communicate()
+        assert process.returncode == 2 and expected_text.count(b"\n") == 1 and name.encode() in expected_text
 
     run(scenario())
 
 
-def with_settings(value, **more):
+def replace_settings(value, **more):
     return {**value, "settings": {**value["settings"], **more}}
 
 
-def many(rows, count):
+def numbered_copies(rows, count):
     return [{**rows[0], "name": f"n{place}"} for place in range(count)]
 
 
 CLASSES, PLANS = (config()["settings"][key] for key in ("classes", "packages"))
 BEYOND_LIMITS = [
-    ({"classes": many(CLASSES, 65_537)}, "config.settings.classes: 65537"),
-    ({"packages": many(PLANS, 4097)}, "config.settings.packages: 4097"),
+    ({"classes": numbered_copies(CLASSES, 65_537)}, "config.settings.classes: 65537"),
+    ({"packages": numbered_copies(PLANS, 4097)}, "config.settings.packages: 4097"),
     ({"classes": []}, "config.settings.classes: "),
     ({"packages": []}, "config.settings.packages: "),
     ({"classes": [*CLASSES, CLASSES[1]]}, "config.settings.classes[3].name: 'book'"),
@@ -173,15 +173,17 @@
 ]
 
 
-@pytest.mark.parametrize("change, said", BEYOND_LIMITS)
-def test_settings_beyond_the_limits_stop_the_start_with_one_line(tmp_path, change, said):
+@pytest.mark.parametrize("change, expected_text", BEYOND_LIMITS)
+def test_settings_beyond_the_limits_stop_the_start_with_one_line(tmp_path, change, expected_text):
     test_a_configuration_that_cannot_be_used_ends_it_with_one_line(
-        tmp_path, json.dumps(with_settings(config(), **change)), said
+        tmp_path, json.dumps(replace_settings(config(), **change)), expected_text
     )
 
 
 def test_as_many_classes_and_plans_as_may_be_are_taken():
-    given = with_settings(config(), classes=many(CLASSES, 65_536), packages=many(PLANS, 4096))
+    given = replace_settings(
+        config(), classes=numbered_copies(CLASSES, 65_536), packages=numbered_copies(PLANS, 4096)
+    )
     taken = parse_config(given, {}).settings
     assert (len(taken.classes), len(taken.plans)) == (65_536, 4096)
 
@@ -191,16 +193,16 @@
         first = json.loads(path.read_text())
         assert (await fake.next_call())[0].startswith("/discovery/hosts?since=")
         async with FakeDiscovery() as other:
-            for change, said in BEYOND_LIMITS:
+            for change, expected_text in BEYOND_LIMITS:
                 path.write_text(
-                    json.dumps(with_settings({**first, "discovery": f"{HOST}:{other.port}"}, **change))
+                    json.dumps(replace_settings({**first, "discovery": f"{HOST}:{other.port}"}, **change))
                 )
                 process.send_signal(signal.SIGHUP)
                 while b"the previous configuration stays active" not in (
                     line := await process.stderr.readline()
                 ):
                     pass
-                assert said.encode() in line
+                assert expected_text.encode() in line
             client = await Client().open(port)
             client.send(request())
             _, writer = await worker.next_request()
@@ -209,7 +211,7 @@
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
-    with_program(tmp_path, scenario)
+    with_gateway_process(tmp_path, scenario)
 
 
 def test_silent_discovery_does_not_keep_it_from_starting_with_the_known_list(tmp_path):
@@ -277,7 +279,7 @@
     run(whole())
 
 
-def homed(**more):
+def request_owned_here(**more):
     """A request of a customer whose quota owner is this gateway."""
     return request(**more).replace(b"spread=2", b"spread=1")
 
@@ -301,12 +303,12 @@
 
         serving = asyncio.create_task(serve())
         kept = [await Client().open(port) for _ in range(KEPT_CONNECTIONS)]
-        await asyncio.gather(*(client.send(homed()).read_response() for client in kept))
+        await asyncio.gather(*(client.send(request_owned_here()).read_response() for client in kept))
         await asyncio.sleep(0.1)
         process.send_signal(signal.SIGSTOP)
         going = [await Client().open(port) for _ in range(CLIENTS_THAT_GO)]
         for client in going:
-            client.send(homed(deadline=400))
+            client.send(request_owned_here(deadline=400))
         await asyncio.sleep(0.6)
         for client in going:
             client.writer.transport.abort()
@@ -316,8 +318,8 @@
         await asyncio.sleep(0.3)
         assert len(seen) == before, f"{len(seen) - before} sent on for clients that have gone"
         last = await Client().open(port)
-        mine = homed().replace(b"b4d65521", b"b4d65522")  # a customer whose quota is not used up
+        mine = request_owned_here().replace(b"b4d65521", b"b4d65522")  # a customer whose quota is not used up
         assert (await last.send(mine).read_response())[0] == 200
         serving.cancel()
 
-    with_program(tmp_path, scenario, {"limits": {"sockets": 2048}})
+    with_gateway_process(tmp_path, scenario, {"limits": {"sockets": 2048}})
--- a/tests/policy/dynamic_config/test_delta.py
+++ b/tests/policy/dynamic_config/test_delta.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from support.dynamic_config import published
+from support.dynamic_config import published_settings
 
 from plumpick.policy.dynamic_config.delta import (
     GATEWAY_OWN_KEYS,
@@ -96,7 +96,7 @@
 @effort(max_examples=300, deadline=None)
 @given(JSON)
 def test_malformed_changes_raise_only_delta_error_and_do_not_modify_the_base(changes):
-    base = published(1)
+    base = published_settings(1)
     original = copy.deepcopy(base)
     with contextlib.suppress(DeltaError):
         apply_changes(base, changes)
@@ -104,7 +104,7 @@
 
 
 def test_delta_of_few_changed_rows_contains_only_those_rows():
-    before = published(0, 1000)
+    before = published_settings(0, 1000)
     after = copy.deepcopy(before)
     after["classes"].insert(500, {**before["classes"][0], "name": "new"})
     after["classes"][700]["worth"] = 9.0
--- a/tests/policy/dynamic_config/test_rollout_report.py
+++ b/tests/policy/dynamic_config/test_rollout_report.py
@@ -1,6 +1,6 @@
 """Rollout report: which gateways have which version, from the status of several services."""
 
-from support.dynamic_config import document, published, status_of
+from support.dynamic_config import document, published_settings, status_of
 
 from plumpick.policy.dynamic_config.delta import settings_digest
 from plumpick.policy.dynamic_config.rollout_report import report_rollout
@@ -10,7 +10,7 @@
 
 def test_report_names_gateways_that_lack_or_reject_the_version_or_do_not_call():
     first, second = VersionStore(), VersionStore()
-    value = {**published(7), "balancers": 7}
+    value = {**published_settings(7), "balancers": 7}
     digest = settings_digest(value)
     first.publish(1000.0, document(7, value, 4000.0))
     now = 1000.0 + ACTIVATION_DEADLINE_MS + 500
@@ -43,7 +43,7 @@
 
 def test_rollout_is_complete_if_all_gateways_have_the_version_or_it_is_not_due():
     store = VersionStore()
-    value = {**published(7), "balancers": 2}
+    value = {**published_settings(7), "balancers": 2}
     store.publish(1000.0, document(7, value, 4000.0))
     store.record_subscriber(status_of("n0", 0, 6, "6" * 64, 1500.0, staged=7))
     assert report_rollout([store.status(1500.0)]).is_complete
@@ -56,7 +56,7 @@
 
 def test_different_contents_of_a_version_at_two_services_are_reported():
     one, other = VersionStore(), VersionStore()
-    one.publish(0.0, document(3, published(1)))
-    other.publish(0.0, document(3, published(2)))
+    one.publish(0.0, document(3, published_settings(1)))
+    other.publish(0.0, document(3, published_settings(2)))
     report = report_rollout([one.status(1.0), other.status(1.0)])
     assert not report.is_complete and any("two contents" in line for line in report.lines)
--- a/tests/policy/dynamic_config/test_subscriber.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import settings as effort
 from hypothesis import strategies as st
-from support.dynamic_config import Subscription, document, published
+from support.dynamic_config import Subscription, document, published_settings
 
 from plumpick.policy.dynamic_config.delta import changes_between, settings_digest
 from plumpick.policy.dynamic_config.errors import EarlyResponseError, VersionNotStagedError
@@ -37,7 +37,10 @@
     return [
         document(
             number,
-            {**published(number), **({"bad": True} if number % INVALID_VERSION_INTERVAL == 0 else {})},
+            {
+                **published_settings(number),
+                **({"bad": True} if number % INVALID_VERSION_INTERVAL == 0 else {}),
+            },
             activation_times[number - 1],
         )
         for number in range(1, count + 1)
@@ -105,14 +108,14 @@
                 },
             )
         elif kind == "wrong digest":
-            side.receive(now, {**offered, "settings": published(99)})
+            side.receive(now, {**offered, "settings": published_settings(99)})
         elif kind == "conflicting number":  # other content under the number of a published version
-            side.receive(now, document(offered["version"], published(50), now))
+            side.receive(now, document(offered["version"], published_settings(50), now))
         elif kind == "restart":
             incarnations.append(Subscription(now, reason_against=side.reason_against))
         incarnations[-1].activate_due(now)
     published_digests = {row["version"]: row["digest"] for row in documents}
-    conflicting_digest = settings_digest(published(50))
+    conflicting_digest = settings_digest(published_settings(50))
     for side in incarnations:
         numbers = [version for _, version, _ in side.activated]
         assert numbers == sorted(set(numbers))
@@ -137,7 +140,7 @@
 
 def test_staged_version_is_activated_at_its_activation_time_and_not_before():
     side = Subscription()
-    side.receive(1000.0, document(1, published(1), 4000.0))
+    side.receive(1000.0, document(1, published_settings(1), 4000.0))
     side.activate_due(3999.0)
     assert side.activated == [] and side.subscriber.staged.number == 1
     line = side.subscriber.status_line(1000.0)
@@ -149,9 +152,9 @@
 def test_newer_version_replaces_the_staged_one_regardless_of_activation_times():
     for at_ms in (2000.0, 9000.0):
         side = Subscription()
-        side.receive(0.0, document(1, published(1), 5000.0))
-        side.receive(0.0, document(2, published(2), at_ms))
-        side.receive(0.0, document(1, published(1), 5000.0))
+        side.receive(0.0, document(1, published_settings(1), 5000.0))
+        side.receive(0.0, document(2, published_settings(2), at_ms))
+        side.receive(0.0, document(1, published_settings(1), 5000.0))
         side.activate_due(20_000.0)
         assert [version for _, version, _ in side.activated] == [2]
 
@@ -160,8 +163,8 @@
     side = Subscription(
         reason_against=lambda value: "settings.classes[0].name is missing" if value.get("bad") else ""
     )
-    side.receive(0.0, document(1, published(1)))
-    side.receive(0.0, document(2, published(2), 5000.0))
+    side.receive(0.0, document(1, published_settings(1)))
+    side.receive(0.0, document(2, published_settings(2), 5000.0))
     side.receive(0.0, document(3, {"bad": True}))
     assert side.subscriber.staged.number == 2 and side.subscriber.active.number == 1
     request = side.subscriber.next_request(0.0)
@@ -169,7 +172,7 @@
     assert request.rejection_reason == "settings.classes[0].name is missing"
     side.activate_due(5000.0)
     assert side.subscriber.active.number == 2
-    side.receive(6000.0, document(4, published(4)))
+    side.receive(6000.0, document(4, published_settings(4)))
     assert side.subscriber.active.number == 4
 
 
@@ -190,32 +193,32 @@
 
 def test_active_number_with_another_digest_is_rejected_and_reported():
     side = Subscription()
-    side.receive(0.0, document(1, published(1)))
-    side.receive(0.0, document(1, published(2)))
-    assert side.subscriber.active.digest == settings_digest(published(1))
+    side.receive(0.0, document(1, published_settings(1)))
+    side.receive(0.0, document(1, published_settings(2)))
+    assert side.subscriber.active.digest == settings_digest(published_settings(1))
     assert side.subscriber.next_request(0.0).rejection_reason and "another digest" in side.problems[-1]
 
 
 def test_version_with_an_activation_time_too_far_ahead_is_rejected():
     side = Subscription()
-    side.receive(0.0, document(1, published(1), MAX_ACTIVATION_DELAY_MS + 1))
+    side.receive(0.0, document(1, published_settings(1), MAX_ACTIVATION_DELAY_MS + 1))
     assert 1 in side.subscriber.rejected and side.subscriber.staged is None
 
 
 def test_snapshot_is_requested_after_an_update_with_a_wrong_base_or_digest():
     for invalid in (
-        delta(document(5, published(5)), document(6, published(6))),
-        {**document(6, published(6)), "digest": "0" * 64},
+        delta(document(5, published_settings(5)), document(6, published_settings(6))),
+        {**document(6, published_settings(6)), "digest": "0" * 64},
     ):
         side = Subscription()
-        side.receive(0.0, document(1, published(1)))
+        side.receive(0.0, document(1, published_settings(1)))
         assert side.subscriber.next_request(0.0).since_digest
         side.receive(0.0, invalid)
         request = side.subscriber.next_request(0.0)
         assert (request.since_digest, request.since_number) == ("", 1)
         assert request.delay_ms <= 2 * INITIAL_BACKOFF_MS
-        side.receive(0.0, document(6, published(6)))
-        assert side.subscriber.next_request(0.0).since_digest == settings_digest(published(6))
+        side.receive(0.0, document(6, published_settings(6)))
+        assert side.subscriber.next_request(0.0).since_digest == settings_digest(published_settings(6))
 
 
 def test_notification_with_two_addresses_that_do_not_answer_takes_at_most_the_stated_time():
@@ -285,7 +288,7 @@
     while now < 2000.0:  # a service with a new version for every call
         now += side.subscriber.next_request(now).delay_ms + 0.1
         calls += 1
-        side.receive(now, document(calls, published(calls)))
+        side.receive(now, document(calls, published_settings(calls)))
     assert calls <= 2000 / MIN_WATCH_INTERVAL_MS + 2
 
 
--- a/tests/policy/dynamic_config/test_version_store.py
+++ b/tests/policy/dynamic_config/test_version_store.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from support.dynamic_config import document, published, status_of
+from support.dynamic_config import document, published_settings, status_of
 
 from plumpick.policy.dynamic_config.delta import settings_digest
 from plumpick.policy.dynamic_config.errors import PublishError
@@ -20,12 +20,12 @@
 
 def test_publishing_rejects_changed_content_or_time_of_a_number_and_older_numbers():
     store = VersionStore()
-    assert store.publish(0.0, document(5, published(5))) is None
-    assert store.publish(0.0, document(5, published(5))) is None
-    assert "another content" in publish_problem(store, document(5, published(6)))
-    assert "another content or time" in publish_problem(store, document(5, published(5), 9.0))
-    assert "older" in publish_problem(store, document(4, published(4)))
-    assert "digest" in publish_problem(store, {**document(6, published(6)), "digest": "0" * 64})
+    assert store.publish(0.0, document(5, published_settings(5))) is None
+    assert store.publish(0.0, document(5, published_settings(5))) is None
+    assert "another content" in publish_problem(store, document(5, published_settings(6)))
+    assert "another content or time" in publish_problem(store, document(5, published_settings(5), 9.0))
+    assert "older" in publish_problem(store, document(4, published_settings(4)))
+    assert "digest" in publish_problem(store, {**document(6, published_settings(6)), "digest": "0" * 64})
     assert "whole" in publish_problem(
         store,
         {
@@ -44,14 +44,14 @@
     store = VersionStore()
     assert store.response_for(0, "", 0) is None
     for number in range(1, MAX_VERSIONS + 3):
-        store.publish(0.0, document(number, published(number, 50)))
+        store.publish(0.0, document(number, published_settings(number, 50)))
     assert len(store.versions) == MAX_VERSIONS
     newest = MAX_VERSIONS + 2
-    base = SettingsVersion(3, settings_digest(published(3, 50)), 0.0, published(3, 50))
+    base = SettingsVersion(3, settings_digest(published_settings(3, 50)), 0.0, published_settings(3, 50))
     response = json.loads(store.response_for(3, base.digest, 0))
     assert "changes" in response
-    assert resolve_update(parse_update(response), base).settings == published(newest, 50)
-    for since, digest in ((2, settings_digest(published(2, 50))), (3, "0" * 64), (0, ""), (3, "")):
+    assert resolve_update(parse_update(response), base).settings == published_settings(newest, 50)
+    for since, digest in ((2, settings_digest(published_settings(2, 50))), (3, "0" * 64), (0, ""), (3, "")):
         assert "settings" in json.loads(store.response_for(since, digest, 0))
     assert store.response_for(newest, "", 0) is None and store.response_for(newest + 4, "", 0) is None
     assert store.response_for(3, base.digest, newest) is None  # a rejected version is not sent again
--- a/tests/support/config_processes.py
+++ b/tests/support/config_processes.py
@@ -1,4 +1,4 @@
-"""A configuration service together with gateway processes.
+"""Helpers that run a configuration service together with gateway processes.
 
 The gateways run as `python -m benchmarks.configuration.witness`, which records the versions that each
 receives and activates."""
@@ -39,15 +39,16 @@
                 await process.wait()
 
     async def publish(self, version, value, later_ms=0.0):
-        told = document(version, value, self.service.now_ms() + later_ms)
-        assert self.service._publish(json.dumps(told).encode())[0] == 200
+        """Publish `value` as a version that gateways activate in `later_ms` milliseconds."""
+        update = document(version, value, self.service.now_ms() + later_ms)
+        assert self.service._publish(json.dumps(update).encode())[0] == 200
 
     async def start_gateway(self, worker=9):
-        """Start a gateway process with a worker at the port `worker`, and wait until it is ready. Returns the
-        process and its management port."""
-        calls = free_port()
+        """Start a gateway process whose only worker listens at the port `worker`, and wait until the gateway
+        is ready. Returns the process and the port of its admin listener."""
+        admin_port = free_port()
         (self.folder / "config.json").write_text(
-            json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{calls}"))
+            json.dumps(config(9, self.port, known=[entry("w", worker)], management=f"{HOST}:{admin_port}"))
         )
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -65,30 +66,34 @@
         )
         self.processes.append(process)
         await wait_until_ready(self.port)
-        return process, calls
+        return process, admin_port
 
     def activated_versions(self, pid):
-        """The versions that the process activated, in order."""
+        """Returns the numbers of the settings versions that the process `pid` activated, in order."""
         path = self.folder / "witness"
         rows = [json.loads(line) for line in path.read_text().splitlines()] if path.exists() else []
         return [row[3] for row in rows if row[0] == "force" and row[2] == pid]
 
     async def wait_until_activated(self, process, version):
+        """Wait until `version` is the last settings version that the process activated."""
         while self.activated_versions(process.pid)[-1:] != [version]:
             await asyncio.sleep(0.01)
 
 
-async def send_when_listening(calls, line="CONFIGURATION"):
+async def send_when_listening(admin_port, line="CONFIGURATION"):
+    """Send an operator's command as soon as the admin listener accepts connections. Returns its reply."""
     while True:
         try:
-            return await asyncio.to_thread(send_command, (HOST, calls), line)
+            return await asyncio.to_thread(send_command, (HOST, admin_port), line)
         except ConnectionRefusedError:
             await asyncio.sleep(0.01)
 
 
 def with_service_and_gateway(tmp_path, scenario):
-    async def whole():
-        async with ServiceAndGateway(tmp_path) as machine:
-            await scenario(machine)
+    """Run `scenario` with a `ServiceAndGateway` whose files are in `tmp_path`."""
 
-    run(whole())
+    async def run_scenario():
+        async with ServiceAndGateway(tmp_path) as setup:
+            await scenario(setup)
+
+    run(run_scenario())
--- a/tests/support/dynamic_config.py
+++ b/tests/support/dynamic_config.py
@@ -1,4 +1,4 @@
-"""Settings to publish, and a gateway's subscriber driven without sockets."""
+"""Helpers that build versioned settings and drive a gateway's settings subscriber without sockets."""
 
 import copy
 import random
@@ -12,8 +12,9 @@
 from plumpick.policy.dynamic_config.version_store import SubscriberStatus
 
 
-def published(mark=0, classes=3):
-    """Settings in the published form; `mark` is a number that makes them differ."""
+def published_settings(mark=0, classes=3):
+    """Returns settings as a service publishes them, with `classes` request classes. Each `mark` gives
+    different settings: it sets the weight of the first class and the rate of the first plan."""
     value = copy.deepcopy(shared_settings(settings()))
     row = value["classes"][0]
     value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
@@ -23,25 +24,28 @@
 
 
 def document(version, value, at_ms=0.0):
+    """Returns a settings version as it is published: `value`, its digest and the activation time `at_ms`."""
     return {"version": version, "digest": settings_digest(value), "in_force_ms": at_ms, "settings": value}
 
 
 def status_of(name, number, version, digest, last_call_ms=0.0, rejected=0, reason="", staged=0):
-    """The status that a gateway reported with its last call."""
+    """Returns the status that a gateway reported with its last call to the service."""
     return SubscriberStatus(name, number, version, digest, staged, rejected, reason, last_call_ms)
 
 
 class Subscription:
-    """A subscriber, with the parsing, staging and activation that the client does, without delays."""
+    """A settings subscriber driven like the gateway's client drives it: each update is parsed, staged and, once
+    its time has come, activated. `reason_against` returns why settings are rejected, or ""."""
 
     def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
         self.subscriber = ConfigSubscriber(number, 5, addresses, random.Random(1), now_ms)
         self.reason_against = reason_against
-        self.problems = []  # the texts of errors, "" where there was none
-        self.activated = []  # (when, number, digest of its settings)
+        self.problems = []  # error text of each received response, "" where there was no error
+        self.activated = []  # activation time in ms, version number and settings digest of each activation
 
     def receive(self, now_ms, value):
-        """Process the JSON value of a service's response, then activate the staged version if it is due."""
+        """Process `value`, the JSON value of a service's response, then activate the staged version if its
+        activation time has come."""
         problem = ""
         try:
             self._stage(now_ms, value)
@@ -64,7 +68,7 @@
             self.subscriber.stage(now_ms, version)
 
     def activate_due(self, now_ms):
-        """Activate the staged version, if its time has come."""
+        """Activate the staged settings version if its activation time has come at `now_ms`."""
         version = self.subscriber.due_version(now_ms)
         if version is not None:
             self.subscriber.on_activated(version)
--- a/tests/support/management.py
+++ b/tests/support/management.py
@@ -1,4 +1,4 @@
-"""Helper that sends a command to the admin listener."""
+"""Helper that sends operators' commands to a gateway's admin listener."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 
 
 async def send_admin_command(port, data, end=False):
-    """Send `data` on a new connection and return the complete reply; empty if the connection is reset. `end`:
-    whether to close the sending side afterwards."""
+    """Send `data` to the admin listener at `port` on a new connection. Returns the complete reply, "" if the
+    connection is reset. `end`: whether to close the sending side after `data`."""
     reader, writer = await asyncio.open_connection(HOST, port)
     try:
         writer.write(data)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -21,11 +21,14 @@
 
 
 def free_port():
+    """Returns a TCP port that is free at the moment of the call."""
     with socket.create_server((HOST, 0)) as probe:
         return probe.getsockname()[1]
 
 
 async def start_program(path, module="plumpick", **more):
+    """Start a gateway process with the deploy file's `run` command. `path`: its configuration file; `module`:
+    the module that runs in place of plumpick; `more`: arguments for creating the process."""
     command = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     command = command.replace(".venv/bin/python", sys.executable).replace("-m plumpick", f"-m {module}")
     return await asyncio.create_subprocess_exec(
@@ -40,7 +43,7 @@
 
 
 async def wait_until_ready(port):
-    """Wait until GET /up is answered with 200."""
+    """Wait until the gateway at `port` answers GET /up with status 200."""
     while True:
         try:
             client = await Client().open(port)
@@ -48,15 +51,16 @@
             await asyncio.sleep(0)
             continue
         try:
-            told = await client.send(UP_REQUEST).read_response()
+            response = await client.send(UP_REQUEST).read_response()
         except ConnectionError:
             continue
         client.close()
-        if told and told[0] == 200:
+        if response and response[0] == 200:
             return
 
 
 async def send_endpoint_list(fake, *entries):
-    """Answer the first call of discovery with the complete list, and leave the following watch open."""
+    """Answer the next call to the discovery stub `fake` with a complete endpoint list of `entries`. The watch
+    that follows gets no answer."""
     _, writer = await fake.next_call()
     writer.write(told(listing(*entries)))
--- a/tests/tools/test_configuration.py
+++ b/tests/tools/test_configuration.py
@@ -3,7 +3,7 @@
 import asyncio
 import json
 
-from support.dynamic_config import published
+from support.dynamic_config import published_settings
 from support.fakes import HOST, config, run
 
 from plumpick.cli import main
@@ -27,17 +27,17 @@
             (tmp_path / name).write_text(json.dumps(value))
             return str(tmp_path / name)
 
-        whole = config(settings={**published(1), "myNumber": 0})
+        whole = config(settings={**published_settings(1), "myNumber": 0})
         assert (
             await run_command("publish", write_file("one.json", whole), "--to", *to, "--in-force-in", "0")
             == 0
         )
         first = services[0].store.newest
         assert first.number > 10**12 and "myNumber" not in first.settings  # above numbers of lost versions
-        assert await run_command("publish", write_file("two.json", published(2)), "--to", *to) == 0
+        assert await run_command("publish", write_file("two.json", published_settings(2)), "--to", *to) == 0
         second = services[1].store.newest
         assert second.number == first.number + 1 and second.activates_at_ms > services[0].now_ms()
-        bad = write_file("bad.json", {**published(3), "classes": [{"name": "x"}]})
+        bad = write_file("bad.json", {**published_settings(3), "classes": [{"name": "x"}]})
         assert await run_command("publish", bad, "--to", *to) == 2
         assert (
             await run_command("publish", str(tmp_path / "two.json"), "--to", *to, "--in-force-in", "1e9") == 2
