--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -1,4 +1,4 @@
-"""Services and gateways' clients over loopback, with whatever may happen to them."""
+"""Clients of the configuration service over loopback: updates, malformed responses, faults and restarts."""
 
 import asyncio
 import contextlib
@@ -21,13 +21,14 @@
 
 
 class GatewayStub:
-    """A gateway that works by what it is given, unless the worth of its class c0 is `wrong`."""
+    """A gateway that accepts all settings, but for those whose first class has the weight `rejected_weight`.
+    It records the configurations that were activated."""
 
-    def __init__(self, addresses, number=0, wrong=None):
+    def __init__(self, addresses, number=0, rejected_weight=None):
         self.config = parse_config(config(name=f"n{number}"), {})
         self.clock = Clock()
         self.activated = []
-        self.wrong = wrong
+        self.rejected_weight = rejected_weight
         loop = asyncio.get_running_loop()
         self.client = ConfigClient(
             self.config,
@@ -41,7 +42,7 @@
         self.task = None
 
     def reconfigure(self, changed):
-        if changed.settings.classes[0].priority_weight == self.wrong:
+        if changed.settings.classes[0].priority_weight == self.rejected_weight:
             raise SettingsRejectedError("classes[0].worth: no such worth")
         self.activated.append(changed)
 
@@ -50,12 +51,14 @@
         return self
 
     async def wait_until_active(self, version):
+        """Wait until `version` is active. Returns the configuration that was activated last."""
         while self.client.subscriber.active.number != version:
             await asyncio.sleep(0.002)
         return self.activated[-1]
 
-    async def wait_until(self, true):
-        while not true(self.client.subscriber):
+    async def wait_until(self, condition):
+        """Wait until `condition` holds for the client's subscriber."""
+        while not condition(self.client.subscriber):
             await asyncio.sleep(0.002)
 
     async def stop(self):
@@ -81,7 +84,7 @@
 
 
 async def publish(service, value):
-    """Publish at one service: status and what it says."""
+    """Publish a settings version at `service`. Returns the HTTP status and the JSON value of the response."""
     reader, writer = await asyncio.open_connection(HOST, service.port)
     data = json.dumps(value).encode()
     head = f"PUT {PATH} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(data)}\r\n\r\n"
@@ -94,14 +97,16 @@
 
 
 def with_services(count, scenario):
-    async def whole():
+    """Run `scenario` with `count` configuration services."""
+
+    async def run_scenario():
         async with services(count) as running:
             await scenario(*running)
 
-    run(whole())
+    run(run_scenario())
 
 
-def test_the_first_version_comes_as_a_snapshot_and_the_next_as_a_delta():
+def test_first_version_is_sent_as_a_snapshot_and_the_next_as_a_delta():
     async def scenario(service):
         gateway = GatewayStub([address_of(service)]).start()
         assert (await publish(service, document(1, published_settings(1, 400))))[0] == 200
@@ -111,17 +116,17 @@
             and changed.settings.gateway_number == 0
             and changed.name == "n0"
         )
-        sent = service.bytes_out
+        sent_bytes = service.bytes_out
         assert (await publish(service, document(2, published_settings(2, 400))))[0] == 200
         assert (await gateway.wait_until_active(2)).settings.classes[0].priority_weight == 2.0
-        assert service.bytes_out - sent < 2000  # changes, not 400 classes
+        assert service.bytes_out - sent_bytes < 2000  # a delta, not all 400 classes
         assert gateway.client.subscriber.active.digest == settings_digest(published_settings(2, 400))
         await gateway.stop()
 
     with_services(1, scenario)
 
 
-def test_a_staged_version_waits_for_its_time_and_is_in_the_status_line():
+def test_staged_version_is_activated_at_its_time_and_shown_in_the_status_line():
     async def scenario(service):
         gateway = GatewayStub([address_of(service)]).start()
         at_ms = gateway.clock.now() + 700.0
@@ -146,15 +151,15 @@
         ({"balancers": 1e999}, "balancers"),
     ],
 )
-def test_a_bad_version_is_rejected_reported_and_not_requested_again(wrong, expected_key):
+def test_invalid_version_is_rejected_reported_and_not_requested_again(wrong, expected_key):
     async def scenario(service):
         gateway = GatewayStub([address_of(service)]).start()
         await publish(service, document(1, published_settings(1)))
         await gateway.wait_until_active(1)
-        bad = {**published_settings(2), **wrong}
+        invalid = {**published_settings(2), **wrong}
         if expected_key == "balancers":
-            bad["balancers"] = "many"
-        await publish(service, document(2, bad))
+            invalid["balancers"] = "many"
+        await publish(service, document(2, invalid))
         await gateway.wait_until(lambda subscriber: 2 in subscriber.rejected)
         calls = service.calls
         while service.store.subscribers["n0"].rejected_version != 2:
@@ -172,9 +177,9 @@
     with_services(1, scenario)
 
 
-def test_a_version_that_reconfigure_refuses_or_raises_for_is_rejected():
+def test_version_is_rejected_if_the_gateway_cannot_apply_it():
     async def scenario(service):
-        gateway = GatewayStub([address_of(service)], wrong=2.0).start()
+        gateway = GatewayStub([address_of(service)], rejected_weight=2.0).start()
         for number in (1, 2):
             await publish(service, document(number, published_settings(number)))
         await gateway.wait_until(lambda subscriber: 2 in subscriber.rejected)
@@ -192,7 +197,7 @@
     with_services(1, scenario)
 
 
-def test_two_publishers_that_cross_end_with_the_newer_version_everywhere():
+def test_gateways_activate_the_newer_of_two_versions_published_at_different_services():
     async def scenario(one, other):
         gateways = [GatewayStub([address_of(one), address_of(other)], number).start() for number in (0, 1)]
         at_ms = gateways[0].clock.now() + 400.0
@@ -200,7 +205,7 @@
         await publish(other, document(2, published_settings(2), at_ms))
         assert (await publish(other, document(1, published_settings(1), at_ms + 200)))[
             0
-        ] == 409  # it is older
+        ] == 409  # older than the stored version
         assert (await publish(one, document(2, published_settings(2), at_ms)))[0] == 200
         for gateway in gateways:
             await gateway.wait_until_active(2)
@@ -210,7 +215,7 @@
     with_services(2, scenario)
 
 
-def test_one_number_with_two_contents_is_rejected_by_a_service_and_reported_for_two():
+def test_version_number_with_two_contents_is_rejected_by_one_service_and_reported_for_two():
     async def scenario(one, other):
         await publish(one, document(1, published_settings(1)))
         assert "another content" in (await publish(one, document(1, published_settings(2))))[1]["problem"]
@@ -218,7 +223,9 @@
         gateways = [GatewayStub([address_of(one), address_of(other)], number).start() for number in (0, 1)]
         for gateway in gateways:
             await gateway.wait_until_active(1)
-        await publish(one, document(2, published_settings(3)))  # what staff do then: a newer one, everywhere
+        await publish(
+            one, document(2, published_settings(3))
+        )  # remedy for operators: a newer version at all services
         await publish(other, document(2, published_settings(3)))
         for gateway in gateways:
             await gateway.wait_until_active(2)
@@ -229,9 +236,9 @@
     with_services(2, scenario)
 
 
-def test_publishing_the_same_again_completes_a_publisher_that_died_between_services():
-    """The one that has it tells its watchers, who switch at its time; the others at the same time as soon as
-    they hear of it; before that `status` names them."""
+def test_publishing_again_completes_a_publication_that_reached_only_one_service():
+    """The service that has the version sends it to its watchers, which activate it. The rollout report names
+    the other service until the same version is published there, and that service's watchers activate it."""
 
     async def scenario(one, other):
         first, second = (
@@ -254,7 +261,7 @@
 
 
 class ServiceStub:
-    """In a service's place: gives each call to the test, which answers by hand."""
+    """Stub of a configuration service that queues each call; the test writes the responses itself."""
 
     def __init__(self):
         self.calls, self.writers = asyncio.Queue(), []
@@ -308,22 +315,22 @@
 
 
 @pytest.mark.parametrize("response_index", range(len(MALFORMED_RESPONSES)))
-def test_after_a_hostile_answer_the_next_address_is_used(response_index, caplog):
+def test_next_address_is_used_after_a_malformed_response(response_index, caplog):
     async def scenario(service):
-        async with ServiceStub() as bad:
+        async with ServiceStub() as malformed:
             await publish(service, document(3, published_settings(3)))
-            gateway = GatewayStub([(HOST, bad.port), address_of(service)]).start()
-            _, writer = await bad.calls.get()
+            gateway = GatewayStub([(HOST, malformed.port), address_of(service)]).start()
+            _, writer = await malformed.calls.get()
             writer.write(MALFORMED_RESPONSES[response_index])
             await gateway.wait_until_active(3)
-            assert len(gateway.activated) == 1 and bad.calls.empty()
+            assert len(gateway.activated) == 1 and malformed.calls.empty()
             await gateway.stop()
 
     with_services(1, scenario)
     assert len([row for row in caplog.records if str(row.args).count("127.0.0.1")]) == 1
 
 
-def test_an_older_version_that_comes_late_is_ignored():
+def test_older_version_received_after_a_newer_one_is_ignored():
     async def scenario(service):
         async with ServiceStub() as late:
             gateway = GatewayStub([(HOST, late.port), address_of(service)]).start()
@@ -332,7 +339,7 @@
             await gateway.wait_until_active(5)
             target, writer = await late.calls.get()
             assert "since=5" in target and "in_force=5" in target
-            writer.write(body(document(4, published_settings(4))))  # what was on its way before
+            writer.write(body(document(4, published_settings(4))))  # a delayed older version
             while gateway.client.subscriber.address_index == 0:
                 await asyncio.sleep(0.002)
             assert len(gateway.activated) == 1
@@ -343,7 +350,7 @@
     with_services(1, scenario)
 
 
-def test_an_answer_that_comes_twice_is_activated_once():
+def test_version_received_twice_is_activated_once():
     async def scenario(service):
         async with ServiceStub() as twice:
             gateway = GatewayStub([(HOST, twice.port), address_of(service)]).start()
@@ -361,7 +368,7 @@
 
 
 @pytest.mark.parametrize("cut", [0, 30, 200, -1])
-def test_a_service_that_dies_during_an_answer_leaves_the_active_version(cut):
+def test_truncated_response_leaves_the_active_version_unchanged(cut):
     async def scenario(service):
         async with ServiceStub() as dying:
             gateway = GatewayStub([(HOST, dying.port), address_of(service)]).start()
@@ -379,7 +386,7 @@
     with_services(1, scenario)
 
 
-def test_an_address_that_accepts_and_is_silent_is_left_in_time():
+def test_next_address_is_used_after_an_address_does_not_answer():
     async def scenario(service):
         async with ServiceStub() as silent:
             await publish(service, document(2, published_settings(2)))
@@ -391,7 +398,7 @@
     with_services(1, scenario)
 
 
-def test_a_restarted_service_without_versions_leaves_the_active_version():
+def test_restarted_service_without_versions_leaves_the_active_version_unchanged():
     async def scenario(service):
         gateway = GatewayStub([address_of(service)]).start()
         await publish(service, document(5, published_settings(5)))
@@ -405,7 +412,7 @@
         assert gateway.client.subscriber.active.number == 5
         report = report_rollout([fresh.store.status(fresh.now_ms())])
         assert not report.is_complete
-        await publish(fresh, document(5, published_settings(5)))  # the same again
+        await publish(fresh, document(5, published_settings(5)))  # the version that the service lost
         await publish(fresh, document(6, published_settings(6)))
         await gateway.wait_until_active(6)
         await gateway.stop()
@@ -414,13 +421,13 @@
     with_services(1, scenario)
 
 
-def test_a_new_process_requests_a_snapshot_and_has_the_newest_version_at_once():
+def test_new_process_activates_the_newest_version_with_the_first_response():
     async def scenario(service):
         for number in (1, 2):
             await publish(service, document(number, published_settings(number)))
         gateway = GatewayStub([address_of(service)]).start()
         await gateway.client.has_response.wait()
-        assert gateway.client.subscriber.active.number == 2  # before a start would go on
+        assert gateway.client.subscriber.active.number == 2  # before the gateway's start continues
         await gateway.stop()
         again = GatewayStub([address_of(service)]).start()
         await again.wait_until_active(2)
@@ -430,17 +437,17 @@
     with_services(1, scenario)
 
 
-def test_a_hot_restart_keeps_the_active_version_without_a_service():
+def test_hot_restart_keeps_the_active_version_without_a_service():
     async def scenario(service):
         gateway = GatewayStub([address_of(service)]).start()
         await publish(service, document(5, published_settings(5)))
         await gateway.wait_until_active(5)
         state = json.loads(json.dumps(gateway.client.export_state()))
         await gateway.stop()
-        after = GatewayStub([(HOST, 1)])
-        await after.client.import_state(state)
-        assert after.client.subscriber.active == gateway.client.subscriber.active
-        assert after.activated[-1].settings == gateway.activated[-1].settings
+        successor = GatewayStub([(HOST, 1)])
+        await successor.client.import_state(state)
+        assert successor.client.subscriber.active == gateway.client.subscriber.active
+        assert successor.activated[-1].settings == gateway.activated[-1].settings
         for wrong in (
             {**state, "digest": "0" * 64},
             {**state, "version": 4},
@@ -448,16 +455,15 @@
             {"version": 9},
             {**document(9, {"classes": []})},
         ):
-            await after.client.import_state(wrong)
-        assert after.client.subscriber.active.number == 5 and len(after.activated) == 1
-        assert (
-            GatewayStub([(HOST, 1)]).client.export_state() is None
-        )  # its own file's: the next one has its own
+            await successor.client.import_state(wrong)
+        assert successor.client.subscriber.active.number == 5 and len(successor.activated) == 1
+        # The successor reads settings from its own file, so that they are not handed over.
+        assert GatewayStub([(HOST, 1)]).client.export_state() is None
 
     with_services(1, scenario)
 
 
-def test_a_gateway_that_was_cut_off_activates_the_newest_version_and_none_between():
+def test_gateway_without_a_reachable_service_later_activates_only_the_newest_version():
     async def scenario(near, far):
         gateways = [
             GatewayStub([address_of(far if number == 0 else near)], number).start() for number in range(3)
@@ -466,12 +472,14 @@
             await publish(service, document(1, published_settings(1)))
         for gateway in gateways:
             await gateway.wait_until_active(1)
-        for number in (2, 3, 4):  # only what is near can be reached
+        for number in (2, 3, 4):  # while the publisher reaches only one service
             await publish(near, document(number, published_settings(number)))
         for gateway in gateways[1:]:
             await gateway.wait_until_active(4)
         assert gateways[0].client.subscriber.active.number == 1
-        await publish(far, document(4, published_settings(4)))  # back: the newest is published there, too
+        await publish(
+            far, document(4, published_settings(4))
+        )  # the publisher reaches the other service again
         await gateways[0].wait_until_active(4)
         assert [changed.settings.classes[0].priority_weight for changed in gateways[0].activated] == [
             1.0,
@@ -483,20 +491,20 @@
     with_services(2, scenario)
 
 
-def test_a_gateways_own_keys_are_not_changed_by_a_version():
-    mine = parse_config(config(name="n2"), {})
-    changed = apply_settings(mine, {**published_settings(3), "myNumber": 9, "locality": "z"})
+def test_published_version_does_not_change_the_keys_of_a_single_gateway():
+    own = parse_config(config(name="n2"), {})
+    changed = apply_settings(own, {**published_settings(3), "myNumber": 9, "locality": "z"})
     assert (changed.settings.gateway_number, changed.settings.zone) == (
-        mine.settings.gateway_number,
-        mine.settings.zone,
+        own.settings.gateway_number,
+        own.settings.zone,
     )
-    assert (changed.name, changed.listen, changed.seed) == (mine.name, mine.listen, mine.seed)
+    assert (changed.name, changed.listen, changed.seed) == (own.name, own.listen, own.seed)
     value = copy.deepcopy(published_settings(3))
     value["limits"]["dialTimeoutMs"] = 99.0
-    assert apply_settings(mine, value).connect_timeout_ms == 99.0
+    assert apply_settings(own, value).connect_timeout_ms == 99.0
 
 
-def test_a_service_rejects_malformed_requests_and_goes_on(caplog):
+def test_service_rejects_malformed_requests_and_accepts_the_next_version(caplog):
     async def scenario(service):
         for data in (
             b"x\r\n\r\n",
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery against a fake that is answered by hand."""
+"""Discovery client against a discovery stub whose responses each test writes itself."""
 
 import asyncio
 import socket
@@ -12,9 +12,9 @@
 
 
 def with_discovery_client(scenario):
-    """Run a scenario with a fake discovery, and a queue of what the gatekeeper is told."""
+    """Run `scenario` with a discovery stub, a queue of the updates from the client, and the client."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeDiscovery() as fake:
             lists = asyncio.Queue()
             discovery = DiscoveryClient((HOST, fake.port), lists.put_nowait)
@@ -23,7 +23,7 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    run(whole())
+    run(run_scenario())
 
 
 def test_a_snapshot_is_followed_by_a_watch_from_its_index():
@@ -42,7 +42,7 @@
     with_discovery_client(scenario)
 
 
-def test_a_watch_without_changes_continues_and_notifies_nobody():
+def test_watch_without_changes_continues_and_reports_no_update():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
@@ -70,7 +70,7 @@
         None,
     ],
 )
-def test_after_a_malformed_answer_or_an_end_a_snapshot_is_requested(reply):
+def test_snapshot_is_requested_after_a_malformed_response_or_a_closed_connection(reply):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
@@ -88,11 +88,11 @@
     with_discovery_client(scenario)
 
 
-def test_a_malformed_entry_is_left_out_of_the_list():
+def test_malformed_endpoint_is_omitted_from_the_list():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
-        odd = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
-        writer.write(told(listing(*odd, entry("w1", 5001), index=41)))
+        malformed = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
+        writer.write(told(listing(*malformed, entry("w1", 5001), index=41)))
         update = await lists.get()
         assert [one.server.id for one in update.entries] == ["w1"] and update.complete
         assert (await fake.next_call())[0] == WATCH.format(41)
@@ -100,8 +100,8 @@
     with_discovery_client(scenario)
 
 
-def test_a_new_address_begins_with_a_snapshot():
-    """Whatever it is doing at the old address: here a watch waits, and then a call that has no answer."""
+def test_snapshot_is_requested_at_a_changed_address():
+    """The address changes twice: once during a watch, once while a request is unanswered."""
 
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
@@ -123,14 +123,14 @@
 
 
 async def wait_for_partial_response(discovery):
-    """A part of an answer has come and waits for the rest."""
+    """Wait until the client has received part of a response."""
     while not discovery._current._connection._reader._buffer:
         await asyncio.sleep(0)
 
 
-def test_an_answer_in_progress_is_not_lost_when_the_address_changes():
-    """What discovery has written counts as told. A move dropped the call that was under way, and what was
-    read of its answer; the new address may be dead or silent."""
+def test_partly_received_update_is_not_lost_when_the_address_changes():
+    """Guards against an address change that drops the running watch and the part of its response that was
+    read. Discovery doesn't repeat an update that it has sent, and the new address may be unreachable."""
 
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
@@ -145,24 +145,23 @@
             await silent.next_call()
             writer.write(update[-30:])
             assert (await lists.get()).entries[0].server.state.value == "draining"
-            assert (await fake.next_call())[0] == WATCH.format(
-                42
-            )  # it is listened to until the new one tells
+            # The watch at the old address continues until the new address sends a snapshot.
+            assert (await fake.next_call())[0] == WATCH.format(42)
 
     with_discovery_client(scenario)
 
 
-def test_a_change_to_a_dead_address_and_back_loses_nothing():
+def test_address_change_to_an_unreachable_service_and_back_loses_no_update():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
         await lists.get()
         _, writer = await fake.next_call()
         with socket.create_server((HOST, 0)) as probe:
-            dead = probe.getsockname()[1]
-        discovery.change_address((HOST, dead))
+            closed_port = probe.getsockname()[1]
+        discovery.change_address((HOST, closed_port))
         async with FakeDiscovery() as silent:
-            discovery.change_address((HOST, silent.port))  # twice, within a turn
+            discovery.change_address((HOST, silent.port))  # twice in one turn of the event loop
             discovery.change_address((HOST, silent.port))
             await silent.next_call()
             discovery.change_address((HOST, fake.port))
@@ -174,7 +173,7 @@
     with_discovery_client(scenario)
 
 
-def test_the_old_address_is_ignored_once_the_new_one_sent_its_snapshot():
+def test_old_address_is_ignored_after_the_new_one_has_sent_a_snapshot():
     async def scenario(fake, lists, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -185,7 +184,7 @@
             _, other = await new.next_call()
             other.write(told(listing(entry("w9", 5009), index=3)))
             assert (await lists.get()).index == 3
-            writer.write(told(listing(entry("w1", 5001), index=45)))  # whole, and late
+            writer.write(told(listing(entry("w1", 5001), index=45)))  # a late snapshot
             for index in (4, 5):
                 _, other = await new.next_call()
                 other.write(told(listing(entry("w9", 5009, "gone"), index=index, snapshot=False)))
@@ -196,7 +195,7 @@
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
-def test_a_list_with_no_length_ends_with_its_connection_and_never_with_a_reset(is_reset):
+def test_list_without_content_length_is_accepted_at_end_of_connection_but_not_after_a_reset(is_reset):
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
         body = told(listing(entry("w1", 5001), index=41)).partition(b"\r\n\r\n")[2]
@@ -216,7 +215,7 @@
     with_discovery_client(scenario)
 
 
-def test_a_watch_that_is_reset_right_after_its_answer_is_reopened_at_once():
+def test_reset_watch_is_followed_by_a_snapshot_request():
     async def scenario(fake, lists, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
@@ -231,11 +230,11 @@
     with_discovery_client(scenario)
 
 
-def test_a_fault_of_our_own_does_not_end_the_watch(monkeypatch):
+def test_exception_in_the_update_callback_does_not_end_the_watch(monkeypatch):
     monkeypatch.setattr("plumpick.gateway.discovery.FAULT_BACKOFF_S", 0.0)
 
     async def scenario(fake, lists, discovery):
-        discovery._on_update = lambda _news: 1 / 0
+        discovery._on_update = lambda _update: 1 / 0
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
         _, writer = await fake.next_call()
@@ -246,19 +245,19 @@
     with_discovery_client(scenario)
 
 
-def test_a_silent_discovery_is_asked_again(monkeypatch):
+def test_request_to_discovery_is_repeated_after_the_response_timeout(monkeypatch):
     monkeypatch.setattr("plumpick.policy.endpoint_watch.RESPONSE_TIMEOUT_MS", 50.0)
 
     async def scenario(fake, lists, _discovery):
         for _ in range(3):
-            assert (await fake.next_call())[0] == "/discovery/hosts"  # and no answer
+            assert (await fake.next_call())[0] == "/discovery/hosts"  # left unanswered
 
-        async def answer_all():
+        async def answer_calls():
             while True:
                 _, writer = await fake.next_call()
                 writer.write(told(listing(index=7)))
 
-        answering = asyncio.get_running_loop().create_task(answer_all())
+        answering = asyncio.get_running_loop().create_task(answer_calls())
         assert (await lists.get()).index == 7
         answering.cancel()
 
@@ -273,15 +272,15 @@
         lists = asyncio.Queue()
         discovery = DiscoveryClient((HOST, port), lists.put_nowait)
         failed = asyncio.Event()
-        call = discovery._current._fetch
+        fetch = discovery._current._fetch
 
-        async def watched_call(*args):
+        async def fetch_and_report(*args):
             try:
-                return await call(*args)
+                return await fetch(*args)
             finally:
                 failed.set()
 
-        discovery._current._fetch = watched_call
+        discovery._current._fetch = fetch_and_report
         task = asyncio.get_running_loop().create_task(discovery.run())
         await failed.wait()
         server = await asyncio.start_server(serve_once, HOST, port)
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -1,4 +1,4 @@
-"""Operators' commands over loopback, and draining of clients."""
+"""Operators' commands at the admin listener over loopback, and draining of clients on DRAIN."""
 
 import asyncio
 
@@ -33,30 +33,31 @@
 
 
 def with_admin_listener(scenario, **more):
-    """A gatekeeper with one worker, w1, and its management port."""
+    """Run `scenario` with the port of an admin listener, its gateway, and w1, the gateway's only worker.
+    `more` is added to the gateway's configuration."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeWorker() as worker:
-            known = listing(entry("w1", worker.port))
+            workers = listing(entry("w1", worker.port))
             given = parse_config(config(known=(), **more), {})
             async with RunningGateway(Controller(given.settings, 1), **more) as gate:
-                front = AdminListener(gate.gateway)
+                listener = AdminListener(gate.gateway)
                 loop = asyncio.get_running_loop()
-                server = await start_server(front, (HOST, 0), loop)
-                gate.operators = front
-                gate.gateway.sweeps.append(front.sweep)
-                gate.gateway.on_worker_list(parse_worker_list(known, "list"))
+                server = await start_server(listener, (HOST, 0), loop)
+                gate.operators = listener
+                gate.gateway.sweeps.append(listener.sweep)
+                gate.gateway.on_worker_list(parse_worker_list(workers, "list"))
                 try:
                     await scenario(server.sockets[0].getsockname()[1], gate, worker)
                 finally:
                     server.close()
-                    front.close()
+                    listener.close()
 
-    run(whole())
+    run(run_scenario())
 
 
 @pytest.mark.parametrize(
-    "line, call",
+    "line, command",
     [
         (b"READY", ("READY", "")),
         (b"ready", ("READY", "")),
@@ -65,8 +66,8 @@
         (b"ENABLE S-5be2a07c", ("ENABLE", "S-5be2a07c")),
     ],
 )
-def test_command_name_is_case_insensitive_and_worker_id_is_kept(line, call):
-    assert parse_command(line) == call
+def test_command_name_is_case_insensitive_and_worker_id_is_kept(line, command):
+    assert parse_command(line) == command
 
 
 @pytest.mark.parametrize(
@@ -88,26 +89,26 @@
         parse_command(line)
 
 
-def test_a_line_is_whole_however_its_bytes_come_and_with_either_end():
+def test_command_line_is_read_from_fragments_with_lf_or_crlf_end():
     for text in (b"DISABLE w1\r\nmore", b"DISABLE w1\nDRAIN\n"):
         for cut in range(1, len(text)):
-            line = CommandLineReader()
-            told = line.feed(text[:cut])
-            assert (told if told is not None else line.feed(text[cut:])) == b"DISABLE w1"
+            reader = CommandLineReader()
+            line = reader.feed(text[:cut])
+            assert (line if line is not None else reader.feed(text[cut:])) == b"DISABLE w1"
     assert (
         CommandLineReader().feed(b"READY", ended=True) == b"READY"
         and CommandLineReader().feed(b"", ended=True) is None
     )
 
 
-def test_a_line_without_end_is_refused_before_it_fills_anything():
-    line = CommandLineReader()
+def test_overlong_command_line_is_rejected_without_being_buffered():
+    reader = CommandLineReader()
     with pytest.raises(ValueError):
-        line.feed(b"x" * 1_000_000)
-    assert len(line.buffered) <= MAX_LINE_BYTES + 1
+        reader.feed(b"x" * 1_000_000)
+    assert len(reader.buffered) <= MAX_LINE_BYTES + 1
 
 
-def test_each_call_is_answered_and_the_connection_closed():
+def test_each_command_gets_one_reply_and_the_connection_is_closed():
     async def scenario(port, gate, _worker):
         assert (await send_admin_command(port, b"READY\n")).startswith("+OK")
         assert (await send_admin_command(port, b"DISABLE w1\r\n")).startswith("+OK")
@@ -131,7 +132,7 @@
     with_admin_listener(scenario)
 
 
-def test_beside_callers_that_say_nothing_or_half_a_line_a_call_is_answered():
+def test_command_is_answered_while_many_connections_send_no_complete_line():
     async def scenario(port, gate, _worker):
         silent = [await asyncio.open_connection(HOST, port) for _ in range(200)]
         for _, writer in silent[::2]:
@@ -144,7 +145,7 @@
     with_admin_listener(scenario)
 
 
-def test_a_caller_that_says_nothing_is_closed_in_time():
+def test_idle_admin_connection_is_closed_after_a_timeout():
     async def scenario(port, gate, _worker):
         reader, writer = await asyncio.open_connection(HOST, port)
         while not gate.operators.connections:
@@ -156,14 +157,14 @@
     with_admin_listener(scenario)
 
 
-def test_a_banned_worker_is_sent_nothing_more_once_the_answer_is_there():
+def test_disabled_worker_gets_no_request_after_the_reply_until_it_is_enabled():
     async def scenario(port, gate, worker):
         client = await gate.client()
         client.send(request())
         _, writer = await worker.next_request()
         assert (await send_admin_command(port, b"DISABLE w1\n")).startswith("+OK")
         writer.write(answer())
-        assert (await client.read_response())[0] == 200  # what is out may finish
+        assert (await client.read_response())[0] == 200  # an attempt in flight may finish
         assert (await client.send(request(deadline=100)).read_response())[0] in (503, 504)
         assert (await send_admin_command(port, b"ENABLE w1\n")).startswith("+OK")
         client.send(request())
@@ -174,7 +175,7 @@
     with_admin_listener(scenario)
 
 
-def test_drained_it_says_no_serves_what_comes_and_closes_behind_each_answer():
+def test_draining_gateway_answers_up_with_503_and_closes_connections_after_their_response():
     async def scenario(port, gate, worker):
         idle, kept, slow = await gate.client(), await gate.client(), await gate.client()
         await idle.send(UP_REQUEST).read_response()
@@ -184,13 +185,11 @@
         assert (await send_admin_command(port, b"DRAIN\n")).startswith("+OK")
         assert (await (await gate.client()).send(UP_REQUEST).read_response())[0] == 503
         writer.write(answer())
-        told = await kept.read_response()
-        assert told[0] == 200 and told[1]["connection"] == "close" and await kept.wait_for_end()
-        assert await idle.wait_for_end()  # in half a second
-        assert (await slow.read_response())[0] in (
-            408,
-            503,
-        ) and await slow.wait_for_end()  # its own time is nearly over
+        status, headers, _ = await kept.read_response()
+        assert status == 200 and headers["connection"] == "close" and await kept.wait_for_end()
+        assert await idle.wait_for_end()  # closed after half a second
+        # The incomplete request ends with its own time limit, 408, or with the drain, 503.
+        assert (await slow.read_response())[0] in (408, 503) and await slow.wait_for_end()
         while gate.gateway.has_unfinished_work():
             await asyncio.sleep(0.01)
         assert (await send_admin_command(port, b"UNDRAIN\n")).startswith("+OK")
@@ -204,8 +203,9 @@
     with_admin_listener(scenario)
 
 
-def test_what_comes_late_in_a_drain_is_answered_before_its_end():
-    """A client that writes slowly; its request would be open, and young, when nothing may be left."""
+def test_request_completed_late_in_a_drain_is_answered_before_the_drain_ends():
+    """Guards against a request that a slow client completes late in a drain, and that is still open when the
+    drain must end."""
 
     async def scenario(port, gate, worker):
         slow = await gate.client()
@@ -216,31 +216,31 @@
         slow.send(b"\n")
         await worker.next_request()
         assert next(iter(gate.gateway.requests.open.values())).deadline_timer is not None
-        told = await slow.read_response()  # within 2 s, not 10
-        assert told[0] in (502, 503, 504)
+        response = await slow.read_response()  # after 2 s at most, not at its deadline of 10 s
+        assert response[0] in (502, 503, 504)
 
     with_admin_listener(scenario)
 
 
-def test_shutdown_during_a_drain_wins_over_undrain():
+def test_undrain_does_not_cancel_a_shutdown_that_began_during_a_drain():
     async def scenario(port, gate, _worker):
         await send_admin_command(port, b"DRAIN\n")
         gate.gateway.shut_down_within(2000.0)
         await send_admin_command(port, b"UNDRAIN\n")
-        assert not gate.gateway.is_ready  # it ends all the same
+        assert not gate.gateway.is_ready  # the shutdown continues
 
     with_admin_listener(scenario)
 
 
 def test_operators_send_commands_from_the_command_line(capsys):
     async def scenario(port, _gate, _worker):
-        def calls():
+        def send_commands():
             return [
                 main(["call", f"{HOST}:{port}", *words.split()])
                 for words in ("READY", "DISABLE w1", "ENABLE w9", "NONSENSE")
             ]
 
-        assert await asyncio.to_thread(calls) == [0, 0, 1, 1]
+        assert await asyncio.to_thread(send_commands) == [0, 0, 1, 1]
 
     with_admin_listener(scenario)
     assert capsys.readouterr().out.splitlines()[:2] == ["+OK ready", "+OK DISABLE w1"]
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the deploy file's `run` starts it."""
+"""Gateway processes started with the deploy file's `run` command: start, signals and limits."""
 
 import asyncio
 import json
@@ -26,9 +26,10 @@
 
 
 def with_gateway_process(tmp_path, scenario, settings=None, **more):
-    """`settings` go into the configuration, `more` to the start of the process."""
+    """Run `scenario` with a ready gateway process, a discovery stub and a worker. `settings` are added to the
+    configuration file, `more` are arguments for creating the process."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port = free_port()
             path = tmp_path / "config.json"
@@ -43,10 +44,10 @@
                     process.kill()
                     await process.wait()
 
-    run(whole())
+    run(run_scenario())
 
 
-def test_sigterm_finishes_what_was_taken_serves_what_comes_and_exits_0(tmp_path):
+def test_sigterm_finishes_open_requests_serves_new_ones_and_exits_with_0(tmp_path):
     async def scenario(process, port, worker, _fake, _path):
         kept, idle = await Client().open(port), await Client().open(port)
         await idle.send(UP_REQUEST).read_response()
@@ -54,18 +55,18 @@
         _, writer = await worker.next_request()
         process.send_signal(signal.SIGTERM)
         while (await (await Client().open(port)).send(UP_REQUEST).read_response())[0] != 503:
-            pass  # it has not had the signal yet
+            pass  # the process has not handled the signal yet
         late = await Client().open(port)
         late.send(request())
         _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"late"))
         status, headers, body = await late.read_response()
         assert (status, body) == (200, b"late") and "connection" not in headers
-        late.send(request())  # on a connection that it has
+        late.send(request())  # on a connection that is already open
         _, late_writer = await worker.next_request()
         late_writer.write(answer(body=b"again"))
         assert (await late.read_response())[2] == b"again"
-        assert await late.wait_for_end() and await idle.wait_for_end()  # by now nothing comes any more
+        assert await late.wait_for_end() and await idle.wait_for_end()  # idle connections are closed
         assert process.returncode is None
         writer.write(answer(body=b"taken"))
         assert (await kept.read_response())[2] == b"taken" and await kept.wait_for_end()
@@ -74,7 +75,7 @@
     with_gateway_process(tmp_path, scenario)
 
 
-def test_sighup_moves_the_watch_and_keeps_what_it_has_if_the_file_is_malformed(tmp_path):
+def test_sighup_moves_the_discovery_watch_and_ignores_a_malformed_file(tmp_path):
     async def scenario(process, port, worker, fake, path):
         first = path.read_text()
         assert (await fake.next_call())[0].startswith("/discovery/hosts?since=")
@@ -83,7 +84,7 @@
         while b"the previous configuration stays active" not in await process.stderr.readline():
             pass
         async with FakeDiscovery() as second, FakeDiscovery() as third, FakeWorker() as other:
-            for new in (second, third):  # the second signal comes while the first move is under way
+            for new in (second, third):  # the second signal arrives during the first move
                 path.write_text(first.replace(f"{HOST}:{fake.port}", f"{HOST}:{new.port}"))
                 process.send_signal(signal.SIGHUP)
                 target, writer = await new.next_call()
@@ -102,8 +103,9 @@
     with_gateway_process(tmp_path, scenario)
 
 
-def test_no_thread_of_the_kernel_polls_on_its_account(tmp_path):
-    """Seen in /proc: a thread iou-sqp beside the program took nearly all of its CPU share."""
+def test_gateway_process_has_no_io_uring_polling_thread(tmp_path):
+    """Guards against an io_uring polling thread of the kernel (iou-sqp in /proc) that took nearly all of the
+    process's CPU share."""
 
     async def scenario(process, port, worker, _fake, _path):
         client = await Client().open(port)
@@ -117,7 +119,7 @@
     with_gateway_process(tmp_path, scenario)
 
 
-def test_after_a_kill_it_starts_from_nothing_at_the_same_address(tmp_path):
+def test_gateway_restarts_at_the_same_address_after_a_kill(tmp_path):
     async def scenario(process, port, worker, fake, path):
         client = await Client().open(port)
         client.send(request())
@@ -127,8 +129,9 @@
         again = await start_program(path)
         try:
             while (await fake.next_call())[0] != "/discovery/hosts":
-                pass  # the first one's watch
-            # The call of the second is the last one taken; it gives up silence and calls once more.
+                pass  # watch of the killed process
+            # The loop took the first call of the new process and left it unanswered; the process calls again
+            # after its response timeout.
             await send_endpoint_list(fake, entry("w1", worker.port))
             await wait_until_ready(port)
         finally:
@@ -142,23 +145,25 @@
     "text, name",
     [(None, "cannot read"), ("{", "config.json"), ("[]", "config"), ('{"seed":"1"}', "settings")],
 )
-def test_a_configuration_that_cannot_be_used_ends_it_with_one_line(tmp_path, text, name):
+def test_invalid_configuration_file_ends_the_process_with_one_line(tmp_path, text, name):
     async def scenario():
         path = tmp_path / "config.json"
         if text is not None:
             path.write_text(text)
         process = await start_program(path)
-        _, expected_text = await process.communicate()
-        assert process.returncode == 2 and expected_text.count(b"\n") == 1 and name.encode() in expected_text
+        _, errors = await process.communicate()
+        assert process.returncode == 2 and errors.count(b"\n") == 1 and name.encode() in errors
 
     run(scenario())
 
 
 def replace_settings(value, **more):
+    """Returns the configuration `value` with the settings `more` in place of its own."""
     return {**value, "settings": {**value["settings"], **more}}
 
 
 def numbered_copies(rows, count):
+    """Returns `count` copies of the first row, each with a name of its own."""
     return [{**rows[0], "name": f"n{place}"} for place in range(count)]
 
 
@@ -174,21 +179,21 @@
 
 
 @pytest.mark.parametrize("change, expected_text", BEYOND_LIMITS)
-def test_settings_beyond_the_limits_stop_the_start_with_one_line(tmp_path, change, expected_text):
-    test_a_configuration_that_cannot_be_used_ends_it_with_one_line(
+def test_settings_beyond_the_limits_end_the_process_with_one_line(tmp_path, change, expected_text):
+    test_invalid_configuration_file_ends_the_process_with_one_line(
         tmp_path, json.dumps(replace_settings(config(), **change)), expected_text
     )
 
 
-def test_as_many_classes_and_plans_as_may_be_are_taken():
+def test_maximum_number_of_classes_and_plans_is_accepted():
     given = replace_settings(
         config(), classes=numbered_copies(CLASSES, 65_536), packages=numbered_copies(PLANS, 4096)
     )
-    taken = parse_config(given, {}).settings
-    assert (len(taken.classes), len(taken.plans)) == (65_536, 4096)
+    settings = parse_config(given, {}).settings
+    assert (len(settings.classes), len(settings.plans)) == (65_536, 4096)
 
 
-def test_at_sighup_settings_beyond_the_limits_change_nothing(tmp_path):
+def test_settings_beyond_the_limits_are_ignored_after_sighup(tmp_path):
     async def scenario(process, port, worker, fake, path):
         first = json.loads(path.read_text())
         assert (await fake.next_call())[0].startswith("/discovery/hosts?since=")
@@ -214,8 +219,8 @@
     with_gateway_process(tmp_path, scenario)
 
 
-def test_silent_discovery_does_not_keep_it_from_starting_with_the_known_list(tmp_path):
-    async def whole():
+def test_gateway_starts_with_its_known_workers_while_discovery_does_not_answer(tmp_path):
+    async def run_scenario():
         async with FakeDiscovery() as fake, FakeWorker() as worker:
             port = free_port()
             path = tmp_path / "config.json"
@@ -232,73 +237,76 @@
                 process.kill()
                 await process.wait()
 
-    run(whole())
+    run(run_scenario())
 
 
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_leave_one_for_its_return(tmp_path):
-    """With the real limit: of all descriptors clients hold what they may, and the list comes all the same."""
+def test_idle_clients_at_the_descriptor_limit_leave_one_descriptor_for_discovery(tmp_path):
+    """Clients hold all descriptors that they may while discovery is down; when it is back, the process still
+    connects and receives the endpoint list."""
 
-    async def whole():
+    async def run_scenario():
         async with FakeWorker() as worker, FakeWorker() as other:
             port, discovery = free_port(), free_port()
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(discovery, port, known=[entry("w1", worker.port)])))
             limit = resource.RLIMIT_NOFILE, (256, 256)
             process = await start_program(path, preexec_fn=lambda: resource.setrlimit(*limit))
-            crowd = []
+            clients = []
             try:
                 await wait_until_ready(port)
-                for _ in range(400):  # each has asked once, and rests
-                    crowd.append((await Client().open(port)).send(UP_REQUEST))
-                for one in crowd[:100]:
+                for _ in range(400):  # each sends one request and then stays idle
+                    clients.append((await Client().open(port)).send(UP_REQUEST))
+                for one in clients[:100]:
                     assert await one.read_response()
                 async with FakeDiscovery(discovery) as fake:
                     _, writer = await fake.next_call()
                     writer.write(told(listing(entry("w2", other.port), index=9)))
                     assert (await fake.next_call())[0].startswith("/discovery/hosts?since=9")
                     message = None
-                    while message is None:  # at the very limit a new client is dropped, and comes again
+                    while message is None:  # a client that is dropped at the limit connects again
                         client = (await Client().open(port)).send(request())
-                        asked, gone = (
+                        forwarded, closed = (
                             asyncio.ensure_future(one)
                             for one in (other.next_request(), client.wait_for_end())
                         )
-                        await asyncio.wait((asked, gone), return_when=asyncio.FIRST_COMPLETED)
-                        message, writer = asked.result() if asked.done() else (None, None)
+                        await asyncio.wait((forwarded, closed), return_when=asyncio.FIRST_COMPLETED)
+                        message, writer = forwarded.result() if forwarded.done() else (None, None)
                         if message is None:
-                            asked.cancel()
+                            forwarded.cancel()
                         else:
-                            gone.cancel()
+                            closed.cancel()
                     assert worker.requests.empty()
             finally:
                 process.kill()
                 await process.wait()
-                for one in crowd:
+                for one in clients:
                     one.close()
 
-    run(whole())
+    run(run_scenario())
 
 
 def request_owned_here(**more):
-    """A request of a customer whose quota owner is this gateway."""
+    """Returns a request of a customer whose quota owner is this gateway."""
     return request(**more).replace(b"spread=2", b"spread=1")
 
 
-CLIENTS_THAT_GO = 300
-KEPT_CONNECTIONS = 16  # to the worker: what is sent on one of them needs no new connection
+DISCONNECTING_CLIENTS = 300
+# Number of clients served before the stall, so that the gateway has idle worker connections to reuse.
+KEPT_CONNECTIONS = 16
 
 
-def test_nothing_is_sent_on_after_a_stall_for_clients_that_have_gone_however_long_reading_takes(tmp_path):
-    """Guards against a backlog that takes longer to read than a fixed time: its rest passed for new."""
+def test_requests_of_clients_that_disconnected_during_a_stall_are_not_forwarded(tmp_path):
+    """Guards against a backlog that takes longer to read than a fixed time: the requests read after that time
+    counted as new ones and were forwarded."""
 
     async def scenario(process, port, worker, _fake, _path):
-        seen = []
+        forwarded_ids = []
 
         async def serve():
             while True:
                 message, writer = await worker.next_request()
                 if message is not None:
-                    seen.append(message.headers["x-request-id"])
+                    forwarded_ids.append(message.headers["x-request-id"])
                     asyncio.get_running_loop().call_later(0.02, writer.write, answer())
 
         serving = asyncio.create_task(serve())
@@ -306,20 +314,23 @@
         await asyncio.gather(*(client.send(request_owned_here()).read_response() for client in kept))
         await asyncio.sleep(0.1)
         process.send_signal(signal.SIGSTOP)
-        going = [await Client().open(port) for _ in range(CLIENTS_THAT_GO)]
-        for client in going:
+        disconnecting = [await Client().open(port) for _ in range(DISCONNECTING_CLIENTS)]
+        for client in disconnecting:
             client.send(request_owned_here(deadline=400))
         await asyncio.sleep(0.6)
-        for client in going:
+        for client in disconnecting:
             client.writer.transport.abort()
         await asyncio.sleep(0.1)
-        before = len(seen)
+        before = len(forwarded_ids)
         process.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.3)
-        assert len(seen) == before, f"{len(seen) - before} sent on for clients that have gone"
+        late = len(forwarded_ids) - before
+        assert late == 0, f"expected no request of disconnected clients to be forwarded, got {late}"
         last = await Client().open(port)
-        mine = request_owned_here().replace(b"b4d65521", b"b4d65522")  # a customer whose quota is not used up
-        assert (await last.send(mine).read_response())[0] == 200
+        unused = request_owned_here().replace(
+            b"b4d65521", b"b4d65522"
+        )  # a customer whose quota is not used up
+        assert (await last.send(unused).read_response())[0] == 200
         serving.cancel()
 
     with_gateway_process(tmp_path, scenario, {"limits": {"sockets": 2048}})
--- a/tests/support/dynamic_config.py
+++ b/tests/support/dynamic_config.py
@@ -34,7 +34,7 @@
 
 
 class Subscription:
-    """A settings subscriber driven like the gateway's client drives it: each update is parsed, staged and, once
+    """A settings subscriber driven as the gateway's client drives it: each update is parsed, staged and, once
     its time has come, activated. `reason_against` returns why settings are rejected, or ""."""
 
     def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
