--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -223,9 +223,8 @@
         gateways = [GatewayStub([address_of(one), address_of(other)], number).start() for number in (0, 1)]
         for gateway in gateways:
             await gateway.wait_until_active(1)
-        await publish(
-            one, document(2, published_settings(3))
-        )  # remedy for operators: a newer version at all services
+        # The operators' remedy: a newer version at all services.
+        await publish(one, document(2, published_settings(3)))
         await publish(other, document(2, published_settings(3)))
         for gateway in gateways:
             await gateway.wait_until_active(2)
