--- a/tests/gateway/dynamic_config/test_activation.py
+++ b/tests/gateway/dynamic_config/test_activation.py
@@ -44,9 +44,8 @@
             assert await send_and_answer(client, worker, "/c7") == 200  # on the same connection
             client.send(request_owned_here("/c7"))
             _, writer = await worker.next_request()
-            await setup.publish(
-                3, published_settings(3, classes=3)
-            )  # removes the class of the request in progress
+            # Version 3 removes the class of the request in progress.
+            await setup.publish(3, published_settings(3, classes=3))
             await setup.wait_until_activated(process, 3)
             writer.write(answer(body=b"late"))
             status, _, body = await client.read_response()
--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -203,9 +203,8 @@
         at_ms = gateways[0].clock.now() + 400.0
         await publish(one, document(1, published_settings(1), at_ms + 200))
         await publish(other, document(2, published_settings(2), at_ms))
-        assert (await publish(other, document(1, published_settings(1), at_ms + 200)))[
-            0
-        ] == 409  # older than the stored version
+        # Version 1 is older than the version that the other service has.
+        assert (await publish(other, document(1, published_settings(1), at_ms + 200)))[0] == 409
         assert (await publish(one, document(2, published_settings(2), at_ms)))[0] == 200
         for gateway in gateways:
             await gateway.wait_until_active(2)
@@ -236,8 +235,9 @@
 
 
 def test_publishing_again_completes_a_publication_that_reached_only_one_service():
-    """The service that has the version sends it to its watchers, which activate it. The rollout report names
-    the other service until the same version is published there, and that service's watchers activate it."""
+    """The service that has the version sends it to its watchers, which activate it at its activation time.
+    The rollout report names the other service until the same version is published there, too; its watchers
+    then activate the version at that time or, if it has passed, on receipt."""
 
     async def scenario(one, other):
         first, second = (
@@ -387,10 +387,10 @@
 
 def test_next_address_is_used_after_an_address_does_not_answer():
     async def scenario(service):
-        async with ServiceStub() as silent:
+        async with ServiceStub() as unresponsive:
             await publish(service, document(2, published_settings(2)))
-            gateway = GatewayStub([(HOST, silent.port), address_of(service)]).start()
-            await silent.calls.get()
+            gateway = GatewayStub([(HOST, unresponsive.port), address_of(service)]).start()
+            await unresponsive.calls.get()
             await gateway.wait_until_active(2)
             await gateway.stop()
 
@@ -476,9 +476,8 @@
         for gateway in gateways[1:]:
             await gateway.wait_until_active(4)
         assert gateways[0].client.subscriber.active.number == 1
-        await publish(
-            far, document(4, published_settings(4))
-        )  # the publisher reaches the other service again
+        # The publisher reaches the other service again.
+        await publish(far, document(4, published_settings(4)))
         await gateways[0].wait_until_active(4)
         assert [changed.settings.classes[0].priority_weight for changed in gateways[0].activated] == [
             1.0,
--- a/tests/gateway/dynamic_config/test_config_processes.py
+++ b/tests/gateway/dynamic_config/test_config_processes.py
@@ -151,10 +151,9 @@
             while setup.service.store.subscribers["n0"].active_version != 3:
                 await asyncio.sleep(0.01)
             store = setup.service.store
+            # The report counts gateways that never called as missing from 6 s after publishing on.
             report = report_rollout([store.status(store.versions[3].published_ms + 5900)])
-            assert (
-                report.is_complete and report.lines[-1] == "1 of 3 have it"
-            )  # before the report's 6 s deadline
+            assert report.is_complete and report.lines[-1] == "1 of 3 have it"
             report = report_rollout([store.status(store.versions[3].published_ms + 6100)])
             assert (
                 not report.is_complete
--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -408,9 +408,8 @@
         assert (await send_admin_command(gateway.management[0], b"DRAIN\n")).startswith("+OK")
         await gateway.start()
         assert (await (await Client().open(gateway.port)).send(UP_REQUEST).answer())[0] == 503
-        assert (await send_admin_command(gateway.management[0], b"UNDRAIN\n")).startswith(
-            "+OK"
-        )  # sent to the predecessor
+        # The command is sent to the predecessor.
+        assert (await send_admin_command(gateway.management[0], b"UNDRAIN\n")).startswith("+OK")
         while (await (await Client().open(gateway.port)).send(UP_REQUEST).answer())[0] == 503:
             await asyncio.sleep(0.01)
         assert (await send_admin_command(gateway.management[1], b"ENABLE w9\n")).startswith("-ERR")
--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -108,16 +108,16 @@
         writer.write(told(listing(index=41)))
         await lists.get()
         assert (await fake.next_call())[0] == WATCH.format(41)
-        async with FakeDiscovery() as silent, FakeDiscovery() as new:
-            discovery.change_address((HOST, silent.port))
-            await silent.next_call()
+        async with FakeDiscovery() as unresponsive, FakeDiscovery() as new:
+            discovery.change_address((HOST, unresponsive.port))
+            await unresponsive.next_call()
             discovery.change_address((HOST, new.port))
             target, writer = await new.next_call()
             assert target == "/discovery/hosts"
             writer.write(told(listing(entry("w9", 5009), index=3)))
             assert (await lists.get()).index == 3
             assert (await new.next_call())[0] == WATCH.format(3)
-            assert fake.calls.empty() and silent.calls.empty()
+            assert fake.calls.empty() and unresponsive.calls.empty()
 
     with_discovery_client(scenario)
 
@@ -140,9 +140,9 @@
         update = told(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
         writer.write(update[:-30])
         await wait_for_partial_response(discovery)
-        async with FakeDiscovery() as silent:
-            discovery.change_address((HOST, silent.port))
-            await silent.next_call()
+        async with FakeDiscovery() as unresponsive:
+            discovery.change_address((HOST, unresponsive.port))
+            await unresponsive.next_call()
             writer.write(update[-30:])
             assert (await lists.get()).entries[0].server.state.value == "draining"
             # The watch at the old address continues until the new address sends a snapshot.
@@ -160,15 +160,15 @@
         with socket.create_server((HOST, 0)) as probe:
             closed_port = probe.getsockname()[1]
         discovery.change_address((HOST, closed_port))
-        async with FakeDiscovery() as silent:
-            discovery.change_address((HOST, silent.port))  # twice in one turn of the event loop
-            discovery.change_address((HOST, silent.port))
-            await silent.next_call()
+        async with FakeDiscovery() as unresponsive:
+            discovery.change_address((HOST, unresponsive.port))  # twice in one turn of the event loop
+            discovery.change_address((HOST, unresponsive.port))
+            await unresponsive.next_call()
             discovery.change_address((HOST, fake.port))
             writer.write(told(listing(entry("w1", 5001, "gone"), index=42, snapshot=False)))
             assert (await lists.get()).index == 42
             assert (await fake.next_call())[0] == WATCH.format(42)
-            assert len(discovery._tasks) == 1 and silent.calls.empty()
+            assert len(discovery._tasks) == 1 and unresponsive.calls.empty()
 
     with_discovery_client(scenario)
 
--- a/tests/gateway/test_management.py
+++ b/tests/gateway/test_management.py
@@ -40,15 +40,15 @@
         async with FakeWorker() as worker:
             workers = listing(entry("w1", worker.port))
             given = parse_config(config(known=(), **more), {})
-            async with RunningGateway(Controller(given.settings, 1), **more) as gate:
-                listener = AdminListener(gate.gateway)
+            async with RunningGateway(Controller(given.settings, 1), **more) as running:
+                listener = AdminListener(running.gateway)
                 loop = asyncio.get_running_loop()
                 server = await start_server(listener, (HOST, 0), loop)
-                gate.operators = listener
-                gate.gateway.sweeps.append(listener.sweep)
-                gate.gateway.on_worker_list(parse_worker_list(workers, "list"))
+                running.operators = listener
+                running.gateway.sweeps.append(listener.sweep)
+                running.gateway.on_worker_list(parse_worker_list(workers, "list"))
                 try:
-                    await scenario(server.sockets[0].getsockname()[1], gate, worker)
+                    await scenario(server.sockets[0].getsockname()[1], running, worker)
                 finally:
                     server.close()
                     listener.close()
@@ -109,12 +109,14 @@
 
 
 def test_each_command_gets_one_reply_and_the_connection_is_closed():
-    async def scenario(port, gate, _worker):
+    async def scenario(port, running, _worker):
         assert (await send_admin_command(port, b"READY\n")).startswith("+OK")
         assert (await send_admin_command(port, b"DISABLE w1\r\n")).startswith("+OK")
         assert (await send_admin_command(port, b"DISABLE w1\n")).startswith("+OK")
         assert (await send_admin_command(port, b"ENABLE w1", end=True)).startswith("+OK")
-        assert (await send_admin_command(port, b"READY\nDRAIN\n")).count("\n") == 1 and gate.gateway.is_ready
+        assert (await send_admin_command(port, b"READY\nDRAIN\n")).count(
+            "\n"
+        ) == 1 and running.gateway.is_ready
         for wrong in (b"DISABLE w9\n", b"ENABLE w9\n", b"HELLO\n", b"DISABLE\n", b"\n", b"x" * 1_000_000):
             assert (await send_admin_command(port, wrong)).startswith("-ERR"), wrong
 
@@ -122,35 +124,35 @@
 
 
 def test_ready_is_an_error_before_start_and_during_shutdown():
-    async def scenario(port, gate, _worker):
-        gate.gateway.is_serving = False
+    async def scenario(port, running, _worker):
+        running.gateway.is_serving = False
         assert (await send_admin_command(port, b"READY\n")).startswith("-ERR")
-        gate.gateway.start_serving()
-        gate.gateway.shut_down_within(2000.0)
+        running.gateway.start_serving()
+        running.gateway.shut_down_within(2000.0)
         assert (await send_admin_command(port, b"READY\n")).startswith("-ERR")
 
     with_admin_listener(scenario)
 
 
 def test_command_is_answered_while_many_connections_send_no_complete_line():
-    async def scenario(port, gate, _worker):
-        silent = [await asyncio.open_connection(HOST, port) for _ in range(200)]
-        for _, writer in silent[::2]:
+    async def scenario(port, running, _worker):
+        connections = [await asyncio.open_connection(HOST, port) for _ in range(200)]
+        for _, writer in connections[::2]:
             writer.write(b"DISA")
         assert (await send_admin_command(port, b"READY\n")).startswith("+OK")
-        assert len(gate.operators.connections) <= HARD_MAX_CONNECTIONS
-        for _, writer in silent:
+        assert len(running.operators.connections) <= HARD_MAX_CONNECTIONS
+        for _, writer in connections:
             writer.transport.abort()
 
     with_admin_listener(scenario)
 
 
 def test_idle_admin_connection_is_closed_after_a_timeout():
-    async def scenario(port, gate, _worker):
+    async def scenario(port, running, _worker):
         reader, writer = await asyncio.open_connection(HOST, port)
-        while not gate.operators.connections:
+        while not running.operators.connections:
             await asyncio.sleep(0)
-        gate.operators.sweep(gate.gateway.clock.now() + 60_000.0)
+        running.operators.sweep(running.gateway.clock.now() + 60_000.0)
         assert await Client().open(port) and not await reader.read()
         writer.close()
 
@@ -158,8 +160,8 @@
 
 
 def test_disabled_worker_gets_no_request_after_the_reply_until_it_is_enabled():
-    async def scenario(port, gate, worker):
-        client = await gate.client()
+    async def scenario(port, running, worker):
+        client = await running.client()
         client.send(request())
         _, writer = await worker.next_request()
         assert (await send_admin_command(port, b"DISABLE w1\n")).startswith("+OK")
@@ -176,24 +178,24 @@
 
 
 def test_draining_gateway_answers_up_with_503_and_closes_connections_after_their_response():
-    async def scenario(port, gate, worker):
-        idle, kept, slow = await gate.client(), await gate.client(), await gate.client()
+    async def scenario(port, running, worker):
+        idle, kept, slow = await running.client(), await running.client(), await running.client()
         await idle.send(UP_REQUEST).read_response()
         slow.send(request()[:-1])
         kept.send(request())
         _, writer = await worker.next_request()
         assert (await send_admin_command(port, b"DRAIN\n")).startswith("+OK")
-        assert (await (await gate.client()).send(UP_REQUEST).read_response())[0] == 503
+        assert (await (await running.client()).send(UP_REQUEST).read_response())[0] == 503
         writer.write(answer())
         status, headers, _ = await kept.read_response()
         assert status == 200 and headers["connection"] == "close" and await kept.wait_for_end()
         assert await idle.wait_for_end()  # closed after half a second
         # The incomplete request ends with its own time limit, 408, or with the drain, 503.
         assert (await slow.read_response())[0] in (408, 503) and await slow.wait_for_end()
-        while gate.gateway.has_unfinished_work():
+        while running.gateway.has_unfinished_work():
             await asyncio.sleep(0.01)
         assert (await send_admin_command(port, b"UNDRAIN\n")).startswith("+OK")
-        again = await gate.client()
+        again = await running.client()
         assert (await again.send(UP_REQUEST).read_response())[0] == 200
         again.send(request())
         _, writer = await worker.next_request()
@@ -207,15 +209,15 @@
     """Guards against a request that a slow client completes late in a drain, and that is still open when the
     drain must end."""
 
-    async def scenario(port, gate, worker):
-        slow = await gate.client()
+    async def scenario(port, running, worker):
+        slow = await running.client()
         slow.send(request(deadline=10_000)[:-1])
         await send_admin_command(port, b"DRAIN\n")
-        while gate.gateway.admission_state < 3:
+        while running.gateway.admission_state < 3:
             await asyncio.sleep(0.01)
         slow.send(b"\n")
         await worker.next_request()
-        assert next(iter(gate.gateway.requests.open.values())).deadline_timer is not None
+        assert next(iter(running.gateway.requests.open.values())).deadline_timer is not None
         response = await slow.read_response()  # after 2 s at most, not at its deadline of 10 s
         assert response[0] in (502, 503, 504)
 
@@ -223,11 +225,11 @@
 
 
 def test_undrain_does_not_cancel_a_shutdown_that_began_during_a_drain():
-    async def scenario(port, gate, _worker):
+    async def scenario(port, running, _worker):
         await send_admin_command(port, b"DRAIN\n")
-        gate.gateway.shut_down_within(2000.0)
+        running.gateway.shut_down_within(2000.0)
         await send_admin_command(port, b"UNDRAIN\n")
-        assert not gate.gateway.is_ready  # the shutdown continues
+        assert not running.gateway.is_ready  # the shutdown continues
 
     with_admin_listener(scenario)
 
--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -48,9 +48,8 @@
     with pytest.raises(ConfigError, match="fleet.share_s: 36 s is too short for 550 gatekeepers"):
         parse_operator_config(tomllib.loads(own + BUDGET), 550)
     with pytest.raises(ConfigError, match="fleet.share_s: 60 s is too short for 901 gatekeepers"):
-        parse_operator_config(
-            tomllib.loads(own.replace("36", "60") + BUDGET), 901
-        )  # no permitted value suffices for 901 gateways
+        # From 901 gateways on, not even the maximum of share_s suffices.
+        parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)
     with pytest.raises(
         ConfigError, match="fleet.share_s: expected a number of seconds from 0.2 to 60, got 61"
     ):
@@ -63,6 +62,5 @@
 
     one = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
     assert len({digest(""), digest(one), digest(one + "floor = 0.2\n")}) == 3
-    assert digest(one) == digest(
-        one.replace("whole = 5", "whole = 6")
-    )  # gateways may differ in it: the lower one is used
+    # Gateways may differ in `whole`: the lowest value is used.
+    assert digest(one) == digest(one.replace("whole = 5", "whole = 6"))
--- a/tests/gateway/test_process.py
+++ b/tests/gateway/test_process.py
@@ -327,10 +327,9 @@
         late = len(forwarded_ids) - before
         assert late == 0, f"expected no request of disconnected clients to be forwarded, got {late}"
         last = await Client().open(port)
-        unused = request_owned_here().replace(
-            b"b4d65521", b"b4d65522"
-        )  # a customer whose quota is not used up
-        assert (await last.send(unused).read_response())[0] == 200
+        # A request of a customer whose quota is not used up.
+        other_customer = request_owned_here().replace(b"b4d65521", b"b4d65522")
+        assert (await last.send(other_customer).read_response())[0] == 200
         serving.cancel()
 
     with_gateway_process(tmp_path, scenario, {"limits": {"sockets": 2048}})
