--- a/tests/gateway/test_discovery.py
+++ b/tests/gateway/test_discovery.py
@@ -16,10 +16,10 @@
 
     async def run_scenario():
         async with FakeDiscovery() as fake:
-            lists = asyncio.Queue()
-            discovery = DiscoveryClient((HOST, fake.port), lists.put_nowait)
+            updates = asyncio.Queue()
+            discovery = DiscoveryClient((HOST, fake.port), updates.put_nowait)
             task = asyncio.get_running_loop().create_task(discovery.run())
-            await scenario(fake, lists, discovery)
+            await scenario(fake, updates, discovery)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
@@ -27,15 +27,15 @@
 
 
 def test_a_snapshot_is_followed_by_a_watch_from_its_index():
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts" and not discovery.has_snapshot.is_set()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        assert (await lists.get()).complete and discovery.has_snapshot.is_set()
+        assert (await updates.get()).complete and discovery.has_snapshot.is_set()
         target, writer = await fake.next_call()
         assert target == WATCH.format(41)
         writer.write(told(listing(entry("w1", 5001, "gone"), index=43, snapshot=False)))
-        update = await lists.get()
+        update = await updates.get()
         assert not update.complete and update.entries[0].server.state.value == "gone"
         assert (await fake.next_call())[0] == WATCH.format(43)
 
@@ -43,16 +43,16 @@
 
 
 def test_watch_without_changes_continues_and_reports_no_update():
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
-        await lists.get()
+        await updates.get()
         for _ in range(2):
             target, writer = await fake.next_call()
             assert target == WATCH.format(41)
             writer.write(told(listing(index=41, snapshot=False)))
         await fake.next_call()
-        assert lists.empty()
+        assert updates.empty()
 
     with_discovery_client(scenario)
 
@@ -71,10 +71,10 @@
     ],
 )
 def test_snapshot_is_requested_after_a_malformed_response_or_a_closed_connection(reply):
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
-        await lists.get()
+        await updates.get()
         _, writer = await fake.next_call()
         if reply is None:
             writer.transport.abort()
@@ -83,17 +83,17 @@
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w1", 5001), index=44)))
-        assert (await lists.get()).index == 44
+        assert (await updates.get()).index == 44
 
     with_discovery_client(scenario)
 
 
 def test_malformed_endpoint_is_omitted_from_the_list():
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         _, writer = await fake.next_call()
         malformed = [{"name": "w"}, 3, entry("w2", 0), entry("w3", 5001, "asleep")]
         writer.write(told(listing(*malformed, entry("w1", 5001), index=41)))
-        update = await lists.get()
+        update = await updates.get()
         assert [one.server.id for one in update.entries] == ["w1"] and update.complete
         assert (await fake.next_call())[0] == WATCH.format(41)
 
@@ -103,10 +103,10 @@
 def test_snapshot_is_requested_at_a_changed_address():
     """The address changes twice: once during a watch, once while a request is unanswered."""
 
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
-        await lists.get()
+        await updates.get()
         assert (await fake.next_call())[0] == WATCH.format(41)
         async with FakeDiscovery() as unresponsive, FakeDiscovery() as new:
             discovery.change_address((HOST, unresponsive.port))
@@ -115,7 +115,7 @@
             target, writer = await new.next_call()
             assert target == "/discovery/hosts"
             writer.write(told(listing(entry("w9", 5009), index=3)))
-            assert (await lists.get()).index == 3
+            assert (await updates.get()).index == 3
             assert (await new.next_call())[0] == WATCH.format(3)
             assert fake.calls.empty() and unresponsive.calls.empty()
 
@@ -132,10 +132,10 @@
     """Guards against an address change that drops the running watch and the part of its response that was
     read. Discovery doesn't repeat an update that it has sent, and the new address may be unreachable."""
 
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        await lists.get()
+        await updates.get()
         _, writer = await fake.next_call()
         update = told(listing(entry("w1", 5001, "draining"), index=42, snapshot=False))
         writer.write(update[:-30])
@@ -144,7 +144,7 @@
             discovery.change_address((HOST, unresponsive.port))
             await unresponsive.next_call()
             writer.write(update[-30:])
-            assert (await lists.get()).entries[0].server.state.value == "draining"
+            assert (await updates.get()).entries[0].server.state.value == "draining"
             # The watch at the old address continues until the new address sends a snapshot.
             assert (await fake.next_call())[0] == WATCH.format(42)
 
@@ -152,10 +152,10 @@
 
 
 def test_address_change_to_an_unreachable_service_and_back_loses_no_update():
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        await lists.get()
+        await updates.get()
         _, writer = await fake.next_call()
         with socket.create_server((HOST, 0)) as probe:
             closed_port = probe.getsockname()[1]
@@ -166,7 +166,7 @@
             await unresponsive.next_call()
             discovery.change_address((HOST, fake.port))
             writer.write(told(listing(entry("w1", 5001, "gone"), index=42, snapshot=False)))
-            assert (await lists.get()).index == 42
+            assert (await updates.get()).index == 42
             assert (await fake.next_call())[0] == WATCH.format(42)
             assert len(discovery._tasks) == 1 and unresponsive.calls.empty()
 
@@ -174,29 +174,29 @@
 
 
 def test_old_address_is_ignored_after_the_new_one_has_sent_a_snapshot():
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        await lists.get()
+        await updates.get()
         _, writer = await fake.next_call()
         async with FakeDiscovery() as new:
             discovery.change_address((HOST, new.port))
             _, other = await new.next_call()
             other.write(told(listing(entry("w9", 5009), index=3)))
-            assert (await lists.get()).index == 3
+            assert (await updates.get()).index == 3
             writer.write(told(listing(entry("w1", 5001), index=45)))  # a late snapshot
             for index in (4, 5):
                 _, other = await new.next_call()
                 other.write(told(listing(entry("w9", 5009, "gone"), index=index, snapshot=False)))
-                assert (await lists.get()).index == index
-            assert lists.empty() and len(discovery._tasks) == 1
+                assert (await updates.get()).index == index
+            assert updates.empty() and len(discovery._tasks) == 1
 
     with_discovery_client(scenario)
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
 def test_list_without_content_length_is_accepted_at_end_of_connection_but_not_after_a_reset(is_reset):
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         _, writer = await fake.next_call()
         body = told(listing(entry("w1", 5001), index=41)).partition(b"\r\n\r\n")[2]
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
@@ -208,24 +208,24 @@
         else:
             writer.close()
         if not is_reset:
-            assert (await lists.get()).index == 41
+            assert (await updates.get()).index == 41
         target, writer = await fake.next_call()
-        assert target == ("/discovery/hosts" if is_reset else WATCH.format(41)) and lists.empty()
+        assert target == ("/discovery/hosts" if is_reset else WATCH.format(41)) and updates.empty()
 
     with_discovery_client(scenario)
 
 
 def test_reset_watch_is_followed_by_a_snapshot_request():
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         _, writer = await fake.next_call()
         writer.write(told(listing(entry("w1", 5001), index=41)))
-        await lists.get()
+        await updates.get()
         _, writer = await fake.next_call()
         reset(writer)
         target, writer = await fake.next_call()
         assert target == "/discovery/hosts"
         writer.write(told(listing(entry("w1", 5001, "draining"), index=42)))
-        assert (await lists.get()).entries[0].server.state.value == "draining"
+        assert (await updates.get()).entries[0].server.state.value == "draining"
 
     with_discovery_client(scenario)
 
@@ -233,14 +233,14 @@
 def test_exception_in_the_update_callback_does_not_end_the_watch(monkeypatch):
     monkeypatch.setattr("plumpick.gateway.discovery.FAULT_BACKOFF_S", 0.0)
 
-    async def scenario(fake, lists, discovery):
+    async def scenario(fake, updates, discovery):
         discovery._on_update = lambda _update: 1 / 0
         _, writer = await fake.next_call()
         writer.write(told(listing(index=41)))
         _, writer = await fake.next_call()
-        discovery._on_update = lists.put_nowait
+        discovery._on_update = updates.put_nowait
         writer.write(told(listing(index=42)))
-        assert (await lists.get()).index == 42
+        assert (await updates.get()).index == 42
 
     with_discovery_client(scenario)
 
@@ -248,7 +248,7 @@
 def test_request_to_discovery_is_repeated_after_the_response_timeout(monkeypatch):
     monkeypatch.setattr("plumpick.policy.endpoint_watch.RESPONSE_TIMEOUT_MS", 50.0)
 
-    async def scenario(fake, lists, _discovery):
+    async def scenario(fake, updates, _discovery):
         for _ in range(3):
             assert (await fake.next_call())[0] == "/discovery/hosts"  # left unanswered
 
@@ -258,7 +258,7 @@
                 writer.write(told(listing(index=7)))
 
         answering = asyncio.get_running_loop().create_task(answer_calls())
-        assert (await lists.get()).index == 7
+        assert (await updates.get()).index == 7
         answering.cancel()
 
     with_discovery_client(scenario)
@@ -269,8 +269,8 @@
         probe = socket.create_server((HOST, 0))
         port = probe.getsockname()[1]
         probe.close()
-        lists = asyncio.Queue()
-        discovery = DiscoveryClient((HOST, port), lists.put_nowait)
+        updates = asyncio.Queue()
+        discovery = DiscoveryClient((HOST, port), updates.put_nowait)
         failed = asyncio.Event()
         fetch = discovery._current._fetch
 
@@ -284,7 +284,7 @@
         task = asyncio.get_running_loop().create_task(discovery.run())
         await failed.wait()
         server = await asyncio.start_server(serve_once, HOST, port)
-        assert (await lists.get()).index == 9
+        assert (await updates.get()).index == 9
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         server.close()
--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -43,24 +43,24 @@
 
 
 def test_share_s_too_short_for_the_number_of_gateways_is_rejected_if_there_are_budgets():
-    own = "[fleet]\nvoters = [0]\nshare_s = 36\n"
-    assert parse_operator_config(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
+    fleet_table = "[fleet]\nvoters = [0]\nshare_s = 36\n"
+    assert parse_operator_config(tomllib.loads(fleet_table), 550).fleet.grant_term_ms == 36_000
     with pytest.raises(ConfigError, match="fleet.share_s: 36 s is too short for 550 gatekeepers"):
-        parse_operator_config(tomllib.loads(own + BUDGET), 550)
+        parse_operator_config(tomllib.loads(fleet_table + BUDGET), 550)
     with pytest.raises(ConfigError, match="fleet.share_s: 60 s is too short for 901 gatekeepers"):
         # From 901 gateways on, not even the maximum of share_s suffices.
-        parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)
+        parse_operator_config(tomllib.loads(fleet_table.replace("36", "60") + BUDGET), 901)
     with pytest.raises(
         ConfigError, match="fleet.share_s: expected a number of seconds from 0.2 to 60, got 61"
     ):
-        parse_operator_config(tomllib.loads(own.replace("36", "61")), 550)
+        parse_operator_config(tomllib.loads(fleet_table.replace("36", "61")), 550)
 
 
 def test_digest_depends_on_names_and_floors_of_budgets_only():
     def digest(text):
         return parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), 3).fleet.terms.digest
 
-    one = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
-    assert len({digest(""), digest(one), digest(one + "floor = 0.2\n")}) == 3
+    budget = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
+    assert len({digest(""), digest(budget), digest(budget + "floor = 0.2\n")}) == 3
     # Gateways may differ in `whole`: the lowest value is used.
-    assert digest(one) == digest(one.replace("whole = 5", "whole = 6"))
+    assert digest(budget) == digest(budget.replace("whole = 5", "whole = 6"))
--- a/tests/policy/dynamic_config/test_subscriber.py
+++ b/tests/policy/dynamic_config/test_subscriber.py
@@ -90,7 +90,7 @@
     """Updates are reordered, repeated, delayed, with a wrong base, with a wrong digest or under the number of
     another version; the subscriber restarts in between."""
     documents = published_documents(8, activation_times)
-    now, incarnations = 0.0, [Subscription(0.0, reason_against=bad_reason)]
+    now, incarnations = 0.0, [Subscription(0.0, rejection_reason=bad_reason)]
     for kind, place, other, passed in steps:
         now += passed
         side, offered = incarnations[-1], documents[place]
@@ -112,7 +112,7 @@
         elif kind == "conflicting number":  # other content under the number of a published version
             side.receive(now, document(offered["version"], published_settings(50), now))
         elif kind == "restart":
-            incarnations.append(Subscription(now, reason_against=side.reason_against))
+            incarnations.append(Subscription(now, rejection_reason=side.rejection_reason))
         incarnations[-1].activate_due(now)
     published_digests = {row["version"]: row["digest"] for row in documents}
     conflicting_digest = settings_digest(published_settings(50))
@@ -130,7 +130,7 @@
 @given(st.permutations(range(8)), st.randoms(use_true_random=False))
 def test_newest_version_is_active_after_all_were_received_in_any_order(order, chance):
     documents = published_documents(8, [0.0] * 8)
-    side = Subscription(reason_against=bad_reason)
+    side = Subscription(rejection_reason=bad_reason)
     for place in order:
         for _ in range(chance.randrange(1, 3)):
             side.receive(1.0, documents[place])
@@ -161,7 +161,7 @@
 
 def test_rejected_version_is_reported_and_does_not_replace_the_active_or_staged_version():
     side = Subscription(
-        reason_against=lambda value: "settings.classes[0].name is missing" if value.get("bad") else ""
+        rejection_reason=lambda value: "settings.classes[0].name is missing" if value.get("bad") else ""
     )
     side.receive(0.0, document(1, published_settings(1)))
     side.receive(0.0, document(2, published_settings(2), 5000.0))
--- a/tests/support/dynamic_config.py
+++ b/tests/support/dynamic_config.py
@@ -12,14 +12,14 @@
 from plumpick.policy.dynamic_config.version_store import SubscriberStatus
 
 
-def published_settings(mark=0, classes=3):
-    """Returns settings as a service publishes them, with `classes` request classes. Each `mark` gives
+def published_settings(variant=0, classes=3):
+    """Returns settings as a service publishes them, with `classes` request classes. Each `variant` gives
     different settings: it sets the weight of the first class and the rate of the first plan."""
     value = copy.deepcopy(shared_settings(settings()))
     row = value["classes"][0]
     value["classes"] = [{**row, "name": f"c{number}"} for number in range(classes)]
-    value["classes"][0]["worth"] = float(mark)
-    value["packages"][0]["perSecond"] = 50.0 + mark
+    value["classes"][0]["worth"] = float(variant)
+    value["packages"][0]["perSecond"] = 50.0 + variant
     return value
 
 
@@ -35,11 +35,11 @@
 
 class Subscription:
     """A settings subscriber driven as the gateway's client drives it: each update is parsed, staged and, once
-    its time has come, activated. `reason_against` returns why settings are rejected, or ""."""
+    its time has come, activated. `rejection_reason` returns why settings are rejected, or ""."""
 
-    def __init__(self, now_ms=0.0, number=0, addresses=2, reason_against=lambda _settings: ""):
+    def __init__(self, now_ms=0.0, number=0, addresses=2, rejection_reason=lambda _settings: ""):
         self.subscriber = ConfigSubscriber(number, 5, addresses, random.Random(1), now_ms)
-        self.reason_against = reason_against
+        self.rejection_reason = rejection_reason
         self.problems = []  # error text of each received response, "" where there was no error
         self.activated = []  # activation time in ms, version number and settings digest of each activation
 
@@ -61,7 +61,7 @@
         update = parse_update(value)
         self.subscriber.require_wanted(update)
         version = resolve_update(update, self.subscriber.newest)
-        reason = self.reason_against(version.settings)
+        reason = self.rejection_reason(version.settings)
         if reason:
             self.subscriber.reject(now_ms, version, reason)
         else:
