--- a/tests/gateway/test_operator_config.py
+++ b/tests/gateway/test_operator_config.py
@@ -1,4 +1,5 @@
-"""Budgets in the operator's file: what is rejected, by which key, and the defaults."""
+"""Budgets in the operator's file: checks of their keys, the default of share_s, and the digest of their
+terms."""
 
 import tomllib
 
@@ -21,7 +22,7 @@
         ("whole = 5\nburst = 5\n[[fleet.budget]]\nname = 'x'\nwhole = 1\nburst = 1", "budget[1].name"),
     ],
 )
-def test_unusable_budget_is_named_by_its_key(text, key):
+def test_invalid_budget_is_rejected_with_the_name_of_the_key(text, key):
     document = f"[fleet]\nvoters = [0]\n[[fleet.budget]]\nname = 'x'\n{text}\n"
     with pytest.raises(ConfigError) as problem:
         parse_operator_config(tomllib.loads(document), 3)
@@ -32,31 +33,34 @@
 
 
 @pytest.mark.parametrize("gateways", [3, 480, 481, 550, 900])
-def test_file_without_share_s_is_read_at_any_size_of_the_fleet(gateways):
-    """From 481 gateways on the default must not pass the key's own bound."""
+def test_default_share_s_is_valid_for_any_number_of_gateways(gateways):
+    """From 481 gateways on, the default of an eighth of a second for each gateway is cut to 60 s, the maximum
+    of share_s."""
     for text in ("", BUDGET):
-        got = parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
-        assert got.grant_term_ms == min(60.0, max(2.0, gateways / 8)) * 1000
-        assert got.grant_term_ms >= 2000 * gateways / 30
+        fleet = parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), gateways).fleet
+        assert fleet.grant_term_ms == min(60.0, max(2.0, gateways / 8)) * 1000
+        assert fleet.grant_term_ms >= 2000 * gateways / 30
 
 
-def test_share_s_too_short_for_the_fleet_is_rejected_where_there_are_budgets():
-    own = "[fleet]\nvoters = [0]\nshare_s = 36\n"
-    assert parse_operator_config(tomllib.loads(own), 550).fleet.grant_term_ms == 36_000
+def test_share_s_too_short_for_the_number_of_gateways_is_rejected_if_there_are_budgets():
+    fleet_table = "[fleet]\nvoters = [0]\nshare_s = 36\n"
+    assert parse_operator_config(tomllib.loads(fleet_table), 550).fleet.grant_term_ms == 36_000
     with pytest.raises(ConfigError, match="fleet.share_s: 36 s is too short for 550 gatekeepers"):
-        parse_operator_config(tomllib.loads(own + BUDGET), 550)
+        parse_operator_config(tomllib.loads(fleet_table + BUDGET), 550)
     with pytest.raises(ConfigError, match="fleet.share_s: 60 s is too short for 901 gatekeepers"):
-        parse_operator_config(tomllib.loads(own.replace("36", "60") + BUDGET), 901)  # whatever its length
+        # From 901 gateways on, not even the maximum of share_s suffices.
+        parse_operator_config(tomllib.loads(fleet_table.replace("36", "60") + BUDGET), 901)
     with pytest.raises(
         ConfigError, match="fleet.share_s: expected a number of seconds from 0.2 to 60, got 61"
     ):
-        parse_operator_config(tomllib.loads(own.replace("36", "61")), 550)
+        parse_operator_config(tomllib.loads(fleet_table.replace("36", "61")), 550)
 
 
 def test_digest_depends_on_names_and_floors_of_budgets_only():
     def digest(text):
         return parse_operator_config(tomllib.loads("[fleet]\nvoters = [0]\n" + text), 3).fleet.terms.digest
 
-    one = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
-    assert len({digest(""), digest(one), digest(one + "floor = 0.2\n")}) == 3
-    assert digest(one) == digest(one.replace("whole = 5", "whole = 6"))  # the lower holds
+    budget = "[[fleet.budget]]\nname = 'x'\nwhole = 5\nburst = 5\n"
+    assert len({digest(""), digest(budget), digest(budget + "floor = 0.2\n")}) == 3
+    # Gateways may differ in `whole`: the lowest value is used.
+    assert digest(budget) == digest(budget.replace("whole = 5", "whole = 6"))
