--- a/tests/test_counts.py
+++ b/tests/test_counts.py
@@ -4,7 +4,7 @@
 
 import pytest
 from support.fakes import HOST, Client, FakeDiscovery, FakeWorker, config, entry, http_response, request, run
-from support.processes import free_port, start_program, send_endpoint_list, wait_until_ready
+from support.processes import free_port, send_endpoint_list, start_program, wait_until_ready
 
 from plumpick.cli import EXIT_HELD, EXIT_USAGE, main
 from plumpick.tools.counts import CountsError, aggregate, parse_records, summarize
