--- a/tests/gateway/dynamic_config/test_config_client.py
+++ b/tests/gateway/dynamic_config/test_config_client.py
@@ -279,7 +279,7 @@
         self.writers.append(writer)
         try:
             while line := await reader.readuntil(b"\r\n\r\n"):
-                await self.calls.publish((line.split()[1].decode(), writer))
+                await self.calls.put((line.split()[1].decode(), writer))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
 
