--- a/tests/gateway/hot_restart/test_hot_restart.py
+++ b/tests/gateway/hot_restart/test_hot_restart.py
@@ -383,7 +383,7 @@
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(8)]
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP_REQUEST).http_response())[0] == 200
+        assert (await idle.send(UP_REQUEST).read_response())[0] == 200
         for _ in range(2):
             old = gateway.processes[-1]
             before = counts["answered"]
@@ -395,7 +395,7 @@
                 await asyncio.sleep(0.01)
         counts["stop"] = 1
         await asyncio.gather(*clients)
-        assert (await idle.send(UP_REQUEST).http_response())[0] == 200  # its connection was transferred twice
+        assert (await idle.send(UP_REQUEST).read_response())[0] == 200  # its connection was transferred twice
         serving.cancel()
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
 
@@ -407,10 +407,10 @@
         assert (await send_admin_command(gateway.management[0], b"DISABLE w1\n")).startswith("+OK")
         assert (await send_admin_command(gateway.management[0], b"DRAIN\n")).startswith("+OK")
         await gateway.start()
-        assert (await (await Client().open(gateway.port)).send(UP_REQUEST).http_response())[0] == 503
+        assert (await (await Client().open(gateway.port)).send(UP_REQUEST).read_response())[0] == 503
         # The command is sent to the predecessor.
         assert (await send_admin_command(gateway.management[0], b"UNDRAIN\n")).startswith("+OK")
-        while (await (await Client().open(gateway.port)).send(UP_REQUEST).http_response())[0] == 503:
+        while (await (await Client().open(gateway.port)).send(UP_REQUEST).read_response())[0] == 503:
             await asyncio.sleep(0.01)
         assert (await send_admin_command(gateway.management[1], b"ENABLE w9\n")).startswith("-ERR")
         assert (await send_admin_command(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
@@ -427,7 +427,7 @@
         new.kill()
         await new.wait()
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
-        assert (await (await Client().open(gateway.port)).send(request()).http_response())[0] == 200
+        assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
         assert (await send_admin_command(gateway.management[0], b"READY\n")).startswith("+OK")
         serving.cancel()
 
@@ -507,7 +507,7 @@
         assert await old.wait() == 0 and accepted > 3
         assert (await reading).count(b" w1: done") >= accepted
         client = await Client().open(gateway.port)
-        assert (await client.send(request(deadline=300)).http_response())[0] in (503, 504)
+        assert (await client.send(request(deadline=300)).read_response())[0] in (503, 504)
         assert (await send_admin_command(gateway.management[1], b"ENABLE w1\n")).startswith("+OK")
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         assert (await (await Client().open(gateway.port)).send(request()).read_response())[0] == 200
@@ -610,7 +610,7 @@
         log = asyncio.create_task(old.stderr.read())
         serving = asyncio.create_task(answer_all_attempts(gateway.worker))
         idle = await Client().open(gateway.port)
-        assert (await idle.send(UP_REQUEST).http_response())[0] == 200
+        assert (await idle.send(UP_REQUEST).read_response())[0] == 200
         new = await gateway.start()
         counts = dict(sent=0, answered=0, lost=0, refused=0, stop=0)
         clients = [asyncio.create_task(send_requests(gateway.port, 1000, counts)) for _ in range(16)]
@@ -627,7 +627,7 @@
         counts["stop"] = 1
         await asyncio.gather(*clients)
         assert counts["lost"] == counts["refused"] == 0 and counts["answered"] == counts["sent"]
-        assert (await idle.send(UP_REQUEST).http_response())[0] == 200
+        assert (await idle.send(UP_REQUEST).read_response())[0] == 200
         serving.cancel()
         old_log = (await log).decode()
         assert old_log.count("handed over to the next process") == 1
@@ -648,9 +648,9 @@
 
 async def check_readiness(client, port):
     """Send a readiness check, which must be answered; reconnect if the answer closes the connection."""
-    http_response = await client.send(UP_REQUEST).http_response()
-    assert http_response is not None and http_response[0] == 200
-    if http_response[1].get("connection") == "close":
+    response = await client.send(UP_REQUEST).read_response()
+    assert response is not None and response[0] == 200
+    if response[1].get("connection") == "close":
         client.close()
         await client.open(port)
 
